--- a/crates/spokeflow-agreed/src/granter.rs
+++ b/crates/spokeflow-agreed/src/granter.rs
@@ -49,7 +49,13 @@
 
 impl Granter {
     pub fn new(terms: LeaseTerms, now: Micros) -> Self {
-        Granter { terms, led_since: now, announced: None, leases: LeaseTable::default(), over: false }
+        Granter {
+            terms,
+            led_since: now,
+            announced: None,
+            leases: LeaseTable::default(),
+            over: false,
+        }
     }
 
     /// To be called by a leader that speaks at this moment, only.
@@ -61,7 +67,10 @@
             self.over = true;
         } else {
             // Messages overtake each other: what a router has once said it acts on stays said.
-            let lease = Lease { until, acts_on: asked.acts_on.max(known) };
+            let lease = Lease {
+                until,
+                acts_on: asked.acts_on.max(known),
+            };
             self.leases.insert(asked.process, lease);
         }
         let tell = |revision: &Revision| Known {
@@ -70,7 +79,12 @@
         };
         let (in_force, announced) = (tell(&ledger.in_force), ledger.announced.as_ref().map(tell));
         let list = asked.list.and_then(|have| ledger.list.since(have));
-        Grant { in_force, announced, seats: (asked.seats != seats.mark).then(|| seats.clone()), list }
+        Grant {
+            in_force,
+            announced,
+            seats: (asked.seats != seats.mark).then(|| seats.clone()),
+            list,
+        }
     }
 
     /// The announced revision, where every lease that was given without it is over, or its router has since said
@@ -96,7 +110,10 @@
     pub fn next_look(&self, now: Micros) -> Option<Micros> {
         let since = self.announced?.1;
         let waits = self.terms.waits();
-        [since + waits, self.led_since + waits].into_iter().filter(|t| *t > now).min()
+        [since + waits, self.led_since + waits]
+            .into_iter()
+            .filter(|t| *t > now)
+            .min()
     }
 
     /// Live leases, and how many of them are of routers that act on the newest revision.
--- a/crates/spokeflow-agreed/src/hosts.rs
+++ b/crates/spokeflow-agreed/src/hosts.rs
@@ -7,7 +7,9 @@
 /// Changes that are kept for those who lag; one who has missed more is told the whole list.
 const CHANGES: usize = 4096;
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ListNo(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -34,7 +36,13 @@
 impl ListedHost {
     /// Whether both say the same, however long ago.
     fn same(&self, other: &ListedHost) -> bool {
-        ListedHost { up_us: None, ..self.clone() } == ListedHost { up_us: None, ..other.clone() }
+        ListedHost {
+            up_us: None,
+            ..self.clone()
+        } == ListedHost {
+            up_us: None,
+            ..other.clone()
+        }
     }
 }
 
@@ -87,7 +95,10 @@
     /// What of the news differs from the list. `Ok(None)`: nothing. `twice`: a second reading said the same.
     pub fn weigh(&self, news: &SourceNews, twice: bool) -> Result<Option<SourceNews>, Rejection> {
         if news.version < self.source {
-            return Err(Rejection::Backwards { told: news.version, before: self.source });
+            return Err(Rejection::Backwards {
+                told: news.version,
+                before: self.source,
+            });
         }
         let named: BTreeSet<u32> = news.hosts.iter().map(|h| h.host).collect();
         let mut differ: Vec<ListedHost> = news.hosts.to_vec();
@@ -95,21 +106,34 @@
         // One that was never there need not be told to be gone.
         differ.retain(|h| h.state != HostState::Gone || self.hosts.contains_key(&h.host));
         if news.whole {
-            let missing: Vec<&ListedHost> = self.there().filter(|h| !named.contains(&h.host)).collect();
+            let missing: Vec<&ListedHost> =
+                self.there().filter(|h| !named.contains(&h.host)).collect();
             let before = self.there().count();
             if missing.len() * 2 > before && before > 1 && !twice {
-                return Err(Rejection::Halved { before, missing: missing.len() });
+                return Err(Rejection::Halved {
+                    before,
+                    missing: missing.len(),
+                });
             }
-            let gone = |h: &ListedHost| ListedHost { state: HostState::Gone, ..h.clone() };
+            let gone = |h: &ListedHost| ListedHost {
+                state: HostState::Gone,
+                ..h.clone()
+            };
             differ.extend(missing.into_iter().map(gone));
         }
         if differ.is_empty() {
             return Ok(None);
         }
         if news.version == self.source && self.version.0 > 0 {
-            return Err(Rejection::Forked { version: news.version });
+            return Err(Rejection::Forked {
+                version: news.version,
+            });
         }
-        Ok(Some(SourceNews { version: news.version, whole: false, hosts: differ }))
+        Ok(Some(SourceNews {
+            version: news.version,
+            whole: false,
+            hosts: differ,
+        }))
     }
 
     /// Takes in what was weighed.
@@ -121,10 +145,17 @@
             self.hosts.insert(host.host, host);
         }
         while self.changes.len() > CHANGES {
-            let Some((_, host)) = self.changes.pop_front() else { break };
+            let Some((_, host)) = self.changes.pop_front() else {
+                break;
+            };
             // Who is told the whole list needs no word of hosts that are gone.
             let last = !self.changes.iter().any(|c| c.1 == host);
-            if last && self.hosts.get(&host).is_some_and(|h| h.state == HostState::Gone) {
+            if last
+                && self
+                    .hosts
+                    .get(&host)
+                    .is_some_and(|h| h.state == HostState::Gone)
+            {
                 self.hosts.remove(&host);
             }
         }
@@ -145,10 +176,26 @@
         // One version may have been cut in the middle: what comes right after it is not known whole.
         if have.0 == 0 || have >= self.version || have.0 < first.0 {
             let hosts = self.there().cloned().collect();
-            return Some(ListPart { version, whole: true, hosts });
+            return Some(ListPart {
+                version,
+                whole: true,
+                hosts,
+            });
         }
-        let named: BTreeSet<u32> = self.changes.iter().filter(|c| c.0 > have).map(|c| c.1).collect();
-        let hosts = named.iter().filter_map(|h| self.hosts.get(h).cloned()).collect();
-        Some(ListPart { version, whole: false, hosts })
+        let named: BTreeSet<u32> = self
+            .changes
+            .iter()
+            .filter(|c| c.0 > have)
+            .map(|c| c.1)
+            .collect();
+        let hosts = named
+            .iter()
+            .filter_map(|h| self.hosts.get(h).cloned())
+            .collect();
+        Some(ListPart {
+            version,
+            whole: false,
+            hosts,
+        })
     }
 }
--- a/crates/spokeflow-agreed/src/keeper.rs
+++ b/crates/spokeflow-agreed/src/keeper.rs
@@ -4,12 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use spokeflow_core::Micros;
-use spokeflow_quorum::{Body, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write};
+use spokeflow_quorum::{
+    Body, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
+};
 
 use crate::wire::{Answer, Ask, ToKeeper, View};
 use crate::{
-    Act, Granter, HostState, LeaseTerms, Ledger, ListPart, Offer, Rejection, RevisionNo, Seats, SourceNews,
-    Values,
+    Act, Granter, HostState, LeaseTerms, Ledger, ListPart, Offer, Rejection, RevisionNo, Seats,
+    SourceNews, Values,
 };
 
 /// Entries beside the snapshot from which a new one is made.
@@ -135,15 +137,26 @@
 
     /// Where a keeper is to be found: as the flags say, else as the ledger does.
     pub fn address(&self, id: KeeperId) -> Option<&str> {
-        let known = self.terms.addresses.get(&id).or_else(|| self.ledger.addresses.get(&id));
+        let known = self
+            .terms
+            .addresses
+            .get(&id)
+            .or_else(|| self.ledger.addresses.get(&id));
         known.or_else(|| self.learned.get(&id)).map(String::as_str)
     }
 
     /// All that it knows of where keepers are to be found.
     pub fn addresses(&self) -> Vec<(KeeperId, String)> {
-        let ids = self.terms.addresses.keys().chain(self.ledger.addresses.keys()).chain(self.learned.keys());
+        let ids = self
+            .terms
+            .addresses
+            .keys()
+            .chain(self.ledger.addresses.keys())
+            .chain(self.learned.keys());
         let ids: BTreeSet<KeeperId> = ids.copied().collect();
-        ids.into_iter().filter_map(|id| Some((id, self.address(id)?.to_string()))).collect()
+        ids.into_iter()
+            .filter_map(|id| Some((id, self.address(id)?.to_string())))
+            .collect()
     }
 
     /// Another keeper said where some are to be found.
@@ -157,7 +170,10 @@
     /// Told to routers: those whose first keepers have all been replaced would else find none.
     fn seat(&mut self) {
         let members = self.member.members().iter();
-        let addresses: Vec<String> = members.filter_map(|m| self.address(*m)).map(str::to_string).collect();
+        let addresses: Vec<String> = members
+            .filter_map(|m| self.address(*m))
+            .map(str::to_string)
+            .collect();
         if addresses != self.seats.addresses {
             let mark = u64::from(crc32fast::hash(addresses.join(" ").as_bytes())) + 1;
             self.seats = Seats { mark, addresses };
@@ -169,21 +185,40 @@
     }
 
     pub fn next_wake(&self, now: Micros) -> Micros {
-        let look = self.granter.as_ref().and_then(|(_, g)| g.next_look(now)).unwrap_or(Micros::MAX);
-        let waits = self.offers.values().flatten().chain(self.passed.values()).map(|w| w.until).min();
-        self.member.next_wake().min(look).min(waits.unwrap_or(Micros::MAX))
+        let look = self
+            .granter
+            .as_ref()
+            .and_then(|(_, g)| g.next_look(now))
+            .unwrap_or(Micros::MAX);
+        let waits = self
+            .offers
+            .values()
+            .flatten()
+            .chain(self.passed.values())
+            .map(|w| w.until)
+            .min();
+        self.member
+            .next_wake()
+            .min(look)
+            .min(waits.unwrap_or(Micros::MAX))
     }
 
     pub fn woken(&mut self, now: Micros, step: &mut Step) {
         let mut out = Out::default();
         self.member.woken(now, &mut out);
-        let late: Vec<u64> = self.passed.iter().filter(|p| p.1.until <= now).map(|p| *p.0).collect();
+        let late: Vec<u64> = self
+            .passed
+            .iter()
+            .filter(|p| p.1.until <= now)
+            .map(|p| *p.0)
+            .collect();
         for number in late {
             self.passed_back(number, Answer::Unclear, step);
         }
         self.offers.retain(|_, waiting| {
             for w in waiting.extract_if(.., |w| w.until <= now) {
-                step.answers.push((w.from.conn, w.from.number, Answer::Unclear));
+                step.answers
+                    .push((w.from.conn, w.from.number, Answer::Unclear));
             }
             !waiting.is_empty()
         });
@@ -210,7 +245,8 @@
             true => self.lead(now, from, ask, &mut out),
             false => self.pass_on(now, from, ask, step),
         };
-        step.answers.extend(answer.map(|answer| (from.conn, from.number, answer)));
+        step.answers
+            .extend(answer.map(|answer| (from.conn, from.number, answer)));
         self.settle(now, out, step);
     }
 
@@ -227,8 +263,20 @@
             return Some(Answer::NoLeader);
         };
         self.next_pass += 1;
-        self.passed.insert(self.next_pass, Waiting { from, until: now + PATIENCE });
-        step.to_keepers.push((leader, ToKeeper::Ask { number: self.next_pass, ask }));
+        self.passed.insert(
+            self.next_pass,
+            Waiting {
+                from,
+                until: now + PATIENCE,
+            },
+        );
+        step.to_keepers.push((
+            leader,
+            ToKeeper::Ask {
+                number: self.next_pass,
+                ask,
+            },
+        ));
         None
     }
 
@@ -238,7 +286,9 @@
                 let term = self.member.term();
                 let lease = self.terms.lease;
                 // Told to one that has just begun to lead before it has looked at its ledger: it looks now.
-                let (of, granter) = self.granter.get_or_insert_with(|| (term, Granter::new(lease, now)));
+                let (of, granter) = self
+                    .granter
+                    .get_or_insert_with(|| (term, Granter::new(lease, now)));
                 if *of != term {
                     (*of, *granter) = (term, Granter::new(lease, now));
                 }
@@ -266,21 +316,34 @@
                     }
                 }
                 if let Some(waiting) = self.offers.get_mut(&token).filter(|w| w.len() < WAITING) {
-                    waiting.push(Waiting { from, until: now + PATIENCE });
+                    waiting.push(Waiting {
+                        from,
+                        until: now + PATIENCE,
+                    });
                 }
                 None
             }
             Ask::View => Some(Answer::View(Box::new(self.view(now)))),
             Ask::TrustList => {
                 let act = Act::TrustList;
-                Some(self.member.offer(now, act.bytes(), out).map_or(Answer::NoLeader, |_| Answer::Begun))
+                Some(
+                    self.member
+                        .offer(now, act.bytes(), out)
+                        .map_or(Answer::NoLeader, |_| Answer::Begun),
+                )
             }
             Ask::SetAddress { keeper, address } => {
                 if address.parse::<std::net::SocketAddr>().is_err() {
-                    return Some(Answer::Bad(format!("'{address}' is not an address with a port")));
+                    return Some(Answer::Bad(format!(
+                        "'{address}' is not an address with a port"
+                    )));
                 }
                 let act = Act::SetAddress { keeper, address };
-                Some(self.member.offer(now, act.bytes(), out).map_or(Answer::NoLeader, |_| Answer::Begun))
+                Some(
+                    self.member
+                        .offer(now, act.bytes(), out)
+                        .map_or(Answer::NoLeader, |_| Answer::Begun),
+                )
             }
             Ask::Members(members) => {
                 let unknown = members.iter().find(|m| self.address(**m).is_none());
@@ -292,7 +355,9 @@
                 }
                 let begun = self.member.change(now, members, out);
                 let not = || {
-                    Answer::Bad("another change is under way, or it is not one keeper's difference".into())
+                    Answer::Bad(
+                        "another change is under way, or it is not one keeper's difference".into(),
+                    )
                 };
                 Some(begun.map_or_else(not, |_| Answer::Begun))
             }
@@ -309,7 +374,10 @@
             self.list_waits.truncate(LIST_WAITS);
             return;
         }
-        let twice = self.rejected.as_ref().is_some_and(|r| r.whole && news.whole && alike(r, &news));
+        let twice = self
+            .rejected
+            .as_ref()
+            .is_some_and(|r| r.whole && news.whole && alike(r, &news));
         let weighed = self.ledger.list.weigh(&news, twice);
         let rejection = weighed.as_ref().err().copied();
         if rejection.is_some() && self.rejection != rejection {
@@ -319,7 +387,10 @@
         self.rejected = matches!(rejection, Some(Rejection::Halved { .. })).then_some(news);
         if let Ok(Some(news)) = weighed {
             let mut out = Out::default();
-            self.list_out = self.member.offer(now, Act::List(news).bytes(), &mut out).is_ok();
+            self.list_out = self
+                .member
+                .offer(now, Act::List(news).bytes(), &mut out)
+                .is_ok();
             self.settle(now, out, step);
         }
     }
@@ -327,14 +398,20 @@
     fn note_hosts(&mut self, now: Micros) {
         let mut noted = BTreeMap::new();
         for host in self.ledger.list.hosts() {
-            let known = self.applied_at.get(&host.host).filter(|a| a.0 == host.incarnation);
+            let known = self
+                .applied_at
+                .get(&host.host)
+                .filter(|a| a.0 == host.incarnation);
             noted.insert(host.host, known.copied().unwrap_or((host.incarnation, now)));
         }
         self.applied_at = noted;
     }
 
     fn view(&self, now: Micros) -> View {
-        let counts = self.granter.as_ref().map(|(_, g)| g.counts(now, &self.ledger));
+        let counts = self
+            .granter
+            .as_ref()
+            .map(|(_, g)| g.counts(now, &self.ledger));
         let (leases, acting) = counts.unwrap_or_default();
         View {
             leader: self.terms.own,
@@ -344,11 +421,21 @@
             announced: self.ledger.announced.clone(),
             history: self.ledger.history.iter().cloned().collect(),
             members: self.member.members().to_vec(),
-            addresses: self.ledger.addresses.iter().map(|(k, a)| (*k, a.clone())).collect(),
+            addresses: self
+                .ledger
+                .addresses
+                .iter()
+                .map(|(k, a)| (*k, a.clone()))
+                .collect(),
             leases: leases as u64,
             list: self.ledger.list.version.0,
             list_source: self.ledger.list.source,
-            hosts: self.ledger.list.hosts().filter(|h| h.state != HostState::Gone).count() as u64,
+            hosts: self
+                .ledger
+                .list
+                .hosts()
+                .filter(|h| h.state != HostState::Gone)
+                .count() as u64,
             list_rejection: self.rejection,
             acting: acting as u64,
         }
@@ -382,7 +469,8 @@
             }
             step.writes.append(&mut out.writes);
             let messages = out.messages.drain(..);
-            step.to_keepers.extend(messages.map(|(to, m)| (to, ToKeeper::Quorum(m))));
+            step.to_keepers
+                .extend(messages.map(|(to, m)| (to, ToKeeper::Quorum(m))));
             if !self.rule(now, &mut out) {
                 break;
             }
@@ -393,7 +481,9 @@
         self.seat();
         let ledger = &self.ledger;
         self.offers.retain(|token, waiting| {
-            let Some(verdict) = ledger.verdict(*token) else { return true };
+            let Some(verdict) = ledger.verdict(*token) else {
+                return true;
+            };
             let answer = |w: Waiting| (w.from.conn, w.from.number, Answer::Offered(verdict));
             step.answers.extend(waiting.drain(..).map(answer));
             false
@@ -420,12 +510,19 @@
         if self.granter.as_ref().is_none_or(|g| g.0 != term) {
             self.granter = Some((term, Granter::new(lease, now)));
         }
-        let Some((_, granter)) = &mut self.granter else { return false };
-        let Some(revision) = granter.ready(now, &self.ledger) else { return false };
+        let Some((_, granter)) = &mut self.granter else {
+            return false;
+        };
+        let Some(revision) = granter.ready(now, &self.ledger) else {
+            return false;
+        };
         if self.forcing == Some((term, revision)) {
             return false;
         }
-        let act = Act::InForce { revision, at_s: self.wall_s };
+        let act = Act::InForce {
+            revision,
+            at_s: self.wall_s,
+        };
         if self.member.offer(now, act.bytes(), out).is_ok() {
             self.forcing = Some((term, revision));
             return true;
@@ -437,12 +534,19 @@
 /// Adds what has passed since the hosts were listed.
 fn age(part: &mut ListPart, applied_at: &BTreeMap<u32, (u64, Micros)>, now: Micros) {
     for host in &mut part.hosts {
-        let since = applied_at.get(&host.host).map_or(0, |a| (now - a.1).max(0) as u64);
+        let since = applied_at
+            .get(&host.host)
+            .map_or(0, |a| (now - a.1).max(0) as u64);
         host.up_us = host.up_us.map(|up| up.saturating_add(since));
     }
 }
 
 fn alike(a: &SourceNews, b: &SourceNews) -> bool {
-    let named = |news: &SourceNews| news.hosts.iter().map(|h| (h.host, h.state)).collect::<Vec<_>>();
+    let named = |news: &SourceNews| {
+        news.hosts
+            .iter()
+            .map(|h| (h.host, h.state))
+            .collect::<Vec<_>>()
+    };
     a.version == b.version && named(a) == named(b)
 }
--- a/crates/spokeflow-agreed/src/lease_holder.rs
+++ b/crates/spokeflow-agreed/src/lease_holder.rs
@@ -101,7 +101,9 @@
     }
 
     pub fn newest(&self) -> RevisionNo {
-        self.announced.as_ref().map_or(self.in_force.number, |a| a.number)
+        self.announced
+            .as_ref()
+            .map_or(self.in_force.number, |a| a.number)
     }
 
     /// All acts from now on respect this revision.
@@ -118,19 +120,37 @@
         }
         let knows = [self.in_force.number, self.newest()];
         let (process, router, acts_on) = (self.process, self.router, self.acts_on);
-        (self.next, Asked { process, router, knows, acts_on, seats: self.seats.mark, list: self.list })
+        (
+            self.next,
+            Asked {
+                process,
+                router,
+                knows,
+                acts_on,
+                seats: self.seats.mark,
+                list: self.list,
+            },
+        )
     }
 
     /// Takes in the answer to a request. Whether lease or revisions are other than before; the caller acts on them
     /// in one step, or, where it cannot act on a revision, not on the lease either.
     pub fn granted(&mut self, number: u64, grant: Grant) -> bool {
-        let Some(at) = self.asked.iter().find(|a| a.0 == number).map(|a| a.1) else { return false };
+        let Some(at) = self.asked.iter().find(|a| a.0 == number).map(|a| a.1) else {
+            return false;
+        };
         self.asked.retain(|a| a.0 != number);
         // The lease counts from the sending: how long the answer took is not known to whoever gave it.
         let until = at + self.terms.held();
-        let newest = grant.announced.as_ref().map_or(grant.in_force.number, |a| a.number);
+        let newest = grant
+            .announced
+            .as_ref()
+            .map_or(grant.in_force.number, |a| a.number);
         // An answer that was overtaken gives nothing back.
-        let (told, has) = ((grant.in_force.number, newest), (self.in_force.number, self.newest()));
+        let (told, has) = (
+            (grant.in_force.number, newest),
+            (self.in_force.number, self.newest()),
+        );
         if told < has || Some(until) < self.until || told == has && Some(until) == self.until {
             return false;
         }
@@ -139,7 +159,9 @@
             None if known.number == self.in_force.number => Some(self.in_force.clone()),
             None => self.announced.clone().filter(|a| a.number == known.number),
         };
-        let Some(in_force) = whole(&grant.in_force) else { return false };
+        let Some(in_force) = whole(&grant.in_force) else {
+            return false;
+        };
         let announced = match &grant.announced {
             None => None,
             Some(known) => match whole(known) {
@@ -150,8 +172,12 @@
         (self.in_force, self.announced, self.until) = (in_force, announced, Some(until));
         self.seats = grant.seats.unwrap_or(std::mem::take(&mut self.seats));
         // Versions only grow: what an overtaken answer says of the list is known already.
-        self.news = grant.list.filter(|part| self.list.is_some_and(|have| part.version > have));
-        self.list = self.list.map(|have| self.news.as_ref().map_or(have, |part| part.version));
+        self.news = grant
+            .list
+            .filter(|part| self.list.is_some_and(|have| part.version > have));
+        self.list = self
+            .list
+            .map(|have| self.news.as_ref().map_or(have, |part| part.version));
         true
     }
 }
--- a/crates/spokeflow-agreed/src/leases.rs
+++ b/crates/spokeflow-agreed/src/leases.rs
@@ -61,14 +61,20 @@
 
     /// Whether every router that holds a lease acts on `revision` or a later one.
     pub fn all_act_on(&self, revision: RevisionNo) -> bool {
-        self.by_revision.first_key_value().is_none_or(|(oldest, _)| *oldest >= revision)
+        self.by_revision
+            .first_key_value()
+            .is_none_or(|(oldest, _)| *oldest >= revision)
     }
 
     /// How many leases hold at `now`, and how many of these are of routers that act on `revision` or a later one.
     /// Walks the leases that are over and not taken out yet.
     pub fn live(&self, now: Micros, revision: RevisionNo) -> (usize, usize) {
         let mut live = self.leases.len();
-        let mut acting: usize = self.by_revision.range(revision..).map(|(_, leases)| leases).sum();
+        let mut acting: usize = self
+            .by_revision
+            .range(revision..)
+            .map(|(_, leases)| leases)
+            .sum();
         for (_, process) in self.by_expiry.iter().take_while(|(until, _)| *until <= now) {
             live -= 1;
             acting -= usize::from(self.acts_on(*process) >= Some(revision));
@@ -77,7 +83,9 @@
     }
 
     fn uncount(&mut self, revision: RevisionNo) {
-        let Some(leases) = self.by_revision.get_mut(&revision) else { return };
+        let Some(leases) = self.by_revision.get_mut(&revision) else {
+            return;
+        };
         *leases -= 1;
         if *leases == 0 {
             self.by_revision.remove(&revision);
--- a/crates/spokeflow-agreed/src/ledger.rs
+++ b/crates/spokeflow-agreed/src/ledger.rs
@@ -10,7 +10,9 @@
 /// Records and verdicts that are kept.
 const KEPT: usize = 500;
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct RevisionNo(pub u64);
 
 /// Names of flags without their dashes, and their values as one would write them. What is not named is as each
@@ -95,12 +97,18 @@
 impl Ledger {
     /// The newest number, in force or announced.
     pub fn newest(&self) -> RevisionNo {
-        self.announced.as_ref().map_or(self.in_force.number, |a| a.number)
+        self.announced
+            .as_ref()
+            .map_or(self.in_force.number, |a| a.number)
     }
 
     /// What became of the offer with this token; `None` where none is known.
     pub fn verdict(&self, token: u64) -> Option<Verdict> {
-        self.verdicts.iter().rev().find(|v| v.0 == token).map(|v| v.1)
+        self.verdicts
+            .iter()
+            .rev()
+            .find(|v| v.0 == token)
+            .map(|v| v.1)
     }
 
     /// Applies one committed entry.
@@ -109,9 +117,15 @@
             Act::Offer(offer) => self.offered(offer),
             Act::InForce { revision, at_s } => {
                 // A second one, from a leader that had not seen the first committed, changes nothing.
-                let Some(announced) = self.announced.take_if(|a| a.number == revision) else { return };
+                let Some(announced) = self.announced.take_if(|a| a.number == revision) else {
+                    return;
+                };
                 self.in_force = announced;
-                if let Some(record) = self.history.iter_mut().find(|r| r.revision.number == revision) {
+                if let Some(record) = self
+                    .history
+                    .iter_mut()
+                    .find(|r| r.revision.number == revision)
+                {
                     record.in_force_s = Some(at_s);
                 }
             }
@@ -130,12 +144,23 @@
         let newest = self.newest();
         let verdict = match &self.announced {
             _ if offer.against != newest => Verdict::Stale { newest },
-            Some(announced) => Verdict::Busy { announced: announced.number },
+            Some(announced) => Verdict::Busy {
+                announced: announced.number,
+            },
             None => {
-                let revision = Revision { number: RevisionNo(newest.0 + 1), values: offer.values };
+                let revision = Revision {
+                    number: RevisionNo(newest.0 + 1),
+                    values: offer.values,
+                };
                 self.announced = Some(revision.clone());
                 let (who, why, offered_s) = (offer.who, offer.why, offer.at_s);
-                self.history.push_back(Record { revision, who, why, offered_s, in_force_s: None });
+                self.history.push_back(Record {
+                    revision,
+                    who,
+                    why,
+                    offered_s,
+                    in_force_s: None,
+                });
                 Verdict::Announced(RevisionNo(newest.0 + 1))
             }
         };
--- a/crates/spokeflow-agreed/src/terms.rs
+++ b/crates/spokeflow-agreed/src/terms.rs
@@ -106,7 +106,9 @@
             drain_grace: a.drain_grace.min(b.drain_grace),
             cold_from: a.cold_from.min(b.cold_from),
             fall_multiple: a.fall_multiple.min(b.fall_multiple),
-            stage_caps: (0..stages).map(|n| cap(&a.stage_caps, n).min(cap(&b.stage_caps, n))).collect(),
+            stage_caps: (0..stages)
+                .map(|n| cap(&a.stage_caps, n).min(cap(&b.stage_caps, n)))
+                .collect(),
             exposure_free: a.exposure_free.min(b.exposure_free),
             guarded_stages: a.guarded_stages.max(b.guarded_stages),
             ..a.clone()
--- a/crates/spokeflow-agreed/src/wire.rs
+++ b/crates/spokeflow-agreed/src/wire.rs
@@ -98,14 +98,25 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToKeeper {
-    Hello { magic: [u8; 4], version: u16, caller: Caller },
+    Hello {
+        magic: [u8; 4],
+        version: u16,
+        caller: Caller,
+    },
     Quorum(Message),
-    Ask { number: u64, ask: Ask },
+    Ask {
+        number: u64,
+        ask: Ask,
+    },
 }
 
 impl ToKeeper {
     pub fn hello(caller: Caller) -> Self {
-        ToKeeper::Hello { magic: MAGIC, version: VERSION, caller }
+        ToKeeper::Hello {
+            magic: MAGIC,
+            version: VERSION,
+            caller,
+        }
     }
 }
 
--- a/crates/spokeflow-agreed/tests/granter.rs
+++ b/crates/spokeflow-agreed/tests/granter.rs
@@ -9,7 +9,10 @@
 use spokeflow_core::Micros;
 
 const SECOND: Micros = 1_000_000;
-const TERMS: LeaseTerms = LeaseTerms { lease: 2 * SECOND, drift: 0.01 };
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: 2 * SECOND,
+    drift: 0.01,
+};
 /// Leases that a granter keeps at most.
 const LEASES_AT_MOST: usize = 8192;
 
@@ -29,17 +32,28 @@
 
 impl PlainGranter {
     fn new(now: Micros) -> Self {
-        PlainGranter { led_since: now, announced: None, leases: BTreeMap::new(), over: false }
+        PlainGranter {
+            led_since: now,
+            announced: None,
+            leases: BTreeMap::new(),
+            over: false,
+        }
     }
 
     fn ask(&mut self, now: Micros, asked: &Asked) {
         self.leases.retain(|_, lease| lease.until > now);
-        let known = self.leases.get(&asked.process).map_or(RevisionNo(0), |lease| lease.acts_on);
+        let known = self
+            .leases
+            .get(&asked.process)
+            .map_or(RevisionNo(0), |lease| lease.acts_on);
         if known == RevisionNo(0) && self.leases.len() >= LEASES_AT_MOST {
             self.over = true;
             return;
         }
-        let lease = Lease { until: now + TERMS.waits(), acts_on: asked.acts_on.max(known) };
+        let lease = Lease {
+            until: now + TERMS.waits(),
+            acts_on: asked.acts_on.max(known),
+        };
         self.leases.insert(asked.process, lease);
     }
 
@@ -51,13 +65,21 @@
         };
         self.announced = Some((number, since));
         let all_known = now - self.led_since >= TERMS.waits() && !self.over;
-        let all_act = self.leases.values().all(|lease| lease.until <= now || lease.acts_on >= number);
+        let all_act = self
+            .leases
+            .values()
+            .all(|lease| lease.until <= now || lease.acts_on >= number);
         (now - since >= TERMS.waits() || all_known && all_act).then_some(number)
     }
 
     fn counts(&self, now: Micros, ledger: &Ledger) -> (usize, usize) {
         let live = || self.leases.values().filter(|lease| lease.until > now);
-        (live().count(), live().filter(|lease| lease.acts_on >= ledger.newest()).count())
+        (
+            live().count(),
+            live()
+                .filter(|lease| lease.acts_on >= ledger.newest())
+                .count(),
+        )
     }
 }
 
@@ -98,8 +120,17 @@
 
     fn ask(&mut self, process: u64, acts_on: RevisionNo) {
         let knows = [self.ledger.in_force.number, self.ledger.newest()];
-        let asked = Asked { process, router: 0, knows, acts_on, seats: 0, list: None };
-        let grant = self.granter.ask(self.now, &asked, &self.ledger, &Seats::default());
+        let asked = Asked {
+            process,
+            router: 0,
+            knows,
+            acts_on,
+            seats: 0,
+            list: None,
+        };
+        let grant = self
+            .granter
+            .ask(self.now, &asked, &self.ledger, &Seats::default());
         self.plain.ask(self.now, &asked);
         assert_eq!(grant.in_force.number, self.ledger.in_force.number);
         assert_eq!(
@@ -119,13 +150,25 @@
     fn announce(&mut self) {
         let against = self.ledger.newest();
         let (who, why, values) = (String::new(), String::new(), Values::new());
-        self.ledger.apply(Act::Offer(Offer { token: against.0, against, who, why, at_s: 0, values }));
+        self.ledger.apply(Act::Offer(Offer {
+            token: against.0,
+            against,
+            who,
+            why,
+            at_s: 0,
+            values,
+        }));
         self.announced_at = self.now;
     }
 
     fn look(&mut self) {
         let ready = self.granter.ready(self.now, &self.ledger);
-        assert_eq!(ready, self.plain.ready(self.now, &self.ledger), "at {}", self.now);
+        assert_eq!(
+            ready,
+            self.plain.ready(self.now, &self.ledger),
+            "at {}",
+            self.now
+        );
         match ready {
             Some(_) if self.now - self.announced_at < TERMS.waits() => self.met.early += 1,
             Some(_) => {}
@@ -138,9 +181,20 @@
 
     /// To the end of a lease, to one microsecond before it, or anywhere.
     fn pass(&mut self) {
-        let ends: Vec<Micros> = self.plain.leases.values().map(|lease| lease.until - self.now).collect();
-        let end = *ends.get(self.chance.random_range(0..ends.len().max(1))).unwrap_or(&0);
-        let longest = if self.chance.random_bool(0.02) { 5 * SECOND } else { SECOND / 10 };
+        let ends: Vec<Micros> = self
+            .plain
+            .leases
+            .values()
+            .map(|lease| lease.until - self.now)
+            .collect();
+        let end = *ends
+            .get(self.chance.random_range(0..ends.len().max(1)))
+            .unwrap_or(&0);
+        let longest = if self.chance.random_bool(0.02) {
+            5 * SECOND
+        } else {
+            SECOND / 10
+        };
         let drawn = self.chance.random_range(0..longest);
         self.now += [drawn, drawn, end, end - 1][self.chance.random_range(0..4)].max(0);
     }
@@ -162,7 +216,12 @@
         self.met.mixed += usize::from(0 < acting && acting < live);
         for now in [self.now, self.now + self.chance.random_range(0..3 * SECOND)] {
             let counts = self.granter.counts(now, &self.ledger);
-            assert_eq!(counts, self.plain.counts(now, &self.ledger), "step {}, at {now}", self.met.steps);
+            assert_eq!(
+                counts,
+                self.plain.counts(now, &self.ledger),
+                "step {}, at {now}",
+                self.met.steps
+            );
         }
     }
 }
@@ -179,9 +238,17 @@
         met.waiting += run.met.waiting;
         met.mixed += run.met.mixed;
     }
-    let Met { steps, early, waiting, mixed } = met;
+    let Met {
+        steps,
+        early,
+        waiting,
+        mixed,
+    } = met;
     println!("{steps} steps, ready early {early}, not ready {waiting}, of both kinds {mixed}");
-    assert!(early > 500 && waiting > 500 && mixed > 5_000, "{early} {waiting} {mixed}");
+    assert!(
+        early > 500 && waiting > 500 && mixed > 5_000,
+        "{early} {waiting} {mixed}"
+    );
 }
 
 /// One whose lease is not kept may act on anything: no acknowledgement counts from then on.
--- a/crates/spokeflow-agreed/tests/leases.rs
+++ b/crates/spokeflow-agreed/tests/leases.rs
@@ -11,7 +11,10 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
-const TERMS: LeaseTerms = LeaseTerms { lease: 2 * SECOND, drift: 0.01 };
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: 2 * SECOND,
+    drift: 0.01,
+};
 
 struct Router {
     holder: LeaseHolder,
@@ -54,7 +57,19 @@
         let routers = routers.collect();
         let (ledger, wire, at) = (Ledger::default(), BTreeMap::new(), BTreeMap::new());
         let (now, leader, lead_from, sent) = (100 * SECOND, None, 101 * SECOND, 0);
-        World { now, chance, routers, ledger, leader, lead_from, wire, sent, at, waits: vec![], longest: 0 }
+        World {
+            now,
+            chance,
+            routers,
+            ledger,
+            leader,
+            lead_from,
+            wire,
+            sent,
+            at,
+            waits: vec![],
+            longest: 0,
+        }
     }
 
     fn post(&mut self, what: What) {
@@ -83,7 +98,11 @@
             let rate = self.chance.random_range(0.99..=1.01);
             self.leader = Some((Granter::new(TERMS, self.leader_now(rate)), rate));
         }
-        while self.wire.first_key_value().is_some_and(|m| m.0 .0 <= self.now) {
+        while self
+            .wire
+            .first_key_value()
+            .is_some_and(|m| m.0 .0 <= self.now)
+        {
             match self.wire.pop_first().unwrap().1 {
                 What::Asks(n, number, asked) => {
                     let now = self.leader.as_ref().map(|l| self.leader_now(l.1));
@@ -99,7 +118,8 @@
                     if self.now < r.stopped_until {
                         let at = r.stopped_until;
                         self.sent += 1;
-                        self.wire.insert((at, self.sent), What::Answers(n, process, number, grant));
+                        self.wire
+                            .insert((at, self.sent), What::Answers(n, process, number, grant));
                     } else if process == r.process && r.holder.granted(number, grant) {
                         let newest = r.holder.newest();
                         r.holder.acts_on(newest);
@@ -110,7 +130,10 @@
         if let Some((granter, rate)) = &mut self.leader {
             let now = (self.now as f64 * *rate) as Micros;
             if let Some(n) = granter.ready(now, &self.ledger) {
-                self.ledger.apply(Act::InForce { revision: n, at_s: 0 });
+                self.ledger.apply(Act::InForce {
+                    revision: n,
+                    at_s: 0,
+                });
                 let at = self.at.get_mut(&n.0).unwrap();
                 at.1 = Some(self.now);
                 self.waits.push(self.now - at.0);
@@ -118,7 +141,14 @@
                 let against = self.ledger.newest();
                 let token = against.0 + 1000;
                 let (who, why, values) = ("w".into(), "y".into(), Values::new());
-                self.ledger.apply(Act::Offer(Offer { token, against, who, why, at_s: 0, values }));
+                self.ledger.apply(Act::Offer(Offer {
+                    token,
+                    against,
+                    who,
+                    why,
+                    at_s: 0,
+                    values,
+                }));
                 self.at.insert(against.0 + 1, (self.now, None));
             }
         }
@@ -201,20 +231,49 @@
     let mut ledger = Ledger::default();
     let offer = |token, against| {
         let (who, why, values) = ("w".to_string(), "y".to_string(), Values::new());
-        Act::Offer(Offer { token, against: RevisionNo(against), who, why, at_s: 0, values })
+        Act::Offer(Offer {
+            token,
+            against: RevisionNo(against),
+            who,
+            why,
+            at_s: 0,
+            values,
+        })
     };
     ledger.apply(offer(1, 0));
     ledger.apply(offer(1, 0));
-    assert_eq!((ledger.verdict(1), ledger.history.len()), (Some(Verdict::Announced(RevisionNo(1))), 1));
+    assert_eq!(
+        (ledger.verdict(1), ledger.history.len()),
+        (Some(Verdict::Announced(RevisionNo(1))), 1)
+    );
     ledger.apply(offer(2, 0));
-    assert_eq!(ledger.verdict(2), Some(Verdict::Stale { newest: RevisionNo(1) }));
+    assert_eq!(
+        ledger.verdict(2),
+        Some(Verdict::Stale {
+            newest: RevisionNo(1)
+        })
+    );
     ledger.apply(offer(3, 1));
-    assert_eq!(ledger.verdict(3), Some(Verdict::Busy { announced: RevisionNo(1) }));
+    assert_eq!(
+        ledger.verdict(3),
+        Some(Verdict::Busy {
+            announced: RevisionNo(1)
+        })
+    );
     // Put in force twice, by two leaders: the second changes nothing.
-    ledger.apply(Act::InForce { revision: RevisionNo(1), at_s: 5 });
+    ledger.apply(Act::InForce {
+        revision: RevisionNo(1),
+        at_s: 5,
+    });
     ledger.apply(offer(4, 1));
-    ledger.apply(Act::InForce { revision: RevisionNo(1), at_s: 6 });
-    assert_eq!((ledger.in_force.number, ledger.newest()), (RevisionNo(1), RevisionNo(2)));
+    ledger.apply(Act::InForce {
+        revision: RevisionNo(1),
+        at_s: 6,
+    });
+    assert_eq!(
+        (ledger.in_force.number, ledger.newest()),
+        (RevisionNo(1), RevisionNo(2))
+    );
     assert_eq!(Ledger::restore(&ledger.state()), Ok(ledger));
 }
 
@@ -252,10 +311,20 @@
     let knows_less = granter.ask(10, &asked_second, &ledger, &Seats::default());
     let (who, why, values) = (String::new(), String::new(), Values::new());
     let against = RevisionNo(0);
-    ledger.apply(Act::Offer(Offer { token: 1, against, who, why, at_s: 0, values }));
+    ledger.apply(Act::Offer(Offer {
+        token: 1,
+        against,
+        who,
+        why,
+        at_s: 0,
+        values,
+    }));
     let knows_more = granter.ask(20, &asked_first, &ledger, &Seats::default());
     assert!(holder.granted(first, knows_more));
-    assert!(!holder.granted(second, knows_less), "it would take the announced revision back");
+    assert!(
+        !holder.granted(second, knows_less),
+        "it would take the announced revision back"
+    );
     assert_eq!(holder.newest(), RevisionNo(1));
 }
 
--- a/crates/spokeflow-agreed/tests/list.rs
+++ b/crates/spokeflow-agreed/tests/list.rs
@@ -4,16 +4,34 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::{AgreedList, HostState, ListNo, ListPart, ListedHost, Rejection, SourceNews};
+use spokeflow_agreed::{
+    AgreedList, HostState, ListNo, ListPart, ListedHost, Rejection, SourceNews,
+};
 
 fn host(host: u32, state: HostState, incarnation: u64) -> ListedHost {
     let (address, build, cell, zone) = (format!("127.0.0.1:{host}"), Some(1), 0, 0);
-    ListedHost { host, address, build, cell, zone, state, incarnation, up_us: Some(5) }
+    ListedHost {
+        host,
+        address,
+        build,
+        cell,
+        zone,
+        state,
+        incarnation,
+        up_us: Some(5),
+    }
 }
 
 fn whole(version: u64, hosts: impl IntoIterator<Item = u32>) -> SourceNews {
-    let hosts = hosts.into_iter().map(|h| host(h, HostState::Ready, 1)).collect();
-    SourceNews { version, whole: true, hosts }
+    let hosts = hosts
+        .into_iter()
+        .map(|h| host(h, HostState::Ready, 1))
+        .collect();
+    SourceNews {
+        version,
+        whole: true,
+        hosts,
+    }
 }
 
 fn taken(list: &mut AgreedList, news: SourceNews) {
@@ -25,18 +43,54 @@
 fn a_source_that_goes_backwards_forks_or_sends_halves_is_not_believed() {
     let mut list = AgreedList::default();
     taken(&mut list, whole(7, 0..10));
-    assert_eq!(list.weigh(&whole(7, 0..10), false), Ok(None), "the same again is nothing new");
-    assert_eq!(list.weigh(&whole(6, 0..9), false), Err(Rejection::Backwards { told: 6, before: 7 }));
-    assert_eq!(list.weigh(&whole(7, 0..9), false), Err(Rejection::Forked { version: 7 }));
+    assert_eq!(
+        list.weigh(&whole(7, 0..10), false),
+        Ok(None),
+        "the same again is nothing new"
+    );
+    assert_eq!(
+        list.weigh(&whole(6, 0..9), false),
+        Err(Rejection::Backwards { told: 6, before: 7 })
+    );
+    assert_eq!(
+        list.weigh(&whole(7, 0..9), false),
+        Err(Rejection::Forked { version: 7 })
+    );
     let half = whole(8, 0..4);
-    assert_eq!(list.weigh(&half, false), Err(Rejection::Halved { before: 10, missing: 6 }));
+    assert_eq!(
+        list.weigh(&half, false),
+        Err(Rejection::Halved {
+            before: 10,
+            missing: 6
+        })
+    );
     let told = list.weigh(&half, true).unwrap().unwrap();
-    assert_eq!(told.hosts.iter().filter(|h| h.state == HostState::Gone).count(), 6, "read twice it is");
+    assert_eq!(
+        told.hosts
+            .iter()
+            .filter(|h| h.state == HostState::Gone)
+            .count(),
+        6,
+        "read twice it is"
+    );
     // Six that are said to be gone one by one are no half list.
     let gone = (4..10).map(|h| host(h, HostState::Gone, 1)).collect();
-    assert!(list.weigh(&SourceNews { version: 8, whole: false, hosts: gone }, false).unwrap().is_some());
+    assert!(list
+        .weigh(
+            &SourceNews {
+                version: 8,
+                whole: false,
+                hosts: gone
+            },
+            false
+        )
+        .unwrap()
+        .is_some());
     list.trust();
-    assert!(list.weigh(&whole(1, 0..9), false).unwrap().is_some(), "a person said that it begins anew");
+    assert!(
+        list.weigh(&whole(1, 0..9), false).unwrap().is_some(),
+        "a person said that it begins anew"
+    );
 }
 
 /// Whoever has any version and takes in what it is told has the list.
@@ -56,12 +110,16 @@
                     let h = rng.random_range(0..6000);
                     let n = incarnations.entry(h).or_insert(1);
                     *n += u64::from(rng.random_bool(0.2));
-                    let state =
-                        [HostState::Ready, HostState::Draining, HostState::Gone][rng.random_range(0..3)];
+                    let state = [HostState::Ready, HostState::Draining, HostState::Gone]
+                        [rng.random_range(0..3)];
                     host(h, state, *n)
                 })
                 .collect();
-            let news = SourceNews { version, whole: false, hosts };
+            let news = SourceNews {
+                version,
+                whole: false,
+                hosts,
+            };
             if let Some(news) = list.weigh(&news, false).unwrap() {
                 list.apply(news);
             }
@@ -69,15 +127,29 @@
                 if !version.is_multiple_of([1, 7, 150][n]) {
                     continue;
                 }
-                let Some(ListPart { version, whole, hosts: told }) = list.since(*at) else { continue };
+                let Some(ListPart {
+                    version,
+                    whole,
+                    hosts: told,
+                }) = list.since(*at)
+                else {
+                    continue;
+                };
                 if whole {
                     hosts.clear();
                 }
                 hosts.extend(told.into_iter().map(|h| (h.host, h)));
                 hosts.retain(|_, h| h.state != HostState::Gone);
                 *at = version;
-                let there: Vec<&ListedHost> = list.hosts().filter(|h| h.state != HostState::Gone).collect();
-                assert_eq!(hosts.values().collect::<Vec<_>>(), there, "seed {seed}, follower {n}");
+                let there: Vec<&ListedHost> = list
+                    .hosts()
+                    .filter(|h| h.state != HostState::Gone)
+                    .collect();
+                assert_eq!(
+                    hosts.values().collect::<Vec<_>>(),
+                    there,
+                    "seed {seed}, follower {n}"
+                );
                 assert_eq!(list.since(*at), None);
             }
         }
--- a/crates/spokeflow-agreed/tests/search.rs
+++ b/crates/spokeflow-agreed/tests/search.rs
@@ -59,7 +59,10 @@
             beat: SILENCE / 3,
             drift: 0.0,
         },
-        lease: LeaseTerms { lease: LEASE, drift: 0.0 },
+        lease: LeaseTerms {
+            lease: LEASE,
+            drift: 0.0,
+        },
         addresses: BTreeMap::new(),
         check: |_| Ok(()),
     }
@@ -70,7 +73,16 @@
 impl World {
     fn new() -> World {
         let keeper = |n| Keeper::new(terms(n), n as u64, Saved::default(), 0).unwrap();
-        let holder = |n| LeaseHolder::new(LeaseTerms { lease: LEASE, drift: 0.0 }, n as u64 + 1, n as u32);
+        let holder = |n| {
+            LeaseHolder::new(
+                LeaseTerms {
+                    lease: LEASE,
+                    drift: 0.0,
+                },
+                n as u64 + 1,
+                n as u32,
+            )
+        };
         World {
             now: 0,
             keepers: (0..KEEPERS).map(keeper).collect(),
@@ -78,7 +90,14 @@
             unsynced: vec![VecDeque::new(); KEEPERS],
             holders: (0..ROUTERS).map(holder).collect(),
             wire: Vec::new(),
-            left: Left { losses: 0, kills: 0, jumps: 0, offers: 0, asks: 0, wakes: 0 },
+            left: Left {
+                losses: 0,
+                kills: 0,
+                jumps: 0,
+                offers: 0,
+                asks: 0,
+                wakes: 0,
+            },
             told: BTreeMap::new(),
             forced: BTreeMap::new(),
         }
@@ -92,7 +111,8 @@
             self.wire.push(Message::ToKeeper(n, to.0 as usize, message));
         }
         for (conn, number, answer) in step.answers.into_iter().filter(|a| a.0 != PERSON) {
-            self.wire.push(Message::Answers(conn as usize, number, answer));
+            self.wire
+                .push(Message::Answers(conn as usize, number, answer));
         }
         let ledger = self.keepers[n].ledger();
         let known = (ledger.newest().0, ledger.in_force.number.0);
@@ -125,7 +145,9 @@
                 ));
             }
             if self.forced.range(newest + 1..).next().is_some() {
-                return Err(format!("router {n} acts on {newest} and has not heard of one that is in force"));
+                return Err(format!(
+                    "router {n} acts on {newest} and has not heard of one that is in force"
+                ));
             }
         }
         Ok(())
@@ -133,12 +155,17 @@
 
     fn deliver(&mut self, k: usize) -> Outcome {
         match self.wire.remove(k) {
-            Message::ToKeeper(from, to, ToKeeper::Quorum(message)) => {
-                self.call(to, |k, now, step| k.heard(now, KeeperId(from as u32), message, step))
-            }
+            Message::ToKeeper(from, to, ToKeeper::Quorum(message)) => self
+                .call(to, |k, now, step| {
+                    k.heard(now, KeeperId(from as u32), message, step)
+                }),
             Message::ToKeeper(..) => Ok(()),
             Message::Asks(router, to, number, ask) => {
-                let asker = Asker { conn: router as u64, number, keeper: true };
+                let asker = Asker {
+                    conn: router as u64,
+                    number,
+                    keeper: true,
+                };
                 self.call(to, |k, now, step| k.asked(now, asker, ask, step))
             }
             Message::Answers(router, number, answer) => {
@@ -155,23 +182,39 @@
     }
 
     fn sync(&mut self, n: usize) -> Outcome {
-        let Some(write) = self.unsynced[n].pop_front() else { return Ok(()) };
+        let Some(write) = self.unsynced[n].pop_front() else {
+            return Ok(());
+        };
         self.disks[n].apply(&write);
         self.call(n, |k, now, step| k.synced(now, write.number, step))
     }
 
     fn ask(&mut self, router: usize, to: usize) {
         let (number, asked) = self.holders[router].ask(self.now);
-        self.wire.push(Message::Asks(router, to, number, Ask::Lease(asked)));
+        self.wire
+            .push(Message::Asks(router, to, number, Ask::Lease(asked)));
     }
 
     fn offer(&mut self, to: usize) -> Outcome {
         let against = self.keepers[to].ledger().newest();
         let token = against.0 + 50;
         let (who, why, values) = (String::new(), String::new(), Values::new());
-        let offer = Offer { token, against, who, why, at_s: 0, values };
-        let asker = Asker { conn: PERSON, number: 0, keeper: true };
-        self.call(to, |k, now, step| k.asked(now, asker, Ask::Offer(offer), step))
+        let offer = Offer {
+            token,
+            against,
+            who,
+            why,
+            at_s: 0,
+            values,
+        };
+        let asker = Asker {
+            conn: PERSON,
+            number: 0,
+            keeper: true,
+        };
+        self.call(to, |k, now, step| {
+            k.asked(now, asker, Ask::Offer(offer), step)
+        })
     }
 
     fn kill(&mut self, n: usize) {
@@ -193,11 +236,19 @@
             self.wire.retain(|m| !away(m));
             if !self.wire.is_empty() {
                 self.deliver(0).unwrap();
-            } else if let Some(n) = among.iter().copied().find(|n| !self.unsynced[*n].is_empty()) {
+            } else if let Some(n) = among
+                .iter()
+                .copied()
+                .find(|n| !self.unsynced[*n].is_empty())
+            {
                 self.sync(n).unwrap();
             } else {
                 let now = self.now;
-                let (at, n) = among.iter().map(|&n| (self.keepers[n].next_wake(now), n)).min().unwrap();
+                let (at, n) = among
+                    .iter()
+                    .map(|&n| (self.keepers[n].next_wake(now), n))
+                    .min()
+                    .unwrap();
                 self.now = now.max(at);
                 self.call(n, |k, now, step| k.woken(now, step)).unwrap();
             }
@@ -276,7 +327,14 @@
         let mut wire: Vec<String> = self.wire.iter().map(|m| format!("{m:?}")).collect();
         wire.sort();
         let mut hasher = DefaultHasher::new();
-        let rest = (&self.now, &self.keepers, &self.disks, &self.unsynced, &self.holders, &self.left);
+        let rest = (
+            &self.now,
+            &self.keepers,
+            &self.disks,
+            &self.unsynced,
+            &self.holders,
+            &self.left,
+        );
         (wire, format!("{rest:?}")).hash(&mut hasher);
         hasher.finish()
     }
@@ -302,7 +360,10 @@
 }
 
 fn depth(usual: usize) -> usize {
-    std::env::var("SPOKEFLOW_SEARCH_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(usual)
+    std::env::var("SPOKEFLOW_SEARCH_DEPTH")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(usual)
 }
 
 /// A leader that has led for longer than a lease, both routers under one.
@@ -313,14 +374,23 @@
     world.peace(&[0, 1, 2], |w| w.now > begun + 2 * LEASE);
     let leader = world.leader().unwrap();
     (0..ROUTERS).for_each(|r| world.ask(r, leader));
-    world.peace(&[0, 1, 2], |w| w.holders.iter().all(|h| h.until().is_some()) && w.wire.is_empty());
+    world.peace(&[0, 1, 2], |w| {
+        w.holders.iter().all(|h| h.until().is_some()) && w.wire.is_empty()
+    });
     world
 }
 
 #[test]
 fn every_order_after_an_offer_keeps_the_bound() {
     let mut world = settled();
-    world.left = Left { losses: 1, kills: 1, jumps: 2, offers: 2, asks: 2, wakes: 1 };
+    world.left = Left {
+        losses: 1,
+        kills: 1,
+        jumps: 2,
+        offers: 2,
+        asks: 2,
+        wakes: 1,
+    };
     let depth = depth(5);
     let [worlds, forced] = search(world, depth).unwrap();
     println!("after an offer: {worlds} worlds to depth {depth}, a revision in force in {forced}");
@@ -339,7 +409,14 @@
     // The other has not asked since: its lease and the wait for it end a moment from now.
     let told = world.told[&1];
     world.peace(&[0, 1, 2], |w| w.now > told + LEASE - SILENCE / 3);
-    world.left = Left { losses: 1, kills: 1, jumps: 1, offers: 1, asks: 2, wakes: 2 };
+    world.left = Left {
+        losses: 1,
+        kills: 1,
+        jumps: 1,
+        offers: 1,
+        asks: 2,
+        wakes: 2,
+    };
     let depth = depth(5);
     let [worlds, forced] = search(world, depth).unwrap();
     println!("while announced: {worlds} worlds to depth {depth}, a revision in force in {forced}");
@@ -359,7 +436,14 @@
     let second = world.leader().unwrap();
     world.offer(second).unwrap();
     world.peace(&others, |w| w.told.len() == 1 && w.wire.is_empty());
-    world.left = Left { losses: 1, kills: 1, jumps: 2, offers: 1, asks: 2, wakes: 2 };
+    world.left = Left {
+        losses: 1,
+        kills: 1,
+        jumps: 2,
+        offers: 1,
+        asks: 2,
+        wakes: 2,
+    };
     let depth = depth(5);
     let [worlds, forced] = search(world, depth).unwrap();
     println!("after a change of leader: {worlds} worlds to depth {depth}, a revision in force in {forced}");
@@ -378,8 +462,17 @@
     world.ask(0, first);
     world.peace(&[first], |w| w.holders[0].newest().0 == 1);
     world.wire.clear();
-    world.peace(&others, |w| others.iter().any(|n| w.keepers[*n].member().is_elected()));
-    world.left = Left { losses: 1, kills: 0, jumps: 1, offers: 1, asks: 2, wakes: 1 };
+    world.peace(&others, |w| {
+        others.iter().any(|n| w.keepers[*n].member().is_elected())
+    });
+    world.left = Left {
+        losses: 1,
+        kills: 0,
+        jumps: 1,
+        offers: 1,
+        asks: 2,
+        wakes: 1,
+    };
     let depth = depth(5);
     let [worlds, forced] = search(world, depth).unwrap();
     println!("an earlier leader's offer: {worlds} worlds to depth {depth}, a revision in force in {forced}");
@@ -397,14 +490,25 @@
     world.peace(&[0, 1, 2], |w| w.told.len() == 1);
     // Known to be committed by the first alone, which is gone.
     world.wire.clear();
-    world.peace(&others, |w| others.iter().any(|n| w.keepers[*n].member().is_elected()));
-    let second = others.iter().copied().find(|n| world.keepers[*n].member().is_elected()).unwrap();
+    world.peace(&others, |w| {
+        others.iter().any(|n| w.keepers[*n].member().is_elected())
+    });
+    let second = others
+        .iter()
+        .copied()
+        .find(|n| world.keepers[*n].member().is_elected())
+        .unwrap();
     let third = others.iter().copied().find(|n| *n != second).unwrap();
-    assert!(world.keepers[second].ledger().announced.is_none(), "it does not show yet");
+    assert!(
+        world.keepers[second].ledger().announced.is_none(),
+        "it does not show yet"
+    );
     // The other answers, so that it leads; its own write is not on the disk, so that nothing is committed.
     for _ in 0..20 {
-        let Some(k) =
-            world.wire.iter().position(|m| matches!(m, Message::ToKeeper(_, to, _) if *to != first))
+        let Some(k) = world
+            .wire
+            .iter()
+            .position(|m| matches!(m, Message::ToKeeper(_, to, _) if *to != first))
         else {
             break;
         };
@@ -413,11 +517,18 @@
             world.sync(third).unwrap();
         }
     }
-    assert!(world.keepers[second].member().leads(world.now), "its lease on leadership holds");
+    assert!(
+        world.keepers[second].member().leads(world.now),
+        "its lease on leadership holds"
+    );
     world.wire.clear();
     world.ask(1, second);
     world.deliver(0).unwrap();
-    assert!(matches!(world.wire[..], [Message::Answers(1, _, Answer::NoLeader)]), "{:?}", world.wire);
+    assert!(
+        matches!(world.wire[..], [Message::Answers(1, _, Answer::NoLeader)]),
+        "{:?}",
+        world.wire
+    );
     while !world.unsynced[second].is_empty() {
         world.sync(second).unwrap();
     }
--- a/crates/spokeflow-agreed/tests/wire.rs
+++ b/crates/spokeflow-agreed/tests/wire.rs
@@ -27,7 +27,12 @@
 #[test]
 fn json_keys_of_a_view_stay() {
     let json = serde_json::to_value(view()).unwrap();
-    let keys: Vec<&str> = json.as_object().unwrap().keys().map(String::as_str).collect();
+    let keys: Vec<&str> = json
+        .as_object()
+        .unwrap()
+        .keys()
+        .map(String::as_str)
+        .collect();
     let expected = [
         "acting",
         "announced",
--- a/crates/spokeflow-core/benches/memory.rs
+++ b/crates/spokeflow-core/benches/memory.rs
@@ -42,8 +42,12 @@
     let mut terms = terms(Phase::Quiet);
     terms.shares = vec![1.0; tenants as usize];
     let mut router = Router::new(&terms, 1, NOW, out);
-    router.at(NOW).told(news(EARLIER, Standing::Released, 1.0), out);
-    let lines: Vec<HostLine> = (0..hosts).map(|host| host_line(Phase::Quiet, host, NOW)).collect();
+    router
+        .at(NOW)
+        .told(news(EARLIER, Standing::Released, 1.0), out);
+    let lines: Vec<HostLine> = (0..hosts)
+        .map(|host| host_line(Phase::Quiet, host, NOW))
+        .collect();
     router.at(NOW).listed(ListKind::Whole, &lines, out);
     router
 }
@@ -72,7 +76,14 @@
     out.deliveries.reserve(count as usize);
     held_by(count, || {
         for id in 1..=count {
-            router.at(NOW).command(CommandId(id), OpType(0), ShareId(0), Key(0), TIMEOUT, &mut out);
+            router.at(NOW).command(
+                CommandId(id),
+                OpType(0),
+                ShareId(0),
+                Key(0),
+                TIMEOUT,
+                &mut out,
+            );
         }
         assert_eq!(out.deliveries.len(), count as usize, "each command is out");
     })
@@ -85,10 +96,14 @@
     held_by(count, || {
         for id in 1..=count {
             let key = Key(u64::from(id));
-            router.at(NOW).command(CommandId(id), OpType(0), ShareId(0), key, TIMEOUT, &mut out);
+            router
+                .at(NOW)
+                .command(CommandId(id), OpType(0), ShareId(0), key, TIMEOUT, &mut out);
             for command in out.deliveries.drain(..) {
                 let end = DeliveryEnd::Acked;
-                router.at(NOW).ended(command, 0, end, SECOND / 20, true, &mut Sent::default());
+                router
+                    .at(NOW)
+                    .ended(command, 0, end, SECOND / 20, true, &mut Sent::default());
             }
         }
     })
@@ -100,7 +115,11 @@
         let measured = [
             ("bytes per host", "hosts", host(size)),
             ("bytes per tenant", "tenants", tenant(size)),
-            ("bytes per command in flight", "commands in flight", command_in_flight(size)),
+            (
+                "bytes per command in flight",
+                "commands in flight",
+                command_in_flight(size),
+            ),
             ("bytes per pin", "pins", pin(size)),
         ];
         for (quantity, size_of, value) in measured {
--- a/crates/spokeflow-core/benches/points/mod.rs
+++ b/crates/spokeflow-core/benches/points/mod.rs
@@ -30,14 +30,23 @@
     pub fn of(mut samples: Vec<f64>, about: Point) -> Self {
         samples.sort_by(f64::total_cmp);
         let last = samples.len() - 1;
-        Point { value: samples[last / 2], min: samples[0], max: samples[last], ..about }
+        Point {
+            value: samples[last / 2],
+            min: samples[0],
+            max: samples[last],
+            ..about
+        }
     }
 }
 
 /// The present time in UTC, by the system's `date`; empty where there is none.
 pub fn date() -> String {
-    let output = Command::new("date").args(["-u", "+%Y-%m-%dT%H:%M:%SZ"]).output();
-    output.map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string()).unwrap_or_default()
+    let output = Command::new("date")
+        .args(["-u", "+%Y-%m-%dT%H:%M:%SZ"])
+        .output();
+    output
+        .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string())
+        .unwrap_or_default()
 }
 
 /// Writes the points to the file that `SPOKEFLOW_POINTS` names, if it does.
@@ -45,7 +54,9 @@
 /// # Panics
 /// Where the file cannot be written.
 pub fn write(points: &[Point]) {
-    let Some(path) = std::env::var_os(FILE_VARIABLE) else { return };
+    let Some(path) = std::env::var_os(FILE_VARIABLE) else {
+        return;
+    };
     let text = serde_json::to_string_pretty(points).expect("plain values");
     std::fs::write(&path, text + "\n").expect("the file named by SPOKEFLOW_POINTS");
 }
--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -117,12 +117,16 @@
         let mut out = Sent::default();
         let mut router = Router::new(&terms(phase), 1, now, &mut out);
         if phase != Phase::Unannounced {
-            router.at(now).told(news(EARLIER, Standing::Released, 1.0), &mut out);
+            router
+                .at(now)
+                .told(news(EARLIER, Standing::Released, 1.0), &mut out);
         }
         let lines: Vec<HostLine> = (0..hosts).map(|host| host_line(phase, host, now)).collect();
         router.at(now).listed(ListKind::Whole, &lines, &mut out);
         if phase == Phase::Trial {
-            router.at(now).told(news(LATER, Standing::OnTrial, 0.35), &mut out);
+            router
+                .at(now)
+                .told(news(LATER, Standing::OnTrial, 0.35), &mut out);
         }
         let due = VecDeque::new();
         Traffic {
@@ -173,7 +177,14 @@
         self.commands += 1;
         let (id, op) = (self.commands, OpType((self.commands % 2) as u16));
         let (share, key) = (ShareId(id % TENANTS), Key(u64::from(1 + id % KEYS)));
-        self.router.at(self.now).command(CommandId(id), op, share, key, COMMAND_TIMEOUT, &mut self.out);
+        self.router.at(self.now).command(
+            CommandId(id),
+            op,
+            share,
+            key,
+            COMMAND_TIMEOUT,
+            &mut self.out,
+        );
         self.take_deliveries();
     }
 
@@ -184,30 +195,45 @@
     }
 
     fn answer(&mut self) {
-        let Some((_, command)) = self.due.pop_front() else { return };
+        let Some((_, command)) = self.due.pop_front() else {
+            return;
+        };
         let end = DeliveryEnd::Acked;
-        self.router.at(self.now).ended(command, 0, end, ANSWER_AFTER, true, &mut self.out);
+        self.router
+            .at(self.now)
+            .ended(command, 0, end, ANSWER_AFTER, true, &mut self.out);
         self.take_deliveries();
     }
 
     fn take_deliveries(&mut self) {
         let at = self.now + ANSWER_AFTER;
-        self.due.extend(self.out.deliveries.drain(..).map(|command| (at, command)));
+        self.due
+            .extend(self.out.deliveries.drain(..).map(|command| (at, command)));
     }
 
     fn change(&mut self) {
         self.next_change = self.now + SECOND / 10;
         let back = host_line(self.phase, self.draining, self.now);
         self.draining = (self.draining + 1) % self.hosts;
-        let leaving =
-            HostLine { phase: HostPhase::Draining, ..host_line(self.phase, self.draining, self.now) };
-        self.router.at(self.now).listed(ListKind::Changes, &[back, leaving], &mut self.out);
+        let leaving = HostLine {
+            phase: HostPhase::Draining,
+            ..host_line(self.phase, self.draining, self.now)
+        };
+        self.router
+            .at(self.now)
+            .listed(ListKind::Changes, &[back, leaving], &mut self.out);
         self.take_deliveries();
     }
 }
 
 pub fn news(build: BuildId, standing: Standing, cap: f64) -> StageNews {
-    StageNews { build, stage: 1, standing, cap, age: 0 }
+    StageNews {
+        build,
+        stage: 1,
+        standing,
+        cap,
+        age: 0,
+    }
 }
 
 pub fn host_line(phase: Phase, host: u32, now: Micros) -> HostLine {
@@ -218,7 +244,11 @@
         build: Some(if later { LATER } else { EARLIER }),
         cell: (host % ZONES) as u16,
         zone: ZoneId((host % ZONES) as u16),
-        phase: if phase == Phase::Draining && tenth { HostPhase::Draining } else { HostPhase::Ready },
+        phase: if phase == Phase::Draining && tenth {
+            HostPhase::Draining
+        } else {
+            HostPhase::Ready
+        },
         size: 1.0,
         started: (phase == Phase::Cold && tenth).then_some(now),
     }
@@ -253,7 +283,11 @@
         drain_grace: 250 * MILLISECOND,
         cold_from: 0.5,
         // Hosts that are fresh at the start of a measurement are so at its end.
-        warm_within: if phase == Phase::Cold { 3_600 * SECOND } else { 4 * SECOND },
+        warm_within: if phase == Phase::Cold {
+            3_600 * SECOND
+        } else {
+            4 * SECOND
+        },
         fall_multiple: 3.0,
         fall_span: 2 * SECOND,
         gate: Gate::Clocked,
--- a/crates/spokeflow-core/benches/work.rs
+++ b/crates/spokeflow-core/benches/work.rs
@@ -33,7 +33,10 @@
 fn about(quantity: &'static str, phase: Phase, hosts: u32, traffic: &Traffic) -> Point {
     let held = BTreeMap::from([
         ("commands_per_s", traffic::COMMANDS_PER_SECOND as f64),
-        ("answer_after_ms", (traffic::ANSWER_AFTER / traffic::MILLISECOND) as f64),
+        (
+            "answer_after_ms",
+            (traffic::ANSWER_AFTER / traffic::MILLISECOND) as f64,
+        ),
         ("fleet_size", f64::from(phase.fleet_size())),
         ("commands_given", f64::from(traffic.commands())),
         ("commands_refused", traffic.refused() as f64),
@@ -66,7 +69,9 @@
     let samples = RefCell::new(Vec::new());
     let mut group = criterion.benchmark_group(quantity);
     group.sampling_mode(SamplingMode::Flat).sample_size(SAMPLES);
-    group.warm_up_time(Duration::from_millis(100)).measurement_time(MEASURED);
+    group
+        .warm_up_time(Duration::from_millis(100))
+        .measurement_time(MEASURED);
     group.bench_function(BenchmarkId::new(phase.name(), hosts), |bencher| {
         bencher.iter_custom(|iterations| {
             let mut traffic = traffic.borrow_mut();
@@ -76,7 +81,9 @@
                 step(traffic);
             }
             let took = began.elapsed();
-            samples.borrow_mut().push(took.as_secs_f64() * 1e6 / iterations as f64);
+            samples
+                .borrow_mut()
+                .push(took.as_secs_f64() * 1e6 / iterations as f64);
             took
         });
     });
@@ -93,8 +100,20 @@
     let mut points = Vec::new();
     for phase in Phase::ALL {
         for hosts in HOSTS {
-            points.extend(measure(&mut criterion, "work per command", phase, hosts, Traffic::command));
-            points.extend(measure(&mut criterion, "work per wake-up", phase, hosts, Traffic::wake));
+            points.extend(measure(
+                &mut criterion,
+                "work per command",
+                phase,
+                hosts,
+                Traffic::command,
+            ));
+            points.extend(measure(
+                &mut criterion,
+                "work per wake-up",
+                phase,
+                hosts,
+                Traffic::wake,
+            ));
         }
     }
     points::write(&points);
--- a/crates/spokeflow-core/examples/replay.rs
+++ b/crates/spokeflow-core/examples/replay.rs
@@ -10,7 +10,9 @@
 
 fn arguments() -> Option<(Phase, u32, u32)> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let [phase, hosts, commands] = arguments.as_slice() else { return None };
+    let [phase, hosts, commands] = arguments.as_slice() else {
+        return None;
+    };
     let phase = Phase::ALL.into_iter().find(|p| p.name() == phase)?;
     let hosts = hosts.parse().ok().filter(|&n| n > 0)?;
     Some((phase, hosts, commands.parse().ok()?))
@@ -19,13 +21,19 @@
 fn main() -> ExitCode {
     let Some((phase, hosts, commands)) = arguments() else {
         let names = Phase::ALL.map(Phase::name).join("|");
-        eprintln!("replay: wrong use: give {names}, a number of hosts above 0 and a number of commands");
+        eprintln!(
+            "replay: wrong use: give {names}, a number of hosts above 0 and a number of commands"
+        );
         return ExitCode::from(2);
     };
     let mut traffic = Traffic::start(phase, hosts);
     for _ in 0..commands {
         traffic.command();
     }
-    println!("{} hosts, {commands} commands, {} refused", hosts, traffic.refused());
+    println!(
+        "{} hosts, {commands} commands, {} refused",
+        hosts,
+        traffic.refused()
+    );
     ExitCode::SUCCESS
 }
--- a/crates/spokeflow-core/src/chance.rs
+++ b/crates/spokeflow-core/src/chance.rs
@@ -7,8 +7,10 @@
 
 impl Chance {
     pub fn new(seed: u64) -> Self {
-        let mut chance =
-            Chance { low: seed as u32 ^ 0x9e37_79b9, carry: (seed >> 32) as u32 % 0x7fff_fffe + 1 };
+        let mut chance = Chance {
+            low: seed as u32 ^ 0x9e37_79b9,
+            carry: (seed >> 32) as u32 % 0x7fff_fffe + 1,
+        };
         for _ in 0..8 {
             chance.draw();
         }
--- a/crates/spokeflow-core/src/lib.rs
+++ b/crates/spokeflow-core/src/lib.rs
@@ -15,6 +15,6 @@
 pub use ids::{BuildId, CommandId, HostId, Key, Micros, OpType, ShareId, ZoneId};
 pub use router::{Router, MET_BY};
 pub use terms::{
-    DeliveryEnd, DeskCount, Gate, HostLine, HostPhase, ListKind, OpTerms, Repeat, RepeatScope, ServiceTerms,
-    StageNews, Standing, VoteAnswer,
+    DeliveryEnd, DeskCount, Gate, HostLine, HostPhase, ListKind, OpTerms, Repeat, RepeatScope,
+    ServiceTerms, StageNews, Standing, VoteAnswer,
 };
--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -181,7 +181,10 @@
             self.hosts.keep_listed(lines);
         }
         for line in lines {
-            let h = *self.index.entry(line.host).or_insert_with(|| self.hosts.add(line));
+            let h = *self
+                .index
+                .entry(line.host)
+                .or_insert_with(|| self.hosts.add(line));
             self.hosts.update(h, line);
         }
         self.place_held(out);
@@ -204,7 +207,9 @@
             self.sums.fill(0.0);
             self.hosts.clear_blame();
         }
-        if !same_build || before.is_some_and(|b| b.stage != news.stage || b.standing != news.standing) {
+        if !same_build
+            || before.is_some_and(|b| b.stage != news.stage || b.standing != news.standing)
+        {
             self.stage_began = self.now - news.age;
             (self.seen_in_stage, self.counted_in_stage) = (0, 0.0);
             (self.vote, self.vote_again_at) = (None, self.now);
@@ -223,10 +228,18 @@
     pub fn vote_answered(&mut self, answer: VoteAnswer) {
         self.vote_out = false;
         if answer == VoteAnswer::Counted {
-            (self.vote_again_at, self.vote_stands_until) = (self.now, self.now + self.fig.vote_life * 7 / 10);
+            (self.vote_again_at, self.vote_stands_until) =
+                (self.now, self.now + self.fig.vote_life * 7 / 10);
         } else {
-            let pause = if answer == VoteAnswer::Moot { SECOND } else { 200 * MS };
-            (self.vote_again_at, self.vote) = (self.now + pause + self.chance.below(200_000) as Micros, None);
+            let pause = if answer == VoteAnswer::Moot {
+                SECOND
+            } else {
+                200 * MS
+            };
+            (self.vote_again_at, self.vote) = (
+                self.now + pause + self.chance.below(200_000) as Micros,
+                None,
+            );
         }
     }
 
@@ -238,12 +251,15 @@
     }
 
     fn cap(&self, build: BuildId) -> f64 {
-        self.news.filter(|n| n.build == build).map_or(self.fig.first_cap, |n| n.cap)
+        self.news
+            .filter(|n| n.build == build)
+            .map_or(self.fig.first_cap, |n| n.cap)
     }
 
     fn sent_back(&self, build: BuildId) -> bool {
         let back = |s| matches!(s, Standing::GoingBack | Standing::Withdrawn);
-        self.news.is_some_and(|n| n.build == build && back(n.standing))
+        self.news
+            .is_some_and(|n| n.build == build && back(n.standing))
     }
 
     /// Whether one-way rules hold keys at this build: the newest that was told, or one after it.
@@ -253,7 +269,15 @@
 
     // ---- Intake ----
 
-    pub fn command(&mut self, cmd: CommandId, op: OpType, share: ShareId, key: Key, left: Micros, out: Out) {
+    pub fn command(
+        &mut self,
+        cmd: CommandId,
+        op: OpType,
+        share: ShareId,
+        key: Key,
+        left: Micros,
+        out: Out,
+    ) {
         let op = usize::from(op.0);
         if op >= self.ops.len() {
             return out.nack(cmd, None);
@@ -261,10 +285,23 @@
         self.flow[0] += 1.0;
         self.taken.push(self.now, op * usize::from(self.fig.by_op));
         self.spare = (self.spare + SPARE_PER_COMMAND).min(SPARE_AT_MOST);
-        let place = unit(if key.0 == 0 { u64::from(cmd.0) | 1 << 40 } else { key.0 });
+        let place = unit(if key.0 == 0 {
+            u64::from(cmd.0) | 1 << 40
+        } else {
+            key.0
+        });
         let (taken, until, deliveries) = (self.now, self.now + left, Vec::new());
         let share = (share.0 as usize).min(self.fig.shares.len() - 1);
-        let command = Command { op, key, share, place, taken, until, ended: false, deliveries };
+        let command = Command {
+            op,
+            key,
+            share,
+            place,
+            taken,
+            until,
+            ended: false,
+            deliveries,
+        };
         self.cmds.insert(cmd, command);
         if self.chance.share() > (-self.strain(op)).exp() {
             return self.give_up(cmd, out);
@@ -280,18 +317,29 @@
     /// Guards against queues so long that most is served too late, where traffic is too thin for a bound:
     /// only what brings the median time back to half the service target is taken.
     fn strain(&self, op: usize) -> f64 {
-        let returns: f64 = self.ops.iter().map(|o| o.acks * o.target / SECOND as f64).sum();
+        let returns: f64 = self
+            .ops
+            .iter()
+            .map(|o| o.acks * o.target / SECOND as f64)
+            .sum();
         let thin = CROWDED_PART * returns < 2.0 && self.detour(1, op) == 0.0;
         [0.0, self.ops[op].strain - STRAINED_PART.ln()][usize::from(thin)]
     }
 
     /// Runs the chain for a command that is owed an answer; says whether a delivery went out.
     fn route(&mut self, cmd: CommandId, out: Out) -> bool {
-        let Some(c) = self.cmds.get(&cmd).filter(|c| !c.ended) else { return false };
+        let Some(c) = self.cmds.get(&cmd).filter(|c| !c.ended) else {
+            return false;
+        };
         let (key, op) = (c.key, c.op);
-        let pin = self.pins.get(&key).filter(|_| self.fig.one_way && key.0 != 0);
+        let pin = self
+            .pins
+            .get(&key)
+            .filter(|_| self.fig.one_way && key.0 != 0);
         let last = pin.and_then(|p| p.answered_by.max(p.claimed_by));
-        let floor = last.max(self.all_bound.filter(|_| key.0 != 0)).filter(|b| self.binds(*b));
+        let floor = last
+            .max(self.all_bound.filter(|_| key.0 != 0))
+            .filter(|b| self.binds(*b));
         let mut full = false;
         for build in self.choose_builds(c, floor).into_iter().flatten() {
             if !self.room(build, op) {
@@ -299,7 +347,10 @@
             } else if let Some(host) = self.place(cmd, build) {
                 if key.0 != 0 {
                     // One delivery that goes back takes no key off the trial.
-                    let back = self.pins.get(&key).is_some_and(|p| build < p.build && self.on_trial(p.build));
+                    let back = self
+                        .pins
+                        .get(&key)
+                        .is_some_and(|p| build < p.build && self.on_trial(p.build));
                     let pin = self.pins.entry(key).or_default();
                     (pin.build, pin.used) = (if back { pin.build } else { build }, self.now);
                 }
@@ -308,7 +359,9 @@
             }
         }
         let waits = |c: &&Command| c.deliveries.iter().all(|d| !d.open);
-        let Some(c) = self.cmds.get(&cmd).filter(waits) else { return false };
+        let Some(c) = self.cmds.get(&cmd).filter(waits) else {
+            return false;
+        };
         // A known key at a full counter under one-way rules is refused at once: it comes when there is room.
         if full && last.is_some() || self.now >= self.waits_until(c) {
             self.flow[2] += 1.0;
@@ -323,7 +376,9 @@
     /// Ends where the hosts are full, so that many which wait cost no more with each that comes or goes.
     fn place_held(&mut self, out: Out) {
         let had = |s: &usize| self.served[*s] / self.fig.shares[*s];
-        let mut order: Vec<usize> = (0..self.held.len()).filter(|s| !self.held[*s].is_empty()).collect();
+        let mut order: Vec<usize> = (0..self.held.len())
+            .filter(|s| !self.held[*s].is_empty())
+            .collect();
         order.sort_by(|a, b| had(a).total_cmp(&had(b)));
         for s in order {
             let mut waiting = std::mem::take(&mut self.held[s]);
@@ -343,11 +398,16 @@
     /// Gives up on those that have waited in vain while the hosts were full.
     fn lapse(&mut self, out: Out) {
         let over = |cmd: &CommandId| {
-            self.cmds.get(cmd).filter(|c| !c.ended).is_none_or(|c| self.now >= self.waits_until(c))
+            self.cmds
+                .get(cmd)
+                .filter(|c| !c.ended)
+                .is_none_or(|c| self.now >= self.waits_until(c))
         };
         let due: Vec<CommandId> = self.held.iter().flatten().copied().filter(over).collect();
         let over: BTreeSet<CommandId> = due.iter().copied().collect();
-        self.held.iter_mut().for_each(|held| held.retain(|cmd| !over.contains(cmd)));
+        self.held
+            .iter_mut()
+            .for_each(|held| held.retain(|cmd| !over.contains(cmd)));
         for cmd in due {
             self.route(cmd, out);
         }
@@ -364,7 +424,9 @@
         let (stable, trial) = self.candidates();
         let open = |b: &BuildId| floor.is_none_or(|f| *b >= f);
         let (stable, trial) = (stable.filter(open), trial.filter(open));
-        let (Some(new), Some(old)) = (trial, stable) else { return [stable, trial] };
+        let (Some(new), Some(old)) = (trial, stable) else {
+            return [stable, trial];
+        };
         // What a build on trial has failed gets its further delivery where it is known to work.
         if self.sent_back(new) || c.deliveries.iter().any(|d| self.on_trial(d.build)) {
             return [stable, trial];
@@ -373,23 +435,39 @@
         // more follow than the earlier build's machines have become fewer.
         let exposed = self.exposed.count(|(_, build)| build == new) as f64;
         let bears = self.trial_share(new, old) * self.taken.len().max(1) as f64;
-        let pin = self.pins.get(&c.key).filter(|p| c.key.0 != 0 && self.now - p.used < PIN_IDLE);
-        let ahead = if pin.is_none() && self.fig.rolling { AHEAD } else { 1.0 };
-        let takes_new = pin.is_some_and(|p| p.build == new) || c.place < self.lane && ahead * bears > exposed;
-        [if takes_new { trial } else { stable }, stable.filter(|_| takes_new)]
+        let pin = self
+            .pins
+            .get(&c.key)
+            .filter(|p| c.key.0 != 0 && self.now - p.used < PIN_IDLE);
+        let ahead = if pin.is_none() && self.fig.rolling {
+            AHEAD
+        } else {
+            1.0
+        };
+        let takes_new =
+            pin.is_some_and(|p| p.build == new) || c.place < self.lane && ahead * bears > exposed;
+        [
+            if takes_new { trial } else { stable },
+            stable.filter(|_| takes_new),
+        ]
     }
 
     /// The newest build that is free for all, and the newest on trial, each with a ready host.
     fn candidates(&self) -> (Option<BuildId>, Option<BuildId>) {
         let builds = || self.hosts.ready_builds().map(|(build, _)| build).rev();
-        (builds().find(|b| !self.on_trial(*b)), builds().find(|b| self.on_trial(*b)))
+        (
+            builds().find(|b| !self.on_trial(*b)),
+            builds().find(|b| self.on_trial(*b)),
+        )
     }
 
     /// What part of the present capacity runs the build on trial, cold hosts counted by what they can do.
     fn trial_share(&self, new: BuildId, old: BuildId) -> f64 {
         // Side by side, each trial host bears what each earlier one did before the trial.
         let warmth = |age| self.warmth(age);
-        let all = self.hosts.sum_sizes(warmth, |build| build == old || self.fig.rolling && build > old);
+        let all = self.hosts.sum_sizes(warmth, |build| {
+            build == old || self.fig.rolling && build > old
+        });
         (self.hosts.sum_sizes(warmth, |build| build == new) / all.max(1e-9)).min(1.0)
     }
 
@@ -403,15 +481,24 @@
     /// follows the machines where the earlier build is left with fewer than its keys need. It never shrinks.
     fn grow_lane(&mut self) {
         let spent = (self.now - self.beaten) as f64 / LANE_GROWS as f64;
-        let (stable, Some(new)) = self.candidates() else { return };
-        self.lane = if self.lane_build == new { self.lane } else { 0.0 };
+        let (stable, Some(new)) = self.candidates() else {
+            return;
+        };
+        self.lane = if self.lane_build == new {
+            self.lane
+        } else {
+            0.0
+        };
         self.lane_build = new;
         let cap = self.cap(new).max(0.0);
         let share = stable.map_or(1.0, |old| self.trial_share(new, old));
         let follow = share.min(if cap < 1.0 { REPIN_OF_CAP * cap } else { 1.0 });
         let ahead = if self.fig.rolling { AHEAD } else { 1.0 };
         let aim = (LANE_OF_CAP * cap).min(ahead * share).max(follow);
-        self.lane = self.lane.max(aim.min(self.lane + spent * aim.max(0.02))).min(cap);
+        self.lane = self
+            .lane
+            .max(aim.min(self.lane + spent * aim.max(0.02)))
+            .min(cap);
     }
 
     fn room(&mut self, build: BuildId, op: usize) -> bool {
@@ -419,8 +506,13 @@
             return true;
         }
         let cap = self.cap(build);
-        let stage = self.news.filter(|n| n.build == build).map_or(0, |n| n.stage);
-        if cap <= 0.0 || (stage < self.fig.guarded_stages && self.ops[op].repeat != Repeat::Redeliverable) {
+        let stage = self
+            .news
+            .filter(|n| n.build == build)
+            .map_or(0, |n| n.stage);
+        if cap <= 0.0
+            || (stage < self.fig.guarded_stages && self.ops[op].repeat != Repeat::Redeliverable)
+        {
             return false;
         }
         self.forget_window();
@@ -445,8 +537,13 @@
             return None;
         }
         let rules = &self.ops[c.op];
-        let repeats_anywhere = rules.repeat == Repeat::Redeliverable || rules.scope == RepeatScope::All;
-        let ran_at = c.deliveries.iter().find(|d| d.may_have_run).map(|d| self.hosts.line(d.host));
+        let repeats_anywhere =
+            rules.repeat == Repeat::Redeliverable || rules.scope == RepeatScope::All;
+        let ran_at = c
+            .deliveries
+            .iter()
+            .find(|d| d.may_have_run)
+            .map(|d| self.hosts.line(d.host));
         let bound = ran_at.filter(|_| !repeats_anywhere);
         let drops_repeats = |line: &HostLine| match (bound, rules.scope) {
             (None, _) | (_, RepeatScope::All) => true,
@@ -458,8 +555,11 @@
         let check_all = bound.is_some() || self.refused > MOST_REFUSED;
         let usable = |mut pool: Pool, of_own| {
             let named = c.deliveries.iter().map(|d| d.host);
-            self.hosts.doubt(&mut pool, check_all, self.now - MUTE_FOR, named);
-            pool.retain(|h| drops_repeats(self.hosts.line(h)) && self.may_take(h, of_own) && !tried(h));
+            self.hosts
+                .doubt(&mut pool, check_all, self.now - MUTE_FOR, named);
+            pool.retain(|h| {
+                drops_repeats(self.hosts.line(h)) && self.may_take(h, of_own) && !tried(h)
+            });
             pool
         };
         let (near, of_own) = self.near(build);
@@ -508,7 +608,12 @@
         let crawl = self.hosts.lag[h].clamp(0.0, 2.0).exp();
         let age = self.now.saturating_sub(self.hosts.busy_at[h]) as f64 / SECOND as f64;
         let told = self.hosts.busy[h] - self.busy;
-        let busy = self.busy + if told.is_nan() { 0.0 } else { told * (-age / REPORT_FADES).exp() };
+        let busy = self.busy
+            + if told.is_nan() {
+                0.0
+            } else {
+                told * (-age / REPORT_FADES).exp()
+            };
         f64::from(self.hosts.in_flight(h) + 1) * crawl / (1.05 - busy)
     }
 
@@ -520,10 +625,16 @@
             near.doubt_all();
             near.retain(|h| self.detour(0, self.hosts.line(h).zone.0.into()) == 0.0);
         }
-        let (met, sent) = (MET_BY / self.fig.fleet, 0.75 * self.flow[0] / self.hosts.ready_count() as f64);
+        let (met, sent) = (
+            MET_BY / self.fig.fleet,
+            0.75 * self.flow[0] / self.hosts.ready_count() as f64,
+        );
         let own = ((near.len() as f64 * met.max(sent)).ceil() as usize).max(2);
         let others = near.len().saturating_sub(own);
-        (self.hosts.first_by_rank(near, own), 1.0 + others as f64 / own as f64)
+        (
+            self.hosts.first_by_rank(near, own),
+            1.0 + others as f64 / own as f64,
+        )
     }
 
     /// Guards against piling up: no more is out than lately came back within a part of the service target. It
@@ -531,7 +642,13 @@
     fn crowded(&self, op: usize) -> bool {
         let base = 2.0 + 2.0 * self.hosts.ready_count() as f64 / self.fig.fleet;
         let wait = self.detour(1, op);
-        let alike = |o: &usize| if wait > 0.0 { *o == op } else { self.detour(1, *o) == 0.0 };
+        let alike = |o: &usize| {
+            if wait > 0.0 {
+                *o == op
+            } else {
+                self.detour(1, *o) == 0.0
+            }
+        };
         let (mut out, mut returns) = (0, 0.0);
         for o in (0..self.ops.len()).filter(alike) {
             out += self.ops[o].out;
@@ -556,9 +673,14 @@
             let (slot, begun) = (age / self.fig.fall_span, self.now - age);
             let sent = self.hosts.sent[h] * u32::from(self.hosts.slot[h] == slot);
             // The first span is met by no other before it.
-            let part = self.fig.cold_part * self.warmth(age) * self.pace * of_own / (1 + slot.min(1)) as f64;
-            let drawn = unit(u64::from(host) << 32 ^ u64::from(self.own_index) << 12 ^ (begun + slot) as u64);
-            if f64::from(sent + 1) > part + drawn || self.hosts.in_flight(h) > 1 + self.hosts.answers(h) {
+            let part = self.fig.cold_part * self.warmth(age) * self.pace * of_own
+                / (1 + slot.min(1)) as f64;
+            let drawn = unit(
+                u64::from(host) << 32 ^ u64::from(self.own_index) << 12 ^ (begun + slot) as u64,
+            );
+            if f64::from(sent + 1) > part + drawn
+                || self.hosts.in_flight(h) > 1 + self.hosts.answers(h)
+            {
                 return false;
             }
         }
@@ -567,10 +689,23 @@
 
     fn dispatch(&mut self, cmd: CommandId, host: usize, out: Out) {
         let (build, sent) = (self.hosts.build(host), self.now);
-        let (on_trial, slot) = (self.on_trial(build), self.hosts.age(host) / self.fig.fall_span);
-        let Some(c) = self.cmds.get_mut(&cmd) else { return };
-        self.exposed.extend(on_trial.then_some((sent, (c.op * usize::from(self.fig.by_op), build))));
-        c.deliveries.push(Delivery { host, build, sent, open: true, may_have_run: true, started: false });
+        let (on_trial, slot) = (
+            self.on_trial(build),
+            self.hosts.age(host) / self.fig.fall_span,
+        );
+        let Some(c) = self.cmds.get_mut(&cmd) else {
+            return;
+        };
+        self.exposed
+            .extend(on_trial.then_some((sent, (c.op * usize::from(self.fig.by_op), build))));
+        c.deliveries.push(Delivery {
+            host,
+            build,
+            sent,
+            open: true,
+            may_have_run: true,
+            started: false,
+        });
         let pin = self.pins.entry(c.key).or_default();
         pin.claims *= u32::from(pin.claimed_by >= Some(build));
         pin.claimed_by = pin.claimed_by.max(Some(build));
@@ -587,13 +722,21 @@
     /// repeat: beside the first where copies may run together, else in its place.
     fn hurry(&mut self, out: Out) {
         let due = |c: &Command| {
-            let last = c.deliveries.last().filter(|d| d.open && !d.started && !c.ended);
+            let last = c
+                .deliveries
+                .last()
+                .filter(|d| d.open && !d.started && !c.ended);
             let Some(d) = last else { return false };
             let doubt = self.mute(d.host) || self.hosts.lag[d.host] > 0.7;
             let slow = (self.now - d.sent) as f64 > self.ops[c.op].target * DOUBT_PART;
             doubt && slow && self.may_redeliver(c) && c.until - self.now > 4 * BEAT
         };
-        let due: Vec<CommandId> = self.cmds.iter().filter(|(_, c)| due(c)).map(|(id, _)| *id).collect();
+        let due: Vec<CommandId> = self
+            .cmds
+            .iter()
+            .filter(|(_, c)| due(c))
+            .map(|(id, _)| *id)
+            .collect();
         for cmd in due.into_iter().take(self.spare as usize) {
             if self.fig.side_by_side {
                 self.spare -= f64::from(u8::from(self.route(cmd, out)));
@@ -604,13 +747,29 @@
     }
 
     pub fn answer_started(&mut self, cmd: CommandId, nth: u8) {
-        let delivery = |c: &mut Command| c.deliveries.get_mut(usize::from(nth)).map(|d| d.started = true);
+        let delivery = |c: &mut Command| {
+            c.deliveries
+                .get_mut(usize::from(nth))
+                .map(|d| d.started = true)
+        };
         self.cmds.get_mut(&cmd).and_then(delivery);
     }
 
-    pub fn ended(&mut self, cmd: CommandId, nth: u8, end: DeliveryEnd, took: Micros, done: bool, out: Out) {
-        let Some(c) = self.cmds.get_mut(&cmd) else { return };
-        let Some(d) = c.deliveries.get_mut(usize::from(nth)).filter(|d| d.open) else { return };
+    pub fn ended(
+        &mut self,
+        cmd: CommandId,
+        nth: u8,
+        end: DeliveryEnd,
+        took: Micros,
+        done: bool,
+        out: Out,
+    ) {
+        let Some(c) = self.cmds.get_mut(&cmd) else {
+            return;
+        };
+        let Some(d) = c.deliveries.get_mut(usize::from(nth)).filter(|d| d.open) else {
+            return;
+        };
         (d.open, d.may_have_run) = (false, end.may_have_run());
         let (h, build, op, key, share) = (d.host, d.build, c.op, c.key, c.share);
         self.hosts.remove_in_flight(h);
@@ -620,7 +779,11 @@
         self.flow[0] = (self.flow[0] - f64::from(u8::from(at_once))).max(0.0);
         if matches!(end, DeliveryEnd::Acked | DeliveryEnd::TimedOut) {
             let rules = &mut self.ops[op];
-            let step = if took as f64 > rules.target * rules.strain.exp() { 0.2 } else { -0.2 };
+            let step = if took as f64 > rules.target * rules.strain.exp() {
+                0.2
+            } else {
+                -0.2
+            };
             rules.strain = (rules.strain + step).clamp(-2.0, 1.0);
         }
         if !matches!(end, DeliveryEnd::Acked | DeliveryEnd::NotSent) {
@@ -635,9 +798,14 @@
         self.flow[1] += acked;
         let newest = build.max(self.hosts.build(h));
         // An answer may have been written that nobody could read: it binds the key as well.
-        let binds = key.0 != 0 && !self.sent_back(newest) && end.may_have_run() && end != DeliveryEnd::Error;
+        let binds = key.0 != 0
+            && !self.sent_back(newest)
+            && end.may_have_run()
+            && end != DeliveryEnd::Error;
         let pin = self.pins.entry(key).or_default();
-        pin.claims = pin.claims.saturating_sub(u32::from(pin.claimed_by == Some(build)));
+        pin.claims = pin
+            .claims
+            .saturating_sub(u32::from(pin.claimed_by == Some(build)));
         pin.claimed_by = pin.claimed_by.filter(|_| pin.claims > 0);
         pin.answered_by = pin.answered_by.max(Some(newest).filter(|_| binds));
         if done || self.cmds[&cmd].ended {
@@ -652,7 +820,11 @@
     fn settle(&mut self, cmd: CommandId, guess: bool, out: Out) {
         let Some(c) = self.cmds.get(&cmd) else { return };
         let open = c.deliveries.iter().any(|d| d.open);
-        if !open && (c.until - self.now < 2 * BEAT || !self.may_redeliver(c) || guess && self.spare < 1.0) {
+        if !open
+            && (c.until - self.now < 2 * BEAT
+                || !self.may_redeliver(c)
+                || guess && self.spare < 1.0)
+        {
             self.give_up(cmd, out);
         } else if !open {
             self.spare -= f64::from(u8::from(guess));
@@ -680,7 +852,12 @@
         let never_ran = c.deliveries.iter().all(|d| !d.may_have_run);
         if never_ran || any_drops || rules.repeat == Repeat::Redeliverable {
             let come_back = rules.target / 4.0 * (1.0 + self.chance.share());
-            out.nack(cmd, self.fig.longest_return.map(|most| most.min(come_back as Micros)));
+            out.nack(
+                cmd,
+                self.fig
+                    .longest_return
+                    .map(|most| most.min(come_back as Micros)),
+            );
         } else {
             out.fail(cmd);
         }
@@ -689,7 +866,9 @@
 
     /// Ends a command that is answered, or that its client has left.
     pub fn end(&mut self, cmd: CommandId, out: Out) {
-        let Some(c) = self.cmds.get_mut(&cmd) else { return };
+        let Some(c) = self.cmds.get_mut(&cmd) else {
+            return;
+        };
         let open = |d: &Delivery| self.fig.may_cancel && !c.ended && d.open && !d.started;
         let open = c.deliveries.iter().enumerate().filter(|(_, d)| open(d));
         open.for_each(|(n, _)| out.cancel(cmd, n as u8));
@@ -702,7 +881,9 @@
     // ---- Health ----
 
     pub fn reported(&mut self, host: HostId, busy: f64) {
-        let Some(&h) = self.index.get(&host) else { return };
+        let Some(&h) = self.index.get(&host) else {
+            return;
+        };
         (self.hosts.busy[h], self.hosts.busy_at[h]) = (busy.clamp(0.0, 1.0), self.now);
         self.busy += 0.05 * (self.hosts.busy[h] - self.busy);
     }
@@ -710,7 +891,10 @@
     fn health(&mut self, h: usize, end: DeliveryEnd) {
         let refused = f64::from(u8::from(end == DeliveryEnd::NotConnected));
         self.refused += 0.05 * (refused - self.refused);
-        if matches!(end, DeliveryEnd::Acked | DeliveryEnd::Error | DeliveryEnd::Full) {
+        if matches!(
+            end,
+            DeliveryEnd::Acked | DeliveryEnd::Error | DeliveryEnd::Full
+        ) {
             self.hosts.linked_at[h] = self.now;
         }
         match end {
@@ -719,7 +903,8 @@
                 if self.hosts.strikes(h) > 0 {
                     self.hosts.set_trouble(h, 0, self.now);
                 }
-                self.hosts.set_answers(h, self.hosts.answers(h).saturating_add(1));
+                self.hosts
+                    .set_answers(h, self.hosts.answers(h).saturating_add(1));
             }
             // Fast errors draw traffic by fewest in flight: who errs or breaks loses what its answers earned.
             DeliveryEnd::Error | DeliveryEnd::Reset => {
@@ -737,10 +922,15 @@
                 self.learn_way(0, self.hosts.line(h).zone.0.into(), 2.0);
                 self.strike(h, SECOND / 2);
             }
-            DeliveryEnd::TimedOut if self.mute(h) || self.hosts.strikes(h) > 0 => self.strike(h, SECOND),
+            DeliveryEnd::TimedOut if self.mute(h) || self.hosts.strikes(h) > 0 => {
+                self.strike(h, SECOND)
+            }
             _ => {}
         }
-        if !matches!(end, DeliveryEnd::TimedOut | DeliveryEnd::Cancelled | DeliveryEnd::NotConnected) {
+        if !matches!(
+            end,
+            DeliveryEnd::TimedOut | DeliveryEnd::Cancelled | DeliveryEnd::NotConnected
+        ) {
             self.hosts.came_back(h);
         }
     }
@@ -748,20 +938,32 @@
     fn learn_way(&mut self, kind: usize, n: usize, late: f64) {
         let ways = &mut self.ways[kind];
         ways.resize(ways.len().max(n + 1), f64::NAN);
-        ways[n] = if ways[n].is_nan() { 0.15 * late } else { ways[n] + 0.15 * (late - ways[n]) };
+        ways[n] = if ways[n].is_nan() {
+            0.15 * late
+        } else {
+            ways[n] + 0.15 * (late - ways[n])
+        };
     }
 
     /// By how much one zone, op type or customer is slower than the best, where that is far: a slow way, or
     /// what waits at every host alike, is neither the host's doing nor the build's.
     fn detour(&self, kind: usize, n: usize) -> f64 {
-        let best = self.ways[kind].iter().copied().fold(f64::INFINITY, f64::min);
-        self.ways[kind].get(n).map(|way| way - best).filter(|&more| more > FAR).unwrap_or(0.0)
+        let best = self.ways[kind]
+            .iter()
+            .copied()
+            .fold(f64::INFINITY, f64::min);
+        self.ways[kind]
+            .get(n)
+            .map(|way| way - best)
+            .filter(|&more| more > FAR)
+            .unwrap_or(0.0)
     }
 
     fn strike(&mut self, h: usize, pause: Micros) {
         if self.now >= self.hosts.shut_until(h) {
             let strikes = self.hosts.strikes(h);
-            self.hosts.set_trouble(h, strikes + 1, self.now + (pause << strikes.min(3)));
+            self.hosts
+                .set_trouble(h, strikes + 1, self.now + (pause << strikes.min(3)));
         }
     }
 
@@ -774,7 +976,11 @@
             DeliveryEnd::Error => 1.0,
             // Ways break connections too, and one crash breaks all that was out at the host: that is one
             // failure, of one that does little else; a time-out is none where it answered nobody.
-            DeliveryEnd::Reset if self.hosts.answers(h) < 2 && self.now >= self.hosts.shut_until(h) => 1.0,
+            DeliveryEnd::Reset
+                if self.hosts.answers(h) < 2 && self.now >= self.hosts.shut_until(h) =>
+            {
+                1.0
+            }
             DeliveryEnd::TimedOut if (took as f64) < self.ops[op].target => return,
             DeliveryEnd::TimedOut if self.detour(1, op) > 0.0 => return self.learn_way(1, op, 2.0),
             // A full fleet times out too: that is slowness, which more traffic excuses, and no failure.
@@ -785,23 +991,42 @@
         self.losses[1] += failed;
         self.by_share.iter_mut().flatten().for_each(|n| *n *= 0.98);
         let erred = f64::from(u8::from(end == DeliveryEnd::Error));
-        self.by_share[share] = [self.by_share[share][0] + 1.0, self.by_share[share][1] + erred];
+        self.by_share[share] = [
+            self.by_share[share][0] + 1.0,
+            self.by_share[share][1] + erred,
+        ];
         let time = (took.max(1) as f64).ln() + self.warmth(self.hosts.age(h)).ln();
         // A mean of few answers may be off by chance; of many, one is very unlucky and speaks for all.
         let (rests_on, usual) = (f64::from(self.ops[op].usual_seen), self.ops[op].usual);
         let known = rests_on >= 5.0;
-        let luck = if self.fig.fleet > MET_BY { (2.0 * self.fig.fleet.ln()).sqrt() } else { 1.0 };
+        let luck = if self.fig.fleet > MET_BY {
+            (2.0 * self.fig.fleet.ln()).sqrt()
+        } else {
+            1.0
+        };
         let unsure = (luck / rests_on.sqrt() - 0.25).max(0.0);
-        let slower = if acked { (time - usual - unsure).clamp(-2.0, 2.0) } else { 2.0 * (1.0 - failed) };
+        let slower = if acked {
+            (time - usual - unsure).clamp(-2.0, 2.0)
+        } else {
+            2.0 * (1.0 - failed)
+        };
         let late = if known { slower } else { 0.0 };
         let ways = [(0, self.hosts.line(h).zone.0.into()), (1, op), (2, share)];
-        ways.iter().filter(|_| known).for_each(|&(kind, n)| self.learn_way(kind, n, late));
-        let late = late - ways.map(|(kind, n)| self.detour(kind, n)).into_iter().fold(0.0, f64::max);
+        ways.iter()
+            .filter(|_| known)
+            .for_each(|&(kind, n)| self.learn_way(kind, n, late));
+        let late = late
+            - ways
+                .map(|(kind, n)| self.detour(kind, n))
+                .into_iter()
+                .fold(0.0, f64::max);
         self.hosts.lag[h] += 0.15 * (late - self.hosts.lag[h]);
         if known {
             self.judge_shared(late);
         }
-        let newest = self.news.is_some_and(|n| build >= n.build && !self.sent_back(n.build));
+        let newest = self
+            .news
+            .is_some_and(|n| build >= n.build && !self.sent_back(n.build));
         if newest && self.hosts.oldest_build().is_some_and(|b| b < build) {
             self.seen += 1;
             self.seen_in_stage += 1;
@@ -811,7 +1036,11 @@
             // Where much fails anyway, a failure more says less.
             let gain = (failed - usual) * NOISE / (NOISE + usual) - FAIL_MARGIN;
             // Of thin traffic each failure says more: chance brings few of them together.
-            self.add(h, op, gain * self.proof(share) * (self.fig.fleet / MET_BY).clamp(1.0, 1.5));
+            self.add(
+                h,
+                op,
+                gain * self.proof(share) * (self.fig.fleet / MET_BY).clamp(1.0, 1.5),
+            );
             if known {
                 let excused = self.old_lag.max(self.by_load());
                 let gain = LATE_WEIGHT * (late - excused - LATE_MARGIN);
@@ -833,8 +1062,14 @@
     /// What a failure proves for a customer whose commands err at every host, far beyond the others'.
     fn proof(&self, share: usize) -> f64 {
         let [own, failed] = self.by_share[share];
-        let others = self.by_share.iter().enumerate().filter(|(n, _)| *n != share);
-        let rest = others.map(|(_, n)| (n[1] + 1.0) / (n[0] + 2.0)).fold(1.0, f64::min);
+        let others = self
+            .by_share
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n != share);
+        let rest = others
+            .map(|(_, n)| (n[1] + 1.0) / (n[0] + 2.0))
+            .fold(1.0, f64::min);
         let beyond = (failed - failed.sqrt()) / (own + 1.0) - rest;
         FAIL_MARGIN / (FAIL_MARGIN + beyond.max(0.0))
     }
@@ -844,12 +1079,26 @@
     fn add(&mut self, h: usize, which: usize, gain: f64) {
         let ready = self.hosts.ready_with(self.hosts.build(h));
         let peers = ready.len();
-        let heard = if self.fig.fleet > MET_BY { ready.heard() } else { peers };
+        let heard = if self.fig.fleet > MET_BY {
+            ready.heard()
+        } else {
+            peers
+        };
         let voices = [0.5, 0.5, 1.5].get(peers).copied();
         let voices = voices.unwrap_or((0.4 * heard as f64).clamp(2.0, MOST_VOICES));
-        let most = SEND_BACK_AT / if which == self.ops.len() { voices.max(1.5) } else { voices };
-        let gain = if gain > 0.0 { gain.min((most - self.hosts.blame(h)).max(0.0)) } else { gain };
-        self.hosts.set_blame(h, (self.hosts.blame(h) + gain).max(0.0));
+        let most = SEND_BACK_AT
+            / if which == self.ops.len() {
+                voices.max(1.5)
+            } else {
+                voices
+            };
+        let gain = if gain > 0.0 {
+            gain.min((most - self.hosts.blame(h)).max(0.0))
+        } else {
+            gain
+        };
+        self.hosts
+            .set_blame(h, (self.hosts.blame(h) + gain).max(0.0));
         self.sums[which] = (self.sums[which] + gain).max(0.0);
         if self.sum() <= 0.0 {
             self.hosts.clear_blame();
@@ -867,7 +1116,12 @@
         let open = |h| self.hosts.strikes(h) == 0 && self.now >= self.hosts.shut_until(h);
         let able = self.hosts.sum_ready(|age| self.warmth(age), open);
         let filled = 1.0 - (-(self.now - self.born) as f64 / (4 * SECOND) as f64).exp();
-        [self.flow[0] / filled.max(0.1), self.flow[1] / filled.max(0.1), 1.0].map(|n| n / able.max(1.0))
+        [
+            self.flow[0] / filled.max(0.1),
+            self.flow[1] / filled.max(0.1),
+            1.0,
+        ]
+        .map(|n| n / able.max(1.0))
     }
 
     /// The slowness that more load or less capacity than before the trial explains; retries, up to a bound.
@@ -898,7 +1152,9 @@
     /// period brings a part of the proof at most. It could harm where troubles strike trial hosts only.
     pub fn counted(&mut self, count: DeskCount) {
         let (op, n) = (usize::from(count.op.0), f64::from(count.sampled));
-        let Some(news) = self.news.filter(|_| op < self.ops.len() && n > 0.0) else { return };
+        let Some(news) = self.news.filter(|_| op < self.ops.len() && n > 0.0) else {
+            return;
+        };
         let (on_trial, ended) = (news.standing == Standing::OnTrial, self.now - count.age);
         if ended > self.period + SECOND / 4 {
             let pace = if self.usual_traffic > 0.0 { 0.3 } else { 1.0 };
@@ -947,45 +1203,75 @@
     }
 
     pub fn disputed(&mut self, host: HostId, since: Micros) {
-        let Some(&h) = self.index.get(&host) else { return };
+        let Some(&h) = self.index.get(&host) else {
+            return;
+        };
         // An answer of the process before this one says nothing of its build.
         let build = self.hosts.build(h);
-        let before = self.hosts.line(h).started.is_some_and(|at| self.now - since < at);
+        let before = self
+            .hosts
+            .line(h)
+            .started
+            .is_some_and(|at| self.now - since < at);
         if !before && self.news.is_some_and(|n| build >= n.build) && !self.sent_back(build) {
             self.sums[self.ops.len() + 1] += self.fig.complaint_weight;
         }
     }
 
     fn verdict(&self) -> Option<(BuildId, u8, Verdict)> {
-        let news = self.news.filter(|n| matches!(n.standing, Standing::OnTrial | Standing::Released))?;
+        let news = self
+            .news
+            .filter(|n| matches!(n.standing, Standing::OnTrial | Standing::Released))?;
         let on_trial = news.standing == Standing::OnTrial;
         // Once released, going back means a cold start of the whole fleet: it wants twice the proof.
         let proof = SEND_BACK_AT * if on_trial { 1.0 } else { 2.0 };
-        if f64::from(self.seen) + self.counted_in_stage >= f64::from(ENOUGH_ANSWERS) && self.sum() >= proof {
+        if f64::from(self.seen) + self.counted_in_stage >= f64::from(ENOUGH_ANSWERS)
+            && self.sum() >= proof
+        {
             return Some((news.build, news.stage, Verdict::Back));
         }
         if !on_trial || self.fig.gate == Gate::Clocked {
-            return (on_trial && self.sum() > HOLD_AT).then_some((news.build, news.stage, Verdict::Hold));
+            return (on_trial && self.sum() > HOLD_AT).then_some((
+                news.build,
+                news.stage,
+                Verdict::Hold,
+            ));
         }
         let ready = self.hosts.ready_with(news.build);
         let (count, latest) = (ready.len(), ready.latest_start().unwrap_or(0));
-        let share = self.fig.stage_shares.get(usize::from(news.stage)).copied().unwrap_or(1.0);
-        let earlier = self.hosts.ready_builds().filter(|(build, _)| self.fig.rolling || *build < news.build);
+        let share = self
+            .fig
+            .stage_shares
+            .get(usize::from(news.stage))
+            .copied()
+            .unwrap_or(1.0);
+        let earlier = self
+            .hosts
+            .ready_builds()
+            .filter(|(build, _)| self.fig.rolling || *build < news.build);
         let earlier: usize = earlier.map(|(_, ready)| ready.len()).sum();
         let all = count > 0 && count as f64 >= (share * earlier as f64).floor();
         let unlisted = Micros::from(!all && latest <= self.stage_began);
         let waited = self.now - latest.max(self.stage_began) - unlisted * 8 * SECOND;
         // Where one vote is enough, the fleet has seen many times what a quiet router has; but the one that
         // speaks against a build has to see enough of it alone, the more so the more hosts follow.
-        let more = self.fig.stage_shares.get(usize::from(news.stage) + 1).map_or(0.0, |next| next - share);
-        let (alike, more) =
-            if self.fig.gate == Gate::Majority { (1, 0.0) } else { (self.fig.fleet as u32, more) };
+        let more = self
+            .fig
+            .stage_shares
+            .get(usize::from(news.stage) + 1)
+            .map_or(0.0, |next| next - share);
+        let (alike, more) = if self.fig.gate == Gate::Majority {
+            (1, 0.0)
+        } else {
+            (self.fig.fleet as u32, more)
+        };
         let enough = (ENOUGH_ANSWERS * ENOUGH_ANSWERS / alike).clamp(1, ENOUGH_ANSWERS);
         let known = self.seen_in_stage >= enough || self.counted_in_stage >= f64::from(3 * enough);
         let met = self.fig.even * share * waited as f64 / SECOND as f64;
         // A release takes twice the proof to undo and may wait: all hosts run the build by then.
         let last = usize::from(news.stage) + 1 >= self.fig.stage_shares.len();
-        let waits = last && self.fig.gate == Gate::Single && self.fig.fleet > MET_BY || met < CONVICTS * more;
+        let waits = last && self.fig.gate == Gate::Single && self.fig.fleet > MET_BY
+            || met < CONVICTS * more;
         let pauses = if known && !waits { 1 } else { 3 };
         // Side by side a stage is cheaply taken back and a release is not: its vote waits for all traffic.
         let beside = !self.fig.rolling && (!last || all && waited >= 4 * self.fig.go_wait);
@@ -1024,7 +1310,10 @@
         let fade = (-(self.now - self.beaten) as f64 / SECOND as f64).exp();
         self.ops.iter_mut().for_each(|o| o.acks *= fade);
         // Forgotten in time, so that a way that has been mended is tried again.
-        self.ways.iter_mut().flatten().for_each(|way| *way *= fade.powf(0.1));
+        self.ways
+            .iter_mut()
+            .flatten()
+            .for_each(|way| *way *= fade.powf(0.1));
         self.served.iter_mut().for_each(|s| *s *= fade);
         self.flow = self.flow.map(|f| f * fade.powf(0.25));
         self.grow_lane();
@@ -1032,15 +1321,25 @@
         // Guards against a storm, a fleet most of which has died, a start beside few cold hosts: only answers
         // count, the dead's while they lived, over the time in which a whole host may answer one router once.
         let whole = self.hosts.sum_ready(|age| self.warmth(age), |_| true);
-        self.lived = self.lived * fade.powf(0.25) + whole * (self.now - self.beaten) as f64 / SECOND as f64;
-        let once = self.fig.fleet * self.ops.iter().map(|o| o.target).fold(0.0, f64::max) / SECOND as f64;
+        self.lived =
+            self.lived * fade.powf(0.25) + whole * (self.now - self.beaten) as f64 / SECOND as f64;
+        let once =
+            self.fig.fleet * self.ops.iter().map(|o| o.target).fold(0.0, f64::max) / SECOND as f64;
         let young = u8::from(self.now < self.born + 5 * SECOND);
         let pace = self.flow[1].max(young.into()) / self.lived.max(once);
         // A fleet that answers little for a while can still do what it did.
         self.pace += (pace - self.pace) * if pace > self.pace { 0.02 } else { 0.001 };
-        if self.news.is_none_or(|n| n.standing != Standing::OnTrial) && self.now > self.born + 2 * SECOND {
-            let (load, pace) = (self.load(), if self.usual_load[1] > 0.0 { 0.01 } else { 1.0 });
-            self.usual_load.iter_mut().zip(load).for_each(|(usual, load)| *usual += pace * (load - *usual));
+        if self.news.is_none_or(|n| n.standing != Standing::OnTrial)
+            && self.now > self.born + 2 * SECOND
+        {
+            let (load, pace) = (
+                self.load(),
+                if self.usual_load[1] > 0.0 { 0.01 } else { 1.0 },
+            );
+            self.usual_load
+                .iter_mut()
+                .zip(load)
+                .for_each(|(usual, load)| *usual += pace * (load - *usual));
         }
         self.beaten = self.now;
         self.hosts.forget_trouble();
@@ -1055,7 +1354,11 @@
         if self.now - self.swept >= SECOND / 2 {
             self.swept = self.now;
             // Earlier builds bind no key, and once one is released all keys are taken for answered by it.
-            let from = self.news.map(|n| n.build.0.saturating_add((n.standing == Standing::Released).into()));
+            let from = self.news.map(|n| {
+                n.build
+                    .0
+                    .saturating_add((n.standing == Standing::Released).into())
+            });
             // A delivery may stay out for longer than a pin without use: its answer binds the key as well.
             let kept = |p: &Pin| p.claims > 0 || p.answered_by.is_some_and(|b| Some(b.0) >= from);
             self.pins.retain(|_, p| {
@@ -1071,13 +1374,25 @@
 fn figures(terms: &ServiceTerms) -> Figures {
     let quorum = terms.gate != Gate::Single && terms.back_votes > 0;
     let fleet = f64::from(terms.fleet_size.max(1));
-    let few = if quorum { (f64::from(terms.back_votes) / fleet / 0.2).min(1.0) } else { 1.0 };
+    let few = if quorum {
+        (f64::from(terms.back_votes) / fleet / 0.2).min(1.0)
+    } else {
+        1.0
+    };
     // Where a quorum decides, one report lets a router speak: false ones strike few at a time.
     let alone = (0.375 / terms.complaint_share.max(0.05)).clamp(1.0, 2.5);
     let warm = terms.warm_within.max(1);
-    let complaint_weight = if quorum { 1.3 * SEND_BACK_AT * few } else { alone };
+    let complaint_weight = if quorum {
+        1.3 * SEND_BACK_AT * few
+    } else {
+        alone
+    };
     Figures {
-        shares: if terms.shares.is_empty() { vec![1.0] } else { terms.shares.clone() },
+        shares: if terms.shares.is_empty() {
+            vec![1.0]
+        } else {
+            terms.shares.clone()
+        },
         fleet,
         delivery_cap: terms.delivery_cap.min(4) as usize,
         side_by_side: terms.side_by_side,
@@ -1086,7 +1401,11 @@
         longest_return: terms.may_name_return.then_some(terms.longest_return),
         cold_from: terms.cold_from.clamp(0.05, 1.0),
         warm_within: warm,
-        starts: StartSpans { warming: warm, bounded: warm + SECOND, young: 3 * warm },
+        starts: StartSpans {
+            warming: warm,
+            bounded: warm + SECOND,
+            young: 3 * warm,
+        },
         fall_span: terms.fall_span.max(1),
         cold_part: COLD_PART * terms.fall_multiple * terms.fall_span as f64 / SECOND as f64,
         gate: terms.gate,
@@ -1099,7 +1418,13 @@
         one_way: terms.forward_only,
         // The desk's clock starts about a second after the machines run; a vote before that stands idle.
         go_wait: terms.stage_bake + SECOND,
-        even: terms.shares.iter().copied().reduce(|a, b| a + b).unwrap_or(f64::INFINITY) / fleet,
+        even: terms
+            .shares
+            .iter()
+            .copied()
+            .reduce(|a, b| a + b)
+            .unwrap_or(f64::INFINITY)
+            / fleet,
         vote_span: 2.0 * fleet / terms.votes_a_second * SECOND as f64,
         vote_life: terms.vote_life,
         vote_wait: terms.vote_wait,
--- a/crates/spokeflow-core/src/state/hosts.rs
+++ b/crates/spokeflow-core/src/state/hosts.rs
@@ -66,7 +66,11 @@
 impl Hosts {
     /// No hosts yet. The own index decides the order of hosts by hash.
     pub fn new(own_index: u32, spans: StartSpans, now: Micros) -> Self {
-        let mut hosts = Hosts { own_index, now, ..Hosts::default() };
+        let mut hosts = Hosts {
+            own_index,
+            now,
+            ..Hosts::default()
+        };
         hosts.set_spans(spans);
         hosts
     }
@@ -76,7 +80,11 @@
         if spans == self.spans {
             return;
         }
-        let ready: Vec<usize> = self.ready.values().flat_map(|r| r.by_index().iter().copied()).collect();
+        let ready: Vec<usize> = self
+            .ready
+            .values()
+            .flat_map(|r| r.by_index().iter().copied())
+            .collect();
         ready.iter().for_each(|&h| self.leave(h));
         self.spans = spans;
         self.warming = RecentStarts::new(spans.warming);
@@ -102,17 +110,33 @@
     pub fn add(&mut self, line: &HostLine) -> usize {
         let h = self.line.len();
         let build = line.build.unwrap_or_default();
-        self.line.push(HostLine { phase: HostPhase::Gone, ..*line });
+        self.line.push(HostLine {
+            phase: HostPhase::Gone,
+            ..*line
+        });
         self.build.push(build);
         *self.builds.entry(build).or_default() += 1;
-        self.rank.push(unit(u64::from(line.host.0) << 32 | u64::from(self.own_index)));
-        [&mut self.in_flight, &mut self.sent].into_iter().for_each(|v| v.push(0));
-        [&mut self.answers, &mut self.strikes].into_iter().for_each(|v| v.push(0));
-        [&mut self.shut_until, &mut self.mute_since, &mut self.busy_at, &mut self.linked_at]
+        self.rank.push(unit(
+            u64::from(line.host.0) << 32 | u64::from(self.own_index),
+        ));
+        [&mut self.in_flight, &mut self.sent]
             .into_iter()
-            .for_each(|v| v.push(Micros::MIN));
+            .for_each(|v| v.push(0));
+        [&mut self.answers, &mut self.strikes]
+            .into_iter()
+            .for_each(|v| v.push(0));
+        [
+            &mut self.shut_until,
+            &mut self.mute_since,
+            &mut self.busy_at,
+            &mut self.linked_at,
+        ]
+        .into_iter()
+        .for_each(|v| v.push(Micros::MIN));
         self.busy.push(f64::NAN);
-        [&mut self.lag, &mut self.blame].into_iter().for_each(|v| v.push(0.0));
+        [&mut self.lag, &mut self.blame]
+            .into_iter()
+            .for_each(|v| v.push(0.0));
         self.slot.push(Micros::MIN);
         h
     }
@@ -128,8 +152,12 @@
         if other_process {
             // Another process, maybe another machine: nothing learned of the one before holds.
             self.change_build(h, build);
-            [&mut self.sent, &mut self.answers, &mut self.strikes].into_iter().for_each(|v| v[h] = 0);
-            [&mut self.lag, &mut self.blame].into_iter().for_each(|v| v[h] = 0.0);
+            [&mut self.sent, &mut self.answers, &mut self.strikes]
+                .into_iter()
+                .for_each(|v| v[h] = 0);
+            [&mut self.lag, &mut self.blame]
+                .into_iter()
+                .for_each(|v| v[h] = 0.0);
             self.blamed.remove(&h);
             (self.shut_until[h], self.linked_at[h]) = (Micros::MIN, Micros::MIN);
             self.busy[h] = f64::NAN;
@@ -143,7 +171,13 @@
         let named: BTreeSet<HostId> = lines.iter().map(|line| line.host).collect();
         for h in 0..self.line.len() {
             if !named.contains(&self.line[h].host) {
-                self.update(h, &HostLine { phase: HostPhase::Gone, ..self.line[h] });
+                self.update(
+                    h,
+                    &HostLine {
+                        phase: HostPhase::Gone,
+                        ..self.line[h]
+                    },
+                );
             }
         }
     }
@@ -276,7 +310,8 @@
     /// Forgets which hosts were shut for a time that is over.
     pub fn forget_trouble(&mut self) {
         let (strikes, shut_until, now) = (&self.strikes, &self.shut_until, self.now);
-        self.troubled.retain(|&h| strikes[h] > 0 || shut_until[h] > now);
+        self.troubled
+            .retain(|&h| strikes[h] > 0 || shut_until[h] > now);
     }
 
     fn note_trouble(&mut self, h: usize) {
@@ -294,7 +329,10 @@
         change(self);
         let after = self.is_heard(h);
         if before != after && self.is_ready(h) {
-            self.ready.entry(self.build[h]).or_default().set_heard(before, after);
+            self.ready
+                .entry(self.build[h])
+                .or_default()
+                .set_heard(before, after);
         }
     }
 
@@ -324,7 +362,10 @@
         let bounded = self.bounded.insert(started, h, now);
         self.young.insert(started, h, now);
         let member = self.member(h, !warms, bounded);
-        self.ready.entry(self.build[h]).or_default().join(member, &self.rank);
+        self.ready
+            .entry(self.build[h])
+            .or_default()
+            .join(member, &self.rank);
         self.ready_count += 1;
         self.note_trouble(h);
     }
@@ -399,7 +440,9 @@
 
     /// Time since the process started, a very long one where the list does not say.
     pub fn age(&self, h: usize) -> Micros {
-        self.line[h].started.map_or(LONG_AGO, |at| (self.now - at).max(0))
+        self.line[h]
+            .started
+            .map_or(LONG_AGO, |at| (self.now - at).max(0))
     }
 
     /// Sums a weight by age over the ready hosts that count. All hosts past the warming span weigh alike, and only
@@ -407,17 +450,28 @@
     pub fn sum_ready(&self, weight: impl Fn(Micros) -> f64, counts: impl Fn(usize) -> bool) -> f64 {
         let warm: usize = self.ready.values().map(|ready| ready.warm().0).sum();
         let is_warm = |h: usize| !self.warming.contains(self.line[h].started, h);
-        let left_out = self.troubled().filter(|&h| is_warm(h) && !counts(h)).count();
+        let left_out = self
+            .troubled()
+            .filter(|&h| is_warm(h) && !counts(h))
+            .count();
         let warming = self.warming().filter(|&h| counts(h));
-        (warm - left_out) as f64 * weight(LONG_AGO) + warming.map(|h| weight(self.age(h))).sum::<f64>()
+        (warm - left_out) as f64 * weight(LONG_AGO)
+            + warming.map(|h| weight(self.age(h))).sum::<f64>()
     }
 
     /// Sums size times a weight by age over the ready hosts of some builds. All hosts past the warming span weigh
     /// alike.
     pub fn sum_sizes(&self, weight: impl Fn(Micros) -> f64, of: impl Fn(BuildId) -> bool) -> f64 {
-        let warm: f64 = self.ready_builds().filter(|(build, _)| of(*build)).map(|(_, r)| r.warm().1).sum();
+        let warm: f64 = self
+            .ready_builds()
+            .filter(|(build, _)| of(*build))
+            .map(|(_, r)| r.warm().1)
+            .sum();
         let warming = self.warming().filter(|&h| of(self.build[h]));
-        warm * weight(LONG_AGO) + warming.map(|h| weight(self.age(h)) * self.line[h].size).sum::<f64>()
+        warm * weight(LONG_AGO)
+            + warming
+                .map(|h| weight(self.age(h)) * self.line[h].size)
+                .sum::<f64>()
     }
 
     // ---- Pools ----
@@ -443,20 +497,38 @@
 
     /// Makes those hosts of a pool doubtful of which something may speak against a delivery: they started of late,
     /// have a strike, are shut, have been silent since before a time, or are named. Or all.
-    pub fn doubt(&self, pool: &mut Pool, all: bool, silent: Micros, named: impl Iterator<Item = usize>) {
+    pub fn doubt(
+        &self,
+        pool: &mut Pool,
+        all: bool,
+        silent: Micros,
+        named: impl Iterator<Item = usize>,
+    ) {
         let build = pool.build();
         let ready = self.ready_with(build);
         let [by_index, by_rank] = ready.bounded_positions();
         let few = if all { 0 } else { pool.len() / MANY };
         let here = |h: &usize| self.is_ready(*h) && self.build[*h] == build;
-        let others = self.troubled().chain(self.silent_since(silent)).chain(named).filter(here);
+        let others = self
+            .troubled()
+            .chain(self.silent_since(silent))
+            .chain(named)
+            .filter(here);
         let others: Vec<usize> = others.take(few + 1).collect();
         if all || others.len() > few {
             pool.doubt_all();
         } else if pool.is_ordered_as(ready.by_index()) {
-            pool.doubt(by_index, others.into_iter().filter_map(|h| ready.index_position(h)));
+            pool.doubt(
+                by_index,
+                others.into_iter().filter_map(|h| ready.index_position(h)),
+            );
         } else if pool.is_ordered_as(ready.by_rank()) {
-            pool.doubt(by_rank, others.into_iter().map(|h| ready.rank_position(&self.rank, h)));
+            pool.doubt(
+                by_rank,
+                others
+                    .into_iter()
+                    .map(|h| ready.rank_position(&self.rank, h)),
+            );
         } else {
             pool.doubt_all();
         }
@@ -464,6 +536,9 @@
 
     /// The largest size of a pool's hosts.
     pub fn largest_size(&self, pool: &Pool) -> f64 {
-        pool.largest(|h| self.line[h].size, self.ready_with(pool.build()).largest_size())
+        pool.largest(
+            |h| self.line[h].size,
+            self.ready_with(pool.build()).largest_size(),
+        )
     }
 }
--- a/crates/spokeflow-core/src/state/pool.rs
+++ b/crates/spokeflow-core/src/state/pool.rs
@@ -23,12 +23,21 @@
 impl Pool {
     /// Hosts of a build in an order, all beyond doubt.
     pub fn new(build: BuildId, order: Arc<Vec<usize>>) -> Self {
-        Pool { build, first: order.len(), order, out: Vec::new(), doubtful: Vec::new() }
+        Pool {
+            build,
+            first: order.len(),
+            order,
+            out: Vec::new(),
+            doubtful: Vec::new(),
+        }
     }
 
     /// The first hosts of a pool that nothing has been taken out of.
     pub fn first(self, count: usize) -> Self {
-        Pool { first: self.first.min(count), ..self }
+        Pool {
+            first: self.first.min(count),
+            ..self
+        }
     }
 
     pub fn build(&self) -> BuildId {
@@ -43,7 +52,8 @@
     /// Makes the hosts at these positions doubtful, of which the known ones are ascending. Positions beyond the pool
     /// are left aside.
     pub fn doubt(&mut self, known: &[usize], others: impl Iterator<Item = usize>) {
-        let in_pool = |position: &usize| *position < self.first && self.out.binary_search(position).is_err();
+        let in_pool =
+            |position: &usize| *position < self.first && self.out.binary_search(position).is_err();
         let doubted = self.doubtful.len();
         self.doubtful.extend(known.iter().copied().filter(in_pool));
         let ascending = self.doubtful.len();
@@ -57,7 +67,9 @@
     /// Makes all hosts doubtful.
     pub fn doubt_all(&mut self) {
         let mut out = self.out.iter().copied().peekable();
-        self.doubtful = (0..self.first).filter(|position| out.next_if_eq(position).is_none()).collect();
+        self.doubtful = (0..self.first)
+            .filter(|position| out.next_if_eq(position).is_none())
+            .collect();
     }
 
     /// Takes out the doubtful hosts that fail the check.
@@ -87,7 +99,11 @@
 
     /// Whether any host passes the check.
     pub fn any(&self, passes: impl Fn(usize) -> bool) -> bool {
-        self.len() > self.doubtful.len() || self.doubtful.iter().any(|&position| passes(self.order[position]))
+        self.len() > self.doubtful.len()
+            || self
+                .doubtful
+                .iter()
+                .any(|&position| passes(self.order[position]))
     }
 
     /// The host at a place counted from 0 in the order; the place is below [`Pool::len`].
@@ -105,7 +121,9 @@
     /// All hosts in their order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         let mut out = self.out.iter().copied().peekable();
-        (0..self.first).filter(move |position| out.next_if_eq(position).is_none()).map(|p| self.order[p])
+        (0..self.first)
+            .filter(move |position| out.next_if_eq(position).is_none())
+            .map(|p| self.order[p])
     }
 
     /// The largest size in the pool, 0 where it is empty; the search ends at `top`, which none exceeds.
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -67,7 +67,11 @@
         if member.warm {
             self.warm -= 1;
             // Rounding left over by hosts that have gone does not outlive them.
-            self.warm_size = if self.warm == 0 { 0.0 } else { self.warm_size - member.size };
+            self.warm_size = if self.warm == 0 {
+                0.0
+            } else {
+                self.warm_size - member.size
+            };
         }
     }
 
@@ -120,18 +124,30 @@
 
     /// The largest size, 0 where there is no host.
     pub fn largest_size(&self) -> f64 {
-        self.sizes.keys().next_back().copied().map_or(0.0, f64::from_bits)
+        self.sizes
+            .keys()
+            .next_back()
+            .copied()
+            .map_or(0.0, f64::from_bits)
     }
 
     /// Where the hosts stand whose deliveries are bounded, ascending: in [`ReadyHosts::by_index`] and in
     /// [`ReadyHosts::by_rank`].
     pub fn bounded_positions(&self) -> &[Vec<usize>; 2] {
         self.bounded_positions.get_or_init(|| {
-            let by_index = self.bounded.iter().filter_map(|&host| self.index_position(host)).collect();
+            let by_index = self
+                .bounded
+                .iter()
+                .filter_map(|&host| self.index_position(host))
+                .collect();
             let mut by_rank = Vec::new();
             if !self.bounded.is_empty() {
                 let hosts = self.by_rank.iter().enumerate();
-                by_rank.extend(hosts.filter(|(_, host)| self.bounded.contains(host)).map(|(p, _)| p));
+                by_rank.extend(
+                    hosts
+                        .filter(|(_, host)| self.bounded.contains(host))
+                        .map(|(p, _)| p),
+                );
             }
             [by_index, by_rank]
         })
@@ -144,7 +160,12 @@
 
     /// Where a host stands, or would stand, in [`ReadyHosts::by_rank`].
     pub fn rank_position(&self, ranks: &[f64], host: usize) -> usize {
-        let before = |other: &usize| ranks[*other].total_cmp(&ranks[host]).then(other.cmp(&host)).is_lt();
+        let before = |other: &usize| {
+            ranks[*other]
+                .total_cmp(&ranks[host])
+                .then(other.cmp(&host))
+                .is_lt()
+        };
         self.by_rank.partition_point(before)
     }
 }
@@ -167,12 +188,17 @@
 
 impl RecentStarts {
     pub fn new(span: Micros) -> Self {
-        RecentStarts { span, by_start: BTreeSet::new() }
+        RecentStarts {
+            span,
+            by_start: BTreeSet::new(),
+        }
     }
 
     /// Takes a host in if it started within the span; says whether it did.
     pub fn insert(&mut self, started: Option<Micros>, host: usize, now: Micros) -> bool {
-        let Some(started) = started.filter(|started| now - started < self.span) else { return false };
+        let Some(started) = started.filter(|started| now - started < self.span) else {
+            return false;
+        };
         self.by_start.insert((started, host))
     }
 
--- a/crates/spokeflow-core/src/state/window.rs
+++ b/crates/spokeflow-core/src/state/window.rs
@@ -13,7 +13,10 @@
 
 impl<K> Default for Window<K> {
     fn default() -> Self {
-        Window { events: VecDeque::new(), counts: BTreeMap::new() }
+        Window {
+            events: VecDeque::new(),
+            counts: BTreeMap::new(),
+        }
     }
 }
 
@@ -48,12 +51,18 @@
 
     /// The events of the kinds that `counts` names.
     pub fn count(&self, counts: impl Fn(K) -> bool) -> usize {
-        self.counts.iter().filter(|(kind, _)| counts(**kind)).map(|(_, count)| count).sum()
+        self.counts
+            .iter()
+            .filter(|(kind, _)| counts(**kind))
+            .map(|(_, count)| count)
+            .sum()
     }
 }
 
 impl<K: Copy + Ord> Extend<(Micros, K)> for Window<K> {
     fn extend<I: IntoIterator<Item = (Micros, K)>>(&mut self, events: I) {
-        events.into_iter().for_each(|(at, kind)| self.push(at, kind));
+        events
+            .into_iter()
+            .for_each(|(at, kind)| self.push(at, kind));
     }
 }
--- a/crates/spokeflow-core/src/terms.rs
+++ b/crates/spokeflow-core/src/terms.rs
@@ -126,7 +126,10 @@
 impl DeliveryEnd {
     /// Whether a delivery that ended so may have had its effect.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent)
+        !matches!(
+            self,
+            DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent
+        )
     }
 }
 
--- a/crates/spokeflow-core/tests/choices.rs
+++ b/crates/spokeflow-core/tests/choices.rs
@@ -57,18 +57,33 @@
 
 #[test]
 fn choices_are_those_recorded() {
-    let played: Vec<(u64, Counts)> =
-        settings().into_iter().map(|setting| World::new(setting).play()).collect();
+    let played: Vec<(u64, Counts)> = settings()
+        .into_iter()
+        .map(|setting| World::new(setting).play())
+        .collect();
     for (setting, (digest, counts)) in settings().iter().zip(&played) {
-        println!("0x{digest:016x}, // {} hosts, fleet of {}: {counts:?}", setting.hosts, setting.fleet_size);
+        println!(
+            "0x{digest:016x}, // {} hosts, fleet of {}: {counts:?}",
+            setting.hosts, setting.fleet_size
+        );
     }
-    let total = |count: fn(&Counts) -> u64| played.iter().map(|(_, counts)| count(counts)).sum::<u64>();
-    assert!(total(|c| c.deliveries) > 50_000, "most commands are delivered");
-    assert!(total(|c| c.further_deliveries) > 1_000, "commands are delivered again");
+    let total =
+        |count: fn(&Counts) -> u64| played.iter().map(|(_, counts)| count(counts)).sum::<u64>();
+    assert!(
+        total(|c| c.deliveries) > 50_000,
+        "most commands are delivered"
+    );
+    assert!(
+        total(|c| c.further_deliveries) > 1_000,
+        "commands are delivered again"
+    );
     assert!(total(|c| c.nacks) > 1_000, "commands are nacked");
     assert!(total(|c| c.fails) > 100, "commands fail");
     assert!(total(|c| c.cancels) > 100, "deliveries are cancelled");
     assert!(total(|c| c.votes) > 50, "builds are voted on");
     let digests: Vec<u64> = played.into_iter().map(|(digest, _)| digest).collect();
-    assert_eq!(digests, DIGESTS, "a digest differs: the module's choices have changed");
+    assert_eq!(
+        digests, DIGESTS,
+        "a digest differs: the module's choices have changed"
+    );
 }
--- a/crates/spokeflow-core/tests/common/mod.rs
+++ b/crates/spokeflow-core/tests/common/mod.rs
@@ -148,22 +148,40 @@
         self.news = Some(news);
         // Rule 5 speaks of the newest build told, on trial or released, and of later ones.
         let back = matches!(news.standing, Standing::GoingBack | Standing::Withdrawn);
-        self.answered_by.retain(|_, b| *b > news.build || *b == news.build && !back);
+        self.answered_by
+            .retain(|_, b| *b > news.build || *b == news.build && !back);
         router.at(self.now).told(news, self);
     }
 
     pub fn command(&mut self, router: &mut Router, id: u32, op: usize, key: u64, left: Micros) {
         let slot = if self.terms.exposure_by_op { op } else { 0 };
         self.taken.push((self.now, slot));
-        let owed = Owed { op, key: Key(key), until: self.now + left, answered: false, sent: Vec::new() };
+        let owed = Owed {
+            op,
+            key: Key(key),
+            until: self.now + left,
+            answered: false,
+            sent: Vec::new(),
+        };
         self.owed.insert(CommandId(id), owed);
-        router.at(self.now).command(CommandId(id), OpType(op as u16), ShareId(id % 3), Key(key), left, self);
+        router.at(self.now).command(
+            CommandId(id),
+            OpType(op as u16),
+            ShareId(id % 3),
+            Key(key),
+            left,
+            self,
+        );
     }
 
     pub fn open(&self) -> Vec<(CommandId, usize)> {
-        let all =
-            self.owed.iter().flat_map(|(id, o)| o.sent.iter().enumerate().map(move |(n, s)| (*id, n, s)));
-        all.filter(|(_, _, s)| s.open).map(|(id, n, _)| (id, n)).collect()
+        let all = self
+            .owed
+            .iter()
+            .flat_map(|(id, o)| o.sent.iter().enumerate().map(move |(n, s)| (*id, n, s)));
+        all.filter(|(_, _, s)| s.open)
+            .map(|(id, n, _)| (id, n))
+            .collect()
     }
 
     pub fn end(&mut self, router: &mut Router, cmd: CommandId, nth: usize, end: DeliveryEnd) {
@@ -171,8 +189,10 @@
         let sent = &mut owed.sent[nth];
         sent.open = false;
         let took = self.now - sent.at;
-        sent.may_have_run =
-            !matches!(end, DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent);
+        sent.may_have_run = !matches!(
+            end,
+            DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent
+        );
         let (host, sent_may_have_run) = (sent.host, sent.may_have_run);
         owed.answered |= end == DeliveryEnd::Acked;
         let (closed, key) = (owed.answered, owed.key);
@@ -186,14 +206,17 @@
         if sent_may_have_run && end != DeliveryEnd::Error {
             let back = self.news.is_some_and(|n| {
                 n.build > build
-                    || n.build == build && matches!(n.standing, Standing::GoingBack | Standing::Withdrawn)
+                    || n.build == build
+                        && matches!(n.standing, Standing::GoingBack | Standing::Withdrawn)
             });
             if key.0 != 0 && !back {
                 let newest = self.answered_by.entry(key).or_insert(build);
                 *newest = build.max(*newest);
             }
         }
-        router.at(self.now).ended(cmd, nth as u8, end, took, closed, self);
+        router
+            .at(self.now)
+            .ended(cmd, nth as u8, end, took, closed, self);
     }
 
     /// Lets time pass: wakes the module when it asked for it and runs deliveries out at the client's time.
@@ -210,15 +233,24 @@
                     self.end(router, cmd, nth, DeliveryEnd::TimedOut);
                 }
             }
-            let overdue = self.owed.iter().find(|(_, o)| !o.answered && self.now > o.until + 20 * MS);
+            let overdue = self
+                .owed
+                .iter()
+                .find(|(_, o)| !o.answered && self.now > o.until + 20 * MS);
             assert!(overdue.is_none(), "rule 1: no answer in time: {overdue:?}");
         }
     }
 
     fn answer(&mut self, cmd: CommandId, harmless: bool) {
-        let owed = self.owed.get_mut(&cmd).expect("an answer for a command never given");
+        let owed = self
+            .owed
+            .get_mut(&cmd)
+            .expect("an answer for a command never given");
         assert!(!owed.answered, "rule 1: a second answer");
-        assert!(self.now <= owed.until + 20 * MS, "rule 1: an answer too late");
+        assert!(
+            self.now <= owed.until + 20 * MS,
+            "rule 1: an answer too late"
+        );
         owed.answered = true;
         let rules = &self.terms.ops[owed.op];
         let ran = owed.sent.iter().any(|s| s.may_have_run);
@@ -227,30 +259,57 @@
             Repeat::Deduplicated => !ran || rules.repeat_scope == RepeatScope::All,
             Repeat::AtMostOnce => !ran,
         };
-        assert!(!harmless || may_nack, "rule 2: a nack for what may have run");
+        assert!(
+            !harmless || may_nack,
+            "rule 2: a nack for what may have run"
+        );
     }
 }
 
 impl Egress for Ledger {
     fn deliver(&mut self, cmd: CommandId, host: HostId, _until: Option<Micros>) {
         let line = self.lines[&host];
-        let owed = self.owed.get_mut(&cmd).expect("a delivery for a command never given");
+        let owed = self
+            .owed
+            .get_mut(&cmd)
+            .expect("a delivery for a command never given");
         assert!(!owed.answered, "rule 1: sent after the final answer");
         let rules = &self.terms.ops[owed.op];
         let ran: Vec<&Sent> = owed.sent.iter().filter(|s| s.may_have_run).collect();
-        assert!(rules.repeat != Repeat::AtMostOnce || ran.is_empty(), "rule 2: at-most-once sent again");
+        assert!(
+            rules.repeat != Repeat::AtMostOnce || ran.is_empty(),
+            "rule 2: at-most-once sent again"
+        );
         if rules.repeat == Repeat::Deduplicated {
             for s in ran {
-                assert!(self.now < s.at + rules.repeat_memory, "rule 2: repeat after the memory");
-                let same = rules.repeat_scope == RepeatScope::All || self.lines[&s.host].zone == line.zone;
+                assert!(
+                    self.now < s.at + rules.repeat_memory,
+                    "rule 2: repeat after the memory"
+                );
+                let same =
+                    rules.repeat_scope == RepeatScope::All || self.lines[&s.host].zone == line.zone;
                 assert!(same, "rule 2: repeat outside its group");
             }
         }
-        assert!(self.terms.side_by_side || owed.sent.iter().all(|s| !s.open), "rule 2: two at once");
-        assert_eq!(line.phase, HostPhase::Ready, "rule 3: sent to a host that drains or is gone");
-        let fresh = line.started.is_some_and(|at| self.now < at + self.terms.warm_within);
+        assert!(
+            self.terms.side_by_side || owed.sent.iter().all(|s| !s.open),
+            "rule 2: two at once"
+        );
+        assert_eq!(
+            line.phase,
+            HostPhase::Ready,
+            "rule 3: sent to a host that drains or is gone"
+        );
+        let fresh = line
+            .started
+            .is_some_and(|at| self.now < at + self.terms.warm_within);
         let (op, key) = (owed.op, owed.key);
-        owed.sent.push(Sent { host, at: self.now, open: true, may_have_run: true });
+        owed.sent.push(Sent {
+            host,
+            at: self.now,
+            open: true,
+            may_have_run: true,
+        });
         let (in_flight, acked) = self.since_start.get_mut(&host).expect("listed");
         *in_flight += 1;
         assert!(
@@ -258,20 +317,42 @@
             "rule 4: {in_flight} in flight at a cold host, {acked} acked"
         );
         let build = line.build.expect("listed");
-        let lock = self.answered_by.get(&key).filter(|_| self.terms.forward_only && key.0 != 0);
-        assert!(lock.is_none_or(|b| build >= *b), "rule 5: back below the build that answered the key");
+        let lock = self
+            .answered_by
+            .get(&key)
+            .filter(|_| self.terms.forward_only && key.0 != 0);
+        assert!(
+            lock.is_none_or(|b| build >= *b),
+            "rule 5: back below the build that answered the key"
+        );
         let Some(news) = self.news else { return };
         if build > news.build || (build == news.build && news.standing != Standing::Released) {
             let announced = build == news.build;
-            let cap = if announced { news.cap } else { self.terms.stage_caps[0] };
+            let cap = if announced {
+                news.cap
+            } else {
+                self.terms.stage_caps[0]
+            };
             let guarded = (if announced { news.stage } else { 0 }) < self.terms.guarded_stages;
-            assert!(!guarded || self.terms.ops[op].repeat == Repeat::Redeliverable, "rule 5: guarded stage");
-            let (slot, from) =
-                (if self.terms.exposure_by_op { op } else { 0 }, self.now - self.terms.exposure_span);
+            assert!(
+                !guarded || self.terms.ops[op].repeat == Repeat::Redeliverable,
+                "rule 5: guarded stage"
+            );
+            let (slot, from) = (
+                if self.terms.exposure_by_op { op } else { 0 },
+                self.now - self.terms.exposure_span,
+            );
             self.exposed.push((self.now, slot, build));
-            let sent =
-                self.exposed.iter().filter(|e| e.0 > from && e.1 == slot && e.2 == build).count() as f64;
-            let taken = self.taken.iter().filter(|t| t.0 > from && t.1 == slot).count() as f64;
+            let sent = self
+                .exposed
+                .iter()
+                .filter(|e| e.0 > from && e.1 == slot && e.2 == build)
+                .count() as f64;
+            let taken = self
+                .taken
+                .iter()
+                .filter(|t| t.0 > from && t.1 == slot)
+                .count() as f64;
             assert!(
                 cap > 0.0 && sent <= self.terms.exposure_free + cap * taken + 1e-9,
                 "rule 5: {sent} of {taken}"
@@ -290,7 +371,10 @@
     }
 
     fn cancel(&mut self, cmd: CommandId, delivery: u8) {
-        assert!(self.owed[&cmd].sent.len() > usize::from(delivery), "a cancel for a delivery never made");
+        assert!(
+            self.owed[&cmd].sent.len() > usize::from(delivery),
+            "a cancel for a delivery never made"
+        );
     }
 
     fn wake(&mut self, at: Micros) {
@@ -335,7 +419,13 @@
 }
 
 pub fn news(build: BuildId, stage: u8, standing: Standing, cap: f64) -> StageNews {
-    StageNews { build, stage, standing, cap, age: 0 }
+    StageNews {
+        build,
+        stage,
+        standing,
+        cap,
+        age: 0,
+    }
 }
 
 /// Checks nothing and keeps only what it is asked to send: for commands that no ledger knows.
--- a/crates/spokeflow-core/tests/kept_figures.rs
+++ b/crates/spokeflow-core/tests/kept_figures.rs
@@ -27,7 +27,13 @@
 
 /// Plays runs of several sizes and compares after each step.
 fn after_each_step(mut compare: impl FnMut(&World, &Hosts)) {
-    for (seed, hosts, fleet_size) in [(1, 4, 1), (2, 12, 1_300), (3, 40, 60), (4, 120, 1_300), (5, 120, 1)] {
+    for (seed, hosts, fleet_size) in [
+        (1, 4, 1),
+        (2, 12, 1_300),
+        (3, 40, 60),
+        (4, 120, 1_300),
+        (5, 120, 1),
+    ] {
         let mut world = World::new(setting(seed, hosts, fleet_size));
         world.play_watched(|world| compare(world, world.router.hosts()));
     }
@@ -50,7 +56,10 @@
 }
 
 fn age(hosts: &Hosts, h: usize) -> Micros {
-    hosts.line(h).started.map_or(Micros::MAX / 2, |started| (hosts.now() - started).max(0))
+    hosts
+        .line(h)
+        .started
+        .map_or(Micros::MAX / 2, |started| (hosts.now() - started).max(0))
 }
 
 fn younger(hosts: &Hosts, span: Micros) -> BTreeSet<usize> {
@@ -70,7 +79,12 @@
     after_each_step(|_, hosts| {
         for build in ready_builds(hosts) {
             let figure = plain(hosts, &ready_of(hosts, build));
-            assert_eq!(kept(hosts.ready_with(build)), figure, "of build {build:?} at {}", hosts.now());
+            assert_eq!(
+                kept(hosts.ready_with(build)),
+                figure,
+                "of build {build:?} at {}",
+                hosts.now()
+            );
             seen.insert(format!("{figure:?}"));
         }
     });
@@ -81,10 +95,13 @@
 fn ready_hosts_are_counted_by_build() {
     after_each_step(|_, hosts| {
         assert_eq!(hosts.ready_count(), ready(hosts).count());
-        let kept: BTreeMap<BuildId, usize> =
-            hosts.ready_builds().map(|(build, ready)| (build, ready.len())).collect();
+        let kept: BTreeMap<BuildId, usize> = hosts
+            .ready_builds()
+            .map(|(build, ready)| (build, ready.len()))
+            .collect();
         let builds = ready_builds(hosts).into_iter();
-        let plain: BTreeMap<BuildId, usize> = builds.map(|b| (b, ready_of(hosts, b).len())).collect();
+        let plain: BTreeMap<BuildId, usize> =
+            builds.map(|b| (b, ready_of(hosts, b).len())).collect();
         assert_eq!(kept, plain);
     });
 }
@@ -107,22 +124,33 @@
 #[test]
 fn the_latest_start_of_a_build_is_known() {
     let latest = |hosts: &Hosts, plain: &[usize]| {
-        plain.iter().map(|&h| hosts.line(h).started.unwrap_or(0)).max().unwrap_or(0)
+        plain
+            .iter()
+            .map(|&h| hosts.line(h).started.unwrap_or(0))
+            .max()
+            .unwrap_or(0)
     };
     for_each_build(|ready| ready.latest_start().unwrap_or(0), latest);
 }
 
 #[test]
 fn the_largest_size_of_a_build_is_known() {
-    let largest =
-        |hosts: &Hosts, plain: &[usize]| plain.iter().map(|&h| hosts.line(h).size).fold(0.0, f64::max);
+    let largest = |hosts: &Hosts, plain: &[usize]| {
+        plain
+            .iter()
+            .map(|&h| hosts.line(h).size)
+            .fold(0.0, f64::max)
+    };
     for_each_build(ReadyHosts::largest_size, largest);
 }
 
 #[test]
 fn heard_hosts_are_counted() {
     let heard = |hosts: &Hosts, plain: &[usize]| {
-        plain.iter().filter(|&&h| hosts.answers(h) > 0 || hosts.blame(h) > 0.0).count()
+        plain
+            .iter()
+            .filter(|&&h| hosts.answers(h) > 0 || hosts.blame(h) > 0.0)
+            .count()
     };
     for_each_build(ReadyHosts::heard, heard);
 }
@@ -130,8 +158,12 @@
 #[test]
 fn warm_hosts_are_counted_and_their_sizes_summed() {
     let warm = |hosts: &Hosts, plain: &[usize]| {
-        let warm = plain.iter().filter(|&&h| age(hosts, h) >= hosts.spans().warming);
-        warm.fold((0, 0.0), |(count, size), &h| (count + 1, size + hosts.line(h).size))
+        let warm = plain
+            .iter()
+            .filter(|&&h| age(hosts, h) >= hosts.spans().warming);
+        warm.fold((0, 0.0), |(count, size), &h| {
+            (count + 1, size + hosts.line(h).size)
+        })
     };
     for_each_build(ReadyHosts::warm, warm);
 }
@@ -140,7 +172,10 @@
 fn the_oldest_build_of_any_host_is_known() {
     let mut seen = BTreeSet::new();
     // Long enough for each of few hosts to come back with later builds.
-    let mut world = World::new(Setting { length: 200 * SECOND, ..setting(6, 3, 1) });
+    let mut world = World::new(Setting {
+        length: 200 * SECOND,
+        ..setting(6, 3, 1)
+    });
     world.play_watched(|world| {
         let hosts = world.router.hosts();
         let plain = all(hosts).map(|h| hosts.build(h)).min();
@@ -154,8 +189,14 @@
 fn hosts_that_started_of_late_are_known() {
     after_each_step(|_, hosts| {
         let spans = hosts.spans();
-        assert_eq!(hosts.warming().collect::<BTreeSet<_>>(), younger(hosts, spans.warming));
-        assert_eq!(hosts.bounded().collect::<BTreeSet<_>>(), younger(hosts, spans.bounded));
+        assert_eq!(
+            hosts.warming().collect::<BTreeSet<_>>(),
+            younger(hosts, spans.warming)
+        );
+        assert_eq!(
+            hosts.bounded().collect::<BTreeSet<_>>(),
+            younger(hosts, spans.bounded)
+        );
         assert_eq!(hosts.young_count(), younger(hosts, spans.young).len());
     });
 }
@@ -164,12 +205,20 @@
 fn the_places_of_bounded_hosts_are_known() {
     let positions = |hosts: &Hosts, order: Vec<usize>| -> Vec<usize> {
         let bounded = |h: usize| age(hosts, h) < hosts.spans().bounded;
-        order.iter().enumerate().filter(|(_, h)| bounded(**h)).map(|(position, _)| position).collect()
+        order
+            .iter()
+            .enumerate()
+            .filter(|(_, h)| bounded(**h))
+            .map(|(position, _)| position)
+            .collect()
     };
     let plain = |hosts: &Hosts, members: &[usize]| {
         let mut by_rank = members.to_vec();
         by_rank.sort_by(|&a, &b| hosts.rank(a).total_cmp(&hosts.rank(b)));
-        [positions(hosts, members.to_vec()), positions(hosts, by_rank)]
+        [
+            positions(hosts, members.to_vec()),
+            positions(hosts, by_rank),
+        ]
     };
     for_each_build(|ready| ready.bounded_positions().clone(), plain);
 }
@@ -181,8 +230,15 @@
         let kept: BTreeSet<usize> = hosts.troubled().collect();
         let troubled = |h: &usize| hosts.strikes(*h) > 0 || hosts.shut_until(*h) > hosts.now();
         let plain: BTreeSet<usize> = ready(hosts).filter(troubled).collect();
-        assert!(kept.is_superset(&plain), "{plain:?} are troubled, {kept:?} known");
-        assert!(kept.iter().all(|&h| hosts.line(h).phase == HostPhase::Ready), "none that is not ready");
+        assert!(
+            kept.is_superset(&plain),
+            "{plain:?} are troubled, {kept:?} known"
+        );
+        assert!(
+            kept.iter()
+                .all(|&h| hosts.line(h).phase == HostPhase::Ready),
+            "none that is not ready"
+        );
         // The shut time of those that are open again ended within the last interval of wake-ups.
         let over = |h: &&usize| !plain.contains(h) && hosts.now() - hosts.shut_until(**h) > SECOND;
         assert_eq!(kept.iter().find(over), None, "forgotten in time");
@@ -196,13 +252,21 @@
     let mut most = 0;
     after_each_step(|world, hosts| {
         for h in all(hosts) {
-            assert_eq!(hosts.in_flight(h) as usize, world.open_at(hosts.line(h).host), "at host {h}");
+            assert_eq!(
+                hosts.in_flight(h) as usize,
+                world.open_at(hosts.line(h).host),
+                "at host {h}"
+            );
         }
         for span in SILENT_FOR {
             let before = hosts.now() - span;
             let silent = |h: &usize| hosts.in_flight(*h) > 0 && hosts.mute_since(*h) < before;
             let plain: BTreeSet<usize> = all(hosts).filter(silent).collect();
-            assert_eq!(hosts.silent_since(before).collect::<BTreeSet<_>>(), plain, "for {span} us");
+            assert_eq!(
+                hosts.silent_since(before).collect::<BTreeSet<_>>(),
+                plain,
+                "for {span} us"
+            );
             most = most.max(plain.len());
         }
     });
@@ -222,7 +286,11 @@
 
 #[test]
 fn a_host_that_comes_back_with_another_process_is_blamed_no_longer() {
-    let spans = StartSpans { warming: SECOND, bounded: 2 * SECOND, young: 3 * SECOND };
+    let spans = StartSpans {
+        warming: SECOND,
+        bounded: 2 * SECOND,
+        young: 3 * SECOND,
+    };
     let mut hosts = Hosts::new(0, spans, 0);
     let line = HostLine {
         host: HostId(1),
@@ -237,7 +305,13 @@
     hosts.update(h, &line);
     hosts.set_blame(h, 1.0);
     assert_eq!(hosts.blamed().collect::<Vec<_>>(), [h]);
-    hosts.update(h, &HostLine { started: Some(0), ..line });
+    hosts.update(
+        h,
+        &HostLine {
+            started: Some(0),
+            ..line
+        },
+    );
     assert_eq!((hosts.blame(h), hosts.blamed().count()), (0.0, 0));
 }
 
@@ -248,17 +322,26 @@
         let weight = |age: Micros| 0.4 + 0.6 * (age.min(span) as f64 / span as f64);
         let open = |h: usize| hosts.strikes(h) == 0 && hosts.now() >= hosts.shut_until(h);
         for (kept, plain) in [
-            (hosts.sum_ready(weight, |_| true), ready(hosts).map(|h| weight(age(hosts, h))).sum::<f64>()),
+            (
+                hosts.sum_ready(weight, |_| true),
+                ready(hosts).map(|h| weight(age(hosts, h))).sum::<f64>(),
+            ),
             (
                 hosts.sum_ready(weight, open),
-                ready(hosts).filter(|&h| open(h)).map(|h| weight(age(hosts, h))).sum(),
+                ready(hosts)
+                    .filter(|&h| open(h))
+                    .map(|h| weight(age(hosts, h)))
+                    .sum(),
             ),
         ] {
             assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
         }
         for build in ready_builds(hosts) {
             let members = ready_of(hosts, build);
-            let plain: f64 = members.iter().map(|&h| weight(age(hosts, h)) * hosts.line(h).size).sum();
+            let plain: f64 = members
+                .iter()
+                .map(|&h| weight(age(hosts, h)) * hosts.line(h).size)
+                .sum();
             let kept = hosts.sum_sizes(weight, |b| b == build);
             assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
         }
@@ -268,8 +351,17 @@
 /// What a pool answers against a list of the hosts that it should hold.
 fn assert_holds(pool: &Pool, plain: &[usize]) {
     assert_eq!(pool.iter().collect::<Vec<_>>(), plain);
-    assert_eq!((pool.len(), pool.is_empty()), (plain.len(), plain.is_empty()));
-    assert!(plain.iter().enumerate().all(|(place, &h)| pool.nth(place) == h), "each at its place");
+    assert_eq!(
+        (pool.len(), pool.is_empty()),
+        (plain.len(), plain.is_empty())
+    );
+    assert!(
+        plain
+            .iter()
+            .enumerate()
+            .all(|(place, &h)| pool.nth(place) == h),
+        "each at its place"
+    );
 }
 
 #[test]
@@ -296,12 +388,13 @@
             by_rank.sort_by(|&a, &b| hosts.rank(a).total_cmp(&hosts.rank(b)));
             by_rank.truncate(own);
             let whole = hosts.pool(build);
-            for (mut pool, mut plain) in
-                [(whole.clone(), members.clone()), (hosts.first_by_rank(whole, own), by_rank)]
-            {
+            for (mut pool, mut plain) in [
+                (whole.clone(), members.clone()),
+                (hosts.first_by_rank(whole, own), by_rank),
+            ] {
                 hosts.doubt(&mut pool, false, silent, [named].into_iter());
-                let walks =
-                    plain.len() < 8 || plain.iter().filter(|&&h| doubtful(h)).count() > plain.len() / 8;
+                let walks = plain.len() < 8
+                    || plain.iter().filter(|&&h| doubtful(h)).count() > plain.len() / 8;
                 *(if walks { &mut walked } else { &mut exact }) += 1;
                 assert_holds(&pool, &plain);
                 pool.retain(first);
@@ -311,12 +404,18 @@
                 pool.retain(second);
                 plain.retain(|&h| second(h));
                 assert_holds(&pool, &plain);
-                let largest = plain.iter().map(|&h| hosts.line(h).size).fold(0.0, f64::max);
+                let largest = plain
+                    .iter()
+                    .map(|&h| hosts.line(h).size)
+                    .fold(0.0, f64::max);
                 assert_eq!(hosts.largest_size(&pool), largest);
             }
         }
     });
-    assert!(exact > 1_000 && walked > 1_000, "{exact} pools with few doubtful hosts, {walked} with many");
+    assert!(
+        exact > 1_000 && walked > 1_000,
+        "{exact} pools with few doubtful hosts, {walked} with many"
+    );
 }
 
 #[test]
@@ -334,7 +433,14 @@
             hosts.doubt(&mut checked, false, Micros::MIN, std::iter::empty());
             let passes = |h: usize| unit(h as u64) < 0.5;
             checked.retain(passes);
-            assert_holds(&checked, &plain.iter().copied().filter(|&h| passes(h)).collect::<Vec<_>>());
+            assert_holds(
+                &checked,
+                &plain
+                    .iter()
+                    .copied()
+                    .filter(|&h| passes(h))
+                    .collect::<Vec<_>>(),
+            );
             plain.sort_by(|&a, &b| hosts.rank(a).total_cmp(&hosts.rank(b)));
             plain.truncate(plain.len() / 2);
             let mut pool = hosts.first_by_rank(pool, plain.len());
@@ -361,9 +467,15 @@
             window.push(now, kind);
             plain.push((now, kind));
         }
-        assert_eq!((window.len(), window.is_empty()), (plain.len(), plain.is_empty()));
+        assert_eq!(
+            (window.len(), window.is_empty()),
+            (plain.len(), plain.is_empty())
+        );
         for kind in 0..5 {
-            assert_eq!(window.count(|k| k == kind), plain.iter().filter(|(_, k)| *k == kind).count());
+            assert_eq!(
+                window.count(|k| k == kind),
+                plain.iter().filter(|(_, k)| *k == kind).count()
+            );
         }
     }
 }
--- a/crates/spokeflow-core/tests/level.rs
+++ b/crates/spokeflow-core/tests/level.rs
@@ -34,19 +34,28 @@
     let mut router = Router::new(&terms(Gate::Single), 3, 0, &mut out);
     let hosts: Vec<HostLine> = (0..8).map(|h| line(h, NEW)).collect();
     router.at(0).listed(ListKind::Whole, &hosts, &mut out);
-    router.at(0).told(news(NEW, 2, Standing::Released, 1.0), &mut out);
+    router
+        .at(0)
+        .told(news(NEW, 2, Standing::Released, 1.0), &mut out);
     let mut after = |keys: std::ops::Range<u32>| {
         for n in keys {
             let now = Micros::from(n) * 10 * MS;
             let (cmd, key) = (CommandId(n), Key(u64::from(n) + 1));
-            router.at(now).command(cmd, OpType(0), ShareId(0), key, SECOND, &mut out);
+            router
+                .at(now)
+                .command(cmd, OpType(0), ShareId(0), key, SECOND, &mut out);
             for cmd in std::mem::take(&mut out.sent) {
-                router.at(now).ended(cmd, 0, DeliveryEnd::Acked, 50 * MS, true, &mut out);
+                router
+                    .at(now)
+                    .ended(cmd, 0, DeliveryEnd::Acked, 50 * MS, true, &mut out);
             }
             router.at(now).woken(&mut out);
         }
         IN_USE.load(Relaxed)
     };
     let (early, late) = (after(0..3_000), after(3_000..30_000));
-    assert!(late < early + early / 4, "{early} bytes after 3,000 keys, {late} after 30,000");
+    assert!(
+        late < early + early / 4,
+        "{early} bytes after 3,000 keys, {late} after 30,000"
+    );
 }
