--- a/crates/spokeflow-core/tests/plain.rs
+++ b/crates/spokeflow-core/tests/plain.rs
@@ -13,9 +13,16 @@
     ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
     let old: Vec<HostLine> = (0..10).map(|h| line(h, OLD)).collect();
     ledger.list(&mut router, ListKind::Remembered, &old);
-    serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| (DeliveryEnd::Acked, 50 * MS));
+    serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| {
+        (DeliveryEnd::Acked, 50 * MS)
+    });
     let started = ledger.now - 5 * SECOND;
-    let new: Vec<HostLine> = (6..10).map(|h| HostLine { started: Some(started), ..line(h, NEW) }).collect();
+    let new: Vec<HostLine> = (6..10)
+        .map(|h| HostLine {
+            started: Some(started),
+            ..line(h, NEW)
+        })
+        .collect();
     ledger.list(&mut router, ListKind::Changes, &new);
     ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
     (router, ledger)
@@ -47,8 +54,14 @@
 }
 
 fn at_new(ledger: &Ledger, span: Micros) -> f64 {
-    let all = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.at > ledger.now - span);
-    let (new, all) = all.fold((0, 0), |(new, all), s| (new + u32::from(s.host.0 >= 6), all + 1));
+    let all = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.at > ledger.now - span);
+    let (new, all) = all.fold((0, 0), |(new, all), s| {
+        (new + u32::from(s.host.0 >= 6), all + 1)
+    });
     f64::from(new) / f64::from(all)
 }
 
@@ -63,7 +76,11 @@
 fn lane_grows_over_seconds_and_stays_within_the_cap() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 400 * MS, |_, _, _| GOOD);
-    assert!(at_new(&ledger, 400 * MS) < 0.15, "no jump at the start: {}", at_new(&ledger, 400 * MS));
+    assert!(
+        at_new(&ledger, 400 * MS) < 0.15,
+        "no jump at the start: {}",
+        at_new(&ledger, 400 * MS)
+    );
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
     let share = at_new(&ledger, 4 * SECOND);
     assert!((0.15..=0.4).contains(&share), "{share}");
@@ -75,26 +92,43 @@
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
     let mut turns = std::collections::BTreeMap::<Key, Vec<bool>>::new();
     for owed in ledger.owed.values() {
-        turns
-            .entry(owed.key)
-            .or_default()
-            .extend(owed.sent.iter().map(|s| s.host.0 >= 6 && s.at > 107 * SECOND));
+        turns.entry(owed.key).or_default().extend(
+            owed.sent
+                .iter()
+                .map(|s| s.host.0 >= 6 && s.at > 107 * SECOND),
+        );
     }
-    assert!(turns.values().any(|t| *t.last().expect("sent")), "some keys join");
-    assert!(turns.values().all(|t| t.windows(2).all(|w| w[0] <= w[1])), "none goes back");
+    assert!(
+        turns.values().any(|t| *t.last().expect("sent")),
+        "some keys join"
+    );
+    assert!(
+        turns.values().all(|t| t.windows(2).all(|w| w[0] <= w[1])),
+        "none goes back"
+    );
 }
 
 #[test]
 fn a_good_build_goes_on_and_is_not_sent_back() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
-    assert!(votes(&ledger, Verdict::On) > 0 && votes(&ledger, Verdict::Back) == 0, "{:?}", ledger.votes);
+    assert!(
+        votes(&ledger, Verdict::On) > 0 && votes(&ledger, Verdict::Back) == 0,
+        "{:?}",
+        ledger.votes
+    );
 }
 
 #[test]
 fn a_build_that_fails_one_op_type_in_two_goes_back() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let host = |h: HostId, op, n| if h.0 >= 6 && op == 2 && n % 2 == 0 { BAD } else { GOOD };
+    let host = |h: HostId, op, n| {
+        if h.0 >= 6 && op == 2 && n % 2 == 0 {
+            BAD
+        } else {
+            GOOD
+        }
+    };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
     assert!(votes(&ledger, Verdict::Back) > 0);
 }
@@ -103,7 +137,10 @@
 fn a_build_that_needs_three_times_the_work_goes_back_without_one_error() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 12 * SECOND, |h, _, _| {
-        (DeliveryEnd::Acked, if h.0 >= 6 { 150 * MS } else { 50 * MS })
+        (
+            DeliveryEnd::Acked,
+            if h.0 >= 6 { 150 * MS } else { 50 * MS },
+        )
     });
     assert!(votes(&ledger, Verdict::Back) > 0);
 }
@@ -111,14 +148,22 @@
 #[test]
 fn a_build_that_slows_all_hosts_alike_goes_back() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    serve(&mut router, &mut ledger, 12 * SECOND, |_, _, _| (DeliveryEnd::Acked, 150 * MS));
+    serve(&mut router, &mut ledger, 12 * SECOND, |_, _, _| {
+        (DeliveryEnd::Acked, 150 * MS)
+    });
     assert!(votes(&ledger, Verdict::Back) > 0);
 }
 
 #[test]
 fn under_the_clock_doubts_hold_the_build() {
     let (mut router, mut ledger) = fleet(Gate::Clocked, |_| {});
-    let host = |h: HostId, op, n| if h.0 >= 6 && op == 2 && n % 2 == 0 { BAD } else { GOOD };
+    let host = |h: HostId, op, n| {
+        if h.0 >= 6 && op == 2 && n % 2 == 0 {
+            BAD
+        } else {
+            GOOD
+        }
+    };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
     assert!(votes(&ledger, Verdict::Hold) > 0 && votes(&ledger, Verdict::Back) > 0);
 }
@@ -126,18 +171,38 @@
 #[test]
 fn one_host_that_errs_does_not_convict_its_build() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    serve(&mut router, &mut ledger, 12 * SECOND, |h, _, _| if h.0 == 7 { BAD } else { GOOD });
+    serve(&mut router, &mut ledger, 12 * SECOND, |h, _, _| {
+        if h.0 == 7 {
+            BAD
+        } else {
+            GOOD
+        }
+    });
     assert_eq!(votes(&ledger, Verdict::Back), 0);
 }
 
 #[test]
 fn a_cold_host_that_errs_fast_is_not_sent_everything() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let cold = HostLine { started: Some(ledger.now), ..line(3, OLD) };
+    let cold = HostLine {
+        started: Some(ledger.now),
+        ..line(3, OLD)
+    };
     ledger.list(&mut router, ListKind::Changes, &[cold]);
     let from = ledger.now;
-    serve(&mut router, &mut ledger, 2 * SECOND, |h, _, _| if h.0 == 3 { BAD } else { GOOD });
-    let sent = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.host.0 == 3 && s.at >= from).count();
+    serve(&mut router, &mut ledger, 2 * SECOND, |h, _, _| {
+        if h.0 == 3 {
+            BAD
+        } else {
+            GOOD
+        }
+    });
+    let sent = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.host.0 == 3 && s.at >= from)
+        .count();
     assert!(sent <= 5, "{sent}");
 }
 
@@ -146,12 +211,21 @@
 fn a_storm_while_most_hosts_are_dead_does_not_raise_what_a_cold_host_is_sent() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     ledger.tell(&mut router, news(NEW, 2, Standing::Released, 1.0));
-    let gone: Vec<HostLine> = (0..9).map(|h| HostLine { phase: HostPhase::Gone, ..line(h, OLD) }).collect();
+    let gone: Vec<HostLine> = (0..9)
+        .map(|h| HostLine {
+            phase: HostPhase::Gone,
+            ..line(h, OLD)
+        })
+        .collect();
     ledger.list(&mut router, ListKind::Changes, &gone);
     let mut storm = |router: &mut Router, span: Micros| {
         let (from, to) = (ledger.now, ledger.now + span);
         if span < 3 * SECOND {
-            let cold = HostLine { started: Some(from), phase: HostPhase::Ready, ..line(3, NEW) };
+            let cold = HostLine {
+                started: Some(from),
+                phase: HostPhase::Ready,
+                ..line(3, NEW)
+            };
             ledger.list(router, ListKind::Changes, &[cold]);
         }
         while ledger.now < to {
@@ -177,11 +251,21 @@
 #[test]
 fn a_host_that_answers_nothing_is_soon_left_alone() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let host = |h: HostId, _, _| (DeliveryEnd::Acked, if h.0 == 2 { 90 * SECOND } else { 50 * MS });
+    let host = |h: HostId, _, _| {
+        (
+            DeliveryEnd::Acked,
+            if h.0 == 2 { 90 * SECOND } else { 50 * MS },
+        )
+    };
     serve(&mut router, &mut ledger, 2 * SECOND, host);
     let from = ledger.now;
     serve(&mut router, &mut ledger, SECOND, host);
-    let sent = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.host.0 == 2 && s.at >= from).count();
+    let sent = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.host.0 == 2 && s.at >= from)
+        .count();
     assert!(sent <= 1, "{sent}");
 }
 
@@ -225,7 +309,14 @@
         ledger.pass(router, 2 * SECOND);
         for (build, (sampled, lost, mean)) in [(OLD, old), (NEW, new)] {
             for op in 0..3 {
-                let count = DeskCount { build, op: OpType(op), sampled, lost, mean, age: SECOND };
+                let count = DeskCount {
+                    build,
+                    op: OpType(op),
+                    sampled,
+                    lost,
+                    mean,
+                    age: SECOND,
+                };
                 router.at(ledger.now).counted(count);
             }
         }
@@ -237,23 +328,44 @@
     let cases = [
         ("alike", (28, 0, 80 * MS), (12, 0, 90 * MS), false),
         ("fails", (28, 0, 80 * MS), (12, 3, 80 * MS), true),
-        ("lost at both builds alike", (28, 10, 80 * MS), (12, 3, 80 * MS), false),
+        (
+            "lost at both builds alike",
+            (28, 10, 80 * MS),
+            (12, 3, 80 * MS),
+            false,
+        ),
         ("slow", (28, 0, 80 * MS), (12, 0, 240 * MS), true),
         ("slows all", (28, 0, 240 * MS), (12, 0, 240 * MS), true),
-        ("slows all, most is lost and asked again", (60, 40, 240 * MS), (24, 14, 240 * MS), true),
-        ("slower as traffic doubles", (80, 0, 160 * MS), (24, 0, 160 * MS), false),
+        (
+            "slows all, most is lost and asked again",
+            (60, 40, 240 * MS),
+            (24, 14, 240 * MS),
+            true,
+        ),
+        (
+            "slower as traffic doubles",
+            (80, 0, 160 * MS),
+            (24, 0, 160 * MS),
+            false,
+        ),
     ];
     for (what, old, new, back) in cases {
         let mut terms = terms(Gate::Majority);
         (terms.rolling, terms.fleet_size, terms.back_votes) = (false, 100, 25);
         let (mut router, mut ledger) = Ledger::start(terms, 5);
         ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-        let hosts: Vec<HostLine> = (0..10).map(|h| line(h, if h < 6 { OLD } else { NEW })).collect();
+        let hosts: Vec<HostLine> = (0..10)
+            .map(|h| line(h, if h < 6 { OLD } else { NEW }))
+            .collect();
         ledger.list(&mut router, ListKind::Remembered, &hosts);
         count(&mut router, &mut ledger, 4, (40, 0, 80 * MS), (0, 0, 0));
         ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
         count(&mut router, &mut ledger, 1, old, new);
-        assert_eq!(votes(&ledger, Verdict::Back), 0, "{what}: one period convicts nobody");
+        assert_eq!(
+            votes(&ledger, Verdict::Back),
+            0,
+            "{what}: one period convicts nobody"
+        );
         count(&mut router, &mut ledger, 6, old, new);
         assert_eq!(votes(&ledger, Verdict::Back) > 0, back, "{what}");
     }
@@ -268,18 +380,25 @@
         serve(&mut router, &mut ledger, 2 * SECOND, |_, _, _| GOOD);
         router.at(ledger.now).disputed(HostId(7), SECOND);
         ledger.pass(&mut router, SECOND);
-        assert_eq!(votes(&ledger, Verdict::Back) > 0, back, "{back_votes} of 100");
+        assert_eq!(
+            votes(&ledger, Verdict::Back) > 0,
+            back,
+            "{back_votes} of 100"
+        );
     }
 }
 
 #[test]
 fn where_few_votes_send_back_own_slowness_weighs_less() {
     let until_back = |back_votes| {
-        let (mut router, mut ledger) =
-            fleet(Gate::Clocked, |t| (t.fleet_size, t.back_votes) = (100, back_votes));
+        let (mut router, mut ledger) = fleet(Gate::Clocked, |t| {
+            (t.fleet_size, t.back_votes) = (100, back_votes)
+        });
         let from = ledger.now;
         while votes(&ledger, Verdict::Back) == 0 && ledger.now < from + 30 * SECOND {
-            serve(&mut router, &mut ledger, 100 * MS, |_, _, _| (DeliveryEnd::Acked, 190 * MS));
+            serve(&mut router, &mut ledger, 100 * MS, |_, _, _| {
+                (DeliveryEnd::Acked, 190 * MS)
+            });
         }
         ledger.now - from
     };
@@ -300,8 +419,13 @@
 #[test]
 fn an_op_type_that_waits_at_every_host_leaves_the_others_their_room() {
     let (mut router, mut ledger) = fleet(Gate::Clocked, |_| {});
-    let nacked =
-        |ledger: &Ledger, op: usize| ledger.nacks.iter().filter(|n| ledger.owed[&n.0].op == op).count();
+    let nacked = |ledger: &Ledger, op: usize| {
+        ledger
+            .nacks
+            .iter()
+            .filter(|n| ledger.owed[&n.0].op == op)
+            .count()
+    };
     serve(&mut router, &mut ledger, 12 * SECOND, |_, op, _| match op {
         1 => (DeliveryEnd::Acked, 1500 * MS),
         _ => GOOD,
@@ -312,9 +436,19 @@
         _ => GOOD,
     });
     assert!(nacked(&ledger, 1) > 0, "what waits is bounded too");
-    assert_eq!(nacked(&ledger, 0) + nacked(&ledger, 2), before, "the others are all taken");
-    let others = ledger.owed.values().filter(|o| o.op != 1 && o.until > ledger.now - 3 * SECOND);
-    let held = others.filter_map(|o| Some(o.sent.first()?.at - (o.until - 1900 * MS))).max().unwrap();
+    assert_eq!(
+        nacked(&ledger, 0) + nacked(&ledger, 2),
+        before,
+        "the others are all taken"
+    );
+    let others = ledger
+        .owed
+        .values()
+        .filter(|o| o.op != 1 && o.until > ledger.now - 3 * SECOND);
+    let held = others
+        .filter_map(|o| Some(o.sent.first()?.at - (o.until - 1900 * MS)))
+        .max()
+        .unwrap();
     assert!(held < 60 * MS, "none is held behind what waits: {held}");
 }
 
@@ -324,13 +458,19 @@
     ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
     let hosts: Vec<HostLine> = (0..60).map(|h| line(h, OLD)).collect();
     ledger.list(&mut router, ListKind::Remembered, &hosts);
-    serve(&mut router, &mut ledger, 3 * SECOND, |host, _, _| match host.0 % 3 {
-        0 => GOOD,
-        _ => (DeliveryEnd::NotConnected, 5 * MS),
+    serve(&mut router, &mut ledger, 3 * SECOND, |host, _, _| {
+        match host.0 % 3 {
+            0 => GOOD,
+            _ => (DeliveryEnd::NotConnected, 5 * MS),
+        }
     });
     let sent = || ledger.owed.values().flat_map(|o| &o.sent);
     let refused = sent().filter(|s| s.host.0 % 3 != 0).count();
-    assert!(refused * 4 < sent().count(), "{refused} of {} refused", sent().count());
+    assert!(
+        refused * 4 < sent().count(),
+        "{refused} of {} refused",
+        sent().count()
+    );
 }
 
 #[test]
@@ -340,12 +480,22 @@
     let (mut router, mut ledger) = Ledger::start(terms, 5);
     ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
     let size = |h| if h < 2 { 3.0 } else { 1.0 };
-    let hosts: Vec<HostLine> = (0..4).map(|h| HostLine { size: size(h), ..line(h, OLD) }).collect();
+    let hosts: Vec<HostLine> = (0..4)
+        .map(|h| HostLine {
+            size: size(h),
+            ..line(h, OLD)
+        })
+        .collect();
     ledger.list(&mut router, ListKind::Remembered, &hosts);
     let share = |ledger: &Ledger, from: Micros, hosts: std::ops::Range<u32>| {
-        let sent = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.at > from);
-        let (of, all) =
-            sent.fold((0, 0), |(of, all), s| (of + u32::from(hosts.contains(&s.host.0)), all + 1));
+        let sent = ledger
+            .owed
+            .values()
+            .flat_map(|o| &o.sent)
+            .filter(|s| s.at > from);
+        let (of, all) = sent.fold((0, 0), |(of, all), s| {
+            (of + u32::from(hosts.contains(&s.host.0)), all + 1)
+        });
         f64::from(of) / f64::from(all)
     };
     serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| GOOD);
@@ -353,7 +503,11 @@
     assert!((0.65..0.85).contains(&large), "{large}");
     let from = ledger.now;
     for _ in 0..12 {
-        (0..4).for_each(|h| router.at(ledger.now).reported(HostId(h), if h == 0 { 0.95 } else { 0.3 }));
+        (0..4).for_each(|h| {
+            router
+                .at(ledger.now)
+                .reported(HostId(h), if h == 0 { 0.95 } else { 0.3 })
+        });
         serve(&mut router, &mut ledger, SECOND / 2, |_, _, _| GOOD);
     }
     assert!(share(&ledger, from, 0..1) < 0.7 * share(&ledger, from, 1..2));
@@ -367,7 +521,11 @@
     ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
     let cast = votes(&ledger, Verdict::On);
     serve(&mut router, &mut ledger, 5 * SECOND, |_, _, _| GOOD);
-    assert_eq!(votes(&ledger, Verdict::On), cast, "the release waits for the whole traffic");
+    assert_eq!(
+        votes(&ledger, Verdict::On),
+        cast,
+        "the release waits for the whole traffic"
+    );
 }
 
 #[test]
@@ -390,7 +548,13 @@
 #[test]
 fn what_clients_cut_short_does_not_convict_the_build() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let host = |_: HostId, _, n| if n % 4 == 0 { (DeliveryEnd::TimedOut, 300 * MS) } else { GOOD };
+    let host = |_: HostId, _, n| {
+        if n % 4 == 0 {
+            (DeliveryEnd::TimedOut, 300 * MS)
+        } else {
+            GOOD
+        }
+    };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
     assert_eq!(votes(&ledger, Verdict::Back), 0);
 }
@@ -398,11 +562,20 @@
 #[test]
 fn a_zone_far_off_is_passed_over_while_another_is_at_hand() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let host = |h: HostId, _, _| (DeliveryEnd::Acked, if h.0 % 2 == 1 { 500 * MS } else { 50 * MS });
+    let host = |h: HostId, _, _| {
+        (
+            DeliveryEnd::Acked,
+            if h.0 % 2 == 1 { 500 * MS } else { 50 * MS },
+        )
+    };
     serve(&mut router, &mut ledger, 4 * SECOND, host);
     let from = ledger.now;
     serve(&mut router, &mut ledger, 2 * SECOND, host);
-    let sent = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.at >= from);
+    let sent = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.at >= from);
     let (far, all) = sent.fold((0, 0), |(far, all), s| (far + s.host.0 % 2, all + 1));
     assert!(far * 5 < all, "{far} of {all}");
     assert_eq!(votes(&ledger, Verdict::Back), 0);
@@ -424,8 +597,12 @@
             .into_iter()
             .for_each(|(cmd, nth)| ledger.end(&mut router, cmd, nth, DeliveryEnd::Acked));
     }
-    let met: std::collections::BTreeSet<_> =
-        ledger.owed.values().flat_map(|o| &o.sent).map(|s| s.host).collect();
+    let met: std::collections::BTreeSet<_> = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .map(|s| s.host)
+        .collect();
     assert!(met.len() <= 20, "{}", met.len());
 }
 
@@ -442,7 +619,10 @@
     (1..copies).for_each(|nth| ledger.end(&mut router, CommandId(9_000), nth, DeliveryEnd::Error));
     ledger.pass(&mut router, SECOND);
     let sent = &ledger.owed[&CommandId(9_000)].sent;
-    assert!(copies == 2 && sent.len() == 2 && sent[1].host != first, "{sent:?}");
+    assert!(
+        copies == 2 && sent.len() == 2 && sent[1].host != first,
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -462,12 +642,29 @@
     router.at(ledger.now).list_failed();
     ledger.pass(&mut router, 2 * SECOND);
     assert!(ledger.list_asked > asked);
-    ledger.list(&mut router, ListKind::Changes, &[HostLine { build: None, ..line(2, OLD) }]);
+    ledger.list(
+        &mut router,
+        ListKind::Changes,
+        &[HostLine {
+            build: None,
+            ..line(2, OLD)
+        }],
+    );
     ledger.lines.insert(HostId(2), line(2, OLD));
     ledger.tell(&mut router, news(NEW, 9, Standing::OnTrial, 0.4));
     let mut unheard = Quiet::default();
-    router.at(ledger.now).command(CommandId(1 << 30), OpType(99), ShareId(99), Key(1), SECOND, &mut unheard);
-    assert!(unheard.sent.is_empty(), "sent a command of no known op type");
+    router.at(ledger.now).command(
+        CommandId(1 << 30),
+        OpType(99),
+        ShareId(99),
+        Key(1),
+        SECOND,
+        &mut unheard,
+    );
+    assert!(
+        unheard.sent.is_empty(),
+        "sent a command of no known op type"
+    );
     serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| GOOD);
     assert_eq!(votes(&ledger, Verdict::Back), 0);
     assert!(at_new(&ledger, 4 * SECOND) > 0.1);
@@ -485,11 +682,18 @@
     for _ in 0..20 {
         serve(&mut router, &mut ledger, 100 * MS, |_, _, _| silent);
         let now = ledger.now;
-        let fresh = ledger.owed.values().filter(|o| o.until - 1900 * MS >= began && o.sent.is_empty());
+        let fresh = ledger
+            .owed
+            .values()
+            .filter(|o| o.until - 1900 * MS >= began && o.sent.is_empty());
         for owed in fresh {
             let taken = owed.until - 1900 * MS;
             waited += usize::from(!owed.answered);
-            assert!(owed.answered || now - taken <= 180 * MS + 30 * MS, "held for {}", now - taken);
+            assert!(
+                owed.answered || now - taken <= 180 * MS + 30 * MS,
+                "held for {}",
+                now - taken
+            );
         }
     }
     assert!(waited > 20, "some waited: {waited}");
@@ -501,7 +705,10 @@
 fn a_key_whose_answer_may_have_been_written_does_not_go_back() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let unread = |h: HostId, _, n: u32| match h.0 >= 6 && n.is_multiple_of(3) {
-        true => ([DeliveryEnd::TimedOut, DeliveryEnd::Reset][n as usize / 3 % 2], 30 * MS),
+        true => (
+            [DeliveryEnd::TimedOut, DeliveryEnd::Reset][n as usize / 3 % 2],
+            30 * MS,
+        ),
         false => GOOD,
     };
     serve(&mut router, &mut ledger, 6 * SECOND, unread);
@@ -511,7 +718,13 @@
 /// Seen on sockets: where one answer in ten came spoilt from any host, a good build was sent back by chance.
 #[test]
 fn failures_that_every_host_has_do_not_convict_a_build_and_many_more_do() {
-    let noise = |_, _, n: u32| if n.wrapping_mul(0x9e37_79b9) >> 16 & 1023 < 130 { BAD } else { GOOD };
+    let noise = |_, _, n: u32| {
+        if n.wrapping_mul(0x9e37_79b9) >> 16 & 1023 < 130 {
+            BAD
+        } else {
+            GOOD
+        }
+    };
     for seed in 0..4 {
         let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
         ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
@@ -542,10 +755,18 @@
         }
     });
     let mut sent = [0_u32; 10];
-    for s in ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.at > ledger.now - 5 * SECOND) {
+    for s in ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.at > ledger.now - 5 * SECOND)
+    {
         sent[s.host.0 as usize] += 1;
     }
-    let (least, most) = (sent[..6].iter().min().unwrap(), sent[..6].iter().max().unwrap());
+    let (least, most) = (
+        sent[..6].iter().min().unwrap(),
+        sent[..6].iter().max().unwrap(),
+    );
     assert!(most < &(2 * least), "{sent:?}");
 }
 
@@ -554,8 +775,19 @@
 fn a_host_that_begins_to_err_on_everything_is_left_alone() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let from = ledger.now;
-    serve(&mut router, &mut ledger, 5 * SECOND, |h, _, _| if h.0 == 3 { BAD } else { GOOD });
-    let sent = ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.host.0 == 3 && s.at >= from).count();
+    serve(&mut router, &mut ledger, 5 * SECOND, |h, _, _| {
+        if h.0 == 3 {
+            BAD
+        } else {
+            GOOD
+        }
+    });
+    let sent = ledger
+        .owed
+        .values()
+        .flat_map(|o| &o.sent)
+        .filter(|s| s.host.0 == 3 && s.at >= from)
+        .count();
     assert!(sent < 20, "{sent}");
 }
 
@@ -593,9 +825,16 @@
     ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
     serve(&mut router, &mut ledger, SECOND, |_, _, _| GOOD);
     let started = ledger.now - SECOND;
-    let fresh: Vec<HostLine> = (0..10).map(|h| HostLine { started: Some(started), ..line(h, NEW) }).collect();
+    let fresh: Vec<HostLine> = (0..10)
+        .map(|h| HostLine {
+            started: Some(started),
+            ..line(h, NEW)
+        })
+        .collect();
     ledger.list(&mut router, ListKind::Changes, &fresh);
-    serve(&mut router, &mut ledger, 4 * SECOND, |_, _, _| (DeliveryEnd::Acked, 400 * MS));
+    serve(&mut router, &mut ledger, 4 * SECOND, |_, _, _| {
+        (DeliveryEnd::Acked, 400 * MS)
+    });
     assert_eq!(votes(&ledger, Verdict::Back), 0);
 }
 
@@ -608,9 +847,14 @@
     ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
     let old: Vec<HostLine> = (0..100).map(|h| line(h, OLD)).collect();
     ledger.list(&mut router, ListKind::Remembered, &old);
-    thin(&mut router, &mut ledger, 8 * SECOND, |_| (DeliveryEnd::Acked, 50 * MS));
+    thin(&mut router, &mut ledger, 8 * SECOND, |_| {
+        (DeliveryEnd::Acked, 50 * MS)
+    });
     let started = ledger.now - 12 * SECOND;
-    let new = (60..100).map(|h| HostLine { started: Some(started), ..line(h, NEW) });
+    let new = (60..100).map(|h| HostLine {
+        started: Some(started),
+        ..line(h, NEW)
+    });
     ledger.list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
     ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
     (router, ledger)
@@ -646,9 +890,16 @@
 fn in_a_large_fleet_going_on_waits_until_one_router_could_have_convicted() {
     let (mut router, mut ledger) = large_fleet(5, |_| {});
     thin(&mut router, &mut ledger, 3300 * MS, |_| GOOD);
-    assert_eq!(votes(&ledger, Verdict::On), 0, "not after one answer and the bake time");
+    assert_eq!(
+        votes(&ledger, Verdict::On),
+        0,
+        "not after one answer and the bake time"
+    );
     thin(&mut router, &mut ledger, 1500 * MS, |_| GOOD);
-    assert!(votes(&ledger, Verdict::On) > 0, "as many as convict of those that the next stage adds");
+    assert!(
+        votes(&ledger, Verdict::On) > 0,
+        "as many as convict of those that the next stage adds"
+    );
 }
 
 /// Guards against votes to go on from all routers at once, which fill the desk so that one against has no room.
@@ -660,14 +911,23 @@
         votes(&ledger, Verdict::On) > 0
     };
     let voted = (1..=12).filter(|seed| voted(*seed)).count();
-    assert!((1..=6).contains(&voted), "some 4 s of 20 s have passed: {voted} of 12");
+    assert!(
+        (1..=6).contains(&voted),
+        "some 4 s of 20 s have passed: {voted} of 12"
+    );
 }
 
 /// Guards against proof that no router can bring: each keeps to a few of many hosts, and may hear no more.
 #[test]
 fn in_a_large_fleet_the_few_hosts_that_are_met_convict() {
     let (mut router, mut ledger) = large_fleet(5, |_| {});
-    thin(&mut router, &mut ledger, 8 * SECOND, |h| if h.0 >= 60 && h.0 % 5 < 3 { BAD } else { GOOD });
+    thin(&mut router, &mut ledger, 8 * SECOND, |h| {
+        if h.0 >= 60 && h.0 % 5 < 3 {
+            BAD
+        } else {
+            GOOD
+        }
+    });
     assert!(votes(&ledger, Verdict::Back) > 0, "{:?}", ledger.votes);
 }
 
@@ -679,9 +939,18 @@
         let (mut router, mut ledger) = large_fleet(5, |_| {});
         let mut failed = std::collections::BTreeSet::new();
         while failed.len() < 3 && ledger.now < 125 * SECOND {
-            thin(&mut router, &mut ledger, 200 * MS, |h| if fails(h) { BAD } else { GOOD });
-            let new =
-                ledger.owed.values().flat_map(|o| &o.sent).filter(|s| s.at > 108 * SECOND && fails(s.host));
+            thin(&mut router, &mut ledger, 200 * MS, |h| {
+                if fails(h) {
+                    BAD
+                } else {
+                    GOOD
+                }
+            });
+            let new = ledger
+                .owed
+                .values()
+                .flat_map(|o| &o.sent)
+                .filter(|s| s.at > 108 * SECOND && fails(s.host));
             failed.extend(new.map(|s| s.host));
         }
         thin(&mut router, &mut ledger, 300 * MS, |_| GOOD);
@@ -697,11 +966,17 @@
     let back = |ms| {
         let (mut router, mut ledger) = large_fleet(5, |_| {});
         thin(&mut router, &mut ledger, 14 * SECOND, |h| {
-            (DeliveryEnd::Acked, if h.0 >= 60 { ms * MS } else { 50 * MS })
+            (
+                DeliveryEnd::Acked,
+                if h.0 >= 60 { ms * MS } else { 50 * MS },
+            )
         });
         votes(&ledger, Verdict::Back) > 0
     };
-    assert!(!back(150), "three times a mean of 13 answers is luck with one of 300 routers");
+    assert!(
+        !back(150),
+        "three times a mean of 13 answers is luck with one of 300 routers"
+    );
     assert!(back(400));
 }
 
@@ -710,7 +985,9 @@
 #[test]
 fn slowness_of_all_hosts_convicts_no_build_where_own_traffic_tells_little_of_the_load() {
     let (mut router, mut ledger) = large_fleet(5, |_| {});
-    thin(&mut router, &mut ledger, 8 * SECOND, |_| (DeliveryEnd::Acked, 150 * MS));
+    thin(&mut router, &mut ledger, 8 * SECOND, |_| {
+        (DeliveryEnd::Acked, 150 * MS)
+    });
     assert_eq!(votes(&ledger, Verdict::Back), 0);
 }
 
@@ -721,7 +998,10 @@
     let voted = |fleet_size| {
         let (mut router, mut ledger) =
             large_fleet(5, |t| (t.fleet_size, t.stage_shares[2]) = (fleet_size, 0.9));
-        let new = (1..100).map(|h| HostLine { started: Some(ledger.now), ..line(h, NEW) });
+        let new = (1..100).map(|h| HostLine {
+            started: Some(ledger.now),
+            ..line(h, NEW)
+        });
         ledger.list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
         ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
         let from = ledger.now;
@@ -731,7 +1011,10 @@
         ledger.now - from
     };
     let (small, large) = (voted(50), voted(300));
-    assert!(small < 3 * SECOND && (6 * SECOND..8 * SECOND).contains(&large), "{small} {large}");
+    assert!(
+        small < 3 * SECOND && (6 * SECOND..8 * SECOND).contains(&large),
+        "{small} {large}"
+    );
 }
 
 /// Rule 5 binds a key to the newest build that was told, on trial or released. One that has not been released
@@ -745,7 +1028,10 @@
     ledger.list(&mut router, ListKind::Whole, &new);
     let ask = |router: &mut Router, ledger: &mut Ledger, id: u32| {
         ledger.command(router, id, 0, 5, 900 * MS);
-        let sent = ledger.owed[&CommandId(id)].sent.first().and_then(|s| ledger.lines[&s.host].build);
+        let sent = ledger.owed[&CommandId(id)]
+            .sent
+            .first()
+            .and_then(|s| ledger.lines[&s.host].build);
         if sent.is_some() {
             ledger.end(router, CommandId(id), 0, DeliveryEnd::Acked);
         }
@@ -798,8 +1084,18 @@
     ledger.end(&mut router, CommandId(90_001), 0, DeliveryEnd::NotConnected);
     ledger.command(&mut router, 90_003, 0, 5, 1900 * MS);
     ledger.pass(&mut router, 300 * MS);
-    let at_old = |id| ledger.owed[&CommandId(id)].sent.iter().filter(|s| s.host.0 > 3).count();
-    assert_eq!((at_old(90_001), at_old(90_003)), (0, 0), "the second delivery of the key is still out");
+    let at_old = |id| {
+        ledger.owed[&CommandId(id)]
+            .sent
+            .iter()
+            .filter(|s| s.host.0 > 3)
+            .count()
+    };
+    assert_eq!(
+        (at_old(90_001), at_old(90_003)),
+        (0, 0),
+        "the second delivery of the key is still out"
+    );
 }
 
 /// Seen on review: a pin without use was swept after ten seconds though a delivery of its key was out; its answer then
@@ -821,8 +1117,15 @@
     ledger.pass(&mut router, 15 * SECOND);
     ledger.command(&mut router, 90_002, 0, 5, 1900 * MS);
     ledger.pass(&mut router, 300 * MS);
-    let at_old = ledger.owed[&CommandId(90_002)].sent.iter().filter(|s| s.host.0 > 3).count();
-    assert_eq!(at_old, 0, "the first delivery of the key is still out at the trial build");
+    let at_old = ledger.owed[&CommandId(90_002)]
+        .sent
+        .iter()
+        .filter(|s| s.host.0 > 3)
+        .count();
+    assert_eq!(
+        at_old, 0,
+        "the first delivery of the key is still out at the trial build"
+    );
 }
 
 /// Terms that change in the middle of a window: what was counted under the earlier ones counts on.
@@ -837,7 +1140,14 @@
     ledger.terms = lower;
     ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.05));
     serve(&mut router, &mut ledger, SECOND, |_, _, _| GOOD);
-    assert!(before > 0.1 && at_new(&ledger, SECOND) == 0.0, "{before} {}", at_new(&ledger, SECOND));
+    assert!(
+        before > 0.1 && at_new(&ledger, SECOND) == 0.0,
+        "{before} {}",
+        at_new(&ledger, SECOND)
+    );
     serve(&mut router, &mut ledger, 10 * SECOND, |_, _, _| GOOD);
-    assert!(at_new(&ledger, 4 * SECOND) > 0.0, "within the cap it goes on");
+    assert!(
+        at_new(&ledger, 4 * SECOND) > 0.0,
+        "within the cap it goes on"
+    );
 }
--- a/crates/spokeflow-core/tests/rules.rs
+++ b/crates/spokeflow-core/tests/rules.rs
@@ -9,16 +9,43 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Command { op: usize, key: u64, left: Micros },
-    End { pick: usize, end: DeliveryEnd },
+    Command {
+        op: usize,
+        key: u64,
+        left: Micros,
+    },
+    End {
+        pick: usize,
+        end: DeliveryEnd,
+    },
     Pass(Micros),
-    List { host: u32, build: u16, phase: HostPhase, fresh: bool, whole: bool },
+    List {
+        host: u32,
+        build: u16,
+        phase: HostPhase,
+        fresh: bool,
+        whole: bool,
+    },
     ListFails,
-    News { build: u16, stage: u8, standing: Standing, cap: f64 },
+    News {
+        build: u16,
+        stage: u8,
+        standing: Standing,
+        cap: f64,
+    },
     VoteAnswer(VoteAnswer),
     Leave(usize),
-    Counted { op: u16, build: u16, sampled: u32, lost: u32, mean: Micros },
-    Disputed { host: u32, since: Micros },
+    Counted {
+        op: u16,
+        build: u16,
+        sampled: u32,
+        lost: u32,
+        mean: Micros,
+    },
+    Disputed {
+        host: u32,
+        since: Micros,
+    },
 }
 
 fn ends() -> impl Strategy<Value = DeliveryEnd> {
@@ -31,11 +58,9 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     use Standing::*;
-    let standing =
-        prop_oneof![3 => Just(OnTrial), 1 => Just(GoingBack), 2 => Just(Released), 1 => Just(Withdrawn)];
+    let standing = prop_oneof![3 => Just(OnTrial), 1 => Just(GoingBack), 2 => Just(Released), 1 => Just(Withdrawn)];
     let cap = prop_oneof![Just(0.0), Just(0.1), Just(0.4), Just(1.0)];
-    let phase =
-        prop_oneof![4 => Just(HostPhase::Ready), 1 => Just(HostPhase::Draining), 1 => Just(HostPhase::Gone)];
+    let phase = prop_oneof![4 => Just(HostPhase::Ready), 1 => Just(HostPhase::Draining), 1 => Just(HostPhase::Gone)];
     let answer = prop_oneof![
         Just(VoteAnswer::Counted),
         Just(VoteAnswer::Moot),
@@ -68,7 +93,9 @@
 fn play(terms: ServiceTerms, seed: u64, steps: Vec<Step>) {
     let (mut router, mut ledger) = Ledger::start(terms, seed);
     let router = &mut router;
-    let hosts: Vec<HostLine> = (0..8).map(|h| line(h, if h < 6 { OLD } else { NEW })).collect();
+    let hosts: Vec<HostLine> = (0..8)
+        .map(|h| line(h, if h < 6 { OLD } else { NEW }))
+        .collect();
     ledger.list(router, ListKind::Remembered, &hosts);
     ledger.tell(router, news(NEW, 0, Standing::OnTrial, 0.1));
     for (n, step) in steps.into_iter().enumerate() {
@@ -84,21 +111,44 @@
                 }
             }
             Step::Pass(span) => ledger.pass(router, span),
-            Step::List { host, build, phase, fresh, whole } => {
-                let started = if fresh { Some(ledger.now - 300 * MS) } else { None };
-                let one = HostLine { build: Some(BuildId(build)), phase, started, ..line(host, OLD) };
+            Step::List {
+                host,
+                build,
+                phase,
+                fresh,
+                whole,
+            } => {
+                let started = if fresh {
+                    Some(ledger.now - 300 * MS)
+                } else {
+                    None
+                };
+                let one = HostLine {
+                    build: Some(BuildId(build)),
+                    phase,
+                    started,
+                    ..line(host, OLD)
+                };
                 if whole {
                     let mut all: Vec<HostLine> = ledger.lines.values().copied().collect();
                     all.retain(|l| l.host.0 % 10 != (host + 1) % 10 && l.host != one.host);
                     all.retain(|l| l.phase != HostPhase::Gone);
-                    all.push(HostLine { phase: HostPhase::Ready, ..one });
+                    all.push(HostLine {
+                        phase: HostPhase::Ready,
+                        ..one
+                    });
                     ledger.list(router, ListKind::Whole, &all);
                 } else {
                     ledger.list(router, ListKind::Changes, &[one]);
                 }
             }
             Step::ListFails => router.at(ledger.now).list_failed(),
-            Step::News { build, stage, standing, cap } => {
+            Step::News {
+                build,
+                stage,
+                standing,
+                cap,
+            } => {
                 ledger.tell(router, news(BuildId(build), stage, standing, cap));
             }
             Step::VoteAnswer(answer) => router.at(ledger.now).vote_answered(answer),
@@ -110,22 +160,46 @@
                     router.at(ledger.now).end(cmd, &mut ledger);
                 }
             }
-            Step::Counted { op, build, sampled, lost, mean } => {
+            Step::Counted {
+                op,
+                build,
+                sampled,
+                lost,
+                mean,
+            } => {
                 let (build, op) = (BuildId(build), OpType(op));
-                router.at(ledger.now).counted(DeskCount { build, op, sampled, lost, mean, age: SECOND });
+                router.at(ledger.now).counted(DeskCount {
+                    build,
+                    op,
+                    sampled,
+                    lost,
+                    mean,
+                    age: SECOND,
+                });
                 router.reported(HostId(op.0.into()), mean as f64 / SECOND as f64);
             }
             Step::Disputed { host, since } => router.at(ledger.now).disputed(HostId(host), since),
         }
     }
     ledger.pass(router, 3 * SECOND);
-    assert!(ledger.owed.values().all(|o| o.answered), "rule 1: a command without an answer at the end");
+    assert!(
+        ledger.owed.values().all(|o| o.answered),
+        "rule 1: a command without an answer at the end"
+    );
 }
 
 fn run(change: impl Fn(&mut ServiceTerms)) {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
-    let gates = prop_oneof![Just(Gate::Single), Just(Gate::Majority), Just(Gate::Clocked)];
+    let gates = prop_oneof![
+        Just(Gate::Single),
+        Just(Gate::Majority),
+        Just(Gate::Clocked)
+    ];
     let runs = (gates, any::<u64>(), steps());
     let outcome = TestRunner::new_with_rng(config, rng).run(&runs, |(gate, seed, steps)| {
         let mut terms = terms(gate);
@@ -171,7 +245,15 @@
     let mut terms = terms(Gate::Single);
     terms.fleet_size = routers as u32;
     let mut fleet: Vec<_> = (0..routers)
-        .map(|n| Ledger::start(ServiceTerms { own_index: n as u32, ..terms.clone() }, n))
+        .map(|n| {
+            Ledger::start(
+                ServiceTerms {
+                    own_index: n as u32,
+                    ..terms.clone()
+                },
+                n,
+            )
+        })
         .collect();
     let all: Vec<HostLine> = (0..hosts).map(|h| line(h, OLD)).collect();
     for (router, ledger) in &mut fleet {
@@ -192,23 +274,32 @@
                         router,
                         cmd,
                         nth,
-                        if refuses { DeliveryEnd::Full } else { DeliveryEnd::Acked },
+                        if refuses {
+                            DeliveryEnd::Full
+                        } else {
+                            DeliveryEnd::Acked
+                        },
                     );
                 }
             }
             let all = ledger.owed.values().flat_map(|o| &o.sent);
             sent += all.filter(|s| s.host == HostId(3) && s.at >= from).count();
-            let line = HostLine { started: Some(ledger.now), ..line(3, OLD) };
+            let line = HostLine {
+                started: Some(ledger.now),
+                ..line(3, OLD)
+            };
             ledger.list(router, ListKind::Changes, &[line]);
         }
         sent as f64
     };
     round(false, 8 * each as u32);
     // Forty routers of twelve a second over twelve hosts: forty a second each, which is what one can do.
-    let (can, span) =
-        ((routers as f64) * each as f64 / f64::from(hosts), terms.fall_span as f64 / SECOND as f64);
-    let present =
-        terms.cold_from + (1.0 - terms.cold_from) * span / (terms.warm_within as f64 / SECOND as f64);
+    let (can, span) = (
+        (routers as f64) * each as f64 / f64::from(hosts),
+        terms.fall_span as f64 / SECOND as f64,
+    );
+    let present = terms.cold_from
+        + (1.0 - terms.cold_from) * span / (terms.warm_within as f64 / SECOND as f64);
     let sent = round(true, 2 * each as u32);
     let budget = terms.fall_multiple * can * present * span;
     assert!(sent <= budget, "rule 4: {sent} sent, {budget} at most");
@@ -223,9 +314,17 @@
     terms.fleet_size = routers as u32;
     let mut sent = 0;
     for n in 0..routers {
-        let (mut router, mut ledger) =
-            Ledger::start(ServiceTerms { own_index: n as u32, ..terms.clone() }, n);
-        let cold = HostLine { started: Some(ledger.now - 100 * MS), ..line(3, OLD) };
+        let (mut router, mut ledger) = Ledger::start(
+            ServiceTerms {
+                own_index: n as u32,
+                ..terms.clone()
+            },
+            n,
+        );
+        let cold = HostLine {
+            started: Some(ledger.now - 100 * MS),
+            ..line(3, OLD)
+        };
         ledger.list(&mut router, ListKind::Whole, &[cold]);
         ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
         for id in 0..2 * each {
@@ -239,5 +338,8 @@
     let can = SECOND as f64 / terms.ops[0].service_target as f64 * terms.cold_from;
     let room = terms.fall_multiple * can * span;
     let bears = room + 3.0 * room.sqrt() + 3.0;
-    assert!(sent as f64 <= bears && sent > 0, "rule 4: {sent} sent, {bears} at most");
+    assert!(
+        sent as f64 <= bears && sent > 0,
+        "rule 4: {sent} sent, {bears} at most"
+    );
 }
--- a/crates/spokeflow-core/tests/scenario/mod.rs
+++ b/crates/spokeflow-core/tests/scenario/mod.rs
@@ -91,7 +91,9 @@
 impl Recorder {
     fn record(&mut self, fields: &[u64]) {
         let bytes = fields.iter().flat_map(|field| field.to_le_bytes());
-        self.hash = bytes.fold(self.hash, |hash, b| (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+        self.hash = bytes.fold(self.hash, |hash, b| {
+            (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+        });
     }
 }
 
@@ -102,7 +104,12 @@
         self.counts.deliveries += 1;
         self.counts.further_deliveries += u64::from(*nth > 0);
         *nth += 1;
-        self.record(&[1, u64::from(cmd.0), u64::from(host.0), until.unwrap_or(-1) as u64]);
+        self.record(&[
+            1,
+            u64::from(cmd.0),
+            u64::from(host.0),
+            until.unwrap_or(-1) as u64,
+        ]);
     }
 
     fn nack(&mut self, cmd: CommandId, come_back: Option<Micros>) {
@@ -187,7 +194,9 @@
         let (terms, mut out) = (terms(&setting), Recorder::default());
         let router = Router::new(&terms, setting.seed, now, &mut out);
         let mut random = Random::new(setting.seed);
-        let lines = (0..setting.hosts).map(|host| first_line(host, &mut random)).collect();
+        let lines = (0..setting.hosts)
+            .map(|host| first_line(host, &mut random))
+            .collect();
         World {
             setting,
             random,
@@ -212,7 +221,9 @@
     /// As [`World::play`]; `look` is called after each step.
     pub fn play_watched(&mut self, mut look: impl FnMut(&World)) -> (u64, Counts) {
         let lines = self.lines.clone();
-        self.router.at(self.now).listed(ListKind::Remembered, &lines, &mut self.out);
+        self.router
+            .at(self.now)
+            .listed(ListKind::Remembered, &lines, &mut self.out);
         let to = self.now + self.setting.length;
         while self.now < to {
             self.step();
@@ -251,7 +262,10 @@
             self.tell_news();
         }
         if self.random.one_in(2 * per_second) {
-            let (zone, op) = (self.random.below(ZONES.into()) as u16, self.random.below(4) as usize);
+            let (zone, op) = (
+                self.random.below(ZONES.into()) as u16,
+                self.random.below(4) as usize,
+            );
             let troubles = [
                 Trouble::None,
                 Trouble::None,
@@ -272,12 +286,18 @@
     fn command(&mut self) {
         self.commands += 1;
         let op = self.random.below(4) as usize;
-        let key = if self.random.one_in(8) { 0 } else { 1 + self.random.below(KEYS) };
+        let key = if self.random.one_in(8) {
+            0
+        } else {
+            1 + self.random.below(KEYS)
+        };
         let left = self.random.between(100 * MS, 3 * SECOND);
         let share = ShareId(self.random.below(u64::from(TENANTS) + 1) as u32);
         let (id, kind) = (CommandId(self.commands), OpType(op as u16));
         self.ops.push(op);
-        self.router.at(self.now).command(id, kind, share, Key(key), left, &mut self.out);
+        self.router
+            .at(self.now)
+            .command(id, kind, share, Key(key), left, &mut self.out);
         self.take_outputs();
     }
 
@@ -288,16 +308,26 @@
             self.due.insert((at, cmd.0, nth, host.0));
         }
         for (cmd, nth) in std::mem::take(&mut self.out.cancelled) {
-            let open = self.due.iter().find(|due| (due.1, due.2) == (cmd.0, nth)).copied();
-            let Some(open) = open.filter(|_| self.random.one_in(2)) else { continue };
+            let open = self
+                .due
+                .iter()
+                .find(|due| (due.1, due.2) == (cmd.0, nth))
+                .copied();
+            let Some(open) = open.filter(|_| self.random.one_in(2)) else {
+                continue;
+            };
             self.due.remove(&open);
             let took = self.random.between(10 * MS, 300 * MS);
             let end = DeliveryEnd::Cancelled;
-            self.router.at(self.now).ended(cmd, nth, end, took, false, &mut self.out);
+            self.router
+                .at(self.now)
+                .ended(cmd, nth, end, took, false, &mut self.out);
         }
         for _ in 0..std::mem::take(&mut self.out.voted) {
             use VoteAnswer::*;
-            let answer = self.random.pick(&[Counted, Counted, Counted, Moot, TooMany, Refused, Silence]);
+            let answer = self
+                .random
+                .pick(&[Counted, Counted, Counted, Moot, TooMany, Refused, Silence]);
             self.router.at(self.now).vote_answered(answer);
         }
     }
@@ -328,17 +358,25 @@
             _ if self.away(host) => self.random.pick(&[NotConnected, NotConnected, Reset]),
             Trouble::Hangs if host.is_multiple_of(5) => TimedOut,
             Trouble::BadBuild if on_trial && self.random.one_in(2) => Error,
-            _ if self.random.one_in(30) => self.random.pick(&[Error, Full, TimedOut, Reset, NotSent, Error]),
+            _ if self.random.one_in(30) => self
+                .random
+                .pick(&[Error, Full, TimedOut, Reset, NotSent, Error]),
             _ => Acked,
         };
         let took = self.random.between(20 * MS, 140 * MS) * if end == TimedOut { 20 } else { 1 };
-        self.router.at(self.now).ended(cmd, nth, end, took, end == Acked, &mut self.out);
+        self.router
+            .at(self.now)
+            .ended(cmd, nth, end, took, end == Acked, &mut self.out);
         self.take_outputs();
     }
 
     /// One host drains, goes, or comes back with a build and a start of its own; sometimes the whole list comes.
     fn change_hosts(&mut self) {
-        let many = if self.random.one_in(12) { 1 + self.setting.hosts / 3 } else { 1 };
+        let many = if self.random.one_in(12) {
+            1 + self.setting.hosts / 3
+        } else {
+            1
+        };
         let newest = self.news.map_or(BuildId(FIRST_BUILD), |n| n.build);
         let mut changed = Vec::new();
         for _ in 0..many {
@@ -353,7 +391,11 @@
             };
             if line.phase == HostPhase::Ready {
                 line.started = if fresh { started } else { line.started };
-                line.build = Some(if other { newest } else { BuildId(newest.0.max(FIRST_BUILD + 1) - 1) });
+                line.build = Some(if other {
+                    newest
+                } else {
+                    BuildId(newest.0.max(FIRST_BUILD + 1) - 1)
+                });
                 line.size = self.random.pick(&SIZES);
             }
             changed.push(*line);
@@ -362,13 +404,23 @@
             0 => {
                 let listed = |line: &&HostLine| line.phase != HostPhase::Gone;
                 let whole: Vec<HostLine> = self.lines.iter().filter(listed).copied().collect();
-                self.router.at(self.now).listed(ListKind::Whole, &whole, &mut self.out);
+                self.router
+                    .at(self.now)
+                    .listed(ListKind::Whole, &whole, &mut self.out);
             }
             1 => {
-                let untold: Vec<HostLine> = changed.iter().map(|l| HostLine { build: None, ..*l }).collect();
-                self.router.at(self.now).listed(ListKind::Changes, &untold, &mut self.out);
+                let untold: Vec<HostLine> = changed
+                    .iter()
+                    .map(|l| HostLine { build: None, ..*l })
+                    .collect();
+                self.router
+                    .at(self.now)
+                    .listed(ListKind::Changes, &untold, &mut self.out);
             }
-            _ => self.router.at(self.now).listed(ListKind::Changes, &changed, &mut self.out),
+            _ => self
+                .router
+                .at(self.now)
+                .listed(ListKind::Changes, &changed, &mut self.out),
         }
     }
 
@@ -376,21 +428,48 @@
     fn tell_news(&mut self) {
         use Standing::*;
         let caps = [0.1, 0.4, 1.0];
-        let first = StageNews { build: BuildId(FIRST_BUILD), stage: 2, standing: Released, cap: 1.0, age: 0 };
+        let first = StageNews {
+            build: BuildId(FIRST_BUILD),
+            stage: 2,
+            standing: Released,
+            cap: 1.0,
+            age: 0,
+        };
         let next = match self.news {
             None => first,
             Some(n) if n.standing == OnTrial && n.stage < 2 && !self.random.one_in(5) => {
                 let stage = n.stage + 1;
-                StageNews { stage, cap: caps[usize::from(stage)], ..n }
-            }
-            Some(n) if n.standing == OnTrial && n.stage == 2 => StageNews { standing: Released, ..n },
-            Some(n) if n.standing == OnTrial => StageNews { standing: GoingBack, cap: 0.0, ..n },
-            Some(n) if n.standing == GoingBack => StageNews { standing: Withdrawn, ..n },
-            Some(n) => {
-                StageNews { build: BuildId(n.build.0 + 1), stage: 0, standing: OnTrial, cap: caps[0], age: 0 }
+                StageNews {
+                    stage,
+                    cap: caps[usize::from(stage)],
+                    ..n
+                }
             }
+            Some(n) if n.standing == OnTrial && n.stage == 2 => StageNews {
+                standing: Released,
+                ..n
+            },
+            Some(n) if n.standing == OnTrial => StageNews {
+                standing: GoingBack,
+                cap: 0.0,
+                ..n
+            },
+            Some(n) if n.standing == GoingBack => StageNews {
+                standing: Withdrawn,
+                ..n
+            },
+            Some(n) => StageNews {
+                build: BuildId(n.build.0 + 1),
+                stage: 0,
+                standing: OnTrial,
+                cap: caps[0],
+                age: 0,
+            },
+        };
+        let news = StageNews {
+            age: self.random.between(0, SECOND),
+            ..next
         };
-        let news = StageNews { age: self.random.between(0, SECOND), ..next };
         self.news = Some(news);
         self.router.at(self.now).told(news, &mut self.out);
     }
@@ -405,7 +484,10 @@
             }
             2 => {
                 let warm_within = self.random.between(SECOND, 5 * SECOND);
-                self.terms = ServiceTerms { warm_within, ..self.terms.clone() };
+                self.terms = ServiceTerms {
+                    warm_within,
+                    ..self.terms.clone()
+                };
                 self.router.at(self.now).go_by(&self.terms);
             }
             3..=6 => {
@@ -466,7 +548,14 @@
             op(Repeat::Redeliverable, RepeatScope::Unknown),
             op(Repeat::Deduplicated, RepeatScope::Cell),
             op(Repeat::AtMostOnce, RepeatScope::Unknown),
-            op(Repeat::Deduplicated, if odd { RepeatScope::Zone } else { RepeatScope::All }),
+            op(
+                Repeat::Deduplicated,
+                if odd {
+                    RepeatScope::Zone
+                } else {
+                    RepeatScope::All
+                },
+            ),
         ],
         shares: vec![f64::from(setting.commands_per_second) / f64::from(TENANTS); TENANTS as usize],
         own_zone: ZoneId(0),
@@ -500,7 +589,11 @@
         vote_life: 6 * SECOND,
         vote_wait: 2 * SECOND,
         complaint_share: 0.2,
-        back_votes: if setting.gate == Gate::Majority { setting.fleet_size / 5 + 1 } else { 0 },
+        back_votes: if setting.gate == Gate::Majority {
+            setting.fleet_size / 5 + 1
+        } else {
+            0
+        },
         votes_a_second: 1_000.0,
     }
 }
--- a/crates/spokeflow-emulator/src/agreement.rs
+++ b/crates/spokeflow-emulator/src/agreement.rs
@@ -84,9 +84,19 @@
     let members: Vec<KeeperId> = (0..day.keepers).map(KeeperId).collect();
     let terms = KeeperTerms {
         own: KeeperId(0),
-        quorum: QuorumTerms { members, silence: day.silence, beat: day.silence / 5, drift: day.drift },
-        lease: LeaseTerms { lease: day.lease, drift: day.drift },
-        addresses: (0..day.keepers + 2).map(|n| (KeeperId(n), n.to_string())).collect(),
+        quorum: QuorumTerms {
+            members,
+            silence: day.silence,
+            beat: day.silence / 5,
+            drift: day.drift,
+        },
+        lease: LeaseTerms {
+            lease: day.lease,
+            drift: day.drift,
+        },
+        addresses: (0..day.keepers + 2)
+            .map(|n| (KeeperId(n), n.to_string()))
+            .collect(),
         check: |_| Ok(()),
     };
     let mut chance = StdRng::seed_from_u64(day.seed);
@@ -154,7 +164,9 @@
     fn run(&mut self) {
         let end = self.now + self.day.length;
         while self.played.broken.is_none() {
-            let Some(Reverse((at, n))) = self.due.pop().filter(|d| d.0 .0 <= end) else { return };
+            let Some(Reverse((at, n))) = self.due.pop().filter(|d| d.0 .0 <= end) else {
+                return;
+            };
             self.now = at;
             self.played.events += 1;
             if let Some(what) = self.whats.remove(&n) {
@@ -164,13 +176,20 @@
     }
 
     fn finish(mut self) -> AgreementPlayed {
-        let waits = self.forced.iter().filter_map(|(n, at)| Some(at - self.told.get(n)?));
+        let waits = self
+            .forced
+            .iter()
+            .filter_map(|(n, at)| Some(at - self.told.get(n)?));
         self.played.waits = waits.collect();
         for core in self.keepers.iter().filter_map(|s| s.core.as_ref()) {
             self.played.terms = self.played.terms.max(core.member().term().0);
             self.played.kept_entries = self.played.kept_entries.max(core.member().kept());
         }
-        let state = self.keepers.iter().map(|s| s.disk.snapshot.state.len()).max();
+        let state = self
+            .keepers
+            .iter()
+            .map(|s| s.disk.snapshot.state.len())
+            .max();
         self.played.kept_state = state.unwrap_or(0);
         self.played
     }
@@ -182,12 +201,20 @@
     /// `from` and `to` count keepers first, then routers.
     fn send(&mut self, from: usize, to: usize, what: impl Fn() -> What) {
         let faulty = self.day.faulty;
-        let (lost, twice, late) = if faulty { (0.02, 0.02, 0.02) } else { (0.0, 0.0, 0.0) };
+        let (lost, twice, late) = if faulty {
+            (0.02, 0.02, 0.02)
+        } else {
+            (0.0, 0.0, 0.0)
+        };
         if self.cuts.iter().any(|c| (c.1, c.2) == (from, to)) || self.chance.random_bool(lost) {
             return;
         }
         for _ in 0..1 + usize::from(self.chance.random_bool(twice)) {
-            let most = if self.chance.random_bool(late) { 4 * SECOND } else { 15 * MS };
+            let most = if self.chance.random_bool(late) {
+                4 * SECOND
+            } else {
+                15 * MS
+            };
             let after = self.chance.random_range(MS..most);
             self.plan(after, what());
         }
@@ -214,23 +241,47 @@
         }
         match what {
             What::Quorum { to, from, message } => {
-                self.call(to, |k, now, step| k.heard(now, KeeperId(from as u32), message, step));
+                self.call(to, |k, now, step| {
+                    k.heard(now, KeeperId(from as u32), message, step)
+                });
             }
-            What::Asks { to, conn, number, ask } => {
-                let asker = Asker { conn, number, keeper: conn >> 63 == 1 };
+            What::Asks {
+                to,
+                conn,
+                number,
+                ask,
+            } => {
+                let asker = Asker {
+                    conn,
+                    number,
+                    keeper: conn >> 63 == 1,
+                };
                 self.call(to, |k, now, step| k.asked(now, asker, ask, step));
             }
-            What::Answers { conn, number, answer } if conn >> 63 == 1 => {
+            What::Answers {
+                conn,
+                number,
+                answer,
+            } if conn >> 63 == 1 => {
                 let n = (conn as u32 >> 2) as usize;
                 if self.keepers[n].start == (conn >> 32) as u32 & 0x7fff_ffff {
                     self.call(n, |k, _, step| k.passed_back(number, answer, step));
                 }
             }
-            What::Answers { conn, number, answer } => self.answered(conn, number, answer),
-            What::Synced { keeper, start, write } => self.synced(keeper, start, write),
+            What::Answers {
+                conn,
+                number,
+                answer,
+            } => self.answered(conn, number, answer),
+            What::Synced {
+                keeper,
+                start,
+                write,
+            } => self.synced(keeper, start, write),
             // One that was planned before a sooner one has been overtaken by it.
             What::Wake { keeper, start }
-                if start == self.keepers[keeper].start && self.now == self.keepers[keeper].wakes =>
+                if start == self.keepers[keeper].start
+                    && self.now == self.keepers[keeper].wakes =>
             {
                 self.keepers[keeper].wakes = Micros::MAX;
                 self.call(keeper, |k, now, step| {
--- a/crates/spokeflow-emulator/src/agreement/faults.rs
+++ b/crates/spokeflow-emulator/src/agreement/faults.rs
@@ -12,7 +12,10 @@
         self.plan(next, What::Fault);
         self.played.faults += 1;
         let lasts = self.chance.random_range(100 * MS..self.day.lease * 2);
-        let (k, many) = (self.chance.random_range(0..self.keepers.len()), self.keepers.len());
+        let (k, many) = (
+            self.chance.random_range(0..self.keepers.len()),
+            self.keepers.len(),
+        );
         let r = self.chance.random_range(0..self.routers.len());
         match self.chance.random_range(0..9) {
             0 | 1 => {
--- a/crates/spokeflow-emulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-emulator/src/agreement/keepers.rs
@@ -26,7 +26,10 @@
         let now = self.clock(self.keepers[n].rate);
         let seed = self.chance.random();
         let own = KeeperId(n as u32);
-        let mut terms = KeeperTerms { own, ..self.terms.clone() };
+        let mut terms = KeeperTerms {
+            own,
+            ..self.terms.clone()
+        };
         if n >= self.day.keepers as usize {
             terms.quorum.members.clear();
         }
@@ -58,12 +61,16 @@
     pub(super) fn call(&mut self, n: usize, act: impl FnOnce(&mut Keeper, Micros, &mut Step)) {
         let now = self.clock(self.keepers[n].rate);
         let mut step = Step::default();
-        let Some(core) = &mut self.keepers[n].core else { return };
+        let Some(core) = &mut self.keepers[n].core else {
+            return;
+        };
         act(core, now, &mut step);
         let start = self.keepers[n].start;
         if step.changed {
             let ledger = self.keepers[n].core.as_ref().map(Keeper::ledger);
-            let known = ledger.map(|l| (l.newest().0, l.in_force.number.0)).unwrap_or_default();
+            let known = ledger
+                .map(|l| (l.newest().0, l.in_force.number.0))
+                .unwrap_or_default();
             for r in 1..=known.0 {
                 self.told.entry(r).or_insert(self.now);
             }
@@ -72,19 +79,37 @@
             }
         }
         for write in step.writes {
-            let after = self.chance.random_range(MS..if self.day.faulty { 20 * MS } else { 3 * MS });
-            self.plan(after, What::Synced { keeper: n, start, write: Box::new(write) });
+            let after = self
+                .chance
+                .random_range(MS..if self.day.faulty { 20 * MS } else { 3 * MS });
+            self.plan(
+                after,
+                What::Synced {
+                    keeper: n,
+                    start,
+                    write: Box::new(write),
+                },
+            );
         }
         for (to, message) in step.to_keepers {
             let to = to.0 as usize;
             match message {
                 ToKeeper::Ask { number, ask } => {
                     let conn = keeper_conn(n, start);
-                    self.send(n, to, || What::Asks { to, conn, number, ask: ask.clone() });
+                    self.send(n, to, || What::Asks {
+                        to,
+                        conn,
+                        number,
+                        ask: ask.clone(),
+                    });
                 }
                 ToKeeper::Hello { .. } => {}
                 ToKeeper::Quorum(message) => {
-                    self.send(n, to, || What::Quorum { to, from: n, message: message.clone() });
+                    self.send(n, to, || What::Quorum {
+                        to,
+                        from: n,
+                        message: message.clone(),
+                    });
                 }
             }
         }
@@ -103,7 +128,11 @@
             1 => (conn as u32 >> 2) as usize,
             _ => self.keepers.len() + (conn as u32 >> 1) as usize,
         };
-        self.send(from, to, || What::Answers { conn, number, answer: answer.clone() });
+        self.send(from, to, || What::Answers {
+            conn,
+            number,
+            answer: answer.clone(),
+        });
     }
 
     fn heard_by_person(&mut self, answer: Answer) {
@@ -118,7 +147,14 @@
             return;
         }
         if write.number != node.wrote + 1 {
-            return self.plan(MS, What::Synced { keeper, start, write });
+            return self.plan(
+                MS,
+                What::Synced {
+                    keeper,
+                    start,
+                    write,
+                },
+            );
         }
         node.disk.apply(&write);
         node.wrote = write.number;
--- a/crates/spokeflow-emulator/src/agreement/people.rs
+++ b/crates/spokeflow-emulator/src/agreement/people.rs
@@ -16,16 +16,33 @@
         // One that was not clear is offered again, as it was.
         let offer = self.offer.take().unwrap_or_else(|| {
             let stale = self.chance.random_bool(0.1);
-            let against = RevisionNo(if stale { newest.saturating_sub(1) } else { newest });
+            let against = RevisionNo(if stale {
+                newest.saturating_sub(1)
+            } else {
+                newest
+            });
             let token = self.chance.random();
             let (who, why) = ("p".to_string(), String::new());
-            Offer { token, against, who, why, at_s: 0, values: Values::new() }
+            Offer {
+                token,
+                against,
+                who,
+                why,
+                at_s: 0,
+                values: Values::new(),
+            }
         });
         self.offer = Some(offer.clone());
         let to = self.chance.random_range(0..self.keepers.len());
-        let asker = Asker { conn: PERSON, number: 0, keeper: false };
+        let asker = Asker {
+            conn: PERSON,
+            number: 0,
+            keeper: false,
+        };
         if !self.keepers[to].stopped {
-            self.call(to, |k, now, step| k.asked(now, asker, Ask::Offer(offer), step));
+            self.call(to, |k, now, step| {
+                k.asked(now, asker, Ask::Offer(offer), step)
+            });
         }
     }
 
@@ -35,7 +52,11 @@
         self.plan(after, What::Change);
         let drawn = KeeperId(self.chance.random_range(0..self.keepers.len() as u32));
         for n in 0..self.keepers.len() {
-            let Some(core) = self.keepers[n].core.as_ref().filter(|_| !self.keepers[n].stopped) else {
+            let Some(core) = self.keepers[n]
+                .core
+                .as_ref()
+                .filter(|_| !self.keepers[n].stopped)
+            else {
                 continue;
             };
             let mut members = core.member().members().to_vec();
@@ -46,8 +67,14 @@
             }
             let leads = core.member().speaks(self.clock(self.keepers[n].rate));
             if leads {
-                let asker = Asker { conn: PERSON, number: 0, keeper: false };
-                self.call(n, |k, now, step| k.asked(now, asker, Ask::Members(members), step));
+                let asker = Asker {
+                    conn: PERSON,
+                    number: 0,
+                    keeper: false,
+                };
+                self.call(n, |k, now, step| {
+                    k.asked(now, asker, Ask::Members(members), step)
+                });
             }
         }
     }
--- a/crates/spokeflow-emulator/src/agreement/routers.rs
+++ b/crates/spokeflow-emulator/src/agreement/routers.rs
@@ -29,9 +29,18 @@
             (r.keeper, r.answered) = ((r.keeper + 1) % many, self.now);
         }
         let (number, asked): (u64, Asked) = r.lease_holder.ask(now);
-        let (to, start, every) = (r.keeper, r.start, (r.lease_holder.every() as f64 / r.rate) as Micros);
+        let (to, start, every) = (
+            r.keeper,
+            r.start,
+            (r.lease_holder.every() as f64 / r.rate) as Micros,
+        );
         let conn = router_conn(router, start);
-        self.send(n + router, to, || What::Asks { to, conn, number, ask: Ask::Lease(asked.clone()) });
+        self.send(n + router, to, || What::Asks {
+            to,
+            conn,
+            number,
+            ask: Ask::Lease(asked.clone()),
+        });
         self.plan(every, What::RouterAsks { router, start });
     }
 
@@ -64,9 +73,20 @@
             return;
         }
         self.played.leased += 1;
-        let (in_force, newest) = (r.lease_holder.in_force().number.0, r.lease_holder.newest().0);
-        let unknown = self.told.range(newest + 1..).next().map(|(n, at)| (*n, *at, "is known of"));
-        let unforced = self.forced.range(in_force + 1..).next().map(|(n, at)| (*n, *at, "is in force"));
+        let (in_force, newest) = (
+            r.lease_holder.in_force().number.0,
+            r.lease_holder.newest().0,
+        );
+        let unknown = self
+            .told
+            .range(newest + 1..)
+            .next()
+            .map(|(n, at)| (*n, *at, "is known of"));
+        let unforced = self
+            .forced
+            .range(in_force + 1..)
+            .next()
+            .map(|(n, at)| (*n, *at, "is in force"));
         for (revision, at, how) in unknown.into_iter().chain(unforced) {
             let since = self.now - at;
             self.played.longest_contradiction = self.played.longest_contradiction.max(since);
@@ -78,7 +98,9 @@
             }
         }
         if self.forced.range(newest + 1..).next().is_some() {
-            let what = format!("router {router} acts on {newest} and has not heard of one that is in force");
+            let what = format!(
+                "router {router} acts on {newest} and has not heard of one that is in force"
+            );
             self.played.broken.get_or_insert(what);
         }
     }
--- a/crates/spokeflow-emulator/src/brain.rs
+++ b/crates/spokeflow-emulator/src/brain.rs
@@ -62,7 +62,13 @@
 }
 
 impl Who {
-    pub const ALL: [Who; 5] = [Who::Engine, Who::Random, Who::RoundRobin, Who::TwoChoices, Who::FullSight];
+    pub const ALL: [Who; 5] = [
+        Who::Engine,
+        Who::Random,
+        Who::RoundRobin,
+        Who::TwoChoices,
+        Who::FullSight,
+    ];
 
     pub(crate) fn start(
         self,
@@ -94,6 +100,9 @@
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let names = || Who::ALL.map(|w| w.to_string()).join(", ");
-        Who::ALL.into_iter().find(|w| w.to_string() == text).ok_or_else(|| format!("not one of {}", names()))
+        Who::ALL
+            .into_iter()
+            .find(|w| w.to_string() == text)
+            .ok_or_else(|| format!("not one of {}", names()))
     }
 }
--- a/crates/spokeflow-emulator/src/pair.rs
+++ b/crates/spokeflow-emulator/src/pair.rs
@@ -69,7 +69,10 @@
 impl Pair {
     /// As after a restart of the router, or for another host in the same seat.
     pub fn reset(&mut self) {
-        *self = Pair { epoch: self.epoch + 1, ..Pair::default() };
+        *self = Pair {
+            epoch: self.epoch + 1,
+            ..Pair::default()
+        };
     }
 
     pub fn idle(&self) -> bool {
@@ -91,7 +94,11 @@
 
     /// The connection is no more. Answers what never left and what may have run.
     pub fn broken(&mut self, now: Micros, drawn: f64) -> (Vec<Parcel>, Vec<u64>) {
-        self.failures = if now - self.up_since > LONGEST_PAUSE { 0 } else { self.failures + 1 };
+        self.failures = if now - self.up_since > LONGEST_PAUSE {
+            0
+        } else {
+            self.failures + 1
+        };
         self.not_before = now + pause(self.failures.saturating_sub(1), drawn);
         self.drop_link()
     }
@@ -102,6 +109,9 @@
         self.cancelled.clear();
         (self.pings, self.pongs) = (0, 0);
         (self.last_to, self.last_from) = (0, 0);
-        (std::mem::take(&mut self.waiting), std::mem::take(&mut self.out))
+        (
+            std::mem::take(&mut self.waiting),
+            std::mem::take(&mut self.out),
+        )
     }
 }
--- a/crates/spokeflow-emulator/src/plain.rs
+++ b/crates/spokeflow-emulator/src/plain.rs
@@ -6,8 +6,8 @@
 use spokeflow_core::{BuildId, Chance, HostId, Micros, Repeat};
 use spokeflow_engine::{EngineTerms, Input, NoAnswer};
 use spokeflow_proto::{
-    BallotVerdict, Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient,
-    ToDesk, ToHost, ToList,
+    BallotVerdict, Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding,
+    ToClient, ToDesk, ToHost, ToList,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -91,16 +91,33 @@
     }
 
     fn sent_back(&self, build: u16) -> bool {
-        let back = |n: &News| matches!(n.standing, NewsStanding::GoingBack | NewsStanding::Withdrawn);
-        self.news.as_ref().is_some_and(|n| n.build == build && back(n))
+        let back = |n: &News| {
+            matches!(
+                n.standing,
+                NewsStanding::GoingBack | NewsStanding::Withdrawn
+            )
+        };
+        self.news
+            .as_ref()
+            .is_some_and(|n| n.build == build && back(n))
     }
 
     fn room(&mut self, build: u16) -> bool {
         let from = self.now - self.terms.service.exposure_span;
         while self.taken.pop_front_if(|at| *at <= from).is_some() {}
         while self.exposed.pop_front_if(|at| *at <= from).is_some() {}
-        let first = self.terms.service.stage_caps.first().copied().unwrap_or(0.0);
-        let cap = self.news.as_ref().filter(|n| n.build == build).map_or(first, |n| f64::from(n.cap));
+        let first = self
+            .terms
+            .service
+            .stage_caps
+            .first()
+            .copied()
+            .unwrap_or(0.0);
+        let cap = self
+            .news
+            .as_ref()
+            .filter(|n| n.build == build)
+            .map_or(first, |n| f64::from(n.cap));
         let may = self.terms.service.exposure_free + cap * self.taken.len() as f64;
         cap > 0.0 && self.exposed.len() as f64 + 1.0 <= may
     }
@@ -108,17 +125,32 @@
     fn choose(&mut self, id: u64, wiring: &dyn Wiring) -> Option<u32> {
         let held = &self.held[&id];
         let (key, op) = (held.command.key, usize::from(held.command.op));
-        let floor = self.answered_by.get(&key).copied().filter(|b| key != 0 && !self.sent_back(*b));
+        let floor = self
+            .answered_by
+            .get(&key)
+            .copied()
+            .filter(|b| key != 0 && !self.sent_back(*b));
         let one_way = self.terms.service.forward_only;
         let tried = held.hosts.clone();
-        let newest = self.hosts.values().filter(|h| h.ready).map(|h| h.build).max()?;
+        let newest = self
+            .hosts
+            .values()
+            .filter(|h| h.ready)
+            .map(|h| h.build)
+            .max()?;
         let open = !self.on_trial(newest) || !self.sent_back(newest) && self.room(newest);
         // At its rounds' ends the cap is nearly used up: what cannot go there goes to the earlier build.
         let fits = |h: &Known| {
-            h.ready && (open || !self.on_trial(h.build)) && (!one_way || floor.is_none_or(|f| h.build >= f))
+            h.ready
+                && (open || !self.on_trial(h.build))
+                && (!one_way || floor.is_none_or(|f| h.build >= f))
         };
-        let mut pool: Vec<u32> =
-            self.hosts.iter().filter(|(n, h)| fits(h) && !tried.contains(n)).map(|(n, _)| *n).collect();
+        let mut pool: Vec<u32> = self
+            .hosts
+            .iter()
+            .filter(|(n, h)| fits(h) && !tried.contains(n))
+            .map(|(n, _)| *n)
+            .collect();
         if pool.is_empty() {
             return None;
         }
@@ -129,7 +161,10 @@
                 Some(pool[self.turn % pool.len()])
             }
             Who::TwoChoices => {
-                let (a, b) = (pool[self.chance.below(pool.len())], pool[self.chance.below(pool.len())]);
+                let (a, b) = (
+                    pool[self.chance.below(pool.len())],
+                    pool[self.chance.below(pool.len())],
+                );
                 Some(if flight(b) < flight(a) { b } else { a })
             }
             Who::FullSight => {
@@ -142,7 +177,8 @@
                     let way = look.way? as f64;
                     let sound = look.up && look.bears && look.speed > 0.0;
                     let bad = wiring.is_bad(BuildId(self.hosts[h].build)) && floor.is_none();
-                    let own = 200_000.0 * self.terms.service.ops[op].service_target as f64 / 1_200_000.0;
+                    let own =
+                        200_000.0 * self.terms.service.ops[op].service_target as f64 / 1_200_000.0;
                     let wait = (look.work_before + own) / look.speed + 2.0 * way;
                     sound.then_some(wait + 4e6 * look.fails + if bad { 2e6 } else { 0.0 })
                 };
@@ -150,21 +186,26 @@
                 let best = best.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
                 // What would be late anyway is refused, so that it does not make others late.
                 let target = self.terms.service.ops[op].service_target as f64;
-                best.filter(|b| !tried.is_empty() || floor.is_some() || b.0 <= target).map(|b| b.1)
+                best.filter(|b| !tried.is_empty() || floor.is_some() || b.0 <= target)
+                    .map(|b| b.1)
             }
             _ => Some(pool[self.chance.below(pool.len())]),
         }
     }
 
     fn route(&mut self, id: u64, wiring: &mut dyn Wiring) {
-        let Some(host) = self.choose(id, wiring) else { return self.give_up(id, wiring) };
+        let Some(host) = self.choose(id, wiring) else {
+            return self.give_up(id, wiring);
+        };
         let build = self.hosts[&host].build;
         if self.on_trial(build) {
             self.exposed.push_back(self.now);
         }
         let delivery = self.next;
         self.next += 1;
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         if held.hosts.is_empty() {
             held.first_sent = self.now;
         }
@@ -189,14 +230,20 @@
 
     fn close(&mut self, delivery: u64) -> Option<u64> {
         let (id, host, _) = self.out.remove(&delivery)?;
-        self.hosts.entry(host).and_modify(|h| h.in_flight = h.in_flight.saturating_sub(1));
+        self.hosts
+            .entry(host)
+            .and_modify(|h| h.in_flight = h.in_flight.saturating_sub(1));
         self.held.contains_key(&id).then_some(id)
     }
 
     /// A delivery ended without an ack.
     fn ended(&mut self, delivery: u64, may_have_run: bool, wiring: &mut dyn Wiring) {
-        let Some(id) = self.close(delivery) else { return };
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(id) = self.close(delivery) else {
+            return;
+        };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         held.may_have_run |= may_have_run;
         let op = &self.terms.service.ops[usize::from(held.command.op)];
         let again = match op.repeat {
@@ -214,8 +261,11 @@
     }
 
     fn give_up(&mut self, id: u64, wiring: &mut dyn Wiring) {
-        let Some(held) = self.held.get(&id) else { return };
-        let harmless = self.terms.service.ops[usize::from(held.command.op)].repeat != Repeat::AtMostOnce;
+        let Some(held) = self.held.get(&id) else {
+            return;
+        };
+        let harmless =
+            self.terms.service.ops[usize::from(held.command.op)].repeat != Repeat::AtMostOnce;
         let out = self.out.values().any(|o| o.0 == id);
         let (id, come_back_us) = (held.command.id, Some(200_000));
         let message = if harmless || !held.may_have_run && !out {
@@ -227,7 +277,9 @@
     }
 
     fn answer(&mut self, id: u64, message: ToClient, wiring: &mut dyn Wiring) {
-        let Some(held) = self.held.remove(&id) else { return };
+        let Some(held) = self.held.remove(&id) else {
+            return;
+        };
         self.due.remove(&(held.until, id));
         wiring.to_client(held.conn, message);
     }
@@ -272,7 +324,12 @@
         if self.now - self.voted_at > VOTE_AGAIN {
             self.voted_at = self.now;
             let (build, stage) = (news.build, news.stage);
-            wiring.to_desk(ToDesk::Vote { ballot: self.next, build, stage, verdict });
+            wiring.to_desk(ToDesk::Vote {
+                ballot: self.next,
+                build,
+                stage,
+                verdict,
+            });
             self.next += 1;
         }
     }
@@ -286,13 +343,25 @@
                 let left = command.left_us.min(1 << 40) as Micros - self.terms.answer_margin;
                 let id = command.id;
                 if self.closing || left <= 0 {
-                    return wiring.to_client(conn, ToClient::Nacked { id, come_back_us: Some(1_000_000) });
+                    return wiring.to_client(
+                        conn,
+                        ToClient::Nacked {
+                            id,
+                            come_back_us: Some(1_000_000),
+                        },
+                    );
                 }
                 self.taken.push_back(self.now);
                 let until = self.now + left;
                 self.due.insert((until, id));
-                let held =
-                    Held { conn, command, until, hosts: vec![], first_sent: self.now, may_have_run: false };
+                let held = Held {
+                    conn,
+                    command,
+                    until,
+                    hosts: vec![],
+                    first_sent: self.now,
+                    may_have_run: false,
+                };
                 self.held.insert(id, held);
                 self.route(id, wiring);
             }
@@ -303,8 +372,12 @@
             }
             Input::FromHost { host, message } => match message {
                 FromHost::Acked { delivery, body } => {
-                    let Some(&(_, _, sent)) = self.out.get(&delivery) else { return };
-                    let Some(id) = self.close(delivery) else { return };
+                    let Some(&(_, _, sent)) = self.out.get(&delivery) else {
+                        return;
+                    };
+                    let Some(id) = self.close(delivery) else {
+                        return;
+                    };
                     let build = self.hosts.get(&host).map_or(0, |h| h.build);
                     let key = self.held[&id].command.key;
                     if key != 0 && !self.sent_back(build) {
@@ -312,19 +385,38 @@
                         *newest = build.max(*newest);
                     }
                     let receipt = u64::from(host) << 32 | (sent as u64 / 1000) & 0xffff_ffff;
-                    self.answer(id, ToClient::Acked { id, build, receipt, body }, wiring);
+                    self.answer(
+                        id,
+                        ToClient::Acked {
+                            id,
+                            build,
+                            receipt,
+                            body,
+                        },
+                        wiring,
+                    );
                 }
                 FromHost::Error { delivery } => self.ended(delivery, true, wiring),
                 FromHost::Full { delivery } => self.ended(delivery, false, wiring),
-                FromHost::Welcome { build, incarnation, .. } => {
-                    if let Some(known) = self.hosts.get_mut(&host).filter(|h| h.incarnation < incarnation) {
+                FromHost::Welcome {
+                    build, incarnation, ..
+                } => {
+                    if let Some(known) = self
+                        .hosts
+                        .get_mut(&host)
+                        .filter(|h| h.incarnation < incarnation)
+                    {
                         (known.build, known.incarnation) = (build, incarnation);
                     }
                 }
                 _ => {}
             },
             Input::NotDelivered { delivery, end, .. } => {
-                self.ended(delivery, matches!(end, NoAnswer::Reset | NoAnswer::Silent), wiring);
+                self.ended(
+                    delivery,
+                    matches!(end, NoAnswer::Reset | NoAnswer::Silent),
+                    wiring,
+                );
             }
             Input::FromList(FromList::Whole { version, lines }) => {
                 self.version = Some(version);
@@ -336,11 +428,17 @@
             }
             Input::ListGone => drop(wiring.to_list(ToList::Watch { have: self.version })),
             Input::FromDesk(FromDesk::News(news)) => {
-                let same = self.news.is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
+                let same = self
+                    .news
+                    .is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
                 if !same {
-                    (self.stage_began, self.voted_at) = (self.now - news.age_us as Micros, Micros::MIN / 2);
+                    (self.stage_began, self.voted_at) =
+                        (self.now - news.age_us as Micros, Micros::MIN / 2);
                 }
-                if matches!(news.standing, NewsStanding::GoingBack | NewsStanding::Withdrawn) {
+                if matches!(
+                    news.standing,
+                    NewsStanding::GoingBack | NewsStanding::Withdrawn
+                ) {
                     self.answered_by.retain(|_, b| *b != news.build);
                 }
                 self.news = Some(news);
@@ -360,7 +458,9 @@
     }
 
     fn next_wake(&self) -> Micros {
-        self.due.first().map_or(self.wake_at, |d| d.0.min(self.wake_at))
+        self.due
+            .first()
+            .map_or(self.wake_at, |d| d.0.min(self.wake_at))
     }
 
     fn held(&self) -> usize {
--- a/crates/spokeflow-emulator/src/terms.rs
+++ b/crates/spokeflow-emulator/src/terms.rs
@@ -11,7 +11,9 @@
     let op = |op: &scenario::Op| {
         let (repeat, repeat_scope, repeat_memory) = match op.repeat {
             scenario::Repeat::Redeliverable => (Repeat::Redeliverable, RepeatScope::Unknown, 0),
-            scenario::Repeat::Deduplicated(memory) => (Repeat::Deduplicated, RepeatScope::All, memory),
+            scenario::Repeat::Deduplicated(memory) => {
+                (Repeat::Deduplicated, RepeatScope::All, memory)
+            }
             scenario::Repeat::AtMostOnce => (Repeat::AtMostOnce, RepeatScope::Unknown, 0),
         };
         OpTerms {
@@ -64,5 +66,9 @@
         back_votes: 0,
         votes_a_second: f64::INFINITY,
     };
-    EngineTerms { service, answer_margin: 30 * MS, held_at_most: 20_000 }
+    EngineTerms {
+        service,
+        answer_margin: 30 * MS,
+        held_at_most: 20_000,
+    }
 }
--- a/crates/spokeflow-emulator/src/world.rs
+++ b/crates/spokeflow-emulator/src/world.rs
@@ -82,7 +82,12 @@
     pub fn new(day: Scenario, who: Who) -> World {
         let start = LEAD;
         let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
-        let offers = day.builds.iter().copied().filter(|b| b.number > 1).collect();
+        let offers = day
+            .builds
+            .iter()
+            .copied()
+            .filter(|b| b.number > 1)
+            .collect();
         World {
             who,
             now: 0,
@@ -154,7 +159,12 @@
         }
         let record = self.record.take().expect("there until the end");
         let report = record.finish(Vec::new(), None);
-        Played { report, events, span: self.end, most_kept: self.most }
+        Played {
+            report,
+            events,
+            span: self.end,
+            most_kept: self.most,
+        }
     }
 
     fn note(&mut self, seen: Seen) {
@@ -170,7 +180,11 @@
 
     fn plan_at(&mut self, at: Micros, what: What) {
         self.seq += 1;
-        self.queue.push(Reverse(Due { at, seq: self.seq, what }));
+        self.queue.push(Reverse(Due {
+            at,
+            seq: self.seq,
+            what,
+        }));
     }
 
     fn number(&mut self) -> u64 {
@@ -183,7 +197,11 @@
             What::Ask(wanted) => self.ask(wanted),
             What::Try(client) => self.try_again(client),
             What::AtRouter { tried, left } => self.at_router(tried, left),
-            What::AtClient { tried, end, receipt } => self.at_client(tried, end, receipt),
+            What::AtClient {
+                tried,
+                end,
+                receipt,
+            } => self.at_client(tried, end, receipt),
             What::Leaves { tried } => self.leaves(tried),
             What::LeaveAt { tried, by } => {
                 let conn = u64::from(by.router);
@@ -197,18 +215,36 @@
                     self.give(by, Input::Wake);
                 }
             }
-            What::Lost { by, host, delivery, end } => {
-                self.give(by, Input::NotDelivered { host, delivery, end });
+            What::Lost {
+                by,
+                host,
+                delivery,
+                end,
+            } => {
+                self.give(
+                    by,
+                    Input::NotDelivered {
+                        host,
+                        delivery,
+                        end,
+                    },
+                );
             }
             What::ToHost { pair, epoch, word } => self.reaches_host(pair, epoch, word),
             What::FromHost { pair, epoch, word } => self.reaches_router(pair, epoch, word),
             What::Connect { pair, epoch, fails } => self.connected(pair, epoch, fails),
             What::Silence { pair, epoch } => self.silence(pair, epoch),
-            What::HostDue { seat, incarnation, at } => self.host_due(seat, incarnation, at),
+            What::HostDue {
+                seat,
+                incarnation,
+                at,
+            } => self.host_due(seat, incarnation, at),
             What::Boot(host) => self.boot(host),
             What::Stop(host) => self.stop(host),
             What::Revive(host) => {
-                let Some(&seat) = self.seat_of.get(&host) else { return };
+                let Some(&seat) = self.seat_of.get(&host) else {
+                    return;
+                };
                 if !self.seats[seat].draining && self.seats[seat].process.is_none() {
                     self.seats[seat].started = Some(self.now);
                     self.run_host(host);
@@ -221,7 +257,13 @@
             What::ListRenew { by, link } => self.list_renew(by, link),
             What::ListOpen { by, link } => self.list_open(by, link),
             What::NewsTo { by, state } => self.news_to(by, state),
-            What::VoteAt { by, ballot, build, stage, verdict } => {
+            What::VoteAt {
+                by,
+                ballot,
+                build,
+                stage,
+                verdict,
+            } => {
                 self.vote_at(by, ballot, build, stage, verdict);
             }
             What::VotedTo { by, ballot, result } => {
@@ -232,18 +274,42 @@
                 self.give(by, Input::FromDesk(FromDesk::Voted { ballot, result }));
             }
             What::Told { by, from, text } => {
-                self.give(by, Input::Told { router: from, text: text.to_vec() });
+                self.give(
+                    by,
+                    Input::Told {
+                        router: from,
+                        text: text.to_vec(),
+                    },
+                );
             }
             What::DeskTick => self.desk_tick(),
             What::SlowTick => self.slow_tick(),
             What::Begin(n) => self.begin(n),
             What::End(n) => self.end_trouble(n),
-            What::Roll { routers, nth, down, apart } => self.roll(routers, nth, down, apart),
-            What::Ended { router, by, asked, next } => self.router_ended(router, by, asked, next),
+            What::Roll {
+                routers,
+                nth,
+                down,
+                apart,
+            } => self.roll(routers, nth, down, apart),
+            What::Ended {
+                router,
+                by,
+                asked,
+                next,
+            } => self.router_ended(router, by, asked, next),
             What::Start { router, then } => {
                 self.start_again(router);
                 if let Some((routers, nth, down, apart)) = then {
-                    self.plan((apart - down).max(0), What::Roll { routers, nth, down, apart });
+                    self.plan(
+                        (apart - down).max(0),
+                        What::Roll {
+                            routers,
+                            nth,
+                            down,
+                            apart,
+                        },
+                    );
                 }
             }
         }
--- a/crates/spokeflow-emulator/src/world/clients.rs
+++ b/crates/spokeflow-emulator/src/world/clients.rs
@@ -36,7 +36,11 @@
 }
 
 pub(super) fn read_body(body: &[u8]) -> (u64, u64) {
-    let part = |from| body.get(from..from + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes);
+    let part = |from| {
+        body.get(from..from + 8)
+            .and_then(|b| b.try_into().ok())
+            .map_or(0, u64::from_be_bytes)
+    };
     (part(0), part(8))
 }
 
@@ -47,19 +51,27 @@
             self.plan_at(next.due, What::Ask(next));
         }
         let number = self.number();
-        let client = self.clients.insert(Asking { client: Client::new(wanted), number });
+        let client = self.clients.insert(Asking {
+            client: Client::new(wanted),
+            number,
+        });
         self.try_again(client);
     }
 
     pub(super) fn try_again(&mut self, key: usize) {
-        let Some(asking) = self.clients.get_mut(key) else { return };
+        let Some(asking) = self.clients.get_mut(key) else {
+            return;
+        };
         let wanted = asking.client.wanted;
-        let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now) else {
+        let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now)
+        else {
             return self.command_ended(key, TryEnd::GivenUp);
         };
         let (number, nth) = (asking.number, asking.client.tries - 1);
         let down = |r: usize| self.routers[r].down_since;
-        let router = self.front.router_for(wanted.site, wanted.seed, nth, self.now, down);
+        let router = self
+            .front
+            .router_for(wanted.site, wanted.seed, nth, self.now, down);
         let by = self.routers[router].process;
         if self.routers[router].down_since.is_some() {
             return self.ended(key, TryEnd::Unreachable);
@@ -67,22 +79,44 @@
         let counted = self.number();
         let entry = self.tries.vacant_entry();
         let tried = counted << PLACE | entry.key() as u64;
-        entry.insert(Trying { tried, client: key, by, answered: false });
+        entry.insert(Trying {
+            tried,
+            client: key,
+            by,
+            answered: false,
+        });
         self.most[1] = self.most[1].max(self.tries.len());
         let op = wanted.op as u16;
-        self.note(Seen::Taken { by, tried, command: number, op, key: wanted.key, patience });
-        self.plan(LOCAL_WAY, What::AtRouter { tried, left: patience });
+        self.note(Seen::Taken {
+            by,
+            tried,
+            command: number,
+            op,
+            key: wanted.key,
+            patience,
+        });
+        self.plan(
+            LOCAL_WAY,
+            What::AtRouter {
+                tried,
+                left: patience,
+            },
+        );
         self.plan(waits, What::Leaves { tried });
     }
 
     fn trying(&mut self, tried: u64) -> Option<&mut Trying> {
-        self.tries.get_mut((tried & ((1 << PLACE) - 1)) as usize).filter(|t| t.tried == tried)
+        self.tries
+            .get_mut((tried & ((1 << PLACE) - 1)) as usize)
+            .filter(|t| t.tried == tried)
     }
 
     pub(super) fn at_router(&mut self, tried: u64, left: Micros) {
         let Some(t) = self.trying(tried) else { return };
         let (by, client) = (t.by, t.client);
-        let Some(asking) = self.clients.get(client) else { return };
+        let Some(asking) = self.clients.get(client) else {
+            return;
+        };
         let (wanted, number) = (asking.client.wanted, asking.number);
         let dropped = matches!(self.day.ops[wanted.op].repeat, Repeat::Deduplicated(_));
         let command = Command {
@@ -109,13 +143,24 @@
         };
         let again = std::mem::replace(&mut t.answered, true);
         if let Some(kind) = kind {
-            let build = if let TryEnd::Acked { build, .. } = end { build } else { 0 };
-            self.note(Seen::Answered { by, tried, kind, build });
+            let build = if let TryEnd::Acked { build, .. } = end {
+                build
+            } else {
+                0
+            };
+            self.note(Seen::Answered {
+                by,
+                tried,
+                kind,
+                build,
+            });
         }
         if again {
             return;
         }
-        if matches!(end, TryEnd::Acked { wrong: true, .. }) && self.rng.random_bool(self.day.reported) {
+        if matches!(end, TryEnd::Acked { wrong: true, .. })
+            && self.rng.random_bool(self.day.reported)
+        {
             self.plan(LOCAL_WAY, What::DisputedAt { by, receipt });
         }
         self.ended(client, end);
@@ -138,7 +183,9 @@
     }
 
     pub(super) fn ended(&mut self, key: usize, end: TryEnd) {
-        let Some(asking) = self.clients.get_mut(key) else { return };
+        let Some(asking) = self.clients.get_mut(key) else {
+            return;
+        };
         match asking.client.after(&self.day, &self.faults, self.now, end) {
             Some(pause) => self.plan(pause, What::Try(key)),
             None => self.command_ended(key, end),
@@ -147,10 +194,26 @@
 
     fn command_ended(&mut self, key: usize, end: TryEnd) {
         let asking = self.clients.remove(key);
-        let Wanted { op, customer, site, due, .. } = asking.client.wanted;
+        let Wanted {
+            op,
+            customer,
+            site,
+            due,
+            ..
+        } = asking.client.wanted;
         let (end, build) = end.last();
         let (took, tries) = (self.now - due, asking.client.tries);
-        let outcome = Outcome { command: asking.number, op, customer, site, due, tries, end, took, build };
+        let outcome = Outcome {
+            command: asking.number,
+            op,
+            customer,
+            site,
+            due,
+            tries,
+            end,
+            took,
+            build,
+        };
         if let Some(record) = &mut self.record {
             record.ended(&outcome);
         }
--- a/crates/spokeflow-emulator/src/world/connections.rs
+++ b/crates/spokeflow-emulator/src/world/connections.rs
@@ -26,7 +26,9 @@
     pub(super) fn way(&self, pair: usize) -> Option<Micros> {
         let (seat, router) = self.ends_of(pair);
         let (a, b) = (self.seats[seat].site, self.routers[router as usize].site);
-        self.faults.way(a, b, Way::Hosts).map(|way| way.max(LOCAL_WAY))
+        self.faults
+            .way(a, b, Way::Hosts)
+            .map(|way| way.max(LOCAL_WAY))
     }
 
     /// The delay of one message, with what is lost on it; the cut is met on arrival.
@@ -67,21 +69,43 @@
             self.plan(WAY_TIMEOUT / 2, What::Silence { pair, epoch });
         }
         let (tried, delivery) = (parcel.tried, parcel.delivery);
-        self.note(Seen::Delivered { host, build, from, tried, delivery });
+        self.note(Seen::Delivered {
+            host,
+            build,
+            from,
+            tried,
+            delivery,
+        });
         self.send(pair, HostWord::Deliver(parcel));
     }
 
-    pub(super) fn lose(&mut self, pair: usize, deliveries: impl IntoIterator<Item = u64>, end: NoAnswer) {
+    pub(super) fn lose(
+        &mut self,
+        pair: usize,
+        deliveries: impl IntoIterator<Item = u64>,
+        end: NoAnswer,
+    ) {
         let (seat, router) = self.ends_of(pair);
         let (host, by) = (self.seats[seat].host, self.routers[router as usize].process);
         for delivery in deliveries {
-            self.plan(0, What::Lost { by, host, delivery, end });
+            self.plan(
+                0,
+                What::Lost {
+                    by,
+                    host,
+                    delivery,
+                    end,
+                },
+            );
         }
     }
 
     pub(super) fn connect(&mut self, pair: usize) {
         let (seat, _) = self.ends_of(pair);
-        let runs = self.seats[seat].process.as_ref().is_some_and(|p| !p.model.fallen);
+        let runs = self.seats[seat]
+            .process
+            .as_ref()
+            .is_some_and(|p| !p.model.fallen);
         let p = &mut self.pairs[pair];
         p.epoch += 1;
         p.link = Link::Connecting;
@@ -92,7 +116,10 @@
             (None, _) => CONNECT_TIMEOUT,
         };
         let fails = took >= CONNECT_TIMEOUT;
-        self.plan(took.min(CONNECT_TIMEOUT), What::Connect { pair, epoch, fails });
+        self.plan(
+            took.min(CONNECT_TIMEOUT),
+            What::Connect { pair, epoch, fails },
+        );
     }
 
     pub(super) fn connected(&mut self, pair: usize, epoch: u32, fails: bool) {
@@ -100,7 +127,10 @@
             return;
         }
         let (seat, router) = self.ends_of(pair);
-        let process = self.seats[seat].process.as_ref().filter(|p| !p.model.fallen && !fails);
+        let process = self.seats[seat]
+            .process
+            .as_ref()
+            .filter(|p| !p.model.fallen && !fails);
         let (incarnation, began) = process.map_or((0, 0), |p| (p.incarnation, p.began));
         if process.is_none() || self.way(pair).is_none() {
             let drawn = self.rng.random_range(0.5..1.0);
@@ -109,7 +139,11 @@
             p.not_before = now + pause(p.failures, drawn);
             p.failures += 1;
             let (unsent, _) = p.drop_link();
-            return self.lose(pair, unsent.into_iter().map(|w| w.delivery), NoAnswer::NotConnected);
+            return self.lose(
+                pair,
+                unsent.into_iter().map(|w| w.delivery),
+                NoAnswer::NotConnected,
+            );
         }
         let (host, build) = (self.seats[seat].host, self.seats[seat].build);
         let p = &mut self.pairs[pair];
@@ -129,16 +163,29 @@
                 }
             }
         } else {
-            self.lose(pair, waiting.into_iter().map(|w| w.delivery), NoAnswer::NotConnected);
+            self.lose(
+                pair,
+                waiting.into_iter().map(|w| w.delivery),
+                NoAnswer::NotConnected,
+            );
         }
-        let message = FromHost::Welcome { host, build, incarnation, up_us };
+        let message = FromHost::Welcome {
+            host,
+            build,
+            incarnation,
+            up_us,
+        };
         self.give(by, Input::FromHost { host, message });
     }
 
     fn broken(&mut self, pair: usize, end: NoAnswer) {
         let drawn = self.rng.random_range(0.5..1.0);
         let (unsent, sent) = self.pairs[pair].broken(self.now, drawn);
-        self.lose(pair, unsent.into_iter().map(|w| w.delivery), NoAnswer::NotSent);
+        self.lose(
+            pair,
+            unsent.into_iter().map(|w| w.delivery),
+            NoAnswer::NotSent,
+        );
         self.lose(pair, sent, end);
     }
 
@@ -151,7 +198,12 @@
             p.listens = false;
             return;
         }
-        let until = p.quiet_since + if p.pinged { WAY_TIMEOUT } else { WAY_TIMEOUT / 2 };
+        let until = p.quiet_since
+            + if p.pinged {
+                WAY_TIMEOUT
+            } else {
+                WAY_TIMEOUT / 2
+            };
         if self.now < until {
             return self.plan_at(until, What::Silence { pair, epoch });
         }
@@ -173,23 +225,51 @@
             return self.blocked.push(What::ToHost { pair, epoch, word });
         }
         let (seat, _) = self.ends_of(pair);
-        let Some(process) = self.seats[seat].process.as_mut().filter(|p| !p.model.fallen) else { return };
+        let Some(process) = self.seats[seat]
+            .process
+            .as_mut()
+            .filter(|p| !p.model.fallen)
+        else {
+            return;
+        };
         let from = (pair as u64) << 32 | u64::from(epoch);
         match word {
             HostWord::Ping => return self.reply(pair, epoch, RouterWord::Pong),
             HostWord::Cancel(delivery) => process.model.cancel(from, delivery),
             HostWord::Deliver(p) => {
-                let Parcel { delivery, tried, command, key, mark, left, .. } = p;
+                let Parcel {
+                    delivery,
+                    tried,
+                    command,
+                    key,
+                    mark,
+                    left,
+                    ..
+                } = p;
                 let op = usize::from(p.op).min(self.day.ops.len() - 1);
                 let expires = self.now + left;
-                let job = Job { from, delivery, tried, command, op, key, mark, expires };
+                let job = Job {
+                    from,
+                    delivery,
+                    tried,
+                    command,
+                    op,
+                    key,
+                    mark,
+                    expires,
+                };
                 let taken = process.model.arrive(self.now, job);
                 if process.model.fallen {
                     return self.fell(seat);
                 }
                 if !taken {
                     let host = self.seats[seat].host;
-                    self.note(Seen::Replied { host, tried, delivery, kind: ReplyKind::Full });
+                    self.note(Seen::Replied {
+                        host,
+                        tried,
+                        delivery,
+                        kind: ReplyKind::Full,
+                    });
                     self.reply(pair, epoch, RouterWord::Full(delivery));
                 }
             }
--- a/crates/spokeflow-emulator/src/world/faults.rs
+++ b/crates/spokeflow-emulator/src/world/faults.rs
@@ -17,23 +17,37 @@
         self.plan(SLOW_TICK, What::SlowTick);
         let (mut held, mut cold, mut running) = (0, 0, 0);
         let mut drags = 0.0;
-        let flawed = |build: u16| self.day.builds.iter().find(|b| b.number == build).map(|b| b.flaw);
+        let flawed = |build: u16| {
+            self.day
+                .builds
+                .iter()
+                .find(|b| b.number == build)
+                .map(|b| b.flaw)
+        };
         for (_, seat) in &self.seats {
-            let Some(process) = &seat.process else { continue };
+            let Some(process) = &seat.process else {
+                continue;
+            };
             running += 1;
             held += process.model.held() as u64;
-            cold += u64::from(seat.started.is_some_and(|at| self.now - at < self.day.warm_within));
+            cold += u64::from(
+                seat.started
+                    .is_some_and(|at| self.now - at < self.day.warm_within),
+            );
             if let Some(Flaw::Shared(times)) = flawed(seat.build) {
                 drags += 2.0 * (times - 1.0);
             }
         }
         let drag = (1.0 + drags / f64::from(running.max(1))).min(4.0);
         let group = self.day.neighbours.max(1) as usize;
-        let mut busy =
-            vec![
-                (0.0, 0.0);
-                if group > 1 { self.pairs.len() / self.day.routers as usize / group + 1 } else { 0 }
-            ];
+        let mut busy = vec![
+            (0.0, 0.0);
+            if group > 1 {
+                self.pairs.len() / self.day.routers as usize / group + 1
+            } else {
+                0
+            }
+        ];
         if group > 1 {
             for (n, seat) in &self.seats {
                 if let Some(process) = &seat.process {
@@ -43,7 +57,9 @@
             }
         }
         for (n, seat) in &mut self.seats {
-            let Some(process) = &mut seat.process else { continue };
+            let Some(process) = &mut seat.process else {
+                continue;
+            };
             process.model.ailment.drag = drag;
             if group > 1 {
                 let (all, hosts) = busy[n / group];
@@ -60,7 +76,13 @@
 
     fn strike(&mut self, n: usize, part: f64) -> Vec<u32> {
         let runs = |s: &&Seat| s.process.is_some() && !s.draining;
-        let mut running: Vec<u32> = self.seats.iter().map(|s| s.1).filter(runs).map(|s| s.host).collect();
+        let mut running: Vec<u32> = self
+            .seats
+            .iter()
+            .map(|s| s.1)
+            .filter(runs)
+            .map(|s| s.host)
+            .collect();
         running.sort_unstable();
         running.shuffle(&mut self.rng);
         running.truncate(((running.len() as f64 * part).round() as usize).max(1));
@@ -83,12 +105,19 @@
 
     pub(super) fn begin(&mut self, n: usize) {
         let trouble = self.day.troubles[n];
-        self.note(Seen::Trouble { what: format!("begins: {trouble}") });
+        self.note(Seen::Trouble {
+            what: format!("begins: {trouble}"),
+        });
         self.lasting.push((n, trouble));
         self.plan(trouble.lasts, What::End(n));
         if self.faults.begin(&self.day, n, &trouble) {
             if self.faults.list_breaks {
-                let up: Vec<Process> = self.routers.iter().filter(|r| r.list_up).map(|r| r.process).collect();
+                let up: Vec<Process> = self
+                    .routers
+                    .iter()
+                    .filter(|r| r.list_up)
+                    .map(|r| r.process)
+                    .collect();
                 up.into_iter().for_each(|by| self.list_lost(by));
             }
             return;
@@ -103,7 +132,10 @@
                     }
                     self.list(host, Phase::Gone, incarnation, late);
                     let first = trouble.kind == Kind::LoneHost && nth == 0;
-                    self.plan(if first { seconds } else { trouble.lasts }, What::Revive(host));
+                    self.plan(
+                        if first { seconds } else { trouble.lasts },
+                        What::Revive(host),
+                    );
                 }
             }
             Kind::Hang => {
@@ -130,7 +162,12 @@
                     let apart = trouble.lasts / all.len() as Micros;
                     let routers = Rc::new(all);
                     // Of a large fleet many end at a time, so that the roll takes as long as it lasts.
-                    return self.happen(What::Roll { routers, nth: 0, down: seconds, apart });
+                    return self.happen(What::Roll {
+                        routers,
+                        nth: 0,
+                        down: seconds,
+                        apart,
+                    });
                 }
                 for router in all {
                     let by = self.routers[router as usize].process;
@@ -146,7 +183,9 @@
 
     pub(super) fn end_trouble(&mut self, n: usize) {
         let trouble = self.day.troubles[n];
-        self.note(Seen::Trouble { what: format!("ends: {}", trouble.kind.name()) });
+        self.note(Seen::Trouble {
+            what: format!("ends: {}", trouble.kind.name()),
+        });
         self.lasting.retain(|l| l.0 != n);
         let others = self.lasting.clone();
         let day = std::mem::take(&mut self.day.troubles);
--- a/crates/spokeflow-emulator/src/world/host_list.rs
+++ b/crates/spokeflow-emulator/src/world/host_list.rs
@@ -25,7 +25,10 @@
         }
         for router in 0..self.routers.len() {
             let seat = &self.routers[router];
-            if seat.watches && seat.list_up && seat.list_held.is_some_and(|v| v < self.board.version()) {
+            if seat.watches
+                && seat.list_up
+                && seat.list_held.is_some_and(|v| v < self.board.version())
+            {
                 let (by, link, held) = (seat.process, seat.list_link, seat.list_held);
                 self.tell_list(by, link, held);
             }
@@ -50,16 +53,27 @@
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
         let (version, lines) = (self.board.version(), entries.iter().map(line).collect());
-        let message =
-            if whole { FromList::Whole { version, lines } } else { FromList::Changes { version, lines } };
+        let message = if whole {
+            FromList::Whole { version, lines }
+        } else {
+            FromList::Changes { version, lines }
+        };
         self.routers[by.router as usize].list_held = Some(version);
-        self.tell_router(by, |by| What::ListTo { by, link, message: Rc::new(message) });
+        self.tell_router(by, |by| What::ListTo {
+            by,
+            link,
+            message: Rc::new(message),
+        });
     }
 
     /// From list or desk to a router, in order.
     pub(super) fn tell_router(&mut self, by: Process, what: impl FnOnce(Process) -> What) {
         let seat = &self.routers[by.router as usize];
-        let way = self.faults.way(OFFICE_SITE, seat.site, Way::Office).unwrap_or(2 * MS).max(LOCAL_WAY);
+        let way = self
+            .faults
+            .way(OFFICE_SITE, seat.site, Way::Office)
+            .unwrap_or(2 * MS)
+            .max(LOCAL_WAY);
         let at = (self.now + way).max(seat.office_last[0]);
         self.routers[by.router as usize].office_last[0] = at;
         self.plan_at(at, what(by));
@@ -67,7 +81,11 @@
 
     pub(super) fn ask_office(&mut self, by: Process, what: impl FnOnce(Process) -> What) {
         let seat = &self.routers[by.router as usize];
-        let way = self.faults.way(seat.site, OFFICE_SITE, Way::Office).unwrap_or(2 * MS).max(LOCAL_WAY);
+        let way = self
+            .faults
+            .way(seat.site, OFFICE_SITE, Way::Office)
+            .unwrap_or(2 * MS)
+            .max(LOCAL_WAY);
         let at = (self.now + way).max(seat.office_last[1]);
         self.routers[by.router as usize].office_last[1] = at;
         self.plan_at(at, what(by));
@@ -99,7 +117,11 @@
             return;
         }
         if self.office_cut(by) {
-            return self.blocked.push(What::ListTo { by, link, message: message.clone() });
+            return self.blocked.push(What::ListTo {
+                by,
+                link,
+                message: message.clone(),
+            });
         }
         let (whole, lines) = match &**message {
             FromList::Whole { lines, .. } => (true, lines),
@@ -112,8 +134,15 @@
             LinePhase::Draining => Phase::Draining,
         };
         if whole || !lines.is_empty() {
-            let lines = lines.iter().map(|l| (l.host, l.build.unwrap_or(0), phase(l))).collect();
-            self.note(Seen::Listed { to: by, whole, lines });
+            let lines = lines
+                .iter()
+                .map(|l| (l.host, l.build.unwrap_or(0), phase(l)))
+                .collect();
+            self.note(Seen::Listed {
+                to: by,
+                whole,
+                lines,
+            });
         }
         let seat = &mut self.routers[by.router as usize];
         (seat.list_heard, seat.list_unheard) = (self.now, 0);
--- a/crates/spokeflow-emulator/src/world/hosts.rs
+++ b/crates/spokeflow-emulator/src/world/hosts.rs
@@ -34,7 +34,14 @@
 impl World {
     pub(super) fn seat(&mut self, host: u32, build: u16, started: Option<Micros>) {
         let site = (host % u32::from(self.day.sites)) as u16;
-        let seat = self.seats.insert(Seat { host, site, build, started, process: None, draining: false });
+        let seat = self.seats.insert(Seat {
+            host,
+            site,
+            build,
+            started,
+            process: None,
+            draining: false,
+        });
         self.seat_of.insert(host, seat);
         self.most[2] = self.most[2].max(self.seats.len());
         let pairs = (seat + 1) * self.day.routers as usize;
@@ -44,7 +51,9 @@
     }
 
     pub(super) fn run_host(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else { return };
+        let Some(&seat) = self.seat_of.get(&host) else {
+            return;
+        };
         let incarnation = self.number();
         let (build, started) = (self.seats[seat].build, self.seats[seat].started);
         let made = self.day.builds.iter().find(|b| b.number == build);
@@ -54,7 +63,12 @@
         if let Some((_, t)) = self.lasting.iter().find(|(_, t)| t.kind == Kind::SlowOp) {
             model.ailment.slow_op = (0, t.size.max(1.0));
         }
-        let process = HostProcess { model, incarnation, began: self.now, due: Micros::MAX };
+        let process = HostProcess {
+            model,
+            incarnation,
+            began: self.now,
+            due: Micros::MAX,
+        };
         self.seats[seat].process = Some(process);
         let late = if started.is_none() { 0 } else { self.late() };
         self.list(host, Phase::Ready, incarnation, late);
@@ -66,10 +80,25 @@
     }
 
     pub(super) fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
-        let Some(&seat) = self.seat_of.get(&host) else { return };
-        let Seat { site, build, started, .. } = self.seats[seat];
+        let Some(&seat) = self.seat_of.get(&host) else {
+            return;
+        };
+        let Seat {
+            site,
+            build,
+            started,
+            ..
+        } = self.seats[seat];
         let address = String::new();
-        let entry = Entry { host, address, site, build, phase, incarnation, started };
+        let entry = Entry {
+            host,
+            address,
+            site,
+            build,
+            phase,
+            incarnation,
+            started,
+        };
         let at = self.board.know_at(self.now + late, entry);
         if at > self.now {
             self.plan_at(at, What::BoardTick);
@@ -78,7 +107,8 @@
 
     pub(super) fn incarnation(&self, host: u32) -> u64 {
         let seat = self.seat_of.get(&host).map(|s| &self.seats[*s]);
-        seat.and_then(|s| s.process.as_ref()).map_or(0, |p| p.incarnation)
+        seat.and_then(|s| s.process.as_ref())
+            .map_or(0, |p| p.incarnation)
     }
 
     /// The process of a host is no more: its connections break.
@@ -106,7 +136,9 @@
     }
 
     pub(super) fn boot(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else { return };
+        let Some(&seat) = self.seat_of.get(&host) else {
+            return;
+        };
         if self.seats[seat].draining {
             return;
         }
@@ -118,9 +150,14 @@
     }
 
     pub(super) fn stop(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else { return };
+        let Some(&seat) = self.seat_of.get(&host) else {
+            return;
+        };
         // It goes on while it has work, for some time.
-        let busy = self.seats[seat].process.as_ref().is_some_and(|p| p.model.held() > 0 && !p.model.fallen);
+        let busy = self.seats[seat]
+            .process
+            .as_ref()
+            .is_some_and(|p| p.model.held() > 0 && !p.model.fallen);
         if busy {
             return self.plan(100 * MS, What::Stop(host));
         }
@@ -131,7 +168,9 @@
     }
 
     pub(super) fn free(&mut self, host: u32) {
-        let Some(seat) = self.seat_of.remove(&host) else { return };
+        let Some(seat) = self.seat_of.remove(&host) else {
+            return;
+        };
         self.seats.remove(seat);
         for router in 0..self.day.routers {
             let pair = self.pair_of(seat, router);
@@ -149,7 +188,9 @@
                     self.plan(after, What::Boot(host));
                 }
                 Order::Drain { host } => {
-                    let Some(&seat) = self.seat_of.get(&host) else { continue };
+                    let Some(&seat) = self.seat_of.get(&host) else {
+                        continue;
+                    };
                     self.seats[seat].draining = true;
                     if self.seats[seat].process.is_some() {
                         let (incarnation, late) = (self.incarnation(host), self.late());
@@ -166,14 +207,27 @@
     /// Ends what has ended and begins what can begin.
     pub(super) fn pump(&mut self, seat: usize) {
         let (host, build) = (self.seats[seat].host, self.seats[seat].build);
-        let Some(process) = self.seats[seat].process.as_mut().filter(|p| !p.model.fallen) else { return };
+        let Some(process) = self.seats[seat]
+            .process
+            .as_mut()
+            .filter(|p| !p.model.fallen)
+        else {
+            return;
+        };
         let ended = process.model.ended(self.now);
         let begun = process.model.begin(self.now, &mut self.marks);
         let next = process.model.next();
         let incarnation = process.incarnation;
         if let Some(at) = next.filter(|at| *at < process.due) {
             process.due = at;
-            self.plan_at(at, What::HostDue { seat, incarnation, at });
+            self.plan_at(
+                at,
+                What::HostDue {
+                    seat,
+                    incarnation,
+                    at,
+                },
+            );
         }
         for (job, done) in ended {
             let (delivery, tried) = (job.delivery, job.tried);
@@ -182,18 +236,31 @@
                 Done::Error => (RouterWord::Error(delivery), ReplyKind::Error),
                 Done::Silent => continue,
             };
-            self.note(Seen::Replied { host, tried, delivery, kind });
+            self.note(Seen::Replied {
+                host,
+                tried,
+                delivery,
+                kind,
+            });
             self.reply((job.from >> 32) as usize, job.from as u32, word);
         }
         for begun in begun.into_iter().filter(|b| b.effect) {
             let (tried, command, op) = (begun.tried, begun.command, begun.op as u16);
-            self.note(Seen::Ran { host, build, tried, command, op });
+            self.note(Seen::Ran {
+                host,
+                build,
+                tried,
+                command,
+                op,
+            });
         }
     }
 
     pub(super) fn host_due(&mut self, seat: usize, incarnation: u64, at: Micros) {
         let process = self.seats.get_mut(seat).and_then(|s| s.process.as_mut());
-        let Some(process) = process.filter(|p| p.incarnation == incarnation) else { return };
+        let Some(process) = process.filter(|p| p.incarnation == incarnation) else {
+            return;
+        };
         if process.due == at {
             process.due = Micros::MAX;
         }
--- a/crates/spokeflow-emulator/src/world/links.rs
+++ b/crates/spokeflow-emulator/src/world/links.rs
@@ -38,16 +38,33 @@
 impl Links for Wires<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
         let (tried, end, receipt) = match message {
-            ToClient::Acked { id, build, receipt, body } => {
-                (id, TryEnd::Acked { build, wrong: &body[..] == b"wrong" }, receipt)
-            }
+            ToClient::Acked {
+                id,
+                build,
+                receipt,
+                body,
+            } => (
+                id,
+                TryEnd::Acked {
+                    build,
+                    wrong: &body[..] == b"wrong",
+                },
+                receipt,
+            ),
             ToClient::Nacked { id, come_back_us } => {
                 (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0)
             }
             ToClient::Failed { id } => (id, TryEnd::Failed, 0),
             _ => return,
         };
-        self.world.plan(LOCAL_WAY, What::AtClient { tried, end, receipt });
+        self.world.plan(
+            LOCAL_WAY,
+            What::AtClient {
+                tried,
+                end,
+                receipt,
+            },
+        );
     }
 
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
@@ -57,15 +74,40 @@
             // Gone for long: nothing answers there.
             if let ToHost::Deliver { delivery, .. } = message {
                 let end = NoAnswer::NotConnected;
-                self.world.plan(0, What::Lost { by, host: host.0, delivery, end });
+                self.world.plan(
+                    0,
+                    What::Lost {
+                        by,
+                        host: host.0,
+                        delivery,
+                        end,
+                    },
+                );
             }
             return true;
         };
         match message {
-            ToHost::Deliver { delivery, op, key, mark, left_us, body, .. } => {
+            ToHost::Deliver {
+                delivery,
+                op,
+                key,
+                mark,
+                left_us,
+                body,
+                ..
+            } => {
                 let (tried, command) = read_body(&body);
                 let left = left_us.min(1 << 40) as Micros;
-                let parcel = Parcel { delivery, tried, command, op, key, mark, left, leave_by };
+                let parcel = Parcel {
+                    delivery,
+                    tried,
+                    command,
+                    op,
+                    key,
+                    mark,
+                    left,
+                    leave_by,
+                };
                 let p = &mut self.world.pairs[pair];
                 if p.waiting.len() >= QUEUE {
                     return false;
@@ -116,21 +158,38 @@
             return false;
         }
         let link = seat.list_link;
-        let have = if let ToList::Watch { have } = message { have } else { None };
-        self.world.ask_office(by, |by| What::ListAsk { by, link, have });
+        let have = if let ToList::Watch { have } = message {
+            have
+        } else {
+            None
+        };
+        self.world
+            .ask_office(by, |by| What::ListAsk { by, link, have });
         true
     }
 
     fn to_desk(&mut self, message: ToDesk) -> bool {
         let by = self.by();
-        if let ToDesk::Vote { ballot, build, stage, verdict } = message {
+        if let ToDesk::Vote {
+            ballot,
+            build,
+            stage,
+            verdict,
+        } = message
+        {
             let verdict = match verdict {
                 BallotVerdict::None => Verdict::None,
                 BallotVerdict::On => Verdict::On,
                 BallotVerdict::Hold => Verdict::Hold,
                 BallotVerdict::Back => Verdict::Back,
             };
-            self.world.ask_office(by, |by| What::VoteAt { by, ballot, build, stage, verdict });
+            self.world.ask_office(by, |by| What::VoteAt {
+                by,
+                ballot,
+                build,
+                stage,
+                verdict,
+            });
         }
         true
     }
@@ -144,12 +203,15 @@
             None => 0..self.world.day.routers,
         };
         for router in to.filter(|r| *r != from) {
-            let Some(seat) = self.world.routers.get(router as usize) else { continue };
+            let Some(seat) = self.world.routers.get(router as usize) else {
+                continue;
+            };
             let (by, site) = (seat.process, seat.site);
             // What meets a cut is not kept: old evidence is no evidence.
             if let Some(way) = self.world.faults.way(own, site, Way::Hosts) {
                 let text = text.clone();
-                self.world.plan(way.max(LOCAL_WAY), What::Told { by, from, text });
+                self.world
+                    .plan(way.max(LOCAL_WAY), What::Told { by, from, text });
             }
         }
     }
@@ -169,17 +231,32 @@
         if gone && p.idle() && p.link == Link::Up {
             p.drop_link();
         }
-        self.world.lose(pair, unsent.into_iter().map(|w| w.delivery), NoAnswer::NotSent);
+        self.world.lose(
+            pair,
+            unsent.into_iter().map(|w| w.delivery),
+            NoAnswer::NotSent,
+        );
     }
 }
 
 impl Wiring for Wires<'_> {
     fn look(&self, host: HostId) -> Look {
-        let none = Look { up: false, work_before: 0.0, way: None, speed: 0.0, fails: 0.0, bears: false };
-        let Some(pair) = self.pair(host) else { return none };
+        let none = Look {
+            up: false,
+            work_before: 0.0,
+            way: None,
+            speed: 0.0,
+            fails: 0.0,
+            bears: false,
+        };
+        let Some(pair) = self.pair(host) else {
+            return none;
+        };
         let (seat, _) = self.world.ends_of(pair);
         let seat = &self.world.seats[seat];
-        let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else { return none };
+        let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
+            return none;
+        };
         let (model, now) = (&process.model, self.world.now);
         Look {
             up: !model.ailment.hangs,
@@ -192,6 +269,10 @@
     }
 
     fn is_bad(&self, build: BuildId) -> bool {
-        self.world.day.builds.iter().any(|b| b.number == build.0 && b.flaw != Flaw::None)
+        self.world
+            .day
+            .builds
+            .iter()
+            .any(|b| b.number == build.0 && b.flaw != Flaw::None)
     }
 }
--- a/crates/spokeflow-emulator/src/world/release_controller.rs
+++ b/crates/spokeflow-emulator/src/world/release_controller.rs
@@ -17,7 +17,11 @@
         }
         let mut orders = Vec::new();
         let before = self.desk.state;
-        if let Some(next) = self.offers.first().filter(|b| self.now - self.start >= b.offered) {
+        if let Some(next) = self
+            .offers
+            .first()
+            .filter(|b| self.now - self.start >= b.offered)
+        {
             if self.desk.offer(self.now, next.number, &mut orders) {
                 self.offers.remove(0);
             }
@@ -25,8 +29,17 @@
         self.desk.tick(self.now, &mut orders);
         let state = self.desk.state;
         if state != before {
-            let State { build, stage, standing, .. } = state;
-            self.note(Seen::Desk { build, stage, standing });
+            let State {
+                build,
+                stage,
+                standing,
+                ..
+            } = state;
+            self.note(Seen::Desk {
+                build,
+                stage,
+                standing,
+            });
         }
         self.carry_out(orders);
         for router in 0..self.routers.len() {
@@ -39,7 +52,11 @@
             // A router that has just connected is told at once, changes some time after.
             let first = seat.told.is_none();
             let [least, most] = self.day.news_late;
-            let late = if first { 0 } else { self.rng.random_range(least..most) };
+            let late = if first {
+                0
+            } else {
+                self.rng.random_range(least..most)
+            };
             let seat = &mut self.routers[router];
             let at = (self.now + late + self.faults.late_desk).max(seat.news_last);
             (seat.told, seat.told_at, seat.news_last) = (Some(state), self.now, at);
@@ -55,8 +72,20 @@
         if self.faults.stalled_desk || self.office_cut(by) {
             return self.blocked.push(What::NewsTo { by, state });
         }
-        let State { build, stage, standing, cap, since } = state;
-        self.note(Seen::News { to: by, build, stage, standing, cap });
+        let State {
+            build,
+            stage,
+            standing,
+            cap,
+            since,
+        } = state;
+        self.note(Seen::News {
+            to: by,
+            build,
+            stage,
+            standing,
+            cap,
+        });
         let standing = match standing {
             Standing::OnTrial => NewsStanding::OnTrial,
             Standing::GoingBack => NewsStanding::GoingBack,
@@ -64,15 +93,39 @@
             Standing::Withdrawn => NewsStanding::Withdrawn,
         };
         let age_us = (self.now - since).max(0) as u64;
-        let news = News { build, stage, standing, cap: cap as f32, age_us };
+        let news = News {
+            build,
+            stage,
+            standing,
+            cap: cap as f32,
+            age_us,
+        };
         self.give(by, Input::FromDesk(FromDesk::News(news)));
     }
 
-    pub(super) fn vote_at(&mut self, by: Process, ballot: u64, build: u16, stage: u8, verdict: Verdict) {
+    pub(super) fn vote_at(
+        &mut self,
+        by: Process,
+        ballot: u64,
+        build: u16,
+        stage: u8,
+        verdict: Verdict,
+    ) {
         if self.office_cut(by) {
-            return self.blocked.push(What::VoteAt { by, ballot, build, stage, verdict });
+            return self.blocked.push(What::VoteAt {
+                by,
+                ballot,
+                build,
+                stage,
+                verdict,
+            });
         }
-        self.note(Seen::Voted { from: by, build, stage, verdict: format!("{verdict:?}") });
+        self.note(Seen::Voted {
+            from: by,
+            build,
+            stage,
+            verdict: format!("{verdict:?}"),
+        });
         let result = if self.faults.refusing_desk {
             BallotResult::Refused
         } else {
--- a/crates/spokeflow-emulator/src/world/routers.rs
+++ b/crates/spokeflow-emulator/src/world/routers.rs
@@ -70,9 +70,18 @@
         let process = self.routers[router as usize].process;
         self.note(Seen::RouterUp(process));
         let who = self.who;
-        let brain = who.start(terms, seed, now, &mut Wires { world: self, router });
+        let brain = who.start(
+            terms,
+            seed,
+            now,
+            &mut Wires {
+                world: self,
+                router,
+            },
+        );
         let seat = &mut self.routers[router as usize];
-        (seat.brain, seat.wake_at, seat.down_since, seat.closing) = (Some(brain), Micros::MAX, None, false);
+        (seat.brain, seat.wake_at, seat.down_since, seat.closing) =
+            (Some(brain), Micros::MAX, None, false);
         self.wake_later(router);
         let link = self.routers[router as usize].list_link;
         self.plan(0, What::ListOpen { by: process, link });
@@ -104,26 +113,48 @@
             .map(|(_, t)| t.tried)
             .collect();
         for tried in open {
-            self.plan(LOCAL_WAY, What::AtClient { tried, end: TryEnd::Broken, receipt: 0 });
+            self.plan(
+                LOCAL_WAY,
+                What::AtClient {
+                    tried,
+                    end: TryEnd::Broken,
+                    receipt: 0,
+                },
+            );
         }
     }
 
     pub(super) fn roll(&mut self, routers: Rc<Vec<u32>>, nth: usize, down: Micros, apart: Micros) {
-        let Some(&router) = routers.get(nth) else { return };
+        let Some(&router) = routers.get(nth) else {
+            return;
+        };
         let next = Some((routers, nth + 1, down, apart));
         let seat = &mut self.routers[router as usize];
         if seat.brain.is_none() || seat.closing {
             // Another trouble has it.
             return self.plan(
                 apart,
-                What::Roll { routers: next.map(|n| n.0).unwrap_or_default(), nth: nth + 1, down, apart },
+                What::Roll {
+                    routers: next.map(|n| n.0).unwrap_or_default(),
+                    nth: nth + 1,
+                    down,
+                    apart,
+                },
             );
         }
         (seat.closing, seat.down_since) = (true, Some(self.now));
         let by = seat.process;
         self.note(Seen::RouterAsked(by));
         self.give(by, Input::Close);
-        self.plan(0, What::Ended { router, by, asked: self.now, next });
+        self.plan(
+            0,
+            What::Ended {
+                router,
+                by,
+                asked: self.now,
+                next,
+            },
+        );
     }
 
     pub(super) fn router_ended(
@@ -134,9 +165,21 @@
         next: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
     ) {
         let seat = &self.routers[router as usize];
-        let held = seat.brain.as_ref().filter(|_| seat.process == by).map_or(0, |b| b.held());
+        let held = seat
+            .brain
+            .as_ref()
+            .filter(|_| seat.process == by)
+            .map_or(0, |b| b.held());
         if held > 0 && self.now - asked < ENDS_WITHIN {
-            return self.plan(20 * MS, What::Ended { router, by, asked, next });
+            return self.plan(
+                20 * MS,
+                What::Ended {
+                    router,
+                    by,
+                    asked,
+                    next,
+                },
+            );
         }
         if seat.process == by && seat.brain.is_some() {
             self.stop_router(router, Seen::RouterEnded(by));
@@ -151,8 +194,17 @@
         if seat.process != by {
             return;
         }
-        let Some(mut brain) = seat.brain.take() else { return };
-        brain.take(self.now, input, &mut Wires { world: self, router: by.router });
+        let Some(mut brain) = seat.brain.take() else {
+            return;
+        };
+        brain.take(
+            self.now,
+            input,
+            &mut Wires {
+                world: self,
+                router: by.router,
+            },
+        );
         self.routers[by.router as usize].brain = Some(brain);
         self.wake_later(by.router);
     }
--- a/crates/spokeflow-emulator/tests/agreement.rs
+++ b/crates/spokeflow-emulator/tests/agreement.rs
@@ -6,7 +6,16 @@
 
 fn day(routers: u32, keepers: u32, seed: u64, faulty: bool) -> AgreementDay {
     let (length, lease, silence, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
-    AgreementDay { routers, keepers, seed, length, lease, silence, drift, faulty }
+    AgreementDay {
+        routers,
+        keepers,
+        seed,
+        length,
+        lease,
+        silence,
+        drift,
+        faulty,
+    }
 }
 
 #[test]
@@ -20,7 +29,10 @@
         longest = longest.max(played.longest_contradiction);
     }
     // The days have had something to break.
-    assert!(revisions > 150 && terms > 100 && longest > 2 * SECOND, "{revisions} {terms} {longest}");
+    assert!(
+        revisions > 150 && terms > 100 && longest > 2 * SECOND,
+        "{revisions} {terms} {longest}"
+    );
 }
 
 #[test]
@@ -28,15 +40,31 @@
     let played = play_agreement(day(150, 5, 1, false));
     assert_eq!((played.broken, played.terms), (None, 1));
     // Two rounds of requests, a third of a lease apart, but where the leader has just begun.
-    let quick = played.waits.iter().filter(|w| **w < 25 * SECOND / 10).count();
-    assert!(quick * 10 >= played.waits.len() * 8 && played.waits.len() > 8, "{:?}", played.waits);
+    let quick = played
+        .waits
+        .iter()
+        .filter(|w| **w < 25 * SECOND / 10)
+        .count();
+    assert!(
+        quick * 10 >= played.waits.len() * 8 && played.waits.len() > 8,
+        "{:?}",
+        played.waits
+    );
     // Each starts without a lease, and a keeper takes a second to be elected.
-    assert!(played.leased > 20 * played.unleased, "{} {}", played.leased, played.unleased);
+    assert!(
+        played.leased > 20 * played.unleased,
+        "{} {}",
+        played.leased,
+        played.unleased
+    );
 }
 
 #[test]
 fn the_log_of_a_day_of_many_offers_stays_small() {
-    let long = AgreementDay { length: 3600 * SECOND, ..day(3, 3, 7, false) };
+    let long = AgreementDay {
+        length: 3600 * SECOND,
+        ..day(3, 3, 7, false)
+    };
     let played = play_agreement(long);
     assert_eq!(played.broken, None);
     assert!(played.waits.len() > 800, "{}", played.waits.len());
--- a/crates/spokeflow-emulator/tests/days.rs
+++ b/crates/spokeflow-emulator/tests/days.rs
@@ -10,14 +10,23 @@
 
 #[test]
 fn equal_days_give_equal_bytes_in_any_order_and_on_any_thread() {
-    let days: Vec<Scenario> = (0..6).map(|seed| Scenario::drawn(seed, 20 * SECOND)).collect();
+    let days: Vec<Scenario> = (0..6)
+        .map(|seed| Scenario::drawn(seed, 20 * SECOND))
+        .collect();
     let one: Vec<String> = days.iter().map(|d| text(d, Who::Engine)).collect();
     let other: Vec<String> = std::thread::scope(|s| {
-        let all: Vec<_> = days.iter().rev().map(|d| s.spawn(move || text(d, Who::Engine))).collect();
+        let all: Vec<_> = days
+            .iter()
+            .rev()
+            .map(|d| s.spawn(move || text(d, Who::Engine)))
+            .collect();
         all.into_iter().rev().map(|t| t.join().unwrap()).collect()
     });
     assert_eq!(one, other);
-    assert!(one.windows(2).all(|w| w[0] != w[1]), "other seeds give other days");
+    assert!(
+        one.windows(2).all(|w| w[0] != w[1]),
+        "other seeds give other days"
+    );
 }
 
 #[test]
@@ -27,7 +36,11 @@
         let played = play(&day, Who::Engine, true);
         let report = &played.report;
         assert!(report.sound(), "{}", report.text());
-        assert!(report.commands > 1000 && report.acked * 2 > report.commands, "{}", report.text());
+        assert!(
+            report.commands > 1000 && report.acked * 2 > report.commands,
+            "{}",
+            report.text()
+        );
     }
 }
 
@@ -36,9 +49,18 @@
     let mut bad = Scenario::only(Kind::BadBuild, 3, 60 * SECOND);
     bad.builds[1].flaw = Flaw::Errors(0.6);
     let report = play(&bad, Who::Engine, false).report;
-    assert!(report.builds[0].end.starts_with("sent back"), "{}", report.text());
+    assert!(
+        report.builds[0].end.starts_with("sent back"),
+        "{}",
+        report.text()
+    );
     assert_eq!((report.misses, report.false_backs), (0, 0));
-    let good = play(&Scenario::only(Kind::None, 3, 60 * SECOND), Who::Engine, false).report;
+    let good = play(
+        &Scenario::only(Kind::None, 3, 60 * SECOND),
+        Who::Engine,
+        false,
+    )
+    .report;
     assert_eq!(good.builds[0].end, "released", "{}", good.text());
     let random = play(&bad, Who::Random, false).report;
     assert_eq!(random.misses, 1, "{}", random.text());
@@ -47,15 +69,21 @@
 #[test]
 fn full_sight_serves_most_and_random_least_when_hosts_hang_and_crawl() {
     let mut day = Scenario::only(Kind::Hang, 5, 60 * SECOND);
-    day.troubles.push("slow:at=20s:lasts=25s:part=0.3:size=6".parse().unwrap());
+    day.troubles
+        .push("slow:at=20s:lasts=25s:part=0.3:size=6".parse().unwrap());
     let service = |who| play(&day, who, false).report.service;
     let [engine, random, full] = [Who::Engine, Who::Random, Who::FullSight].map(service);
-    assert!(random < engine && engine <= full + 0.01, "{random} {engine} {full}");
+    assert!(
+        random < engine && engine <= full + 0.01,
+        "{random} {engine} {full}"
+    );
 }
 
 #[test]
 fn many_routers_tell_each_other_and_rules_hold() {
-    let mut day = Scenario::bad_day(8, 40 * SECOND).sized(Size::Middle).by_majority();
+    let mut day = Scenario::bad_day(8, 40 * SECOND)
+        .sized(Size::Middle)
+        .by_majority();
     day.troubles.push("cut:at=10s:lasts=8s".parse().unwrap());
     let report = play(&day, Who::Engine, true).report;
     assert!(report.sound(), "{}", report.text());
@@ -80,7 +108,12 @@
         }
         let played = play(&day, Who::Engine, false);
         assert!(played.report.sound(), "{}", played.report.text());
-        let released = played.report.builds.iter().filter(|b| b.end == "released").count();
+        let released = played
+            .report
+            .builds
+            .iter()
+            .filter(|b| b.end == "released")
+            .count();
         assert!(released * 2 > day.builds.len(), "{}", played.report.text());
         played.most_kept
     };
--- a/crates/spokeflow-emulator/tests/fleet.rs
+++ b/crates/spokeflow-emulator/tests/fleet.rs
@@ -33,16 +33,25 @@
 #[test]
 fn most_routers_start_from_an_old_list_while_the_list_is_silent() {
     for seed in 1..3 {
-        let script = "--script list-breaks:at=3s:lasts=6s --script router-kill:at=4s:lasts=1s:part=0.7";
+        let script =
+            "--script list-breaks:at=3s:lasts=6s --script router-kill:at=4s:lasts=1s:part=0.7";
         let report = fleet(seed, 12, script);
-        assert!(report.unreachable > 20 && served(&report) > 0.75, "{}", report.text());
+        assert!(
+            report.unreachable > 20 && served(&report) > 0.75,
+            "{}",
+            report.text()
+        );
     }
 }
 
 #[test]
 fn a_third_of_the_hosts_pause_and_go_on() {
     let report = fleet(3, 12, "--script hang:at=4s:lasts=5s:part=0.34");
-    assert!(report.failed > 20 && served(&report) > 0.9, "{}", report.text());
+    assert!(
+        report.failed > 20 && served(&report) > 0.9,
+        "{}",
+        report.text()
+    );
 }
 
 /// A third of the hosts die and come back cold: what all routers send them together stays within what they bear.
@@ -57,14 +66,23 @@
 #[test]
 fn a_site_is_cut_off_and_heard_again() {
     let report = fleet(6, 12, "--script cut:at=4s:lasts=5s");
-    assert!(report.failed > 20 && served(&report) > 0.9, "{}", report.text());
+    assert!(
+        report.failed > 20 && served(&report) > 0.9,
+        "{}",
+        report.text()
+    );
 }
 
 /// Together: routers that have just started hear no list while a third of the hosts go and return cold.
 #[test]
 fn routers_start_behind_a_cut_list_while_hosts_return_cold() {
-    let script = "--script cut-list:at=4s:lasts=6s --script kill:at=4s:lasts=2s:part=0.34 --script \
+    let script =
+        "--script cut-list:at=4s:lasts=6s --script kill:at=4s:lasts=2s:part=0.34 --script \
                   router-kill:at=5s:lasts=1s:part=0.7";
     let report = fleet(7, 14, script);
-    assert!(report.unreachable > 20 && served(&report) > 0.85, "{}", report.text());
+    assert!(
+        report.unreachable > 20 && served(&report) > 0.85,
+        "{}",
+        report.text()
+    );
 }
--- a/crates/spokeflow-emulator/tests/kept.rs
+++ b/crates/spokeflow-emulator/tests/kept.rs
@@ -23,7 +23,8 @@
 #[test]
 fn what_is_cancelled_in_a_cut_does_not_run_after_its_mark_is_forgotten() {
     for seed in 1..9 {
-        let script = "--script give-up:at=4s:lasts=12s:size=0.25 --script cut:at=5s:lasts=9s:part=0:size=0";
+        let script =
+            "--script give-up:at=4s:lasts=12s:size=0.25 --script cut:at=5s:lasts=9s:part=0:size=0";
         sound(&format!(
             "--scenario plain --bare --seed {seed} --seconds 24 --size middle --rate 120 --cancel ignored {script}"
         ));
--- a/crates/spokeflow-engine/src/book.rs
+++ b/crates/spokeflow-engine/src/book.rs
@@ -116,8 +116,15 @@
     }
 
     /// The final answer. A second one has no way out of here.
-    pub fn answer(&mut self, cmd: CommandId, links: &mut dyn Links, message: impl FnOnce(u64) -> ToClient) {
-        let Some(owed) = self.cmds.get_mut(&cmd).filter(|o| !o.answered) else { return };
+    pub fn answer(
+        &mut self,
+        cmd: CommandId,
+        links: &mut dyn Links,
+        message: impl FnOnce(u64) -> ToClient,
+    ) {
+        let Some(owed) = self.cmds.get_mut(&cmd).filter(|o| !o.answered) else {
+            return;
+        };
         owed.answered = true;
         owed.body = Bytes::new();
         let (conn, id, until, open) = (owed.conn, owed.id, owed.until, owed.open);
@@ -142,7 +149,10 @@
     /// Nothing may leave for a command that is answered: guards against connections that come up after that.
     pub fn recall(&self, cmd: CommandId, links: &mut dyn Links) {
         let deliveries = self.cmds.get(&cmd).map_or(&[][..], |owed| &owed.deliveries);
-        for (delivery, out) in deliveries.iter().filter_map(|d| Some((d, self.out.get(d)?))) {
+        for (delivery, out) in deliveries
+            .iter()
+            .filter_map(|d| Some((d, self.out.get(d)?)))
+        {
             links.recall(out.host, Some(*delivery));
         }
     }
@@ -159,7 +169,11 @@
 
     /// Forgets a command that is answered and has nothing out.
     pub fn forget(&mut self, cmd: CommandId) {
-        if self.cmds.get(&cmd).is_some_and(|o| o.answered && o.open == 0) {
+        if self
+            .cmds
+            .get(&cmd)
+            .is_some_and(|o| o.answered && o.open == 0)
+        {
             self.cmds.remove(&cmd);
         }
     }
@@ -174,7 +188,9 @@
 impl Egress for Carrier<'_> {
     fn deliver(&mut self, cmd: CommandId, host: HostId, until: Option<Micros>) {
         let book = &mut *self.book;
-        let Some(owed) = book.cmds.get_mut(&cmd) else { return };
+        let Some(owed) = book.cmds.get_mut(&cmd) else {
+            return;
+        };
         let delivery = book.next_delivery;
         book.next_delivery += 1;
         let until = until.unwrap_or(owed.until).min(owed.until);
@@ -184,7 +200,16 @@
         owed.deliveries.push(delivery);
         owed.may_have_run.push(Some(book.now));
         owed.open += 1;
-        book.out.insert(delivery, Out { cmd, nth, host, sent: book.now, until });
+        book.out.insert(
+            delivery,
+            Out {
+                cmd,
+                nth,
+                host,
+                sent: book.now,
+                until,
+            },
+        );
         book.due.insert((until, delivery));
         book.counts.deliveries += 1;
         if owed.answered || book.now >= until {
@@ -200,8 +225,15 @@
             body: owed.body.clone(),
         };
         // What waits while this process is stopped must not leave under a lease that has run out meanwhile.
-        let build = || book.places.get(&host).map_or(BuildId::default(), Place::build);
-        let leave_by = book.trial_until.filter(|t| build() >= t.0).map_or(until, |t| t.1.min(until));
+        let build = || {
+            book.places
+                .get(&host)
+                .map_or(BuildId::default(), Place::build)
+        };
+        let leave_by = book
+            .trial_until
+            .filter(|t| build() >= t.0)
+            .map_or(until, |t| t.1.min(until));
         // A repeat that is held up on its way must not arrive after hosts have forgotten the first.
         let leave_by = repeat_by.map_or(leave_by, |at| at.min(leave_by));
         if !self.links.to_host(host, message, leave_by) {
@@ -212,18 +244,25 @@
 
     fn nack(&mut self, cmd: CommandId, come_back: Option<Micros>) {
         let come_back_us = come_back.map(|t| t.max(0) as u64);
-        self.book.answer(cmd, self.links, |id| ToClient::Nacked { id, come_back_us });
+        self.book
+            .answer(cmd, self.links, |id| ToClient::Nacked { id, come_back_us });
     }
 
     fn fail(&mut self, cmd: CommandId) {
-        self.book.answer(cmd, self.links, |id| ToClient::Failed { id });
+        self.book
+            .answer(cmd, self.links, |id| ToClient::Failed { id });
     }
 
     fn cancel(&mut self, cmd: CommandId, delivery: u8) {
-        let Some(owed) = self.book.cmds.get(&cmd) else { return };
-        let Some(&delivery) = owed.deliveries.get(usize::from(delivery)) else { return };
+        let Some(owed) = self.book.cmds.get(&cmd) else {
+            return;
+        };
+        let Some(&delivery) = owed.deliveries.get(usize::from(delivery)) else {
+            return;
+        };
         if let Some(out) = self.book.out.get(&delivery) {
-            self.links.to_host(out.host, ToHost::Cancel { delivery }, Micros::MAX);
+            self.links
+                .to_host(out.host, ToHost::Cancel { delivery }, Micros::MAX);
             self.book.ends.push_back((delivery, DeliveryEnd::Cancelled));
         }
     }
@@ -243,7 +282,12 @@
         let ballot = book.next_ballot;
         book.next_ballot += 1;
         book.counts.votes += 1;
-        if self.links.to_desk(ToDesk::Vote { ballot, build: build.0, stage, verdict }) {
+        if self.links.to_desk(ToDesk::Vote {
+            ballot,
+            build: build.0,
+            stage,
+            verdict,
+        }) {
             book.ballot = Some((ballot, book.now + book.vote_wait));
         } else {
             book.ballot_failed = true;
@@ -251,7 +295,13 @@
     }
 
     fn probe(&mut self, host: HostId) {
-        self.links.to_host(host, ToHost::Probe { probe: self.book.now as u64 }, Micros::MAX);
+        self.links.to_host(
+            host,
+            ToHost::Probe {
+                probe: self.book.now as u64,
+            },
+            Micros::MAX,
+        );
     }
 
     fn watch_list(&mut self) {
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -2,12 +2,12 @@
 
 use spokeflow_agreed::AgreedTerms;
 use spokeflow_core::{
-    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros, OpType,
-    Repeat, Router, ServiceTerms, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
+    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
+    OpType, Repeat, Router, ServiceTerms, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
 };
 use spokeflow_proto::{
-    BallotResult, Command, FrameFault, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding,
-    ToClient, ToHost,
+    BallotResult, Command, FrameFault, FromDesk, FromHost, FromList, Line, LinePhase, News,
+    NewsStanding, ToClient, ToHost,
 };
 
 use crate::book::{Book, Carrier, Owed, Place};
@@ -63,9 +63,29 @@
 impl Engine {
     /// `seed` starts the module's chance; times are microseconds of any one clock that never goes back.
     pub fn new(terms: EngineTerms, seed: u64, now: Micros, links: &mut dyn Links) -> Self {
-        let mut book = Book { now, born: now, vote_wait: terms.service.vote_wait.max(1), ..Book::default() };
-        let router = Router::new(&terms.service, seed, now, &mut Carrier { book: &mut book, links });
-        let mut engine = Engine { router, book, terms, agreed: None, news: None, closing: false };
+        let mut book = Book {
+            now,
+            born: now,
+            vote_wait: terms.service.vote_wait.max(1),
+            ..Book::default()
+        };
+        let router = Router::new(
+            &terms.service,
+            seed,
+            now,
+            &mut Carrier {
+                book: &mut book,
+                links,
+            },
+        );
+        let mut engine = Engine {
+            router,
+            book,
+            terms,
+            agreed: None,
+            news: None,
+            closing: false,
+        };
         engine.settle(links);
         engine
     }
@@ -106,32 +126,54 @@
     pub fn take(&mut self, now: Micros, input: Input, links: &mut dyn Links) {
         self.at(now);
         // Asked before each act, not by a timer: this process may have been stopped.
-        if self.agreed.as_ref().is_some_and(|a| a.leased && self.book.now >= a.until) {
+        if self
+            .agreed
+            .as_ref()
+            .is_some_and(|a| a.leased && self.book.now >= a.until)
+        {
             self.go_by_agreed(links);
         }
         match input {
             Input::Command { conn, command } => self.command(conn, command, links),
             Input::Leave { conn, id } => {
-                let cmd = self.book.by_client.get_mut(&conn).and_then(|ids| ids.remove(&id));
+                let cmd = self
+                    .book
+                    .by_client
+                    .get_mut(&conn)
+                    .and_then(|ids| ids.remove(&id));
                 if let Some(cmd) = cmd {
                     self.left(cmd, links);
                 }
             }
             Input::ClientGone { conn } => {
-                for cmd in self.book.by_client.remove(&conn).unwrap_or_default().into_values() {
+                for cmd in self
+                    .book
+                    .by_client
+                    .remove(&conn)
+                    .unwrap_or_default()
+                    .into_values()
+                {
                     self.left(cmd, links);
                 }
             }
             Input::Disputed { receipt, .. } => {
-                let (host, sent) = (HostId((receipt >> 32) as u32), (receipt as u32 as Micros) * 1000);
-                self.router.disputed(host, (self.book.now - self.book.born - sent).max(0));
+                let (host, sent) = (
+                    HostId((receipt >> 32) as u32),
+                    (receipt as u32 as Micros) * 1000,
+                );
+                self.router
+                    .disputed(host, (self.book.now - self.book.born - sent).max(0));
             }
             Input::Reported { host, ago_us } => {
                 let ago = ago_us.min(Micros::MAX as u64 / 4) as Micros;
                 self.router.disputed(HostId(host), ago);
             }
             Input::FromHost { host, message } => self.hear_host(HostId(host), message, links),
-            Input::NotDelivered { host, delivery, end } => {
+            Input::NotDelivered {
+                host,
+                delivery,
+                end,
+            } => {
                 if self.is_out(HostId(host), delivery) {
                     let end = match end {
                         NoAnswer::NotSent => DeliveryEnd::NotSent,
@@ -179,12 +221,18 @@
             // The module makes no use of what other routers say.
             Input::Told { .. } => {}
             Input::Agreed { until, terms } => match &mut self.agreed {
-                Some(agreed) if agreed.leased && until > self.book.now && agreed.terms == *terms => {
+                Some(agreed)
+                    if agreed.leased && until > self.book.now && agreed.terms == *terms =>
+                {
                     agreed.until = until;
                     self.book.trial_until = self.book.trial_until.map(|t| (t.0, until));
                 }
                 _ => {
-                    self.agreed = Some(Agreed { until, terms: *terms, leased: false });
+                    self.agreed = Some(Agreed {
+                        until,
+                        terms: *terms,
+                        leased: false,
+                    });
                     self.go_by_agreed(links);
                 }
             },
@@ -193,7 +241,13 @@
             Input::GiveUp => {
                 let owed: Vec<CommandId> = self.book.owed_by.iter().map(|o| o.1).collect();
                 for cmd in owed {
-                    self.router.give_up(cmd, &mut Carrier { book: &mut self.book, links });
+                    self.router.give_up(
+                        cmd,
+                        &mut Carrier {
+                            book: &mut self.book,
+                            links,
+                        },
+                    );
                 }
             }
             Input::Wake => self.wake(links),
@@ -216,7 +270,9 @@
     /// One step between two commands: none sees parts of two revisions. Without a lease only what contradicts no
     /// later revision is done.
     fn go_by_agreed(&mut self, links: &mut dyn Links) {
-        let Some(agreed) = &mut self.agreed else { return };
+        let Some(agreed) = &mut self.agreed else {
+            return;
+        };
         agreed.leased = self.book.now < agreed.until;
         let terms = match agreed.leased {
             true => agreed.terms.clone(),
@@ -230,10 +286,18 @@
 
     /// The desk's news as the module may know it: no cap is higher than agreed for its stage.
     fn tell_news(&mut self, links: &mut dyn Links) {
-        let Some((mut news, at)) = self.news else { return };
+        let Some((mut news, at)) = self.news else {
+            return;
+        };
         news.age_us += (self.book.now - at) as u64;
         if let Some(agreed) = &self.agreed {
-            let ceiling = self.terms.service.stage_caps.get(usize::from(news.stage)).copied().unwrap_or(0.0);
+            let ceiling = self
+                .terms
+                .service
+                .stage_caps
+                .get(usize::from(news.stage))
+                .copied()
+                .unwrap_or(0.0);
             let released = news.standing == NewsStanding::Released;
             if !released {
                 news.cap = news.cap.min(ceiling as f32);
@@ -241,12 +305,24 @@
             let from = BuildId(news.build.saturating_add(released.into()));
             self.book.trial_until = Some((from, agreed.until));
         }
-        self.router.told(stage_news(news), &mut Carrier { book: &mut self.book, links });
+        self.router.told(
+            stage_news(news),
+            &mut Carrier {
+                book: &mut self.book,
+                links,
+            },
+        );
     }
 
     /// A lower cap binds what leaves, whenever it was called: what waits for its connection comes back.
     fn recall_lowered(&self, before: Option<News>, news: News, links: &mut dyn Links) {
-        let first = self.terms.service.stage_caps.first().copied().unwrap_or(0.0) as f32;
+        let first = self
+            .terms
+            .service
+            .stage_caps
+            .first()
+            .copied()
+            .unwrap_or(0.0) as f32;
         let cap = |news: Option<News>, build: u16| match news {
             Some(n) if build < n.build => f32::INFINITY,
             Some(n) if build == n.build && n.standing == NewsStanding::Released => f32::INFINITY,
@@ -269,9 +345,16 @@
         let left = command.left_us.min(Micros::MAX as u64 / 4) as Micros - margin;
         let known = usize::from(command.op) < self.terms.service.ops.len();
         let full = book.owed_by.len() >= self.terms.held_at_most;
-        if book.by_client.get(&conn).is_some_and(|ids| ids.contains_key(&command.id)) {
+        if book
+            .by_client
+            .get(&conn)
+            .is_some_and(|ids| ids.contains_key(&command.id))
+        {
             // Two answers under one number could not be told apart. The link closes it, which ends the first.
-            return links.to_client(conn, ToClient::Refused(FrameFault::IdInUse(command.id).refused()));
+            return links.to_client(
+                conn,
+                ToClient::Refused(FrameFault::IdInUse(command.id).refused()),
+            );
         }
         book.counts.taken += 1;
         if self.closing || full || left <= 0 || !known {
@@ -279,13 +362,23 @@
             book.counts.over_held += u64::from(full);
             book.counts.nacked += 1;
             let service = &self.terms.service;
-            let come_back_us = (service.may_name_return && known).then_some(service.longest_return as u64);
-            return links.to_client(conn, ToClient::Nacked { id: command.id, come_back_us });
+            let come_back_us =
+                (service.may_name_return && known).then_some(service.longest_return as u64);
+            return links.to_client(
+                conn,
+                ToClient::Nacked {
+                    id: command.id,
+                    come_back_us,
+                },
+            );
         }
         let op_terms = &self.terms.service.ops[usize::from(command.op)];
         let cmd = book.fresh_id();
         let until = book.now + left;
-        book.by_client.entry(conn).or_default().insert(command.id, cmd);
+        book.by_client
+            .entry(conn)
+            .or_default()
+            .insert(command.id, cmd);
         book.owed_by.insert((until, cmd));
         let owed = Owed {
             conn,
@@ -299,22 +392,32 @@
             body: command.body,
             deliveries: Vec::new(),
             may_have_run: Vec::new(),
-            repeat_memory: (op_terms.repeat == Repeat::Deduplicated).then_some(op_terms.repeat_memory),
+            repeat_memory: (op_terms.repeat == Repeat::Deduplicated)
+                .then_some(op_terms.repeat_memory),
             open: 0,
         };
         book.cmds.insert(cmd, owed);
         let (op, share, key) = (OpType(command.op), ShareId(command.share), Key(command.key));
-        self.router.command(cmd, op, share, key, left, &mut Carrier { book, links });
+        self.router
+            .command(cmd, op, share, key, left, &mut Carrier { book, links });
     }
 
     /// The client waits no longer: nothing is owed, what is out still ends.
     fn left(&mut self, cmd: CommandId, links: &mut dyn Links) {
-        let Some(owed) = self.book.cmds.get_mut(&cmd).filter(|o| !o.answered) else { return };
+        let Some(owed) = self.book.cmds.get_mut(&cmd).filter(|o| !o.answered) else {
+            return;
+        };
         owed.answered = true;
         let until = owed.until;
         self.book.owed_by.remove(&(until, cmd));
         self.book.counts.left += 1;
-        self.router.end(cmd, &mut Carrier { book: &mut self.book, links });
+        self.router.end(
+            cmd,
+            &mut Carrier {
+                book: &mut self.book,
+                links,
+            },
+        );
         self.book.recall(cmd, links);
         self.book.forget(cmd);
     }
@@ -322,20 +425,31 @@
     // ---- Hosts ----
 
     fn is_out(&self, host: HostId, delivery: u64) -> bool {
-        self.book.out.get(&delivery).is_some_and(|out| out.host == host)
+        self.book
+            .out
+            .get(&delivery)
+            .is_some_and(|out| out.host == host)
     }
 
     fn hear_host(&mut self, host: HostId, message: FromHost, links: &mut dyn Links) {
         match message {
-            FromHost::Welcome { build, incarnation, up_us, .. } => {
-                self.host_speaks(host, build, incarnation, up_us, links)
-            }
+            FromHost::Welcome {
+                build,
+                incarnation,
+                up_us,
+                ..
+            } => self.host_speaks(host, build, incarnation, up_us, links),
             FromHost::Acked { delivery, body } if self.is_out(host, delivery) => {
                 let out = &self.book.out[&delivery];
                 let (cmd, sent) = (out.cmd, (out.sent - self.book.born) / 1000);
                 let receipt = u64::from(host.0) << 32 | u64::from(sent as u32);
                 let build = self.book.places.get(&host).map_or(0, |p| p.build().0);
-                self.book.answer(cmd, links, |id| ToClient::Acked { id, build, receipt, body });
+                self.book.answer(cmd, links, |id| ToClient::Acked {
+                    id,
+                    build,
+                    receipt,
+                    body,
+                });
                 self.ended(delivery, DeliveryEnd::Acked, links);
             }
             FromHost::Report { busy } => self.router.reported(host, f64::from(busy) / 1000.0),
@@ -358,26 +472,56 @@
 
     /// A host's own word on its process is newer than the list's: one that has restarted is cold, and the list
     /// says so only seconds later.
-    fn host_speaks(&mut self, host: HostId, build: u16, incarnation: u64, up_us: u64, links: &mut dyn Links) {
-        let Some(place) = self.book.places.get_mut(&host).filter(|p| p.incarnation < incarnation) else {
+    fn host_speaks(
+        &mut self,
+        host: HostId,
+        build: u16,
+        incarnation: u64,
+        up_us: u64,
+        links: &mut dyn Links,
+    ) {
+        let Some(place) = self
+            .book
+            .places
+            .get_mut(&host)
+            .filter(|p| p.incarnation < incarnation)
+        else {
             return;
         };
         let started = self.book.now - up_us.min(Micros::MAX as u64 / 4) as Micros;
         place.incarnation = incarnation;
         (place.line.build, place.line.started) = (Some(BuildId(build)), Some(started));
         let line = place.line;
-        self.router.listed(ListKind::Changes, &[line], &mut Carrier { book: &mut self.book, links });
+        self.router.listed(
+            ListKind::Changes,
+            &[line],
+            &mut Carrier {
+                book: &mut self.book,
+                links,
+            },
+        );
     }
 
     fn ended(&mut self, delivery: u64, end: DeliveryEnd, links: &mut dyn Links) {
-        let Some(out) = self.book.close(delivery) else { return };
-        if let Some(owed) = self.book.cmds.get_mut(&out.cmd).filter(|_| !end.may_have_run()) {
+        let Some(out) = self.book.close(delivery) else {
+            return;
+        };
+        if let Some(owed) = self
+            .book
+            .cmds
+            .get_mut(&out.cmd)
+            .filter(|_| !end.may_have_run())
+        {
             owed.may_have_run[usize::from(out.nth)] = None;
         }
         let took = self.book.now - out.sent;
         let done = self.book.cmds.get(&out.cmd).is_none_or(|o| o.answered);
-        let carrier = &mut Carrier { book: &mut self.book, links };
-        self.router.ended(out.cmd, out.nth, end, took, done, carrier);
+        let carrier = &mut Carrier {
+            book: &mut self.book,
+            links,
+        };
+        self.router
+            .ended(out.cmd, out.nth, end, took, done, carrier);
         self.book.forget(out.cmd);
     }
 
@@ -401,15 +545,21 @@
     /// What the own list says while the list is agreed: hosts are taken away at once, and given back to the agreed
     /// list, but nothing is added.
     fn take_away(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Links) {
-        let Some(agreed) = &mut self.book.agreed_list else { return };
+        let Some(agreed) = &mut self.book.agreed_list else {
+            return;
+        };
         let mut changed = Vec::new();
         for line in lines {
-            let Some(place) = self.book.places.get(&HostId(line.host)) else { continue };
+            let Some(place) = self.book.places.get(&HostId(line.host)) else {
+                continue;
+            };
             if line.incarnation < place.incarnation {
                 continue;
             }
             if line.phase != LinePhase::Ready {
-                agreed.taken.insert(line.host, (place.incarnation, line.phase));
+                agreed
+                    .taken
+                    .insert(line.host, (place.incarnation, line.phase));
                 changed.push(place.as_line(line.phase));
             } else if agreed.taken.remove(&line.host).is_some() {
                 changed.extend(agreed.told.get(&line.host).cloned());
@@ -419,7 +569,9 @@
             let named: BTreeSet<u32> = lines.iter().map(|line| line.host).collect();
             for (host, place) in &self.book.places {
                 if place.line.phase != HostPhase::Gone && !named.contains(&host.0) {
-                    agreed.taken.insert(host.0, (place.incarnation, LinePhase::Gone));
+                    agreed
+                        .taken
+                        .insert(host.0, (place.incarnation, LinePhase::Gone));
                     changed.push(place.as_line(LinePhase::Gone));
                 }
             }
@@ -443,7 +595,11 @@
         }
         agreed.told.retain(|_, line| line.phase != LinePhase::Gone);
         if whole || !hosts.is_empty() {
-            let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+            let kind = if whole {
+                ListKind::Whole
+            } else {
+                ListKind::Changes
+            };
             self.list(kind, &hosts, links);
         }
     }
@@ -468,19 +624,36 @@
                 links.host_closed(line.host, line.phase == HostPhase::Gone);
             }
         }
-        self.router.listed(kind, &told, &mut Carrier { book: &mut self.book, links });
+        self.router.listed(
+            kind,
+            &told,
+            &mut Carrier {
+                book: &mut self.book,
+                links,
+            },
+        );
     }
 
     /// What is no size, or of a host that no line has named, is passed over.
     fn sizes(&mut self, sizes: &[(u32, f32)], links: &mut dyn Links) {
         let mut told = Vec::new();
-        for (host, size) in sizes.iter().filter(|(_, size)| size.is_finite() && *size > 0.0) {
+        for (host, size) in sizes
+            .iter()
+            .filter(|(_, size)| size.is_finite() && *size > 0.0)
+        {
             if let Some(place) = self.book.places.get_mut(&HostId(*host)) {
                 place.line.size = f64::from(*size);
                 told.push(place.line);
             }
         }
-        self.router.listed(ListKind::Changes, &told, &mut Carrier { book: &mut self.book, links });
+        self.router.listed(
+            ListKind::Changes,
+            &told,
+            &mut Carrier {
+                book: &mut self.book,
+                links,
+            },
+        );
     }
 
     /// The module hears of failures only where it has to ask.
@@ -497,13 +670,27 @@
             LinePhase::Ready => HostPhase::Ready,
             LinePhase::Draining => HostPhase::Draining,
         };
-        let up = line.up_us.map(|up| up.min(Micros::MAX as u64 / 4) as Micros);
+        let up = line
+            .up_us
+            .map(|up| up.min(Micros::MAX as u64 / 4) as Micros);
         let (build, zone) = (line.build.map(BuildId), ZoneId(line.zone));
-        let fresh = HostLine { host, build, cell: line.cell, zone, phase, size: 1.0, started: None };
+        let fresh = HostLine {
+            host,
+            build,
+            cell: line.cell,
+            zone,
+            phase,
+            size: 1.0,
+            started: None,
+        };
         let mut first = false;
         let place = self.book.places.entry(host).or_insert_with(|| {
             first = true;
-            Place { address: String::new(), incarnation: line.incarnation, line: fresh }
+            Place {
+                address: String::new(),
+                incarnation: line.incarnation,
+                line: fresh,
+            }
         });
         if first || line.incarnation > place.incarnation {
             // Computed once for each process: said again it would differ by the way of the message.
@@ -515,7 +702,12 @@
             place.address.clone_from(&line.address);
         }
         // Of an earlier process than the host itself has told of, only the phase is taken: it is the list's.
-        place.line = HostLine { cell: line.cell, zone, phase, ..place.line };
+        place.line = HostLine {
+            cell: line.cell,
+            zone,
+            phase,
+            ..place.line
+        };
         place.line
     }
 
@@ -527,7 +719,10 @@
             self.book.wakes.pop_first();
             // Beats that were missed are made up by one.
             if self.book.wakes.first().is_none_or(|at| *at > now) {
-                self.router.woken(&mut Carrier { book: &mut self.book, links });
+                self.router.woken(&mut Carrier {
+                    book: &mut self.book,
+                    links,
+                });
             }
         }
         while let Some(&(at, delivery)) = self.book.due.first().filter(|d| d.0 <= now) {
@@ -540,7 +735,13 @@
         while let Some(&(_, cmd)) = self.book.owed_by.first().filter(|d| d.0 <= now) {
             self.book.counts.overdue += 1;
             self.book.answer(cmd, links, |id| ToClient::Failed { id });
-            self.router.end(cmd, &mut Carrier { book: &mut self.book, links });
+            self.router.end(
+                cmd,
+                &mut Carrier {
+                    book: &mut self.book,
+                    links,
+                },
+            );
             self.book.forget(cmd);
         }
         if self.book.ballot.is_some_and(|b| b.1 <= now) {
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -130,7 +130,9 @@
     /// The seed, the time of start, the inputs, and the fault at which reading ended, if any.
     pub fn read(bytes: &[u8]) -> (u64, Micros, Vec<(Micros, Input)>, Option<RecordingFault>) {
         let number = |from: usize| {
-            let part = bytes.get(from..from + 8).and_then(|b| <[u8; 8]>::try_from(b).ok());
+            let part = bytes
+                .get(from..from + 8)
+                .and_then(|b| <[u8; 8]>::try_from(b).ok());
             part.map(u64::from_be_bytes)
         };
         let (Some(seed), Some(now), true) = (number(8), number(16), bytes.starts_with(MARK)) else {
@@ -146,7 +148,10 @@
                 Some((postcard::from_bytes(body).ok()?, 8 + length))
             })();
             let Some((input, length)) = entry else {
-                let fault = RecordingFault::Torn { whole: inputs.len(), at };
+                let fault = RecordingFault::Torn {
+                    whole: inputs.len(),
+                    at,
+                };
                 return (seed, now as Micros, inputs, Some(fault));
             };
             inputs.push(input);
@@ -158,5 +163,7 @@
 
 /// FNV-1a, 32 bits: enough to tell a torn entry from a whole one.
 fn sum(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |h, b| (h ^ u32::from(*b)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |h, b| {
+        (h ^ u32::from(*b)).wrapping_mul(0x0100_0193)
+    })
 }
--- a/crates/spokeflow-engine/src/outgoing.rs
+++ b/crates/spokeflow-engine/src/outgoing.rs
@@ -39,7 +39,8 @@
     pub fn push(&mut self, message: ToHost, leave_by: Micros) -> Option<u64> {
         match message {
             ToHost::Cancel { delivery } => {
-                let waits = |m: &ToHost| matches!(m, ToHost::Deliver { delivery: d, .. } if *d == delivery);
+                let waits =
+                    |m: &ToHost| matches!(m, ToHost::Deliver { delivery: d, .. } if *d == delivery);
                 if let Some(at) = self.waiting.iter().position(|(m, _)| waits(m)) {
                     self.waiting.remove(at);
                     return Some(delivery);
@@ -155,7 +156,10 @@
     }
 
     pub fn idle(&self) -> bool {
-        self.waiting.is_empty() && self.leaving.is_empty() && self.out.is_empty() && self.cancelled.is_empty()
+        self.waiting.is_empty()
+            && self.leaving.is_empty()
+            && self.out.is_empty()
+            && self.cancelled.is_empty()
     }
 
     /// The connection is no more, with so many encoded bytes untaken; starts anew for the next one. What was
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -35,8 +35,13 @@
 
     pub fn one_answer_each(&self, commands: u64) {
         let mut count = BTreeMap::new();
-        self.answers.iter().for_each(|a| *count.entry(id_of(&a.2)).or_insert(0) += 1);
-        assert!((1..=commands).all(|id| count.get(&id) == Some(&1)), "{count:?}");
+        self.answers
+            .iter()
+            .for_each(|a| *count.entry(id_of(&a.2)).or_insert(0) += 1);
+        assert!(
+            (1..=commands).all(|id| count.get(&id) == Some(&1)),
+            "{count:?}"
+        );
     }
 }
 
@@ -148,7 +153,11 @@
         back_votes: 0,
         votes_a_second: f64::INFINITY,
     };
-    EngineTerms { service, answer_margin: MARGIN, held_at_most: 1000 }
+    EngineTerms {
+        service,
+        answer_margin: MARGIN,
+        held_at_most: 1000,
+    }
 }
 
 impl Rig {
@@ -156,7 +165,14 @@
         let (mut links, now) = (Noted::default(), 100 * SECOND);
         let engine = Engine::new(terms(), seed, now, &mut links);
         let recording = Recording::head(seed, now);
-        Rig { engine, links, now, recording, chance: Chance::new(chance), version: 0 }
+        Rig {
+            engine,
+            links,
+            now,
+            recording,
+            chance: Chance::new(chance),
+            version: 0,
+        }
     }
 
     pub fn replay(seed: u64, start: Micros, inputs: &[(Micros, Input)]) -> String {
@@ -182,20 +198,41 @@
     fn line(host: u32, build: u16, phase: LinePhase, incarnation: u64) -> Line {
         let up_us = (incarnation > 1).then_some(1000);
         let address = format!("127.0.0.1:{host}");
-        Line { host, address, build: Some(build), cell: 0, zone: 0, phase, incarnation, up_us }
+        Line {
+            host,
+            address,
+            build: Some(build),
+            cell: 0,
+            zone: 0,
+            phase,
+            incarnation,
+            up_us,
+        }
     }
 
     pub fn list(&mut self, hosts: &[u32], build: u16) {
-        let lines = hosts.iter().map(|h| Self::line(*h, build, LinePhase::Ready, 1)).collect();
+        let lines = hosts
+            .iter()
+            .map(|h| Self::line(*h, build, LinePhase::Ready, 1))
+            .collect();
         self.input(Input::FromList(FromList::Whole { version: 1, lines }));
-        let news = News { build, stage: 2, standing: NewsStanding::Released, cap: 1.0, age_us: 0 };
+        let news = News {
+            build,
+            stage: 2,
+            standing: NewsStanding::Released,
+            cap: 1.0,
+            age_us: 0,
+        };
         self.input(Input::FromDesk(FromDesk::News(news)));
     }
 
     pub fn change(&mut self, host: u32, build: u16, phase: LinePhase, incarnation: u64) {
         self.version += 1;
         let lines = vec![Self::line(host, build, phase, incarnation)];
-        self.input(Input::FromList(FromList::Changes { version: self.version, lines }));
+        self.input(Input::FromList(FromList::Changes {
+            version: self.version,
+            lines,
+        }));
     }
 
     pub fn command(&mut self, conn: u64, id: u64, op: u16, key: u64) {
@@ -204,7 +241,15 @@
 
     pub fn command_within(&mut self, conn: u64, id: u64, op: u16, key: u64, left: Micros) {
         let body = Default::default();
-        let command = Command { id, op, share: 0, key, mark: id, left_us: left as u64, body };
+        let command = Command {
+            id,
+            op,
+            share: 0,
+            key,
+            mark: id,
+            left_us: left as u64,
+            body,
+        };
         self.input(Input::Command { conn, command });
     }
 
@@ -220,7 +265,12 @@
     }
 
     pub fn answers(&self, conn: u64) -> Vec<ToClient> {
-        self.links.answers.iter().filter(|a| a.1 == conn).map(|a| a.2.clone()).collect()
+        self.links
+            .answers
+            .iter()
+            .filter(|a| a.1 == conn)
+            .map(|a| a.2.clone())
+            .collect()
     }
 
     /// Time goes by; the engine is woken when it has asked for it.
@@ -236,7 +286,13 @@
     pub fn answer_some(&mut self) {
         while self.links.sent.len() > 4 {
             let (host, delivery, _) = self.links.sent.remove(0);
-            self.host(host, FromHost::Acked { delivery, body: Default::default() });
+            self.host(
+                host,
+                FromHost::Acked {
+                    delivery,
+                    body: Default::default(),
+                },
+            );
         }
     }
 
@@ -251,7 +307,13 @@
             self.command(99, id, 0, 0);
             self.pass(20_000);
             for (host, delivery, _) in std::mem::take(&mut self.links.sent) {
-                self.host(host, FromHost::Acked { delivery, body: Default::default() });
+                self.host(
+                    host,
+                    FromHost::Acked {
+                        delivery,
+                        body: Default::default(),
+                    },
+                );
             }
         }
     }
@@ -268,11 +330,25 @@
         let pick = self.draw(self.links.sent.len()) as usize;
         let (host, delivery, _) = self.links.sent.remove(pick);
         match self.draw(6) {
-            0 | 1 => self.host(host, FromHost::Acked { delivery, body: Default::default() }),
+            0 | 1 => self.host(
+                host,
+                FromHost::Acked {
+                    delivery,
+                    body: Default::default(),
+                },
+            ),
             2 => self.host(host, FromHost::Error { delivery }),
             3 => self.host(host, FromHost::Full { delivery }),
-            4 => self.input(Input::NotDelivered { host, delivery, end: NoAnswer::Reset }),
-            _ => self.input(Input::NotDelivered { host, delivery, end: NoAnswer::NotConnected }),
+            4 => self.input(Input::NotDelivered {
+                host,
+                delivery,
+                end: NoAnswer::Reset,
+            }),
+            _ => self.input(Input::NotDelivered {
+                host,
+                delivery,
+                end: NoAnswer::NotConnected,
+            }),
         }
     }
 }
