--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -6,7 +6,9 @@
 use spokeflow_agreed::AgreedTerms;
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, NoAnswer, Recording, RecordingFault};
-use spokeflow_proto::{FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient};
+use spokeflow_proto::{
+    FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient,
+};
 
 const SAFE: u16 = 0;
 const KEYED: u16 = 1;
@@ -18,10 +20,29 @@
     rig.list(&[1, 2], 7);
     rig.command(10, 5, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.host(host, FromHost::Acked { delivery, body: Default::default() });
-    assert!(matches!(rig.answers(10)[..], [ToClient::Acked { id: 5, build: 7, .. }]));
+    rig.host(
+        host,
+        FromHost::Acked {
+            delivery,
+            body: Default::default(),
+        },
+    );
+    assert!(matches!(
+        rig.answers(10)[..],
+        [ToClient::Acked {
+            id: 5,
+            build: 7,
+            ..
+        }]
+    ));
     // Said twice, or after the end, it is only counted.
-    rig.host(host, FromHost::Acked { delivery, body: Default::default() });
+    rig.host(
+        host,
+        FromHost::Acked {
+            delivery,
+            body: Default::default(),
+        },
+    );
     rig.pass(5 * SECOND);
     assert_eq!(rig.answers(10).len(), 1);
     assert_eq!((rig.engine.counts().late, rig.engine.held()), (1, 0));
@@ -33,7 +54,11 @@
     rig.list(&[1, 2], 7);
     rig.command(10, 1, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::Reset });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::Reset,
+    });
     assert!(
         matches!(rig.answers(10)[..], [ToClient::Failed { id: 1 }]),
         "may have run: {:?}",
@@ -44,17 +69,34 @@
     // A way that the router has dropped for its silence proves as little.
     rig.command(10, 3, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::Silent });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::Silent,
+    });
     assert!(matches!(rig.answers(10)[1..], [ToClient::Failed { id: 3 }]));
     assert_eq!(rig.links.sent.len(), 0);
 
     rig.command(10, 2, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::NotConnected });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::NotConnected,
+    });
     let (second, delivery) = rig.delivered();
     assert_ne!(host, second);
-    rig.host(second, FromHost::Acked { delivery, body: Default::default() });
-    assert!(matches!(rig.answers(10)[2..], [ToClient::Acked { id: 2, .. }]));
+    rig.host(
+        second,
+        FromHost::Acked {
+            delivery,
+            body: Default::default(),
+        },
+    );
+    assert!(matches!(
+        rig.answers(10)[2..],
+        [ToClient::Acked { id: 2, .. }]
+    ));
 }
 
 #[test]
@@ -65,10 +107,19 @@
     let sent_at = rig.now;
     rig.delivered();
     rig.pass(3 * SECOND);
-    let (at, answer) =
-        rig.links.answers.iter().find(|(_, conn, _)| *conn == 10).map(|a| (a.0, &a.2)).unwrap();
+    let (at, answer) = rig
+        .links
+        .answers
+        .iter()
+        .find(|(_, conn, _)| *conn == 10)
+        .map(|a| (a.0, &a.2))
+        .unwrap();
     assert!(matches!(answer, ToClient::Failed { id: 1 }));
-    assert!(at - sent_at <= 2 * SECOND - MARGIN, "answered after {}", at - sent_at);
+    assert!(
+        at - sent_at <= 2 * SECOND - MARGIN,
+        "answered after {}",
+        at - sent_at
+    );
     assert_eq!(rig.engine.counts().overdue, 0);
 }
 
@@ -79,11 +130,23 @@
     rig.command(10, 1, SAFE, 1);
     let (host, delivery) = rig.delivered();
     rig.input(Input::ClientGone { conn: 10 });
-    rig.host(host, FromHost::Acked { delivery, body: Default::default() });
+    rig.host(
+        host,
+        FromHost::Acked {
+            delivery,
+            body: Default::default(),
+        },
+    );
     assert!(rig.answers(10).is_empty());
     rig.command(10, 1, SAFE, 1);
     let (host, delivery) = rig.delivered();
-    rig.host(host, FromHost::Acked { delivery, body: Default::default() });
+    rig.host(
+        host,
+        FromHost::Acked {
+            delivery,
+            body: Default::default(),
+        },
+    );
     assert_eq!(rig.answers(10).len(), 1);
 }
 
@@ -95,7 +158,10 @@
     rig.command(11, 1, SAFE, 2);
     rig.command(10, 1, SAFE, 3);
     assert!(matches!(&rig.answers(10)[..], [ToClient::Refused(r)] if r.code == 9));
-    assert!(rig.answers(11).is_empty(), "the same number on another connection is another command");
+    assert!(
+        rig.answers(11).is_empty(),
+        "the same number on another connection is another command"
+    );
     assert_eq!(rig.engine.held(), 2);
 }
 
@@ -112,7 +178,13 @@
     let sent: Vec<_> = std::mem::take(&mut rig.links.sent);
     assert_eq!(sent.len(), 5);
     for (host, delivery, _) in sent {
-        rig.host(host, FromHost::Acked { delivery, body: Default::default() });
+        rig.host(
+            host,
+            FromHost::Acked {
+                delivery,
+                body: Default::default(),
+            },
+        );
     }
     let mut ids: Vec<u64> = rig.answers(10).iter().map(id_of).collect();
     ids.sort_unstable();
@@ -140,7 +212,11 @@
     let (host, delivery) = rig.delivered();
     rig.change(host, 7, LinePhase::Draining, 1);
     assert_eq!(rig.links.closed, [(host, false)]);
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::NotSent });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::NotSent,
+    });
     let (second, _) = rig.delivered();
     assert_ne!(host, second);
 }
@@ -150,12 +226,23 @@
     let mut rig = Rig::new(9, 0);
     rig.list(&[1], 7);
     rig.warm_up();
-    rig.host(1, FromHost::Welcome { host: 1, build: 7, incarnation: 99, up_us: 1000 });
+    rig.host(
+        1,
+        FromHost::Welcome {
+            host: 1,
+            build: 7,
+            incarnation: 99,
+            up_us: 1000,
+        },
+    );
     for id in 0..40 {
         rig.command(10, id, SAFE, 0);
     }
     let cold = rig.links.sent.len();
-    assert!(cold < 10, "{cold} commands at once for a host that started a millisecond ago");
+    assert!(
+        cold < 10,
+        "{cold} commands at once for a host that started a millisecond ago"
+    );
     // The list's older word does not make it warm again.
     rig.change(1, 7, LinePhase::Ready, 1);
     assert_eq!(rig.links.sent.len(), cold);
@@ -171,7 +258,11 @@
     rig.command(10, 3, ONCE, 1);
     assert!(matches!(
         rig.answers(10)[..],
-        [ToClient::Nacked { id: 1, .. }, ToClient::Nacked { id: 2, .. }, ToClient::Nacked { id: 3, .. }]
+        [
+            ToClient::Nacked { id: 1, .. },
+            ToClient::Nacked { id: 2, .. },
+            ToClient::Nacked { id: 3, .. }
+        ]
     ));
     assert!(rig.links.sent.is_empty());
 }
@@ -182,7 +273,13 @@
     rig.list(&[1, 2], 7);
     rig.warm_up();
     rig.change(3, 8, LinePhase::Ready, 2);
-    let news = News { build: 8, stage: 0, standing: NewsStanding::OnTrial, cap: 1.0, age_us: 0 };
+    let news = News {
+        build: 8,
+        stage: 0,
+        standing: NewsStanding::OnTrial,
+        cap: 1.0,
+        age_us: 0,
+    };
     rig.input(Input::FromDesk(FromDesk::News(news)));
     rig.answer_all(4 * SECOND);
     let votes = rig.links.votes.len();
@@ -220,12 +317,27 @@
     for cut in whole + 1..bytes.len() {
         let (_, _, inputs, fault) = Recording::read(&bytes[..cut]);
         assert_eq!(inputs, [(6, Input::Wake)]);
-        assert_eq!(fault, Some(RecordingFault::Torn { whole: 1, at: whole }));
+        assert_eq!(
+            fault,
+            Some(RecordingFault::Torn {
+                whole: 1,
+                at: whole
+            })
+        );
     }
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
-    assert_eq!(Recording::read(&bytes).3, Some(RecordingFault::Torn { whole: 1, at: whole }));
-    assert_eq!(Recording::read(b"something else entirely, long enough").3, Some(RecordingFault::NotOne));
+    assert_eq!(
+        Recording::read(&bytes).3,
+        Some(RecordingFault::Torn {
+            whole: 1,
+            at: whole
+        })
+    );
+    assert_eq!(
+        Recording::read(b"something else entirely, long enough").3,
+        Some(RecordingFault::NotOne)
+    );
 }
 
 #[test]
@@ -246,8 +358,8 @@
                 4 | 5 => rig.end_one(),
                 6 => {
                     let host = 1 + rig.draw(4) as u32;
-                    let phase =
-                        [LinePhase::Ready, LinePhase::Draining, LinePhase::Gone][rig.draw(3) as usize];
+                    let phase = [LinePhase::Ready, LinePhase::Draining, LinePhase::Gone]
+                        [rig.draw(3) as usize];
                     let (build, incarnation) = (7 + rig.draw(2) as u16, rig.draw(50));
                     rig.change(host, build, phase, incarnation);
                 }
@@ -259,7 +371,11 @@
         }
         rig.pass(3 * SECOND);
         rig.links.one_answer_each(id);
-        assert_eq!((rig.engine.held(), rig.engine.counts().overdue), (0, 0), "seed {seed}");
+        assert_eq!(
+            (rig.engine.held(), rig.engine.counts().overdue),
+            (0, 0),
+            "seed {seed}"
+        );
     }
 }
 
@@ -272,7 +388,13 @@
     rig.warm_up();
     rig.change(3, NEW, LinePhase::Ready, 1);
     rig.change(4, NEW, LinePhase::Ready, 1);
-    let news = News { build: NEW, stage: 1, standing: NewsStanding::OnTrial, cap: 0.4, age_us: 0 };
+    let news = News {
+        build: NEW,
+        stage: 1,
+        standing: NewsStanding::OnTrial,
+        cap: 0.4,
+        age_us: 0,
+    };
     rig.input(Input::FromDesk(FromDesk::News(news)));
 }
 
@@ -284,7 +406,10 @@
     let mut terms = agreed();
     change(&mut terms);
     let until = rig.now + lasts;
-    rig.input(Input::Agreed { until, terms: Box::new(terms) });
+    rig.input(Input::Agreed {
+        until,
+        terms: Box::new(terms),
+    });
 }
 
 /// Deliveries of so long a time of steady commands, each answered: at the build that stands, at the one on trial.
@@ -341,10 +466,22 @@
     let until = rig.now + 8 * SECOND;
     grant(&mut rig, 8 * SECOND, |_| {});
     shares(&mut rig, 7 * SECOND);
-    let by = |new: bool| rig.links.leave_by.iter().filter(move |l| (l.0 > 2) == new).collect::<Vec<_>>();
+    let by = |new: bool| {
+        rig.links
+            .leave_by
+            .iter()
+            .filter(move |l| (l.0 > 2) == new)
+            .collect::<Vec<_>>()
+    };
     let (new, old) = (by(true), by(false));
-    assert!(!new.is_empty() && new.iter().all(|l| l.1 <= until), "{new:?}");
-    assert!(old.iter().any(|l| l.1 > until), "the build that stands needs no lease");
+    assert!(
+        !new.is_empty() && new.iter().all(|l| l.1 <= until),
+        "{new:?}"
+    );
+    assert!(
+        old.iter().any(|l| l.1 > until),
+        "the build that stands needs no lease"
+    );
 }
 
 #[test]
@@ -353,11 +490,19 @@
     grant(&mut rig, 60 * SECOND, |_| {});
     on_trial(&mut rig);
     shares(&mut rig, 10 * SECOND);
-    grant(&mut rig, 60 * SECOND, |t| (t.stage_caps, t.exposure_free) = (vec![0.05; 3], 0.0));
+    grant(&mut rig, 60 * SECOND, |t| {
+        (t.stage_caps, t.exposure_free) = (vec![0.05; 3], 0.0)
+    });
     let [old, new] = shares(&mut rig, 4 * SECOND);
-    assert!(new as f64 <= 0.05 * (old + new) as f64 + 1.0, "at once, with what was sent before: {old} {new}");
+    assert!(
+        new as f64 <= 0.05 * (old + new) as f64 + 1.0,
+        "at once, with what was sent before: {old} {new}"
+    );
     let [old, new] = shares(&mut rig, 20 * SECOND);
-    assert!(new > 10 && new as f64 <= 0.05 * (old + new) as f64 + 1.0, "{old} {new}");
+    assert!(
+        new > 10 && new as f64 <= 0.05 * (old + new) as f64 + 1.0,
+        "{old} {new}"
+    );
 }
 
 /// The told memory of 0.8 s counts from the first delivery that may have run, wherever the repeat is held up.
@@ -368,15 +513,26 @@
     rig.command(10, 1, KEYED, 0);
     let (host, delivery) = rig.delivered();
     rig.pass(100_000);
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::NotConnected });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::NotConnected,
+    });
     let (host, delivery) = rig.delivered();
     let first = rig.now;
     rig.pass(300_000);
-    rig.input(Input::NotDelivered { host, delivery, end: NoAnswer::Reset });
+    rig.input(Input::NotDelivered {
+        host,
+        delivery,
+        end: NoAnswer::Reset,
+    });
     rig.delivered();
     let by: Vec<Micros> = rig.links.leave_by.iter().map(|l| l.1).collect();
     assert_eq!(by.len(), 3);
-    assert!(by[1] > first + SECOND, "one that never ran is no first: {by:?}");
+    assert!(
+        by[1] > first + SECOND,
+        "one that never ran is no first: {by:?}"
+    );
     assert_eq!(by[2], first + 800_000);
 }
 
@@ -405,7 +561,13 @@
     let mut rig = Rig::new(5, 0);
     on_trial(&mut rig);
     let news = |build, standing, cap| {
-        Input::FromDesk(FromDesk::News(News { build, stage: 0, standing, cap, age_us: 0 }))
+        Input::FromDesk(FromDesk::News(News {
+            build,
+            stage: 0,
+            standing,
+            cap,
+            age_us: 0,
+        }))
     };
     rig.input(news(8, NewsStanding::OnTrial, 0.1));
     rig.input(news(8, NewsStanding::OnTrial, 0.4));
@@ -416,7 +578,10 @@
     rig.input(news(8, NewsStanding::GoingBack, 0.0));
     let mut hosts: Vec<_> = rig.links.recalled.drain(..).collect();
     hosts.sort_unstable();
-    assert!(!hosts.is_empty() && hosts.iter().all(|h| h.0 > 2 && h.1.is_none()), "{hosts:?}");
+    assert!(
+        !hosts.is_empty() && hosts.iter().all(|h| h.0 > 2 && h.1.is_none()),
+        "{hosts:?}"
+    );
 }
 
 fn lines(hosts: &[(u32, LinePhase, u64)]) -> Vec<Line> {
@@ -446,7 +611,10 @@
 fn beside_an_agreed_list_the_own_one_only_takes_hosts_away() {
     use LinePhase::{Draining, Gone, Ready};
     let mut rig = Rig::new(6, 0);
-    rig.input(Input::AgreedList { whole: false, hosts: Vec::new() });
+    rig.input(Input::AgreedList {
+        whole: false,
+        hosts: Vec::new(),
+    });
     let own = |rig: &mut Rig, whole: bool, hosts: &[(u32, LinePhase, u64)]| {
         let (version, lines) = (1, lines(hosts));
         rig.input(Input::FromList(match whole {
@@ -455,21 +623,48 @@
         }));
     };
     own(&mut rig, true, &[(1, Ready, 1), (9, Ready, 1)]);
-    let news = News { build: OLD, stage: 2, standing: NewsStanding::Released, cap: 1.0, age_us: 0 };
+    let news = News {
+        build: OLD,
+        stage: 2,
+        standing: NewsStanding::Released,
+        cap: 1.0,
+        age_us: 0,
+    };
     rig.input(Input::FromDesk(FromDesk::News(news)));
     assert!(hosts_used(&mut rig).is_empty(), "the own list adds none");
     let all = lines(&[(1, Ready, 1), (2, Ready, 1), (3, Ready, 1)]);
-    rig.input(Input::AgreedList { whole: true, hosts: all });
+    rig.input(Input::AgreedList {
+        whole: true,
+        hosts: all,
+    });
     assert_eq!(hosts_used(&mut rig), [1, 2, 3]);
     own(&mut rig, false, &[(2, Draining, 1), (3, Gone, 1)]);
-    assert_eq!(hosts_used(&mut rig), [1], "at once, though the agreed list has them still");
+    assert_eq!(
+        hosts_used(&mut rig),
+        [1],
+        "at once, though the agreed list has them still"
+    );
     // The agreed list is behind: said again for whatever reason, the same processes stay away.
-    rig.input(Input::AgreedList { whole: false, hosts: lines(&[(2, Ready, 1)]) });
+    rig.input(Input::AgreedList {
+        whole: false,
+        hosts: lines(&[(2, Ready, 1)]),
+    });
     assert_eq!(hosts_used(&mut rig), [1]);
-    rig.input(Input::AgreedList { whole: false, hosts: lines(&[(2, Ready, 2)]) });
+    rig.input(Input::AgreedList {
+        whole: false,
+        hosts: lines(&[(2, Ready, 2)]),
+    });
     assert_eq!(hosts_used(&mut rig), [1, 2], "another process of it");
     own(&mut rig, false, &[(3, Ready, 1)]);
-    assert_eq!(hosts_used(&mut rig), [1, 2, 3], "given back to the agreed list");
+    assert_eq!(
+        hosts_used(&mut rig),
+        [1, 2, 3],
+        "given back to the agreed list"
+    );
     own(&mut rig, true, &[(1, Ready, 1), (3, Ready, 1)]);
-    assert_eq!(hosts_used(&mut rig), [1, 3], "a whole list that lacks one says that it is gone");
+    assert_eq!(
+        hosts_used(&mut rig),
+        [1, 3],
+        "a whole list that lacks one says that it is gone"
+    );
 }
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -7,7 +7,15 @@
 const LATER: Micros = 1_000_000;
 
 fn deliver(delivery: u64) -> ToHost {
-    ToHost::Deliver { delivery, op: 0, share: 0, key: 0, mark: 0, left_us: 1, body: Default::default() }
+    ToHost::Deliver {
+        delivery,
+        op: 0,
+        share: 0,
+        key: 0,
+        mark: 0,
+        left_us: 1,
+        body: Default::default(),
+    }
 }
 
 /// Queues and encodes, each frame of ten bytes.
@@ -26,7 +34,11 @@
         encode(&mut outgoing, &[1, 2, 3]);
         let whole = (30 - remaining as u64) / 10;
         let left = outgoing.broken(remaining);
-        assert_eq!(left.sent, (1..=whole).collect::<Vec<_>>(), "{remaining} bytes left behind");
+        assert_eq!(
+            left.sent,
+            (1..=whole).collect::<Vec<_>>(),
+            "{remaining} bytes left behind"
+        );
         assert_eq!(left.unsent, (whole + 1..=3).collect::<Vec<_>>());
         assert!(outgoing.idle());
     }
@@ -39,7 +51,13 @@
     outgoing.remaining(0);
     outgoing.answered(1);
     outgoing.push(deliver(3), LATER);
-    assert_eq!(outgoing.broken(0), Left { unsent: vec![3], sent: vec![2] });
+    assert_eq!(
+        outgoing.broken(0),
+        Left {
+            unsent: vec![3],
+            sent: vec![2]
+        }
+    );
 }
 
 #[test]
@@ -51,7 +69,10 @@
     assert_eq!(outgoing.close(), [2]);
     assert_eq!(outgoing.push(deliver(3), LATER), Some(3));
     // A cancel of what is out still goes.
-    assert_eq!(outgoing.next(0, &mut Vec::new()), Some(ToHost::Cancel { delivery: 1 }));
+    assert_eq!(
+        outgoing.next(0, &mut Vec::new()),
+        Some(ToHost::Cancel { delivery: 1 })
+    );
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(ToHost::Ping));
     assert!(outgoing.half_sent());
     outgoing.open();
@@ -63,7 +84,10 @@
     let mut outgoing = Outgoing::default();
     outgoing.push(deliver(1), LATER);
     outgoing.push(deliver(2), LATER);
-    assert_eq!(outgoing.push(ToHost::Cancel { delivery: 1 }, LATER), Some(1));
+    assert_eq!(
+        outgoing.push(ToHost::Cancel { delivery: 1 }, LATER),
+        Some(1)
+    );
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(deliver(2)));
     // What is known to neither side is not sent.
     assert_eq!(outgoing.push(ToHost::Cancel { delivery: 9 }, LATER), None);
--- a/crates/spokeflow-fleet/src/main.rs
+++ b/crates/spokeflow-fleet/src/main.rs
@@ -28,7 +28,12 @@
 #[derive(Args)]
 struct Common {
     /// A keeper; repeat the flag for each, any that answers will do
-    #[arg(long = "keeper", env = "SPOKEFLOW_KEEPER", value_delimiter = ',', global = true)]
+    #[arg(
+        long = "keeper",
+        env = "SPOKEFLOW_KEEPER",
+        value_delimiter = ',',
+        global = true
+    )]
     keepers: Vec<SocketAddr>,
     /// Prints JSON
     #[arg(long, global = true)]
@@ -99,7 +104,9 @@
     let mut all = Values::new();
     for text in values {
         let (name, value) = text.split_once('=').ok_or_else(|| {
-            Fault::Wrong(format!("'{text}' is not NAME=VALUE, such as stage-cap=0.05,0.2,0.5,1"))
+            Fault::Wrong(format!(
+                "'{text}' is not NAME=VALUE, such as stage-cap=0.05,0.2,0.5,1"
+            ))
         })?;
         all.insert(name.trim_start_matches('-').to_string(), value.to_string());
     }
@@ -109,7 +116,11 @@
 fn text(values: &Values) -> String {
     match values.is_empty() {
         true => "each router's own flags".into(),
-        false => values.iter().map(|(n, v)| format!("{n}={v}")).collect::<Vec<_>>().join(" "),
+        false => values
+            .iter()
+            .map(|(n, v)| format!("{n}={v}"))
+            .collect::<Vec<_>>()
+            .join(" "),
     }
 }
 
@@ -124,9 +135,16 @@
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
     names.sort();
     names.dedup();
-    let change =
-        |n: &String| Change { name: n.clone(), before: before.get(n).cloned(), after: after.get(n).cloned() };
-    names.into_iter().map(change).filter(|c| c.before != c.after).collect()
+    let change = |n: &String| Change {
+        name: n.clone(),
+        before: before.get(n).cloned(),
+        after: after.get(n).cloned(),
+    };
+    names
+        .into_iter()
+        .map(change)
+        .filter(|c| c.before != c.after)
+        .collect()
 }
 
 impl Common {
@@ -138,7 +156,9 @@
         }
         match ask(&self.keepers, what, self.within).await {
             Ok(Answer::Bad(what)) => Err(Fault::Refused(what)),
-            Ok(Answer::Unclear) => Err(Fault::Refused("not clear whether it was done: see status".into())),
+            Ok(Answer::Unclear) => Err(Fault::Refused(
+                "not clear whether it was done: see status".into(),
+            )),
             Ok(answer) => Ok(answer),
             Err(what) => Err(Fault::Wrong(what)),
         }
@@ -154,7 +174,10 @@
     fn print(&self, value: &impl Serialize, table: impl FnOnce() -> String) -> Result<(), Fault> {
         match self.json {
             true => {
-                println!("{}", serde_json::to_string_pretty(value).map_err(|e| Fault::Wrong(e.to_string()))?)
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(value).map_err(|e| Fault::Wrong(e.to_string()))?
+                )
             }
             false => println!("{}", table()),
         }
@@ -166,12 +189,15 @@
         loop {
             let view = self.view().await?;
             if view.in_force.number.0 >= revision {
-                return self
-                    .print(&view.in_force, || format!("revision {} is in force", view.in_force.number.0));
+                return self.print(&view.in_force, || {
+                    format!("revision {} is in force", view.in_force.number.0)
+                });
             }
             if tokio::time::Instant::now() >= until {
                 let now = view.in_force.number.0;
-                return Err(Fault::Refused(format!("revision {now} is in force, {revision} is not yet")));
+                return Err(Fault::Refused(format!(
+                    "revision {now} is in force, {revision} is not yet"
+                )));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -194,7 +220,9 @@
                 return self.print(&ids, || format!("keepers that vote: {ids:?}"));
             }
             if tokio::time::Instant::now() >= until {
-                return Err(Fault::Refused("the change does not stand yet: see status".into()));
+                return Err(Fault::Refused(
+                    "the change does not stand yet: see status".into(),
+                ));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -220,7 +248,11 @@
             common.print(&changes, || {
                 let mut table = Table::new();
                 let number = newest.number.0;
-                table.set_header(["flag".to_string(), format!("revision {number}"), "offered".into()]);
+                table.set_header([
+                    "flag".to_string(),
+                    format!("revision {number}"),
+                    "offered".into(),
+                ]);
                 let own = || "router's own".to_string();
                 for c in &changes {
                     table.add_row([
@@ -242,7 +274,10 @@
         What::Watch { revision } => common.wait_for(revision).await,
         What::Register { keeper, address } => {
             let (keeper, address) = (KeeperId(keeper), address.to_string());
-            common.ask(Ask::SetAddress { keeper, address }).await.map(drop)
+            common
+                .ask(Ask::SetAddress { keeper, address })
+                .await
+                .map(drop)
         }
         What::TakeIn { keeper } => common.members(keeper, true).await,
         What::TakeOut { keeper } => common.members(keeper, false).await,
@@ -261,7 +296,14 @@
     let against = RevisionNo(flags.against.unwrap_or(newest.number.0));
     let token = rand::rng().random();
     let (who, why) = (flags.who, flags.why);
-    let offer = Offer { token, against, who, why, at_s: 0, values };
+    let offer = Offer {
+        token,
+        against,
+        who,
+        why,
+        at_s: 0,
+        values,
+    };
     match common.ask(Ask::Offer(offer)).await? {
         Answer::Offered(Verdict::Announced(RevisionNo(n))) => {
             common.print(&n, || format!("revision {n} is announced"))?;
@@ -274,9 +316,10 @@
             "made against revision {}, but {} is the newest",
             against.0, newest.0
         ))),
-        Answer::Offered(Verdict::Busy { announced }) => {
-            Err(Fault::Refused(format!("revision {} is announced and not in force yet", announced.0)))
-        }
+        Answer::Offered(Verdict::Busy { announced }) => Err(Fault::Refused(format!(
+            "revision {} is announced and not in force yet",
+            announced.0
+        ))),
         other => Err(Fault::Wrong(format!("another answer came: {other:?}"))),
     }
 }
@@ -284,17 +327,35 @@
 fn status(view: &View) -> String {
     let ids: Vec<u32> = view.members.iter().map(|m| m.0).collect();
     let mut lines = vec![
-        format!("leader          keeper {}, term {}", view.leader.0, view.term.0),
-        format!("keepers         {ids:?}, log committed to {}", view.committed.0),
-        format!("in force        revision {}: {}", view.in_force.number.0, text(&view.in_force.values)),
+        format!(
+            "leader          keeper {}, term {}",
+            view.leader.0, view.term.0
+        ),
+        format!(
+            "keepers         {ids:?}, log committed to {}",
+            view.committed.0
+        ),
+        format!(
+            "in force        revision {}: {}",
+            view.in_force.number.0,
+            text(&view.in_force.values)
+        ),
     ];
     if let Some(a) = &view.announced {
-        lines.push(format!("announced       revision {}: {}", a.number.0, text(&a.values)));
+        lines.push(format!(
+            "announced       revision {}: {}",
+            a.number.0,
+            text(&a.values)
+        ));
     }
     if view.list > 0 || view.list_rejection.is_some() {
-        let rejection = view.list_rejection.map_or(String::new(), |r| format!("; rejected: {r:?}"));
+        let rejection = view
+            .list_rejection
+            .map_or(String::new(), |r| format!("; rejected: {r:?}"));
         let (list, source, hosts) = (view.list, view.list_source, view.hosts);
-        lines.push(format!("host list       version {list} (source's {source}), {hosts} hosts{rejection}"));
+        lines.push(format!(
+            "host list       version {list} (source's {source}), {hosts} hosts{rejection}"
+        ));
     }
     lines.push(format!(
         "routers         {} hold a lease, {} act on the newest revision",
@@ -305,10 +366,19 @@
 
 fn history(view: &View) -> String {
     let mut table = Table::new();
-    table.set_header(["revision", "values", "who", "why", "offered", "in force after"]);
+    table.set_header([
+        "revision",
+        "values",
+        "who",
+        "why",
+        "offered",
+        "in force after",
+    ]);
     for r in &view.history {
         let at = std::time::UNIX_EPOCH + Duration::from_secs(r.offered_s);
-        let after = r.in_force_s.map_or("not yet".into(), |s| format!("{} s", s.saturating_sub(r.offered_s)));
+        let after = r.in_force_s.map_or("not yet".into(), |s| {
+            format!("{} s", s.saturating_sub(r.offered_s))
+        });
         table.add_row([
             r.revision.number.0.to_string(),
             text(&r.revision.values),
@@ -323,7 +393,10 @@
 
 fn main() -> ExitCode {
     let program = Program::parse();
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("spokeflow-fleet: cannot start: {e}");
--- a/crates/spokeflow-fleet/tests/verbs.rs
+++ b/crates/spokeflow-fleet/tests/verbs.rs
@@ -3,14 +3,23 @@
 use std::process::Command;
 
 fn help(verb: &str) -> (Option<i32>, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_spokeflow-fleet")).args([verb, "--help"]).output().unwrap();
-    (output.status.code(), String::from_utf8(output.stdout).unwrap())
+    let output = Command::new(env!("CARGO_BIN_EXE_spokeflow-fleet"))
+        .args([verb, "--help"])
+        .output()
+        .unwrap();
+    (
+        output.status.code(),
+        String::from_utf8(output.stdout).unwrap(),
+    )
 }
 
 #[test]
 fn register_is_found_under_its_earlier_name() {
     let (code, text) = help("register");
-    assert!(code == Some(0) && text.contains("Usage: spokeflow-fleet register"), "{code:?} {text}");
+    assert!(
+        code == Some(0) && text.contains("Usage: spokeflow-fleet register"),
+        "{code:?} {text}"
+    );
     assert_eq!(help("seat"), (code, text));
     assert_eq!(help("stool").0, Some(2), "another name is not taken");
 }
--- a/crates/spokeflow-http/src/answer.rs
+++ b/crates/spokeflow-http/src/answer.rs
@@ -28,7 +28,11 @@
 impl AnswerCodec {
     /// `body_limit` in bytes; a longer body is a fault as soon as its length is known.
     pub fn new(body_limit: u64) -> Self {
-        AnswerCodec { body_limit, looked: 0, coming: None }
+        AnswerCodec {
+            body_limit,
+            looked: 0,
+            coming: None,
+        }
     }
 
     /// Whether a head has come whose body has not ended.
@@ -44,15 +48,23 @@
     }
     let mut room = [httparse::EMPTY_HEADER; FIELDS_AT_MOST];
     let fault = |_| HttpFault::Unreadable("the head of an answer");
-    httparse::Response::new(&mut room).parse(part).map(drop).map_err(fault)
+    httparse::Response::new(&mut room)
+        .parse(part)
+        .map(drop)
+        .map_err(fault)
 }
 
 fn read_head(head: &Bytes) -> Result<(u16, Fields, Body), HttpFault> {
     early(head)?;
     let mut room = [httparse::EMPTY_HEADER; FIELDS_AT_MOST];
     let mut parsed = httparse::Response::new(&mut room);
-    let whole = parsed.parse(head).is_ok_and(|s| s == httparse::Status::Complete(head.len()));
-    let Some(status) = parsed.code.filter(|code| whole && (100..600).contains(code)) else {
+    let whole = parsed
+        .parse(head)
+        .is_ok_and(|s| s == httparse::Status::Complete(head.len()));
+    let Some(status) = parsed
+        .code
+        .filter(|code| whole && (100..600).contains(code))
+    else {
         return Err(HttpFault::Unreadable("the head of an answer"));
     };
     let fields = Fields::of(head, parsed.headers);
@@ -69,7 +81,9 @@
 
     fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Part>, HttpFault> {
         while self.coming.is_none() {
-            let Some(head) = take_head(buf, &mut self.looked, early)? else { return Ok(None) };
+            let Some(head) = take_head(buf, &mut self.looked, early)? else {
+                return Ok(None);
+            };
             let (status, fields, body) = read_head(&head)?;
             match status {
                 // Another protocol was not asked for.
--- a/crates/spokeflow-http/src/body.rs
+++ b/crates/spokeflow-http/src/body.rs
@@ -29,14 +29,20 @@
             (0, 0) => Ok(without),
             (0, 1) => {
                 let text = fields.only("content-length").expect("counted");
-                let digits = !text.is_empty() && text.len() <= 18 && text.iter().all(u8::is_ascii_digit);
+                let digits =
+                    !text.is_empty() && text.len() <= 18 && text.iter().all(u8::is_ascii_digit);
                 let number = std::str::from_utf8(text).ok().and_then(|t| t.parse().ok());
-                number.filter(|_| digits).map(Body::Length).ok_or(HttpFault::Lengths("no number"))
+                number
+                    .filter(|_| digits)
+                    .map(Body::Length)
+                    .ok_or(HttpFault::Lengths("no number"))
             }
             (1, 0) => {
                 let coding = fields.only("transfer-encoding").expect("counted");
                 let chunked = coding.eq_ignore_ascii_case(b"chunked");
-                chunked.then_some(Body::ChunkSize).ok_or(HttpFault::Lengths("a coding that is not known"))
+                chunked
+                    .then_some(Body::ChunkSize)
+                    .ok_or(HttpFault::Lengths("a coding that is not known"))
             }
             _ => Err(HttpFault::Lengths("said more than once")),
         }
@@ -68,11 +74,20 @@
                     *self = Body::ChunkSize;
                 }
                 Body::ChunkSize => {
-                    let Some(line) = take_line(buf, 256)? else { return Ok(None) };
-                    let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
-                    let plain =
-                        !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
-                    let size = std::str::from_utf8(digits).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
+                    let Some(line) = take_line(buf, 256)? else {
+                        return Ok(None);
+                    };
+                    let digits = line
+                        .split(|b| *b == b';')
+                        .next()
+                        .unwrap_or_default()
+                        .trim_ascii_end();
+                    let plain = !digits.is_empty()
+                        && digits.len() <= 15
+                        && digits.iter().all(u8::is_ascii_hexdigit);
+                    let size = std::str::from_utf8(digits)
+                        .ok()
+                        .and_then(|t| u64::from_str_radix(t, 16).ok());
                     *self = match size.filter(|_| plain) {
                         Some(0) => Body::Trailer(0),
                         Some(size) => Body::Chunk(size),
@@ -80,7 +95,9 @@
                     };
                 }
                 Body::Trailer(seen) => {
-                    let Some(line) = take_line(buf, HEAD_LIMIT)? else { return Ok(None) };
+                    let Some(line) = take_line(buf, HEAD_LIMIT)? else {
+                        return Ok(None);
+                    };
                     *seen += line.len() + 2;
                     if line.is_empty() {
                         *self = Body::Length(0);
@@ -95,11 +112,17 @@
 
 fn take_line(buf: &mut BytesMut, most: usize) -> Result<Option<Bytes>, HttpFault> {
     let Some(at) = buf.iter().take(most).position(|b| *b == b'\n') else {
-        return if buf.len() >= most { Err(HttpFault::HeadTooLong) } else { Ok(None) };
+        return if buf.len() >= most {
+            Err(HttpFault::HeadTooLong)
+        } else {
+            Ok(None)
+        };
     };
     let line = buf.split_to(at + 1).freeze();
     match line.strip_suffix(b"\r\n") {
         Some(text) => Ok(Some(line.slice_ref(text))),
-        None => Err(HttpFault::Unreadable("a line ends without a carriage return")),
+        None => Err(HttpFault::Unreadable(
+            "a line ends without a carriage return",
+        )),
     }
 }
--- a/crates/spokeflow-http/src/request.rs
+++ b/crates/spokeflow-http/src/request.rs
@@ -38,7 +38,11 @@
 impl ServerCodec {
     /// `body_limit` in bytes; a longer body is a fault as soon as its length is known.
     pub fn new(body_limit: usize) -> Self {
-        ServerCodec { body_limit, looked: 0, coming: None }
+        ServerCodec {
+            body_limit,
+            looked: 0,
+            coming: None,
+        }
     }
 
     /// Whether a head has come whose body has not.
@@ -56,7 +60,10 @@
 
 fn early(part: &[u8]) -> Result<(), HttpFault> {
     let mut room = [httparse::EMPTY_HEADER; FIELDS_AT_MOST];
-    httparse::Request::new(&mut room).parse(part).map(drop).map_err(fault)
+    httparse::Request::new(&mut room)
+        .parse(part)
+        .map(drop)
+        .map_err(fault)
 }
 
 fn read_head(head: &Bytes) -> Result<(Request, Body), HttpFault> {
@@ -71,7 +78,16 @@
     let fields = Fields::of(head, parsed.headers);
     let stays = newest && !fields.has("connection", "close");
     let body = Body::of(&fields, Body::Length(0))?;
-    Ok((Request { method, target, fields, body: Bytes::new(), stays }, body))
+    Ok((
+        Request {
+            method,
+            target,
+            fields,
+            body: Bytes::new(),
+            stays,
+        },
+        body,
+    ))
 }
 
 impl Decoder for ServerCodec {
@@ -85,7 +101,9 @@
                 buf.advance(2);
                 self.looked = 0;
             }
-            let Some(head) = take_head(buf, &mut self.looked, early)? else { return Ok(None) };
+            let Some(head) = take_head(buf, &mut self.looked, early)? else {
+                return Ok(None);
+            };
             let (request, body) = read_head(&head)?;
             self.coming = Some((request, body, BytesMut::new()));
         }
@@ -102,7 +120,10 @@
                 Some(Piece::Data(data)) => got.extend_from_slice(&data),
                 Some(Piece::End) => {
                     let (request, _, body) = self.coming.take().expect("set above");
-                    return Ok(Some(Request { body: body.freeze(), ..request }));
+                    return Ok(Some(Request {
+                        body: body.freeze(),
+                        ..request
+                    }));
                 }
             }
         }
@@ -142,8 +163,12 @@
     };
     buf.reserve(160 + answer.body.len());
     buf.put_slice(
-        format!("HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n", answer.status, answer.body.len())
-            .as_bytes(),
+        format!(
+            "HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n",
+            answer.status,
+            answer.body.len()
+        )
+        .as_bytes(),
     );
     if let Some(seconds) = answer.retry_after {
         buf.put_slice(format!("Retry-After: {seconds:.3}\r\n").as_bytes());
--- a/crates/spokeflow-http/tests/codecs.rs
+++ b/crates/spokeflow-http/tests/codecs.rs
@@ -7,7 +7,11 @@
 use tokio_util::codec::Decoder;
 
 /// Everything that comes of the bytes, cut at the given places and then ended.
-fn all<C: Decoder<Error = HttpFault>>(mut codec: C, bytes: &[u8], cuts: &[usize]) -> (Vec<C::Item>, String) {
+fn all<C: Decoder<Error = HttpFault>>(
+    mut codec: C,
+    bytes: &[u8],
+    cuts: &[usize],
+) -> (Vec<C::Item>, String) {
     let (mut buf, mut items, mut from) = (BytesMut::new(), Vec::new(), 0);
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     cuts.sort_unstable();
@@ -102,9 +106,13 @@
 #[test]
 fn a_chunked_body_that_grows_too_long_is_a_fault() {
     let chunk = format!("200\r\n{}\r\n", "x".repeat(512));
-    let bad =
-        format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\nx\r\n0\r\n\r\n");
-    assert!(matches!(ServerCodec::new(1024).decode(&mut bad.as_bytes().into()), Err(HttpFault::BodyTooLong)));
+    let bad = format!(
+        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\nx\r\n0\r\n\r\n"
+    );
+    assert!(matches!(
+        ServerCodec::new(1024).decode(&mut bad.as_bytes().into()),
+        Err(HttpFault::BodyTooLong)
+    ));
 }
 
 #[test]
@@ -114,7 +122,10 @@
 HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\nHTTP/1.1 500 No\r\n\r\nrest";
     let (parts, end) = all(AnswerCodec::new(64), bytes, &[]);
     let expected: [(u16, &[u8]); 4] = [(200, b"ab"), (204, b""), (200, b"c"), (500, b"rest")];
-    let expected: Vec<_> = expected.iter().map(|(status, body)| (*status, body.to_vec(), true)).collect();
+    let expected: Vec<_> = expected
+        .iter()
+        .map(|(status, body)| (*status, body.to_vec(), true))
+        .collect();
     assert_eq!((answers(&parts), end.as_str()), (expected, ""));
 }
 
@@ -132,7 +143,10 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na",
     ] {
         let (parts, end) = all(AnswerCodec::new(64), bad.as_bytes(), &[]);
-        assert!(!parts.contains(&Part::End) && !end.is_empty(), "{bad:?}: {parts:?}");
+        assert!(
+            !parts.contains(&Part::End) && !end.is_empty(),
+            "{bad:?}: {parts:?}"
+        );
     }
 }
 
--- a/crates/spokeflow-keeper/src/arrival.rs
+++ b/crates/spokeflow-keeper/src/arrival.rs
@@ -12,7 +12,12 @@
     /// The connection of a caller is closed.
     Left(u64),
     /// A request of a caller. `keeper`: another keeper passes it on.
-    Asked { conn: u64, number: u64, keeper: bool, ask: Ask },
+    Asked {
+        conn: u64,
+        number: u64,
+        keeper: bool,
+        ask: Ask,
+    },
     /// A message between keepers.
     Heard(KeeperId, Message),
     /// Another keeper has answered the request that was passed on to it under this number.
--- a/crates/spokeflow-keeper/src/ask.rs
+++ b/crates/spokeflow-keeper/src/ask.rs
@@ -17,22 +17,32 @@
 /// Asks one keeper, once. Errors: it is not reached, or says nothing, in one line.
 pub async fn ask_one(keeper: SocketAddr, ask: Ask) -> Result<Answer, String> {
     let asking = async {
-        let stream = TcpStream::connect(keeper).await.map_err(|e| format!("{keeper}: {e}"))?;
+        let stream = TcpStream::connect(keeper)
+            .await
+            .map_err(|e| format!("{keeper}: {e}"))?;
         let codec = FrameCodec::<FromKeeper, ToKeeper>::new(LIMIT);
         let mut link = Framed::with_capacity(stream, codec, 1024);
         let fault = |e: spokeflow_proto::FrameFault| format!("{keeper}: {e}");
-        link.send(ToKeeper::hello(Caller::Person)).await.map_err(fault)?;
-        link.send(ToKeeper::Ask { number: 1, ask }).await.map_err(fault)?;
+        link.send(ToKeeper::hello(Caller::Person))
+            .await
+            .map_err(fault)?;
+        link.send(ToKeeper::Ask { number: 1, ask })
+            .await
+            .map_err(fault)?;
         while let Some(read) = link.next().await {
             match read.map_err(fault)? {
                 FromKeeper::Welcome { .. } => {}
-                FromKeeper::Refused { text, .. } => return Err(format!("{keeper}: refused: {text}")),
+                FromKeeper::Refused { text, .. } => {
+                    return Err(format!("{keeper}: refused: {text}"))
+                }
                 FromKeeper::Answer { answer, .. } => return Ok(answer),
             }
         }
         Err(format!("{keeper}: the connection was closed"))
     };
-    timeout(EACH, asking).await.unwrap_or_else(|_| Err(format!("{keeper}: no answer within {EACH:?}")))
+    timeout(EACH, asking)
+        .await
+        .unwrap_or_else(|_| Err(format!("{keeper}: no answer within {EACH:?}")))
 }
 
 /// Asks one keeper after the other, round and round, until one answers for the leader. A request with a token may be
@@ -47,7 +57,9 @@
         for &keeper in keepers {
             match ask_one(keeper, ask.clone()).await {
                 Ok(Answer::NoLeader) => last = format!("{keeper}: knows no leader"),
-                Ok(Answer::Unclear) if again => last = format!("{keeper}: not clear whether it was done"),
+                Ok(Answer::Unclear) if again => {
+                    last = format!("{keeper}: not clear whether it was done")
+                }
                 Ok(answer) => return Ok(answer),
                 Err(what) => last = what,
             }
--- a/crates/spokeflow-keeper/src/calls.rs
+++ b/crates/spokeflow-keeper/src/calls.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::wire::{Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION};
+use spokeflow_agreed::wire::{
+    Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION,
+};
 use spokeflow_proto::FrameCodec;
 use spokeflow_quorum::KeeperId;
 use tokio::net::TcpStream;
@@ -41,11 +43,14 @@
     pub async fn run(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut link: Link = Framed::with_capacity(stream, FrameCodec::new(HELLO_LIMIT), 512);
-        let Ok(Some(Ok(first))) = timeout(PATIENCE, link.next()).await else { return };
+        let Ok(Some(Ok(first))) = timeout(PATIENCE, link.next()).await else {
+            return;
+        };
         let refused = match self.admit(first).await {
             Ok(caller) => {
                 let keeper = matches!(caller, Caller::Keeper { .. });
-                link.codec_mut().set_limit(if keeper { LIMIT } else { ASK_LIMIT });
+                link.codec_mut()
+                    .set_limit(if keeper { LIMIT } else { ASK_LIMIT });
                 self.talk(link, caller).await;
                 let _ = self.core.send(Arrival::Left(self.conn)).await;
                 return;
@@ -55,19 +60,44 @@
         if let Some(kept_back) = self.clock.line() {
             info!(conn = self.conn, why = ?refused.0, text = refused.1, kept_back, "caller refused");
         }
-        let _ = timeout(PATIENCE, link.send(FromKeeper::Refused { why: refused.0, text: refused.1 })).await;
+        let _ = timeout(
+            PATIENCE,
+            link.send(FromKeeper::Refused {
+                why: refused.0,
+                text: refused.1,
+            }),
+        )
+        .await;
     }
 
     async fn admit(&self, first: ToKeeper) -> Result<Caller, (Refusal, String)> {
-        let ToKeeper::Hello { magic, version, caller } = first else {
+        let ToKeeper::Hello {
+            magic,
+            version,
+            caller,
+        } = first
+        else {
             return Err((Refusal::OutOfOrder, "an opening message comes first".into()));
         };
         if magic != MAGIC || version != VERSION {
-            return Err((Refusal::Version, format!("this end speaks version {VERSION} of keepers")));
+            return Err((
+                Refusal::Version,
+                format!("this end speaks version {VERSION} of keepers"),
+            ));
         }
-        if let Caller::Keeper { id, start, processes, common, addresses } = &caller {
+        if let Caller::Keeper {
+            id,
+            start,
+            processes,
+            common,
+            addresses,
+        } = &caller
+        {
             if *common != self.common {
-                let text = format!("keeper {} was told {common:?}, this one {:?}", id.0, self.common);
+                let text = format!(
+                    "keeper {} was told {common:?}, this one {:?}",
+                    id.0, self.common
+                );
                 return Err((Refusal::Terms, text));
             }
             // Answered by the task that knows all that was met, once it is on the disk.
@@ -89,12 +119,20 @@
 
     async fn talk(&self, mut link: Link, caller: Caller) {
         let (answers, mut to_send) = mpsc::channel(ANSWERS);
-        let welcome = FromKeeper::Welcome { keeper: self.own, common: self.common };
+        let welcome = FromKeeper::Welcome {
+            keeper: self.own,
+            common: self.common,
+        };
         let keeper = match caller {
             Caller::Keeper { id, .. } => Some(id),
             _ => None,
         };
-        if self.core.send(Arrival::Came(self.conn, answers)).await.is_err() {
+        if self
+            .core
+            .send(Arrival::Came(self.conn, answers))
+            .await
+            .is_err()
+        {
             return;
         }
         if !matches!(timeout(PATIENCE, link.send(welcome)).await, Ok(Ok(()))) {
--- a/crates/spokeflow-keeper/src/check.rs
+++ b/crates/spokeflow-keeper/src/check.rs
@@ -16,6 +16,8 @@
 /// Errors: every fault, one a line, naming the flag.
 pub fn values(values: &Values) -> Result<(), String> {
     let ground = ["check", "--op=any:redeliverable:target=1s:timeout=60s"];
-    let ground = Ground::try_parse_from(ground).map_err(|e| e.to_string())?.service;
+    let ground = Ground::try_parse_from(ground)
+        .map_err(|e| e.to_string())?
+        .service;
     ground.revised(values, true).map(drop)
 }
--- a/crates/spokeflow-keeper/src/list.rs
+++ b/crates/spokeflow-keeper/src/list.rs
@@ -49,20 +49,28 @@
     /// Until another keeper is to read. Errors: the source, in a few words.
     async fn read(&mut self) -> Result<(), String> {
         let opening = async {
-            let stream = TcpStream::connect(self.address).await.map_err(|e| e.to_string())?;
+            let stream = TcpStream::connect(self.address)
+                .await
+                .map_err(|e| e.to_string())?;
             let _ = stream.set_nodelay(true);
             let mut link: Framed<TcpStream, FrameCodec<FromList, ToList>> =
                 Framed::new(stream, FrameCodec::new(LIST_LIMIT));
             // Of the routers' kind: the list tells its callers apart by nothing else.
-            link.send(ToList::Hello(Hello::new(Role::Router, 0, 0))).await.map_err(|e| e.to_string())?;
+            link.send(ToList::Hello(Hello::new(Role::Router, 0, 0)))
+                .await
+                .map_err(|e| e.to_string())?;
             match link.next().await {
                 Some(Ok(FromList::Welcome)) => {}
                 other => return Err(format!("no welcome but {other:?}")),
             }
-            link.send(ToList::Watch { have: None }).await.map_err(|e| e.to_string())?;
+            link.send(ToList::Watch { have: None })
+                .await
+                .map_err(|e| e.to_string())?;
             Ok(link)
         };
-        let mut link = timeout(PATIENCE, opening).await.map_err(|_| "no answer in time".to_string())??;
+        let mut link = timeout(PATIENCE, opening)
+            .await
+            .map_err(|_| "no answer in time".to_string())??;
         let mut unheard = 0;
         loop {
             tokio::select! {
@@ -99,13 +107,35 @@
 
 fn news(version: u64, whole: bool, lines: Vec<Line>) -> SourceNews {
     let host = |line: Line| {
-        let Line { host, address, build, cell, zone, phase, incarnation, up_us } = line;
+        let Line {
+            host,
+            address,
+            build,
+            cell,
+            zone,
+            phase,
+            incarnation,
+            up_us,
+        } = line;
         let state = match phase {
             LinePhase::Gone => HostState::Gone,
             LinePhase::Ready => HostState::Ready,
             LinePhase::Draining => HostState::Draining,
         };
-        ListedHost { host, address, build, cell, zone, state, incarnation, up_us }
+        ListedHost {
+            host,
+            address,
+            build,
+            cell,
+            zone,
+            state,
+            incarnation,
+            up_us,
+        }
     };
-    SourceNews { version, whole, hosts: lines.into_iter().map(host).collect() }
+    SourceNews {
+        version,
+        whole,
+        hosts: lines.into_iter().map(host).collect(),
+    }
 }
--- a/crates/spokeflow-keeper/src/program.rs
+++ b/crates/spokeflow-keeper/src/program.rs
@@ -16,19 +16,28 @@
 use crate::{check, serve, Store, Where, WHERES};
 
 fn span(text: &str) -> Result<Duration, String> {
-    humantime::parse_duration(text).map_err(|e| format!("{e}; a time with its unit, such as 250ms or 2s"))
+    humantime::parse_duration(text)
+        .map_err(|e| format!("{e}; a time with its unit, such as 250ms or 2s"))
 }
 
 fn member(text: &str) -> Result<(u32, SocketAddr), String> {
     let (id, address) = text.split_once('=').ok_or("not ID=ADDRESS")?;
     let id = id.parse().map_err(|_| format!("'{id}' is not a number"))?;
-    Ok((id, address.parse().map_err(|_| format!("'{address}' is not an address with a port"))?))
+    Ok((
+        id,
+        address
+            .parse()
+            .map_err(|_| format!("'{address}' is not an address with a port"))?,
+    ))
 }
 
 fn place(text: &str) -> Result<(Where, u64), String> {
     let (name, nth) = text.split_once(':').unwrap_or((text, "1"));
     let known = WHERES.iter().find(|w| w.0 == name).map(|w| w.1);
-    Ok((known.ok_or("no such place")?, nth.parse().map_err(|_| "not PLACE:NTH")?))
+    Ok((
+        known.ok_or("no such place")?,
+        nth.parse().map_err(|_| "not PLACE:NTH")?,
+    ))
 }
 
 #[derive(Clone, Debug, Args)]
@@ -107,21 +116,39 @@
         ids.dedup();
         when(ids.len() != n, "--member: a number is given twice".into());
         if self.join {
-            when(ids.contains(&self.id), format!("--member: {} is this one, which joins", self.id));
+            when(
+                ids.contains(&self.id),
+                format!("--member: {} is this one, which joins", self.id),
+            );
         } else {
-            when(n.is_multiple_of(2) || n > 7, format!("--member: {n} of them, not 1, 3, 5 or 7"));
-            when(!ids.contains(&self.id), format!("--member: keeper {} itself is not among them", self.id));
+            when(
+                n.is_multiple_of(2) || n > 7,
+                format!("--member: {n} of them, not 1, 3, 5 or 7"),
+            );
+            when(
+                !ids.contains(&self.id),
+                format!("--member: keeper {} itself is not among them", self.id),
+            );
         }
         when(self.beat.is_zero(), "--beat: above 0s".into());
-        when(self.beat * 3 > self.silence, format!("--beat: over a third of --silence {:?}", self.silence));
+        when(
+            self.beat * 3 > self.silence,
+            format!("--beat: over a third of --silence {:?}", self.silence),
+        );
         let drift = self.drift;
-        when(!(0.0..=0.1).contains(&drift), format!("--drift: {drift} is not between 0 and 0.1"));
+        when(
+            !(0.0..=0.1).contains(&drift),
+            format!("--drift: {drift} is not between 0 and 0.1"),
+        );
         // An election takes two silences and a round trip; a lease that it outlasts would be lost by all routers.
         when(
             self.lease < self.silence * 4,
             format!("--lease: under four times --silence {:?}", self.silence),
         );
-        when(self.callers_at_most == 0, "--callers-at-most: at least 1".into());
+        when(
+            self.callers_at_most == 0,
+            "--callers-at-most: at least 1".into(),
+        );
         if faults.is_empty() {
             Ok(())
         } else {
@@ -140,8 +167,15 @@
                 beat: micros(self.beat),
                 drift: self.drift,
             },
-            lease: LeaseTerms { lease: micros(self.lease), drift: self.drift },
-            addresses: self.members.iter().map(|m| (KeeperId(m.0), m.1.to_string())).collect(),
+            lease: LeaseTerms {
+                lease: micros(self.lease),
+                drift: self.drift,
+            },
+            addresses: self
+                .members
+                .iter()
+                .map(|m| (KeeperId(m.0), m.1.to_string()))
+                .collect(),
             check: check::values,
         }
     }
@@ -160,7 +194,9 @@
 pub fn main_with(program: KeeperProgram) -> ExitCode {
     let flags = program.flags;
     if let Err(faults) = flags.check() {
-        faults.iter().for_each(|fault| eprintln!("spokeflow-keeper: {fault}"));
+        faults
+            .iter()
+            .for_each(|fault| eprintln!("spokeflow-keeper: {fault}"));
         return ExitCode::from(2);
     }
     if let Err(fault) = start_log(&flags.log, flags.log_form) {
@@ -169,15 +205,27 @@
     }
     let process = rand::rng().random();
     let own = KeeperId(flags.id);
-    let opened = Store::open(&flags.store, flags.fleet, own, flags.fail_writes_from, process);
+    let opened = Store::open(
+        &flags.store,
+        flags.fleet,
+        own,
+        flags.fail_writes_from,
+        process,
+    );
     let (store, saved, start, processes) = match opened {
         Ok(opened) => opened,
         Err(fault) => {
-            eprintln!("spokeflow-keeper: --store {}: {fault}", flags.store.display());
+            eprintln!(
+                "spokeflow-keeper: --store {}: {fault}",
+                flags.store.display()
+            );
             return ExitCode::FAILURE;
         }
     };
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("spokeflow-keeper: cannot start: {e}");
--- a/crates/spokeflow-keeper/src/serve.rs
+++ b/crates/spokeflow-keeper/src/serve.rs
@@ -52,8 +52,10 @@
         }
         steps.pass(Where::BeforeSync);
         if let Err(fault) = store.write(&order.writes, &order.met) {
-            let _ = core
-                .blocking_send(Arrival::DiskFails(format!("--store {}: {fault}", store.file().display())));
+            let _ = core.blocking_send(Arrival::DiskFails(format!(
+                "--store {}: {fault}",
+                store.file().display()
+            )));
             return;
         }
         steps.pass(Where::AfterSync);
@@ -97,7 +99,11 @@
             self.reach();
         }
         if !step.writes.is_empty() {
-            let _ = self.to_disk.send(ToDisk { writes: step.writes, met: Vec::new(), told: Vec::new() });
+            let _ = self.to_disk.send(ToDisk {
+                writes: step.writes,
+                met: Vec::new(),
+                told: Vec::new(),
+            });
         }
         if !step.to_keepers.is_empty() {
             self.steps.pass(Where::BeforeSending);
@@ -113,7 +119,10 @@
             self.steps.pass(Where::BeforeAnswering);
         }
         for (conn, number, answer) in step.answers {
-            let full = self.callers.get(&conn).is_some_and(|c| c.try_send((number, answer)).is_err());
+            let full = self
+                .callers
+                .get(&conn)
+                .is_some_and(|c| c.try_send((number, answer)).is_err());
             if full {
                 // Dropped: its task then closes the connection.
                 self.callers.remove(&conn);
@@ -132,8 +141,12 @@
     ) {
         let known = self.met.get(&id).copied().unwrap_or_default();
         // One that was not met for long has forgotten by now which process that was.
-        let remembers = start.saturating_sub(known.0) >= PROCESSES as u64 || processes.contains(&known.1);
-        let (process, own) = (processes.last().copied().unwrap_or(0), id == self.keeper.member().own());
+        let remembers =
+            start.saturating_sub(known.0) >= PROCESSES as u64 || processes.contains(&known.1);
+        let (process, own) = (
+            processes.last().copied().unwrap_or(0),
+            id == self.keeper.member().own(),
+        );
         if own || known != (0, 0) && (start < known.0 || !remembers) {
             let text = format!(
                 "the store of keeper {}, at start {start}, does not know of its start {}, which was met: it is an older \
@@ -146,7 +159,11 @@
         }
         self.met.insert(id, (start, process));
         let (writes, met) = (Vec::new(), vec![(id, (start, process))]);
-        let _ = self.to_disk.send(ToDisk { writes, met, told: vec![answer] });
+        let _ = self.to_disk.send(ToDisk {
+            writes,
+            met,
+            told: vec![answer],
+        });
     }
 
     /// All who vote are called at once, not when there is something to say: a start that only a few have met could be
@@ -159,7 +176,10 @@
                 true
             }
         });
-        let (members, own) = (self.keeper.member().members().to_vec(), self.keeper.member().own());
+        let (members, own) = (
+            self.keeper.member().members().to_vec(),
+            self.keeper.member().own(),
+        );
         for member in members.into_iter().filter(|m| *m != own) {
             self.link(member);
         }
@@ -167,12 +187,27 @@
 
     fn link(&mut self, id: KeeperId) -> Option<&mpsc::Sender<ToKeeper>> {
         let address = self.keeper.address(id).and_then(|a| a.parse().ok())?;
-        if self.peers.get(&id).is_none_or(|p| p.0 != address || p.1.is_closed()) {
+        if self
+            .peers
+            .get(&id)
+            .is_none_or(|p| p.0 != address || p.1.is_closed())
+        {
             let (say, queue) = mpsc::channel(PEER_QUEUE);
             let pauses = Pauses::new(self.seed, u64::from(id.0), FIRST_PAUSE, LONGEST_PAUSE);
             let (caller, core) = (self.caller.clone(), self.core.clone());
             let addresses = self.addresses.subscribe();
-            tokio::spawn(PeerLink { id, address, caller, addresses, pauses, core, queue }.run());
+            tokio::spawn(
+                PeerLink {
+                    id,
+                    address,
+                    caller,
+                    addresses,
+                    pauses,
+                    core,
+                    queue,
+                }
+                .run(),
+            );
             self.peers.insert(id, (address, say));
         }
         self.peers.get(&id).map(|p| &p.1)
@@ -183,7 +218,13 @@
         let state = (member.term().0, member.speaks(now), member.leader());
         if self.said.replace(state) != Some(state) {
             let leader = state.2.map(|l| l.0);
-            info!(term = state.0, leads = state.1, leader, applied = self.keeper.applied().0, "keeper");
+            info!(
+                term = state.0,
+                leads = state.1,
+                leader,
+                applied = self.keeper.applied().0,
+                "keeper"
+            );
         }
     }
 }
@@ -200,7 +241,11 @@
     let listener = TcpListener::bind(flags.listen).await.map_err(fault)?;
     let address = listener.local_addr().map_err(fault)?;
     let seed = rand::rng().random();
-    let met = store.starts().map_err(|f| f.to_string())?.into_iter().collect();
+    let met = store
+        .starts()
+        .map_err(|f| f.to_string())?
+        .into_iter()
+        .collect();
     let terms = flags.terms();
     let longest = Duration::from_micros(terms.lease.longest_contradiction() as u64);
     info!(
@@ -223,7 +268,13 @@
     }
     let (own, list) = (KeeperId(flags.id), flags.list);
     let common = flags.common();
-    let caller = Caller::Keeper { id: own, start, processes, common, addresses: Vec::new() };
+    let caller = Caller::Keeper {
+        id: own,
+        start,
+        processes,
+        common,
+        addresses: Vec::new(),
+    };
     let keeper = Keeper::new(terms, seed, saved, clock.now())?;
     let places = Arc::new(Semaphore::new(flags.callers_at_most));
     let mut shell = Shell {
@@ -243,7 +294,15 @@
     let (reads, reading) = watch::channel(false);
     if let Some(address) = list {
         let pauses = Pauses::new(seed, 1 << 32, FIRST_PAUSE, LONGEST_PAUSE);
-        tokio::spawn(ListLink { address, pauses, core: core.clone(), reads: reading }.run());
+        tokio::spawn(
+            ListLink {
+                address,
+                pauses,
+                core: core.clone(),
+                reads: reading,
+            }
+            .run(),
+        );
     }
     shell.reach();
     let accepting = {
@@ -256,10 +315,22 @@
                     continue;
                 };
                 // Without a place it is closed unheard: a router then tries another keeper.
-                let Ok(place) = places.clone().try_acquire_owned() else { continue };
+                let Ok(place) = places.clone().try_acquire_owned() else {
+                    continue;
+                };
                 conn += 1;
                 let (core, clock) = (core.clone(), clock.clone());
-                tokio::spawn(Call { conn, own, common, core, clock, _place: place }.run(stream));
+                tokio::spawn(
+                    Call {
+                        conn,
+                        own,
+                        common,
+                        core,
+                        clock,
+                        _place: place,
+                    }
+                    .run(stream),
+                );
             }
         })
     };
@@ -274,7 +345,9 @@
             _ = arrivals.recv_many(&mut batch, AT_ONCE) => {}
         }
         for arrival in batch.drain(..) {
-            let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
+            let wall = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |d| d.as_secs());
             shell.keeper.wall_s = wall;
             let (now, mut step) = (clock.now(), Step::default());
             match arrival {
@@ -284,12 +357,34 @@
                 Arrival::Left(conn) => {
                     shell.callers.remove(&conn);
                 }
-                Arrival::Asked { conn, number, keeper, ask } => {
-                    shell.keeper.asked(now, Asker { conn, number, keeper }, ask, &mut step);
+                Arrival::Asked {
+                    conn,
+                    number,
+                    keeper,
+                    ask,
+                } => {
+                    shell.keeper.asked(
+                        now,
+                        Asker {
+                            conn,
+                            number,
+                            keeper,
+                        },
+                        ask,
+                        &mut step,
+                    );
                 }
                 Arrival::Heard(from, message) => shell.keeper.heard(now, from, message, &mut step),
-                Arrival::PassedBack(number, answer) => shell.keeper.passed_back(number, answer, &mut step),
-                Arrival::Met { id, start, processes, addresses, answer } => {
+                Arrival::PassedBack(number, answer) => {
+                    shell.keeper.passed_back(number, answer, &mut step)
+                }
+                Arrival::Met {
+                    id,
+                    start,
+                    processes,
+                    addresses,
+                    answer,
+                } => {
                     shell.keeper.learn(&addresses);
                     shell.meet(id, start, &processes, answer);
                     shell.reach();
@@ -322,7 +417,9 @@
 
 async fn ended_by_signal() {
     use tokio::signal::unix::{signal, SignalKind};
-    let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
+    let Ok(mut term) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
--- a/crates/spokeflow-keeper/src/steps.rs
+++ b/crates/spokeflow-keeper/src/steps.rs
@@ -37,11 +37,16 @@
 
 impl Steps {
     pub fn new(die_at: Option<(Where, u64)>) -> Self {
-        Steps { die_at, passed: AtomicU64::new(0) }
+        Steps {
+            die_at,
+            passed: AtomicU64::new(0),
+        }
     }
 
     pub fn pass(&self, at: Where) {
-        let Some((place, nth)) = self.die_at else { return };
+        let Some((place, nth)) = self.die_at else {
+            return;
+        };
         if place == at && self.passed.fetch_add(1, Ordering::Relaxed) + 1 == nth {
             // As by kill -9: nothing is flushed, no destructor runs.
             std::process::abort();
--- a/crates/spokeflow-keeper/src/store.rs
+++ b/crates/spokeflow-keeper/src/store.rs
@@ -92,7 +92,12 @@
             disk!(std::fs::create_dir_all(folder));
         }
         let db = Database::create(file).map_err(|e| StoreFault::NotOne(e.to_string()))?;
-        let store = Store { db, file: file.to_path_buf(), fails_from, writes: 0 };
+        let store = Store {
+            db,
+            file: file.to_path_buf(),
+            fails_from,
+            writes: 0,
+        };
         let write = disk!(store.db.begin_write());
         let (start, processes): (u64, Vec<u64>);
         {
@@ -101,7 +106,10 @@
             disk!(write.open_table(STARTS));
             let whose: Option<(u64, KeeperId)> = read(&meta, "whose")?;
             if let Some((f, id)) = whose.filter(|w| *w != (fleet, own)) {
-                return Err(StoreFault::Foreign(format!("it is keeper {}'s of fleet {f}", id.0)));
+                return Err(StoreFault::Foreign(format!(
+                    "it is keeper {}'s of fleet {f}",
+                    id.0
+                )));
             }
             let (before, mut all) = read::<(u64, Vec<u64>)>(&meta, "starts")?.unwrap_or_default();
             all.push(process);
@@ -122,18 +130,29 @@
     fn saved(&self) -> Result<Saved, StoreFault> {
         let txn = disk!(self.db.begin_read());
         let meta = disk!(txn.open_table(META));
-        let (term, voted) = read::<(Term, Option<KeeperId>)>(&meta, "promised")?.unwrap_or_default();
+        let (term, voted) =
+            read::<(Term, Option<KeeperId>)>(&meta, "promised")?.unwrap_or_default();
         let snapshot = read::<Snapshot>(&meta, "snapshot")?.unwrap_or_default();
         let mut log = Vec::new();
         let table = disk!(txn.open_table(LOG));
         for (expected, row) in (snapshot.upto.0 + 1..).zip(disk!(table.iter())) {
             let (place, record) = disk!(row);
             if place.value() != expected {
-                return Err(StoreFault::Damaged(format!("the log lacks place {expected}")));
+                return Err(StoreFault::Damaged(format!(
+                    "the log lacks place {expected}"
+                )));
             }
-            log.push(opened::<Entry>(&format!("the log's place {expected}"), record.value())?);
+            log.push(opened::<Entry>(
+                &format!("the log's place {expected}"),
+                record.value(),
+            )?);
         }
-        Ok(Saved { term, voted, snapshot, log })
+        Ok(Saved {
+            term,
+            voted,
+            snapshot,
+            log,
+        })
     }
 
     /// Starts with which other keepers have been met, by id.
@@ -143,7 +162,10 @@
         let mut all = Vec::new();
         for row in disk!(table.iter()) {
             let (id, record) = disk!(row);
-            all.push((KeeperId(id.value()), opened("a count of starts", record.value())?));
+            all.push((
+                KeeperId(id.value()),
+                opened("a count of starts", record.value())?,
+            ));
         }
         Ok(all)
     }
--- a/crates/spokeflow-lab/src/agree.rs
+++ b/crates/spokeflow-lab/src/agree.rs
@@ -31,7 +31,11 @@
     let builds = |r: &Report| {
         let end = |b: &spokeflow_scenario::report::BuildStory| {
             let after = b.after_s.map(|s| format!(" {s:.0} s")).unwrap_or_default();
-            let end = if b.end.starts_with("taken") { "taken off" } else { b.end.as_str() };
+            let end = if b.end.starts_with("taken") {
+                "taken off"
+            } else {
+                b.end.as_str()
+            };
             format!("{end}{after}")
         };
         r.builds.iter().map(end).collect::<Vec<_>>().join(", ")
@@ -51,7 +55,11 @@
             let (a, b) = (&p.sockets, &p.simulated);
             let mut row = vec![a.scenario.clone(), a.seed.to_string()];
             row.push(both(a.commands.to_string(), b.commands.to_string()));
-            row.extend(figures.iter().map(|(f, n)| both(format!("{:.n$}", f(a)), format!("{:.n$}", f(b)))));
+            row.extend(
+                figures
+                    .iter()
+                    .map(|(f, n)| both(format!("{:.n$}", f(a)), format!("{:.n$}", f(b)))),
+            );
             row.push(both(builds(a), builds(b)));
             row
         })
@@ -59,8 +67,16 @@
     let n = pairs.len().max(1) as f64;
     let mut mean = vec!["mean difference".to_string(), String::new(), String::new()];
     for (f, digits) in &figures {
-        let d = pairs.iter().map(|p| f(&p.simulated) - f(&p.sockets)).sum::<f64>() / n;
-        let size = pairs.iter().map(|p| (f(&p.simulated) - f(&p.sockets)).abs()).sum::<f64>() / n;
+        let d = pairs
+            .iter()
+            .map(|p| f(&p.simulated) - f(&p.sockets))
+            .sum::<f64>()
+            / n;
+        let size = pairs
+            .iter()
+            .map(|p| (f(&p.simulated) - f(&p.sockets)).abs())
+            .sum::<f64>()
+            / n;
         mean.push(format!("{d:+.digits$} (size {size:.digits$})"));
     }
     mean.push(String::new());
--- a/crates/spokeflow-lab/src/agreement.rs
+++ b/crates/spokeflow-lab/src/agreement.rs
@@ -35,7 +35,9 @@
 
 fn part(sorted: &[Micros], share: f64) -> f64 {
     let at = (sorted.len() as f64 * share) as usize;
-    sorted.get(at.min(sorted.len().saturating_sub(1))).map_or(0.0, |w| *w as f64 / SECOND as f64)
+    sorted
+        .get(at.min(sorted.len().saturating_sub(1)))
+        .map_or(0.0, |w| *w as f64 / SECOND as f64)
 }
 
 /// Plays them and prints a table. `false`: something did not hold, told with the day.
@@ -86,11 +88,19 @@
         "state bytes",
     ]);
     for &routers in &flags.routers {
-        let of: Vec<&AgreementPlayed> = all.iter().filter(|d| d.0.routers == routers).map(|d| &d.1).collect();
+        let of: Vec<&AgreementPlayed> = all
+            .iter()
+            .filter(|d| d.0.routers == routers)
+            .map(|d| &d.1)
+            .collect();
         let mut waits: Vec<Micros> = of.iter().flat_map(|p| p.waits.iter().copied()).collect();
         waits.sort_unstable();
         let sum = |f: fn(&AgreementPlayed) -> u64| of.iter().map(|p| f(p)).sum::<u64>();
-        let longest = of.iter().map(|p| p.longest_contradiction).max().unwrap_or(0);
+        let longest = of
+            .iter()
+            .map(|p| p.longest_contradiction)
+            .max()
+            .unwrap_or(0);
         let (leased, not) = (sum(|p| p.leased), sum(|p| p.unleased));
         table.add_row([
             routers.to_string(),
@@ -102,9 +112,20 @@
             format!("{:.2}", part(&waits, 0.5)),
             format!("{:.2}", part(&waits, 0.99)),
             format!("{:.3}", longest as f64 / SECOND as f64),
-            format!("{:.1}%", 100.0 * leased as f64 / (leased + not).max(1) as f64),
-            of.iter().map(|p| p.kept_entries).max().unwrap_or(0).to_string(),
-            of.iter().map(|p| p.kept_state).max().unwrap_or(0).to_string(),
+            format!(
+                "{:.1}%",
+                100.0 * leased as f64 / (leased + not).max(1) as f64
+            ),
+            of.iter()
+                .map(|p| p.kept_entries)
+                .max()
+                .unwrap_or(0)
+                .to_string(),
+            of.iter()
+                .map(|p| p.kept_state)
+                .max()
+                .unwrap_or(0)
+                .to_string(),
         ]);
     }
     println!("{table}");
--- a/crates/spokeflow-lab/src/alone.rs
+++ b/crates/spokeflow-lab/src/alone.rs
@@ -51,8 +51,18 @@
     let each = 1.0 - (1.0 - flags.false_backs).powf(1.0 / fleet);
     let row = |&answers: &f64| {
         let one = power(flags, answers, flags.met, each, flags.draws);
-        let all = power(flags, answers * fleet, flags.trial_hosts, flags.false_backs, flags.draws / 100);
-        Row { answers, alone: 1.0 - (1.0 - one).powf(fleet), together: all }
+        let all = power(
+            flags,
+            answers * fleet,
+            flags.trial_hosts,
+            flags.false_backs,
+            flags.draws / 100,
+        );
+        Row {
+            answers,
+            alone: 1.0 - (1.0 - one).powf(fleet),
+            together: all,
+        }
     };
     flags.answers.iter().map(row).collect()
 }
@@ -61,7 +71,9 @@
 fn power(flags: &AloneFlags, answers: f64, hosts: usize, allowed: f64, draws: usize) -> f64 {
     let mut chance = Chance::new(flags.seed);
     let mut proofs = |bad| -> Vec<f64> {
-        let mut all: Vec<f64> = (0..draws).map(|_| proof(flags, answers, hosts, bad, &mut chance)).collect();
+        let mut all: Vec<f64> = (0..draws)
+            .map(|_| proof(flags, answers, hosts, bad, &mut chance))
+            .collect();
         all.sort_by(|a, b| b.total_cmp(a));
         all
     };
@@ -81,8 +93,15 @@
         // A sick host acks up to some moment and fails from then on.
         let onset = chance.below(n + 1);
         let part = if bad { flags.fails } else { NOISE };
-        let fails: Vec<bool> =
-            (0..n).map(|i| if sick { i >= onset } else { chance.share() < part }).collect();
+        let fails: Vec<bool> = (0..n)
+            .map(|i| {
+                if sick {
+                    i >= onset
+                } else {
+                    chance.share() < part
+                }
+            })
+            .collect();
         let failed = fails.iter().filter(|f| **f).count();
         let of = |p: f64| p.powi(failed as i32) * (1.0 - p).powi((n - failed) as i32);
         let turned = fails.windows(2).all(|w| w[0] <= w[1]);
@@ -108,7 +127,10 @@
         flags.fleet, flags.met, flags.trial_hosts, flags.sick, flags.fails, flags.false_backs
     );
     for row in rows(flags) {
-        text += &format!("{:14.1}   {:22.3}   {:8.3}\n", row.answers, row.alone, row.together);
+        text += &format!(
+            "{:14.1}   {:22.3}   {:8.3}\n",
+            row.answers, row.alone, row.together
+        );
     }
     text
 }
@@ -145,7 +167,9 @@
         let flags = flags(8.0);
         let draw = |seed| -> Vec<f64> {
             let mut chance = Chance::new(seed);
-            (0..50_000).map(|_| proof(&flags, 8.0, 8, false, &mut chance)).collect()
+            (0..50_000)
+                .map(|_| proof(&flags, 8.0, 8, false, &mut chance))
+                .collect()
         };
         let mut set = draw(1);
         set.sort_by(|a, b| b.total_cmp(a));
--- a/crates/spokeflow-lab/src/capacity/collect.rs
+++ b/crates/spokeflow-lab/src/capacity/collect.rs
@@ -40,7 +40,11 @@
     let mut lines = Vec::new();
     for file in run_files(runs)? {
         let records = read_records(&file)?;
-        let run = file.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        let run = file
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         lines.extend(lines_of(&run, records));
     }
     number_equal_ids(&mut lines);
@@ -54,12 +58,19 @@
     let mut files = Vec::new();
     for entry in std::fs::read_dir(runs).map_err(fault)? {
         let file = entry.map_err(fault)?.path();
-        if file.extension().is_some_and(|extension| extension == "json") {
+        if file
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             files.push(file);
         }
     }
     if files.is_empty() {
-        return Err(CapacityError::new(runs, "", "no raw run (*.json) in this folder"));
+        return Err(CapacityError::new(
+            runs,
+            "",
+            "no raw run (*.json) in this folder",
+        ));
     }
     files.sort();
     Ok(files)
@@ -70,7 +81,10 @@
     for record in records {
         by_line.entry(key(run, &record)).or_default().push(record);
     }
-    by_line.into_iter().filter_map(|(key, records)| line(key, records)).collect()
+    by_line
+        .into_iter()
+        .filter_map(|(key, records)| line(key, records))
+        .collect()
 }
 
 fn key(run: &str, record: &Record) -> Key {
@@ -87,26 +101,41 @@
 
 fn held_sizes(record: &Record) -> Vec<String> {
     let changing = record.size_of.replace('-', "_");
-    let held = SWEEP_SIZES.iter().filter_map(|name| Some((*name, record.held.get(*name)?)));
+    let held = SWEEP_SIZES
+        .iter()
+        .filter_map(|name| Some((*name, record.held.get(*name)?)));
     // The size that changes is told again under its own name.
-    let others = held.filter(|(name, value)| *name != changing || value.as_f64() != Some(record.size));
-    others.map(|(name, value)| format!("{name} {value}")).collect()
+    let others =
+        held.filter(|(name, value)| *name != changing || value.as_f64() != Some(record.size));
+    others
+        .map(|(name, value)| format!("{name} {value}"))
+        .collect()
 }
 
 /// What all records have alike, except the size that changes.
 fn held_by_all(records: &[Record]) -> Held {
-    let Some(first) = records.first() else { return Held::new() };
-    let alike =
-        |name: &str, value: &serde_json::Value| records.iter().all(|r| r.held.get(name) == Some(value));
-    let held = first.held.iter().filter(|(name, value)| **name != first.size_of && alike(name, value));
-    held.map(|(name, value)| (name.clone(), value.clone())).collect()
+    let Some(first) = records.first() else {
+        return Held::new();
+    };
+    let alike = |name: &str, value: &serde_json::Value| {
+        records.iter().all(|r| r.held.get(name) == Some(value))
+    };
+    let held = first
+        .held
+        .iter()
+        .filter(|(name, value)| **name != first.size_of && alike(name, value));
+    held.map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
 }
 
 fn line(key: Key, records: Vec<Record>) -> Option<Line> {
     let first = records.first()?;
     let run = key.run.strip_suffix(".json").unwrap_or(&key.run);
     Some(Line {
-        id: format!("{run}: {}, {}, {}, by {}", key.role, key.quantity, key.phase, key.per),
+        id: format!(
+            "{run}: {}, {}, {}, by {}",
+            key.role, key.quantity, key.phase, key.per
+        ),
         role: first.role,
         quantity: key.quantity,
         unit: key.unit,
@@ -125,7 +154,10 @@
     let mut sizes: Vec<f64> = records.iter().map(|r| r.size).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
-    sizes.into_iter().map(|size| point(size, records.iter().filter(|r| r.size == size).collect())).collect()
+    sizes
+        .into_iter()
+        .map(|size| point(size, records.iter().filter(|r| r.size == size).collect()))
+        .collect()
 }
 
 fn point(size: f64, records: Vec<&Record>) -> Point {
@@ -133,9 +165,18 @@
     values.sort_by(f64::total_cmp);
     let value = values[(values.len() - 1) / 2];
     let repeated = values.len() > 1;
-    let lows = records.iter().filter_map(|r| r.min.or(repeated.then_some(r.value)));
-    let highs = records.iter().filter_map(|r| r.max.or(repeated.then_some(r.value)));
-    Point { size, value, min: lows.reduce(f64::min), max: highs.reduce(f64::max) }
+    let lows = records
+        .iter()
+        .filter_map(|r| r.min.or(repeated.then_some(r.value)));
+    let highs = records
+        .iter()
+        .filter_map(|r| r.max.or(repeated.then_some(r.value)));
+    Point {
+        size,
+        value,
+        min: lows.reduce(f64::min),
+        max: highs.reduce(f64::max),
+    }
 }
 
 /// Lines that differ only in what was held, or in their unit, get a number behind their id.
--- a/crates/spokeflow-lab/src/capacity/commands.rs
+++ b/crates/spokeflow-lab/src/capacity/commands.rs
@@ -18,10 +18,18 @@
 #[derive(Args)]
 pub struct CapacityFlags {
     /// The target, as TOML
-    #[arg(long, env = "SPOKEFLOW_LAB_TARGET", default_value = "docs/capacity/target.toml")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_TARGET",
+        default_value = "docs/capacity/target.toml"
+    )]
     target: PathBuf,
     /// Measured lines, as `collect-slopes` writes them
-    #[arg(long, env = "SPOKEFLOW_LAB_SLOPES", default_value = "docs/capacity/slopes.json")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_SLOPES",
+        default_value = "docs/capacity/slopes.json"
+    )]
     slopes: PathBuf,
     /// Prints the rows as JSON
     #[arg(long)]
@@ -34,7 +42,11 @@
     #[arg(long, env = "SPOKEFLOW_LAB_RUNS", default_value = "docs/capacity/runs")]
     runs: PathBuf,
     /// Where the lines go
-    #[arg(long, env = "SPOKEFLOW_LAB_SLOPES", default_value = "docs/capacity/slopes.json")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_SLOPES",
+        default_value = "docs/capacity/slopes.json"
+    )]
     out: PathBuf,
 }
 
@@ -89,11 +101,19 @@
     let rows = rows(&target, &slopes);
     if flags.json {
         let text = serde_json::to_string_pretty(&rows);
-        return text.map(|text| text + "\n").map_err(|e| CapacityError::new(&flags.slopes, "", e));
+        return text
+            .map(|text| text + "\n")
+            .map_err(|e| CapacityError::new(&flags.slopes, "", e));
     }
     let (of, by) = (flags.target.display(), flags.slopes.display());
     let command = format!("spokeflow-lab capacity --target {of} --slopes {by}");
-    Ok(Page { target: &target, slopes: &slopes, rows: &rows, command: &command }.text())
+    Ok(Page {
+        target: &target,
+        slopes: &slopes,
+        rows: &rows,
+        command: &command,
+    }
+    .text())
 }
 
 /// Makes the measured lines from raw runs and writes them. Answers how many lines there are.
@@ -119,15 +139,30 @@
 /// Errors: wrong use, a router that does not start, or the file that cannot be written.
 pub fn measure_load(flags: &MeasureLoadFlags) -> Result<usize, String> {
     flags.check()?;
-    let MeasureLoadFlags { hosts, rate, seconds, runs, answer_after, out } = flags;
+    let MeasureLoadFlags {
+        hosts,
+        rate,
+        seconds,
+        runs,
+        answer_after,
+        out,
+    } = flags;
     let (hosts, rate, seconds) = (hosts.clone(), *rate, *seconds);
-    let terms = ServedTerms { hosts, rate, seconds, runs: *runs, answer_after: *answer_after };
+    let terms = ServedTerms {
+        hosts,
+        rate,
+        seconds,
+        runs: *runs,
+        answer_after: *answer_after,
+    };
     let served = served::measure(&terms, &today())?;
     write_json(out, &served.records).map_err(|e| e.to_string())?;
     match served.fault {
-        Some(fault) => {
-            Err(format!("{fault}; the {} records before are in {}", served.records.len(), out.display()))
-        }
+        Some(fault) => Err(format!(
+            "{fault}; the {} records before are in {}",
+            served.records.len(),
+            out.display()
+        )),
         None => Ok(served.records.len()),
     }
 }
--- a/crates/spokeflow-lab/src/capacity/encoded.rs
+++ b/crates/spokeflow-lab/src/capacity/encoded.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use spokeflow_agreed::wire::{Answer, Ask, FromKeeper, ToKeeper};
 use spokeflow_agreed::{
-    Act, Asked, Granter, HostState, LeaseTerms, Ledger, ListNo, ListedHost, Offer, RevisionNo, Seats,
-    SourceNews, Values,
+    Act, Asked, Granter, HostState, LeaseTerms, Ledger, ListNo, ListedHost, Offer, RevisionNo,
+    Seats, SourceNews, Values,
 };
 use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
 use spokeflow_quorum::{Body, Entry, Message, Place, Term};
@@ -37,7 +37,10 @@
 const ZONES: u32 = 15;
 /// Bytes of a frame's length, before its message.
 const FRAME_HEAD: usize = 4;
-const LEASE: LeaseTerms = LeaseTerms { lease: 3_000_000, drift: 0.01 };
+const LEASE: LeaseTerms = LeaseTerms {
+    lease: 3_000_000,
+    drift: 0.01,
+};
 /// A process number, request number and token of usual length.
 const PROCESS: u64 = 0x9d3c_5a71_e20b_4f86;
 const REQUEST: u64 = 100_000;
@@ -56,11 +59,20 @@
     for routers in ROUTERS {
         records.extend(renewal_records(routers));
     }
-    records.iter_mut().for_each(|record| record.date = date.to_string());
+    records
+        .iter_mut()
+        .for_each(|record| record.date = date.to_string());
     records
 }
 
-fn record(role: Role, quantity: &str, size_of: &str, size: u32, bytes: usize, held: Held) -> Record {
+fn record(
+    role: Role,
+    quantity: &str,
+    size_of: &str,
+    size: u32,
+    bytes: usize,
+    held: Held,
+) -> Record {
     Record {
         role,
         quantity: quantity.to_string(),
@@ -80,10 +92,26 @@
 }
 
 fn host_records(hosts: u32) -> Vec<Record> {
-    let held = || Held::from([("tenants".to_string(), json!(0)), ("routers".to_string(), json!(1300))]);
-    let whole = SourceNews { version: 1, whole: true, hosts: (0..hosts).map(listed_host).collect() };
-    let drained = ListedHost { state: HostState::Draining, ..listed_host(hosts / 2) };
-    let change = SourceNews { version: 2, whole: false, hosts: vec![drained] };
+    let held = || {
+        Held::from([
+            ("tenants".to_string(), json!(0)),
+            ("routers".to_string(), json!(1300)),
+        ])
+    };
+    let whole = SourceNews {
+        version: 1,
+        whole: true,
+        hosts: (0..hosts).map(listed_host).collect(),
+    };
+    let drained = ListedHost {
+        state: HostState::Draining,
+        ..listed_host(hosts / 2)
+    };
+    let change = SourceNews {
+        version: 2,
+        whole: false,
+        hosts: vec![drained],
+    };
     let mut ledger = Ledger::default();
     let empty = ledger.state().len();
     ledger.apply(Act::List(whole.clone()));
@@ -107,16 +135,27 @@
 }
 
 fn tenant_records(tenants: u32) -> Vec<Record> {
-    let held = || Held::from([("hosts".to_string(), json!(0)), ("routers".to_string(), json!(1300))]);
+    let held = || {
+        Held::from([
+            ("hosts".to_string(), json!(0)),
+            ("routers".to_string(), json!(1300)),
+        ])
+    };
     let (before, after) = (tenant_offer(tenants, 0, 0), tenant_offer(tenants, 1, 1));
     let mut ledger = Ledger::default();
     take(&mut ledger, before, 1);
     let state_before = ledger.state().len();
-    let offer = frame(&ToKeeper::Ask { number: REQUEST, ask: Ask::Offer(after.clone()) });
+    let offer = frame(&ToKeeper::Ask {
+        number: REQUEST,
+        ask: Ask::Offer(after.clone()),
+    });
     let entry = append_frame(&Act::Offer(after.clone()));
     ledger.apply(Act::Offer(after));
     let grant = grant_frame(&ledger, None);
-    ledger.apply(Act::InForce { revision: RevisionNo(2), at_s: 1_800_000_000 });
+    ledger.apply(Act::InForce {
+        revision: RevisionNo(2),
+        at_s: 1_800_000_000,
+    });
     let growth = ledger.state().len() - state_before;
     let of = |role, quantity, bytes| record(role, quantity, "tenants", tenants, bytes, held());
     vec![
@@ -128,26 +167,50 @@
 }
 
 fn renewal_records(routers: u32) -> Vec<Record> {
-    let held = || Held::from([("hosts".to_string(), json!(0)), ("tenants".to_string(), json!(0))]);
+    let held = || {
+        Held::from([
+            ("hosts".to_string(), json!(0)),
+            ("tenants".to_string(), json!(0)),
+        ])
+    };
     let ledger = Ledger::default();
     let mut granter = Granter::new(LEASE, 0);
     let mut last = (0, 0);
     for router in 0..routers {
         let own = asked(&ledger, Some(ledger.list.version));
-        let asked = Asked { router, process: PROCESS - u64::from(router), ..own };
+        let asked = Asked {
+            router,
+            process: PROCESS - u64::from(router),
+            ..own
+        };
         let grant = granter.ask(1, &asked, &ledger, &seats());
-        let request = frame(&ToKeeper::Ask { number: REQUEST, ask: Ask::Lease(asked) });
+        let request = frame(&ToKeeper::Ask {
+            number: REQUEST,
+            ask: Ask::Lease(asked),
+        });
         let answer = Answer::Granted(Box::new(grant));
-        last = (request, frame(&FromKeeper::Answer { number: REQUEST, answer }));
+        last = (
+            request,
+            frame(&FromKeeper::Answer {
+                number: REQUEST,
+                answer,
+            }),
+        );
     }
     let of = |role, quantity, bytes| record(role, quantity, "routers", routers, bytes, held());
-    vec![of(Role::RouterControl, RENEWAL_REQUEST, last.0), of(Role::Voter, RENEWAL_ANSWER, last.1)]
+    vec![
+        of(Role::RouterControl, RENEWAL_REQUEST, last.0),
+        of(Role::Voter, RENEWAL_ANSWER, last.1),
+    ]
 }
 
 /// Announces an offer and puts it in force.
 fn take(ledger: &mut Ledger, offer: Offer, number: u64) {
     ledger.apply(Act::Offer(offer));
-    ledger.apply(Act::InForce { revision: RevisionNo(number), at_s: 1_800_000_000 });
+    ledger.apply(Act::InForce {
+        revision: RevisionNo(number),
+        at_s: 1_800_000_000,
+    });
 }
 
 fn listed_host(host: u32) -> ListedHost {
@@ -164,39 +227,78 @@
 }
 
 fn address(host: u32) -> String {
-    format!("10.{}.{}.{}:8443", 16 + host / 60_000, host / 240 % 250, 10 + host % 240)
+    format!(
+        "10.{}.{}.{}:8443",
+        16 + host / 60_000,
+        host / 240 % 250,
+        10 + host % 240
+    )
 }
 
 /// An offer that names all tenants' shares, as the flag does; `changed` differs between two of them.
 fn tenant_offer(tenants: u32, against: u64, changed: u32) -> Offer {
     let share = |tenant: u32| if tenant == 0 { 12 + changed } else { 11 };
-    let shares: Vec<String> = (0..tenants).map(|t| format!("tenant-{t:05}={}.82", share(t))).collect();
+    let shares: Vec<String> = (0..tenants)
+        .map(|t| format!("tenant-{t:05}={}.82", share(t)))
+        .collect();
     let values: Values = BTreeMap::from([("customer".to_string(), shares.join(","))]);
     let token = PROCESS - u64::from(changed);
-    let (who, why) = ("operator@example.org".to_string(), "larger share for one tenant".to_string());
-    Offer { token, against: RevisionNo(against), who, why, at_s: 1_800_000_000, values }
+    let (who, why) = (
+        "operator@example.org".to_string(),
+        "larger share for one tenant".to_string(),
+    );
+    Offer {
+        token,
+        against: RevisionNo(against),
+        who,
+        why,
+        at_s: 1_800_000_000,
+        values,
+    }
 }
 
 /// What a router asks with that has what is in force, and the list up to `list`.
 fn asked(ledger: &Ledger, list: Option<ListNo>) -> Asked {
     let known = ledger.in_force.number;
-    Asked { process: PROCESS, router: 1299, knows: [known, known], acts_on: known, seats: SEATS_MARK, list }
+    Asked {
+        process: PROCESS,
+        router: 1299,
+        knows: [known, known],
+        acts_on: known,
+        seats: SEATS_MARK,
+        list,
+    }
 }
 
 fn seats() -> Seats {
-    Seats { mark: SEATS_MARK, addresses: Vec::new() }
+    Seats {
+        mark: SEATS_MARK,
+        addresses: Vec::new(),
+    }
 }
 
 fn grant_frame(ledger: &Ledger, list: Option<ListNo>) -> usize {
     let grant = Granter::new(LEASE, 0).ask(1, &asked(ledger, list), ledger, &seats());
-    frame(&FromKeeper::Answer { number: REQUEST, answer: Answer::Granted(Box::new(grant)) })
+    frame(&FromKeeper::Answer {
+        number: REQUEST,
+        answer: Answer::Granted(Box::new(grant)),
+    })
 }
 
 fn append_frame(act: &Act) -> usize {
     let (term, before) = (Term(12), Place(REQUEST));
-    let entries = vec![Entry { term, body: Body::Act(act.bytes()) }];
-    let append =
-        Message::Append { term, before, before_term: term, entries, committed: before, round: REQUEST };
+    let entries = vec![Entry {
+        term,
+        body: Body::Act(act.bytes()),
+    }];
+    let append = Message::Append {
+        term,
+        before,
+        before_term: term,
+        entries,
+        committed: before,
+        round: REQUEST,
+    };
     frame(&ToKeeper::Quorum(append))
 }
 
@@ -207,12 +309,20 @@
         build: h.build,
         cell: h.cell,
         zone: h.zone,
-        phase: if h.state == HostState::Draining { LinePhase::Draining } else { LinePhase::Ready },
+        phase: if h.state == HostState::Draining {
+            LinePhase::Draining
+        } else {
+            LinePhase::Ready
+        },
         incarnation: h.incarnation,
         up_us: h.up_us,
     };
     let (version, lines) = (news.version, news.hosts.into_iter().map(line).collect());
-    frame(&if news.whole { FromList::Whole { version, lines } } else { FromList::Changes { version, lines } })
+    frame(&if news.whole {
+        FromList::Whole { version, lines }
+    } else {
+        FromList::Changes { version, lines }
+    })
 }
 
 /// Bytes of a message on the wire, its length before it included.
@@ -220,6 +330,8 @@
     let mut buffer = BytesMut::new();
     // A limit that nothing here reaches: what is over a program's own limit is to be measured as well.
     let codec = FrameCodec::<(), &M>::new(u32::MAX as usize - FRAME_HEAD);
-    codec.write(&message, &mut buffer).expect("plain types always serialize");
+    codec
+        .write(&message, &mut buffer)
+        .expect("plain types always serialize");
     buffer.len()
 }
--- a/crates/spokeflow-lab/src/capacity/ends.rs
+++ b/crates/spokeflow-lab/src/capacity/ends.rs
@@ -53,7 +53,11 @@
     }
 
     pub fn all(target: &Target) -> [End; 3] {
-        [End::all_services(target), End::own_routers(target), End::largest_service(target)]
+        [
+            End::all_services(target),
+            End::own_routers(target),
+            End::largest_service(target),
+        ]
     }
 
     /// Requests a second of one service at one router, of so many in the whole fleet.
--- a/crates/spokeflow-lab/src/capacity/error.rs
+++ b/crates/spokeflow-lab/src/capacity/error.rs
@@ -14,8 +14,16 @@
 
 impl CapacityError {
     pub fn new(file: &Path, entry: impl Into<String>, wanted: impl fmt::Display) -> Self {
-        let wanted = wanted.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
-        CapacityError { file: file.to_path_buf(), entry: entry.into(), wanted }
+        let wanted = wanted
+            .to_string()
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join(" ");
+        CapacityError {
+            file: file.to_path_buf(),
+            entry: entry.into(),
+            wanted,
+        }
     }
 }
 
--- a/crates/spokeflow-lab/src/capacity/estimate.rs
+++ b/crates/spokeflow-lab/src/capacity/estimate.rs
@@ -18,13 +18,17 @@
 
 impl Need {
     fn is_met_by(&self, line: &Line) -> bool {
-        let named = line.quantity == self.quantity && line.phase == self.phase && line.per == self.per;
+        let named =
+            line.quantity == self.quantity && line.phase == self.phase && line.per == self.per;
         named && line.role == self.role
     }
 
     /// As it is named where nothing was measured.
     fn name(&self) -> String {
-        format!("{}: {} ({}) by {}", self.role, self.quantity, self.phase, self.per)
+        format!(
+            "{}: {} ({}) by {}",
+            self.role, self.quantity, self.phase, self.per
+        )
     }
 }
 
@@ -47,7 +51,10 @@
 impl Estimate {
     /// Follows from the target or from a limit of the programs; nothing was measured for it.
     pub fn given(value: f64) -> Estimate {
-        Estimate { value: Some(value), ..Estimate::default() }
+        Estimate {
+            value: Some(value),
+            ..Estimate::default()
+        }
     }
 
     /// What the lines say of `need` at `size`.
@@ -61,12 +68,18 @@
                 few: reading.few,
                 ..Estimate::default()
             },
-            None => Estimate { missing: BTreeSet::from([need.name()]), ..Estimate::default() },
+            None => Estimate {
+                missing: BTreeSet::from([need.name()]),
+                ..Estimate::default()
+            },
         }
     }
 
     pub fn times(self, factor: f64) -> Estimate {
-        Estimate { value: self.value.map(|value| value * factor), ..self }
+        Estimate {
+            value: self.value.map(|value| value * factor),
+            ..self
+        }
     }
 
     pub fn plus(self, other: Estimate) -> Estimate {
@@ -78,7 +91,10 @@
     /// may cost more.
     pub fn greatest(all: impl IntoIterator<Item = Estimate>) -> Estimate {
         let dearest = Estimate::dearest(all);
-        Estimate { at_least: dearest.value.is_some(), ..dearest }
+        Estimate {
+            at_least: dearest.value.is_some(),
+            ..dearest
+        }
     }
 
     /// The greatest of those that are measured, where only one of them happens at a time.
@@ -87,12 +103,17 @@
         let mut missing = BTreeSet::new();
         for estimate in all {
             missing.extend(estimate.missing.iter().cloned());
-            let Some(value) = estimate.value else { continue };
+            let Some(value) = estimate.value else {
+                continue;
+            };
             if dearest.as_ref().is_none_or(|d| d.value < Some(value)) {
                 dearest = Some(estimate);
             }
         }
-        dearest.unwrap_or(Estimate { missing, ..Estimate::default() })
+        dearest.unwrap_or(Estimate {
+            missing,
+            ..Estimate::default()
+        })
     }
 
     fn joined(mut self, other: Estimate, value: Option<f64>) -> Estimate {
@@ -111,5 +132,12 @@
 /// Of several runs: not of a text before a change, then the one with the most sizes, then the latest.
 fn best_line(slopes: &Slopes, need: Need) -> Option<&Line> {
     let matching = slopes.lines.iter().filter(|line| need.is_met_by(line));
-    matching.max_by_key(|line| (!line.run.contains("before"), line.points.len(), &line.date, &line.id))
+    matching.max_by_key(|line| {
+        (
+            !line.run.contains("before"),
+            line.points.len(),
+            &line.date,
+            &line.id,
+        )
+    })
 }
--- a/crates/spokeflow-lab/src/capacity/evidence.rs
+++ b/crates/spokeflow-lab/src/capacity/evidence.rs
@@ -44,7 +44,9 @@
 
 /// Every stage of a release of one service at the mean traffic.
 pub fn stages(target: &Target, end: &End, fleet_requests: f64) -> Vec<StageEvidence> {
-    (0..target.terms.stage_shares.len()).map(|stage| of_stage(target, end, fleet_requests, stage)).collect()
+    (0..target.terms.stage_shares.len())
+        .map(|stage| of_stage(target, end, fleet_requests, stage))
+        .collect()
 }
 
 fn of_stage(target: &Target, end: &End, fleet_requests: f64, stage: usize) -> StageEvidence {
@@ -72,7 +74,10 @@
 /// the part of the fleet that follows, and before the release of a large fleet.
 fn lasts(target: &Target, end: &End, fleet_requests: f64, stage: usize) -> f64 {
     let terms = &target.terms;
-    let (share, shortest) = (terms.stage_shares[stage], terms.stage_bake_seconds + AFTER_BAKE);
+    let (share, shortest) = (
+        terms.stage_shares[stage],
+        terms.stage_bake_seconds + AFTER_BAKE,
+    );
     let Some(next) = terms.stage_shares.get(stage + 1) else {
         let large = end.routers_per_service > spokeflow_core::MET_BY;
         return if large { LONGER * shortest } else { shortest };
--- a/crates/spokeflow-lab/src/capacity/fit.rs
+++ b/crates/spokeflow-lab/src/capacity/fit.rs
@@ -34,7 +34,10 @@
 impl Fit {
     fn new(form: Form, points: &[(f64, f64)]) -> Self {
         let miss = |&(size, value): &(f64, f64)| (form.at(size) - value).abs() / scale(value);
-        Fit { form, residual: points.iter().map(miss).fold(0.0, f64::max) }
+        Fit {
+            form,
+            residual: points.iter().map(miss).fold(0.0, f64::max),
+        }
     }
 
     /// Fits points of different sizes; `None` where there are fewer than two. Points are weighed by their size, so
@@ -44,12 +47,18 @@
             return None;
         }
         let line = Fit::new(linear(points), points);
-        let positive = points.iter().all(|(size, value)| *size > 0.0 && *value > 0.0);
+        let positive = points
+            .iter()
+            .all(|(size, value)| *size > 0.0 && *value > 0.0);
         if !positive || line.residual <= GOOD_LINE {
             return Some(line);
         }
         let power = Fit::new(power(points), points);
-        Some(if power.residual < NEARER * line.residual { power } else { line })
+        Some(if power.residual < NEARER * line.residual {
+            power
+        } else {
+            line
+        })
     }
 }
 
@@ -63,15 +72,22 @@
 }
 
 fn linear(points: &[(f64, f64)]) -> Form {
-    let weighed = points.iter().map(|(size, value)| (*size, *value, scale(*value).powi(-2)));
+    let weighed = points
+        .iter()
+        .map(|(size, value)| (*size, *value, scale(*value).powi(-2)));
     let (intercept, slope) = least_squares(weighed);
     Form::Linear { intercept, slope }
 }
 
 fn power(points: &[(f64, f64)]) -> Form {
-    let logarithms = points.iter().map(|(size, value)| (size.ln(), value.ln(), 1.0));
+    let logarithms = points
+        .iter()
+        .map(|(size, value)| (size.ln(), value.ln(), 1.0));
     let (intercept, exponent) = least_squares(logarithms);
-    Form::Power { factor: intercept.exp(), exponent }
+    Form::Power {
+        factor: intercept.exp(),
+        exponent,
+    }
 }
 
 /// Intercept and slope of the weighed line of least squares. Items: x, y, weight.
@@ -79,7 +95,10 @@
     let total: f64 = items.clone().map(|(_, _, w)| w).sum();
     let mean_x = items.clone().map(|(x, _, w)| w * x).sum::<f64>() / total;
     let mean_y = items.clone().map(|(_, y, w)| w * y).sum::<f64>() / total;
-    let spread: f64 = items.clone().map(|(x, _, w)| w * (x - mean_x).powi(2)).sum();
+    let spread: f64 = items
+        .clone()
+        .map(|(x, _, w)| w * (x - mean_x).powi(2))
+        .sum();
     let common: f64 = items.map(|(x, y, w)| w * (x - mean_x) * (y - mean_y)).sum();
     let slope = if spread == 0.0 { 0.0 } else { common / spread };
     (mean_y - slope * mean_x, slope)
--- a/crates/spokeflow-lab/src/capacity/lease.rs
+++ b/crates/spokeflow-lab/src/capacity/lease.rs
@@ -27,7 +27,10 @@
 impl LeaseBounds {
     pub fn of(target: &Target) -> LeaseBounds {
         let terms = &target.terms;
-        let lease = LeaseTerms { lease: (terms.lease_seconds * MICROS) as i64, drift: terms.clock_drift };
+        let lease = LeaseTerms {
+            lease: (terms.lease_seconds * MICROS) as i64,
+            drift: terms.clock_drift,
+        };
         let seconds = |micros: i64| micros as f64 / MICROS;
         let (held, waits) = (seconds(lease.held()), seconds(lease.waits()));
         LeaseBounds {
--- a/crates/spokeflow-lab/src/capacity/mod.rs
+++ b/crates/spokeflow-lab/src/capacity/mod.rs
@@ -24,8 +24,8 @@
 
 pub use collect::collect;
 pub use commands::{
-    capacity, collect_slopes, measure_bytes, measure_load, CapacityFlags, CollectFlags, MeasureBytesFlags,
-    MeasureLoadFlags,
+    capacity, collect_slopes, measure_bytes, measure_load, CapacityFlags, CollectFlags,
+    MeasureBytesFlags, MeasureLoadFlags,
 };
 pub use error::CapacityError;
 pub use fit::{Fit, Form};
--- a/crates/spokeflow-lab/src/capacity/page/roles.rs
+++ b/crates/spokeflow-lab/src/capacity/page/roles.rs
@@ -25,8 +25,9 @@
 
 impl Page<'_> {
     pub(super) fn over_budget(&self) -> String {
-        let (reached, waiting): (Vec<&Row>, Vec<&Row>) =
-            by_ratio(self.rows).into_iter().partition(|row| row.reached_after.is_none());
+        let (reached, waiting): (Vec<&Row>, Vec<&Row>) = by_ratio(self.rows)
+            .into_iter()
+            .partition(|row| row.reached_after.is_none());
         let mut text = String::from(
             "## Over budget\n\nThe largest ratio of value to budget first; one line for each row, in its worst situation.\n\n",
         );
@@ -50,7 +51,11 @@
         let Some(first) = all.first() else {
             return text + "No measured row that today's programs can reach is over its budget.\n";
         };
-        text += &format!("**{}**, ratio {}.\n\n", sentence_case(first.remedy.name()), plain(first.ratio));
+        text += &format!(
+            "**{}**, ratio {}.\n\n",
+            sentence_case(first.remedy.name()),
+            plain(first.ratio)
+        );
         text += &format!("{}\n\n{}\n", first.remedy.text(), reason(first, all.get(1)));
         let next: Vec<&Candidate> = all.iter().skip(1).take(NEXT).collect();
         if next.is_empty() {
@@ -58,7 +63,10 @@
         }
         text += "\nThen:\n\n";
         for (n, candidate) in next.iter().enumerate() {
-            let (name, what) = (sentence_case(candidate.remedy.name()), candidate.remedy.text());
+            let (name, what) = (
+                sentence_case(candidate.remedy.name()),
+                candidate.remedy.text(),
+            );
             text += &format!(
                 "{}. **{name}**, ratio {}: {}. {what}\n",
                 n + 1,
@@ -95,26 +103,56 @@
         }
         text += "No run has these lines yet; nothing on this page stands in for them.\n\n";
         let row = |row: &&Row| {
-            let missing = row.cells.iter().flat_map(|cell| cell.estimate.missing.iter());
+            let missing = row
+                .cells
+                .iter()
+                .flat_map(|cell| cell.estimate.missing.iter());
             let first = missing.min().cloned().unwrap_or_default();
             [row.role.to_string(), row.quantity.clone(), first]
         };
-        text + &table(["role", "what", "first line that is missing"], unmeasured.iter().map(row).collect())
+        text + &table(
+            ["role", "what", "first line that is missing"],
+            unmeasured.iter().map(row).collect(),
+        )
     }
 }
 
 fn over_table(rows: &[&Row]) -> String {
-    let head = ["ratio", "role", "what", "worst situation", "value", "budget", "also over in", "mended by"];
-    table(head, rows.iter().filter_map(|row| over_budget_row(row)).collect())
+    let head = [
+        "ratio",
+        "role",
+        "what",
+        "worst situation",
+        "value",
+        "budget",
+        "also over in",
+        "mended by",
+    ];
+    table(
+        head,
+        rows.iter().filter_map(|row| over_budget_row(row)).collect(),
+    )
 }
 
 fn over_budget_row(row: &Row) -> Option<[String; 8]> {
     let (cell, ratio) = row.worst()?;
     let budget = row.budget.as_ref()?;
-    let also: Vec<String> =
-        row.over().into_iter().filter(|s| *s != cell.situation).map(|s| s.to_string()).collect();
-    let also = if also.len() + 1 == Situation::ALL.len() { "all others".into() } else { also.join(", ") };
-    let note = if row.reached_after.is_some() { " (a)" } else { "" };
+    let also: Vec<String> = row
+        .over()
+        .into_iter()
+        .filter(|s| *s != cell.situation)
+        .map(|s| s.to_string())
+        .collect();
+    let also = if also.len() + 1 == Situation::ALL.len() {
+        "all others".into()
+    } else {
+        also.join(", ")
+    };
+    let note = if row.reached_after.is_some() {
+        " (a)"
+    } else {
+        ""
+    };
     Some([
         plain(ratio),
         row.role.to_string(),
@@ -123,17 +161,25 @@
         marked(&cell.estimate, row.unit),
         format!("{}: {}", row.unit.text(budget.value), budget.source),
         also,
-        row.remedy.map_or(String::new(), |remedy| remedy.name().to_string()),
+        row.remedy
+            .map_or(String::new(), |remedy| remedy.name().to_string()),
     ])
 }
 
 /// Why the first mechanism comes first.
 fn reason(first: &Candidate, second: Option<&Candidate>) -> String {
-    let waiting = first.rows.iter().filter(|row| row.reached_after.is_some()).count();
+    let waiting = first
+        .rows
+        .iter()
+        .filter(|row| row.reached_after.is_some())
+        .count();
     let reached = first.rows.len() - waiting;
     let mut text = format!("Why this one: {}", first_row(first));
     text += &match second {
-        Some(second) => format!("; no row of another mechanism exceeds ratio {}.", plain(second.ratio)),
+        Some(second) => format!(
+            "; no row of another mechanism exceeds ratio {}.",
+            plain(second.ratio)
+        ),
         None => "; no row of another mechanism is over its budget.".to_string(),
     };
     text += &format!(" It would mend {reached} of the rows above");
@@ -141,7 +187,11 @@
         0 => ".".to_string(),
         n => format!(
             ", and {n} more that come up once {}.",
-            first.rows.iter().find_map(|r| r.reached_after).unwrap_or("")
+            first
+                .rows
+                .iter()
+                .find_map(|r| r.reached_after)
+                .unwrap_or("")
         ),
     };
     text
@@ -149,7 +199,10 @@
 
 /// The candidate's worst row that today's programs reach.
 fn first_row(candidate: &Candidate) -> String {
-    let reached = candidate.rows.iter().find(|row| row.reached_after.is_none());
+    let reached = candidate
+        .rows
+        .iter()
+        .find(|row| row.reached_after.is_none());
     let Some((row, (cell, ratio))) = reached.and_then(|row| Some((row, row.worst()?))) else {
         return String::new();
     };
@@ -175,10 +228,20 @@
 }
 
 fn role_line(row: &Row) -> Vec<String> {
-    let note = if row.reached_after.is_some() { " (a)" } else { "" };
-    let budget = row.budget.as_ref().map_or("none told".into(), |budget| row.unit.text(budget.value));
+    let note = if row.reached_after.is_some() {
+        " (a)"
+    } else {
+        ""
+    };
+    let budget = row
+        .budget
+        .as_ref()
+        .map_or("none told".into(), |budget| row.unit.text(budget.value));
     let mut line = vec![format!("{}{note}", row.quantity), budget];
-    let same = row.cells.windows(2).all(|pair| pair[0].estimate == pair[1].estimate);
+    let same = row
+        .cells
+        .windows(2)
+        .all(|pair| pair[0].estimate == pair[1].estimate);
     for (n, cell) in row.cells.iter().enumerate() {
         let text = match (same, n) {
             (true, 1..) => "same".into(),
@@ -201,7 +264,9 @@
 
 /// The value with the marks that the roles' section explains.
 fn marked(estimate: &Estimate, unit: Unit) -> String {
-    let Some(value) = estimate.value else { return NOT_MEASURED.into() };
+    let Some(value) = estimate.value else {
+        return NOT_MEASURED.into();
+    };
     let least = if estimate.at_least { ">= " } else { "" };
     let far = if estimate.far { "!" } else { "" };
     let few = if estimate.few { "~" } else { "" };
@@ -210,5 +275,7 @@
 
 fn sentence_case(text: &str) -> String {
     let mut letters = text.chars();
-    letters.next().map_or(String::new(), |first| first.to_uppercase().collect::<String>() + letters.as_str())
+    letters.next().map_or(String::new(), |first| {
+        first.to_uppercase().collect::<String>() + letters.as_str()
+    })
 }
--- a/crates/spokeflow-lab/src/capacity/page/sections.rs
+++ b/crates/spokeflow-lab/src/capacity/page/sections.rs
@@ -29,18 +29,31 @@
         let (fleet, load, budget, faults) = (&t.fleet, &t.load, &t.budget, &t.faults);
         let row = |what: &str, value: String| [what.to_string(), value];
         let told = vec![
-            row("routers, hosts, services", join([fleet.routers, fleet.hosts, fleet.services])),
+            row(
+                "routers, hosts, services",
+                join([fleet.routers, fleet.hosts, fleet.services]),
+            ),
             row("routes, tenants", join([fleet.routes, fleet.tenants])),
             row(
                 "regions, zones, control machines",
                 join([fleet.regions, fleet.zones, fleet.control_machines]),
             ),
-            row("requests a second at the peak", plain(load.peak_requests_per_second)),
+            row(
+                "requests a second at the peak",
+                plain(load.peak_requests_per_second),
+            ),
             row(
                 "changes a day, in force everywhere within",
-                format!("{}, {} s", plain(load.changes_per_day), plain(load.change_bound_seconds)),
+                format!(
+                    "{}, {} s",
+                    plain(load.changes_per_day),
+                    plain(load.change_bound_seconds)
+                ),
+            ),
+            row(
+                "time added to 99 of 100 requests",
+                format!("{} ms", plain(budget.added_milliseconds)),
             ),
-            row("time added to 99 of 100 requests", format!("{} ms", plain(budget.added_milliseconds))),
             row(
                 "control of one router: core, memory, bytes",
                 format!(
@@ -52,10 +65,19 @@
             ),
             row(
                 "machines that fail, are restarted or replaced a day",
-                join([faults.machines_failed_per_day, faults.machines_restarted_per_day]),
+                join([
+                    faults.machines_failed_per_day,
+                    faults.machines_restarted_per_day,
+                ]),
+            ),
+            row(
+                "racks, zones lost a year",
+                join([faults.racks_lost_per_year, faults.zones_lost_per_year]),
+            ),
+            row(
+                "hours for which regions lose each other",
+                plain(faults.region_apart_hours),
             ),
-            row("racks, zones lost a year", join([faults.racks_lost_per_year, faults.zones_lost_per_year])),
-            row("hours for which regions lose each other", plain(faults.region_apart_hours)),
         ];
         let assumed = vec![
             row("mean requests over those at the peak", plain(a.mean_share_of_peak)),
@@ -81,7 +103,8 @@
     /// Sizes of the target that today's settings have no word for.
     pub(super) fn not_carried(&self) -> String {
         let fleet = &self.target.fleet;
-        let row = |size: &str, count: f64, why: &str| [size.to_string(), plain(count), why.to_string()];
+        let row =
+            |size: &str, count: f64, why: &str| [size.to_string(), plain(count), why.to_string()];
         let rows = vec![
             row(
                 "services",
@@ -101,10 +124,18 @@
         let placed = place(self.target);
         let rows = placed.iter().map(|p| {
             let duty = p.duty.name().to_string();
-            [p.region.to_string(), duty, p.machines.to_string(), p.duty.mechanism().to_string()]
+            [
+                p.region.to_string(),
+                duty,
+                p.machines.to_string(),
+                p.duty.mechanism().to_string(),
+            ]
         });
         let mut text = String::from("## The control machines\n\n");
-        text += &table(["region", "what it does", "machines", "carried by"], rows.collect());
+        text += &table(
+            ["region", "what it does", "machines", "carried by"],
+            rows.collect(),
+        );
         text += "\nWhat a loss costs:\n\n";
         text + &table(["lost", "cost", "mechanism"], self.losses())
     }
@@ -169,19 +200,36 @@
         let bounds = LeaseBounds::of(self.target);
         let allowed = self.target.load.change_bound_seconds;
         let row = |what: &str, how: &str, seconds: f64| {
-            [what.to_string(), how.to_string(), format!("{} s", plain(seconds)), plain(seconds / allowed)]
+            [
+                what.to_string(),
+                how.to_string(),
+                format!("{} s", plain(seconds)),
+                plain(seconds / allowed),
+            ]
         };
         let rows = vec![
             row("lease T", "`--lease`", bounds.lease),
-            row("a router holds a grant", "T x (1 - drift), by its clock, from the request", bounds.held),
+            row(
+                "a router holds a grant",
+                "T x (1 - drift), by its clock, from the request",
+                bounds.held,
+            ),
             row("it asks again after", "a third of that", bounds.renewal),
-            row("the leader waits", "T x (1 + drift), by its clock, from its answer", bounds.waits),
+            row(
+                "the leader waits",
+                "T x (1 + drift), by its clock, from its answer",
+                bounds.waits,
+            ),
             row(
                 "two contradicting acts last at most",
                 "T: `LeaseTerms::longest_contradiction`",
                 bounds.longest_contradiction,
             ),
-            row("offer to in force, nothing fails", "the leader's wait, messages aside", bounds.in_force),
+            row(
+                "offer to in force, nothing fails",
+                "the leader's wait, messages aside",
+                bounds.in_force,
+            ),
             row(
                 "offer to in force, the leader lost",
                 "wait + two silences + the new leader's wait",
@@ -198,7 +246,10 @@
     }
 
     pub(super) fn services_and_routers(&self) -> String {
-        let (mean, peak) = (self.target.mean_requests(), self.target.load.peak_requests_per_second);
+        let (mean, peak) = (
+            self.target.mean_requests(),
+            self.target.load.peak_requests_per_second,
+        );
         let rows = End::all(self.target).into_iter().map(|end| {
             [
                 end.name.to_string(),
@@ -239,7 +290,11 @@
         );
         for end in End::all(self.target) {
             let stages = evidence::stages(self.target, &end, self.target.mean_requests());
-            text += &format!("\n{} ({} routers):\n\n", end.name, plain(end.routers_per_service));
+            text += &format!(
+                "\n{} ({} routers):\n\n",
+                end.name,
+                plain(end.routers_per_service)
+            );
             let head = [
                 "stage",
                 "part of the traffic",
@@ -293,12 +348,24 @@
 
     /// Whether a row rests on the line, or on a later one of the same quantity.
     fn names(&self, line: &Line) -> bool {
-        let mut used = self.rows.iter().flat_map(|row| &row.cells).flat_map(|cell| &cell.estimate.lines);
+        let mut used = self
+            .rows
+            .iter()
+            .flat_map(|row| &row.cells)
+            .flat_map(|cell| &cell.estimate.lines);
         let same = |other: &&Line| {
             let key = |l: &Line| (l.role, l.quantity.clone(), l.phase.clone(), l.per.clone());
             key(other) == key(line) && line.run.contains("before")
         };
-        used.any(|id| *id == line.id || self.slopes.lines.iter().filter(|l| l.id == *id).any(|l| same(&l)))
+        used.any(|id| {
+            *id == line.id
+                || self
+                    .slopes
+                    .lines
+                    .iter()
+                    .filter(|l| l.id == *id)
+                    .any(|l| same(&l))
+        })
     }
 }
 
@@ -333,14 +400,26 @@
 fn line_row(line: &Line) -> [String; 9] {
     let fit = line.fit();
     let form = fit.map_or("none".into(), |fit| form_text(fit.form, &line.per));
-    let caution = line.caution().map_or(String::new(), |caution| format!("; {caution}"));
-    let held: Vec<String> = line.held.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    let caution = line
+        .caution()
+        .map_or(String::new(), |caution| format!("; {caution}"));
+    let held: Vec<String> = line
+        .held
+        .iter()
+        .map(|(name, value)| format!("{name} {value}"))
+        .collect();
     [
         line.id.clone(),
         line.unit.clone(),
-        line.points.iter().map(point_text).collect::<Vec<_>>().join("; "),
+        line.points
+            .iter()
+            .map(point_text)
+            .collect::<Vec<_>>()
+            .join("; "),
         form + &caution,
-        fit.map_or("-".into(), |fit| format!("{}%", plain(fit.residual * 100.0))),
+        fit.map_or("-".into(), |fit| {
+            format!("{}%", plain(fit.residual * 100.0))
+        }),
         held.join(", "),
         format!("`{}`", line.command),
         format!("`runs/{}`", line.run),
@@ -358,7 +437,11 @@
 
 fn form_text(form: Form, per: &str) -> String {
     match form {
-        Form::Linear { intercept, slope } => format!("{} + {} x {per}", plain(intercept), plain(slope)),
-        Form::Power { factor, exponent } => format!("{} x {per}^{}", plain(factor), plain(exponent)),
+        Form::Linear { intercept, slope } => {
+            format!("{} + {} x {per}", plain(intercept), plain(slope))
+        }
+        Form::Power { factor, exponent } => {
+            format!("{} x {per}^{}", plain(factor), plain(exponent))
+        }
     }
 }
--- a/crates/spokeflow-lab/src/capacity/placement.rs
+++ b/crates/spokeflow-lab/src/capacity/placement.rs
@@ -52,8 +52,12 @@
     let voters = target.terms.voters as usize;
     let mut left = machines - voters.min(machines);
     let mut duties = vec![Duty::Voter; voters.min(machines)];
-    let wanted =
-        [(Duty::ListSource, 1), (Duty::ReleaseController, 1), (Duty::Relay, regions), (Duty::Spare, left)];
+    let wanted = [
+        (Duty::ListSource, 1),
+        (Duty::ReleaseController, 1),
+        (Duty::Relay, regions),
+        (Duty::Spare, left),
+    ];
     for (duty, count) in wanted {
         let given = count.min(left);
         duties.extend(vec![duty; given]);
@@ -67,13 +71,24 @@
     let mut placed: Vec<Placed> = Vec::new();
     for &duty in duties {
         let count = |region: usize, of: Option<Duty>| -> usize {
-            let here = placed.iter().filter(|p| p.region == region && of.is_none_or(|duty| p.duty == duty));
+            let here = placed
+                .iter()
+                .filter(|p| p.region == region && of.is_none_or(|duty| p.duty == duty));
             here.map(|p| p.machines).sum()
         };
-        let region = (1..=regions).min_by_key(|r| (count(*r, Some(duty)), count(*r, None), *r)).unwrap_or(1);
-        match placed.iter_mut().find(|p| p.region == region && p.duty == duty) {
+        let region = (1..=regions)
+            .min_by_key(|r| (count(*r, Some(duty)), count(*r, None), *r))
+            .unwrap_or(1);
+        match placed
+            .iter_mut()
+            .find(|p| p.region == region && p.duty == duty)
+        {
             Some(known) => known.machines += 1,
-            None => placed.push(Placed { region, duty, machines: 1 }),
+            None => placed.push(Placed {
+                region,
+                duty,
+                machines: 1,
+            }),
         }
     }
     placed.sort_by_key(|p| p.region);
--- a/crates/spokeflow-lab/src/capacity/records.rs
+++ b/crates/spokeflow-lab/src/capacity/records.rs
@@ -107,7 +107,11 @@
     };
     for (n, record) in records.iter().enumerate() {
         if let Some((entry, wanted)) = record.fault() {
-            return Err(CapacityError::new(file, format!("[{n}].{entry}"), format!("{wanted} wanted")));
+            return Err(CapacityError::new(
+                file,
+                format!("[{n}].{entry}"),
+                format!("{wanted} wanted"),
+            ));
         }
     }
     Ok(records)
@@ -161,12 +165,17 @@
 }
 
 /// Reads JSON and names the entry that does not fit.
-pub fn parse_json<T: serde::de::DeserializeOwned>(file: &Path, text: &str) -> Result<T, CapacityError> {
+pub fn parse_json<T: serde::de::DeserializeOwned>(
+    file: &Path,
+    text: &str,
+) -> Result<T, CapacityError> {
     let mut document = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut document).map_err(|fault| {
         let entry = fault.path().to_string();
         CapacityError::new(file, entry, fault.into_inner())
     })?;
-    document.end().map_err(|fault| CapacityError::new(file, "", fault))?;
+    document
+        .end()
+        .map_err(|fault| CapacityError::new(file, "", fault))?;
     Ok(value)
 }
--- a/crates/spokeflow-lab/src/capacity/remedy.rs
+++ b/crates/spokeflow-lab/src/capacity/remedy.rs
@@ -83,14 +83,27 @@
 pub fn candidates(rows: &[Row]) -> Vec<Candidate<'_>> {
     let mut found: Vec<Candidate> = Vec::new();
     for row in by_ratio(rows) {
-        let (Some(remedy), Some((_, ratio))) = (row.remedy, row.worst()) else { continue };
-        let reached = if row.reached_after.is_none() { ratio } else { 0.0 };
-        match found.iter_mut().find(|candidate| candidate.remedy == remedy) {
+        let (Some(remedy), Some((_, ratio))) = (row.remedy, row.worst()) else {
+            continue;
+        };
+        let reached = if row.reached_after.is_none() {
+            ratio
+        } else {
+            0.0
+        };
+        match found
+            .iter_mut()
+            .find(|candidate| candidate.remedy == remedy)
+        {
             Some(candidate) => {
                 candidate.ratio = candidate.ratio.max(reached);
                 candidate.rows.push(row);
             }
-            None => found.push(Candidate { remedy, ratio: reached, rows: vec![row] }),
+            None => found.push(Candidate {
+                remedy,
+                ratio: reached,
+                rows: vec![row],
+            }),
         }
     }
     found.retain(|candidate| candidate.ratio > 1.0);
--- a/crates/spokeflow-lab/src/capacity/row.rs
+++ b/crates/spokeflow-lab/src/capacity/row.rs
@@ -89,7 +89,10 @@
 
 impl Budget {
     pub fn new(value: f64, source: impl Into<String>) -> Option<Budget> {
-        Some(Budget { value, source: source.into() })
+        Some(Budget {
+            value,
+            source: source.into(),
+        })
     }
 }
 
@@ -128,7 +131,10 @@
         unit: Unit,
         estimate: impl Fn(Situation) -> Estimate,
     ) -> Row {
-        let cell = |situation| Cell { situation, estimate: estimate(situation) };
+        let cell = |situation| Cell {
+            situation,
+            estimate: estimate(situation),
+        };
         let cells = Situation::ALL.into_iter().map(cell).collect();
         let (budget, remedy, reached_after) = (None, None, None);
         Row {
@@ -152,11 +158,17 @@
     }
 
     pub fn mended_by(self, remedy: Remedy) -> Row {
-        Row { remedy: Some(remedy), ..self }
+        Row {
+            remedy: Some(remedy),
+            ..self
+        }
     }
 
     pub fn reached_after(self, what: &'static str) -> Row {
-        Row { reached_after: Some(what), ..self }
+        Row {
+            reached_after: Some(what),
+            ..self
+        }
     }
 
     /// The estimate over the budget, where there are both.
@@ -166,13 +178,19 @@
 
     /// The cell with the largest ratio, the first of equal ones.
     pub fn worst(&self) -> Option<(&Cell, f64)> {
-        let rated = self.cells.iter().filter_map(|cell| Some((cell, self.ratio(cell)?)));
+        let rated = self
+            .cells
+            .iter()
+            .filter_map(|cell| Some((cell, self.ratio(cell)?)));
         rated.reduce(|worst, next| if next.1 > worst.1 { next } else { worst })
     }
 
     /// Situations in which it is over its budget.
     pub fn over(&self) -> Vec<Situation> {
-        let over = self.cells.iter().filter(|cell| self.ratio(cell).is_some_and(|ratio| ratio > 1.0));
+        let over = self
+            .cells
+            .iter()
+            .filter(|cell| self.ratio(cell).is_some_and(|ratio| ratio > 1.0));
         over.map(|cell| cell.situation).collect()
     }
 
--- a/crates/spokeflow-lab/src/capacity/rows/control.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/control.rs
@@ -16,22 +16,44 @@
 pub fn rows(inputs: &Inputs) -> Vec<Row> {
     let target = inputs.target;
     let budget = &target.budget;
-    let bytes =
-        Budget::new(budget.control_kb_per_second * BYTES_PER_KB, "control bytes a second of a router");
-    let memory = Budget::new(budget.control_memory_mb * BYTES_PER_MB, "control memory of a router");
-    let cores = Budget::new(budget.control_core_share, "share of a core for a router's control");
-    let bound = Budget::new(target.load.change_bound_seconds, "a change is in force everywhere");
-    let frame = || Budget::new(limits::CALLER_FRAME, "frame limit between a voter and a router");
+    let bytes = Budget::new(
+        budget.control_kb_per_second * BYTES_PER_KB,
+        "control bytes a second of a router",
+    );
+    let memory = Budget::new(
+        budget.control_memory_mb * BYTES_PER_MB,
+        "control memory of a router",
+    );
+    let cores = Budget::new(
+        budget.control_core_share,
+        "share of a core for a router's control",
+    );
+    let bound = Budget::new(
+        target.load.change_bound_seconds,
+        "a change is in force everywhere",
+    );
+    let frame = || {
+        Budget::new(
+            limits::CALLER_FRAME,
+            "frame limit between a voter and a router",
+        )
+    };
     vec![
-        Row::varying(Role::RouterControl, "bytes without changes of settings", Unit::BytesPerSecond, |s| {
-            inputs.per_second(without_changes(inputs, &inputs.load(s)))
-        })
+        Row::varying(
+            Role::RouterControl,
+            "bytes without changes of settings",
+            Unit::BytesPerSecond,
+            |s| inputs.per_second(without_changes(inputs, &inputs.load(s))),
+        )
         .within(bytes.clone())
         .by(LINK)
         .mended_by(Remedy::ListInParts),
-        Row::varying(Role::RouterControl, "bytes of changes of one tenant each", Unit::BytesPerSecond, |s| {
-            inputs.per_second(changes(inputs, &inputs.load(s)))
-        })
+        Row::varying(
+            Role::RouterControl,
+            "bytes of changes of one tenant each",
+            Unit::BytesPerSecond,
+            |s| inputs.per_second(changes(inputs, &inputs.load(s))),
+        )
         .within(bytes)
         .by(LINK)
         .mended_by(Remedy::ChangesByTenant)
@@ -72,10 +94,12 @@
         .within(cores.clone())
         .by(LINK)
         .mended_by(Remedy::CheckedOnce),
-        Row::varying(Role::RouterControl, "memory", Unit::Bytes, |s| process(inputs, "memory_peak", s))
-            .within(memory)
-            .by(LINK)
-            .mended_by(Remedy::CheckedOnce),
+        Row::varying(Role::RouterControl, "memory", Unit::Bytes, |s| {
+            process(inputs, "memory_peak", s)
+        })
+        .within(memory)
+        .by(LINK)
+        .mended_by(Remedy::CheckedOnce),
         Row::varying(
             Role::RouterControl,
             "memory of a real router's whole process, without requests",
@@ -104,19 +128,31 @@
         ))
         .by(LINK)
         .mended_by(Remedy::ListInParts),
-        Row::varying(Role::RouterControl, "time from offer to in force, worst", Unit::Seconds, |s| {
-            in_force(inputs, s)
-        })
+        Row::varying(
+            Role::RouterControl,
+            "time from offer to in force, worst",
+            Unit::Seconds,
+            |s| in_force(inputs, s),
+        )
         .within(bound.clone())
         .by("`spokeflow-agreed`, `Granter::ready`")
         .mended_by(Remedy::RelayPerRegion),
-        Row::varying(Role::RouterControl, "time to ready after a start, worst", Unit::Seconds, |s| {
-            fleet_time(inputs, "time_to_ready_worst", s)
-        })
+        Row::varying(
+            Role::RouterControl,
+            "time to ready after a start, worst",
+            Unit::Seconds,
+            |s| fleet_time(inputs, "time_to_ready_worst", s),
+        )
         .within(bound)
         .by(LINK)
         .mended_by(Remedy::RelayPerRegion),
-        Row::steady(Role::RouterControl, "connections", Unit::Count, Estimate::given(CONNECTIONS)).by(LINK),
+        Row::steady(
+            Role::RouterControl,
+            "connections",
+            Unit::Count,
+            Estimate::given(CONNECTIONS),
+        )
+        .by(LINK),
     ]
 }
 
@@ -134,7 +170,10 @@
 /// where it starts or was apart.
 fn without_changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
     let renewals = inputs.renewals_per_second() * inputs.target.load.change_bound_seconds;
-    let both_ways = inputs.renewal_request().plus(inputs.renewal_answer()).times(renewals);
+    let both_ways = inputs
+        .renewal_request()
+        .plus(inputs.renewal_answer())
+        .times(renewals);
     let lines = load.host_lines + load.missed_host_lines.min(limits::LIST_CHANGES_KEPT);
     let whole = inputs.list_grant().times(starts(inputs, load));
     both_ways.plus(inputs.line_grants(lines)).plus(whole)
@@ -142,7 +181,11 @@
 
 /// Bytes in a window at one router: each change, and the newest revision where it starts or was apart.
 fn changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
-    let newest = if load.rejoining_routers > 0.0 { 1.0 } else { starts(inputs, load) };
+    let newest = if load.rejoining_routers > 0.0 {
+        1.0
+    } else {
+        starts(inputs, load)
+    };
     inputs.change_grant().times(load.changes + newest)
 }
 
@@ -168,16 +211,46 @@
 }
 
 /// The greatest of what the scale run measured over routers, hosts and tenants, the others held.
-pub fn scale_run(inputs: &Inputs, role: Role, quantity: &'static str, situation: Situation) -> Estimate {
-    Estimate::greatest(scale_phases(situation).iter().map(|phase| over_sizes(inputs, role, quantity, phase)))
+pub fn scale_run(
+    inputs: &Inputs,
+    role: Role,
+    quantity: &'static str,
+    situation: Situation,
+) -> Estimate {
+    Estimate::greatest(
+        scale_phases(situation)
+            .iter()
+            .map(|phase| over_sizes(inputs, role, quantity, phase)),
+    )
 }
 
-fn over_sizes(inputs: &Inputs, role: Role, quantity: &'static str, phase: &'static str) -> Estimate {
+fn over_sizes(
+    inputs: &Inputs,
+    role: Role,
+    quantity: &'static str,
+    phase: &'static str,
+) -> Estimate {
     let fleet = &inputs.target.fleet;
-    let sizes = [("routers", fleet.routers), ("hosts", fleet.hosts), ("tenants", fleet.tenants)];
+    let sizes = [
+        ("routers", fleet.routers),
+        ("hosts", fleet.hosts),
+        ("tenants", fleet.tenants),
+    ];
     // A launch that a frame limit ends has figures as well, of routers that never were ready.
-    let comparable = sizes.into_iter().filter(|(per, _)| phase != LAUNCH || *per == "routers");
-    let measured = comparable.map(|(per, size)| inputs.measured(Need { role, quantity, phase, per }, size));
+    let comparable = sizes
+        .into_iter()
+        .filter(|(per, _)| phase != LAUNCH || *per == "routers");
+    let measured = comparable.map(|(per, size)| {
+        inputs.measured(
+            Need {
+                role,
+                quantity,
+                phase,
+                per,
+            },
+            size,
+        )
+    });
     Estimate::greatest(measured)
 }
 
--- a/crates/spokeflow-lab/src/capacity/rows/data.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/data.rs
@@ -22,8 +22,10 @@
 fn end_rows(inputs: &Inputs, end: &End) -> Vec<Row> {
     let target = inputs.target;
     let name = |what: &str| format!("{what}; {}", end.name);
-    let cores =
-        Budget::new(target.assumptions.router_cores, "cores that one deciding task can use (assumed)");
+    let cores = Budget::new(
+        target.assumptions.router_cores,
+        "cores that one deciding task can use (assumed)",
+    );
     let added = Budget::new(
         target.budget.added_milliseconds * SECONDS_PER_MILLISECOND,
         "time added to 99 of 100 requests, of which this is a part",
@@ -33,7 +35,8 @@
             Role::RouterData,
             name("time added to 99 of 100 requests, with what measures it"),
             Unit::Seconds,
-            over_sockets(inputs, served::PHASE, served::ADDED_P99, end).times(SECONDS_PER_MILLISECOND),
+            over_sockets(inputs, served::PHASE, served::ADDED_P99, end)
+                .times(SECONDS_PER_MILLISECOND),
         )
         .within(added.clone())
         .by("`spokeflow-router`"),
@@ -41,14 +44,20 @@
             Role::RouterData,
             name("the same through a plain pass-through in the same runs"),
             Unit::Seconds,
-            over_sockets(inputs, served::PASS_PHASE, served::ADDED_P99, end).times(SECONDS_PER_MILLISECOND),
+            over_sockets(inputs, served::PASS_PHASE, served::ADDED_P99, end)
+                .times(SECONDS_PER_MILLISECOND),
         )
         .by("what measures it"),
-        Row::varying(Role::RouterData, name("processor of the whole process"), Unit::Cores, |s| {
-            let request =
-                over_sockets(inputs, served::PHASE, served::PROCESSOR, end).times(SECONDS_PER_MICROSECOND);
-            request.times(requests_per_second(inputs, end, s))
-        })
+        Row::varying(
+            Role::RouterData,
+            name("processor of the whole process"),
+            Unit::Cores,
+            |s| {
+                let request = over_sockets(inputs, served::PHASE, served::PROCESSOR, end)
+                    .times(SECONDS_PER_MICROSECOND);
+                request.times(requests_per_second(inputs, end, s))
+            },
+        )
         .by("`spokeflow-router`"),
         Row::steady(
             Role::RouterData,
@@ -57,24 +66,35 @@
             over_sockets(inputs, served::PHASE, served::RESIDENT, end),
         )
         .by("`spokeflow-router`"),
-        Row::varying(Role::RouterData, name("processor of the module"), Unit::Cores, |s| {
-            processor(inputs, end, s)
-        })
+        Row::varying(
+            Role::RouterData,
+            name("processor of the module"),
+            Unit::Cores,
+            |s| processor(inputs, end, s),
+        )
         .within(cores)
         .by(MODULE)
         .mended_by(Remedy::KeptFigures),
-        Row::varying(Role::RouterData, name("work of the module for one request"), Unit::Seconds, |s| {
-            work(inputs, end, s)
-        })
+        Row::varying(
+            Role::RouterData,
+            name("work of the module for one request"),
+            Unit::Seconds,
+            |s| work(inputs, end, s),
+        )
         .within(added)
         .by(MODULE)
         .mended_by(Remedy::KeptFigures),
-        Row::varying(Role::RouterData, name("memory of the module's state"), Unit::Bytes, |s| {
-            memory(inputs, end, s)
-        })
+        Row::varying(
+            Role::RouterData,
+            name("memory of the module's state"),
+            Unit::Bytes,
+            |s| memory(inputs, end, s),
+        )
         .by(MODULE),
-        Row::varying(Role::RouterData, name("requests"), Unit::PerSecond, |s| requests(inputs, end, s))
-            .by("`spokeflow-router`, `serve`"),
+        Row::varying(Role::RouterData, name("requests"), Unit::PerSecond, |s| {
+            requests(inputs, end, s)
+        })
+        .by("`spokeflow-router`, `serve`"),
         Row::steady(
             Role::RouterData,
             name("connections to hosts"),
@@ -86,8 +106,18 @@
 }
 
 /// What was measured of a real router on sockets, at the rate of one router of the target.
-fn over_sockets(inputs: &Inputs, phase: &'static str, quantity: &'static str, end: &End) -> Estimate {
-    let need = Need { role: Role::RouterData, quantity, phase, per: "hosts" };
+fn over_sockets(
+    inputs: &Inputs,
+    phase: &'static str,
+    quantity: &'static str,
+    end: &End,
+) -> Estimate {
+    let need = Need {
+        role: Role::RouterData,
+        quantity,
+        phase,
+        per: "hosts",
+    };
     inputs.measured(need, end.hosts_per_router)
 }
 
@@ -103,9 +133,19 @@
 }
 
 /// Seconds of one core for a quantity that is measured in microseconds over hosts.
-fn module_work(inputs: &Inputs, quantity: &'static str, end: &End, situation: Situation) -> Estimate {
+fn module_work(
+    inputs: &Inputs,
+    quantity: &'static str,
+    end: &End,
+    situation: Situation,
+) -> Estimate {
     let measured = phases(situation).iter().map(|phase| {
-        let need = Need { role: Role::RouterData, quantity, phase, per: "hosts" };
+        let need = Need {
+            role: Role::RouterData,
+            quantity,
+            phase,
+            per: "hosts",
+        };
         inputs.measured(need, end.hosts_per_router)
     });
     Estimate::dearest(measured).times(SECONDS_PER_MICROSECOND)
@@ -136,10 +176,19 @@
         * target.assumptions.answer_milliseconds
         * SECONDS_PER_MILLISECOND;
     let each = |quantity, per, count: f64| {
-        let need = Need { role: Role::RouterData, quantity, phase: "quiet", per };
+        let need = Need {
+            role: Role::RouterData,
+            quantity,
+            phase: "quiet",
+            per,
+        };
         inputs.measured(need, count).times(count)
     };
     each("bytes per host", "hosts", end.hosts_per_router)
         .plus(each("bytes per tenant", "tenants", target.fleet.tenants))
-        .plus(each("bytes per command in flight", "commands in flight", in_flight))
+        .plus(each(
+            "bytes per command in flight",
+            "commands in flight",
+            in_flight,
+        ))
 }
--- a/crates/spokeflow-lab/src/capacity/rows/mod.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/mod.rs
@@ -42,8 +42,22 @@
         Estimate::measured(self.slopes, need, size)
     }
 
-    fn encoded(&self, role: Role, quantity: &'static str, per: &'static str, size: f64) -> Estimate {
-        self.measured(Need { role, quantity, phase: encoded::PHASE, per }, size)
+    fn encoded(
+        &self,
+        role: Role,
+        quantity: &'static str,
+        per: &'static str,
+        size: f64,
+    ) -> Estimate {
+        self.measured(
+            Need {
+                role,
+                quantity,
+                phase: encoded::PHASE,
+                per,
+            },
+            size,
+        )
     }
 
     fn per_hosts(&self, role: Role, quantity: &'static str) -> Estimate {
@@ -70,11 +84,21 @@
     }
 
     fn renewal_request(&self) -> Estimate {
-        self.encoded(Role::RouterControl, encoded::RENEWAL_REQUEST, "routers", self.target.fleet.routers)
+        self.encoded(
+            Role::RouterControl,
+            encoded::RENEWAL_REQUEST,
+            "routers",
+            self.target.fleet.routers,
+        )
     }
 
     fn renewal_answer(&self) -> Estimate {
-        self.encoded(Role::Voter, encoded::RENEWAL_ANSWER, "routers", self.target.fleet.routers)
+        self.encoded(
+            Role::Voter,
+            encoded::RENEWAL_ANSWER,
+            "routers",
+            self.target.fleet.routers,
+        )
     }
 
     /// Renewals of one router a second.
--- a/crates/spokeflow-lab/src/capacity/rows/others.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/others.rs
@@ -30,15 +30,29 @@
             |s| {
                 let load = inputs.load(s);
                 let starts = inputs.list_grant().times(load.starting_routers / regions);
-                inputs.per_second(inputs.line_grants(load.host_lines).times(routers).plus(starts))
+                inputs.per_second(
+                    inputs
+                        .line_grants(load.host_lines)
+                        .times(routers)
+                        .plus(starts),
+                )
+            },
+        ),
+        Row::varying(
+            Role::Relay,
+            "the same to one relay",
+            Unit::BytesPerSecond,
+            |s| {
+                let load = inputs.load(s);
+                let start = if load.starting_routers >= inputs.target.fleet.routers {
+                    1.0
+                } else {
+                    0.0
+                };
+                let lines = inputs.line_grants(load.host_lines);
+                inputs.per_second(lines.plus(inputs.list_grant().times(start)))
             },
         ),
-        Row::varying(Role::Relay, "the same to one relay", Unit::BytesPerSecond, |s| {
-            let load = inputs.load(s);
-            let start = if load.starting_routers >= inputs.target.fleet.routers { 1.0 } else { 0.0 };
-            let lines = inputs.line_grants(load.host_lines);
-            inputs.per_second(lines.plus(inputs.list_grant().times(start)))
-        }),
     ]
 }
 
@@ -53,16 +67,30 @@
         Row::varying(Role::ListSource, "bytes sent", Unit::BytesPerSecond, |s| {
             inputs.per_second(source_sends(inputs, &inputs.load(s), watchers))
         })
-        .within(Budget::new(network, "network of a control machine (assumed)"))
+        .within(Budget::new(
+            network,
+            "network of a control machine (assumed)",
+        ))
         .by(LINKS)
         .mended_by(Remedy::OneListReader),
-        Row::steady(Role::ListSource, "message with the whole host list", Unit::Bytes, whole)
-            .within(Budget::new(limits::LIST_FRAME, "frame limit of the list source"))
-            .by(LINKS)
-            .mended_by(Remedy::ListInParts),
-        Row::varying(Role::ListSource, "messages, each changed line told by itself", Unit::PerSecond, |s| {
-            Estimate::given(source_messages(inputs, &inputs.load(s), watchers))
-        })
+        Row::steady(
+            Role::ListSource,
+            "message with the whole host list",
+            Unit::Bytes,
+            whole,
+        )
+        .within(Budget::new(
+            limits::LIST_FRAME,
+            "frame limit of the list source",
+        ))
+        .by(LINKS)
+        .mended_by(Remedy::ListInParts),
+        Row::varying(
+            Role::ListSource,
+            "messages, each changed line told by itself",
+            Unit::PerSecond,
+            |s| Estimate::given(source_messages(inputs, &inputs.load(s), watchers)),
+        )
         .by(LINKS),
         Row::steady(
             Role::ListSource,
@@ -71,7 +99,13 @@
             inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE),
         )
         .by(LINKS),
-        Row::steady(Role::ListSource, "connections", Unit::Count, Estimate::given(watchers)).by(LINKS),
+        Row::steady(
+            Role::ListSource,
+            "connections",
+            Unit::Count,
+            Estimate::given(watchers),
+        )
+        .by(LINKS),
     ]
 }
 
@@ -80,7 +114,9 @@
     let whole = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
     let line = inputs.per_hosts(Role::ListSource, encoded::HOST_MESSAGE);
     let readings = inputs.target.load.change_bound_seconds / limits::WHOLE_LIST_EVERY;
-    whole.times(readings + load.starting_routers).plus(line.times(load.host_lines * watchers))
+    whole
+        .times(readings + load.starting_routers)
+        .plus(line.times(load.host_lines * watchers))
 }
 
 /// Each changed line to each watcher, each watch renewed, and the leader's readings, asked and answered.
@@ -92,14 +128,22 @@
 fn controller_rows(inputs: &Inputs) -> Vec<Row> {
     let routers = inputs.target.fleet.routers;
     vec![
-        Row::steady(Role::ReleaseController, "connections", Unit::Count, Estimate::given(routers))
-            .by("`spokeflow-router`, `desk`; the controller is not ours"),
-        Row::varying(Role::ReleaseController, "bytes, votes and counts", Unit::BytesPerSecond, |_| {
-            Estimate {
+        Row::steady(
+            Role::ReleaseController,
+            "connections",
+            Unit::Count,
+            Estimate::given(routers),
+        )
+        .by("`spokeflow-router`, `desk`; the controller is not ours"),
+        Row::varying(
+            Role::ReleaseController,
+            "bytes, votes and counts",
+            Unit::BytesPerSecond,
+            |_| Estimate {
                 missing: ["release controller: bytes by routers".to_string()].into(),
                 ..Estimate::default()
-            }
-        })
+            },
+        )
         .by("`spokeflow-proto`, `ToDesk`, `FromDesk`"),
     ]
 }
@@ -108,16 +152,31 @@
     let offer = inputs.per_tenants(Role::Tool, encoded::TENANT_OFFER);
     let record = inputs.per_tenants(Role::Voter, encoded::TENANT_RECORD);
     let status = record.times(limits::REVISIONS_KEPT);
-    let frame = || Budget::new(limits::CALLER_FRAME, "frame limit between a voter and a person");
+    let frame = || {
+        Budget::new(
+            limits::CALLER_FRAME,
+            "frame limit between a voter and a person",
+        )
+    };
     vec![
-        Row::steady(Role::Tool, "offer that changes one tenant", Unit::Bytes, offer)
-            .within(frame())
-            .by("`spokeflow-fleet offer`")
-            .mended_by(Remedy::ChangesByTenant),
-        Row::steady(Role::Tool, "answer to `status`, with 500 revisions", Unit::Bytes, status)
-            .within(frame())
-            .by("`spokeflow-fleet status`")
-            .mended_by(Remedy::ChangesByTenant)
-            .reached_after(OFFER_FITS),
+        Row::steady(
+            Role::Tool,
+            "offer that changes one tenant",
+            Unit::Bytes,
+            offer,
+        )
+        .within(frame())
+        .by("`spokeflow-fleet offer`")
+        .mended_by(Remedy::ChangesByTenant),
+        Row::steady(
+            Role::Tool,
+            "answer to `status`, with 500 revisions",
+            Unit::Bytes,
+            status,
+        )
+        .within(frame())
+        .by("`spokeflow-fleet status`")
+        .mended_by(Remedy::ChangesByTenant)
+        .reached_after(OFFER_FITS),
     ]
 }
--- a/crates/spokeflow-lab/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/voter.rs
@@ -30,7 +30,10 @@
         let bytes = target.assumptions.control_machine_mb_per_second * BYTES_PER_MB;
         Budget::new(bytes, "network of a control machine (assumed)")
     };
-    let callers = Budget::new(target.terms.callers_at_most, "callers of one voter, `--callers-at-most`");
+    let callers = Budget::new(
+        target.terms.callers_at_most,
+        "callers of one voter, `--callers-at-most`",
+    );
     let leases = Budget::new(limits::LEASES_KEPT, "leases that a leader keeps in mind");
     let voters = Budget::new(limits::VOTER_FRAME, "frame limit between voters");
     let connections = target.fleet.routers + 2.0 * (target.terms.voters - 1.0);
@@ -54,14 +57,26 @@
         .by(GRANTER)
         .mended_by(Remedy::ChangesByTenant)
         .reached_after(OFFER_FITS),
-        Row::steady(Role::VoterLeader, "bytes received in renewals", Unit::BytesPerSecond, received(inputs))
-            .within(network())
-            .by(GRANTER)
-            .mended_by(Remedy::LeaseInBatches),
-        Row::varying(Role::VoterLeader, "messages of leases", Unit::PerSecond, |s| {
-            let changes = inputs.load(s).changes / target.load.change_bound_seconds;
-            Estimate::given(2.0 * target.fleet.routers * (inputs.renewals_per_second() + changes))
-        })
+        Row::steady(
+            Role::VoterLeader,
+            "bytes received in renewals",
+            Unit::BytesPerSecond,
+            received(inputs),
+        )
+        .within(network())
+        .by(GRANTER)
+        .mended_by(Remedy::LeaseInBatches),
+        Row::varying(
+            Role::VoterLeader,
+            "messages of leases",
+            Unit::PerSecond,
+            |s| {
+                let changes = inputs.load(s).changes / target.load.change_bound_seconds;
+                Estimate::given(
+                    2.0 * target.fleet.routers * (inputs.renewals_per_second() + changes),
+                )
+            },
+        )
         .by(GRANTER),
         Row::steady(
             Role::VoterLeader,
@@ -85,12 +100,20 @@
         )
         .within(callers.clone())
         .by(KEEPER),
-        Row::varying(Role::VoterLeader, "one message that catches a voter up", Unit::Bytes, |s| {
-            let load = inputs.load(s);
-            let entries =
-                load.changes.max(load.missed_changes).clamp(1.0, limits::ENTRIES_PER_MESSAGE).round();
-            entry(inputs).times(entries)
-        })
+        Row::varying(
+            Role::VoterLeader,
+            "one message that catches a voter up",
+            Unit::Bytes,
+            |s| {
+                let load = inputs.load(s);
+                let entries = load
+                    .changes
+                    .max(load.missed_changes)
+                    .clamp(1.0, limits::ENTRIES_PER_MESSAGE)
+                    .round();
+                entry(inputs).times(entries)
+            },
+        )
         .within(voters)
         .by(LOG)
         .mended_by(Remedy::ChangesByTenant)
@@ -104,14 +127,25 @@
         .within(callers)
         .by(KEEPER)
         .mended_by(Remedy::RelayPerRegion),
-        Row::steady(Role::VoterLeader, "leases kept", Unit::Count, Estimate::given(target.fleet.routers))
-            .within(leases)
-            .by(GRANTER)
-            .mended_by(Remedy::LeaseInBatches),
-        Row::varying(Role::VoterLeader, "part of the time that a change is under way", Unit::Count, |s| {
-            Estimate::given(change_time_share(inputs, &inputs.load(s)))
-        })
-        .within(Budget::new(ALL_THE_TIME, "changes are announced one at a time"))
+        Row::steady(
+            Role::VoterLeader,
+            "leases kept",
+            Unit::Count,
+            Estimate::given(target.fleet.routers),
+        )
+        .within(leases)
+        .by(GRANTER)
+        .mended_by(Remedy::LeaseInBatches),
+        Row::varying(
+            Role::VoterLeader,
+            "part of the time that a change is under way",
+            Unit::Count,
+            |s| Estimate::given(change_time_share(inputs, &inputs.load(s))),
+        )
+        .within(Budget::new(
+            ALL_THE_TIME,
+            "changes are announced one at a time",
+        ))
         .by("`spokeflow-agreed`, `Ledger::announced`")
         .mended_by(Remedy::ManyChangesAtOnce),
     ]
@@ -121,23 +155,39 @@
     let state = ledger_state(inputs);
     let memory = inputs.target.assumptions.control_machine_mb * BYTES_PER_MB;
     vec![
-        Row::steady(Role::Voter, "state kept: host list and 500 revisions", Unit::Bytes, state.clone())
-            .within(Budget::new(memory, "memory of a control machine (assumed)"))
-            .by(LEDGER)
-            .mended_by(Remedy::ChangesByTenant)
-            .reached_after(OFFER_FITS),
-        Row::steady(Role::Voter, "one message with a snapshot of that state", Unit::Bytes, state)
-            .within(Budget::new(limits::VOTER_FRAME, "frame limit between voters"))
-            .by(LEDGER)
-            .mended_by(Remedy::ChangesByTenant)
-            .reached_after(OFFER_FITS),
+        Row::steady(
+            Role::Voter,
+            "state kept: host list and 500 revisions",
+            Unit::Bytes,
+            state.clone(),
+        )
+        .within(Budget::new(memory, "memory of a control machine (assumed)"))
+        .by(LEDGER)
+        .mended_by(Remedy::ChangesByTenant)
+        .reached_after(OFFER_FITS),
+        Row::steady(
+            Role::Voter,
+            "one message with a snapshot of that state",
+            Unit::Bytes,
+            state,
+        )
+        .within(Budget::new(
+            limits::VOTER_FRAME,
+            "frame limit between voters",
+        ))
+        .by(LEDGER)
+        .mended_by(Remedy::ChangesByTenant)
+        .reached_after(OFFER_FITS),
         Row::steady(
             Role::Voter,
             "one message with a snapshot of the host list",
             Unit::Bytes,
             inputs.per_hosts(Role::Voter, encoded::LIST_STATE),
         )
-        .within(Budget::new(limits::VOTER_FRAME, "frame limit between voters"))
+        .within(Budget::new(
+            limits::VOTER_FRAME,
+            "frame limit between voters",
+        ))
         .by(LEDGER)
         .mended_by(Remedy::ListInParts),
         Row::varying(
@@ -155,20 +205,30 @@
     let assumed = &inputs.target.assumptions;
     let rows = [Role::VoterLeader, Role::VoterFollower].map(|role| {
         [
-            Row::varying(role, "processor", Unit::Cores, |s| scale_run(inputs, role, "processor_share", s))
-                .within(Budget::new(assumed.voter_cores, "cores that a voter's one thread can use (assumed)"))
-                .by(KEEPER)
-                .mended_by(Remedy::RelayPerRegion),
-            Row::varying(role, "memory", Unit::Bytes, |s| scale_run(inputs, role, "memory_peak", s))
-                .within(Budget::new(
-                    assumed.control_machine_mb * BYTES_PER_MB,
-                    "memory of a control machine (assumed)",
-                ))
-                .by(KEEPER)
-                .mended_by(Remedy::RelayPerRegion),
-            Row::varying(role, "bytes sent, measured on its links", Unit::BytesPerSecond, |s| {
-                scale_run(inputs, role, "bytes_sent", s)
+            Row::varying(role, "processor", Unit::Cores, |s| {
+                scale_run(inputs, role, "processor_share", s)
+            })
+            .within(Budget::new(
+                assumed.voter_cores,
+                "cores that a voter's one thread can use (assumed)",
+            ))
+            .by(KEEPER)
+            .mended_by(Remedy::RelayPerRegion),
+            Row::varying(role, "memory", Unit::Bytes, |s| {
+                scale_run(inputs, role, "memory_peak", s)
             })
+            .within(Budget::new(
+                assumed.control_machine_mb * BYTES_PER_MB,
+                "memory of a control machine (assumed)",
+            ))
+            .by(KEEPER)
+            .mended_by(Remedy::RelayPerRegion),
+            Row::varying(
+                role,
+                "bytes sent, measured on its links",
+                Unit::BytesPerSecond,
+                |s| scale_run(inputs, role, "bytes_sent", s),
+            )
             .within(Budget::new(
                 assumed.control_machine_mb_per_second * BYTES_PER_MB,
                 "network of a control machine (assumed)",
@@ -183,13 +243,24 @@
 /// Bytes in a window, to all routers and to the other voters.
 fn sent_without_changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
     let target = inputs.target;
-    let renewals = inputs.renewals_per_second() * target.load.change_bound_seconds * target.fleet.routers;
-    let list_lines = inputs.line_grants(load.host_lines).times(target.fleet.routers);
+    let renewals =
+        inputs.renewals_per_second() * target.load.change_bound_seconds * target.fleet.routers;
+    let list_lines = inputs
+        .line_grants(load.host_lines)
+        .times(target.fleet.routers);
     let starts = inputs.list_grant().times(load.starting_routers);
     let missed_lines = inputs.line_grants(load.missed_host_lines.min(limits::LIST_CHANGES_KEPT));
-    let log = inputs.per_hosts(Role::Voter, encoded::HOST_ENTRY).times(load.host_lines * others(inputs));
+    let log = inputs
+        .per_hosts(Role::Voter, encoded::HOST_ENTRY)
+        .times(load.host_lines * others(inputs));
     let rejoins = missed_lines.times(load.rejoining_routers);
-    inputs.renewal_answer().times(renewals).plus(list_lines).plus(starts).plus(rejoins).plus(log)
+    inputs
+        .renewal_answer()
+        .times(renewals)
+        .plus(list_lines)
+        .plus(starts)
+        .plus(rejoins)
+        .plus(log)
 }
 
 fn sent_for_changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
@@ -200,7 +271,9 @@
 }
 
 fn received(inputs: &Inputs) -> Estimate {
-    inputs.renewal_request().times(inputs.renewals_per_second() * inputs.target.fleet.routers)
+    inputs
+        .renewal_request()
+        .times(inputs.renewals_per_second() * inputs.target.fleet.routers)
 }
 
 fn entry(inputs: &Inputs) -> Estimate {
@@ -211,14 +284,23 @@
     let record = inputs.per_tenants(Role::Voter, encoded::TENANT_RECORD);
     // The revision in force is kept beside its record.
     let revisions = record.times(limits::REVISIONS_KEPT + 1.0);
-    inputs.per_hosts(Role::Voter, encoded::LIST_STATE).plus(revisions)
+    inputs
+        .per_hosts(Role::Voter, encoded::LIST_STATE)
+        .plus(revisions)
 }
 
 fn granter_work(inputs: &Inputs) -> Estimate {
     let quantity = "processor work of one lease request in Granter::ask";
-    let need = Need { role: Role::Voter, quantity, phase: "peace", per: "routers" };
+    let need = Need {
+        role: Role::Voter,
+        quantity,
+        phase: "peace",
+        per: "routers",
+    };
     let routers = inputs.target.fleet.routers;
-    inputs.measured(need, routers).times(inputs.renewals_per_second() * routers)
+    inputs
+        .measured(need, routers)
+        .times(inputs.renewals_per_second() * routers)
 }
 
 /// Routers that ask one voter, where each voter has as many.
--- a/crates/spokeflow-lab/src/capacity/served.rs
+++ b/crates/spokeflow-lab/src/capacity/served.rs
@@ -41,21 +41,33 @@
 /// Errors: nothing could be begun.
 pub fn measure(terms: &ServedTerms, date: &str) -> Result<Served, String> {
     let starting = Starting::own().map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let mut records = Vec::new();
     for &hosts in &terms.hosts {
         for pass in (0..terms.runs).flat_map(|_| [true, false]) {
-            eprintln!("{hosts} hosts, {}", if pass { "pass-through" } else { "router" });
+            eprintln!(
+                "{hosts} hosts, {}",
+                if pass { "pass-through" } else { "router" }
+            );
             match runtime.block_on(put(&load(terms, hosts, pass), &starting)) {
                 Ok(measured) => records.extend(of_run(terms, &measured, date)),
                 Err(fault) => {
-                    return Ok(Served { records, fault: Some(format!("at {hosts} hosts: {fault}")) })
+                    return Ok(Served {
+                        records,
+                        fault: Some(format!("at {hosts} hosts: {fault}")),
+                    })
                 }
             }
         }
     }
-    Ok(Served { records, fault: None })
+    Ok(Served {
+        records,
+        fault: None,
+    })
 }
 
 fn load(terms: &ServedTerms, hosts: u32, pass: bool) -> Load {
@@ -82,12 +94,23 @@
         (PROCESSOR, "us", measured.cpu_us),
         (RESIDENT, "bytes", resident),
     ];
-    figures.map(|(quantity, unit, value)| record(terms, measured, date, (quantity, unit, value))).into()
+    figures
+        .map(|(quantity, unit, value)| record(terms, measured, date, (quantity, unit, value)))
+        .into()
 }
 
-fn record(terms: &ServedTerms, measured: &Measured, date: &str, figure: (&str, &str, f64)) -> Record {
+fn record(
+    terms: &ServedTerms,
+    measured: &Measured,
+    date: &str,
+    figure: (&str, &str, f64),
+) -> Record {
     let (quantity, unit, value) = figure;
-    let phase = if measured.through == "router" { PHASE } else { PASS_PHASE };
+    let phase = if measured.through == "router" {
+        PHASE
+    } else {
+        PASS_PHASE
+    };
     Record {
         role: Role::RouterData,
         quantity: quantity.into(),
@@ -109,7 +132,10 @@
 fn held(terms: &ServedTerms, measured: &Measured) -> Held {
     Held::from([
         ("commands_per_s".to_string(), json!(terms.rate)),
-        ("answer_after_ms".to_string(), json!(terms.answer_after.as_millis() as u64)),
+        (
+            "answer_after_ms".to_string(),
+            json!(terms.answer_after.as_millis() as u64),
+        ),
         ("acked_per_s".to_string(), json!(measured.acked_per_s)),
         ("nacked".to_string(), json!(measured.nacked)),
         ("failed".to_string(), json!(measured.failed)),
--- a/crates/spokeflow-lab/src/capacity/situation.rs
+++ b/crates/spokeflow-lab/src/capacity/situation.rs
@@ -87,16 +87,27 @@
             Situation::Rack => {
                 let machines = target.assumptions.machines_per_rack;
                 let lost = machines / target.machines();
-                let host_lines =
-                    mean.host_lines + lost * fleet.hosts * target.assumptions.list_lines_per_failure;
+                let host_lines = mean.host_lines
+                    + lost * fleet.hosts * target.assumptions.list_lines_per_failure;
                 let starting_routers = mean.starting_routers + (lost * fleet.routers).ceil();
-                WindowLoad { situation, host_lines, starting_routers, ..mean }
+                WindowLoad {
+                    situation,
+                    host_lines,
+                    starting_routers,
+                    ..mean
+                }
             }
             Situation::Zone => {
                 let host_lines = mean.host_lines + fleet.hosts / fleet.zones;
                 let starting_routers = mean.starting_routers + fleet.routers / fleet.zones;
                 let routers_up = 1.0 - 1.0 / fleet.zones;
-                WindowLoad { situation, host_lines, starting_routers, routers_up, ..mean }
+                WindowLoad {
+                    situation,
+                    host_lines,
+                    starting_routers,
+                    routers_up,
+                    ..mean
+                }
             }
             Situation::Region => {
                 let windows = faults.region_apart_hours * HOUR / target.load.change_bound_seconds;
@@ -111,7 +122,12 @@
             }
             Situation::PowerLoss => {
                 let (host_lines, starting_routers) = (fleet.hosts, fleet.routers);
-                WindowLoad { situation, host_lines, starting_routers, ..mean }
+                WindowLoad {
+                    situation,
+                    host_lines,
+                    starting_routers,
+                    ..mean
+                }
             }
         }
     }
@@ -132,8 +148,10 @@
         let (fleet, faults, assumed) = (&target.fleet, &target.faults, &target.assumptions);
         let hosts = fleet.hosts / target.machines();
         let routers = fleet.routers / target.machines();
-        let (failed, restarted) =
-            (faults.machines_failed_per_day / DAY, faults.machines_restarted_per_day / DAY);
+        let (failed, restarted) = (
+            faults.machines_failed_per_day / DAY,
+            faults.machines_restarted_per_day / DAY,
+        );
         let released = fleet.hosts * assumed.releases_per_host_per_day / DAY;
         Day {
             window: target.load.change_bound_seconds,
@@ -146,7 +164,8 @@
     }
 
     fn mean(&self, target: &Target) -> WindowLoad {
-        let lines = self.host_lines_by_failures + self.host_lines_by_restarts + self.host_lines_by_releases;
+        let lines =
+            self.host_lines_by_failures + self.host_lines_by_restarts + self.host_lines_by_releases;
         WindowLoad {
             situation: Situation::Mean,
             requests_per_second: target.mean_requests(),
--- a/crates/spokeflow-lab/src/capacity/slopes.rs
+++ b/crates/spokeflow-lab/src/capacity/slopes.rs
@@ -76,14 +76,22 @@
     pub fn at(&self, size: f64) -> Option<Reading> {
         let few = self.points.len() < ENOUGH_POINTS;
         if let Some(point) = self.points.iter().find(|p| p.size == size) {
-            return Some(Reading { value: point.value, far: false, few });
+            return Some(Reading {
+                value: point.value,
+                far: false,
+                few,
+            });
         }
         let value = self.fit()?.form.at(size);
         let nothing = value < 0.0 || value == 0.0 && self.points.iter().any(|p| p.value > 0.0);
         if nothing {
             return None;
         }
-        Some(Reading { value, far: size > FAR * self.largest(), few })
+        Some(Reading {
+            value,
+            far: size > FAR * self.largest(),
+            few,
+        })
     }
 
     /// How many sizes it rests on, where they are too few.
@@ -131,7 +139,11 @@
 
 fn check_line(file: &Path, n: usize, line: &Line) -> Result<(), CapacityError> {
     let fault = |entry: String, wanted: &str| {
-        Err(CapacityError::new(file, format!("lines[{n}].{entry}"), format!("{wanted} wanted")))
+        Err(CapacityError::new(
+            file,
+            format!("lines[{n}].{entry}"),
+            format!("{wanted} wanted"),
+        ))
     };
     let texts = [
         ("id", &line.id),
@@ -150,7 +162,10 @@
     }
     for (k, point) in line.points.iter().enumerate() {
         if !is_size(point.size) {
-            return fault(format!("points[{k}].size"), "a number above 0 and at most 1e15");
+            return fault(
+                format!("points[{k}].size"),
+                "a number above 0 and at most 1e15",
+            );
         }
         if !is_value(point.value) {
             return fault(format!("points[{k}].value"), "a number from 0 to 1e15");
@@ -159,7 +174,10 @@
             return fault(format!("points[{k}].min"), SPREAD);
         }
         if k > 0 && point.size <= line.points[k - 1].size {
-            return fault(format!("points[{k}].size"), "sizes that rise from point to point");
+            return fault(
+                format!("points[{k}].size"),
+                "sizes that rise from point to point",
+            );
         }
     }
     Ok(())
--- a/crates/spokeflow-lab/src/compare.rs
+++ b/crates/spokeflow-lab/src/compare.rs
@@ -23,7 +23,12 @@
     let mut rng = StdRng::seed_from_u64(7);
     let n = differences.len();
     let mut means: Vec<f64> = (0..DRAWS)
-        .map(|_| (0..n).map(|_| differences[rng.random_range(0..n)]).sum::<f64>() / n as f64)
+        .map(|_| {
+            (0..n)
+                .map(|_| differences[rng.random_range(0..n)])
+                .sum::<f64>()
+                / n as f64
+        })
         .collect();
     means.sort_by(f64::total_cmp);
     (means[DRAWS / 40], means[DRAWS - 1 - DRAWS / 40])
@@ -43,10 +48,17 @@
 /// The second less the first, day by day. Errors: they have not played the same days.
 pub fn compare(first: &[Stored], second: &[Stored]) -> Result<Vec<Difference>, String> {
     let day = |s: &Stored| (s.day.clone(), s.size.clone(), s.seed);
-    let pairs: Vec<(&Stored, &Stored)> =
-        first.iter().filter_map(|a| Some((a, second.iter().find(|b| day(b) == day(a))?))).collect();
+    let pairs: Vec<(&Stored, &Stored)> = first
+        .iter()
+        .filter_map(|a| Some((a, second.iter().find(|b| day(b) == day(a))?)))
+        .collect();
     if pairs.len() != first.len() || pairs.len() != second.len() || pairs.is_empty() {
-        return Err(format!("{} and {} days, {} of them the same", first.len(), second.len(), pairs.len()));
+        return Err(format!(
+            "{} and {} days, {} of them the same",
+            first.len(),
+            second.len(),
+            pairs.len()
+        ));
     }
     let n = pairs.len() as f64;
     let difference = |(what, of): &Figure| {
@@ -65,13 +77,25 @@
     Ok(FIGURES.iter().map(difference).collect())
 }
 
-pub const HEAD: [&str; 7] = ["figure", "days", "first", "second", "difference", "from", "to"];
+pub const HEAD: [&str; 7] = [
+    "figure",
+    "days",
+    "first",
+    "second",
+    "difference",
+    "from",
+    "to",
+];
 
 pub fn rows(all: &[Difference]) -> Vec<Vec<String>> {
     let number = |n: f64| format!("{n:.4}");
     let row = |d: &Difference| {
         let figures = [d.first, d.second, d.mean, d.low, d.high].map(number);
-        [vec![d.what.to_string(), d.days.to_string()], figures.to_vec()].concat()
+        [
+            vec![d.what.to_string(), d.days.to_string()],
+            figures.to_vec(),
+        ]
+        .concat()
     };
     all.iter().map(row).collect()
 }
--- a/crates/spokeflow-lab/src/hunt.rs
+++ b/crates/spokeflow-lab/src/hunt.rs
@@ -26,7 +26,11 @@
     /// Whether a smaller day shows the same.
     fn holds(self, day: &Scenario) -> bool {
         match self {
-            Found::Rule(rule) => play(day, Who::Engine, false).report.broken.iter().any(|b| b.rule == rule),
+            Found::Rule(rule) => play(day, Who::Engine, false)
+                .report
+                .broken
+                .iter()
+                .any(|b| b.rule == rule),
             Found::Loss(loss) => matches!(judge(day), Found::Loss(l) if l >= 0.75 * loss),
         }
     }
@@ -78,11 +82,20 @@
                 any |= attempt(&mut best, smaller);
             }
         }
-        let last =
-            best.troubles.iter().map(|t| t.at + t.lasts).chain(best.builds.iter().map(|b| b.offered)).max();
-        let shorter = (last.unwrap_or(0) + 10 * SECOND).max(best.length * 2 / 3).max(10 * SECOND);
+        let last = best
+            .troubles
+            .iter()
+            .map(|t| t.at + t.lasts)
+            .chain(best.builds.iter().map(|b| b.offered))
+            .max();
+        let shorter = (last.unwrap_or(0) + 10 * SECOND)
+            .max(best.length * 2 / 3)
+            .max(10 * SECOND);
         if whole(shorter) < best.length {
-            let smaller = Scenario { length: whole(shorter), ..best.clone() };
+            let smaller = Scenario {
+                length: whole(shorter),
+                ..best.clone()
+            };
             any |= attempt(&mut best, smaller);
         }
         if !any || played.get() >= most {
@@ -104,7 +117,10 @@
     let mut flags = vec![
         "--scenario plain --bare".to_string(),
         format!("--seed {} --seconds {}", day.seed, day.length / SECOND),
-        format!("--routers {} --hosts {} --rate {}", day.routers, day.hosts, day.rate),
+        format!(
+            "--routers {} --hosts {} --rate {}",
+            day.routers, day.hosts, day.rate
+        ),
     ];
     if day.tells {
         flags.push("--majority".into());
@@ -118,14 +134,23 @@
     };
     habit("burst", day.burst);
     habit("cache-keys", f64::from(day.cache_keys));
-    habit("miss-cost", if day.cache_keys > 0 { day.miss_cost } else { 0.0 });
+    habit(
+        "miss-cost",
+        if day.cache_keys > 0 {
+            day.miss_cost
+        } else {
+            0.0
+        },
+    );
     habit("thrash", day.thrash);
     habit("neighbours", f64::from(day.neighbours));
     habit("steal", day.steal);
     flags.push(format!("--key-skew {}", day.key_skew));
     if day.cancel != Cancel::Stops {
         let cancel = serde_json::to_value(day.cancel).ok();
-        let cancel = cancel.and_then(|c| c.as_str().map(str::to_string)).unwrap_or_default();
+        let cancel = cancel
+            .and_then(|c| c.as_str().map(str::to_string))
+            .unwrap_or_default();
         flags.push(format!("--cancel {cancel}"));
     }
     flags.join(" ")
@@ -133,7 +158,12 @@
 
 /// What made of this day a hard one, in a few words.
 pub fn summary(day: &Scenario) -> String {
-    let flaws = day.builds.iter().skip(1).filter(|b| b.flaw != Flaw::None).map(|b| format!("{:?}", b.flaw));
+    let flaws = day
+        .builds
+        .iter()
+        .skip(1)
+        .filter(|b| b.flaw != Flaw::None)
+        .map(|b| format!("{:?}", b.flaw));
     let troubles = day.troubles.iter().map(|t| t.kind.name());
     let all: Vec<String> = flaws.chain(troubles).collect();
     if all.is_empty() {
@@ -153,12 +183,22 @@
         // What loses here is the bad build alone; a list that is late for a moment has no part in it.
         let mut day = Scenario::only(Kind::BadBuild, 4, 40 * SECOND);
         day.builds[1].flaw = Flaw::Wrong(0.9);
-        day.troubles.push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
-        day.troubles.push("give-up:at=31s:lasts=1s:size=0.9".parse().unwrap());
+        day.troubles
+            .push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
+        day.troubles
+            .push("give-up:at=31s:lasts=1s:size=0.9".parse().unwrap());
         let found = judge(&day);
         assert!(matches!(found, Found::Loss(l) if l > 0.0), "{found:?}");
         let small = shrink(&day, found, 60);
-        assert!(small.troubles.is_empty() && small.builds.len() == 2, "{}", flags(&small));
-        assert!(flags(&small).contains("--build 2:at=4s:flaw=wrong:size=0.9"), "{}", flags(&small));
+        assert!(
+            small.troubles.is_empty() && small.builds.len() == 2,
+            "{}",
+            flags(&small)
+        );
+        assert!(
+            flags(&small).contains("--build 2:at=4s:flaw=wrong:size=0.9"),
+            "{}",
+            flags(&small)
+        );
     }
 }
--- a/crates/spokeflow-lab/src/main.rs
+++ b/crates/spokeflow-lab/src/main.rs
@@ -103,7 +103,11 @@
 #[derive(Args)]
 struct KeepFlags {
     /// The results
-    #[arg(long, env = "SPOKEFLOW_LAB_STORE", default_value = "lab-out/results.redb")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_STORE",
+        default_value = "lab-out/results.redb"
+    )]
     store: PathBuf,
     /// Name of this build in the results [default: its version and a sum of the program]
     #[arg(long, env = "SPOKEFLOW_LAB_LABEL")]
@@ -115,7 +119,8 @@
 
 impl KeepFlags {
     fn jobs(&self) -> usize {
-        self.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()))
+        self.jobs
+            .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()))
     }
 
     fn label(&self) -> String {
@@ -171,7 +176,12 @@
 #[derive(Args)]
 struct AgreeFlags {
     /// Days: plain, bad-day, drawn or only:KIND, split by commas
-    #[arg(long = "days", env = "SPOKEFLOW_LAB_DAYS", value_delimiter = ',', default_value = "bad-day")]
+    #[arg(
+        long = "days",
+        env = "SPOKEFLOW_LAB_DAYS",
+        value_delimiter = ',',
+        default_value = "bad-day"
+    )]
     days: Vec<Which>,
     /// Seeds of each: one, or FIRST-LAST
     #[arg(long, env = "SPOKEFLOW_LAB_SEEDS", default_value = "1-3")]
@@ -187,7 +197,11 @@
 #[derive(Args)]
 struct ReportFlags {
     /// The results
-    #[arg(long, env = "SPOKEFLOW_LAB_STORE", default_value = "lab-out/results.redb")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_STORE",
+        default_value = "lab-out/results.redb"
+    )]
     store: PathBuf,
     /// Only of this build
     #[arg(long, env = "SPOKEFLOW_LAB_LABEL")]
@@ -218,30 +232,38 @@
             Ok(true)
         }
         What::Agreement(flags) => Ok(agreement::agreement(&flags)),
-        What::Capacity(flags) => capacity::capacity(&flags).map_err(|e| e.to_string()).map(|page| {
-            print!("{page}");
-            true
-        }),
-        What::CollectSlopes(flags) => {
-            capacity::collect_slopes(&flags).map_err(|e| e.to_string()).map(|lines| {
+        What::Capacity(flags) => {
+            capacity::capacity(&flags)
+                .map_err(|e| e.to_string())
+                .map(|page| {
+                    print!("{page}");
+                    true
+                })
+        }
+        What::CollectSlopes(flags) => capacity::collect_slopes(&flags)
+            .map_err(|e| e.to_string())
+            .map(|lines| {
                 eprintln!("{lines} lines");
                 true
-            })
-        }
-        What::MeasureBytes(flags) => {
-            capacity::measure_bytes(&flags).map_err(|e| e.to_string()).map(|records| {
+            }),
+        What::MeasureBytes(flags) => capacity::measure_bytes(&flags)
+            .map_err(|e| e.to_string())
+            .map(|records| {
                 eprintln!("{records} records");
                 true
-            })
-        }
+            }),
         What::MeasureLoad(flags) => capacity::measure_load(&flags).map(|records| {
             eprintln!("{records} records");
             true
         }),
         What::Load(flags) => load(&flags).map(|()| true),
         What::Pass { host } => {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let passed = runtime.map_err(|e| e.to_string()).and_then(|r| r.block_on(pass_through(&host)));
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
+            let passed = runtime
+                .map_err(|e| e.to_string())
+                .and_then(|r| r.block_on(pass_through(&host)));
             passed.map(|()| true)
         }
     };
@@ -261,7 +283,10 @@
     let began = std::time::Instant::now();
     let played = play(&day, flags.who, true);
     if flags.cost {
-        let (took, span) = (began.elapsed().as_secs_f64(), played.span as f64 / SECOND as f64);
+        let (took, span) = (
+            began.elapsed().as_secs_f64(),
+            played.span as f64 / SECOND as f64,
+        );
         let [events, tries, seats] = played.most_kept;
         eprintln!(
             "{span:.0} s in {took:.2} s: {:.1} simulated seconds a second, {} events, {:.0} a second; kept at most \
@@ -273,12 +298,21 @@
     }
     let report = &played.report;
     if let Some(folder) = &flags.charts {
-        std::fs::create_dir_all(folder).map_err(|e| format!("--charts {}: {e}", folder.display()))?;
-        let name = format!("{}-{}-{}", report.scenario.replace(' ', "-"), report.seed, flags.who);
+        std::fs::create_dir_all(folder)
+            .map_err(|e| format!("--charts {}: {e}", folder.display()))?;
+        let name = format!(
+            "{}-{}-{}",
+            report.scenario.replace(' ', "-"),
+            report.seed,
+            flags.who
+        );
         charts::over_time(folder, &name, report)?;
     }
     if flags.json {
-        println!("{}", serde_json::to_string_pretty(report).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(report).map_err(|e| e.to_string())?
+        );
     } else {
         print!("{}", report.text());
     }
@@ -290,10 +324,15 @@
     let (store, label) = (Store::open(&flags.keep.store)?, flags.keep.label());
     let all = sweep::sweep(&store, &label, &cells, flags.keep.jobs())?;
     print!("{}", sweep::write_out(&all, &flags.out, &flags.name)?);
-    let broken: Vec<&Stored> =
-        all.iter().filter(|s| s.who == "engine" && !s.report.broken.is_empty()).collect();
+    let broken: Vec<&Stored> = all
+        .iter()
+        .filter(|s| s.who == "engine" && !s.report.broken.is_empty())
+        .collect();
     for s in &broken {
-        eprintln!("a rule is broken: {} seed {} size {} terms {}", s.day, s.seed, s.size, s.terms);
+        eprintln!(
+            "a rule is broken: {} seed {} size {} terms {}",
+            s.day, s.seed, s.size, s.terms
+        );
     }
     Ok(broken.is_empty())
 }
@@ -330,7 +369,10 @@
                 "difference": d.mean, "from": d.low, "to": d.high})
             })
             .collect();
-        println!("{}", serde_json::to_string_pretty(&list).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&list).map_err(|e| e.to_string())?
+        );
     } else {
         print!("{}", tables::text(&compare::HEAD, &compare::rows(&all)));
     }
@@ -341,17 +383,25 @@
     if flags.seconds < 10 {
         return Err("--seconds: at least 10".into());
     }
-    let size = SizeFlags { size: Some(flags.size), majority: flags.majority, ..SizeFlags::default() };
+    let size = SizeFlags {
+        size: Some(flags.size),
+        majority: flags.majority,
+        ..SizeFlags::default()
+    };
     let seeds: Vec<u64> = (flags.seeds.0..=flags.seeds.1).collect();
     let length = flags.seconds as Micros * SECOND;
     let day = |seed: u64| size.apply(Scenario::drawn(seed, length));
     seeds.first().map(|s| day(*s)).transpose()?;
-    let jobs = flags.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()));
+    let jobs = flags
+        .jobs
+        .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()));
     let next = std::sync::atomic::AtomicUsize::new(0);
     let mut found: Vec<(u64, hunt::Found, Scenario)> = std::thread::scope(|s| {
         let work = || {
             let mut found = Vec::new();
-            while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
+            while let Some(seed) =
+                seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
+            {
                 if let Ok(day) = day(*seed) {
                     found.push((*seed, hunt::judge(&day), day));
                 }
@@ -359,11 +409,22 @@
             found
         };
         let all: Vec<_> = (0..jobs.max(1)).map(|_| s.spawn(work)).collect();
-        all.into_iter().flat_map(|t| t.join().unwrap_or_default()).collect()
+        all.into_iter()
+            .flat_map(|t| t.join().unwrap_or_default())
+            .collect()
     });
     found.sort_by(|a, b| b.1.weight().total_cmp(&a.1.weight()).then(a.0.cmp(&b.0)));
-    let broken = found.iter().filter(|f| matches!(f.1, hunt::Found::Rule(_))).count();
-    let mean = found.iter().filter_map(|f| if let hunt::Found::Loss(l) = f.1 { Some(l) } else { None });
+    let broken = found
+        .iter()
+        .filter(|f| matches!(f.1, hunt::Found::Rule(_)))
+        .count();
+    let mean = found.iter().filter_map(|f| {
+        if let hunt::Found::Loss(l) = f.1 {
+            Some(l)
+        } else {
+            None
+        }
+    });
     let (count, sum) = mean.fold((0, 0.0), |(n, s), l| (n + 1, s + l));
     println!(
         "{} days: {broken} with a rule broken, mean loss against full sight {:.4}",
@@ -373,7 +434,11 @@
     for (seed, what, day) in found.iter().take(flags.worst) {
         let small = hunt::shrink(day, *what, flags.tries);
         println!("seed {seed}: {what:?}, {}", hunt::summary(day));
-        println!("  shrunk to {}, {:?}", hunt::summary(&small), hunt::judge(&small));
+        println!(
+            "  shrunk to {}, {:?}",
+            hunt::summary(&small),
+            hunt::judge(&small)
+        );
         println!("  spokeflow-lab run {}", hunt::flags(&small));
     }
     Ok(broken == 0)
@@ -385,17 +450,27 @@
     }
     let length = flags.seconds as Micros * SECOND;
     let seeds = flags.seeds.0..=flags.seeds.1;
-    let days: Vec<Scenario> =
-        flags.days.iter().flat_map(|w| seeds.clone().map(|seed| w.day(seed, length))).collect();
+    let days: Vec<Scenario> = flags
+        .days
+        .iter()
+        .flat_map(|w| seeds.clone().map(|seed| w.day(seed, length)))
+        .collect();
     let starting = Starting::own().map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let mut rows = Vec::new();
     for some in days.chunks(flags.beside) {
         let on_sockets = runtime.block_on(async {
-            let all = some
-                .iter()
-                .map(|day| tokio::spawn(spokeflow_standin::day::play(day.clone(), starting.clone(), |_| {})));
+            let all = some.iter().map(|day| {
+                tokio::spawn(spokeflow_standin::day::play(
+                    day.clone(),
+                    starting.clone(),
+                    |_| {},
+                ))
+            });
             let mut played = Vec::new();
             for day in all.collect::<Vec<_>>() {
                 played.push(day.await.map_err(|e| e.to_string()).and_then(|p| p));
@@ -427,12 +502,18 @@
     builds.sort_unstable();
     builds.dedup();
     if builds.len() > 1 {
-        return Err(format!("--label: the store has results of {}", builds.join(", ")));
+        return Err(format!(
+            "--label: the store has results of {}",
+            builds.join(", ")
+        ));
     }
     print!("{}", sweep::write_out(&all, &flags.out, &flags.name)?);
     if flags.broken {
         for s in all.iter().filter(|s| !s.report.broken.is_empty()) {
-            println!("{} seed {} size {} terms {} by {}", s.day, s.seed, s.size, s.terms, s.who);
+            println!(
+                "{} seed {} size {} terms {} by {}",
+                s.day, s.seed, s.size, s.terms, s.who
+            );
             for b in s.report.broken.iter().take(2) {
                 println!("  rule {} at {:.3} s: {}", b.rule, b.at_s, b.what);
                 b.messages.iter().take(6).for_each(|m| println!("    {m}"));
--- a/crates/spokeflow-lab/src/plan.rs
+++ b/crates/spokeflow-lab/src/plan.rs
@@ -30,10 +30,9 @@
     fn from_str(text: &str) -> Result<Self, String> {
         match text.strip_prefix("only:") {
             Some(kind) => Ok(Which::Only(kind.parse()?)),
-            None => Ok(Which::Built(
-                Built::from_str(text, false)
-                    .map_err(|_| format!("'{text}' is not plain, bad-day, drawn or only:KIND"))?,
-            )),
+            None => Ok(Which::Built(Built::from_str(text, false).map_err(
+                |_| format!("'{text}' is not plain, bad-day, drawn or only:KIND"),
+            )?)),
         }
     }
 }
@@ -58,7 +57,10 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let fault = || format!("'{text}' is not a seed or FIRST-LAST");
         let (first, last) = text.split_once('-').unwrap_or((text, text));
-        let seeds = Seeds(first.parse().map_err(|_| fault())?, last.parse().map_err(|_| fault())?);
+        let seeds = Seeds(
+            first.parse().map_err(|_| fault())?,
+            last.parse().map_err(|_| fault())?,
+        );
         (seeds.0 <= seeds.1).then_some(seeds).ok_or_else(fault)
     }
 }
@@ -76,8 +78,13 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let mut changes = Vec::new();
         for change in text.split('+').filter(|t| *t != "usual") {
-            let (name, value) = change.split_once('=').ok_or(format!("'{change}' is not NAME=VALUE"))?;
-            let known = TERMS.replace(" (times in s)", "").split(", ").any(|t| t == name);
+            let (name, value) = change
+                .split_once('=')
+                .ok_or(format!("'{change}' is not NAME=VALUE"))?;
+            let known = TERMS
+                .replace(" (times in s)", "")
+                .split(", ")
+                .any(|t| t == name);
             let number: f64 = value
                 .strip_suffix('s')
                 .unwrap_or(value)
@@ -121,17 +128,38 @@
 #[command(next_help_heading = "What is played")]
 pub struct MatrixFlags {
     /// Days: plain, bad-day, drawn or only:KIND, split by commas
-    #[arg(long = "days", env = "SPOKEFLOW_LAB_DAYS", value_delimiter = ',', default_value = "bad-day")]
+    #[arg(
+        long = "days",
+        env = "SPOKEFLOW_LAB_DAYS",
+        value_delimiter = ',',
+        default_value = "bad-day"
+    )]
     pub days: Vec<Which>,
     /// Seeds: one, or FIRST-LAST; repeated or split by commas
-    #[arg(long, env = "SPOKEFLOW_LAB_SEEDS", value_delimiter = ',', default_value = "1-8")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_SEEDS",
+        value_delimiter = ',',
+        default_value = "1-8"
+    )]
     pub seeds: Vec<Seeds>,
     /// Sizes, split by commas
-    #[arg(long, env = "SPOKEFLOW_LAB_SIZES", value_delimiter = ',', value_enum, default_value = "small")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_SIZES",
+        value_delimiter = ',',
+        value_enum,
+        default_value = "small"
+    )]
     pub sizes: Vec<Size>,
     /// Changes of the terms, each usual or NAME=VALUE joined by +, split by commas; NAME is bake, drain-grace,
     /// exposure-span, warm-within (times in s), exposure-free, slack, reported, retries or forward-only
-    #[arg(long, env = "SPOKEFLOW_LAB_TERMS", value_delimiter = ',', default_value = "usual")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_LAB_TERMS",
+        value_delimiter = ',',
+        default_value = "usual"
+    )]
     pub terms: Vec<Terms>,
     /// Who decides: engine, random, round-robin, two-choices, full-sight; split by commas
     #[arg(
@@ -164,13 +192,23 @@
     /// By which a result is known again: of what it depends on nothing is left out but the program itself.
     pub fn key(&self) -> String {
         let day = serde_json::to_string(&self.scenario).unwrap_or_default();
-        format!("{}|{}|{}|{}|{}|{:016x}", self.day, self.size, self.terms, self.who, self.seed, mix(&day))
+        format!(
+            "{}|{}|{}|{}|{}|{:016x}",
+            self.day,
+            self.size,
+            self.terms,
+            self.who,
+            self.seed,
+            mix(&day)
+        )
     }
 }
 
 /// FNV-1a, 64 bits: tells days apart, not adversaries.
 pub fn mix(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 impl MatrixFlags {
@@ -187,8 +225,11 @@
                 for terms in &self.terms {
                     for seed in &seeds {
                         let mut scenario = which.day(*seed, length);
-                        let sized =
-                            SizeFlags { size: Some(*size), majority: self.majority, ..SizeFlags::default() };
+                        let sized = SizeFlags {
+                            size: Some(*size),
+                            majority: self.majority,
+                            ..SizeFlags::default()
+                        };
                         scenario = sized.apply(scenario)?;
                         terms.apply(&mut scenario);
                         for who in &self.who {
@@ -236,14 +277,23 @@
         let keys: std::collections::BTreeSet<String> = cells.iter().map(Cell::key).collect();
         assert_eq!(keys.len(), cells.len());
         let changed = cells.iter().find(|c| c.terms != "usual").unwrap();
-        assert_eq!((changed.scenario.bake, changed.scenario.slack), (4 * SECOND, 2.0));
+        assert_eq!(
+            (changed.scenario.bake, changed.scenario.slack),
+            (4 * SECOND, 2.0)
+        );
     }
 
     #[test]
     fn wrong_words_are_named() {
         assert!("quake".parse::<Which>().unwrap_err().contains("only:KIND"));
-        assert!("only:quake".parse::<Which>().unwrap_err().contains("router-roll"));
+        assert!("only:quake"
+            .parse::<Which>()
+            .unwrap_err()
+            .contains("router-roll"));
         assert!("5-2".parse::<Seeds>().is_err() && "a".parse::<Seeds>().is_err());
-        assert!("baking=2".parse::<Terms>().unwrap_err().contains("drain-grace"));
+        assert!("baking=2"
+            .parse::<Terms>()
+            .unwrap_err()
+            .contains("drain-grace"));
     }
 }
