--- a/crates/spokeflow-lab/src/store.rs
+++ b/crates/spokeflow-lab/src/store.rs
@@ -50,7 +50,10 @@
     pub fn has(&self, build: &str, key: &str) -> Result<bool, String> {
         let read = self.db.begin_read().map_err(|e| e.to_string())?;
         let table = read.open_table(RESULTS).map_err(|e| e.to_string())?;
-        Ok(table.get(Store::key(build, key).as_str()).map_err(|e| e.to_string())?.is_some())
+        Ok(table
+            .get(Store::key(build, key).as_str())
+            .map_err(|e| e.to_string())?
+            .is_some())
     }
 
     /// On the disk when this returns. Errors: the disk is full or fails.
@@ -89,7 +92,8 @@
 
     #[test]
     fn what_was_put_is_there_after_another_opening_and_damage_is_named() {
-        let file = std::env::temp_dir().join(format!("spokeflow-store-{}.redb", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("spokeflow-store-{}.redb", std::process::id()));
         let report = play(&Scenario::plain(1, 5 * SECOND), Who::Engine, false).report;
         let text = |t: &str| t.to_string();
         let stored = Stored {
--- a/crates/spokeflow-lab/src/sweep.rs
+++ b/crates/spokeflow-lab/src/sweep.rs
@@ -14,15 +14,22 @@
 
 /// The program that plays: its version and a number of its text, so that results of two builds are told apart.
 pub fn own_build() -> String {
-    let bytes = std::env::current_exe().and_then(std::fs::read).unwrap_or_default();
-    let sum = bytes
-        .iter()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3));
+    let bytes = std::env::current_exe()
+        .and_then(std::fs::read)
+        .unwrap_or_default();
+    let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    });
     format!("{}-{:08x}", env!("CARGO_PKG_VERSION"), sum >> 32)
 }
 
 /// Plays what the store does not have. Answers the results of these cells, in their order. Errors: the store.
-pub fn sweep(store: &Store, build: &str, cells: &[Cell], jobs: usize) -> Result<Vec<Stored>, String> {
+pub fn sweep(
+    store: &Store,
+    build: &str,
+    cells: &[Cell],
+    jobs: usize,
+) -> Result<Vec<Stored>, String> {
     let mut missing = Vec::new();
     for (n, cell) in cells.iter().enumerate() {
         if !store.has(build, &cell.key())? {
@@ -30,7 +37,11 @@
         }
     }
     if missing.len() < cells.len() {
-        eprintln!("{} of {} days are in the store", cells.len() - missing.len(), cells.len());
+        eprintln!(
+            "{} of {} days are in the store",
+            cells.len() - missing.len(),
+            cells.len()
+        );
     }
     let bar = ProgressBar::new(cells.len() as u64);
     if let Ok(style) =
@@ -72,11 +83,33 @@
     written?;
     let wanted: std::collections::BTreeMap<_, _> = cells
         .iter()
-        .map(|c| ((c.day.clone(), c.size.clone(), c.terms.clone(), c.who.to_string(), c.seed), ()))
+        .map(|c| {
+            (
+                (
+                    c.day.clone(),
+                    c.size.clone(),
+                    c.terms.clone(),
+                    c.who.to_string(),
+                    c.seed,
+                ),
+                (),
+            )
+        })
         .collect();
     let all = store.all()?;
-    let of = |s: &Stored| (s.day.clone(), s.size.clone(), s.terms.clone(), s.who.clone(), s.seed);
-    Ok(all.into_iter().filter(|s| s.build == build && wanted.contains_key(&of(s))).collect())
+    let of = |s: &Stored| {
+        (
+            s.day.clone(),
+            s.size.clone(),
+            s.terms.clone(),
+            s.who.clone(),
+            s.seed,
+        )
+    };
+    Ok(all
+        .into_iter()
+        .filter(|s| s.build == build && wanted.contains_key(&of(s)))
+        .collect())
 }
 
 pub fn one(cell: &Cell, build: &str) -> Stored {
@@ -100,8 +133,16 @@
     std::fs::create_dir_all(folder).map_err(fault)?;
     let groups = tables::groups(all);
     let (head, rows) = (tables::head(), tables::rows(&groups));
-    std::fs::write(folder.join(format!("{name}.md")), tables::markdown(&head, &rows)).map_err(fault)?;
-    std::fs::write(folder.join(format!("{name}.csv")), tables::comma(&head, &rows)?).map_err(fault)?;
+    std::fs::write(
+        folder.join(format!("{name}.md")),
+        tables::markdown(&head, &rows),
+    )
+    .map_err(fault)?;
+    std::fs::write(
+        folder.join(format!("{name}.csv")),
+        tables::comma(&head, &rows)?,
+    )
+    .map_err(fault)?;
     charts::services(folder, name, &groups)?;
     Ok(tables::text(&head, &rows))
 }
--- a/crates/spokeflow-lab/src/tables.rs
+++ b/crates/spokeflow-lab/src/tables.rs
@@ -28,11 +28,21 @@
 pub fn groups(all: &[Stored]) -> Vec<Group> {
     let mut by: BTreeMap<[String; 4], Vec<&Stored>> = BTreeMap::new();
     for s in all {
-        by.entry([s.day.clone(), s.size.clone(), s.terms.clone(), s.who.clone()]).or_default().push(s);
+        by.entry([
+            s.day.clone(),
+            s.size.clone(),
+            s.terms.clone(),
+            s.who.clone(),
+        ])
+        .or_default()
+        .push(s);
     }
     let service = |name: &[String; 4], who: &str| -> BTreeMap<u64, f64> {
         let [day, size, terms, _] = name.clone();
-        let of = by.get(&[day, size, terms, who.to_string()]).map(Vec::as_slice).unwrap_or_default();
+        let of = by
+            .get(&[day, size, terms, who.to_string()])
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         of.iter().map(|s| (s.seed, s.report.service)).collect()
     };
     let made = by.iter().map(|(name, of)| {
@@ -42,12 +52,17 @@
         let spread = mean(&|s| (s.report.service - service_mean).powi(2)).sqrt();
         let (random, full) = (service(name, "random"), service(name, "full-sight"));
         let own: BTreeMap<u64, f64> = of.iter().map(|s| (s.seed, s.report.service)).collect();
-        let both: Vec<[f64; 3]> =
-            own.iter().filter_map(|(seed, s)| Some([*s, *random.get(seed)?, *full.get(seed)?])).collect();
+        let both: Vec<[f64; 3]> = own
+            .iter()
+            .filter_map(|(seed, s)| Some([*s, *random.get(seed)?, *full.get(seed)?]))
+            .collect();
         let sum = |k: usize| both.iter().map(|b| b[k]).sum::<f64>();
         let room = sum(2) - sum(1);
         let builds = |flawed: bool| {
-            let offered = of.iter().flat_map(|s| &s.report.builds).filter(|b| b.end != "not offered");
+            let offered = of
+                .iter()
+                .flat_map(|s| &s.report.builds)
+                .filter(|b| b.end != "not offered");
             offered.filter(|b| (b.flaw != "None") == flawed).count() as u32
         };
         Group {
@@ -110,11 +125,16 @@
 
 pub fn text(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = comfy_table::Table::new();
-    table.load_style(comfy_table::presets::NOTHING).set_header(head);
+    table
+        .load_style(comfy_table::presets::NOTHING)
+        .set_header(head);
     rows.iter().for_each(|row| {
         table.add_row(row);
     });
-    table.lines().map(|line| line.trim_end().to_string() + "\n").collect()
+    table
+        .lines()
+        .map(|line| line.trim_end().to_string() + "\n")
+        .collect()
 }
 
 pub fn markdown(head: &[&str], rows: &[Vec<String>]) -> String {
@@ -170,7 +190,10 @@
         let made = groups(&all);
         let of = |who: &str| made.iter().find(|g| g.name[3] == who).unwrap();
         assert!((of("engine").score.unwrap() - 0.75).abs() < 1e-9);
-        assert_eq!((of("random").score, of("full-sight").score), (Some(0.0), Some(1.0)));
+        assert_eq!(
+            (of("random").score, of("full-sight").score),
+            (Some(0.0), Some(1.0))
+        );
         assert!((of("engine").service - 0.45).abs() < 1e-9);
         let csv = comma(&head(), &rows(&made)).unwrap();
         assert_eq!(csv.lines().count(), 4);
--- a/crates/spokeflow-lab/tests/capacity.rs
+++ b/crates/spokeflow-lab/tests/capacity.rs
@@ -19,11 +19,20 @@
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab")).current_dir(root()).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab"))
+        .current_dir(root())
+        .args(args)
+        .output()
+        .unwrap()
 }
 
 fn printed(output: &Output) -> String {
-    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
@@ -36,7 +45,8 @@
 
 impl Scratch {
     fn new(name: &str, text: &str) -> Scratch {
-        let file = std::env::temp_dir().join(format!("spokeflow-capacity-{}-{name}", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("spokeflow-capacity-{}-{name}", std::process::id()));
         std::fs::write(&file, text).unwrap();
         Scratch(file)
     }
@@ -55,7 +65,13 @@
 /// Lines made of the fixtures, which are no runs.
 fn fixture_slopes(name: &str) -> Scratch {
     let out = Scratch::new(name, "");
-    printed(&lab(&["collect-slopes", "--runs", FIXTURES, "--out", out.path()]));
+    printed(&lab(&[
+        "collect-slopes",
+        "--runs",
+        FIXTURES,
+        "--out",
+        out.path(),
+    ]));
     out
 }
 
@@ -64,7 +80,9 @@
 }
 
 fn section<'a>(page: &'a str, head: &str) -> &'a str {
-    let from = page.find(&format!("## {head}\n")).unwrap_or_else(|| panic!("no section '{head}'"));
+    let from = page
+        .find(&format!("## {head}\n"))
+        .unwrap_or_else(|| panic!("no section '{head}'"));
     let rest = &page[from + 3..];
     &rest[..rest.find("\n## ").unwrap_or(rest.len())]
 }
@@ -73,13 +91,22 @@
 fn the_page_is_what_the_command_prints() {
     let text = page(TARGET, SLOPES);
     assert!(text.len() > 5000);
-    assert!(text == read(PAGE), "print it anew: spokeflow-lab capacity > {PAGE}");
+    assert!(
+        text == read(PAGE),
+        "print it anew: spokeflow-lab capacity > {PAGE}"
+    );
 }
 
 #[test]
 fn the_lines_are_what_the_runs_say() {
     let out = Scratch::new("collected.json", "");
-    printed(&lab(&["collect-slopes", "--runs", RUNS, "--out", out.path()]));
+    printed(&lab(&[
+        "collect-slopes",
+        "--runs",
+        RUNS,
+        "--out",
+        out.path(),
+    ]));
     assert!(
         std::fs::read_to_string(out.path()).unwrap() == read(SLOPES),
         "collect them anew: collect-slopes"
@@ -90,7 +117,13 @@
 fn the_bytes_are_what_the_codecs_give() {
     let kept = read_records(&root().join(RUNS).join("bytes.json")).unwrap();
     let out = Scratch::new("bytes.json", "");
-    printed(&lab(&["measure-bytes", "--out", out.path(), "--date", &kept[0].date]));
+    printed(&lab(&[
+        "measure-bytes",
+        "--out",
+        out.path(),
+        "--date",
+        &kept[0].date,
+    ]));
     assert_eq!(read_records(&out.0).unwrap(), kept);
 }
 
@@ -101,7 +134,11 @@
     assert!(section(&text, "Over budget").contains("Nothing that was measured is over its budget."));
     assert!(section(&text, "Measured lines").contains("None yet."));
     let missing = section(&text, "Not measured");
-    for what in ["offer that changes one tenant", "work per command", "processor_share"] {
+    for what in [
+        "offer that changes one tenant",
+        "work per command",
+        "processor_share",
+    ] {
         assert!(missing.contains(what), "{what}: {missing}");
     }
 }
@@ -111,11 +148,19 @@
     let slopes = fixture_slopes("first.json");
     let text = page(TARGET, slopes.path());
     let first = section(&text, "What to build first");
-    assert!(first.contains("**Figures kept in the decision module**"), "{first}");
+    assert!(
+        first.contains("**Figures kept in the decision module**"),
+        "{first}"
+    );
     let over = section(&text, "Over budget");
-    let ratios: Vec<f64> =
-        over.lines().filter_map(|line| line.strip_prefix("| ")?.split(" | ").next()?.parse().ok()).collect();
-    assert!(ratios.len() >= 2 && ratios.is_sorted_by(|a, b| a >= b), "{ratios:?}");
+    let ratios: Vec<f64> = over
+        .lines()
+        .filter_map(|line| line.strip_prefix("| ")?.split(" | ").next()?.parse().ok())
+        .collect();
+    assert!(
+        ratios.len() >= 2 && ratios.is_sorted_by(|a, b| a >= b),
+        "{ratios:?}"
+    );
 }
 
 #[test]
@@ -128,27 +173,47 @@
     let target = Scratch::new("small.toml", &small);
     let text = page(target.path(), slopes.path());
     assert!(text.starts_with("# Capacity: what \"a small one\" costs today"));
-    assert!(section(&text, "What to build first").contains("No measured row"), "{text}");
+    assert!(
+        section(&text, "What to build first").contains("No measured row"),
+        "{text}"
+    );
 }
 
 #[test]
 fn lines_of_few_sizes_and_far_uses_are_marked() {
     let slopes = fixture_slopes("marks.json");
     let text = page(TARGET, slopes.path());
-    let row = text.lines().find(|line| line.starts_with("| processor | 1 cores")).unwrap();
-    assert!(row.contains("!~"), "1300 routers of two sizes up to 300: {row}");
+    let row = text
+        .lines()
+        .find(|line| line.starts_with("| processor | 1 cores"))
+        .unwrap();
+    assert!(
+        row.contains("!~"),
+        "1300 routers of two sizes up to 300: {row}"
+    );
     assert!(section(&text, "Measured lines").contains("two points only"));
-    assert!(text.contains("30: 0.0110 (0.0100-0.0120)"), "the median and the spread of three");
+    assert!(
+        text.contains("30: 0.0110 (0.0100-0.0120)"),
+        "the median and the spread of three"
+    );
 }
 
 #[test]
 fn rows_are_printed_for_machines() {
-    let rows = printed(&lab(&["capacity", "--target", TARGET, "--slopes", SLOPES, "--json"]));
+    let rows = printed(&lab(&[
+        "capacity", "--target", TARGET, "--slopes", SLOPES, "--json",
+    ]));
     let rows: Vec<serde_json::Value> = serde_json::from_str(&rows).unwrap();
-    let offer = rows.iter().find(|row| row["quantity"] == "offer that changes one tenant").unwrap();
+    let offer = rows
+        .iter()
+        .find(|row| row["quantity"] == "offer that changes one tenant")
+        .unwrap();
     let value = offer["cells"][0]["estimate"]["value"].as_f64().unwrap();
     let kept = read_records(&root().join(RUNS).join("bytes.json")).unwrap();
-    let measured = kept.iter().find(|r| r.quantity.starts_with("offer") && r.size == 33_000.0).unwrap();
+    let measured = kept
+        .iter()
+        .find(|r| r.quantity.starts_with("offer") && r.size == 33_000.0)
+        .unwrap();
     assert_eq!(value, measured.value);
 }
 
@@ -160,7 +225,13 @@
         std::fs::write(folder.join(file), records.to_string()).unwrap();
     }
     let out = Scratch::new(name, "");
-    printed(&lab(&["collect-slopes", "--runs", folder.to_str().unwrap(), "--out", out.path()]));
+    printed(&lab(&[
+        "collect-slopes",
+        "--runs",
+        folder.to_str().unwrap(),
+        "--out",
+        out.path(),
+    ]));
     std::fs::remove_dir_all(folder).unwrap();
     let slopes = serde_json::from_str(&std::fs::read_to_string(out.path()).unwrap()).unwrap();
     (out, slopes)
@@ -175,8 +246,13 @@
 #[test]
 fn what_was_measured_before_a_change_gives_way_to_what_was_measured_after() {
     let runs = |micros: f64| serde_json::json!([work(38.0, micros, serde_json::json!({}))]);
-    let (slopes, _) =
-        collected("before.json", &[("work-after.json", runs(7.0)), ("work-before.json", runs(900.0))]);
+    let (slopes, _) = collected(
+        "before.json",
+        &[
+            ("work-after.json", runs(7.0)),
+            ("work-before.json", runs(900.0)),
+        ],
+    );
     let text = page(TARGET, slopes.path());
     let row = text
         .lines()
@@ -196,7 +272,8 @@
 
 #[test]
 fn sweeps_with_other_sizes_held_are_lines_of_their_own() {
-    let held = |routers: u32, given: u32| serde_json::json!({"routers": routers, "commands_given": given});
+    let held =
+        |routers: u32, given: u32| serde_json::json!({"routers": routers, "commands_given": given});
     let records = serde_json::json!([
         work(10.0, 1.0, held(30, 100)),
         work(20.0, 2.0, held(30, 200)),
@@ -207,7 +284,12 @@
     let (_, slopes) = collected("sweeps.json", &[("run.json", records)]);
     let lines = slopes["lines"].as_array().unwrap();
     assert_eq!(lines.len(), 2, "{slopes}");
-    let of = |routers: u32| lines.iter().find(|line| line["held"]["routers"] == routers).unwrap();
+    let of = |routers: u32| {
+        lines
+            .iter()
+            .find(|line| line["held"]["routers"] == routers)
+            .unwrap()
+    };
     assert_eq!(
         of(30)["points"].as_array().unwrap().len(),
         2,
@@ -215,7 +297,10 @@
     );
     assert_eq!(of(30)["held"], serde_json::json!({"routers": 30}));
     let repeated = &of(300)["points"][0];
-    assert_eq!(*repeated, serde_json::json!({"size": 10.0, "value": 6.0, "min": 5.0, "max": 7.0}));
+    assert_eq!(
+        *repeated,
+        serde_json::json!({"size": 10.0, "value": 6.0, "min": 5.0, "max": 7.0})
+    );
 }
 
 #[derive(Parser)]
@@ -238,7 +323,8 @@
     assert_eq!(terms.silence_seconds, voter.silence.as_secs_f64());
     assert_eq!(terms.clock_drift, voter.drift);
     assert_eq!(terms.callers_at_most, voter.callers_at_most as f64);
-    let router = Router::parse_from(["router", "--op=any:redeliverable:target=1s:timeout=60s"]).flags;
+    let router =
+        Router::parse_from(["router", "--op=any:redeliverable:target=1s:timeout=60s"]).flags;
     assert_eq!(terms.stage_shares, router.stage_shares);
     assert_eq!(terms.stage_caps, router.stage_caps);
     assert_eq!(terms.stage_bake_seconds, router.stage_bake.as_secs_f64());
@@ -254,7 +340,12 @@
             limits::CALLER_FRAME,
             65_536.0,
         ),
-        ("crates/spokeflow-agreed/src/ledger.rs", "const KEPT: usize = 500;", limits::REVISIONS_KEPT, 500.0),
+        (
+            "crates/spokeflow-agreed/src/ledger.rs",
+            "const KEPT: usize = 500;",
+            limits::REVISIONS_KEPT,
+            500.0,
+        ),
         (
             "crates/spokeflow-agreed/src/granter.rs",
             "const LEASES_AT_MOST: usize = 8192;",
@@ -303,16 +394,36 @@
             evidence::SEND_BACK_AT,
             4.0,
         ),
-        ("crates/spokeflow-core/src/router.rs", "const LATE_WEIGHT: f64 = 0.4;", evidence::LATE_WEIGHT, 0.4),
-        ("crates/spokeflow-core/src/router.rs", "const LATE_MARGIN: f64 = 0.6;", evidence::LATE_MARGIN, 0.6),
-        ("crates/spokeflow-core/src/router.rs", "const LANE_OF_CAP: f64 = 0.7;", evidence::LANE_OF_CAP, 0.7),
+        (
+            "crates/spokeflow-core/src/router.rs",
+            "const LATE_WEIGHT: f64 = 0.4;",
+            evidence::LATE_WEIGHT,
+            0.4,
+        ),
+        (
+            "crates/spokeflow-core/src/router.rs",
+            "const LATE_MARGIN: f64 = 0.6;",
+            evidence::LATE_MARGIN,
+            0.6,
+        ),
+        (
+            "crates/spokeflow-core/src/router.rs",
+            "const LANE_OF_CAP: f64 = 0.7;",
+            evidence::LANE_OF_CAP,
+            0.7,
+        ),
         (
             "crates/spokeflow-core/src/router.rs",
             "const REPIN_OF_CAP: f64 = 0.9;",
             evidence::REPIN_OF_CAP,
             0.9,
         ),
-        ("crates/spokeflow-core/src/router.rs", "const AHEAD: f64 = 1.25;", evidence::AHEAD, 1.25),
+        (
+            "crates/spokeflow-core/src/router.rs",
+            "const AHEAD: f64 = 1.25;",
+            evidence::AHEAD,
+            1.25,
+        ),
     ];
     for (file, text, copied, value) in says {
         assert!(read(file).contains(text), "{file} does not say '{text}'");
--- a/crates/spokeflow-lab/tests/capacity_fits.rs
+++ b/crates/spokeflow-lab/tests/capacity_fits.rs
@@ -3,7 +3,12 @@
 use spokeflow_lab::capacity::{Fit, Form, Line, Point, Role};
 
 fn line(points: &[(f64, f64)]) -> Line {
-    let point = |&(size, value): &(f64, f64)| Point { size, value, min: None, max: None };
+    let point = |&(size, value): &(f64, f64)| Point {
+        size,
+        value,
+        min: None,
+        max: None,
+    };
     let text = || "x".to_string();
     Line {
         id: text(),
@@ -22,17 +27,28 @@
 
 #[test]
 fn points_on_a_line_are_fitted_by_it() {
-    let fit = Fit::of(&[100.0, 1000.0, 10_000.0, 33_000.0].map(|size| (size, 85.0 + 19.0 * size))).unwrap();
-    let Form::Linear { intercept, slope } = fit.form else { panic!("{fit:?}") };
-    assert!((slope - 19.0).abs() < 1e-9 && (intercept - 85.0).abs() < 1e-6 && fit.residual < 1e-9, "{fit:?}");
+    let fit = Fit::of(&[100.0, 1000.0, 10_000.0, 33_000.0].map(|size| (size, 85.0 + 19.0 * size)))
+        .unwrap();
+    let Form::Linear { intercept, slope } = fit.form else {
+        panic!("{fit:?}")
+    };
+    assert!(
+        (slope - 19.0).abs() < 1e-9 && (intercept - 85.0).abs() < 1e-6 && fit.residual < 1e-9,
+        "{fit:?}"
+    );
 }
 
 #[test]
 fn points_on_a_power_are_fitted_by_it() {
     let sizes = [20.0, 120.0, 300.0, 1000.0, 4000.0, 12_000.0];
     let fit = Fit::of(&sizes.map(|size: f64| (size, 0.02 * size.powf(1.75)))).unwrap();
-    let Form::Power { factor, exponent } = fit.form else { panic!("{fit:?}") };
-    assert!((exponent - 1.75).abs() < 1e-9 && (factor - 0.02).abs() < 1e-9, "{fit:?}");
+    let Form::Power { factor, exponent } = fit.form else {
+        panic!("{fit:?}")
+    };
+    assert!(
+        (exponent - 1.75).abs() < 1e-9 && (factor - 0.02).abs() < 1e-9,
+        "{fit:?}"
+    );
 }
 
 #[test]
@@ -41,7 +57,10 @@
     let misses = [(1.0, 100.0), (2.0, 100.0), (3.0, 100.0), (4.0, 120.0)]
         .map(|(size, value): (f64, f64)| (fit.form.at(size) - value).abs() / value);
     let largest = misses.into_iter().fold(0.0, f64::max);
-    assert!(fit.residual > 0.01 && (fit.residual - largest).abs() < 1e-12, "{fit:?}");
+    assert!(
+        fit.residual > 0.01 && (fit.residual - largest).abs() < 1e-12,
+        "{fit:?}"
+    );
 }
 
 #[test]
@@ -73,5 +92,8 @@
     assert_eq!(none.at(100.0).unwrap().value, 0.0);
     let falling = line(&[(1.0, 4.0), (2.0, 3.0), (3.0, 2.0), (4.0, 1.0)]);
     assert!(falling.at(3.5).unwrap().value > 0.0);
-    assert!(falling.at(50.0).is_none(), "no cost is nothing, or below it");
+    assert!(
+        falling.at(50.0).is_none(),
+        "no cost is nothing, or below it"
+    );
 }
--- a/crates/spokeflow-lab/tests/capacity_inputs.rs
+++ b/crates/spokeflow-lab/tests/capacity_inputs.rs
@@ -11,7 +11,11 @@
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab")).current_dir(root()).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab"))
+        .current_dir(root())
+        .args(args)
+        .output()
+        .unwrap()
 }
 
 /// A folder of the caller's own: tests run side by side.
@@ -46,7 +50,11 @@
 }
 
 fn with_slopes(file: &str) -> Vec<String> {
-    vec!["capacity".into(), format!("--target={TARGET}"), format!("--slopes={file}")]
+    vec![
+        "capacity".into(),
+        format!("--target={TARGET}"),
+        format!("--slopes={file}"),
+    ]
 }
 
 #[test]
@@ -54,19 +62,59 @@
     let whole = std::fs::read_to_string(root().join(TARGET)).unwrap();
     let cases = [
         // Missing.
-        ("routers = 1300\n", "", vec!["fleet", "missing field `routers`"]),
-        ("voter_cores = 1\n", "", vec!["assumptions", "missing field `voter_cores`"]),
-        ("name = \"two years out\"\n", "", vec!["missing field `name`"]),
+        (
+            "routers = 1300\n",
+            "",
+            vec!["fleet", "missing field `routers`"],
+        ),
+        (
+            "voter_cores = 1\n",
+            "",
+            vec!["assumptions", "missing field `voter_cores`"],
+        ),
+        (
+            "name = \"two years out\"\n",
+            "",
+            vec!["missing field `name`"],
+        ),
         // Unknown.
-        ("routers = 1300", "routers = 1300\nrooters = 3", vec!["fleet.rooters", "unknown field"]),
-        ("[budget]", "[extra]\n[budget]", vec!["extra", "unknown field"]),
+        (
+            "routers = 1300",
+            "routers = 1300\nrooters = 3",
+            vec!["fleet.rooters", "unknown field"],
+        ),
+        (
+            "[budget]",
+            "[extra]\n[budget]",
+            vec!["extra", "unknown field"],
+        ),
         // Of a wrong type.
-        ("routers = 1300", "routers = \"many\"", vec!["fleet.routers", "invalid type", "f64"]),
+        (
+            "routers = 1300",
+            "routers = \"many\"",
+            vec!["fleet.routers", "invalid type", "f64"],
+        ),
         // Negative, or zero where it divides.
-        ("hosts = 12000", "hosts = -12000", vec!["fleet.hosts", "-12000 found", "from 1 to"]),
-        ("routers = 1300", "routers = 0", vec!["fleet.routers", "0 found", "from 1 to"]),
-        ("services = 320", "services = 0", vec!["fleet.services", "from 1 to"]),
-        ("regions = 6", "regions = 0", vec!["fleet.regions", "from 1 to"]),
+        (
+            "hosts = 12000",
+            "hosts = -12000",
+            vec!["fleet.hosts", "-12000 found", "from 1 to"],
+        ),
+        (
+            "routers = 1300",
+            "routers = 0",
+            vec!["fleet.routers", "0 found", "from 1 to"],
+        ),
+        (
+            "services = 320",
+            "services = 0",
+            vec!["fleet.services", "from 1 to"],
+        ),
+        (
+            "regions = 6",
+            "regions = 0",
+            vec!["fleet.regions", "from 1 to"],
+        ),
         ("zones = 15", "zones = 0", vec!["fleet.zones", "from 1 to"]),
         (
             "change_bound_seconds = 15",
@@ -78,9 +126,21 @@
             "control_core_share = 0",
             vec!["budget.control_core_share", "a number from"],
         ),
-        ("control_memory_mb = 128", "control_memory_mb = -1", vec!["budget.control_memory_mb"]),
-        ("restart_hours = 8", "restart_hours = 0", vec!["assumptions.restart_hours", "from 0.1 to 24"]),
-        ("lease_seconds = 3", "lease_seconds = 0", vec!["terms.lease_seconds", "from 0.1"]),
+        (
+            "control_memory_mb = 128",
+            "control_memory_mb = -1",
+            vec!["budget.control_memory_mb"],
+        ),
+        (
+            "restart_hours = 8",
+            "restart_hours = 0",
+            vec!["assumptions.restart_hours", "from 0.1 to 24"],
+        ),
+        (
+            "lease_seconds = 3",
+            "lease_seconds = 0",
+            vec!["terms.lease_seconds", "from 0.1"],
+        ),
         // Not finite, or beyond all sense.
         (
             "peak_requests_per_second = 390000",
@@ -92,29 +152,74 @@
             "answer_milliseconds = nan",
             vec!["assumptions.answer_milliseconds", "NaN found"],
         ),
-        ("tenants = 33000", "tenants = 1e300", vec!["fleet.tenants", "to 10000000"]),
-        ("clock_drift = 0.01", "clock_drift = 0.9", vec!["terms.clock_drift", "to 0.5"]),
+        (
+            "tenants = 33000",
+            "tenants = 1e300",
+            vec!["fleet.tenants", "to 10000000"],
+        ),
+        (
+            "clock_drift = 0.01",
+            "clock_drift = 0.9",
+            vec!["terms.clock_drift", "to 0.5"],
+        ),
         // A part of a machine.
-        ("routers = 1300", "routers = 12.5", vec!["fleet.routers", "a whole number"]),
+        (
+            "routers = 1300",
+            "routers = 12.5",
+            vec!["fleet.routers", "a whole number"],
+        ),
         // Entries that do not fit each other.
-        ("voters = 5", "voters = 4", vec!["terms.voters", "3, 5 or 7"]),
-        ("control_machines = 14", "control_machines = 3", vec!["terms.voters", "3 control machines"]),
-        ("zones = 15", "zones = 5", vec!["fleet.zones", "each of 6 regions"]),
-        ("services = 320", "services = 20000", vec!["fleet.services", "12000 hosts"]),
+        (
+            "voters = 5",
+            "voters = 4",
+            vec!["terms.voters", "3, 5 or 7"],
+        ),
+        (
+            "control_machines = 14",
+            "control_machines = 3",
+            vec!["terms.voters", "3 control machines"],
+        ),
+        (
+            "zones = 15",
+            "zones = 5",
+            vec!["fleet.zones", "each of 6 regions"],
+        ),
+        (
+            "services = 320",
+            "services = 20000",
+            vec!["fleet.services", "12000 hosts"],
+        ),
         (
             "largest_service_hosts = 1000",
             "largest_service_hosts = 13000",
             vec!["assumptions.largest_service_hosts"],
         ),
-        ("stage_caps = [0.07, ", "stage_caps = [", vec!["terms.stage_caps", "one for each of 4 stages"]),
-        ("stage_shares = [0.05", "stage_shares = [0.0", vec!["terms.stage_shares", "above 0"]),
-        ("stage_shares = [0.05, 0.2", "stage_shares = [0.2, 0.05", vec!["terms.stage_shares", "none below"]),
+        (
+            "stage_caps = [0.07, ",
+            "stage_caps = [",
+            vec!["terms.stage_caps", "one for each of 4 stages"],
+        ),
+        (
+            "stage_shares = [0.05",
+            "stage_shares = [0.0",
+            vec!["terms.stage_shares", "above 0"],
+        ),
+        (
+            "stage_shares = [0.05, 0.2",
+            "stage_shares = [0.2, 0.05",
+            vec!["terms.stage_shares", "none below"],
+        ),
         // Not TOML.
         ("[fleet]", "[fleet", vec!["target-file"]),
     ];
     for (from, to, named) in cases {
         assert!(whole.contains(from), "{from}");
-        refused("target-file.toml", &whole.replacen(from, to, 1), with_target, &named);
+        refused(
+            "target-file.toml",
+            &whole.replacen(from, to, 1),
+            with_target,
+            &named,
+        );
     }
 }
 
@@ -125,23 +230,87 @@
 #[test]
 fn lines_that_do_not_fit_are_refused() {
     let cases = [
-        (r#""run": "r.json", "#, "", vec!["lines[0]", "missing field `run`"]),
-        (r#""phase": "encoded", "#, "", vec!["lines[0]", "missing field `phase`"]),
-        (r#""id": "a""#, r#""id": "a", "slope": 7"#, vec!["lines[0].slope", "unknown field"]),
-        (r#""role": "voter""#, r#""role": "ruler""#, vec!["lines[0].role", "unknown variant `ruler`"]),
-        (r#""size": 3"#, r#""size": "three""#, vec!["lines[0].points[1].size", "invalid type"]),
-        (r#""size": 1"#, r#""size": 0"#, vec!["lines[0].points[0].size", "above 0"]),
-        (r#""size": 1"#, r#""size": -1"#, vec!["lines[0].points[0].size", "above 0"]),
-        (r#""size": 3"#, r#""size": 1"#, vec!["lines[0].points[1].size", "rise"]),
-        (r#""value": 2"#, r#""value": -2"#, vec!["lines[0].points[0].value", "from 0"]),
-        (r#""value": 2"#, r#""value": 1e16"#, vec!["lines[0].points[0].value", "to 1e15"]),
-        (r#""value": 2"#, r#""value": 1e400"#, vec!["lines[0].points[0].value", "number out of range"]),
-        (r#""value": 2"#, r#""value": NaN"#, vec!["lines[0].points[0].value"]),
-        (r#""min": 3"#, r#""min": 4.5"#, vec!["lines[0].points[1].min", "from 0 to value"]),
-        (r#""max": 5"#, r#""max": 3.5"#, vec!["lines[0].points[1].min", "from value"]),
-        (r#""command": "c""#, r#""command": " ""#, vec!["lines[0].command", "a text wanted"]),
+        (
+            r#""run": "r.json", "#,
+            "",
+            vec!["lines[0]", "missing field `run`"],
+        ),
+        (
+            r#""phase": "encoded", "#,
+            "",
+            vec!["lines[0]", "missing field `phase`"],
+        ),
+        (
+            r#""id": "a""#,
+            r#""id": "a", "slope": 7"#,
+            vec!["lines[0].slope", "unknown field"],
+        ),
+        (
+            r#""role": "voter""#,
+            r#""role": "ruler""#,
+            vec!["lines[0].role", "unknown variant `ruler`"],
+        ),
+        (
+            r#""size": 3"#,
+            r#""size": "three""#,
+            vec!["lines[0].points[1].size", "invalid type"],
+        ),
+        (
+            r#""size": 1"#,
+            r#""size": 0"#,
+            vec!["lines[0].points[0].size", "above 0"],
+        ),
+        (
+            r#""size": 1"#,
+            r#""size": -1"#,
+            vec!["lines[0].points[0].size", "above 0"],
+        ),
+        (
+            r#""size": 3"#,
+            r#""size": 1"#,
+            vec!["lines[0].points[1].size", "rise"],
+        ),
+        (
+            r#""value": 2"#,
+            r#""value": -2"#,
+            vec!["lines[0].points[0].value", "from 0"],
+        ),
+        (
+            r#""value": 2"#,
+            r#""value": 1e16"#,
+            vec!["lines[0].points[0].value", "to 1e15"],
+        ),
+        (
+            r#""value": 2"#,
+            r#""value": 1e400"#,
+            vec!["lines[0].points[0].value", "number out of range"],
+        ),
+        (
+            r#""value": 2"#,
+            r#""value": NaN"#,
+            vec!["lines[0].points[0].value"],
+        ),
+        (
+            r#""min": 3"#,
+            r#""min": 4.5"#,
+            vec!["lines[0].points[1].min", "from 0 to value"],
+        ),
+        (
+            r#""max": 5"#,
+            r#""max": 3.5"#,
+            vec!["lines[0].points[1].min", "from value"],
+        ),
+        (
+            r#""command": "c""#,
+            r#""command": " ""#,
+            vec!["lines[0].command", "a text wanted"],
+        ),
         (r#""2000-01-01"}]}"#, r#""2000-01-01"}]"#, vec!["EOF"]),
-        (r#""2000-01-01"}]}"#, r#""2000-01-01"}]} more"#, vec!["trailing characters"]),
+        (
+            r#""2000-01-01"}]}"#,
+            r#""2000-01-01"}]} more"#,
+            vec!["trailing characters"],
+        ),
     ];
     for (from, to, named) in cases {
         let text = LINE.replacen(from, to, 1);
@@ -155,23 +324,64 @@
     let mut slopes: serde_json::Value = serde_json::from_str(LINE).unwrap();
     let line = slopes["lines"][0].clone();
     slopes["lines"].as_array_mut().unwrap().push(line);
-    refused("slopes-file.json", &slopes.to_string(), with_slopes, &["lines[1].id", "given twice"]);
+    refused(
+        "slopes-file.json",
+        &slopes.to_string(),
+        with_slopes,
+        &["lines[1].id", "given twice"],
+    );
     slopes["lines"][1]["points"] = serde_json::json!([]);
     slopes["lines"][1]["id"] = serde_json::json!("b");
-    refused("slopes-file.json", &slopes.to_string(), with_slopes, &["lines[1].points", "at least one point"]);
+    refused(
+        "slopes-file.json",
+        &slopes.to_string(),
+        with_slopes,
+        &["lines[1].points", "at least one point"],
+    );
 }
 
 #[test]
 fn files_that_are_not_there_are_named() {
     for (args, named) in [
-        (["capacity", "--target=/nowhere/t.toml", "--slopes=docs/capacity/slopes.json"], "/nowhere/t.toml"),
-        (["capacity", "--target=docs/capacity/target.toml", "--slopes=/nowhere/s.json"], "/nowhere/s.json"),
-        (["collect-slopes", "--runs=/nowhere/runs", "--out=/nowhere/out.json"], "/nowhere/runs"),
-        (["measure-bytes", "--out=/nowhere/bytes.json", "--date=2000-01-01"], "/nowhere/bytes.json"),
+        (
+            [
+                "capacity",
+                "--target=/nowhere/t.toml",
+                "--slopes=docs/capacity/slopes.json",
+            ],
+            "/nowhere/t.toml",
+        ),
+        (
+            [
+                "capacity",
+                "--target=docs/capacity/target.toml",
+                "--slopes=/nowhere/s.json",
+            ],
+            "/nowhere/s.json",
+        ),
+        (
+            [
+                "collect-slopes",
+                "--runs=/nowhere/runs",
+                "--out=/nowhere/out.json",
+            ],
+            "/nowhere/runs",
+        ),
+        (
+            [
+                "measure-bytes",
+                "--out=/nowhere/bytes.json",
+                "--date=2000-01-01",
+            ],
+            "/nowhere/bytes.json",
+        ),
     ] {
         let output = lab(&args);
         let said = String::from_utf8_lossy(&output.stderr).to_string();
-        assert!(output.status.code() == Some(2) && said.lines().count() == 1, "{said}");
+        assert!(
+            output.status.code() == Some(2) && said.lines().count() == 1,
+            "{said}"
+        );
         assert!(said.contains(named), "{said}");
     }
 }
@@ -183,19 +393,43 @@
 fn raw_runs_that_do_not_fit_are_refused() {
     let cases = [
         (r#""value": 2, "#, "", vec!["[0]", "missing field `value`"]),
-        (r#""size": 1"#, r#""size": 1, "sise": 2"#, vec!["[0].sise", "unknown field"]),
+        (
+            r#""size": 1"#,
+            r#""size": 1, "sise": 2"#,
+            vec!["[0].sise", "unknown field"],
+        ),
         (r#""size": 1"#, r#""size": -1"#, vec!["[0].size", "above 0"]),
-        (r#""value": 2"#, r#""value": 1e300"#, vec!["[0].value", "to 1e15"]),
-        (r#""min": null"#, r#""min": 3"#, vec!["[0].min", "from 0 to value"]),
-        (r#""role": "voter""#, r#""role": "ruler""#, vec!["[0].role", "unknown variant"]),
-        (r#""command": "c""#, r#""command": """#, vec!["[0].command", "a text wanted"]),
+        (
+            r#""value": 2"#,
+            r#""value": 1e300"#,
+            vec!["[0].value", "to 1e15"],
+        ),
+        (
+            r#""min": null"#,
+            r#""min": 3"#,
+            vec!["[0].min", "from 0 to value"],
+        ),
+        (
+            r#""role": "voter""#,
+            r#""role": "ruler""#,
+            vec!["[0].role", "unknown variant"],
+        ),
+        (
+            r#""command": "c""#,
+            r#""command": """#,
+            vec!["[0].command", "a text wanted"],
+        ),
     ];
     for (from, to, named) in cases {
         let text = RECORD.replacen(from, to, 1);
         assert_ne!(text, RECORD, "{from}");
         let runs = |file: &str| {
             let folder = Path::new(file).parent().unwrap().display().to_string();
-            vec!["collect-slopes".into(), format!("--runs={folder}"), format!("--out={folder}/out.txt")]
+            vec![
+                "collect-slopes".into(),
+                format!("--runs={folder}"),
+                format!("--out={folder}/out.txt"),
+            ]
         };
         refused("run-file.json", &text, runs, &named);
     }
--- a/crates/spokeflow-lab/tests/lab.rs
+++ b/crates/spokeflow-lab/tests/lab.rs
@@ -28,9 +28,19 @@
 }
 
 fn sweep(folder: &Path) -> Command {
-    let mut command = lab(&["sweep", "--days=drawn,only:cut", "--seeds=1-30", "--seconds=12", "--jobs=2"]);
+    let mut command = lab(&[
+        "sweep",
+        "--days=drawn,only:cut",
+        "--seeds=1-30",
+        "--seconds=12",
+        "--jobs=2",
+    ]);
     command.args(["--who=engine,random,full-sight", "--label=test"]);
-    command.arg("--store").arg(folder.join("r.redb")).arg("--out").arg(folder);
+    command
+        .arg("--store")
+        .arg(folder.join("r.redb"))
+        .arg("--out")
+        .arg(folder);
     command
 }
 
@@ -40,7 +50,10 @@
     assert_eq!(sweep(&whole).output().unwrap().status.code(), Some(0));
     let mut resumed = 0;
     for _ in 0..4 {
-        let mut child = sweep(&torn).stderr(std::process::Stdio::null()).spawn().unwrap();
+        let mut child = sweep(&torn)
+            .stderr(std::process::Stdio::null())
+            .spawn()
+            .unwrap();
         std::thread::sleep(Duration::from_millis(350));
         // As by kill -9, whatever it was about to write.
         child.kill().unwrap();
@@ -68,10 +81,18 @@
     let folder = folder("run");
     let charts = format!("--charts={}", folder.display());
     let [one, two] = [(); 2].map(|()| run(&["run", "--seconds=15", "--seed=4", "--json", &charts]));
-    assert_eq!(one.status.code(), Some(0), "{}", String::from_utf8_lossy(&one.stderr));
+    assert_eq!(
+        one.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&one.stderr)
+    );
     assert_eq!(one.stdout, two.stdout);
     let report: serde_json::Value = serde_json::from_slice(&one.stdout).unwrap();
-    assert!(report["acked"].as_u64().unwrap() > 300 && report["over_time"].as_array().unwrap().len() > 10);
+    assert!(
+        report["acked"].as_u64().unwrap() > 300
+            && report["over_time"].as_array().unwrap().len() > 10
+    );
     let svg = std::fs::read_to_string(folder.join("bad-day-4-engine.svg")).unwrap();
     assert!(svg.contains("Service by customer") && svg.contains("seconds of the day"));
     std::fs::remove_dir_all(folder).unwrap();
@@ -81,14 +102,36 @@
 fn two_ways_are_compared_on_the_same_days() {
     let folder = folder("compare");
     let store = format!("--store={}", folder.join("r.redb").display());
-    let days = ["compare", "--days=only:hang", "--seeds=1-6", "--seconds=30", "--label=x", &store];
-    let args = [&days[..], &["--first=random", "--second=full-sight", "--json"]].concat();
+    let days = [
+        "compare",
+        "--days=only:hang",
+        "--seeds=1-6",
+        "--seconds=30",
+        "--label=x",
+        &store,
+    ];
+    let args = [
+        &days[..],
+        &["--first=random", "--second=full-sight", "--json"],
+    ]
+    .concat();
     let done = run(&args);
-    assert_eq!(done.status.code(), Some(0), "{}", String::from_utf8_lossy(&done.stderr));
+    assert_eq!(
+        done.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&done.stderr)
+    );
     let all: serde_json::Value = serde_json::from_slice(&done.stdout).unwrap();
     let service = &all[0];
-    assert_eq!((service["figure"].as_str(), service["days"].as_u64()), (Some("service"), Some(6)));
-    assert!(service["from"].as_f64().unwrap() > 0.0, "full sight serves more when hosts hang: {service}");
+    assert_eq!(
+        (service["figure"].as_str(), service["days"].as_u64()),
+        (Some("service"), Some(6))
+    );
+    assert!(
+        service["from"].as_f64().unwrap() > 0.0,
+        "full sight serves more when hosts hang: {service}"
+    );
     let other = run(&[&days[..], &["--first-label=y"]].concat());
     assert_eq!(other.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&other.stderr).contains("--first-label y: the store lacks"));
@@ -103,18 +146,27 @@
         (vec!["sweep", "--terms=baking=1"], "drain-grace"),
         (vec!["run", "--build=1:at=2s"], "from 2"),
         (vec!["run", "--who=oracle"], "full-sight"),
-        (vec!["report", "--store=/nowhere/at-all.redb"], "there is none"),
+        (
+            vec!["report", "--store=/nowhere/at-all.redb"],
+            "there is none",
+        ),
     ] {
         let done = run(&args);
         let said = String::from_utf8_lossy(&done.stderr).to_string();
-        assert!(done.status.code() == Some(2) && said.contains(named), "{args:?}: {said}");
+        assert!(
+            done.status.code() == Some(2) && said.contains(named),
+            "{args:?}: {said}"
+        );
     }
     let folder = folder("damage");
     let file = folder.join("letter.txt");
     std::fs::write(&file, "not a store").unwrap();
     let store = format!("--store={}", file.display());
     let done = run(&["sweep", "--seconds=5", "--seeds=1", &store]);
-    assert!(done.status.code() == Some(2) && String::from_utf8_lossy(&done.stderr).contains("letter.txt"));
+    assert!(
+        done.status.code() == Some(2)
+            && String::from_utf8_lossy(&done.stderr).contains("letter.txt")
+    );
     assert_eq!(std::fs::read_to_string(&file).unwrap(), "not a store");
     std::fs::remove_dir_all(folder).unwrap();
 }
@@ -132,9 +184,16 @@
         let day = Scenario::drawn(seed, 30 * SECOND);
         for index in 0..day.routers {
             let anywhere = ([127, 0, 0, 1], 1).into();
-            let words = [vec!["router".to_string()], flags(&day, index, anywhere, anywhere)].concat();
+            let words = [
+                vec!["router".to_string()],
+                flags(&day, index, anywhere, anywhere),
+            ]
+            .concat();
             let on_sockets = Router::parse_from(words).terms.engine();
-            assert_eq!(format!("{on_sockets:?}"), format!("{:?}", engine_terms(&day, index)));
+            assert_eq!(
+                format!("{on_sockets:?}"),
+                format!("{:?}", engine_terms(&day, index))
+            );
         }
     }
 }
@@ -145,16 +204,26 @@
     use spokeflow_scenario::scenario::Kind;
     use spokeflow_standin::routers::Starting;
     let program = env!("CARGO_BIN_EXE_spokeflow-lab").into();
-    let starting = Starting { program, first: vec!["router".into()], logs: None, log: "info".into() };
+    let starting = Starting {
+        program,
+        first: vec!["router".into()],
+        logs: None,
+        log: "info".into(),
+    };
     let days = [Kind::None, Kind::Cut, Kind::Kill].map(|kind| {
         let mut day = Scenario::only(kind, 11, 12 * SECOND);
         day.at_rate(30.0);
         day
     });
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .unwrap();
     let played = runtime.block_on(async {
-        let all =
-            days.clone().map(|day| tokio::spawn(spokeflow_standin::day::play(day, starting.clone(), |_| {})));
+        let all = days
+            .clone()
+            .map(|day| tokio::spawn(spokeflow_standin::day::play(day, starting.clone(), |_| {})));
         let mut played = Vec::new();
         for day in all {
             played.push(day.await.unwrap().unwrap().report);
@@ -162,12 +231,24 @@
         played
     });
     for (day, sockets) in days.iter().zip(played) {
-        let simulated = spokeflow_emulator::play(day, spokeflow_emulator::Who::Engine, false).report;
-        assert!(sockets.sound() && simulated.sound(), "{}{}", sockets.text(), simulated.text());
+        let simulated =
+            spokeflow_emulator::play(day, spokeflow_emulator::Who::Engine, false).report;
+        assert!(
+            sockets.sound() && simulated.sound(),
+            "{}{}",
+            sockets.text(),
+            simulated.text()
+        );
         let acked = |r: &spokeflow_scenario::report::Report| r.acked as f64 / r.commands as f64;
-        let apart =
-            (sockets.service - simulated.service).abs().max((acked(&sockets) - acked(&simulated)).abs());
+        let apart = (sockets.service - simulated.service)
+            .abs()
+            .max((acked(&sockets) - acked(&simulated)).abs());
         let same_load = sockets.commands.abs_diff(simulated.commands) * 50 <= simulated.commands;
-        assert!(apart <= 0.08 && same_load, "{}{}", sockets.text(), simulated.text());
+        assert!(
+            apart <= 0.08 && same_load,
+            "{}{}",
+            sockets.text(),
+            simulated.text()
+        );
     }
 }
--- a/crates/spokeflow-platform/src/arrival.rs
+++ b/crates/spokeflow-platform/src/arrival.rs
@@ -39,5 +39,9 @@
     /// The deployer says that an answer of this unit was wrong, to a delivery sent so many microseconds ago.
     Report { unit: String, ago_us: u64 },
     /// What became of a vote; no result where it may count or not.
-    Voted { ballot: u64, result: Option<BallotResult>, news: Option<News> },
+    Voted {
+        ballot: u64,
+        result: Option<BallotResult>,
+        news: Option<News>,
+    },
 }
--- a/crates/spokeflow-platform/src/clients.rs
+++ b/crates/spokeflow-platform/src/clients.rs
@@ -118,7 +118,14 @@
                 asked_to_leave: Notify::new(),
             });
             seats.push(seat.clone());
-            self.clients.spawn(Client { conn, house: self.house.clone(), seat }.run(stream));
+            self.clients.spawn(
+                Client {
+                    conn,
+                    house: self.house.clone(),
+                    seat,
+                }
+                .run(stream),
+            );
         }
     }
 }
@@ -127,7 +134,8 @@
 fn make_room(seats: &mut [Arc<Seat>]) {
     let standing = |seat: &Arc<Seat>| seat.standing.load(Ordering::Relaxed);
     let free = seats.iter().filter(|seat| standing(seat) != BUSY);
-    if let Some(seat) = free.min_by_key(|seat| (standing(seat), seat.since.load(Ordering::Relaxed))) {
+    if let Some(seat) = free.min_by_key(|seat| (standing(seat), seat.since.load(Ordering::Relaxed)))
+    {
         seat.asked_to_leave.notify_one();
     }
 }
@@ -166,9 +174,15 @@
         }
         self.buf.reserve(ROOM);
         if self.stream.read_buf(&mut self.buf).await? == 0 {
-            return Ok(self.codec.decode_eof(&mut self.buf)?.map_or(Came::End, Came::Request));
+            return Ok(self
+                .codec
+                .decode_eof(&mut self.buf)?
+                .map_or(Came::End, Came::Request));
         }
-        Ok(self.codec.decode(&mut self.buf)?.map_or(Came::Part, Came::Request))
+        Ok(self
+            .codec
+            .decode(&mut self.buf)?
+            .map_or(Came::Part, Came::Request))
     }
 
     /// Ends once the client has closed. What it sends meanwhile is kept for after the answer.
@@ -186,7 +200,9 @@
     async fn send(&mut self, answer: &Answer) -> Result<(), HttpFault> {
         let mut bytes = BytesMut::new();
         write_answer(answer, &mut bytes);
-        Ok(timeout(STALL, self.stream.write_all(&bytes)).await.map_err(|_| HttpFault::Truncated)??)
+        Ok(timeout(STALL, self.stream.write_all(&bytes))
+            .await
+            .map_err(|_| HttpFault::Truncated)??)
     }
 
     /// Ends a connection whose client has had its answer. What comes now has crossed it and is not read: its client
@@ -210,7 +226,11 @@
     async fn run(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let buf = BytesMut::with_capacity(ROOM);
-        let mut link = Link { stream, buf, codec: ServerCodec::new(BODY_LIMIT) };
+        let mut link = Link {
+            stream,
+            buf,
+            codec: ServerCodec::new(BODY_LIMIT),
+        };
         let mut asked = false;
         if let Err(fault) = self.serve(&mut link, &mut asked).await {
             if let Some(kept_back) = self.house.clock.line() {
@@ -218,7 +238,11 @@
             }
             if let Some(status) = fault.status() {
                 self.seat.stands(FRESH, &self.house.clock);
-                let refusal = Answer { status, close: true, ..Answer::default() };
+                let refusal = Answer {
+                    status,
+                    close: true,
+                    ..Answer::default()
+                };
                 let _ = timeout(LINGER, link.send(&refusal)).await;
                 linger(&mut link.stream).await;
             }
@@ -240,7 +264,11 @@
         loop {
             if !begun && link.begun() {
                 begun = true;
-                until = if spoke { Instant::now() + SILENT } else { until.max(Instant::now() + BEGUN) };
+                until = if spoke {
+                    Instant::now() + SILENT
+                } else {
+                    until.max(Instant::now() + BEGUN)
+                };
                 self.seat.stands(BEGUN_ONE, clock);
             }
             tokio::select! {
@@ -291,7 +319,12 @@
                     n += 1;
                     command.id = n;
                     let (tell, mut told) = oneshot::channel();
-                    let arrival = Arrival::Command { conn: self.conn, id, command, answer: tell };
+                    let arrival = Arrival::Command {
+                        conn: self.conn,
+                        id,
+                        command,
+                        answer: tell,
+                    };
                     if self.house.core.send(arrival).await.is_err() {
                         return Ok(());
                     }
@@ -303,7 +336,10 @@
                     };
                     match message {
                         Ok(message) => worded(message),
-                        Err(_) => Answer { status: 500, ..Answer::default() },
+                        Err(_) => Answer {
+                            status: 500,
+                            ..Answer::default()
+                        },
                     }
                 }
             };
@@ -321,20 +357,34 @@
 
     /// What is no command of this deployment is told so, and its connection ends with that.
     fn check(&self, request: Request) -> Checked {
-        let no = |status| Checked::Answer(Answer { status, close: true, ..Answer::default() });
+        let no = |status| {
+            Checked::Answer(Answer {
+                status,
+                close: true,
+                ..Answer::default()
+            })
+        };
         if request.target.as_ref() == b"/up" {
             let up = self.house.up.load(Ordering::Relaxed) && !self.house.clock.ending();
-            return Checked::Answer(Answer { status: if up { 200 } else { 503 }, ..Answer::default() });
+            return Checked::Answer(Answer {
+                status: if up { 200 } else { 503 },
+                ..Answer::default()
+            });
         }
         let word = |name| request.fields.only(name).filter(|v| !v.is_empty());
-        let (Some(id), Some(op), Some(customer), Some(left)) =
-            (word("request-id"), word("request-class"), word("tenant"), word("request-timeout"))
-        else {
+        let (Some(id), Some(op), Some(customer), Some(left)) = (
+            word("request-id"),
+            word("request-class"),
+            word("tenant"),
+            word("request-timeout"),
+        ) else {
             return no(400);
         };
-        let (Some(&(op_type, repeat)), Some(&share), Some(left_us)) =
-            (self.house.desk.ops.get(op), self.house.desk.customers.get(customer), patience(left))
-        else {
+        let (Some(&(op_type, repeat)), Some(&share), Some(left_us)) = (
+            self.house.desk.ops.get(op),
+            self.house.desk.customers.get(customer),
+            patience(left),
+        ) else {
             return no(400);
         };
         let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_.:".contains(b);
@@ -342,26 +392,41 @@
             return no(400);
         }
         // What may run again is asked by GET and has no body; what must not, by POST.
-        let method: &[u8] = if repeat == Repeat::Redeliverable { b"GET" } else { b"POST" };
+        let method: &[u8] = if repeat == Repeat::Redeliverable {
+            b"GET"
+        } else {
+            b"POST"
+        };
         if request.method != method {
             return no(405);
         }
         if repeat == Repeat::Redeliverable && !request.body.is_empty() {
             return no(400);
         }
-        let path = request.target.split(|b| *b == b'?').next().unwrap_or_default();
-        let mut parts = path.strip_prefix(b"/").unwrap_or(b"").splitn(2, |b| *b == b'/');
+        let path = request
+            .target
+            .split(|b| *b == b'?')
+            .next()
+            .unwrap_or_default();
+        let mut parts = path
+            .strip_prefix(b"/")
+            .unwrap_or(b"")
+            .splitn(2, |b| *b == b'/');
         if parts.next() != Some(op.as_ref()) {
             return no(404);
         }
         // A host that drops repeats knows them by this key; without it the request is not what its client sent.
-        let plain_key = |key: &&Bytes| key.len() <= 256 && key.iter().all(|b| (0x21..0x7f).contains(b));
+        let plain_key =
+            |key: &&Bytes| key.len() <= 256 && key.iter().all(|b| (0x21..0x7f).contains(b));
         let repeat_key = word("idempotency-key").filter(plain_key);
         let deduplicated = repeat == Repeat::Deduplicated;
         if deduplicated && repeat_key.is_none() {
             return no(400);
         }
-        let key = parts.next().and_then(|rest| rest.rsplit(|b| *b == b'/').next()).unwrap_or_default();
+        let key = parts
+            .next()
+            .and_then(|rest| rest.rsplit(|b| *b == b'/').next())
+            .unwrap_or_default();
         let command = Command {
             id: 0,
             op: op_type,
@@ -369,9 +434,18 @@
             key: if key.is_empty() { 0 } else { key_of(key) },
             mark: 0,
             left_us,
-            body: forwarded(&request, id, op, customer, repeat_key.filter(|_| deduplicated)),
+            body: forwarded(
+                &request,
+                id,
+                op,
+                customer,
+                repeat_key.filter(|_| deduplicated),
+            ),
         };
-        Checked::Command { id: id.clone(), command }
+        Checked::Command {
+            id: id.clone(),
+            command,
+        }
     }
 }
 
@@ -392,24 +466,42 @@
 
 fn worded(message: ToClient) -> Answer {
     match message {
-        ToClient::Acked { body, .. } => Answer { status: 200, body, ..Answer::default() },
-        ToClient::Nacked { come_back_us, .. } => {
-            Answer { status: 503, retry_after: come_back_us.map(|us| us as f64 / 1e6), ..Answer::default() }
-        }
+        ToClient::Acked { body, .. } => Answer {
+            status: 200,
+            body,
+            ..Answer::default()
+        },
+        ToClient::Nacked { come_back_us, .. } => Answer {
+            status: 503,
+            retry_after: come_back_us.map(|us| us as f64 / 1e6),
+            ..Answer::default()
+        },
         ToClient::Refused(refused) => {
             debug!(refused.text, "command refused");
-            Answer { status: 409, close: true, ..Answer::default() }
+            Answer {
+                status: 409,
+                close: true,
+                ..Answer::default()
+            }
         }
-        _ => Answer { status: 502, ..Answer::default() },
+        _ => Answer {
+            status: 502,
+            ..Answer::default()
+        },
     }
 }
 
 /// `480m` milliseconds or `480u` microseconds.
 fn patience(text: &Bytes) -> Option<u64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let digits =
-        !number.is_empty() && number.len() <= 12 && number.iter().all(|b| b.is_ascii_digit() || *b == b'.');
-    let number: f64 = std::str::from_utf8(number).ok().filter(|_| digits)?.parse().ok()?;
+    let digits = !number.is_empty()
+        && number.len() <= 12
+        && number.iter().all(|b| b.is_ascii_digit() || *b == b'.');
+    let number: f64 = std::str::from_utf8(number)
+        .ok()
+        .filter(|_| digits)?
+        .parse()
+        .ok()?;
     let us = match unit {
         b"m" => number * 1e3,
         b"u" => number,
@@ -426,18 +518,38 @@
 
 /// The request as hosts get it, but for the time left, which stands after the first line and is not known before
 /// it is sent.
-fn forwarded(request: &Request, id: &[u8], op: &[u8], customer: &[u8], repeat_key: Option<&Bytes>) -> Bytes {
+fn forwarded(
+    request: &Request,
+    id: &[u8],
+    op: &[u8],
+    customer: &[u8],
+    repeat_key: Option<&Bytes>,
+) -> Bytes {
     let mut to = BytesMut::with_capacity(192 + request.target.len() + request.body.len());
     let mut put = |parts: &[&[u8]]| parts.iter().for_each(|part| to.put_slice(part));
     put(&[&request.method, b" ", &request.target, b" HTTP/1.1\r\n"]);
-    let host = request.fields.only("host").map_or(&b"origin.svc"[..], |h| h);
-    put(&[b"Host: ", host, b"\r\nRequest-Id: ", id, b"\r\nRequest-Class: ", op]);
+    let host = request
+        .fields
+        .only("host")
+        .map_or(&b"origin.svc"[..], |h| h);
+    put(&[
+        b"Host: ",
+        host,
+        b"\r\nRequest-Id: ",
+        id,
+        b"\r\nRequest-Class: ",
+        op,
+    ]);
     put(&[b"\r\nTenant: ", customer, b"\r\n"]);
     if let Some(key) = repeat_key {
         put(&[b"Idempotency-Key: ", key, b"\r\n"]);
     }
     if request.method != b"GET"[..] {
-        put(&[b"Content-Length: ", request.body.len().to_string().as_bytes(), b"\r\n"]);
+        put(&[
+            b"Content-Length: ",
+            request.body.len().to_string().as_bytes(),
+            b"\r\n",
+        ]);
     }
     put(&[b"\r\n", &request.body]);
     to.freeze()
@@ -445,8 +557,11 @@
 
 /// Listens with little room for what is not read, so that what clients send at full speed waits with them.
 pub fn listen(address: std::net::SocketAddr) -> std::io::Result<TcpListener> {
-    let socket =
-        if address.is_ipv4() { tokio::net::TcpSocket::new_v4()? } else { tokio::net::TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        tokio::net::TcpSocket::new_v4()?
+    } else {
+        tokio::net::TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.set_recv_buffer_size(SYSTEM_QUEUE)?;
     socket.bind(address)?;
--- a/crates/spokeflow-platform/src/clock.rs
+++ b/crates/spokeflow-platform/src/clock.rs
@@ -16,7 +16,11 @@
 
 impl Clock {
     pub fn starting_now() -> Arc<Clock> {
-        Arc::new(Clock { start: Instant::now(), ending: AtomicBool::new(false), sparing: Sparing::new() })
+        Arc::new(Clock {
+            start: Instant::now(),
+            ending: AtomicBool::new(false),
+            sparing: Sparing::new(),
+        })
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -62,7 +62,9 @@
 impl Stage {
     /// From the words of a line, in the order in which the platform says them.
     pub fn of_words(words: &[&str]) -> Option<Stage> {
-        let [release, tranche, mode, exposure, old_ms] = words else { return None };
+        let [release, tranche, mode, exposure, old_ms] = words else {
+            return None;
+        };
         Some(Stage {
             release: release.parse().ok()?,
             tranche: tranche.parse().ok()?,
@@ -122,28 +124,38 @@
     /// Errors: what cannot be read or does not fit, and where.
     pub fn read(path: &Path) -> Result<Configuration, ConfigurationFault> {
         let fault = |what: String| format!("{}: {what}", path.display());
-        let torn = |what: String, torn| ConfigurationFault { what: fault(what), torn };
-        let text =
-            std::fs::read(path).map_err(|e| torn(e.to_string(), e.kind() == std::io::ErrorKind::NotFound))?;
-        let file: File =
-            serde_json::from_slice(&text).map_err(|e| torn(e.to_string(), e.is_eof() || e.is_syntax()))?;
+        let torn = |what: String, torn| ConfigurationFault {
+            what: fault(what),
+            torn,
+        };
+        let text = std::fs::read(path)
+            .map_err(|e| torn(e.to_string(), e.kind() == std::io::ErrorKind::NotFound))?;
+        let file: File = serde_json::from_slice(&text)
+            .map_err(|e| torn(e.to_string(), e.is_eof() || e.is_syntax()))?;
         let told = spokeflow_settings::read(file.settings.to_string().as_bytes()).map_err(fault)?;
         if told.terms.ops.is_empty() {
             return Err(fault("settings name no op type".into()).into());
         }
         let twice = |names: &[String]| (1..names.len()).any(|n| names[..n].contains(&names[n]));
         if twice(&told.ops) || twice(&told.customers) || twice(&told.zones) {
-            return Err(fault("settings name an op type, a customer or a zone twice".into()).into());
+            return Err(
+                fault("settings name an op type, a customer or a zone twice".into()).into(),
+            );
         }
         if file.limits.sockets < FEWEST {
             let sockets = file.limits.sockets;
-            return Err(fault(format!("limits.sockets {sockets}: {FEWEST} at least are needed")).into());
+            return Err(fault(format!(
+                "limits.sockets {sockets}: {FEWEST} at least are needed"
+            ))
+            .into());
         }
         let news = match &file.deployer.news {
             None => None,
-            Some(stage) => {
-                Some(stage.news().ok_or_else(|| fault("deployer.news is no state of a build".into()))?)
-            }
+            Some(stage) => Some(
+                stage
+                    .news()
+                    .ok_or_else(|| fault("deployer.news is no state of a build".into()))?,
+            ),
         };
         let seed = u64::from_str_radix(&file.seed, 16);
         Ok(Configuration {
@@ -151,7 +163,8 @@
             listen: file.listen,
             discovery: file.discovery,
             deployer: file.deployer.address,
-            seed: seed.map_err(|_| fault(format!("seed '{}' is no hexadecimal number", file.seed)))?,
+            seed: seed
+                .map_err(|_| fault(format!("seed '{}' is no hexadecimal number", file.seed)))?,
             limits: file.limits,
             news,
             known: file.known,
--- a/crates/spokeflow-platform/src/deployer.rs
+++ b/crates/spokeflow-platform/src/deployer.rs
@@ -117,9 +117,10 @@
                     None => return format!("news that cannot be read: {line:?}"),
                 },
                 ["*", "report", unit, _, ago_ms] => match ago_ms.parse::<u64>() {
-                    Ok(ago_ms) => {
-                        Some(Arrival::Report { unit: unit.to_string(), ago_us: ago_ms.saturating_mul(1000) })
-                    }
+                    Ok(ago_ms) => Some(Arrival::Report {
+                        unit: unit.to_string(),
+                        ago_us: ago_ms.saturating_mul(1000),
+                    }),
                     Err(_) => return format!("a report that cannot be read: {line:?}"),
                 },
                 _ => return format!("a line that cannot be read: {line:?}"),
@@ -159,19 +160,30 @@
         // Past the wait the engine has counted the vote as unanswered, and another may be out: nothing is said.
         if let Ok((result, news)) = timeout(wait, self.ask(line)).await {
             debug!(ballot = self.ballot, ?result, "vote answered");
-            let _ = self.core.send(Arrival::Voted { ballot: self.ballot, result, news }).await;
+            let _ = self
+                .core
+                .send(Arrival::Voted {
+                    ballot: self.ballot,
+                    result,
+                    news,
+                })
+                .await;
         }
     }
 
     /// The answer, and the state that came with it; no result where the vote may count or not.
     async fn ask(&self, line: String) -> (Option<BallotResult>, Option<News>) {
         let opening = timeout(CONNECTED, TcpStream::connect(self.address)).await;
-        let Ok(Ok(mut stream)) = opening else { return (Some(BallotResult::Refused), None) };
+        let Ok(Ok(mut stream)) = opening else {
+            return (Some(BallotResult::Refused), None);
+        };
         if stream.write_all(line.as_bytes()).await.is_err() {
             return (Some(BallotResult::Refused), None);
         }
         let mut lines = Framed::new(stream, WholeLines::new());
-        let Some(Ok(answer)) = lines.next().await else { return (None, None) };
+        let Some(Ok(answer)) = lines.next().await else {
+            return (None, None);
+        };
         let words: Vec<&str> = answer.split_ascii_whitespace().collect();
         match words.as_slice() {
             ["OK", state @ ..] => match Stage::of_words(state).and_then(|s| s.news()) {
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -87,8 +87,10 @@
             Ok(Err(e)) => return e.to_string(),
             Ok(Ok(stream)) => stream,
         };
-        let ask =
-            format!("GET /discovery/hosts?watch=1&after={} HTTP/1.1\r\nHost: {address}\r\n\r\n", self.after);
+        let ask = format!(
+            "GET /discovery/hosts?watch=1&after={} HTTP/1.1\r\nHost: {address}\r\n\r\n",
+            self.after
+        );
         if let Err(e) = stream.write_all(ask.as_bytes()).await {
             return e.to_string();
         }
@@ -201,7 +203,10 @@
         match found {
             Some(Ok(listing)) => {
                 let rest = self.text.split_off(upto);
-                *self = Objects { text: rest, ..Objects::default() };
+                *self = Objects {
+                    text: rest,
+                    ..Objects::default()
+                };
                 Ok(Some(listing))
             }
             None => {
@@ -210,7 +215,9 @@
                 Ok(None)
             }
             Some(Err(e)) if !e.is_eof() => Err(format!("an object that cannot be read: {e}")),
-            Some(Err(_)) if self.text.len() > OBJECT_LIMIT => Err("an object that does not end".into()),
+            Some(Err(_)) if self.text.len() > OBJECT_LIMIT => {
+                Err("an object that does not end".into())
+            }
             Some(Err(_)) => {
                 self.read_at = 2 * self.text.len();
                 Ok(None)
--- a/crates/spokeflow-platform/src/engine_links.rs
+++ b/crates/spokeflow-platform/src/engine_links.rs
@@ -59,7 +59,11 @@
 
 impl EngineLinks {
     fn halt(&mut self, host: HostId, but: Option<u64>) {
-        for out in self.out.values_mut().filter(|o| o.host == host && Some(o.incarnation) != but) {
+        for out in self
+            .out
+            .values_mut()
+            .filter(|o| o.host == host && Some(o.incarnation) != but)
+        {
             // What has left whole no longer listens.
             if let Some(halt) = out.halt.take() {
                 let _ = halt.send(());
@@ -72,8 +76,15 @@
         if let Ok(place) = self.places.clone().try_acquire_owned() {
             return Some(place);
         }
-        let unused = self.hosts.values_mut().filter_map(|h| Some((h.unused.oldest()?, h)));
-        unused.min_by_key(|(since, _)| *since)?.1.unused.drop_oldest();
+        let unused = self
+            .hosts
+            .values_mut()
+            .filter_map(|h| Some((h.unused.oldest()?, h)));
+        unused
+            .min_by_key(|(since, _)| *since)?
+            .1
+            .unused
+            .drop_oldest();
         self.places.clone().try_acquire_owned().ok()
     }
 
@@ -85,7 +96,9 @@
         leave_by: Micros,
         request: Bytes,
     ) -> bool {
-        let Some(known) = self.hosts.get_mut(&host).filter(|h| h.open) else { return false };
+        let Some(known) = self.hosts.get_mut(&host).filter(|h| h.open) else {
+            return false;
+        };
         let (address, incarnation) = (known.address, known.incarnation);
         let (rested, unused) = known.unused.take(&self.reuse).unzip();
         let place = if unused.is_none() { self.place() } else { None };
@@ -95,7 +108,10 @@
         let (halt, halted) = oneshot::channel();
         let ways = self.ways.clone();
         let clock = &ways.clock;
-        let (until, leave_by) = (clock.at(clock.now() + left_us as Micros), clock.at(leave_by));
+        let (until, leave_by) = (
+            clock.at(clock.now() + left_us as Micros),
+            clock.at(leave_by),
+        );
         let attempt = Attempt {
             ways,
             host,
@@ -111,7 +127,15 @@
         };
         debug!(id = attempt.id(), %address, delivery, left_us, "delivery");
         let task = tokio::spawn(attempt.run()).abort_handle();
-        self.out.insert(delivery, Out { host, incarnation, halt: Some(halt), task });
+        self.out.insert(
+            delivery,
+            Out {
+                host,
+                incarnation,
+                halt: Some(halt),
+                task,
+            },
+        );
         true
     }
 
@@ -144,9 +168,12 @@
 
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
         match message {
-            ToHost::Deliver { delivery, left_us, body, .. } => {
-                self.deliver(host, delivery, left_us, leave_by, body)
-            }
+            ToHost::Deliver {
+                delivery,
+                left_us,
+                body,
+                ..
+            } => self.deliver(host, delivery, left_us, leave_by, body),
             ToHost::Cancel { delivery } => {
                 // Dropped with its task, the connection closes: that is how an attempt is given up here.
                 if let Some(out) = self.out.remove(&delivery) {
@@ -166,7 +193,15 @@
 
     fn to_desk(&mut self, message: ToDesk) -> bool {
         info!(?message, "vote");
-        let ToDesk::Vote { ballot, build, stage, verdict } = message else { return true };
+        let ToDesk::Vote {
+            ballot,
+            build,
+            stage,
+            verdict,
+        } = message
+        else {
+            return true;
+        };
         let vote = Vote {
             address: *self.deployer.borrow(),
             core: self.ways.core.clone(),
@@ -184,10 +219,18 @@
 
     fn host_open(&mut self, host: HostId, address: &str, incarnation: u64) {
         let Ok(address) = address.parse() else {
-            return warn!(host = host.0, address, "the list names no address for a host");
+            return warn!(
+                host = host.0,
+                address, "the list names no address for a host"
+            );
         };
         self.house.up.store(true, Ordering::Relaxed);
-        let fresh = || Host { address, incarnation, open: true, unused: Unused::default() };
+        let fresh = || Host {
+            address,
+            incarnation,
+            open: true,
+            unused: Unused::default(),
+        };
         let known = self.hosts.entry(host).or_insert_with(fresh);
         known.open = true;
         if (known.address, known.incarnation) != (address, incarnation) {
@@ -198,7 +241,9 @@
     }
 
     fn recall(&mut self, host: HostId, delivery: Option<u64>) {
-        let Some(delivery) = delivery else { return self.halt(host, None) };
+        let Some(delivery) = delivery else {
+            return self.halt(host, None);
+        };
         if let Some(halt) = self.out.get_mut(&delivery).and_then(|out| out.halt.take()) {
             let _ = halt.send(());
         }
--- a/crates/spokeflow-platform/src/hosts.rs
+++ b/crates/spokeflow-platform/src/hosts.rs
@@ -78,7 +78,9 @@
     /// The one used last that has settled and still stands, if so short a rest is allowed; what has rested longer
     /// goes with it.
     pub fn take(&mut self, reuse: &Reuse) -> Option<(u64, Connection)> {
-        let mut settled = self.0.partition_point(|(since, _)| since.elapsed() >= SETTLES);
+        let mut settled = self
+            .0
+            .partition_point(|(since, _)| since.elapsed() >= SETTLES);
         while settled > 0 {
             settled -= 1;
             let (since, connection) = self.0.remove(settled)?;
@@ -96,7 +98,11 @@
 
     /// Closes those unused for longer than `most`; each look ends at the first that is not.
     pub fn expire(&mut self, most: Duration) {
-        while self.0.front().is_some_and(|(since, _)| since.elapsed() > most) {
+        while self
+            .0
+            .front()
+            .is_some_and(|(since, _)| since.elapsed() > most)
+        {
             self.0.pop_front();
         }
     }
@@ -173,8 +179,14 @@
 
 /// The request with the time that is left of it now.
 fn written(request: &[u8], until: Instant) -> Bytes {
-    let left_us = until.saturating_duration_since(Instant::now()).as_micros().max(1);
-    let line = request.windows(2).position(|w| w == b"\r\n").map_or(0, |at| at + 2);
+    let left_us = until
+        .saturating_duration_since(Instant::now())
+        .as_micros()
+        .max(1);
+    let line = request
+        .windows(2)
+        .position(|w| w == b"\r\n")
+        .map_or(0, |at| at + 2);
     let mut bytes = BytesMut::with_capacity(request.len() + 40);
     bytes.put_slice(&request[..line]);
     bytes.put_slice(format!("Request-Timeout: {left_us}u\r\n").as_bytes());
@@ -208,7 +220,11 @@
     /// The client's `Request-Id`, as `forwarded` has written it.
     pub fn id(&self) -> &str {
         const FIELD: &[u8] = b"\r\nRequest-Id: ";
-        let from = self.request.windows(FIELD.len()).position(|w| w == FIELD).map(|at| at + FIELD.len());
+        let from = self
+            .request
+            .windows(FIELD.len())
+            .position(|w| w == FIELD)
+            .map(|at| at + FIELD.len());
         let rest = from.map_or(&[][..], |at| &self.request[at..]);
         let end = rest.iter().position(|b| *b == b'\r').unwrap_or(0);
         std::str::from_utf8(&rest[..end]).unwrap_or_default()
@@ -232,8 +248,15 @@
             Outcome::Lost(_) => None,
         };
         let input = match outcome {
-            Outcome::Message(message) => Input::FromHost { host: host.0, message },
-            Outcome::Lost(end) => Input::NotDelivered { host: host.0, delivery, end },
+            Outcome::Message(message) => Input::FromHost {
+                host: host.0,
+                message,
+            },
+            Outcome::Lost(end) => Input::NotDelivered {
+                host: host.0,
+                delivery,
+                end,
+            },
         };
         let _ = ways
             .core
@@ -260,7 +283,11 @@
             // Looked at again, since this task may have waited for its turn: what came meanwhile is nobody's.
             if let Some(mut connection) = unused {
                 if connection.is_quiet()
-                    && connection.stream.write_all(&written(request, until)).await.is_ok()
+                    && connection
+                        .stream
+                        .write_all(&written(request, until))
+                        .await
+                        .is_ok()
                 {
                     return Ok(connection);
                 }
@@ -275,8 +302,14 @@
             // Closing takes back what has not left: a delivery that is given up must not arrive later.
             let _ = stream.set_zero_linger();
             let bytes = written(request, until);
-            stream.write_all(&bytes).await.map_err(|_| "broken before the request had left")?;
-            Ok::<_, &str>(Connection { stream, _place: place })
+            stream
+                .write_all(&bytes)
+                .await
+                .map_err(|_| "broken before the request had left")?;
+            Ok::<_, &str>(Connection {
+                stream,
+                _place: place,
+            })
         };
         tokio::select! {
             biased;
@@ -299,9 +332,16 @@
                 // What is behind an answer belongs to nobody; more may follow it, so the connection goes.
                 let clean = stays && buf.is_empty();
                 if !buf.is_empty() {
-                    debug!(host = self.host.0, bytes = buf.len(), "more than the answer has come");
+                    debug!(
+                        host = self.host.0,
+                        bytes = buf.len(),
+                        "more than the answer has come"
+                    );
                 }
-                (Outcome::Message(message), Some(connection).filter(|_| clean))
+                (
+                    Outcome::Message(message),
+                    Some(connection).filter(|_| clean),
+                )
             }
             Err(HttpFault::Io(_) | HttpFault::Truncated) => (Outcome::Lost(NoAnswer::Reset), None),
             Err(fault) => {
@@ -315,16 +355,25 @@
         }
     }
 
-    async fn read(&self, stream: &mut TcpStream, buf: &mut BytesMut) -> Result<(FromHost, bool), HttpFault> {
+    async fn read(
+        &self,
+        stream: &mut TcpStream,
+        buf: &mut BytesMut,
+    ) -> Result<(FromHost, bool), HttpFault> {
         let mut codec = AnswerCodec::new(BODY_LIMIT as u64);
         let (mut status, mut not_started, mut stays) = (0, false, true);
         let mut body = BytesMut::new();
         loop {
             while let Some(part) = codec.decode(buf)? {
                 match part {
-                    Part::Head { status: code, fields } => {
+                    Part::Head {
+                        status: code,
+                        fields,
+                    } => {
                         status = code;
-                        not_started = fields.only("not-started").is_some_and(|v| v.as_ref() == b"1");
+                        not_started = fields
+                            .only("not-started")
+                            .is_some_and(|v| v.as_ref() == b"1");
                         stays = !fields.has("connection", "close");
                     }
                     Part::Data(data) => body.extend_from_slice(&data),
@@ -353,7 +402,10 @@
     fn message(&self, status: u16, not_started: bool, body: BytesMut) -> FromHost {
         let delivery = self.delivery;
         match status {
-            200 => FromHost::Acked { delivery, body: body.freeze() },
+            200 => FromHost::Acked {
+                delivery,
+                body: body.freeze(),
+            },
             503 | 504 if not_started => FromHost::Full { delivery },
             _ => FromHost::Error { delivery },
         }
--- a/crates/spokeflow-platform/src/log.rs
+++ b/crates/spokeflow-platform/src/log.rs
@@ -12,8 +12,10 @@
 /// Logs to standard error. Errors: a filter that cannot be read.
 pub fn start_log(filter: &str, form: LogForm) -> Result<(), String> {
     let filter = EnvFilter::try_new(filter).map_err(|e| format!("--log: '{filter}': {e}"))?;
-    let log =
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_target(false);
     match form {
         LogForm::Text => log.with_ansi(false).init(),
         LogForm::Json => log.json().flatten_event(true).init(),
@@ -31,13 +33,18 @@
     const LINES: u64 = 10;
 
     pub const fn new() -> Self {
-        Sparing { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
+        Sparing {
+            second: AtomicU64::new(0),
+            lines: AtomicU64::new(0),
+        }
     }
 
     /// Whether a line may be written in this second; with it, how many were kept back in the one before.
     pub fn line(&self, second: u64) -> Option<u64> {
         let kept_back = if self.second.swap(second, Ordering::Relaxed) != second {
-            self.lines.swap(0, Ordering::Relaxed).saturating_sub(Self::LINES)
+            self.lines
+                .swap(0, Ordering::Relaxed)
+                .saturating_sub(Self::LINES)
         } else {
             0
         };
--- a/crates/spokeflow-platform/src/pauses.rs
+++ b/crates/spokeflow-platform/src/pauses.rs
@@ -16,12 +16,19 @@
     /// `way` tells the ways of one router apart: each draws for itself, whatever the others do.
     pub fn new(seed: u64, way: u64, first: Duration, longest: Duration) -> Self {
         let spread = way.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        Pauses { chance: Chance::new(seed ^ spread), first, longest }
+        Pauses {
+            chance: Chance::new(seed ^ spread),
+            first,
+            longest,
+        }
     }
 
     /// The pause after so many failures in a row.
     pub fn after(&mut self, failures: u32) -> Duration {
-        let whole = self.first.saturating_mul(1 << failures.min(16)).min(self.longest);
+        let whole = self
+            .first
+            .saturating_mul(1 << failures.min(16))
+            .min(self.longest);
         whole.mul_f64(1.0 - 0.5 * self.chance.share())
     }
 }
@@ -53,9 +60,15 @@
             assert!(pause >= whole / 2 && pause <= whole, "{pause:?} after {n}");
         }
         // Three hundred routers that lose the same peer: no twentieth of a second sees a fifth of them return.
-        let mut at: Vec<u32> = (0..300).map(|seed| drawn(seed, 1)[8].as_millis() as u32 / 50).collect();
+        let mut at: Vec<u32> = (0..300)
+            .map(|seed| drawn(seed, 1)[8].as_millis() as u32 / 50)
+            .collect();
         at.sort_unstable();
-        let most = at.chunk_by(|a, b| a == b).map(<[u32]>::len).max().unwrap_or(0);
+        let most = at
+            .chunk_by(|a, b| a == b)
+            .map(<[u32]>::len)
+            .max()
+            .unwrap_or(0);
         assert!(most < 60, "{most} at once");
     }
 }
--- a/crates/spokeflow-platform/src/program.rs
+++ b/crates/spokeflow-platform/src/program.rs
@@ -24,7 +24,10 @@
     /// Errors: the system does not let them be heard.
     pub fn heard() -> Result<Signals, String> {
         let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-        Ok(Signals { reload: heard(SignalKind::hangup())?, terminate: heard(SignalKind::terminate())? })
+        Ok(Signals {
+            reload: heard(SignalKind::hangup())?,
+            terminate: heard(SignalKind::terminate())?,
+        })
     }
 }
 
@@ -76,7 +79,9 @@
         let begun = Instant::now();
         loop {
             match self.configuration() {
-                Err(fault) if fault.torn && begun.elapsed() < WRITTEN_WITHIN => sleep(LOOKED_AGAIN).await,
+                Err(fault) if fault.torn && begun.elapsed() < WRITTEN_WITHIN => {
+                    sleep(LOOKED_AGAIN).await
+                }
                 told => return told,
             }
         }
@@ -90,16 +95,24 @@
         ExitCode::from(code)
     };
     // One thread: the platform gives part of one core.
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => return complain(format!("cannot start: {e}"), 1),
     };
     let ended = runtime.block_on(async {
         // Before all else: one that came earlier would end the process, or be lost between the reading and this.
         let signals = Signals::heard().map_err(|what| (what, 1))?;
-        let told = program.first_configuration().await.map_err(|fault| (fault.what, 2))?;
+        let told = program
+            .first_configuration()
+            .await
+            .map_err(|fault| (fault.what, 2))?;
         start_log(&program.log, program.log_form).map_err(|what| (what, 2))?;
-        serve(program, told, signals).await.map_err(|what| (what, 1))
+        serve(program, told, signals)
+            .await
+            .map_err(|what| (what, 1))
     });
     match ended {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/spokeflow-platform/src/reuse.rs
+++ b/crates/spokeflow-platform/src/reuse.rs
@@ -46,12 +46,16 @@
     /// longer ones.
     pub fn allows(&self, rested: u64) -> bool {
         let as_new = self.lengths[0].share();
-        self.lengths[1..=place(Some(rested))].iter().all(|uses| uses.share() <= as_new + BEYOND)
+        self.lengths[1..=place(Some(rested))]
+            .iter()
+            .all(|uses| uses.share() <= as_new + BEYOND)
     }
 }
 
 fn place(rested: Option<u64>) -> usize {
-    rested.map_or(0, |us| (1 + (us / 1000 + 1).ilog2() as usize).min(LENGTHS - 1))
+    rested.map_or(0, |us| {
+        (1 + (us / 1000 + 1).ilog2() as usize).min(LENGTHS - 1)
+    })
 }
 
 #[cfg(test)]
--- a/crates/spokeflow-platform/src/roster.rs
+++ b/crates/spokeflow-platform/src/roster.rs
@@ -63,7 +63,13 @@
 
 impl Roster {
     pub fn new(zones: Vec<String>, settled_after: Micros) -> Self {
-        Roster { numbers: HashMap::new(), slots: Vec::new(), zones, incarnations: 0, settled_after }
+        Roster {
+            numbers: HashMap::new(),
+            slots: Vec::new(),
+            zones,
+            incarnations: 0,
+            settled_after,
+        }
     }
 
     pub fn number(&self, name: &str) -> Option<u32> {
@@ -77,7 +83,9 @@
         let whole = listing.complete;
         let mut named = vec![false; self.slots.len()];
         for member in listing.members {
-            let Some((line, size)) = self.line(member, now, unix_ms) else { continue };
+            let Some((line, size)) = self.line(member, now, unix_ms) else {
+                continue;
+            };
             named.resize(self.slots.len(), false);
             named[line.host as usize] = true;
             sizes.extend(size.map(|size| (line.host, size)));
@@ -89,8 +97,11 @@
             }
         }
         let version = listing.revision;
-        let list =
-            if whole { FromList::Whole { version, lines } } else { FromList::Changes { version, lines } };
+        let list = if whole {
+            FromList::Whole { version, lines }
+        } else {
+            FromList::Changes { version, lines }
+        };
         (list, FromList::Sizes { sizes })
     }
 
@@ -134,7 +145,10 @@
     }
 
     fn add(&mut self, name: &str, now: Micros) -> u32 {
-        let settled = |slot: &Slot| slot.gone_since.is_some_and(|at| now - at > self.settled_after);
+        let settled = |slot: &Slot| {
+            slot.gone_since
+                .is_some_and(|at| now - at > self.settled_after)
+        };
         let slot = Slot {
             name: name.to_string(),
             process: Default::default(),
@@ -164,7 +178,8 @@
     use super::*;
 
     fn listing(revision: u64, complete: bool, members: &str) -> Listing {
-        let text = format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
+        let text =
+            format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
         serde_json::from_str(&text).unwrap()
     }
 
@@ -175,11 +190,13 @@
         }
     }
 
-    const A: &str = r#"{"id":"a","host_port":"127.0.0.1:1","locality":"z","phase":"Ready","revision_no":1}"#;
+    const A: &str =
+        r#"{"id":"a","host_port":"127.0.0.1:1","locality":"z","phase":"Ready","revision_no":1}"#;
     const A_AGAIN: &str =
         r#"{"id":"a","host_port":"127.0.0.1:1","locality":"z","phase":"Ready","revision_no":2}"#;
     const A_GONE: &str = r#"{"id":"a","phase":"Gone"}"#;
-    const B: &str = r#"{"id":"b","host_port":"127.0.0.1:2","locality":"z","phase":"Ready","revision_no":2}"#;
+    const B: &str =
+        r#"{"id":"b","host_port":"127.0.0.1:2","locality":"z","phase":"Ready","revision_no":2}"#;
 
     /// An id and an address that come back with another build are another process: what was learned of the one
     /// before, and its connections, must not count for it.
@@ -189,7 +206,10 @@
         let first = lines(roster.read(listing(1, true, A), 0, 0).0);
         let same = lines(roster.read(listing(2, false, A), 1, 0).0);
         let other = lines(roster.read(listing(3, false, A_AGAIN), 2, 0).0);
-        assert_eq!((first[0].incarnation, first[0].host), (same[0].incarnation, same[0].host));
+        assert_eq!(
+            (first[0].incarnation, first[0].host),
+            (same[0].incarnation, same[0].host)
+        );
         assert!(other[0].incarnation > first[0].incarnation && other[0].host == first[0].host);
     }
 
@@ -202,7 +222,11 @@
         roster.read(listing(2, false, A_GONE), 5, 0);
         let b = lines(roster.read(listing(3, false, B), 14, 0).0);
         assert_ne!(a[0].host, b[0].host);
-        let c = lines(roster.read(listing(4, false, &B.replace("\"b\"", "\"c\"")), 16, 0).0);
+        let c = lines(
+            roster
+                .read(listing(4, false, &B.replace("\"b\"", "\"c\"")), 16, 0)
+                .0,
+        );
         assert_eq!(a[0].host, c[0].host);
         assert!(c[0].incarnation > a[0].incarnation);
         assert_eq!(roster.number("a"), None);
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -59,7 +59,9 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 struct Core {
@@ -76,7 +78,12 @@
 
     fn take(&mut self, arrival: Arrival) {
         match arrival {
-            Arrival::Command { conn, id, command, answer } => {
+            Arrival::Command {
+                conn,
+                id,
+                command,
+                answer,
+            } => {
                 if !self.links.open_ids.insert(id.clone()) {
                     let refused = FrameFault::IdInUse(command.id).refused();
                     let _ = answer.send(ToClient::Refused(refused));
@@ -93,7 +100,13 @@
                 }
                 self.give(Input::ClientGone { conn });
             }
-            Arrival::Delivered { host, delivery, input, connection, broke } => {
+            Arrival::Delivered {
+                host,
+                delivery,
+                input,
+                connection,
+                broke,
+            } => {
                 if let Some((rested, broke)) = broke {
                     self.links.reuse.learn(rested, broke);
                 }
@@ -107,7 +120,11 @@
                     self.give(Input::Reported { host, ago_us });
                 }
             }
-            Arrival::Voted { ballot, result, news } => {
+            Arrival::Voted {
+                ballot,
+                result,
+                news,
+            } => {
                 match result {
                     Some(result) => self.give(Input::FromDesk(FromDesk::Voted { ballot, result })),
                     None => self.give(Input::DeskGone),
@@ -134,11 +151,25 @@
 impl Core {
     /// What the engine counts as out beside what is open, so that on-call sees the two part.
     fn look(&self, places: usize) {
-        let unused: usize = self.links.hosts.values().map(|host| host.unused.count()).sum();
+        let unused: usize = self
+            .links
+            .hosts
+            .values()
+            .map(|host| host.unused.count())
+            .sum();
         let open = places - self.links.places.available_permits();
         let (left, mean_us, most_us) = self.links.ways.leaving.look();
         let (held, out) = (self.engine.held(), self.engine.out());
-        info!(held, out, in_use = open - unused, unused, left, mean_us, most_us, "on the sockets");
+        info!(
+            held,
+            out,
+            in_use = open - unused,
+            unused,
+            left,
+            mean_us,
+            most_us,
+            "on the sockets"
+        );
     }
 }
 
@@ -150,7 +181,10 @@
 
 impl Reload {
     fn asked(now: Instant) -> Self {
-        Reload { next: now, until: now + WRITTEN_WITHIN }
+        Reload {
+            next: now,
+            until: now + WRITTEN_WITHIN,
+        }
     }
 
     /// What the file says now; `None` where it is to be looked at again, or the one before stands.
@@ -162,7 +196,10 @@
                 (None, false)
             }
             Err(fault) => {
-                warn!(what = fault.what, "configuration cannot be read: the one before stands");
+                warn!(
+                    what = fault.what,
+                    "configuration cannot be read: the one before stands"
+                );
                 (None, true)
             }
         }
@@ -171,8 +208,15 @@
 
 /// Runs a router on the platform until SIGTERM; then answers all that it has taken and returns.
 /// Errors: the address cannot be listened on.
-pub async fn serve(program: PlatformProgram, told: Configuration, signals: Signals) -> Result<(), String> {
-    let Signals { reload: mut hup, terminate: mut term } = signals;
+pub async fn serve(
+    program: PlatformProgram,
+    told: Configuration,
+    signals: Signals,
+) -> Result<(), String> {
+    let Signals {
+        reload: mut hup,
+        terminate: mut term,
+    } = signals;
     let clock = Clock::starting_now();
     let listener = listen(told.listen).map_err(|e| format!("--listen {}: {e}", told.listen))?;
     let (core, mut arrivals) = mpsc::channel(ARRIVALS);
@@ -180,12 +224,22 @@
     let (discovery, discovery_at) = watch::channel(told.discovery);
     let (deployer, deployer_at) = watch::channel(told.deployer);
     let service = told.told.terms.clone();
-    let target = service.ops.iter().map(|op| op.service_target).max().unwrap_or(0);
+    let target = service
+        .ops
+        .iter()
+        .map(|op| op.service_target)
+        .max()
+        .unwrap_or(0);
     let even = service.shares.iter().sum::<f64>() / f64::from(service.fleet_size.max(1));
     let in_flight = even * span(target).as_secs_f64();
     let hosts = told.known.as_ref().map_or(0, |known| known.members.len());
     let (client_places, host_places) = shares(&told.limits, service.fleet_size, hosts, in_flight);
-    let longest = service.ops.iter().map(|op| op.command_timeout).max().unwrap_or(0);
+    let longest = service
+        .ops
+        .iter()
+        .map(|op| op.command_timeout)
+        .max()
+        .unwrap_or(0);
     let connect_timeout = match told.told.connect_timeout {
         0 => CONNECTED.min(span(longest)),
         most => span(most),
@@ -197,9 +251,13 @@
         most => span(most) / 2,
     };
     let named = |names: Vec<String>| names.into_iter().map(Bytes::from).zip(0..);
-    let ops = named(told.told.ops).map(|(name, n)| (name, (n as u16, service.ops[n as usize].repeat)));
+    let ops =
+        named(told.told.ops).map(|(name, n)| (name, (n as u16, service.ops[n as usize].repeat)));
     let house = Arc::new(House {
-        desk: Desk { ops: ops.collect(), customers: named(told.told.customers).collect() },
+        desk: Desk {
+            ops: ops.collect(),
+            customers: named(told.told.customers).collect(),
+        },
         clock: clock.clone(),
         core: core.clone(),
         up: AtomicBool::new(false),
@@ -231,7 +289,12 @@
     };
     let engine = Engine::new(terms, told.seed, clock.now(), &mut links);
     let roster = Roster::new(told.told.zones, longest.max(1));
-    let mut here = Core { engine, links, roster, clock: clock.clone() };
+    let mut here = Core {
+        engine,
+        links,
+        roster,
+        clock: clock.clone(),
+    };
     let after = told.known.as_ref().map_or(0, |known| known.revision);
     if let Some(known) = told.known {
         here.listed(known, true);
@@ -243,14 +306,31 @@
     let pauses = |way| Pauses::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
     let (watching, hearing) = (core.clone(), core);
     helpers.spawn(
-        Watching { address: discovery_at, clock: clock.clone(), core: watching, after, pauses: pauses(0) }
-            .run(),
+        Watching {
+            address: discovery_at,
+            clock: clock.clone(),
+            core: watching,
+            after,
+            pauses: pauses(0),
+        }
+        .run(),
     );
     helpers.spawn(
-        Subscription { address: deployer_at, clock: clock.clone(), core: hearing, pauses: pauses(1) }.run(),
+        Subscription {
+            address: deployer_at,
+            clock: clock.clone(),
+            core: hearing,
+            pauses: pauses(1),
+        }
+        .run(),
     );
     let clients = TaskTracker::new();
-    let accepting = Accepting { listener, house, places: client_places, clients: clients.clone() };
+    let accepting = Accepting {
+        listener,
+        house,
+        places: client_places,
+        clients: clients.clone(),
+    };
     helpers.spawn(accepting.run());
     let mut batch = Vec::with_capacity(AT_ONCE);
     let mut shutdown = Shutdown::new(span(longest));
@@ -258,7 +338,9 @@
     let (mut swept, mut looked) = (Instant::now(), Instant::now());
     loop {
         let wake = clock.at(here.engine.next_wake());
-        let wake = shutdown.next_look(Instant::now()).map_or(wake, |look| look.min(wake));
+        let wake = shutdown
+            .next_look(Instant::now())
+            .map_or(wake, |look| look.min(wake));
         let wake = reload.as_ref().map_or(wake, |reload| reload.next.min(wake));
         tokio::select! {
             biased;
@@ -273,7 +355,9 @@
         }
         // Whatever woke this task, what has arrived meanwhile is taken in as well: neither starves the other.
         while batch.len() < AT_ONCE {
-            let Ok(arrival) = arrivals.try_recv() else { break };
+            let Ok(arrival) = arrivals.try_recv() else {
+                break;
+            };
             batch.push(arrival);
         }
         batch.drain(..).for_each(|arrival| here.take(arrival));
@@ -284,15 +368,21 @@
             let (fresh, done) = due.read(&program);
             if let Some(fresh) = fresh {
                 info!(discovery = %fresh.discovery, deployer = %fresh.deployer, "configuration read again");
-                discovery.send_if_modified(|at| std::mem::replace(at, fresh.discovery) != fresh.discovery);
+                discovery.send_if_modified(|at| {
+                    std::mem::replace(at, fresh.discovery) != fresh.discovery
+                });
                 let deployer = &here.links.deployer;
-                deployer.send_if_modified(|at| std::mem::replace(at, fresh.deployer) != fresh.deployer);
+                deployer
+                    .send_if_modified(|at| std::mem::replace(at, fresh.deployer) != fresh.deployer);
             }
             reload = reload.filter(|_| !done);
         }
         if swept.elapsed() > unused_most.min(Duration::from_secs(1)) {
             swept = Instant::now();
-            here.links.hosts.values_mut().for_each(|host| host.unused.expire(unused_most));
+            here.links
+                .hosts
+                .values_mut()
+                .for_each(|host| host.unused.expire(unused_most));
         }
         if looked.elapsed() > LOOKED_EVERY {
             looked = Instant::now();
--- a/crates/spokeflow-platform/src/shutdown.rs
+++ b/crates/spokeflow-platform/src/shutdown.rs
@@ -58,7 +58,13 @@
     pub fn new(longest_deadline: Duration) -> Self {
         let patience = longest_deadline.min(LONGEST_COUNTED) + KILLED_AFTER - LAST_WRITES;
         let never = Instant::now();
-        Shutdown { phase: Phase::Serving, close_at: never, give_up_at: never, quiet_since: None, patience }
+        Shutdown {
+            phase: Phase::Serving,
+            close_at: never,
+            give_up_at: never,
+            quiet_since: None,
+            patience,
+        }
     }
 
     pub fn begun(&self) -> bool {
--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-const PLAIN: &str = r#"{"revision":41,"complete":true,"members":[{"id":"s-{\"a]","phase":"Ready"}]}"#;
+const PLAIN: &str =
+    r#"{"revision":41,"complete":true,"members":[{"id":"s-{\"a]","phase":"Ready"}]}"#;
 
 fn indented() -> String {
     let value: serde_json::Value = serde_json::from_str(PLAIN).unwrap();
@@ -10,7 +11,9 @@
 }
 
 fn revisions(objects: &mut Objects) -> Vec<u64> {
-    std::iter::from_fn(|| objects.next().unwrap()).map(|listing| listing.revision).collect()
+    std::iter::from_fn(|| objects.next().unwrap())
+        .map(|listing| listing.revision)
+        .collect()
 }
 
 /// Lists may come indented: read line by line, each broke the watch, and no change was ever heard.
@@ -35,7 +38,10 @@
     let mut failures = 0;
     for _ in 0..20 {
         failures = in_a_row(failures, true);
-        assert!(SILENCE + pauses.after(failures) < Duration::from_millis(5_500), "{failures} in a row");
+        assert!(
+            SILENCE + pauses.after(failures) < Duration::from_millis(5_500),
+            "{failures} in a row"
+        );
     }
     let mut refused = 0;
     (0..20).for_each(|_| refused = in_a_row(refused, false));
@@ -92,13 +98,27 @@
     core.send(Arrival::ClientGone(0)).await.unwrap();
     let (moves, address) = watch::channel(addresses[0]);
     let pauses = Pauses::new(1, 0, FIRST_PAUSE, LONGEST_PAUSE);
-    let watching = Watching { address, clock: Clock::starting_now(), core, after: 7, pauses };
+    let watching = Watching {
+        address,
+        clock: Clock::starting_now(),
+        core,
+        after: 7,
+        pauses,
+    };
     tokio::spawn(watching.run());
     assert!(asks.recv().await.unwrap().contains("after=7 "));
     // The list has been read and waits for room once the first in line is the only thing that is not taken.
     sleep(Duration::from_millis(100)).await;
     moves.send(addresses[1]).unwrap();
-    assert!(asks.recv().await.unwrap().contains("after=7 "), "what was never handed over counts as heard");
-    assert!(matches!(arrivals.recv().await, Some(Arrival::ClientGone(0))));
-    assert!(matches!(arrivals.recv().await, Some(Arrival::Listed(listing)) if listing.revision == 41));
+    assert!(
+        asks.recv().await.unwrap().contains("after=7 "),
+        "what was never handed over counts as heard"
+    );
+    assert!(matches!(
+        arrivals.recv().await,
+        Some(Arrival::ClientGone(0))
+    ));
+    assert!(
+        matches!(arrivals.recv().await, Some(Arrival::Listed(listing)) if listing.revision == 41)
+    );
 }
--- a/crates/spokeflow-platform/tests/unit/hosts.rs
+++ b/crates/spokeflow-platform/tests/unit/hosts.rs
@@ -9,7 +9,9 @@
 #[tokio::test]
 async fn what_has_come_is_seen_before_the_runtime_hears_of_it() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let stream = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (mut host, _) = listener.accept().unwrap();
     host.set_nodelay(true).unwrap();
     assert_eq!(waits(&stream), Waits::Nothing);
@@ -19,7 +21,10 @@
     while waits(&stream) == Waits::Nothing && begun.elapsed() < Duration::from_secs(5) {}
     assert_eq!(waits(&stream), Waits::Bytes);
     let mut byte = [0];
-    assert!(stream.try_read(&mut byte).is_err(), "the runtime knows by now: this test shows nothing");
+    assert!(
+        stream.try_read(&mut byte).is_err(),
+        "the runtime knows by now: this test shows nothing"
+    );
     stream.readable().await.unwrap();
     assert_eq!(stream.try_read(&mut byte).unwrap(), 1);
     drop(host);
--- a/crates/spokeflow-platform/tests/unit/shutdown.rs
+++ b/crates/spokeflow-platform/tests/unit/shutdown.rs
@@ -20,7 +20,11 @@
     assert_eq!(shutdown.step(at + 500 * MS, 0, 1), Step::Close);
     // Nothing is held, and yet a command may be on its way from a client's task: whoever is connected keeps it open.
     assert_eq!(shutdown.step(at + 600 * MS, 0, 1), Step::Wait);
-    assert_eq!(shutdown.step(at + 700 * MS, 0, 0), Step::Wait, "one that the system has just accepted");
+    assert_eq!(
+        shutdown.step(at + 700 * MS, 0, 0),
+        Step::Wait,
+        "one that the system has just accepted"
+    );
     assert_eq!(shutdown.step(at + 720 * MS, 1, 1), Step::Wait);
     assert_eq!(shutdown.step(at + 730 * MS, 0, 0), Step::Wait);
     assert_eq!(shutdown.step(at + 780 * MS, 0, 0), Step::End);
@@ -33,7 +37,10 @@
         let (mut shutdown, at) = begun(longest * MS);
         assert_eq!(shutdown.step(at + 500 * MS, 3, 3), Step::Close);
         let given_up = (500..by).find(|ms| shutdown.step(at + *ms * MS, 3, 3) == Step::GiveUp);
-        assert!(given_up.is_some_and(|ms| by - ms >= 100), "{longest}: {given_up:?}");
+        assert!(
+            given_up.is_some_and(|ms| by - ms >= 100),
+            "{longest}: {given_up:?}"
+        );
         // Its clients take their answers, however slowly, but not for ever.
         assert_eq!(shutdown.step(at + (by + 1_000) * MS, 0, 1), Step::Wait);
         assert_eq!(shutdown.step(at + (by + 5_000) * MS, 0, 1), Step::End);
--- a/crates/spokeflow-proto/src/codec.rs
+++ b/crates/spokeflow-proto/src/codec.rs
@@ -62,7 +62,10 @@
     }
 
     pub fn refused(&self) -> Refused {
-        Refused { code: self.code(), text: self.to_string() }
+        Refused {
+            code: self.code(),
+            text: self.to_string(),
+        }
     }
 }
 
@@ -70,20 +73,29 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FrameFault::Truncated { have } => {
-                write!(f, "truncated: the connection ended {have} bytes into a frame")
+                write!(
+                    f,
+                    "truncated: the connection ended {have} bytes into a frame"
+                )
             }
             FrameFault::Oversized { length, limit } => {
                 write!(f, "oversized: a frame of {length} bytes, {limit} at most")
             }
             FrameFault::UnknownKind(kind) => write!(f, "unknown kind {kind}"),
             FrameFault::Malformed(what) => write!(f, "malformed: {what}"),
-            FrameFault::NotSpokeflow => write!(f, "not spokeflow: the opening message lacks its mark"),
+            FrameFault::NotSpokeflow => {
+                write!(f, "not spokeflow: the opening message lacks its mark")
+            }
             FrameFault::WrongVersion(v) => {
                 write!(f, "wrong version {v}: this end speaks {}", crate::VERSION)
             }
             FrameFault::WrongRole => write!(f, "wrong role for this port"),
-            FrameFault::OutOfOrder => write!(f, "out of order: one opening message comes first, and once"),
-            FrameFault::IdInUse(id) => write!(f, "id in use: command {id} has not been answered yet"),
+            FrameFault::OutOfOrder => {
+                write!(f, "out of order: one opening message comes first, and once")
+            }
+            FrameFault::IdInUse(id) => {
+                write!(f, "id in use: command {id} has not been answered yet")
+            }
             FrameFault::TooSlow => write!(f, "too slow: what is sent is not read"),
             FrameFault::Io(e) => write!(f, "i/o: {e}"),
         }
@@ -107,7 +119,10 @@
 impl<In, Out> FrameCodec<In, Out> {
     /// Frames of at most `limit` bytes after the length.
     pub fn new(limit: usize) -> Self {
-        FrameCodec { limit, types: PhantomData }
+        FrameCodec {
+            limit,
+            types: PhantomData,
+        }
     }
 
     /// What a peer may send grows once it is known.
@@ -121,10 +136,15 @@
     type Error = FrameFault;
 
     fn decode(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameFault> {
-        let Some(head) = from.first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = from.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         if length > self.limit {
-            return Err(FrameFault::Oversized { length, limit: self.limit });
+            return Err(FrameFault::Oversized {
+                length,
+                limit: self.limit,
+            });
         }
         if from.len() < 4 + length {
             // Never more than one frame's room: the length is the peer's word only.
@@ -178,7 +198,10 @@
         let length = to.len() - start - 4;
         if length > self.limit {
             to.truncate(start);
-            return Err(FrameFault::Oversized { length, limit: self.limit });
+            return Err(FrameFault::Oversized {
+                length,
+                limit: self.limit,
+            });
         }
         to[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
         Ok(())
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -26,12 +26,21 @@
 
 impl Hello {
     pub fn new(role: Role, index: u32, zone: u16) -> Self {
-        Hello { magic: MAGIC, version: OLDEST, role, index, zone }
+        Hello {
+            magic: MAGIC,
+            version: OLDEST,
+            role,
+            index,
+            zone,
+        }
     }
 
     /// The same, asking for what came with the newest version.
     pub fn wants_more(self) -> Self {
-        Hello { version: VERSION, ..self }
+        Hello {
+            version: VERSION,
+            ..self
+        }
     }
 
     /// Whether the caller takes what came with the newest version; any other it does not know.
@@ -292,7 +301,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToDesk {
     Hello(Hello),
-    Vote { ballot: u64, build: u16, stage: u8, verdict: BallotVerdict },
+    Vote {
+        ballot: u64,
+        build: u16,
+        stage: u8,
+        verdict: BallotVerdict,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/spokeflow-proto/tests/frames.rs
+++ b/crates/spokeflow-proto/tests/frames.rs
@@ -29,7 +29,10 @@
 fn the_written_form_is_the_documented_one() {
     // docs/protocol.md shows these bytes: a change here is a new version of the protocol.
     let hello = bytes_of(&FromClient::Hello(Hello::new(Role::Client, 5, 2)));
-    assert_eq!(&hello[..], &[0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 1, 0, 5, 2]);
+    assert_eq!(
+        &hello[..],
+        &[0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 1, 0, 5, 2]
+    );
     let leave = bytes_of(&FromClient::Leave { id: 300 });
     assert_eq!(&leave[..], &[0, 0, 0, 3, 2, 0xac, 0x02]);
 }
@@ -53,7 +56,9 @@
         let mut codec = Codec::new(WORK_LIMIT);
         let mut part = BytesMut::from(&whole[..cut]);
         assert!(codec.decode(&mut part).unwrap().is_none());
-        assert!(matches!(codec.decode_eof(&mut part), Err(FrameFault::Truncated { have }) if have == cut));
+        assert!(
+            matches!(codec.decode_eof(&mut part), Err(FrameFault::Truncated { have }) if have == cut)
+        );
     }
 }
 
@@ -63,7 +68,9 @@
     let fault = Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err();
     assert!(matches!(fault, FrameFault::Oversized { .. }), "{fault}");
     let mut to = BytesMut::from(&b"before"[..]);
-    assert!(Codec::new(WORK_LIMIT).write(&command(vec![0; WORK_LIMIT]), &mut to).is_err());
+    assert!(Codec::new(WORK_LIMIT)
+        .write(&command(vec![0; WORK_LIMIT]), &mut to)
+        .is_err());
     assert_eq!(&to[..], b"before");
 }
 
@@ -76,7 +83,10 @@
     };
     assert!(matches!(decode(&[77]), FrameFault::UnknownKind(77)));
     assert!(matches!(decode(&[2]), FrameFault::Malformed(_)));
-    assert!(matches!(decode(&[2, 1, 1]), FrameFault::Malformed("bytes follow the message")));
+    assert!(matches!(
+        decode(&[2, 1, 1]),
+        FrameFault::Malformed("bytes follow the message")
+    ));
     assert!(matches!(decode(&[]), FrameFault::Malformed(_)));
 }
 
@@ -84,12 +94,27 @@
 fn an_opening_message_is_checked_whole() {
     let good = Hello::new(Role::Client, 0, 0);
     assert!(good.check(&[Role::Client]).is_ok());
-    assert!(matches!(good.check(&[Role::Router]), Err(FrameFault::WrongRole)));
-    let newer = Hello { version: VERSION + 1, ..good.clone() };
+    assert!(matches!(
+        good.check(&[Role::Router]),
+        Err(FrameFault::WrongRole)
+    ));
+    let newer = Hello {
+        version: VERSION + 1,
+        ..good.clone()
+    };
     assert!(good.clone().wants_more().check(&[Role::Client]).is_ok() && !good.takes_more());
-    assert!(matches!(newer.check(&[Role::Client]), Err(FrameFault::WrongVersion(3))));
-    let other = Hello { magic: *b"HTTP", ..good };
-    assert!(matches!(other.check(&[Role::Client]), Err(FrameFault::NotSpokeflow)));
+    assert!(matches!(
+        newer.check(&[Role::Client]),
+        Err(FrameFault::WrongVersion(3))
+    ));
+    let other = Hello {
+        magic: *b"HTTP",
+        ..good
+    };
+    assert!(matches!(
+        other.check(&[Role::Client]),
+        Err(FrameFault::NotSpokeflow)
+    ));
 }
 
 proptest! {
--- a/crates/spokeflow-quorum/src/lib.rs
+++ b/crates/spokeflow-quorum/src/lib.rs
@@ -8,4 +8,6 @@
 mod types;
 
 pub use member::Member;
-pub use types::{Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write};
+pub use types::{
+    Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write,
+};
--- a/crates/spokeflow-quorum/src/member.rs
+++ b/crates/spokeflow-quorum/src/member.rs
@@ -4,7 +4,9 @@
 
 use spokeflow_core::{Chance, Micros};
 
-use crate::{Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write};
+use crate::{
+    Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write,
+};
 
 /// Entries in one message at most.
 const AT_ONCE: usize = 64;
@@ -146,9 +148,12 @@
     /// members have answered a round sent less than the least silence ago, less what clocks may differ by. To be
     /// asked at each act.
     pub fn leads(&self, now: Micros) -> bool {
-        let Role::Leads(lead) = &self.role else { return false };
+        let Role::Leads(lead) = &self.role else {
+            return false;
+        };
         let lease = self.terms.silence as f64 * (1.0 - self.terms.drift) / (1.0 + self.terms.drift);
-        self.last_quorum(lead, now).is_some_and(|at| now < at + lease as Micros)
+        self.last_quorum(lead, now)
+            .is_some_and(|at| now < at + lease as Micros)
     }
 
     /// Whether it leads and holds all that was ever committed, so that what it was handed is the present state.
@@ -158,7 +163,11 @@
 
     /// When the latest round was sent that most members have answered.
     fn last_quorum(&self, lead: &Lead, now: Micros) -> Option<Micros> {
-        let mut at: Vec<Micros> = self.members.iter().filter_map(|m| lead.answered.get(m).copied()).collect();
+        let mut at: Vec<Micros> = self
+            .members
+            .iter()
+            .filter_map(|m| lead.answered.get(m).copied())
+            .collect();
         at.extend(self.votes().then_some(now));
         at.sort_unstable_by(|a, b| b.cmp(a));
         at.get(self.most() - 1).copied()
@@ -169,7 +178,11 @@
     }
 
     fn others(&self) -> Vec<KeeperId> {
-        self.members.iter().copied().filter(|m| *m != self.own).collect()
+        self.members
+            .iter()
+            .copied()
+            .filter(|m| *m != self.own)
+            .collect()
     }
 
     fn last(&self) -> Place {
@@ -184,7 +197,12 @@
     }
 
     /// Puts an entry into the log. `Err` names the leader, if one is known.
-    pub fn offer(&mut self, now: Micros, body: Vec<u8>, out: &mut Out) -> Result<Place, Option<KeeperId>> {
+    pub fn offer(
+        &mut self,
+        now: Micros,
+        body: Vec<u8>,
+        out: &mut Out,
+    ) -> Result<Place, Option<KeeperId>> {
         self.now = now;
         if !self.leads(now) || self.unsynced.len() >= UNSYNCED {
             return Err(self.leader.filter(|l| *l != self.own));
@@ -194,7 +212,12 @@
 
     /// Takes one member in or out. One change at a time: any two majorities of the members before and after share
     /// one, so that no two leaders can be elected side by side. `None`: not now, or not one member's difference.
-    pub fn change(&mut self, now: Micros, mut members: Vec<KeeperId>, out: &mut Out) -> Option<Place> {
+    pub fn change(
+        &mut self,
+        now: Micros,
+        mut members: Vec<KeeperId>,
+        out: &mut Out,
+    ) -> Option<Place> {
         self.now = now;
         members.sort_unstable();
         members.dedup();
@@ -202,7 +225,9 @@
             + self.members.iter().filter(|m| !members.contains(m)).count();
         // A change by an earlier leader that is not committed could still fall or stand: first an own entry must.
         let committed = (self.committed.0 - self.snapshot.upto.0) as usize;
-        let open = self.log[committed..].iter().any(|e| matches!(e.body, Body::Members(_)));
+        let open = self.log[committed..]
+            .iter()
+            .any(|e| matches!(e.body, Body::Members(_)));
         if !self.speaks(now) || open || moved != 1 || members.is_empty() {
             return None;
         }
@@ -221,12 +246,30 @@
             _ => None,
         });
         let kept = || Some(self.snapshot.members.clone()).filter(|m| !m.is_empty());
-        let members = newest.or_else(kept).unwrap_or_else(|| self.terms.members.clone());
-        self.put(Some(Snapshot { upto, term, members, state }), self.last(), Vec::new(), out);
+        let members = newest
+            .or_else(kept)
+            .unwrap_or_else(|| self.terms.members.clone());
+        self.put(
+            Some(Snapshot {
+                upto,
+                term,
+                members,
+                state,
+            }),
+            self.last(),
+            Vec::new(),
+            out,
+        );
     }
 
     fn lay_down(&mut self, body: Body, out: &mut Out) -> Place {
-        let (keep, entry) = (self.last(), Entry { term: self.term, body });
+        let (keep, entry) = (
+            self.last(),
+            Entry {
+                term: self.term,
+                body,
+            },
+        );
         self.write(keep, vec![entry], out);
         self.speak(out);
         self.last()
@@ -250,7 +293,14 @@
         self.written += 1;
         self.unsynced.push_back((self.written, keep, self.last()));
         let (number, term, voted) = (self.written, self.term, self.voted);
-        out.writes.push(Write { number, term, voted, snapshot, keep, entries });
+        out.writes.push(Write {
+            number,
+            term,
+            voted,
+            snapshot,
+            keep,
+            entries,
+        });
     }
 
     /// Sends what promises that all written so far is synced.
@@ -269,11 +319,15 @@
             self.durable = upto;
         }
         // A later write may have cut what this one had put there.
-        self.durable = self.unsynced.iter().fold(self.durable, |durable, w| durable.min(w.1));
+        self.durable = self
+            .unsynced
+            .iter()
+            .fold(self.durable, |durable, w| durable.min(w.1));
         while let Some((_, to, message)) = self.promised.pop_front_if(|p| p.0 <= number) {
             out.messages.push((to, message));
         }
-        if matches!(&self.role, Role::Stands { sounds: false, votes } if votes.len() >= self.most()) {
+        if matches!(&self.role, Role::Stands { sounds: false, votes } if votes.len() >= self.most())
+        {
             self.lead(out);
         }
         self.commit(out);
@@ -287,7 +341,10 @@
         match &self.role {
             Role::Leads(lead) => {
                 // A leader that most have left cannot commit, and must not keep others from asking.
-                if self.last_quorum(lead, now).is_none_or(|at| now - at > 2 * self.terms.silence) {
+                if self
+                    .last_quorum(lead, now)
+                    .is_none_or(|at| now - at > 2 * self.terms.silence)
+                {
                     self.follow(self.term, None, out);
                 } else {
                     self.speak(out);
@@ -309,7 +366,10 @@
     }
 
     fn stand(&mut self, sounds: bool, term: Term, out: &mut Out) {
-        self.role = Role::Stands { sounds, votes: BTreeSet::from([self.own]) };
+        self.role = Role::Stands {
+            sounds,
+            votes: BTreeSet::from([self.own]),
+        };
         if !sounds {
             (self.term, self.voted) = (term, Some(self.own));
             self.write(self.last(), Vec::new(), out);
@@ -318,10 +378,25 @@
         let (last, last_term) = (self.last(), self.term_at(self.last()).unwrap_or_default());
         for to in self.others() {
             if sounds {
-                out.messages.push((to, Message::Sound { term, last, last_term }));
+                out.messages.push((
+                    to,
+                    Message::Sound {
+                        term,
+                        last,
+                        last_term,
+                    },
+                ));
             } else {
                 // The own vote is among those that elect: it must not be forgotten.
-                self.promise(to, Message::Stand { term, last, last_term }, out);
+                self.promise(
+                    to,
+                    Message::Stand {
+                        term,
+                        last,
+                        last_term,
+                    },
+                    out,
+                );
             }
         }
         if sounds && self.most() == 1 {
@@ -372,24 +447,50 @@
     }
 
     fn append(&self, to: KeeperId, round: u64, out: &mut Out) {
-        let Role::Leads(lead) = &self.role else { return };
-        let next = lead.next.get(&to).copied().unwrap_or(Place(self.last().0 + 1));
+        let Role::Leads(lead) = &self.role else {
+            return;
+        };
+        let next = lead
+            .next
+            .get(&to)
+            .copied()
+            .unwrap_or(Place(self.last().0 + 1));
         let before = Place(next.0 - 1);
         let Some(before_term) = self.term_at(before) else {
             let (term, snapshot) = (self.term, self.snapshot.clone());
-            return out.messages.push((to, Message::Install { term, snapshot, round }));
+            return out.messages.push((
+                to,
+                Message::Install {
+                    term,
+                    snapshot,
+                    round,
+                },
+            ));
         };
         let skip = (before.0 - self.snapshot.upto.0) as usize;
         let entries = self.log.iter().skip(skip).take(AT_ONCE).cloned().collect();
         let (term, committed) = (self.term, self.committed);
-        out.messages.push((to, Message::Append { term, before, before_term, entries, committed, round }));
+        out.messages.push((
+            to,
+            Message::Append {
+                term,
+                before,
+                before_term,
+                entries,
+                committed,
+                round,
+            },
+        ));
     }
 
     /// Only an entry of the own term is counted; with it all before it are committed.
     fn commit(&mut self, out: &mut Out) {
         if let Role::Leads(lead) = &self.role {
-            let mut agree: Vec<Place> =
-                self.members.iter().filter_map(|m| lead.agrees.get(m).copied()).collect();
+            let mut agree: Vec<Place> = self
+                .members
+                .iter()
+                .filter_map(|m| lead.agrees.get(m).copied())
+                .collect();
             agree.extend(self.votes().then_some(self.durable));
             agree.sort_unstable_by(|a, b| b.cmp(a));
             let upto = agree.get(self.most() - 1).copied().unwrap_or_default();
@@ -415,33 +516,80 @@
             return;
         }
         match message {
-            Message::Sound { term, last, last_term } => {
-                let granted = term > self.term && self.may_vote() && self.is_behind(last, last_term);
+            Message::Sound {
+                term,
+                last,
+                last_term,
+            } => {
+                let granted =
+                    term > self.term && self.may_vote() && self.is_behind(last, last_term);
                 let term = if granted { term } else { self.term };
-                out.messages.push((from, Message::Vote { term, sounded: true, granted }));
+                out.messages.push((
+                    from,
+                    Message::Vote {
+                        term,
+                        sounded: true,
+                        granted,
+                    },
+                ));
             }
-            Message::Stand { term, last, last_term } => {
+            Message::Stand {
+                term,
+                last,
+                last_term,
+            } => {
                 // While a leader may hold its lease no later term is even looked at: the message may be old.
                 if term < self.term || !self.may_vote() {
-                    let vote = Message::Vote { term: self.term, sounded: false, granted: false };
+                    let vote = Message::Vote {
+                        term: self.term,
+                        sounded: false,
+                        granted: false,
+                    };
                     return out.messages.push((from, vote));
                 }
                 if term > self.term {
                     self.follow(term, None, out);
                 }
-                let granted = self.voted.is_none_or(|v| v == from) && self.is_behind(last, last_term);
+                let granted =
+                    self.voted.is_none_or(|v| v == from) && self.is_behind(last, last_term);
                 if granted && self.voted.is_none() {
                     self.voted = Some(from);
                     self.write(self.last(), Vec::new(), out);
                     self.wait_for_leader();
                 }
-                self.promise(from, Message::Vote { term: self.term, sounded: false, granted }, out);
+                self.promise(
+                    from,
+                    Message::Vote {
+                        term: self.term,
+                        sounded: false,
+                        granted,
+                    },
+                    out,
+                );
             }
-            Message::Vote { term, sounded, granted } => self.voted_for(from, term, sounded, granted, out),
-            Message::Append { term, before, before_term, entries, committed, round } => {
+            Message::Vote {
+                term,
+                sounded,
+                granted,
+            } => self.voted_for(from, term, sounded, granted, out),
+            Message::Append {
+                term,
+                before,
+                before_term,
+                entries,
+                committed,
+                round,
+            } => {
                 if term < self.term {
                     let upto = Err(Place(0));
-                    return out.messages.push((from, Message::Appended { term: self.term, round, upto }));
+                    return out.messages.push((
+                        from,
+                        Message::Appended {
+                            term: self.term,
+                            round,
+                            upto,
+                        },
+                    ));
                 }
                 self.follow(term, Some(from), out);
                 self.silent_since = now;
@@ -450,13 +598,32 @@
                     self.committed = self.committed.max(committed.min(upto));
                     self.commit(out);
                 }
-                self.promise(from, Message::Appended { term: self.term, round, upto }, out);
+                self.promise(
+                    from,
+                    Message::Appended {
+                        term: self.term,
+                        round,
+                        upto,
+                    },
+                    out,
+                );
             }
             Message::Appended { term, round, upto } => self.appended(from, term, round, upto, out),
-            Message::Install { term, snapshot, round } => {
+            Message::Install {
+                term,
+                snapshot,
+                round,
+            } => {
                 if term < self.term {
                     let upto = Err(Place(0));
-                    return out.messages.push((from, Message::Appended { term: self.term, round, upto }));
+                    return out.messages.push((
+                        from,
+                        Message::Appended {
+                            term: self.term,
+                            round,
+                            upto,
+                        },
+                    ));
                 }
                 self.follow(term, Some(from), out);
                 self.silent_since = now;
@@ -470,7 +637,15 @@
                     out.restored = Some(snapshot.clone());
                     self.put(Some(snapshot), keep, Vec::new(), out);
                 }
-                self.promise(from, Message::Appended { term: self.term, round, upto: Ok(upto) }, out);
+                self.promise(
+                    from,
+                    Message::Appended {
+                        term: self.term,
+                        round,
+                        upto: Ok(upto),
+                    },
+                    out,
+                );
             }
         }
     }
@@ -485,12 +660,21 @@
         (last_term, last) >= (self.term_at(self.last()).unwrap_or_default(), self.last())
     }
 
-    fn voted_for(&mut self, from: KeeperId, term: Term, sounded: bool, granted: bool, out: &mut Out) {
+    fn voted_for(
+        &mut self,
+        from: KeeperId,
+        term: Term,
+        sounded: bool,
+        granted: bool,
+        out: &mut Out,
+    ) {
         if !granted && term > self.term {
             return self.follow(term, None, out);
         }
         let most = self.most();
-        let Role::Stands { sounds, votes } = &mut self.role else { return };
+        let Role::Stands { sounds, votes } = &mut self.role else {
+            return;
+        };
         let asked = Term(self.term.0 + u64::from(*sounds));
         if !granted || *sounds != sounded || term != asked {
             return;
@@ -523,8 +707,10 @@
         }
         let upto = Place(before.0 + entries.len() as u64);
         // What agrees stays: an old message must not cut what a later one has brought.
-        let same =
-            entries.iter().zip(before.0 + 1..).take_while(|(e, n)| self.term_at(Place(*n)) == Some(e.term));
+        let same = entries
+            .iter()
+            .zip(before.0 + 1..)
+            .take_while(|(e, n)| self.term_at(Place(*n)) == Some(e.term));
         let same = same.count();
         if same < entries.len() {
             self.write(Place(before.0 + same as u64), entries[same..].to_vec(), out);
@@ -544,7 +730,9 @@
             return self.follow(term, None, out);
         }
         let (own, last) = (self.term, self.last());
-        let Role::Leads(lead) = &mut self.role else { return };
+        let Role::Leads(lead) = &mut self.role else {
+            return;
+        };
         if term != own {
             return;
         }
--- a/crates/spokeflow-quorum/src/types.rs
+++ b/crates/spokeflow-quorum/src/types.rs
@@ -3,14 +3,20 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_core::Micros;
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct KeeperId(pub u32);
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term(pub u64);
 
 /// A place in the log, from 1; 0 is before the first.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Place(pub u64);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -122,7 +128,8 @@
             self.log.drain(..over.min(self.log.len()));
             self.snapshot = snapshot.clone();
         }
-        self.log.truncate((write.keep.0 - self.snapshot.upto.0) as usize);
+        self.log
+            .truncate((write.keep.0 - self.snapshot.upto.0) as usize);
         self.log.extend_from_slice(&write.entries);
     }
 }
--- a/crates/spokeflow-quorum/tests/days.rs
+++ b/crates/spokeflow-quorum/tests/days.rs
@@ -7,7 +7,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use spokeflow_core::Micros;
-use spokeflow_quorum::{Body, Entry, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write};
+use spokeflow_quorum::{
+    Body, Entry, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
+};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -85,7 +87,12 @@
     /// `spare`: members that are there and not taken in yet.
     fn new(seed: u64, keepers: u32, spare: u32, faulty: bool) -> Day {
         let members = (0..keepers).map(KeeperId).collect();
-        let terms = QuorumTerms { members, silence: 300 * MS, beat: 60 * MS, drift: 0.01 };
+        let terms = QuorumTerms {
+            members,
+            silence: 300 * MS,
+            beat: 60 * MS,
+            drift: 0.01,
+        };
         let mut chance = StdRng::seed_from_u64(seed);
         let keepers = (0..keepers + spare).map(|_| Keeper {
             member: None,
@@ -165,7 +172,9 @@
     fn call(&mut self, n: usize, act: impl FnOnce(&mut Member, Micros, &mut Out)) {
         let now = self.clock(n);
         let mut out = Out::default();
-        let Some(member) = &mut self.keepers[n].member else { return };
+        let Some(member) = &mut self.keepers[n].member else {
+            return;
+        };
         act(member, now, &mut out);
         let (elected, term) = (member.is_elected(), member.term());
         let start = self.keepers[n].start;
@@ -179,8 +188,17 @@
         }
         for write in out.writes {
             // One disk, in order: a sync takes up to 30 ms.
-            let after = self.chance.random_range(MS..if self.faulty { 30 * MS } else { 3 * MS });
-            self.plan(after, What::Synced { member: n, start, write });
+            let after = self
+                .chance
+                .random_range(MS..if self.faulty { 30 * MS } else { 3 * MS });
+            self.plan(
+                after,
+                What::Synced {
+                    member: n,
+                    start,
+                    write,
+                },
+            );
         }
         for (to, message) in out.messages {
             self.send(n, to.0 as usize, message);
@@ -188,14 +206,21 @@
         if let Some(snapshot) = out.restored {
             let (k, upto) = (&mut self.keepers[n], snapshot.upto.0);
             assert!(upto > k.done, "a snapshot takes nothing back");
-            assert_eq!(snapshot.state, self.states[&upto].to_be_bytes(), "another state at {upto}");
+            assert_eq!(
+                snapshot.state,
+                self.states[&upto].to_be_bytes(),
+                "another state at {upto}"
+            );
             (k.done, k.state, self.restored) = (upto, self.states[&upto], self.restored + 1);
         }
         for (place, entry) in out.committed {
             let k = &mut self.keepers[n];
             assert_eq!(place.0, k.done + 1, "handed out in order");
             k.done = place.0;
-            k.state = k.state.wrapping_mul(31).wrapping_add(place.0 ^ entry.term.0);
+            k.state = k
+                .state
+                .wrapping_mul(31)
+                .wrapping_add(place.0 ^ entry.term.0);
             let known = self.log.entry(place.0).or_insert_with(|| entry.clone());
             assert_eq!(*known, entry, "two entries at {place:?}");
             assert_eq!(*self.states.entry(place.0).or_insert(k.state), k.state);
@@ -210,11 +235,22 @@
             }
             for write in out.writes {
                 let start = self.keepers[n].start;
-                self.plan(2 * MS, What::Synced { member: n, start, write });
+                self.plan(
+                    2 * MS,
+                    What::Synced {
+                        member: n,
+                        start,
+                        write,
+                    },
+                );
             }
         }
         let leads: Vec<usize> = (0..self.keepers.len()).filter(|&m| self.leads(m)).collect();
-        assert!(leads.len() < 2, "two that may act at {}: {leads:?}", self.now);
+        assert!(
+            leads.len() < 2,
+            "two that may act at {}: {leads:?}",
+            self.now
+        );
     }
 
     /// Whether it could act at this instant; one that is stopped cannot, and asks again before it does.
@@ -225,7 +261,11 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let cut = |day: &Day| day.cuts.iter().any(|c| (c.1, c.2) == (from, to));
-        let (lost, twice, late) = if self.faulty { (0.04, 0.03, 0.05) } else { (0.0, 0.0, 0.0) };
+        let (lost, twice, late) = if self.faulty {
+            (0.04, 0.03, 0.05)
+        } else {
+            (0.0, 0.0, 0.0)
+        };
         if cut(self) || self.chance.random_bool(lost) {
             return;
         }
@@ -238,7 +278,11 @@
             } else {
                 self.chance.random_range(MS..15 * MS)
             };
-            let what = What::Arrives { to, from: KeeperId(from as u32), message: message.clone() };
+            let what = What::Arrives {
+                to,
+                from: KeeperId(from as u32),
+                message: message.clone(),
+            };
             self.plan(after, what);
         }
     }
@@ -246,7 +290,10 @@
     fn fault(&mut self) {
         let next = self.chance.random_range(300 * MS..3 * SECOND);
         self.plan(next, What::Fault);
-        let (n, many) = (self.chance.random_range(0..self.keepers.len()), self.keepers.len());
+        let (n, many) = (
+            self.chance.random_range(0..self.keepers.len()),
+            self.keepers.len(),
+        );
         let lasts = self.chance.random_range(50 * MS..3 * SECOND);
         match self.chance.random_range(0..5) {
             0 => {
@@ -281,9 +328,13 @@
             }
             let mut taken = None;
             self.call(m, |member, now, out| {
-                taken = member.offer(now, n.to_be_bytes().to_vec(), out).ok().map(|p| (p, member.term()));
+                taken = member
+                    .offer(now, n.to_be_bytes().to_vec(), out)
+                    .ok()
+                    .map(|p| (p, member.term()));
             });
-            self.taken.extend(taken.map(|(place, term)| (place, term, n)));
+            self.taken
+                .extend(taken.map(|(place, term)| (place, term, n)));
         }
     }
 
@@ -313,7 +364,10 @@
     fn calm(&mut self) {
         self.faulty = false;
         self.cuts.clear();
-        self.whats.values_mut().filter(|w| **w == What::Fault).for_each(|w| *w = What::Mend { cut: 0 });
+        self.whats
+            .values_mut()
+            .filter(|w| **w == What::Fault)
+            .for_each(|w| *w = What::Mend { cut: 0 });
         for n in 0..self.keepers.len() {
             if self.keepers[n].member.is_none() {
                 self.restart(n);
@@ -324,7 +378,9 @@
 
     fn run(&mut self, until: Micros) {
         while self.due.peek().is_some_and(|due| due.0 .0 <= until) {
-            let Some(Reverse((at, _, n))) = self.due.pop() else { return };
+            let Some(Reverse((at, _, n))) = self.due.pop() else {
+                return;
+            };
             self.now = at;
             let what = self.whats.remove(&n).expect("planned");
             self.happens(what);
@@ -337,7 +393,9 @@
             What::Wake { member, .. } | What::Synced { member, .. } => Some(*member),
             _ => None,
         };
-        if let Some(n) = whose.filter(|n| self.keepers[*n].stopped && self.keepers[*n].member.is_some()) {
+        if let Some(n) =
+            whose.filter(|n| self.keepers[*n].stopped && self.keepers[*n].member.is_some())
+        {
             return self.keepers[n].kept.push(what);
         }
         match what {
@@ -347,18 +405,33 @@
             }
             What::Wake { member, start } if start == self.keepers[member].start => {
                 let due = self.clock(member);
-                if self.keepers[member].member.as_ref().is_some_and(|m| m.next_wake() <= due) {
+                if self.keepers[member]
+                    .member
+                    .as_ref()
+                    .is_some_and(|m| m.next_wake() <= due)
+                {
                     self.call(member, |m, now, out| m.woken(now, out));
                     self.wake(member);
                 }
             }
-            What::Synced { member, start, write } if start == self.keepers[member].start => {
+            What::Synced {
+                member,
+                start,
+                write,
+            } if start == self.keepers[member].start => {
                 if self.keepers[member].member.is_none() {
                     return;
                 }
                 // Writes reach the disk in their order: one that waits for an earlier one is tried again.
                 if write.number != self.keepers[member].wrote + 1 {
-                    return self.plan(MS, What::Synced { member, start, write });
+                    return self.plan(
+                        MS,
+                        What::Synced {
+                            member,
+                            start,
+                            write,
+                        },
+                    );
                 }
                 self.keepers[member].disk.apply(&write);
                 self.keepers[member].wrote = write.number;
@@ -404,12 +477,21 @@
 fn days_of_drawn_faults_keep_one_log_and_one_acting_leader() {
     let (mut elections, mut entries, mut restored, mut changes) = (0, 0, 0, 0);
     for seed in 0..60 {
-        let mut day = Day::new(seed, [3, 5, 3][seed as usize % 3], [0, 0, 4][seed as usize % 3], true);
+        let mut day = Day::new(
+            seed,
+            [3, 5, 3][seed as usize % 3],
+            [0, 0, 4][seed as usize % 3],
+            true,
+        );
         day.run(40 * SECOND);
         let before = day.log.len();
         day.calm();
         day.run(50 * SECOND);
-        assert!(day.log.len() > before + 200, "seed {seed}: {before} entries, {} when mended", day.log.len());
+        assert!(
+            day.log.len() > before + 200,
+            "seed {seed}: {before} entries, {} when mended",
+            day.log.len()
+        );
         for (place, term, n) in &day.taken {
             if let Some(entry) = day.log.get(&place.0).filter(|e| e.term == *term) {
                 assert_eq!(
@@ -424,6 +506,12 @@
     }
     // The days must have had something to break.
     println!("{elections} elections, {entries} entries, {restored} snapshots taken in, {changes} changes");
-    assert!(elections > 300 && entries > 60 * 500, "{elections} elections, {entries} entries");
-    assert!(restored > 20 && changes > 200, "{restored} snapshots taken in, {changes} changes");
+    assert!(
+        elections > 300 && entries > 60 * 500,
+        "{elections} elections, {entries} entries"
+    );
+    assert!(
+        restored > 20 && changes > 200,
+        "{restored} snapshots taken in, {changes} changes"
+    );
 }
--- a/crates/spokeflow-quorum/tests/search.rs
+++ b/crates/spokeflow-quorum/tests/search.rs
@@ -29,7 +29,12 @@
 
 fn terms() -> QuorumTerms {
     let members = (0..MEMBERS as u32).map(KeeperId).collect();
-    QuorumTerms { members, silence: 300_000, beat: 60_000, drift: 0.01 }
+    QuorumTerms {
+        members,
+        silence: 300_000,
+        beat: 60_000,
+        drift: 0.01,
+    }
 }
 
 impl World {
@@ -50,7 +55,11 @@
         }
     }
 
-    fn call(&mut self, n: usize, act: impl FnOnce(&mut Member, Micros, &mut Out)) -> Result<(), String> {
+    fn call(
+        &mut self,
+        n: usize,
+        act: impl FnOnce(&mut Member, Micros, &mut Out),
+    ) -> Result<(), String> {
         let mut out = Out::default();
         act(&mut self.members[n], self.clocks[n], &mut out);
         let (id, member) = (KeeperId(n as u32), &self.members[n]);
@@ -58,11 +67,17 @@
             return Err(format!("two leaders in {:?}", member.term()));
         }
         self.unsynced[n].extend(out.writes);
-        self.out.extend(out.messages.into_iter().map(|(to, message)| (id, to, message)));
+        self.out.extend(
+            out.messages
+                .into_iter()
+                .map(|(to, message)| (id, to, message)),
+        );
         self.out.sort_by_key(|m| format!("{m:?}"));
         for (place, entry) in out.committed {
             self.done[n] += 1;
-            if place.0 != self.done[n] || *self.log.entry(place.0).or_insert_with(|| entry.clone()) != entry {
+            if place.0 != self.done[n]
+                || *self.log.entry(place.0).or_insert_with(|| entry.clone()) != entry
+            {
                 return Err(format!("another entry at {place:?}"));
             }
         }
@@ -105,7 +120,9 @@
             }
             let mut world = self.clone();
             let (from, to, message) = world.out.remove(k);
-            world.call(to.0 as usize, |m, now, out| m.heard(now, from, message, out))?;
+            world.call(to.0 as usize, |m, now, out| {
+                m.heard(now, from, message, out)
+            })?;
             all.push(world);
         }
         Ok(all)
@@ -125,10 +142,17 @@
         world.clocks[n] = world.members[n].next_wake();
         world.call(n, |m, now, out| m.woken(now, out)).unwrap();
         for to in [2, n as u32] {
-            let k =
-                world.out.iter().position(|m| m.1 == KeeperId(to) && m.0 != KeeperId(1 - n as u32)).unwrap();
+            let k = world
+                .out
+                .iter()
+                .position(|m| m.1 == KeeperId(to) && m.0 != KeeperId(1 - n as u32))
+                .unwrap();
             let (from, to, message) = world.out.remove(k);
-            world.call(to.0 as usize, |m, now, out| m.heard(now, from, message, out)).unwrap();
+            world
+                .call(to.0 as usize, |m, now, out| {
+                    m.heard(now, from, message, out)
+                })
+                .unwrap();
         }
         world.out.clear();
     }
@@ -162,15 +186,24 @@
 fn every_order_of_one_election_keeps_one_leader_and_one_log() {
     let [worlds, elected, committed] = search(World::new([1, 0, 0], 0), 30).unwrap();
     println!("{worlds} worlds, a leader in {elected}, an entry committed in {committed}");
-    assert!(elected > 100 && committed > 100, "{worlds} {elected} {committed}");
+    assert!(
+        elected > 100 && committed > 100,
+        "{worlds} {elected} {committed}"
+    );
 }
 
 #[test]
 fn every_order_of_two_that_stand_and_a_kill_keeps_one_leader() {
-    let depth = std::env::var("SPOKEFLOW_SEARCH_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(12);
+    let depth = std::env::var("SPOKEFLOW_SEARCH_DEPTH")
+        .ok()
+        .and_then(|d| d.parse().ok())
+        .unwrap_or(12);
     let [worlds, elected, committed] = search(World::new([1, 1, 0], 1), depth).unwrap();
     println!("{worlds} worlds to depth {depth}, a leader in {elected}, an entry committed in {committed}");
-    assert!(worlds > 50_000 && elected > 10_000, "{worlds} {elected} {committed}");
+    assert!(
+        worlds > 50_000 && elected > 10_000,
+        "{worlds} {elected} {committed}"
+    );
 }
 
 /// Two stand in one term, and what they wrote or were promised may be lost in two kills.
@@ -178,5 +211,8 @@
 fn every_order_of_two_requests_in_one_term_keeps_one_leader() {
     let [worlds, elected, committed] = search(two_stand(2), 12).unwrap();
     println!("{worlds} worlds, a leader in {elected}, an entry committed in {committed}");
-    assert!(worlds > 5_000 && elected > 1_000, "{worlds} {elected} {committed}");
+    assert!(
+        worlds > 5_000 && elected > 1_000,
+        "{worlds} {elected} {committed}"
+    );
 }
--- a/crates/spokeflow-router/src/bin/spokeflow-move.rs
+++ b/crates/spokeflow-router/src/bin/spokeflow-move.rs
@@ -11,11 +11,16 @@
             if program.check {
                 print!("{text}");
             }
-            notes.iter().for_each(|note| eprintln!("spokeflow-move: {note}"));
+            notes
+                .iter()
+                .for_each(|note| eprintln!("spokeflow-move: {note}"));
             ExitCode::SUCCESS
         }
         Err(faults) => {
-            faults.0.iter().for_each(|fault| eprintln!("spokeflow-move: {fault}"));
+            faults
+                .0
+                .iter()
+                .for_each(|fault| eprintln!("spokeflow-move: {fault}"));
             ExitCode::from(2)
         }
     }
--- a/crates/spokeflow-router/src/carry.rs
+++ b/crates/spokeflow-router/src/carry.rs
@@ -43,11 +43,26 @@
 ];
 /// What has no counterpart, and why.
 const DROPPED: [(&str, &str); 5] = [
-    ("SPOKEFLOW_FORWARD_ONLY", "the earlier hosts stay until the release, keys may go back to them"),
-    ("SPOKEFLOW_MAY_TELL", "routers tell each other nothing; the desk's counts stand in"),
-    ("SPOKEFLOW_PEER", "routers tell each other nothing; the desk's counts stand in"),
-    ("SPOKEFLOW_LIST_FILE", "the kept list names hosts of the old fleet; name a new file with --set"),
-    ("SPOKEFLOW_RECORD", "the recording is of the old fleet; name a new file with --set"),
+    (
+        "SPOKEFLOW_FORWARD_ONLY",
+        "the earlier hosts stay until the release, keys may go back to them",
+    ),
+    (
+        "SPOKEFLOW_MAY_TELL",
+        "routers tell each other nothing; the desk's counts stand in",
+    ),
+    (
+        "SPOKEFLOW_PEER",
+        "routers tell each other nothing; the desk's counts stand in",
+    ),
+    (
+        "SPOKEFLOW_LIST_FILE",
+        "the kept list names hosts of the old fleet; name a new file with --set",
+    ),
+    (
+        "SPOKEFLOW_RECORD",
+        "the recording is of the old fleet; name a new file with --set",
+    ),
 ];
 /// What is carried as it stands though a new fleet has other values.
 const OF_THE_FLEET: [&str; 6] = [
@@ -99,7 +114,11 @@
         match setting(n + 1, bare) {
             Err(what) => faults.push(format!("line {}: {what}", n + 1)),
             Ok(new) => match settings.iter().find(|s| s.name == new.name) {
-                Some(first) => faults.push(format!("{}: given before, on line {}", new.place(), first.line)),
+                Some(first) => faults.push(format!(
+                    "{}: given before, on line {}",
+                    new.place(),
+                    first.line
+                )),
                 None => settings.push(new),
             },
         }
@@ -112,22 +131,32 @@
 }
 
 fn setting(line: usize, text: &str) -> Result<Setting, String> {
-    let (name, value) = text.split_once('=').ok_or_else(|| format!("'{text}' is not NAME=VALUE"))?;
+    let (name, value) = text
+        .split_once('=')
+        .ok_or_else(|| format!("'{text}' is not NAME=VALUE"))?;
     let fits = |c: char| c.is_ascii_uppercase() || c.is_ascii_digit() || c == '_';
     if name.is_empty() || !name.chars().all(fits) {
         return Err(format!("'{name}' is no name of a variable"));
     }
     let value = match value.chars().next() {
         Some(quote @ ('"' | '\'')) => {
-            let inner = value.strip_prefix(quote).and_then(|v| v.strip_suffix(quote));
+            let inner = value
+                .strip_prefix(quote)
+                .and_then(|v| v.strip_suffix(quote));
             inner.ok_or_else(|| format!("{name}: the quote does not end"))?
         }
         _ => value,
     };
     if value.contains(['"', '\'', '\\', '$', '`']) {
-        return Err(format!("{name}: quotes, backslashes and $ within a value are not read"));
+        return Err(format!(
+            "{name}: quotes, backslashes and $ within a value are not read"
+        ));
     }
-    Ok(Setting { line, name: name.into(), value: value.into() })
+    Ok(Setting {
+        line,
+        name: name.into(),
+        value: value.into(),
+    })
 }
 
 /// Checks settings by the router's own parser, apart from the environment of this process. Errors: one line each.
@@ -154,7 +183,10 @@
             (true, "true") => format!("--{long}"),
             (true, "false") => continue,
             (true, other) => {
-                faults.push(format!("{}: '{other}' is neither true nor false", s.place()));
+                faults.push(format!(
+                    "{}: '{other}' is neither true nor false",
+                    s.place()
+                ));
                 continue;
             }
         };
@@ -163,34 +195,56 @@
         }
         line.push(flag);
     }
-    let missing = flags.iter().filter(|(name, f)| f.2 && !settings.iter().any(|s| s.name == **name));
+    let missing = flags
+        .iter()
+        .filter(|(name, f)| f.2 && !settings.iter().any(|s| s.name == **name));
     faults.extend(missing.map(|(name, _)| format!("{name}: missing")));
     if !faults.is_empty() {
         return Err(CarryFaults(faults));
     }
-    let read = bare.try_get_matches_from(line).and_then(|found| RouterProgram::from_arg_matches(&found));
+    let read = bare
+        .try_get_matches_from(line)
+        .and_then(|found| RouterProgram::from_arg_matches(&found));
     let terms = read.map_err(|e| CarryFaults(vec![first_line(&e)]))?.terms;
     let named = |fault: &String| {
-        let of = |s: &&Setting| flags.get(&s.name).is_some_and(|f| fault.starts_with(&format!("--{}:", f.0)));
-        let place = settings.iter().find(of).map(|s| format!("{}: ", s.place())).unwrap_or_default();
+        let of = |s: &&Setting| {
+            flags
+                .get(&s.name)
+                .is_some_and(|f| fault.starts_with(&format!("--{}:", f.0)))
+        };
+        let place = settings
+            .iter()
+            .find(of)
+            .map(|s| format!("{}: ", s.place()))
+            .unwrap_or_default();
         format!("{place}{fault}")
     };
-    terms.check().map_err(|f| CarryFaults(f.0.iter().map(named).collect()))?;
+    terms
+        .check()
+        .map_err(|f| CarryFaults(f.0.iter().map(named).collect()))?;
     Ok(terms)
 }
 
 /// One flag read by itself: what is required beside it is not its fault.
 fn alone(bare: &Command, flag: &str) -> Result<(), String> {
-    let read = bare.clone().try_get_matches_from(["spokeflow-router", flag]);
+    let read = bare
+        .clone()
+        .try_get_matches_from(["spokeflow-router", flag]);
     match read {
-        Err(e) if e.kind() != clap::error::ErrorKind::MissingRequiredArgument => Err(first_line(&e)),
+        Err(e) if e.kind() != clap::error::ErrorKind::MissingRequiredArgument => {
+            Err(first_line(&e))
+        }
         _ => Ok(()),
     }
 }
 
 fn first_line(e: &clap::Error) -> String {
     let text = e.to_string();
-    text.lines().next().unwrap_or_default().trim_start_matches("error: ").to_string()
+    text.lines()
+        .next()
+        .unwrap_or_default()
+        .trim_start_matches("error: ")
+        .to_string()
 }
 
 /// The counterpart, and what was not carried over or wants a look.
@@ -214,11 +268,20 @@
         }
         new.push(s.clone());
     }
-    for name in OF_THE_FLEET.iter().filter(|name| !told(name) && !old.iter().any(|s| s.name == **name)) {
-        notes.push(format!("{name}: not in the file, so its default holds; a new fleet may have another"));
+    for name in OF_THE_FLEET
+        .iter()
+        .filter(|name| !told(name) && !old.iter().any(|s| s.name == **name))
+    {
+        notes.push(format!(
+            "{name}: not in the file, so its default holds; a new fleet may have another"
+        ));
     }
     let added = ADDED.iter().filter(|(name, _)| !told(name));
-    new.extend(added.map(|(name, value)| Setting { line: 0, name: (*name).into(), value: (*value).into() }));
+    new.extend(added.map(|(name, value)| Setting {
+        line: 0,
+        name: (*name).into(),
+        value: (*value).into(),
+    }));
     new.extend(set.iter().cloned());
     (new, notes)
 }
@@ -233,8 +296,9 @@
 
 /// Carries a file over. Gives what was written or would be, and the notes. Errors: nothing has been written.
 pub fn carry(program: &MoveProgram) -> Result<(String, Vec<String>), CarryFaults> {
-    let fault =
-        |path: &Path, what: &dyn fmt::Display| CarryFaults(vec![format!("{}: {what}", path.display())]);
+    let fault = |path: &Path, what: &dyn fmt::Display| {
+        CarryFaults(vec![format!("{}: {what}", path.display())])
+    };
     let text = std::fs::read_to_string(&program.from).map_err(|e| fault(&program.from, &e))?;
     let old = read(&text)?;
     checked(&old)?;
@@ -258,7 +322,9 @@
 /// Whole or not at all: written beside, then moved to its place.
 fn put(from: &Path, to: &Path, text: &str, replace: bool) -> Result<(), CarryFaults> {
     let fault = |what: &dyn fmt::Display| CarryFaults(vec![format!("{}: {what}", to.display())]);
-    let same = std::fs::canonicalize(from).ok().zip(std::fs::canonicalize(to).ok());
+    let same = std::fs::canonicalize(from)
+        .ok()
+        .zip(std::fs::canonicalize(to).ok());
     if same.is_some_and(|(a, b)| a == b) {
         return Err(fault(&"is the file that is read"));
     }
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -6,7 +6,9 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameCodec, FrameFault, FromClient, Role, ToClient, HELLO_LIMIT, WORK_LIMIT};
+use spokeflow_proto::{
+    FrameCodec, FrameFault, FromClient, Role, ToClient, HELLO_LIMIT, WORK_LIMIT,
+};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
 use tokio::time::timeout;
@@ -73,9 +75,15 @@
     }
 
     async fn opening(&self, link: &mut Link) -> Result<(), FrameFault> {
-        let first = timeout(HELLO_WAIT, link.next()).await.map_err(|_| FrameFault::OutOfOrder)?;
-        let Some(first) = first else { return Err(FrameFault::Truncated { have: 0 }) };
-        let FromClient::Hello(hello) = first? else { return Err(FrameFault::OutOfOrder) };
+        let first = timeout(HELLO_WAIT, link.next())
+            .await
+            .map_err(|_| FrameFault::OutOfOrder)?;
+        let Some(first) = first else {
+            return Err(FrameFault::Truncated { have: 0 });
+        };
+        let FromClient::Hello(hello) = first? else {
+            return Err(FrameFault::OutOfOrder);
+        };
         hello.check(&[Role::Client])?;
         link.codec_mut().set_limit(WORK_LIMIT);
         link.send(ToClient::Welcome).await?;
@@ -84,7 +92,12 @@
 
     async fn client(&self, link: &mut Link) -> Result<(), FrameFault> {
         let (answers, mut to_send) = mpsc::channel(self.queue);
-        if self.core.send(Arrival::ClientOpened(self.conn, answers)).await.is_err() {
+        if self
+            .core
+            .send(Arrival::ClientOpened(self.conn, answers))
+            .await
+            .is_err()
+        {
             return Ok(());
         }
         loop {
@@ -123,7 +136,9 @@
     }
 
     async fn last_words(&self, link: &mut Link) -> Result<(), FrameFault> {
-        timeout(STALL, link.flush()).await.map_err(|_| FrameFault::TooSlow)??;
+        timeout(STALL, link.flush())
+            .await
+            .map_err(|_| FrameFault::TooSlow)??;
         if self.clock.ending() {
             Ok(())
         } else {
--- a/crates/spokeflow-router/src/desk.rs
+++ b/crates/spokeflow-router/src/desk.rs
@@ -29,14 +29,20 @@
         loop {
             let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
             let hello = ToDesk::Hello(self.terms.hello.clone());
-            let opened =
-                open(self.address, WORK_LIMIT, wait, hello, |m| matches!(m, FromDesk::Welcome)).await;
+            let opened = open(self.address, WORK_LIMIT, wait, hello, |m| {
+                matches!(m, FromDesk::Welcome)
+            })
+            .await;
             let fault = match opened {
                 Ok(link) => {
                     let since = Instant::now();
                     info!("desk connected");
                     let fault = self.talk(link).await;
-                    failures = if since.elapsed() > self.terms.longest_pause { 0 } else { failures + 1 };
+                    failures = if since.elapsed() > self.terms.longest_pause {
+                        0
+                    } else {
+                        failures + 1
+                    };
                     fault
                 }
                 Err(fault) => {
@@ -46,7 +52,12 @@
             };
             // A vote that is out when the link breaks may count.
             while self.votes.try_recv().is_ok() {}
-            if self.core.send(Arrival::Input(Input::DeskGone)).await.is_err() {
+            if self
+                .core
+                .send(Arrival::Input(Input::DeskGone))
+                .await
+                .is_err()
+            {
                 return;
             }
             warn!(failures, %fault, "desk link lost");
--- a/crates/spokeflow-router/src/hosts.rs
+++ b/crates/spokeflow-router/src/hosts.rs
@@ -103,7 +103,8 @@
                 continue;
             }
             if Instant::now() < not_before {
-                self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected).await;
+                self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+                    .await;
                 continue;
             }
             match self.connect(&mut outgoing).await {
@@ -114,8 +115,11 @@
                         Ended::Done => return,
                         Ended::Broken | Ended::Silent => {
                             // A host that takes connections and breaks them at once is left alone as well.
-                            failures =
-                                if since.elapsed() > self.terms.longest_pause { 0 } else { failures + 1 };
+                            failures = if since.elapsed() > self.terms.longest_pause {
+                                0
+                            } else {
+                                failures + 1
+                            };
                             not_before = Instant::now() + pauses.after(failures.saturating_sub(1));
                         }
                     }
@@ -124,9 +128,13 @@
                     not_before = Instant::now() + pauses.after(failures);
                     failures += 1;
                     if let Some(kept_back) = self.clock.line() {
-                        info!(host = self.host.0, failures, kept_back, fault, "host not connected");
+                        info!(
+                            host = self.host.0,
+                            failures, kept_back, fault, "host not connected"
+                        );
                     }
-                    self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected).await;
+                    self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+                        .await;
                 }
             }
         }
@@ -152,13 +160,20 @@
 
     async fn lost(&self, deliveries: Vec<u64>, end: NoAnswer) {
         for delivery in deliveries {
-            let input = Input::NotDelivered { host: self.host.0, delivery, end };
+            let input = Input::NotDelivered {
+                host: self.host.0,
+                delivery,
+                end,
+            };
             let _ = self.core.send(Arrival::Input(input)).await;
         }
     }
 
     /// Makes the connection; orders are taken meanwhile, so that a drain or a cancel does not wait for it.
-    async fn connect(&mut self, outgoing: &mut Outgoing) -> Result<(Reader, OwnedWriteHalf), String> {
+    async fn connect(
+        &mut self,
+        outgoing: &mut Outgoing,
+    ) -> Result<(Reader, OwnedWriteHalf), String> {
         let listed = self.listed.borrow().clone();
         let (host, hello) = (self.host, self.terms.hello.clone());
         let opening = timeout(self.terms.connect_timeout, open(host, hello, listed));
@@ -173,12 +188,21 @@
             }
         };
         // The engine hears of the process first: what is placed on it from now on counts it as cold.
-        let FromHost::Welcome { incarnation, .. } = welcome else { return Err("no welcome".into()) };
+        let FromHost::Welcome { incarnation, .. } = welcome else {
+            return Err("no welcome".into());
+        };
         let known = self.listed.borrow().incarnation;
-        let _ = self.core.send(Arrival::Input(Input::FromHost { host: host.0, message: welcome })).await;
+        let _ = self
+            .core
+            .send(Arrival::Input(Input::FromHost {
+                host: host.0,
+                message: welcome,
+            }))
+            .await;
         if incarnation != known {
             // What waits was meant for another process, maybe another build.
-            self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected).await;
+            self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+                .await;
         }
         debug!(host = host.0, incarnation, "host connected");
         Ok((reader, writer))
@@ -198,7 +222,9 @@
         let ended = loop {
             let mut late = Vec::new();
             while bytes.len() < WRITE_AHEAD {
-                let Some(message) = outgoing.next(self.clock.now(), &mut late) else { break };
+                let Some(message) = outgoing.next(self.clock.now(), &mut late) else {
+                    break;
+                };
                 let before = bytes.len();
                 if codec.write(&message, &mut bytes).is_err() {
                     // Too long for the host's link: it never leaves.
@@ -220,8 +246,11 @@
             }
             was_idle = outgoing.idle();
             let listen_until = quiet_since + if pinged { way } else { way / 2 };
-            let close_by =
-                self.listed.borrow().close_by.filter(|_| outgoing.is_closed() && outgoing.half_sent());
+            let close_by = self
+                .listed
+                .borrow()
+                .close_by
+                .filter(|_| outgoing.is_closed() && outgoing.half_sent());
             tokio::select! {
                 biased;
                 changed = self.listed.changed() => match changed {
@@ -286,7 +315,11 @@
             }
         };
         let left = outgoing.broken(bytes.len());
-        let end = if matches!(ended, Ended::Silent) { NoAnswer::Silent } else { NoAnswer::Reset };
+        let end = if matches!(ended, Ended::Silent) {
+            NoAnswer::Silent
+        } else {
+            NoAnswer::Reset
+        };
         self.lost(left.unsent, NoAnswer::NotSent).await;
         self.lost(left.sent, end).await;
         ended
@@ -298,9 +331,15 @@
     hello: Hello,
     listed: Listed,
 ) -> Result<(Reader, OwnedWriteHalf, FromHost), String> {
-    let address: SocketAddr =
-        listed.address.parse().map_err(|_| format!("'{}' is no address", listed.address))?;
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let address: SocketAddr = listed
+        .address
+        .parse()
+        .map_err(|_| format!("'{}' is no address", listed.address))?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    };
     let socket = socket.map_err(|e| e.to_string())?;
     // What the system has taken cannot be taken back when the host drains: little of it, then.
     let _ = socket.set_send_buffer_size(SYSTEM_QUEUE);
@@ -309,14 +348,21 @@
     let (read, mut write) = stream.into_split();
     let mut bytes = BytesMut::new();
     let codec = FrameCodec::<FromHost, ToHost>::new(WORK_LIMIT);
-    codec.write(&ToHost::Hello(hello), &mut bytes).map_err(|e| e.to_string())?;
+    codec
+        .write(&ToHost::Hello(hello), &mut bytes)
+        .map_err(|e| e.to_string())?;
     write.write_all(&bytes).await.map_err(|e| e.to_string())?;
     let mut reader = FramedRead::with_capacity(read, codec, 1024);
     match reader.next().await {
         Some(Ok(welcome @ FromHost::Welcome { .. })) => {
-            let FromHost::Welcome { host: named, .. } = &welcome else { unreachable!("matched above") };
+            let FromHost::Welcome { host: named, .. } = &welcome else {
+                unreachable!("matched above")
+            };
             if *named != host.0 {
-                return Err(format!("host {named} answers at the address of host {}", host.0));
+                return Err(format!(
+                    "host {named} answers at the address of host {}",
+                    host.0
+                ));
             }
             Ok((reader, write, welcome))
         }
@@ -337,7 +383,10 @@
     /// once took all that came into a list of its own, and the bound of the queue bound nothing.
     #[test]
     fn what_a_host_does_not_read_fills_its_queue() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         runtime.block_on(async {
             let port = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let address = port.local_addr().unwrap().to_string();
@@ -346,7 +395,12 @@
                 let (_read, mut write) = stream.into_split();
                 let codec = FrameCodec::<ToHost, FromHost>::new(WORK_LIMIT);
                 let mut bytes = BytesMut::new();
-                let welcome = FromHost::Welcome { host: 1, build: 1, incarnation: 1, up_us: 0 };
+                let welcome = FromHost::Welcome {
+                    host: 1,
+                    build: 1,
+                    incarnation: 1,
+                    up_us: 0,
+                };
                 codec.write(&welcome, &mut bytes).unwrap();
                 write.write_all(&bytes).await.unwrap();
                 std::future::pending::<()>().await
@@ -363,7 +417,13 @@
             const QUEUE: usize = 8;
             let (orders, inbox) = mpsc::channel(QUEUE);
             let (core, mut heard) = mpsc::channel(4096);
-            let listed = Listed { address, incarnation: 1, open: true, gone: false, close_by: None };
+            let listed = Listed {
+                address,
+                incarnation: 1,
+                open: true,
+                gone: false,
+                close_by: None,
+            };
             let (_tell, told) = watch::channel(listed);
             let link = HostLink {
                 host: HostId(1),
@@ -378,7 +438,15 @@
             let deliver = |delivery| {
                 let body = body.clone();
                 let left_us = 60_000_000;
-                ToHost::Deliver { delivery, op: 0, share: 0, key: 0, mark: 0, left_us, body }
+                ToHost::Deliver {
+                    delivery,
+                    op: 0,
+                    share: 0,
+                    key: 0,
+                    mark: 0,
+                    left_us,
+                    body,
+                }
             };
             let (mut taken, mut refused) = (0, 0);
             for delivery in 0..1000 {
@@ -389,8 +457,14 @@
                 tokio::time::sleep(Duration::from_micros(300)).await;
             }
             // What the two systems hold between them is some megabytes at most.
-            assert!(matches!(heard.recv().await, Some(Arrival::Input(Input::FromHost { .. }))));
-            assert!(taken < 400 && refused > 600, "{taken} taken, {refused} refused");
+            assert!(matches!(
+                heard.recv().await,
+                Some(Arrival::Input(Input::FromHost { .. }))
+            ));
+            assert!(
+                taken < 400 && refused > 600,
+                "{taken} taken, {refused} refused"
+            );
         });
     }
 }
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/keepers.rs
@@ -57,11 +57,25 @@
         core: mpsc::Sender<Arrival>,
         applied: watch::Receiver<RevisionNo>,
     ) -> Self {
-        let pauses = Pauses::new(seed, KEEPER_WAY, Duration::from_millis(50), Duration::from_millis(500));
+        let pauses = Pauses::new(
+            seed,
+            KEEPER_WAY,
+            Duration::from_millis(50),
+            Duration::from_millis(500),
+        );
         // Not from the seed: two processes with one seed must not be taken for one.
         let process = rand::rng().random();
         let (terms, lease_holder) = (terms.clone(), None);
-        KeeperLink { terms, process, pauses, clock, core, applied, lease_holder, misfit: RevisionNo(0) }
+        KeeperLink {
+            terms,
+            process,
+            pauses,
+            clock,
+            core,
+            applied,
+            lease_holder,
+            misfit: RevisionNo(0),
+        }
     }
 
     /// Goes on until `core` or `applied` is closed.
@@ -95,8 +109,15 @@
     /// Those that the flags name, and those that have been taken in since.
     fn keepers(&self) -> Vec<SocketAddr> {
         let mut all = self.terms.keepers.clone();
-        let told = self.lease_holder.iter().flat_map(|h| h.seats()).filter_map(|a| a.parse().ok());
-        all.extend(told.filter(|a| !self.terms.keepers.contains(a)).collect::<Vec<_>>());
+        let told = self
+            .lease_holder
+            .iter()
+            .flat_map(|h| h.seats())
+            .filter_map(|a| a.parse().ok());
+        all.extend(
+            told.filter(|a| !self.terms.keepers.contains(a))
+                .collect::<Vec<_>>(),
+        );
         all
     }
 
@@ -104,14 +125,29 @@
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let mut link: Link = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 1024);
-        link.send(ToKeeper::hello(Caller::Router { index: self.terms.index })).await.ok()?;
-        let Some(Ok(FromKeeper::Welcome { common, .. })) = link.next().await else { return None };
-        let terms = LeaseTerms { lease: common.lease_us as Micros, drift: common.drift };
+        link.send(ToKeeper::hello(Caller::Router {
+            index: self.terms.index,
+        }))
+        .await
+        .ok()?;
+        let Some(Ok(FromKeeper::Welcome { common, .. })) = link.next().await else {
+            return None;
+        };
+        let terms = LeaseTerms {
+            lease: common.lease_us as Micros,
+            drift: common.drift,
+        };
         if self.lease_holder.is_none() {
-            info!(lease_us = common.lease_us, "follows keepers; longest contradiction is one lease");
+            info!(
+                lease_us = common.lease_us,
+                "follows keepers; longest contradiction is one lease"
+            );
             let lease_holder = LeaseHolder::new(terms, self.process, self.terms.index);
-            self.lease_holder =
-                Some(if self.terms.agreed_list { lease_holder.wants_list() } else { lease_holder });
+            self.lease_holder = Some(if self.terms.agreed_list {
+                lease_holder.wants_list()
+            } else {
+                lease_holder
+            });
         }
         Some(link)
     }
@@ -167,26 +203,46 @@
 
     /// Hands the engine what may be acted on. `false`: it is no more.
     async fn act(&mut self) -> bool {
-        let Some(lease_holder) = &mut self.lease_holder else { return true };
+        let Some(lease_holder) = &mut self.lease_holder else {
+            return true;
+        };
         if let Some(part) = lease_holder.list_news() {
             let hosts = part.hosts.into_iter().map(line).collect();
-            let list = Input::AgreedList { whole: part.whole, hosts };
+            let list = Input::AgreedList {
+                whole: part.whole,
+                hosts,
+            };
             if self.core.send(Arrival::Input(list)).await.is_err() {
                 return false;
             }
         }
-        let Some(until) = lease_holder.until() else { return true };
+        let Some(until) = lease_holder.until() else {
+            return true;
+        };
         let revision = lease_holder.newest();
-        match self.terms.agreed(lease_holder.in_force(), lease_holder.announced()) {
+        match self
+            .terms
+            .agreed(lease_holder.in_force(), lease_holder.announced())
+        {
             Ok(terms) => {
                 let terms = Box::new(terms);
-                self.core.send(Arrival::Agreed { until, terms, revision }).await.is_ok()
+                self.core
+                    .send(Arrival::Agreed {
+                        until,
+                        terms,
+                        revision,
+                    })
+                    .await
+                    .is_ok()
             }
             Err(faults) => {
                 // The lease binds to a revision that this router cannot act on: it acts on none.
                 if self.misfit != revision {
                     self.misfit = revision;
-                    warn!(revision = revision.0, faults, "a revision does not fit: no lease is acted on");
+                    warn!(
+                        revision = revision.0,
+                        faults, "a revision does not fit: no lease is acted on"
+                    );
                 }
                 true
             }
@@ -195,11 +251,29 @@
 }
 
 fn line(host: ListedHost) -> Line {
-    let ListedHost { host, address, build, cell, zone, state, incarnation, up_us } = host;
+    let ListedHost {
+        host,
+        address,
+        build,
+        cell,
+        zone,
+        state,
+        incarnation,
+        up_us,
+    } = host;
     let phase = match state {
         HostState::Gone => LinePhase::Gone,
         HostState::Ready => LinePhase::Ready,
         HostState::Draining => LinePhase::Draining,
     };
-    Line { host, address, build, cell, zone, phase, incarnation, up_us }
+    Line {
+        host,
+        address,
+        build,
+        cell,
+        zone,
+        phase,
+        incarnation,
+        up_us,
+    }
 }
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -40,5 +40,7 @@
             _ => Err(FrameFault::OutOfOrder),
         }
     };
-    timeout(wait, opening).await.unwrap_or(Err(FrameFault::TooSlow))
+    timeout(wait, opening)
+        .await
+        .unwrap_or(Err(FrameFault::TooSlow))
 }
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -33,13 +33,19 @@
         loop {
             let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
             let hello = ToList::Hello(self.terms.hello.clone());
-            let opened =
-                open(self.address, LIST_LIMIT, wait, hello, |m| matches!(m, FromList::Welcome)).await;
+            let opened = open(self.address, LIST_LIMIT, wait, hello, |m| {
+                matches!(m, FromList::Welcome)
+            })
+            .await;
             let fault = match opened {
                 Ok(link) => {
                     let since = Instant::now();
                     let fault = self.watch(link, &mut version, &mut kept).await;
-                    failures = if since.elapsed() > self.terms.longest_pause { 0 } else { failures + 1 };
+                    failures = if since.elapsed() > self.terms.longest_pause {
+                        0
+                    } else {
+                        failures + 1
+                    };
                     fault
                 }
                 Err(fault) => {
@@ -47,7 +53,12 @@
                     fault
                 }
             };
-            if self.core.send(Arrival::Input(Input::ListGone)).await.is_err() {
+            if self
+                .core
+                .send(Arrival::Input(Input::ListGone))
+                .await
+                .is_err()
+            {
                 return;
             }
             warn!(failures, %fault, "list link lost");
@@ -164,7 +175,9 @@
 /// The list that an earlier process kept. Errors: why it is not used.
 pub fn read_list(file: &std::path::Path) -> Result<Vec<Line>, String> {
     let bytes = std::fs::read(file).map_err(|e| e.to_string())?;
-    let body = bytes.strip_prefix(LIST_MARK).ok_or("not a kept list of this version")?;
+    let body = bytes
+        .strip_prefix(LIST_MARK)
+        .ok_or("not a kept list of this version")?;
     match postcard::take_from_bytes::<Vec<Line>>(body) {
         Ok((lines, [])) => Ok(lines),
         _ => Err("the kept list is damaged".into()),
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -21,7 +21,10 @@
 pub fn main_with(program: RouterProgram) -> ExitCode {
     let terms = program.terms;
     if let Err(faults) = terms.check() {
-        faults.0.iter().for_each(|fault| eprintln!("spokeflow-router: {fault}"));
+        faults
+            .0
+            .iter()
+            .for_each(|fault| eprintln!("spokeflow-router: {fault}"));
         return ExitCode::from(2);
     }
     if let Err(fault) = start_log(&terms.log, terms.log_form) {
@@ -29,7 +32,10 @@
         return ExitCode::from(2);
     }
     // One thread: the engine is one task, and waking it across threads costs more than its peers' frames.
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("spokeflow-router: cannot start: {e}");
@@ -52,7 +58,9 @@
 
 async fn ended_by_signal() {
     use tokio::signal::unix::{signal, SignalKind};
-    let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
+    let Ok(mut term) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         _ = term.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
--- a/crates/spokeflow-router/src/revision.rs
+++ b/crates/spokeflow-router/src/revision.rs
@@ -23,7 +23,9 @@
 ];
 
 fn number<T: std::str::FromStr>(text: &str) -> Result<T, String> {
-    text.trim().parse().map_err(|_| format!("'{text}' is not such a number"))
+    text.trim()
+        .parse()
+        .map_err(|_| format!("'{text}' is not such a number"))
 }
 
 fn list<T>(text: &str, one: impl Fn(&str) -> Result<T, String>) -> Result<Vec<T>, String> {
@@ -62,7 +64,11 @@
         if alone {
             // What is not named is taken to fit.
             let named = |name: &str| values.contains_key(name);
-            f.fleet_size = if named("fleet-size") { f.fleet_size } else { u32::MAX };
+            f.fleet_size = if named("fleet-size") {
+                f.fleet_size
+            } else {
+                u32::MAX
+            };
             if named("stage-cap") {
                 f.stage_shares.clone_from(&f.stage_caps);
             } else if named("guarded-stages") {
@@ -89,10 +95,17 @@
     /// What this router may act on while `in_force` is in force and `announced` may be acted on by others.
     ///
     /// Errors: one of both does not fit this router, with every fault.
-    pub fn agreed(&self, in_force: &Revision, announced: Option<&Revision>) -> Result<AgreedTerms, String> {
+    pub fn agreed(
+        &self,
+        in_force: &Revision,
+        announced: Option<&Revision>,
+    ) -> Result<AgreedTerms, String> {
         let terms = |revision: &Revision| {
             let service = self.service.revised(&revision.values, false)?;
-            let revised = RouterTerms { service, ..self.clone() };
+            let revised = RouterTerms {
+                service,
+                ..self.clone()
+            };
             revised.check().map_err(|f| f.to_string())?;
             Ok::<_, String>(AgreedTerms::of(&revised.engine().service))
         };
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -79,7 +79,9 @@
 impl Links for Wires {
     fn to_client(&mut self, conn: u64, message: ToClient) {
         debug!(conn, ?message, "answer");
-        let Some(client) = self.clients.get(&conn) else { return };
+        let Some(client) = self.clients.get(&conn) else {
+            return;
+        };
         if let Err(mpsc::error::TrySendError::Full(_)) = client.try_send(message) {
             self.clients.remove(&conn);
             self.given_up.push(conn);
@@ -87,7 +89,9 @@
     }
 
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
-        self.hosts.get(&host).is_some_and(|h| h.orders.try_send((message, leave_by)).is_ok())
+        self.hosts
+            .get(&host)
+            .is_some_and(|h| h.orders.try_send((message, leave_by)).is_ok())
     }
 
     fn to_list(&mut self, message: ToList) -> bool {
@@ -103,17 +107,40 @@
     fn to_routers(&mut self, _router: Option<u32>, _text: &[u8]) {}
 
     fn host_open(&mut self, host: HostId, address: &str, incarnation: u64) {
-        let listed =
-            Listed { address: address.to_string(), incarnation, open: true, gone: false, close_by: None };
+        let listed = Listed {
+            address: address.to_string(),
+            incarnation,
+            open: true,
+            gone: false,
+            close_by: None,
+        };
         if let Some(handle) = self.hosts.get(&host).filter(|h| !h.orders.is_closed()) {
-            handle.listed.send_if_modified(|l| std::mem::replace(l, listed.clone()) != listed);
+            handle
+                .listed
+                .send_if_modified(|l| std::mem::replace(l, listed.clone()) != listed);
             return;
         }
         let (orders, inbox) = mpsc::channel(self.host_queue);
         let (tell, told) = watch::channel(listed);
         let (terms, clock, core) = (self.links.clone(), self.clock.clone(), self.core.clone());
-        tokio::spawn(HostLink { host, terms, clock, core, orders: inbox, listed: told }.run());
-        self.hosts.insert(host, HostHandle { orders, listed: tell });
+        tokio::spawn(
+            HostLink {
+                host,
+                terms,
+                clock,
+                core,
+                orders: inbox,
+                listed: told,
+            }
+            .run(),
+        );
+        self.hosts.insert(
+            host,
+            HostHandle {
+                orders,
+                listed: tell,
+            },
+        );
     }
 
     fn drain_grace(&mut self, grace: Micros) {
@@ -121,11 +148,18 @@
     }
 
     fn host_closed(&mut self, host: HostId, gone: bool) {
-        let Some(handle) = self.hosts.get(&host) else { return };
+        let Some(handle) = self.hosts.get(&host) else {
+            return;
+        };
         let close_by = Instant::now() + self.drain_grace * 3 / 4;
         handle.listed.send_if_modified(|l| {
             let close_by = l.close_by.or(Some(close_by));
-            let closed = Listed { open: false, gone, close_by, ..l.clone() };
+            let closed = Listed {
+                open: false,
+                gone,
+                close_by,
+                ..l.clone()
+            };
             std::mem::replace(l, closed.clone()) != closed
         });
     }
@@ -152,7 +186,10 @@
         way_timeout: terms.way_timeout,
     });
     let asking = |more: bool| match more {
-        true => Arc::new(LinkTerms { hello: links.hello.clone().wants_more(), ..(*links).clone() }),
+        true => Arc::new(LinkTerms {
+            hello: links.hello.clone().wants_more(),
+            ..(*links).clone()
+        }),
         false => links.clone(),
     };
     let service = &terms.service;
@@ -169,8 +206,12 @@
         asked,
     };
     helpers.spawn(list_link.run());
-    let desk_link =
-        DeskLink { address: terms.desk, terms: asking(service.desk_counts), core: core.clone(), votes };
+    let desk_link = DeskLink {
+        address: terms.desk,
+        terms: asking(service.desk_counts),
+        core: core.clone(),
+        votes,
+    };
     helpers.spawn(desk_link.run());
     // Told once the engine goes by a revision: only then may this router say that it acts on it.
     let (acts_on, applied) = watch::channel(RevisionNo(0));
@@ -190,8 +231,11 @@
         host_queue: terms.host_queue,
         drain_grace: terms.service.drain_grace,
     };
-    let mut record =
-        terms.record.as_deref().map(|file| Recorder::open(file, seed, clock.now())).transpose()?;
+    let mut record = terms
+        .record
+        .as_deref()
+        .map(|file| Recorder::open(file, seed, clock.now()))
+        .transpose()?;
     info!(index = terms.index, site = terms.site, address = %listening.address, seed, "router starts");
     let mut engine = Engine::new(terms.engine(), seed, clock.now(), &mut wires);
     let clients = TaskTracker::new();
@@ -215,10 +259,24 @@
     if !terms.keepers.is_empty() {
         // Nothing has been granted yet.
         let own = Box::new(AgreedTerms::of(&terms.engine().service));
-        give(&mut engine, &mut wires, Input::Agreed { until: clock.now(), terms: own });
+        give(
+            &mut engine,
+            &mut wires,
+            Input::Agreed {
+                until: clock.now(),
+                terms: own,
+            },
+        );
     }
     if terms.agreed_list {
-        give(&mut engine, &mut wires, Input::AgreedList { whole: false, hosts: Vec::new() });
+        give(
+            &mut engine,
+            &mut wires,
+            Input::AgreedList {
+                whole: false,
+                hosts: Vec::new(),
+            },
+        );
     }
     if let Some(file) = &terms.list_file {
         match read_list(file) {
@@ -245,7 +303,9 @@
         }
         // Whatever woke this task, what has arrived meanwhile is taken in as well: neither starves the other.
         while batch.len() < AT_ONCE {
-            let Ok(arrival) = arrivals.try_recv() else { break };
+            let Ok(arrival) = arrivals.try_recv() else {
+                break;
+            };
             batch.push(arrival);
         }
         for arrival in batch.drain(..) {
@@ -261,7 +321,11 @@
                     wires.clients.remove(&conn);
                     give(&mut engine, &mut wires, Input::ClientGone { conn });
                 }
-                Arrival::Agreed { until, terms, revision } => {
+                Arrival::Agreed {
+                    until,
+                    terms,
+                    revision,
+                } => {
                     give(&mut engine, &mut wires, Input::Agreed { until, terms });
                     acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
                 }
@@ -284,14 +348,20 @@
         }
         if let Some(end_by) = end_by {
             let now = Instant::now();
-            idle_since = idle_since.filter(|_| engine.held() == 0).or((engine.held() == 0).then_some(now));
+            idle_since = idle_since
+                .filter(|_| engine.held() == 0)
+                .or((engine.held() == 0).then_some(now));
             if now >= end_by || idle_since.is_some_and(|since| now >= since + LINGER) {
                 break;
             }
         }
     }
     let counts = engine.counts();
-    info!(held = engine.held(), ?counts, "router has answered what it held");
+    info!(
+        held = engine.held(),
+        ?counts,
+        "router has answered what it held"
+    );
     // Client tasks write out what is queued for them when their channels close.
     wires.clients.clear();
     drop((wires, arrivals));
@@ -370,7 +440,11 @@
 
     fn note(&mut self, now: Micros, input: &Input) {
         let entry = || Recording::entry(now, input);
-        if self.to.as_ref().is_some_and(|to| to.try_send(entry()).is_err()) {
+        if self
+            .to
+            .as_ref()
+            .is_some_and(|to| to.try_send(entry()).is_err())
+        {
             warn!("recording ends: its file is slower than what happens");
             self.to = None;
         }
