--- a/crates/spokeflow-router/src/terms.rs
+++ b/crates/spokeflow-router/src/terms.rs
@@ -168,7 +168,12 @@
     #[arg(long, env = "SPOKEFLOW_AGREED_LIST")]
     pub agreed_list: bool,
     /// Has no effect any more: routers tell each other nothing
-    #[arg(long = "peer", env = "SPOKEFLOW_PEER", value_delimiter = ',', hide = true)]
+    #[arg(
+        long = "peer",
+        env = "SPOKEFLOW_PEER",
+        value_delimiter = ',',
+        hide = true
+    )]
     pub peers: Vec<String>,
     /// Number of this router in the deployment, from 0
     #[arg(long, env = "SPOKEFLOW_INDEX", default_value_t = 0)]
@@ -246,7 +251,11 @@
 
 fn op_terms(text: &str) -> Result<NamedOp, String> {
     let mut parts = text.split(':');
-    let name = parts.next().filter(|n| !n.is_empty()).ok_or("the name is missing")?.to_string();
+    let name = parts
+        .next()
+        .filter(|n| !n.is_empty())
+        .ok_or("the name is missing")?
+        .to_string();
     let (repeat, scope) = match parts.next().unwrap_or_default() {
         "redeliverable" => (Repeat::Redeliverable, RepeatScope::Unknown),
         "at-most-once" => (Repeat::AtMostOnce, RepeatScope::Unknown),
@@ -255,21 +264,40 @@
         "deduplicated/cell" => (Repeat::Deduplicated, RepeatScope::Cell),
         "deduplicated/host" => (Repeat::Deduplicated, RepeatScope::Unknown),
         other => {
-            return Err(format!("'{other}' is not redeliverable, at-most-once or deduplicated/SCOPE"));
+            return Err(format!(
+                "'{other}' is not redeliverable, at-most-once or deduplicated/SCOPE"
+            ));
         }
     };
     let (memory, importance, streamed) = (Duration::ZERO, 1.0, false);
     let (target, timeout) = (Duration::ZERO, Duration::ZERO);
-    let mut op = NamedOp { name, repeat, scope, memory, target, timeout, importance, streamed };
+    let mut op = NamedOp {
+        name,
+        repeat,
+        scope,
+        memory,
+        target,
+        timeout,
+        importance,
+        streamed,
+    };
     for part in parts {
         let (word, value) = part.split_once('=').unwrap_or((part, ""));
         match word {
             "target" => op.target = span(value)?,
             "timeout" => op.timeout = span(value)?,
             "memory" => op.memory = span(value)?,
-            "importance" => op.importance = value.parse().map_err(|_| format!("'{part}': not a number"))?,
+            "importance" => {
+                op.importance = value
+                    .parse()
+                    .map_err(|_| format!("'{part}': not a number"))?
+            }
             "streamed" if value.is_empty() => op.streamed = true,
-            _ => return Err(format!("'{part}' is not target=, timeout=, memory=, importance= or streamed")),
+            _ => {
+                return Err(format!(
+                    "'{part}' is not target=, timeout=, memory=, importance= or streamed"
+                ))
+            }
         }
     }
     Ok(op)
@@ -288,7 +316,9 @@
     let ms = |t: Duration| format!("{}us", t.as_micros());
     let streamed = if op.streamed { ":streamed" } else { "" };
     let (target, timeout, memory) = (ms(op.target), ms(op.timeout), ms(op.memory));
-    let NamedOp { name, importance, .. } = op;
+    let NamedOp {
+        name, importance, ..
+    } = op;
     format!(
         "{name}:{repeat}:target={target}:timeout={timeout}:memory={memory}:importance={importance}{streamed}"
     )
@@ -296,7 +326,12 @@
 
 pub(crate) fn customer(text: &str) -> Result<(String, f64), String> {
     let (name, share) = text.split_once('=').ok_or("not NAME=COMMANDS_A_SECOND")?;
-    Ok((name.to_string(), share.parse().map_err(|_| format!("'{share}' is not a number"))?))
+    Ok((
+        name.to_string(),
+        share
+            .parse()
+            .map_err(|_| format!("'{share}' is not a number"))?,
+    ))
 }
 
 /// What does not fit, one line each, naming the flag.
@@ -325,44 +360,104 @@
     pub(crate) fn check(&self, faults: &mut Faults) {
         for op in &self.ops {
             let named = |what: &str| format!("op type '{}': {what}", op.name);
-            faults.when(op.target.is_zero(), "op", named("target= is missing or nothing"));
-            faults.when(op.timeout < op.target, "op", named("timeout= is shorter than target="));
+            faults.when(
+                op.target.is_zero(),
+                "op",
+                named("target= is missing or nothing"),
+            );
+            faults.when(
+                op.timeout < op.target,
+                "op",
+                named("timeout= is shorter than target="),
+            );
             faults.when(
                 op.importance.is_nan() || op.importance <= 0.0,
                 "op",
                 named("importance= must be above 0"),
             );
             let keyed = op.repeat == Repeat::Deduplicated;
-            faults.when(keyed && op.memory.is_zero(), "op", named("deduplicated needs memory="));
-            faults.when(!keyed && !op.memory.is_zero(), "op", named("memory= goes with deduplicated only"));
+            faults.when(
+                keyed && op.memory.is_zero(),
+                "op",
+                named("deduplicated needs memory="),
+            );
+            faults.when(
+                !keyed && !op.memory.is_zero(),
+                "op",
+                named("memory= goes with deduplicated only"),
+            );
             let twice = self.ops.iter().filter(|o| o.name == op.name).count() > 1;
             faults.when(twice, "op", named("named twice"));
         }
         for (name, share) in &self.customers {
             let wrong = share.is_nan() || *share <= 0.0;
-            faults.when(wrong, "customer", format!("'{name}': the share must be above 0"));
+            faults.when(
+                wrong,
+                "customer",
+                format!("'{name}': the share must be above 0"),
+            );
         }
         faults.when(self.fleet_size == 0, "fleet-size", "at least 1");
         faults.when(self.delivery_cap == 0, "delivery-cap", "at least 1");
-        faults.when(!part(self.cold_from) || self.cold_from == 0.0, "cold-from", "above 0 and at most 1");
-        faults.when(self.fall_multiple.is_nan() || self.fall_multiple < 1.0, "fall-multiple", "at least 1");
+        faults.when(
+            !part(self.cold_from) || self.cold_from == 0.0,
+            "cold-from",
+            "above 0 and at most 1",
+        );
+        faults.when(
+            self.fall_multiple.is_nan() || self.fall_multiple < 1.0,
+            "fall-multiple",
+            "at least 1",
+        );
         faults.when(self.fall_span.is_zero(), "fall-span", "above 0s");
         faults.when(self.exposure_span.is_zero(), "exposure-span", "above 0s");
         let free = self.exposure_free;
-        faults.when(!free.is_finite() || free < 0.0, "exposure-free", "0 or more");
+        faults.when(
+            !free.is_finite() || free < 0.0,
+            "exposure-free",
+            "0 or more",
+        );
         faults.when(!part(self.complaint_share), "complaint-share", "0 to 1");
         let rises = |list: &[f64]| list.iter().all(|n| part(*n)) && list.is_sorted();
-        faults.when(!rises(&self.stage_shares), "stage-share", "each 0 to 1, none below the one before");
-        faults.when(!rises(&self.stage_caps), "stage-cap", "each 0 to 1, none below the one before");
+        faults.when(
+            !rises(&self.stage_shares),
+            "stage-share",
+            "each 0 to 1, none below the one before",
+        );
+        faults.when(
+            !rises(&self.stage_caps),
+            "stage-cap",
+            "each 0 to 1, none below the one before",
+        );
         let (caps, shares) = (self.stage_caps.len(), self.stage_shares.len());
-        faults.when(caps != shares, "stage-cap", format!("{caps} stages, but --stage-share has {shares}"));
+        faults.when(
+            caps != shares,
+            "stage-cap",
+            format!("{caps} stages, but --stage-share has {shares}"),
+        );
         let guarded = usize::from(self.guarded_stages);
-        faults.when(guarded > caps, "guarded-stages", format!("{guarded} of {caps} stages"));
+        faults.when(
+            guarded > caps,
+            "guarded-stages",
+            format!("{guarded} of {caps} stages"),
+        );
         let votes = self.back_votes;
-        faults.when(votes > self.fleet_size, "back-votes", format!("{votes} of {} routers", self.fleet_size));
-        faults.when(self.votes_a_second.is_nan() || self.votes_a_second <= 0.0, "votes-a-second", "above 0");
+        faults.when(
+            votes > self.fleet_size,
+            "back-votes",
+            format!("{votes} of {} routers", self.fleet_size),
+        );
+        faults.when(
+            self.votes_a_second.is_nan() || self.votes_a_second <= 0.0,
+            "votes-a-second",
+            "above 0",
+        );
         let life = self.vote_life;
-        faults.when(self.vote_wait >= life, "vote-wait", format!("shorter than --vote-life {life:?}"));
+        faults.when(
+            self.vote_wait >= life,
+            "vote-wait",
+            format!("shorter than --vote-life {life:?}"),
+        );
     }
 }
 
@@ -378,7 +473,11 @@
             "index",
             format!("{} is not below --fleet-size {fleet}", self.index),
         );
-        faults.when(self.agreed_list && self.keepers.is_empty(), "agreed-list", "needs --keeper");
+        faults.when(
+            self.agreed_list && self.keepers.is_empty(),
+            "agreed-list",
+            "needs --keeper",
+        );
         let shortest = s.ops.iter().map(|op| op.timeout).min().unwrap_or_default();
         let longest = s.ops.iter().map(|op| op.timeout).max().unwrap_or_default();
         let margin = self.answer_margin;
@@ -387,16 +486,37 @@
             "answer-margin",
             format!("over a quarter of timeout= {shortest:?}"),
         );
-        faults.when(self.connect_timeout.is_zero(), "connect-timeout", "above 0s");
-        let memory = s.ops.iter().filter(|op| op.repeat == Repeat::Deduplicated).map(|op| op.memory).min();
+        faults.when(
+            self.connect_timeout.is_zero(),
+            "connect-timeout",
+            "above 0s",
+        );
+        let memory = s
+            .ops
+            .iter()
+            .filter(|op| op.repeat == Repeat::Deduplicated)
+            .map(|op| op.memory)
+            .min();
         let (way, least) = (self.way_timeout, memory.unwrap_or(Duration::MAX));
-        faults.when(way >= least, "way-timeout", format!("not shorter than memory= {least:?}"));
+        faults.when(
+            way >= least,
+            "way-timeout",
+            format!("not shorter than memory= {least:?}"),
+        );
         faults.when(way.is_zero(), "way-timeout", "above 0s");
         let within = self.shutdown_within;
-        faults.when(within < longest, "shutdown-within", format!("shorter than timeout= {longest:?}"));
+        faults.when(
+            within < longest,
+            "shutdown-within",
+            format!("shorter than timeout= {longest:?}"),
+        );
         let (first, most) = (self.reconnect_first, self.reconnect_most);
         faults.when(first.is_zero(), "reconnect-first", "above 0s");
-        faults.when(most < first, "reconnect-most", format!("shorter than --reconnect-first {first:?}"));
+        faults.when(
+            most < first,
+            "reconnect-most",
+            format!("shorter than --reconnect-first {first:?}"),
+        );
         faults.when(self.list_renew.is_zero(), "list-renew", "above 0s");
         let bounds = [
             (self.held_at_most, "held-at-most"),
@@ -404,7 +524,9 @@
             (self.client_queue, "client-queue"),
             (self.host_queue, "host-queue"),
         ];
-        bounds.iter().for_each(|(n, flag)| faults.when(*n == 0, flag, "at least 1"));
+        bounds
+            .iter()
+            .for_each(|(n, flag)| faults.when(*n == 0, flag, "at least 1"));
         if faults.0.is_empty() {
             Ok(())
         } else {
@@ -464,7 +586,11 @@
             back_votes: s.back_votes,
             votes_a_second: s.votes_a_second,
         };
-        EngineTerms { service, answer_margin: micros(self.answer_margin), held_at_most: self.held_at_most }
+        EngineTerms {
+            service,
+            answer_margin: micros(self.answer_margin),
+            held_at_most: self.held_at_most,
+        }
     }
 }
 
@@ -489,13 +615,21 @@
             "--op=close-trip:at-most-once:target=2s:timeout=6s:importance=3",
         ];
         let line = Line::try_parse_from(base.iter().chain(more)).map_err(|e| e.to_string())?;
-        line.terms.check().map(|()| line.terms).map_err(|f| f.to_string())
+        line.terms
+            .check()
+            .map(|()| line.terms)
+            .map_err(|f| f.to_string())
     }
 
     #[test]
     fn good_terms_become_the_modules() {
-        let terms =
-            read(&["--customer=a=25,b=3.5", "--forward-only", "--answer-margin=20ms"]).unwrap().engine();
+        let terms = read(&[
+            "--customer=a=25,b=3.5",
+            "--forward-only",
+            "--answer-margin=20ms",
+        ])
+        .unwrap()
+        .engine();
         assert_eq!(terms.service.ops[1].repeat, Repeat::AtMostOnce);
         assert_eq!(terms.service.ops[0].service_target, 1_200_000);
         assert_eq!(terms.service.shares, [25.0, 3.5]);
@@ -528,23 +662,36 @@
         for (n, flag) in flags.iter().enumerate() {
             assert!(lines[n].starts_with(&format!("--{flag}")), "{n}: {faults}");
         }
-        assert!(lines.last().unwrap().starts_with("--shutdown-within"), "{faults}");
-        assert!(faults.contains("--way-timeout: not shorter than memory="), "{faults}");
+        assert!(
+            lines.last().unwrap().starts_with("--shutdown-within"),
+            "{faults}"
+        );
+        assert!(
+            faults.contains("--way-timeout: not shorter than memory="),
+            "{faults}"
+        );
         assert_eq!(lines.len(), 9, "{faults}");
     }
 
     #[test]
     fn what_cannot_be_read_is_said_at_once() {
-        assert!(read(&["--drain-grace=soon"]).unwrap_err().contains("--drain-grace"));
-        assert!(read(&["--op=x:sometimes"]).unwrap_err().contains("'sometimes' is not"));
-        assert!(read(&["--customer=x"]).unwrap_err().contains("NAME=COMMANDS_A_SECOND"));
+        assert!(read(&["--drain-grace=soon"])
+            .unwrap_err()
+            .contains("--drain-grace"));
+        assert!(read(&["--op=x:sometimes"])
+            .unwrap_err()
+            .contains("'sometimes' is not"));
+        assert!(read(&["--customer=x"])
+            .unwrap_err()
+            .contains("NAME=COMMANDS_A_SECOND"));
     }
 
     #[test]
     fn an_op_type_survives_its_own_text() {
-        for text in
-            ["a:redeliverable:target=1.2s:timeout=4s", "b:deduplicated/cell:memory=2s:target=1s:timeout=3s"]
-        {
+        for text in [
+            "a:redeliverable:target=1.2s:timeout=4s",
+            "b:deduplicated/cell:memory=2s:target=1s:timeout=3s",
+        ] {
             let op = op_terms(text).unwrap();
             assert_eq!(op_terms(&op_flag(&op)).unwrap(), op);
         }
--- a/crates/spokeflow-router/tests/carry.rs
+++ b/crates/spokeflow-router/tests/carry.rs
@@ -32,7 +32,8 @@
 
 impl Folder {
     fn new(name: &str, old: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("spokeflow-move-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("spokeflow-move-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         std::fs::write(path.join("old.env"), old).unwrap();
         Folder(path)
@@ -40,7 +41,13 @@
 
     fn program(&self, more: &[&str]) -> MoveProgram {
         let (from, to) = (self.0.join("old.env"), self.0.join("new.env"));
-        let line = ["move", "--from", from.to_str().unwrap(), "--to", to.to_str().unwrap()];
+        let line = [
+            "move",
+            "--from",
+            from.to_str().unwrap(),
+            "--to",
+            to.to_str().unwrap(),
+        ];
         MoveProgram::parse_from(line.iter().chain(more))
     }
 
@@ -60,14 +67,38 @@
     let base = "SPOKEFLOW_LIST=127.0.0.1:1\nSPOKEFLOW_DESK=127.0.0.1:2\n\
                 SPOKEFLOW_OP=a:redeliverable:target=1s:timeout=4s\n";
     let cases = [
-        ("SPOKEFLOW_LISTT=1", "line 4: SPOKEFLOW_LISTT: not a setting"),
-        ("SPOKEFLOW_SITE=1\nSPOKEFLOW_SITE=2", "line 5: SPOKEFLOW_SITE: given before, on line 4"),
-        ("no setting at all", "line 4: 'no setting at all' is not NAME=VALUE"),
-        ("SPOKEFLOW_SITE=\"1", "line 4: SPOKEFLOW_SITE: the quote does not end"),
-        ("SPOKEFLOW_SITE=here", "line 4: SPOKEFLOW_SITE: invalid value 'here'"),
-        ("SPOKEFLOW_MAY_PROBE=yes", "line 4: SPOKEFLOW_MAY_PROBE: 'yes' is neither true nor false"),
-        ("SPOKEFLOW_COLD_FROM=0", "line 4: SPOKEFLOW_COLD_FROM: --cold-from: "),
-        ("SPOKEFLOW_BACK_VOTES=3", "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 of 1 routers"),
+        (
+            "SPOKEFLOW_LISTT=1",
+            "line 4: SPOKEFLOW_LISTT: not a setting",
+        ),
+        (
+            "SPOKEFLOW_SITE=1\nSPOKEFLOW_SITE=2",
+            "line 5: SPOKEFLOW_SITE: given before, on line 4",
+        ),
+        (
+            "no setting at all",
+            "line 4: 'no setting at all' is not NAME=VALUE",
+        ),
+        (
+            "SPOKEFLOW_SITE=\"1",
+            "line 4: SPOKEFLOW_SITE: the quote does not end",
+        ),
+        (
+            "SPOKEFLOW_SITE=here",
+            "line 4: SPOKEFLOW_SITE: invalid value 'here'",
+        ),
+        (
+            "SPOKEFLOW_MAY_PROBE=yes",
+            "line 4: SPOKEFLOW_MAY_PROBE: 'yes' is neither true nor false",
+        ),
+        (
+            "SPOKEFLOW_COLD_FROM=0",
+            "line 4: SPOKEFLOW_COLD_FROM: --cold-from: ",
+        ),
+        (
+            "SPOKEFLOW_BACK_VOTES=3",
+            "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 of 1 routers",
+        ),
     ];
     for (more, said) in cases {
         let folder = Folder::new("faults", &format!("{base}{more}\n"));
@@ -78,11 +109,17 @@
     }
     let missing = Folder::new("missing", "SPOKEFLOW_LIST=127.0.0.1:1\n");
     let faults = carry(&missing.program(&[])).unwrap_err();
-    assert_eq!(faults.0, ["SPOKEFLOW_DESK: missing", "SPOKEFLOW_OP: missing"]);
+    assert_eq!(
+        faults.0,
+        ["SPOKEFLOW_DESK: missing", "SPOKEFLOW_OP: missing"]
+    );
     // What is wrong only in the new shape is found as well, before anything is written.
     let folder = Folder::new("new", OLD);
     let faults = carry(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
-    assert_eq!(faults.0, ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 of 4 routers"]);
+    assert_eq!(
+        faults.0,
+        ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 of 4 routers"]
+    );
     assert_eq!(folder.files(), 1);
 }
 
@@ -93,9 +130,17 @@
     assert_eq!(folder.files(), 1);
     for (line, name) in [(5, "FORWARD_ONLY"), (9, "MAY_TELL"), (10, "PEER")] {
         let said = format!("line {line}: SPOKEFLOW_{name}: not carried over");
-        assert!(notes.iter().any(|n| n.starts_with(&said)), "{said}: {notes:?}");
+        assert!(
+            notes.iter().any(|n| n.starts_with(&said)),
+            "{said}: {notes:?}"
+        );
     }
-    assert!(notes.iter().any(|n| n.starts_with("SPOKEFLOW_GATE: not in the file")), "{notes:?}");
+    assert!(
+        notes
+            .iter()
+            .any(|n| n.starts_with("SPOKEFLOW_GATE: not in the file")),
+        "{notes:?}"
+    );
     let to = folder.0.join("new.env");
     std::fs::write(&to, "mine").unwrap();
     let faults = carry(&folder.program(&[])).unwrap_err();
@@ -104,7 +149,10 @@
     carry(&folder.program(&["--replace"])).unwrap();
     let new = std::fs::read_to_string(&to).unwrap();
     assert_eq!((new.as_str(), folder.files()), (would.as_str(), 2));
-    assert_eq!(std::fs::read_to_string(folder.0.join("old.env")).unwrap(), OLD);
+    assert_eq!(
+        std::fs::read_to_string(folder.0.join("old.env")).unwrap(),
+        OLD
+    );
     let terms = checked(&read(&new).unwrap()).unwrap();
     let s = &terms.service;
     assert!(s.beside && s.host_reports && s.desk_counts && s.host_sizes);
@@ -159,7 +207,12 @@
         .kill_on_drop(true)
         .spawn()
         .unwrap();
-    let said = BufReader::new(router.stdout.take().unwrap()).lines().next_line().await.unwrap().unwrap();
+    let said = BufReader::new(router.stdout.take().unwrap())
+        .lines()
+        .next_line()
+        .await
+        .unwrap()
+        .unwrap();
     let address = said.strip_prefix("listening on ").unwrap().to_string();
 
     let (mut list, hello) = called::<ToList, FromList>(&list, LIST_LIMIT, FromList::Welcome).await;
@@ -174,17 +227,35 @@
         incarnation: 1,
         up_us: None,
     };
-    list.send(FromList::Whole { version: 1, lines: vec![line(0, 1), line(1, 2)] }).await.unwrap();
+    list.send(FromList::Whole {
+        version: 1,
+        lines: vec![line(0, 1), line(1, 2)],
+    })
+    .await
+    .unwrap();
     let odd = vec![(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
     list.send(FromList::Sizes { sizes: odd }).await.unwrap();
     let (mut desk, hello) = called::<ToDesk, FromDesk>(&desk, WORK_LIMIT, FromDesk::Welcome).await;
     assert!(matches!(hello, ToDesk::Hello(h) if h.takes_more()));
-    let news = |build, standing, cap| News { build, stage: 0, standing, cap, age_us: 0 };
-    desk.send(FromDesk::News(news(1, NewsStanding::Released, 1.0))).await.unwrap();
+    let news = |build, standing, cap| News {
+        build,
+        stage: 0,
+        standing,
+        cap,
+        age_us: 0,
+    };
+    desk.send(FromDesk::News(news(1, NewsStanding::Released, 1.0)))
+        .await
+        .unwrap();
 
     // The host of the earlier build answers, with a report before each ack.
     let host = async {
-        let welcome = FromHost::Welcome { host: 0, build: 1, incarnation: 1, up_us: 60_000_000 };
+        let welcome = FromHost::Welcome {
+            host: 0,
+            build: 1,
+            incarnation: 1,
+            up_us: 60_000_000,
+        };
         let (mut host, hello) = called::<ToHost, FromHost>(&hosts[0], WORK_LIMIT, welcome).await;
         assert!(matches!(hello, ToHost::Hello(h) if h.takes_more()));
         while let Some(Ok(message)) = host.next().await {
@@ -196,29 +267,65 @@
     };
     let talk = async {
         let stream = TcpStream::connect(&address).await.unwrap();
-        let mut client: Peer<ToClient, FromClient> = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        client.send(FromClient::Hello(Hello::new(Role::Client, 0, 1))).await.unwrap();
+        let mut client: Peer<ToClient, FromClient> =
+            Framed::new(stream, FrameCodec::new(WORK_LIMIT));
+        client
+            .send(FromClient::Hello(Hello::new(Role::Client, 0, 1)))
+            .await
+            .unwrap();
         assert_eq!(client.next().await.unwrap().unwrap(), ToClient::Welcome);
         for id in 1..=20 {
-            let command =
-                Command { id, op: 0, share: 0, key: id, mark: 0, left_us: 3_000_000, body: "x".into() };
+            let command = Command {
+                id,
+                op: 0,
+                share: 0,
+                key: id,
+                mark: 0,
+                left_us: 3_000_000,
+                body: "x".into(),
+            };
             client.send(FromClient::Command(command)).await.unwrap();
-            let answer = timeout(SOON, client.next()).await.expect("in time").unwrap().unwrap();
-            assert!(matches!(answer, ToClient::Acked { id: n, .. } if n == id), "{answer:?}");
+            let answer = timeout(SOON, client.next())
+                .await
+                .expect("in time")
+                .unwrap()
+                .unwrap();
+            assert!(
+                matches!(answer, ToClient::Acked { id: n, .. } if n == id),
+                "{answer:?}"
+            );
         }
         // Build 2 comes on trial; this router sees none of it, the desk counts that it fails.
-        desk.send(FromDesk::News(news(2, NewsStanding::OnTrial, 0.0))).await.unwrap();
+        desk.send(FromDesk::News(news(2, NewsStanding::OnTrial, 0.0)))
+            .await
+            .unwrap();
         for _ in 0..4 {
             for (build, op) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
                 let lost = 6 * u32::from(build == 2);
-                let count = Count { build, op, sampled: 12, lost, mean_us: 90_000, age_us: 600_000 };
+                let count = Count {
+                    build,
+                    op,
+                    sampled: 12,
+                    lost,
+                    mean_us: 90_000,
+                    age_us: 600_000,
+                };
                 desk.send(FromDesk::Counted(count)).await.unwrap();
             }
             sleep(Duration::from_millis(300)).await;
         }
         loop {
-            match timeout(SOON, desk.next()).await.expect("a vote").unwrap().unwrap() {
-                ToDesk::Vote { build: 2, verdict: BallotVerdict::Back, .. } => break,
+            match timeout(SOON, desk.next())
+                .await
+                .expect("a vote")
+                .unwrap()
+                .unwrap()
+            {
+                ToDesk::Vote {
+                    build: 2,
+                    verdict: BallotVerdict::Back,
+                    ..
+                } => break,
                 ToDesk::Vote { ballot, .. } => {
                     let result = BallotResult::Counted;
                     desk.send(FromDesk::Voted { ballot, result }).await.unwrap();
--- a/crates/spokeflow-router/tests/crossings.rs
+++ b/crates/spokeflow-router/tests/crossings.rs
@@ -13,8 +13,13 @@
 use tokio::time::{sleep, timeout};
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { timeout(Duration::from_secs(60), test).await }).expect("the test ends in time");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime
+        .block_on(async { timeout(Duration::from_secs(60), test).await })
+        .expect("the test ends in time");
 }
 
 fn keyed(told: String) -> String {
@@ -25,13 +30,18 @@
 }
 
 fn with_key(id: &str) -> String {
-    seal(id).replace("Content-Length", &format!("Idempotency-Key: key-{id}\r\nContent-Length"))
+    seal(id).replace(
+        "Content-Length",
+        &format!("Idempotency-Key: key-{id}\r\nContent-Length"),
+    )
 }
 
 /// Until the other side ends the connection.
 async fn closed(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let _ = timeout(SOON, stream.read_to_end(&mut bytes)).await.expect("closed in time");
+    let _ = timeout(SOON, stream.read_to_end(&mut bytes))
+        .await
+        .expect("closed in time");
     bytes
 }
 
@@ -48,10 +58,15 @@
         let scene = Scene::start_with(hosts.clone(), &desk, 256, keyed).await;
         assert_eq!(scene.status(&with_key("a")).await, Some(200));
         let heard = host.heard.lock().unwrap()[0].clone();
-        assert_eq!(heard.matches("\r\nIdempotency-Key: key-a\r\n").count(), 1, "{heard}");
+        assert_eq!(
+            heard.matches("\r\nIdempotency-Key: key-a\r\n").count(),
+            1,
+            "{heard}"
+        );
         // Without one, or with two, a host could not tell a repeat.
         assert_eq!(scene.status(&seal("b")).await, Some(400));
-        let two = with_key("c").replace("Content-Length", "Idempotency-Key: other\r\nContent-Length");
+        let two =
+            with_key("c").replace("Content-Length", "Idempotency-Key: other\r\nContent-Length");
         assert_eq!(scene.status(&two).await, Some(400));
         assert_eq!(host.count(), 1);
         // "A request that is unsafe to repeat uses POST, with no idempotency key."
@@ -66,7 +81,10 @@
 /// A host that answers only when it is told to.
 async fn holding() -> (Host, watch::Sender<bool>) {
     let (release, released) = watch::channel(false);
-    (Host::start(move |_| Deed::SayOnce(released.clone(), ok("held"))).await, release)
+    (
+        Host::start(move |_| Deed::SayOnce(released.clone(), ok("held"))).await,
+        release,
+    )
 }
 
 /// A router with one command that its host holds until it is told to answer.
@@ -81,14 +99,28 @@
 }
 
 async fn served_and_ended(scene: &mut Scene, held: &mut TcpStream) {
-    assert_eq!(status(&timeout(SOON, read_message(held)).await.unwrap().unwrap()), Some(200));
-    assert!(timeout(SOON, scene.child.wait()).await.unwrap().unwrap().success());
+    assert_eq!(
+        status(&timeout(SOON, read_message(held)).await.unwrap().unwrap()),
+        Some(200)
+    );
+    assert!(timeout(SOON, scene.child.wait())
+        .await
+        .unwrap()
+        .unwrap()
+        .success());
 }
 
 /// SIGTERM, and then until the router has closed a connection that nobody used.
 async fn close_idle(scene: &Scene) {
     let mut idle = scene.connect().await;
-    assert_eq!(status(&exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n").await.unwrap()), Some(200));
+    assert_eq!(
+        status(
+            &exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n")
+                .await
+                .unwrap()
+        ),
+        Some(200)
+    );
     scene.signal("-TERM");
     closed(&mut idle).await;
 }
@@ -111,7 +143,10 @@
         half.write_all(rest.as_bytes()).await.unwrap();
         sleep(Duration::from_millis(50)).await;
         scene.signal("-CONT");
-        let answer = timeout(SOON, read_message(&mut half)).await.unwrap().expect("an answer and no close");
+        let answer = timeout(SOON, read_message(&mut half))
+            .await
+            .unwrap()
+            .expect("an answer and no close");
         assert_eq!(status(&answer), Some(503), "{answer}");
         served_and_ended(&mut scene, &mut held).await;
     });
@@ -130,7 +165,10 @@
         queued.write_all(read("queued").as_bytes()).await.unwrap();
         sleep(Duration::from_millis(700)).await;
         scene.signal("-CONT");
-        let answer = timeout(SOON, read_message(&mut queued)).await.unwrap().expect("an answer and no close");
+        let answer = timeout(SOON, read_message(&mut queued))
+            .await
+            .unwrap()
+            .expect("an answer and no close");
         assert!(matches!(status(&answer), Some(200 | 503)), "{answer}");
         release.send(true).unwrap();
         served_and_ended(&mut scene, &mut held).await;
@@ -150,7 +188,10 @@
         let mut clients = Vec::new();
         for request in [read("r"), seal("s")] {
             let mut client = scene.connect().await;
-            client.write_all(request.replace("4000m", "30000m").as_bytes()).await.unwrap();
+            client
+                .write_all(request.replace("4000m", "30000m").as_bytes())
+                .await
+                .unwrap();
             clients.push(client);
         }
         host.heard(2).await;
@@ -158,11 +199,22 @@
         scene.signal("-TERM");
         // Trying again is harmless for the one, and not for the other, which a host has.
         for (client, told) in clients.iter_mut().zip([503, 502]) {
-            let answer = timeout(SOON, read_message(client)).await.unwrap().expect("an answer and no close");
+            let answer = timeout(SOON, read_message(client))
+                .await
+                .unwrap()
+                .expect("an answer and no close");
             assert_eq!(status(&answer), Some(told));
         }
-        assert!(begun.elapsed() < Duration::from_millis(3_700), "{:?}", begun.elapsed());
-        assert!(timeout(SOON, scene.child.wait()).await.unwrap().unwrap().success());
+        assert!(
+            begun.elapsed() < Duration::from_millis(3_700),
+            "{:?}",
+            begun.elapsed()
+        );
+        assert!(timeout(SOON, scene.child.wait())
+            .await
+            .unwrap()
+            .unwrap()
+            .success());
         assert_eq!(host.count(), 2);
     });
 }
@@ -175,7 +227,10 @@
         let (desk, _) = deployer(vec![]).await;
         let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
         let mut client = scene.connect().await;
-        client.write_all(format!("{}{}", read("a"), seal("b")).as_bytes()).await.unwrap();
+        client
+            .write_all(format!("{}{}", read("a"), seal("b")).as_bytes())
+            .await
+            .unwrap();
         host.heard(1).await;
         scene.signal("-TERM");
         while scene.status("GET /up HTTP/1.1\r\n\r\n").await == Some(200) {}
@@ -214,7 +269,10 @@
             n += 1;
             scene.status(&read(&format!("r{n}"))).await;
         }
-        assert!(second.count() > 0, "the configuration that SIGHUP told of was not read");
+        assert!(
+            second.count() > 0,
+            "the configuration that SIGHUP told of was not read"
+        );
     });
 }
 
@@ -262,7 +320,9 @@
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
         for n in 0.. {
-            let Ok((mut stream, _)) = listener.accept().await else { return };
+            let Ok((mut stream, _)) = listener.accept().await else {
+                return;
+            };
             if read_message(&mut stream).await.is_some() {
                 tokio::spawn(script(n, stream));
             }
@@ -300,7 +360,9 @@
                 // White space may stand here, so that nothing tells it from a list that goes on.
                 let half = &whole[..whole.find('[').unwrap() + 1];
                 let first = if n == 0 { half } else { &whole };
-                let _ = stream.write_all(format!("{HEAD}{}", chunk(first)).as_bytes()).await;
+                let _ = stream
+                    .write_all(format!("{HEAD}{}", chunk(first)).as_bytes())
+                    .await;
                 while stream.write_all(chunk("\n").as_bytes()).await.is_ok() {
                     sleep(Duration::from_millis(300)).await;
                 }
@@ -311,7 +373,11 @@
         let begun = Instant::now();
         let scene = Scene::start_with(String::new(), &desk, 256, at_discovery(&discovery)).await;
         assert_eq!(*reopened.borrow_and_update(), 2);
-        assert!(begun.elapsed() < Duration::from_millis(5_900), "{:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_millis(5_900),
+            "{:?}",
+            begun.elapsed()
+        );
         assert_eq!(scene.status(&read("a")).await, Some(200));
     });
 }
@@ -327,7 +393,9 @@
             let whole = whole.clone();
             async move {
                 if n >= 3 {
-                    let _ = stream.write_all(format!("{HEAD}{}", chunk(&whole)).as_bytes()).await;
+                    let _ = stream
+                        .write_all(format!("{HEAD}{}", chunk(&whole)).as_bytes())
+                        .await;
                 }
                 sleep(Duration::from_secs(30)).await;
             }
@@ -336,7 +404,11 @@
         let (desk, _) = deployer(vec![]).await;
         let begun = Instant::now();
         let scene = Scene::start_with(String::new(), &desk, 256, at_discovery(&discovery)).await;
-        assert!(begun.elapsed() < Duration::from_millis(4_000), "{:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_millis(4_000),
+            "{:?}",
+            begun.elapsed()
+        );
         assert_eq!(scene.status(&read("a")).await, Some(200));
     });
 }
@@ -350,15 +422,20 @@
         let good = Host::start(|_| Deed::Say(ok("good"))).await;
         let newest = Host::start(|_| Deed::Say(ok("newest"))).await;
         let (desk, _) = deployer(vec![]).await;
-        let before =
-            [("s-a", drained.address.as_str(), "Terminating", 1), ("s-b", &*good.address, "Ready", 1)];
+        let before = [
+            ("s-a", drained.address.as_str(), "Terminating", 1),
+            ("s-b", &*good.address, "Ready", 1),
+        ];
         let scene = Scene::start(list(9, &before), &desk, 256).await;
         let change = |revision, id, host: &Host| {
             list(revision, &[(id, &host.address, "Ready", 1)])
                 .replace("\"complete\":true", "\"complete\":false")
         };
-        let told =
-            format!("{HEAD}{}{}", chunk(&change(5, "s-a", &drained)), chunk(&change(10, "s-c", &newest)));
+        let told = format!(
+            "{HEAD}{}{}",
+            chunk(&change(5, "s-a", &drained)),
+            chunk(&change(10, "s-c", &newest))
+        );
         let lagging = scripted(move |_, mut stream| {
             let told = told.clone();
             async move {
@@ -377,7 +454,12 @@
             assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200));
         }
         assert!(newest.count() >= 10);
-        assert_eq!(drained.count(), 0, "a host that drains was given {} commands", drained.count());
+        assert_eq!(
+            drained.count(),
+            0,
+            "a host that drains was given {} commands",
+            drained.count()
+        );
     });
 }
 
@@ -395,7 +477,13 @@
 
 async fn beside_late(late: &LateHost, change: impl Fn(String) -> String) -> Scene {
     let (desk, _) = deployer(vec![]).await;
-    Scene::start_with(list(1, &[("s-a", &late.host.address, "Ready", 1)]), &desk, 256, change).await
+    Scene::start_with(
+        list(1, &[("s-a", &late.host.address, "Ready", 1)]),
+        &desk,
+        256,
+        change,
+    )
+    .await
 }
 
 /// The time left was told as of the module's call; a host went on for a second after its client had gone.
@@ -409,12 +497,20 @@
         late.wanted().await;
         let called = Instant::now();
         late.let_go();
-        let answer = timeout(SOON, read_message(&mut client)).await.unwrap().unwrap();
+        let answer = timeout(SOON, read_message(&mut client))
+            .await
+            .unwrap()
+            .unwrap();
         assert_eq!((status(&answer), body(&answer)), (Some(200), "late"));
         let heard = late.host.heard.lock().unwrap()[0].clone();
-        let told = heard.lines().find_map(|l| l.strip_prefix("Request-Timeout: ")?.strip_suffix('u'));
+        let told = heard
+            .lines()
+            .find_map(|l| l.strip_prefix("Request-Timeout: ")?.strip_suffix('u'));
         let left = Duration::from_micros(told.unwrap().parse().unwrap());
-        assert!(called.elapsed() > Duration::from_millis(300), "it was not late");
+        assert!(
+            called.elapsed() > Duration::from_millis(300),
+            "it was not late"
+        );
         // What passed after the writing is not in it, nor what passed before the look at the connection.
         assert!(
             left + called.elapsed() < Duration::from_millis(4_100),
@@ -452,7 +548,10 @@
         let late = LateHost::start().await;
         let scene = beside_late(&late, patient).await;
         let mut client = scene.connect().await;
-        client.write_all(format!("{}{}", read("a"), read("b")).as_bytes()).await.unwrap();
+        client
+            .write_all(format!("{}{}", read("a"), read("b")).as_bytes())
+            .await
+            .unwrap();
         late.wanted().await;
         drop(client);
         gone(&scene).await;
@@ -489,7 +588,10 @@
                 loop {
                     let line = format!("* news {}\r\n", *told.borrow_and_update());
                     stream.write_all(line.as_bytes()).await.ok()?;
-                    while timeout(Duration::from_secs(1), told.changed()).await.is_err() {
+                    while timeout(Duration::from_secs(1), told.changed())
+                        .await
+                        .is_err()
+                    {
                         stream.write_all(b"*\r\n").await.ok()?;
                     }
                 }
@@ -506,16 +608,23 @@
         let old = Host::start(|_| Deed::Say(ok("old"))).await;
         let late = LateHost::start().await;
         let (desk, tell) = telling("2 0 IN_PROGRESS 0.5 10").await;
-        let hosts = [("s-a", old.address.as_str(), "Ready", 1), ("s-b", &*late.host.address, "Ready", 2)];
+        let hosts = [
+            ("s-a", old.address.as_str(), "Ready", 1),
+            ("s-b", &*late.host.address, "Ready", 2),
+        ];
         // No second delivery beside the first, and none in its place: it is this one that must not leave.
-        let alone = |told| no_cancel(told).replace("\"parallel_tries\":true", "\"parallel_tries\":false");
+        let alone =
+            |told| no_cancel(told).replace("\"parallel_tries\":true", "\"parallel_tries\":false");
         let scene = Scene::start_with(list(1, &hosts), &desk, 256, alone).await;
         let mut clients = Vec::new();
         let wanted = late.wanted();
         tokio::pin!(wanted);
         for n in 0.. {
             let mut client = scene.connect().await;
-            client.write_all(read(&format!("r{n}")).as_bytes()).await.unwrap();
+            client
+                .write_all(read(&format!("r{n}")).as_bytes())
+                .await
+                .unwrap();
             clients.push(client);
             if timeout(Duration::from_millis(5), &mut wanted).await.is_ok() {
                 break;
@@ -532,7 +641,9 @@
         .await
         .expect("the router reads the news");
         // The router has read it, and this command comes after it.
-        let answer = exchange(&mut scene.connect().await, &read("after")).await.unwrap();
+        let answer = exchange(&mut scene.connect().await, &read("after"))
+            .await
+            .unwrap();
         assert_eq!(body(&answer), "old");
         late.let_go();
         for client in &mut clients {
@@ -556,13 +667,19 @@
         })
         .await;
         let (desk, _) = deployer(vec![]).await;
-        let hosts = [("s-a", breaks.address.as_str(), "Ready", 1), ("s-b", &*late.host.address, "Ready", 1)];
+        let hosts = [
+            ("s-a", breaks.address.as_str(), "Ready", 1),
+            ("s-b", &*late.host.address, "Ready", 1),
+        ];
         let change = |told| keyed(patient(told));
         let scene = Scene::start_with(list(1, &hosts), &desk, 256, change).await;
         let mut clients = Vec::new();
         for n in 0..8 {
             let mut client = scene.connect().await;
-            client.write_all(with_key(&format!("r{n}")).as_bytes()).await.unwrap();
+            client
+                .write_all(with_key(&format!("r{n}")).as_bytes())
+                .await
+                .unwrap();
             clients.push(client);
             // One after another, so that each sees what became of the one before.
             sleep(Duration::from_millis(20)).await;
@@ -571,15 +688,24 @@
         late.wanted().await;
         late.let_go();
         for client in &mut clients {
-            timeout(SOON, read_message(client)).await.unwrap().expect("a final answer");
+            timeout(SOON, read_message(client))
+                .await
+                .unwrap()
+                .expect("a final answer");
         }
         let id = |request: &String| {
-            request.lines().find_map(|l| l.strip_prefix("Request-Id: ").map(str::to_string)).unwrap()
+            request
+                .lines()
+                .find_map(|l| l.strip_prefix("Request-Id: ").map(str::to_string))
+                .unwrap()
         };
         let broken: Vec<String> = breaks.heard.lock().unwrap().iter().map(id).collect();
         let repeated: Vec<String> = late.host.heard.lock().unwrap().iter().map(id).collect();
         assert!(!broken.is_empty());
-        assert!(!repeated.iter().any(|id| broken.contains(id)), "{broken:?} then {repeated:?}");
+        assert!(
+            !repeated.iter().any(|id| broken.contains(id)),
+            "{broken:?} then {repeated:?}"
+        );
     });
 }
 
@@ -598,8 +724,13 @@
         let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
         let mut client = scene.connect().await;
         for n in 0..40 {
-            let answer = exchange(&mut client, &seal(&format!("r{n}"))).await.unwrap();
-            assert_eq!((status(&answer), body(&answer)), (Some(200), format!("answer {n}").as_str()));
+            let answer = exchange(&mut client, &seal(&format!("r{n}")))
+                .await
+                .unwrap();
+            assert_eq!(
+                (status(&answer), body(&answer)),
+                (Some(200), format!("answer {n}").as_str())
+            );
             sleep(Duration::from_millis(n % 4)).await;
         }
         assert_eq!(host.count(), 40);
@@ -637,15 +768,28 @@
         let scene = Scene::start(list(1, &[("s-a", &address, "Ready", 1)]), &desk, 256).await;
         let mut client = scene.connect().await;
         for n in 0..20 {
-            assert_eq!(status(&exchange(&mut client, &seal(&format!("a{n}"))).await.unwrap()), Some(200));
+            assert_eq!(
+                status(
+                    &exchange(&mut client, &seal(&format!("a{n}")))
+                        .await
+                        .unwrap()
+                ),
+                Some(200)
+            );
             // Long enough for the connection to be used again.
             sleep(Duration::from_millis(30)).await;
             scene.signal("-STOP");
             end.send(n).unwrap();
             sleep(Duration::from_millis(5)).await;
-            client.write_all(seal(&format!("b{n}")).as_bytes()).await.unwrap();
+            client
+                .write_all(seal(&format!("b{n}")).as_bytes())
+                .await
+                .unwrap();
             scene.signal("-CONT");
-            let answer = timeout(SOON, read_message(&mut client)).await.unwrap().unwrap();
+            let answer = timeout(SOON, read_message(&mut client))
+                .await
+                .unwrap()
+                .unwrap();
             assert_eq!(status(&answer), Some(200), "{n}");
         }
         assert_eq!(heard.load(std::sync::atomic::Ordering::Relaxed), 40);
@@ -673,7 +817,10 @@
         // The first of the silent ones has had to go.
         closed(&mut silent[0]).await;
         half.write_all(rest.as_bytes()).await.unwrap();
-        let answer = timeout(SOON, read_message(&mut half)).await.unwrap().expect("an answer and no close");
+        let answer = timeout(SOON, read_message(&mut half))
+            .await
+            .unwrap()
+            .expect("an answer and no close");
         assert_eq!(status(&answer), Some(200));
     });
 }
@@ -700,7 +847,9 @@
         let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
         let mut client = scene.connect().await;
         for id in ["a", "b"] {
-            let answer = exchange(&mut client, &format!("{}\r\n", seal(id))).await.unwrap();
+            let answer = exchange(&mut client, &format!("{}\r\n", seal(id)))
+                .await
+                .unwrap();
             assert_eq!(status(&answer), Some(200));
         }
         let mut all = Vec::new();
--- a/crates/spokeflow-router/tests/platform.rs
+++ b/crates/spokeflow-router/tests/platform.rs
@@ -9,8 +9,13 @@
 use tokio::time::{sleep, timeout};
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { timeout(Duration::from_secs(60), test).await }).expect("the test ends in time");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime
+        .block_on(async { timeout(Duration::from_secs(60), test).await })
+        .expect("the test ends in time");
 }
 
 /// One host, and a deployer that speaks as it should.
@@ -30,7 +35,11 @@
         assert_eq!((status(&first), body(&first)), (Some(200), "answer 0"));
         assert_eq!((status(&second), body(&second)), (Some(200), "answer 1"));
         let heard = host.heard.lock().unwrap().clone();
-        assert!(heard[0].starts_with("GET /read/kr1 HTTP/1.1\r\nRequest-Timeout: "), "{}", heard[0]);
+        assert!(
+            heard[0].starts_with("GET /read/kr1 HTTP/1.1\r\nRequest-Timeout: "),
+            "{}",
+            heard[0]
+        );
         assert!(heard[0].contains("\r\nRequest-Id: r1\r\n"));
         assert!(heard[1].starts_with("POST /seal/kr2 ") && heard[1].ends_with("\r\n\r\nbody"));
     });
@@ -45,7 +54,10 @@
         let scene = with_host(&host).await;
         let good = read("x");
         let without = |field: &str| {
-            let lines = good.split("\r\n").filter(|l| !l.starts_with(field)).collect::<Vec<_>>();
+            let lines = good
+                .split("\r\n")
+                .filter(|l| !l.starts_with(field))
+                .collect::<Vec<_>>();
             lines.join("\r\n")
         };
         let smuggled = "0\r\n\r\nPOST /seal/k HTTP/1.1\r\nRequest-Id: s\r\nRequest-Class: seal\r\nTenant: acme\r\nRequest-Timeout: 900m\r\nContent-Length: 0\r\n\r\n";
@@ -59,7 +71,8 @@
             good.replace("4000m", "soon"),
             good.replace("4000m", "-4m"),
             good.replace("4000m", "4000"),
-            good.replace("Class: read", "Class: nothing").replace("/read/", "/nothing/"),
+            good.replace("Class: read", "Class: nothing")
+                .replace("/read/", "/nothing/"),
             good.replace("/read/", "/seal/"),
             good.replace("GET", "POST"),
             good.replace("Tenant: acme", "Tenant: nobody"),
@@ -78,8 +91,14 @@
             let begun = Instant::now();
             let status = scene.status(&request).await;
             let shown: String = request.chars().take(200).collect();
-            assert!(status.is_none_or(|s| (400..600).contains(&s)), "{status:?} to {shown:?}");
-            assert!(begun.elapsed() < Duration::from_secs(3), "late to {shown:?}");
+            assert!(
+                status.is_none_or(|s| (400..600).contains(&s)),
+                "{status:?} to {shown:?}"
+            );
+            assert!(
+                begun.elapsed() < Duration::from_secs(3),
+                "late to {shown:?}"
+            );
         }
         assert_eq!(host.count(), 0, "{:?}", host.heard);
         assert_eq!(scene.status(&good).await, Some(200));
@@ -118,19 +137,32 @@
             let sick = Host::start(move |_| Deed::Say(bytes.to_vec())).await;
             let well = Host::start(|_| Deed::Say(ok("good"))).await;
             let (desk, _) = deployer(vec![]).await;
-            let both = [("s-a", &*sick.address, "Ready", 1), ("s-b", &*well.address, "Ready", 1)];
+            let both = [
+                ("s-a", &*sick.address, "Ready", 1),
+                ("s-b", &*well.address, "Ready", 1),
+            ];
             let scene = Scene::start(list(1, &both), &desk, 256).await;
             let mut n = 0;
             while sick.count() == 0 {
                 n += 1;
-                let answer = exchange(&mut scene.connect().await, &read(&format!("r{n}"))).await.unwrap();
-                assert_eq!((status(&answer), body(&answer)), (Some(200), "good"), "{bytes:?}");
+                let answer = exchange(&mut scene.connect().await, &read(&format!("r{n}")))
+                    .await
+                    .unwrap();
+                assert_eq!(
+                    (status(&answer), body(&answer)),
+                    (Some(200), "good"),
+                    "{bytes:?}"
+                );
             }
             scene.lines.send(list(2, &both[..1])).unwrap();
             sleep(Duration::from_millis(700)).await;
             let before = sick.count();
             assert_eq!(scene.status(&seal("once")).await, Some(502), "{bytes:?}");
-            assert_eq!(sick.count(), before + 1, "a command that must not run twice was sent again");
+            assert_eq!(
+                sick.count(),
+                before + 1,
+                "a command that must not run twice was sent again"
+            );
         }
     });
 }
@@ -147,8 +179,13 @@
         let scene = with_host(&host).await;
         let mut client = scene.connect().await;
         for n in 0..5 {
-            let answer = exchange(&mut client, &read(&format!("r{n}"))).await.unwrap();
-            assert_eq!((status(&answer), body(&answer)), (Some(200), format!("answer {n}").as_str()));
+            let answer = exchange(&mut client, &read(&format!("r{n}")))
+                .await
+                .unwrap();
+            assert_eq!(
+                (status(&answer), body(&answer)),
+                (Some(200), format!("answer {n}").as_str())
+            );
             sleep(Duration::from_millis(60)).await;
         }
     });
@@ -163,13 +200,19 @@
         drop(dead);
         let well = Host::start(|_| Deed::Say(ok("good"))).await;
         let (desk, _) = deployer(vec![]).await;
-        let hosts = [("s-a", nobody.as_str(), "Ready", 1), ("s-b", &*well.address, "Ready", 1)];
+        let hosts = [
+            ("s-a", nobody.as_str(), "Ready", 1),
+            ("s-b", &*well.address, "Ready", 1),
+        ];
         let scene = Scene::start(list(1, &hosts), &desk, 256).await;
         for n in 0..12 {
             assert_eq!(scene.status(&seal(&format!("c{n}"))).await, Some(200));
         }
         let breaks = Host::start(|_| Deed::Break).await;
-        scene.lines.send(list(2, &[("s-c", &breaks.address, "Ready", 1)])).unwrap();
+        scene
+            .lines
+            .send(list(2, &[("s-c", &breaks.address, "Ready", 1)]))
+            .unwrap();
         sleep(Duration::from_millis(200)).await;
         assert_eq!(scene.status(&seal("once")).await, Some(502));
         assert_eq!(breaks.count(), 1);
@@ -177,9 +220,14 @@
             Deed::Say(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
         })
         .await;
-        scene.lines.send(list(3, &[("s-d", &full.address, "Ready", 1)])).unwrap();
+        scene
+            .lines
+            .send(list(3, &[("s-d", &full.address, "Ready", 1)]))
+            .unwrap();
         sleep(Duration::from_millis(200)).await;
-        let refused = exchange(&mut scene.connect().await, &seal("full")).await.unwrap();
+        let refused = exchange(&mut scene.connect().await, &seal("full"))
+            .await
+            .unwrap();
         assert_eq!(status(&refused), Some(503));
         assert!(refused.contains("\r\nRetry-After: 0."), "{refused}");
     });
@@ -194,22 +242,40 @@
         let second = Host::start(|_| Deed::Say(ok("second"))).await;
         let scene = with_host(&first).await;
         assert_eq!(scene.status(&read("a")).await, Some(200));
-        scene.lines.send("{\"revision\":2,\"complete\":tr".into()).unwrap();
+        scene
+            .lines
+            .send("{\"revision\":2,\"complete\":tr".into())
+            .unwrap();
         sleep(Duration::from_millis(50)).await;
-        let moved = [("s-a", &*second.address, "Ready", 1), ("s-b", &*first.address, "Terminating", 1)];
+        let moved = [
+            ("s-a", &*second.address, "Ready", 1),
+            ("s-b", &*first.address, "Terminating", 1),
+        ];
         scene.lines.send(list(3, &moved)).unwrap();
         sleep(Duration::from_millis(400)).await;
         for n in 0..5 {
-            let answer = exchange(&mut scene.connect().await, &read(&format!("b{n}"))).await.unwrap();
+            let answer = exchange(&mut scene.connect().await, &read(&format!("b{n}")))
+                .await
+                .unwrap();
             assert_eq!(body(&answer), "second");
         }
         assert_eq!(first.count(), 1);
         // Lists may come indented: read line by line, each broke the watch and nothing was heard any more.
-        let back =
-            list(4, &[("s-a", &*second.address, "Terminating", 1), ("s-b", &*first.address, "Ready", 1)]);
-        scene.lines.send(back.replace(',', ",\n  ").replace('{', "{\n  ")).unwrap();
+        let back = list(
+            4,
+            &[
+                ("s-a", &*second.address, "Terminating", 1),
+                ("s-b", &*first.address, "Ready", 1),
+            ],
+        );
+        scene
+            .lines
+            .send(back.replace(',', ",\n  ").replace('{', "{\n  "))
+            .unwrap();
         sleep(Duration::from_millis(400)).await;
-        let answer = exchange(&mut scene.connect().await, &read("c")).await.unwrap();
+        let answer = exchange(&mut scene.connect().await, &read("c"))
+            .await
+            .unwrap();
         assert_eq!(body(&answer), "first");
     });
 }
@@ -220,19 +286,29 @@
         let first = Host::start(|_| Deed::Say(ok("first"))).await;
         let second = Host::start(|_| Deed::Say(ok("second"))).await;
         let scene = with_host(&first).await;
-        let (_lines, told) = tokio::sync::watch::channel(list(9, &[("s-b", &second.address, "Ready", 1)]));
+        let (_lines, told) =
+            tokio::sync::watch::channel(list(9, &[("s-b", &second.address, "Ready", 1)]));
         let (desk, heard) = deployer(vec![]).await;
         let file = scene.folder.join("config.json");
         std::fs::write(&file, "{ half a file").unwrap();
         scene.signal("-HUP");
         sleep(Duration::from_millis(100)).await;
         assert_eq!(scene.status(&read("a")).await, Some(200));
-        std::fs::write(&file, configuration(&scene.address, &discovery(told).await, &desk, 256)).unwrap();
+        std::fs::write(
+            &file,
+            configuration(&scene.address, &discovery(told).await, &desk, 256),
+        )
+        .unwrap();
         scene.signal("-HUP");
         sleep(Duration::from_millis(400)).await;
-        let answer = exchange(&mut scene.connect().await, &read("b")).await.unwrap();
+        let answer = exchange(&mut scene.connect().await, &read("b"))
+            .await
+            .unwrap();
         assert_eq!(body(&answer), "second");
-        assert_eq!(heard.lock().unwrap().first().map(String::as_str), Some("SUB"));
+        assert_eq!(
+            heard.lock().unwrap().first().map(String::as_str),
+            Some("SUB")
+        );
     });
 }
 
@@ -244,11 +320,21 @@
         let mut held = Vec::new();
         for n in 0..3 {
             let mut client = scene.connect().await;
-            client.write_all(read(&format!("r{n}")).as_bytes()).await.unwrap();
+            client
+                .write_all(read(&format!("r{n}")).as_bytes())
+                .await
+                .unwrap();
             held.push(client);
         }
         let mut idle = scene.connect().await;
-        assert_eq!(status(&exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n").await.unwrap()), Some(200));
+        assert_eq!(
+            status(
+                &exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n")
+                    .await
+                    .unwrap()
+            ),
+            Some(200)
+        );
         sleep(Duration::from_millis(100)).await;
         scene.signal("-TERM");
         while scene.status("GET /up HTTP/1.1\r\n\r\n").await == Some(200) {
@@ -259,7 +345,11 @@
             assert_eq!((status(&answer), body(&answer)), (Some(200), "late"));
             assert!(answer.contains("Connection: close"));
         }
-        assert!(timeout(SOON, scene.child.wait()).await.unwrap().unwrap().success());
+        assert!(timeout(SOON, scene.child.wait())
+            .await
+            .unwrap()
+            .unwrap()
+            .success());
     });
 }
 
@@ -278,7 +368,11 @@
             }
         }
         // Without room made for them they would wait until the silent ones' time is up.
-        assert!(begun.elapsed() < Duration::from_millis(1900), "{:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_millis(1900),
+            "{:?}",
+            begun.elapsed()
+        );
         for client in &mut silent {
             let closed = timeout(Duration::from_secs(3), read_message(client)).await;
             assert_eq!(closed.expect("closed in time"), None);
@@ -292,14 +386,26 @@
     run(async {
         let old = Host::start(|_| Deed::Say(ok("old"))).await;
         let new = Host::start(|_| Deed::Say(ok("new"))).await;
-        let noise =
-            vec!["\u{fffd}noise\r\n", "OK\r\n* news 2 0 SIDEWAYS 0.5 10\r\n", "OK\r\n* news 2 0 IN_PROG"];
+        let noise = vec![
+            "\u{fffd}noise\r\n",
+            "OK\r\n* news 2 0 SIDEWAYS 0.5 10\r\n",
+            "OK\r\n* news 2 0 IN_PROG",
+        ];
         let (desk, heard) = deployer(noise).await;
-        let hosts = [("s-a", &*old.address, "Ready", 1), ("s-b", &*new.address, "Ready", 2)];
+        let hosts = [
+            ("s-a", &*old.address, "Ready", 1),
+            ("s-b", &*new.address, "Ready", 2),
+        ];
         let scene = Scene::start(list(1, &hosts), &desk, 256).await;
         let begun = Instant::now();
         let mut n = 0;
-        let voted = || heard.lock().unwrap().iter().any(|line| line == "SAY 2 0 on");
+        let voted = || {
+            heard
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|line| line == "SAY 2 0 on")
+        };
         while !voted() && begun.elapsed() < SOON {
             n += 1;
             assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200));
@@ -312,13 +418,17 @@
 
 #[test]
 fn a_file_that_does_not_fit_ends_the_start_with_one_line() {
-    let folder = std::env::temp_dir().join(format!("spokeflow-platform-bad-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("spokeflow-platform-bad-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let good = configuration("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 256);
     for (text, says) in [
         ("{".to_string(), "--config"),
         (good.replace("COMPLETE", "ELSEWHERE"), "deployer.news"),
-        (good.replace("\"sockets\":256", "\"sockets\":10"), "limits.sockets"),
+        (
+            good.replace("\"sockets\":256", "\"sockets\":10"),
+            "limits.sockets",
+        ),
         (good.replace("\"single\"", "\"whoever\""), "gate_mode"),
         (good.replace("\"name\":\"n0\"", "\"name\":\"n1\""), "--name"),
     ] {
@@ -330,7 +440,11 @@
             .output()
             .unwrap();
         let told = String::from_utf8_lossy(&ended.stderr).to_string();
-        assert_eq!((ended.status.code(), told.lines().count()), (Some(2), 1), "{told}");
+        assert_eq!(
+            (ended.status.code(), told.lines().count()),
+            (Some(2), 1),
+            "{told}"
+        );
         assert!(told.contains(says), "{told}");
     }
     let _ = std::fs::remove_dir_all(&folder);
@@ -344,7 +458,11 @@
         let (desk, _) = deployer(vec![]).await;
         let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 27).await;
         for n in 0..6 {
-            assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200), "{n}");
+            assert_eq!(
+                scene.status(&read(&format!("r{n}"))).await,
+                Some(200),
+                "{n}"
+            );
         }
     });
 }
@@ -356,21 +474,41 @@
     run(async {
         let host = Host::start(|_| Deed::Say(ok("good"))).await;
         let (desk, _) = deployer(vec![]).await;
-        let named = |from: usize| (from..from + 1500).map(|n| format!("s-{n:08x}")).collect::<Vec<_>>();
+        let named = |from: usize| {
+            (from..from + 1500)
+                .map(|n| format!("s-{n:08x}"))
+                .collect::<Vec<_>>()
+        };
         let (first, second) = (named(0), named(750));
         let lines = |names: &[String], phase| {
-            let members: Vec<_> =
-                names.iter().map(|name| (name.as_str(), host.address.as_str(), phase, 1)).collect();
+            let members: Vec<_> = names
+                .iter()
+                .map(|name| (name.as_str(), host.address.as_str(), phase, 1))
+                .collect();
             list(1, &members)
         };
         let scene = Scene::start(lines(&first, "Ready"), &desk, 256).await;
         let mut client = scene.connect().await;
         for n in 0..20 {
-            assert_eq!(status(&exchange(&mut client, &read(&format!("a{n}"))).await.unwrap()), Some(200));
+            assert_eq!(
+                status(
+                    &exchange(&mut client, &read(&format!("a{n}")))
+                        .await
+                        .unwrap()
+                ),
+                Some(200)
+            );
         }
         scene.lines.send(lines(&second, "Ready")).unwrap();
         for n in 0..20 {
-            assert_eq!(status(&exchange(&mut client, &read(&format!("b{n}"))).await.unwrap()), Some(200));
+            assert_eq!(
+                status(
+                    &exchange(&mut client, &read(&format!("b{n}")))
+                        .await
+                        .unwrap()
+                ),
+                Some(200)
+            );
         }
     });
 }
@@ -383,7 +521,10 @@
     run(async {
         let host = Host::start(|_| Deed::SayAfter(Duration::from_millis(150), ok("good"))).await;
         let (desk, _) = deployer(vec![]).await;
-        let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
+        let started = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap()
+            .as_millis();
         let cold = list(1, &[("s-a", &host.address, "Ready", 1)])
             .replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{started}"));
         let begun = Instant::now();
@@ -399,14 +540,24 @@
         for round in 0..10 {
             for (n, scene) in scenes.iter().enumerate() {
                 let mut client = scene.connect().await;
-                client.write_all(read(&format!("r{n}-{round}")).as_bytes()).await.unwrap();
+                client
+                    .write_all(read(&format!("r{n}-{round}")).as_bytes())
+                    .await
+                    .unwrap();
                 tokio::spawn(async move { read_message(&mut client).await });
             }
             sleep(Duration::from_millis(100)).await;
         }
-        assert!(begun.elapsed() < Duration::from_millis(2_900), "within the told span");
+        assert!(
+            begun.elapsed() < Duration::from_millis(2_900),
+            "within the told span"
+        );
         // One command in a service target of 1 s, by 3 for 3 s at 0.31 of that: 2.8, and chance on top, 3 roots and 3.
-        assert!(host.count() <= 11, "{} of 120 commands reached the cold host", host.count());
+        assert!(
+            host.count() <= 11,
+            "{} of 120 commands reached the cold host",
+            host.count()
+        );
         sleep(Duration::from_secs(5).saturating_sub(begun.elapsed())).await;
         for (n, scene) in scenes.iter().enumerate() {
             assert_eq!(scene.status(&read(&format!("warm{n}"))).await, Some(200));
--- a/crates/spokeflow-router/tests/scene/mod.rs
+++ b/crates/spokeflow-router/tests/scene/mod.rs
@@ -32,7 +32,11 @@
 }
 
 pub fn ok(body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 type Script = Arc<dyn Fn(usize) -> Deed + Send + Sync>;
@@ -112,9 +116,12 @@
     loop {
         let text = String::from_utf8_lossy(&bytes).to_string();
         if let Some((head, rest)) = text.split_once("\r\n\r\n") {
-            let length = head
-                .lines()
-                .find_map(|l| l.to_ascii_lowercase().strip_prefix("content-length: ")?.parse().ok());
+            let length = head.lines().find_map(|l| {
+                l.to_ascii_lowercase()
+                    .strip_prefix("content-length: ")?
+                    .parse()
+                    .ok()
+            });
             if rest.len() >= length.unwrap_or(0) {
                 return Some(text);
             }
@@ -135,7 +142,10 @@
             )
         })
         .collect();
-    format!(r#"{{"revision":{revision},"complete":true,"members":[{}]}}"#, members.join(","))
+    format!(
+        r#"{{"revision":{revision},"complete":true,"members":[{}]}}"#,
+        members.join(",")
+    )
 }
 
 /// Discovery: tells each line that is set, and a sign of life between.
@@ -147,7 +157,10 @@
             let mut lines = lines.clone();
             tokio::spawn(async move {
                 read_message(&mut stream).await?;
-                stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .await
+                    .ok()?;
                 loop {
                     let line = format!("{}\n", *lines.borrow_and_update());
                     let chunk = format!("{:x}\r\n{line}\r\n", line.len());
@@ -223,7 +236,9 @@
         let listener = socket.listen(0).unwrap();
         let address = listener.local_addr().unwrap();
         let mut fills = Vec::new();
-        while let Ok(Ok(fill)) = timeout(Duration::from_millis(200), TcpStream::connect(address)).await {
+        while let Ok(Ok(fill)) =
+            timeout(Duration::from_millis(200), TcpStream::connect(address)).await
+        {
             fills.push(fill);
         }
         let (let_go, mut released) = watch::channel(false);
@@ -243,12 +258,25 @@
                 });
             }
         });
-        LateHost { host: Host { address: address.to_string(), heard }, let_go }
+        LateHost {
+            host: Host {
+                address: address.to_string(),
+                heard,
+            },
+            let_go,
+        }
     }
 
     /// Until a connection to it is being made.
     pub async fn wanted(&self) {
-        let port: u16 = self.host.address.rsplit(':').next().unwrap().parse().unwrap();
+        let port: u16 = self
+            .host
+            .address
+            .rsplit(':')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
         timeout(SOON, async {
             while !sockets_to(port).iter().any(|(state, _)| *state == SYN_SENT) {
                 sleep(Duration::from_millis(2)).await;
@@ -269,9 +297,13 @@
 pub fn sockets_to(port: u16) -> Vec<(u8, u64)> {
     let hex = |text: &str| u64::from_str_radix(text, 16).unwrap();
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let rows = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
+    let rows = table
+        .lines()
+        .skip(1)
+        .map(|row| row.split_whitespace().collect::<Vec<_>>());
     let to = rows.filter(|row| hex(row[2].split_once(':').unwrap().1) == u64::from(port));
-    to.map(|row| (hex(row[3]) as u8, hex(row[4].split_once(':').unwrap().1))).collect()
+    to.map(|row| (hex(row[3]) as u8, hex(row[4].split_once(':').unwrap().1)))
+        .collect()
 }
 
 impl Drop for Scene {
@@ -310,7 +342,11 @@
         change: impl Fn(String) -> String,
     ) -> Scene {
         let scene = Scene::laid(list, |address, discovery, file| {
-            std::fs::write(file, change(configuration(address, discovery, deployer, sockets))).unwrap();
+            std::fs::write(
+                file,
+                change(configuration(address, discovery, deployer, sockets)),
+            )
+            .unwrap();
         })
         .await;
         scene.up().await;
@@ -320,7 +356,11 @@
     /// One whose configuration is a pipe: each reading of it waits for [`Scene::tell`].
     pub async fn waiting() -> Scene {
         Scene::laid(String::new(), |_, _, file| {
-            assert!(std::process::Command::new("mkfifo").arg(file).status().unwrap().success());
+            assert!(std::process::Command::new("mkfifo")
+                .arg(file)
+                .status()
+                .unwrap()
+                .success());
         })
         .await
     }
@@ -345,7 +385,11 @@
     /// Ends one reading with this text; the next one waits at a pipe of its own, so that two cannot run together.
     pub fn tell(&self, mut pipe: std::fs::File, text: &str) {
         let (next, file) = (self.folder.join("next"), self.folder.join("config.json"));
-        assert!(std::process::Command::new("mkfifo").arg(&next).status().unwrap().success());
+        assert!(std::process::Command::new("mkfifo")
+            .arg(&next)
+            .status()
+            .unwrap()
+            .success());
         std::fs::rename(next, file).unwrap();
         std::io::Write::write_all(&mut pipe, text.as_bytes()).unwrap();
     }
@@ -353,7 +397,8 @@
     async fn laid(list: String, lay: impl FnOnce(&str, &str, &std::path::Path)) -> Scene {
         static SCENES: AtomicU64 = AtomicU64::new(0);
         let n = SCENES.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("spokeflow-platform-{}-{n}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("spokeflow-platform-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (lines, told) = watch::channel(list);
         let discovery = discovery(told).await;
@@ -368,11 +413,18 @@
             .env("GW_CONFIG", &file)
             .env("GW_NAME", "n0")
             .env("GW_LISTEN", &address)
-            .stderr(Stdio::from(std::fs::File::create(folder.join("log")).unwrap()))
+            .stderr(Stdio::from(
+                std::fs::File::create(folder.join("log")).unwrap(),
+            ))
             .kill_on_drop(true)
             .spawn()
             .unwrap();
-        Scene { address, child, lines, folder }
+        Scene {
+            address,
+            child,
+            lines,
+            folder,
+        }
     }
 
     pub async fn up(&self) {
@@ -399,13 +451,19 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().unwrap().to_string();
-        assert!(std::process::Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(std::process::Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
 pub async fn exchange(stream: &mut TcpStream, request: &str) -> Option<String> {
     stream.write_all(request.as_bytes()).await.ok()?;
-    timeout(SOON, read_message(stream)).await.expect("an answer or a close in time")
+    timeout(SOON, read_message(stream))
+        .await
+        .expect("an answer or a close in time")
 }
 
 pub fn status(answer: &str) -> Option<u16> {
--- a/crates/spokeflow-scenario/src/board.rs
+++ b/crates/spokeflow-scenario/src/board.rs
@@ -34,7 +34,12 @@
 
     /// Learned at that time, and of one host in order. Answers when.
     pub fn know_at(&mut self, at: Micros, entry: Entry) -> Micros {
-        let before = self.coming.iter().filter(|c| c.1.host == entry.host).map(|c| c.0).max();
+        let before = self
+            .coming
+            .iter()
+            .filter(|c| c.1.host == entry.host)
+            .map(|c| c.0)
+            .max();
         let at = before.map_or(at, |before| at.max(before + 1));
         self.coming.push((at, entry));
         at
@@ -49,10 +54,17 @@
             self.entries.insert(entry.host, entry);
         }
         while self.log.len() > REMEMBERED {
-            let Some((_, host)) = self.log.pop_front() else { break };
+            let Some((_, host)) = self.log.pop_front() else {
+                break;
+            };
             // Who is told the whole list needs no word of hosts that are gone.
             let last = !self.log.iter().any(|l| l.1 == host);
-            if last && self.entries.get(&host).is_some_and(|e| e.phase == Phase::Gone) {
+            if last
+                && self
+                    .entries
+                    .get(&host)
+                    .is_some_and(|e| e.phase == Phase::Gone)
+            {
                 self.entries.remove(&host);
             }
         }
@@ -62,13 +74,22 @@
     pub fn since(&self, have: Option<u64>) -> (bool, Vec<&Entry>) {
         let oldest = self.log.front().map_or(0, |l| l.0 - 1);
         match have.filter(|v| *v <= self.version && *v >= oldest) {
-            None => (true, self.entries.values().filter(|e| e.phase != Phase::Gone).collect()),
+            None => (
+                true,
+                self.entries
+                    .values()
+                    .filter(|e| e.phase != Phase::Gone)
+                    .collect(),
+            ),
             Some(v) => {
                 let from = self.log.partition_point(|l| l.0 <= v);
                 let mut hosts: Vec<u32> = self.log.range(from..).map(|l| l.1).collect();
                 hosts.sort_unstable();
                 hosts.dedup();
-                (false, hosts.iter().filter_map(|h| self.entries.get(h)).collect())
+                (
+                    false,
+                    hosts.iter().filter_map(|h| self.entries.get(h)).collect(),
+                )
             }
         }
     }
@@ -79,7 +100,15 @@
     use super::*;
 
     fn entry(host: u32, phase: Phase) -> Entry {
-        Entry { host, address: String::new(), site: 0, build: 1, phase, incarnation: 1, started: None }
+        Entry {
+            host,
+            address: String::new(),
+            site: 0,
+            build: 1,
+            phase,
+            incarnation: 1,
+            started: None,
+        }
     }
 
     #[test]
--- a/crates/spokeflow-scenario/src/check.rs
+++ b/crates/spokeflow-scenario/src/check.rs
@@ -45,7 +45,13 @@
             connecting: day
                 .troubles
                 .iter()
-                .map(|t| if t.kind.slows_connects() { CONNECTING } else { 0 })
+                .map(|t| {
+                    if t.kind.slows_connects() {
+                        CONNECTING
+                    } else {
+                        0
+                    }
+                })
                 .max()
                 .unwrap_or(0),
             linger: 30 * SECOND,
@@ -91,13 +97,20 @@
         | Seen::Delivered { tried, .. }
         | Seen::Replied { tried, .. }
         | Seen::Ran { tried, .. } => named.contains(&format!("try {tried}")),
-        Seen::Listed { lines, .. } => lines.iter().any(|l| named.contains(&format!("host {}", l.0))),
+        Seen::Listed { lines, .. } => lines
+            .iter()
+            .any(|l| named.contains(&format!("host {}", l.0))),
         Seen::Fell { host } => named.contains(&format!("host {host}")),
         Seen::News { to, .. } => named.contains(&format!("router {}", to.router)),
         _ => false,
     };
-    let near = seen.iter().filter(|(t, _)| (at - t).abs() < 12 * SECOND).filter(|(_, s)| concerns(s));
-    near.take(24).map(|(t, s)| format!("{:.3} {s:?}", *t as f64 / SECOND as f64)).collect()
+    let near = seen
+        .iter()
+        .filter(|(t, _)| (at - t).abs() < 12 * SECOND)
+        .filter(|(_, s)| concerns(s));
+    near.take(24)
+        .map(|(t, s)| format!("{:.3} {s:?}", *t as f64 / SECOND as f64))
+        .collect()
 }
 
 struct Try {
@@ -176,7 +189,12 @@
     }
 
     fn found(&mut self, rule: u8, at: Micros, what: String, messages: Vec<String>) {
-        self.broken.push(Broken { rule, at, what, messages });
+        self.broken.push(Broken {
+            rule,
+            at,
+            what,
+            messages,
+        });
     }
 
     /// Times never go back.
@@ -184,7 +202,14 @@
         self.pass(at);
         self.seen += 1;
         match seen {
-            Seen::Taken { by, tried, command, op, key, patience } => {
+            Seen::Taken {
+                by,
+                tried,
+                command,
+                op,
+                key,
+                patience,
+            } => {
                 let view = self.views.entry(*by).or_default();
                 view.taken.push_back(at);
                 let deadline = at + patience + self.terms.slack;
@@ -204,23 +229,44 @@
                 self.tries.insert(*tried, t);
                 self.due.insert((deadline, *tried));
             }
-            Seen::Answered { by, tried, kind, build } => self.answered(at, *by, *tried, *kind, *build),
+            Seen::Answered {
+                by,
+                tried,
+                kind,
+                build,
+            } => self.answered(at, *by, *tried, *kind, *build),
             Seen::Left { tried } => {
                 if let Some(t) = self.tries.get_mut(tried) {
                     t.left = true;
                 }
             }
-            Seen::Delivered { host, build, from, tried, delivery } => {
+            Seen::Delivered {
+                host,
+                build,
+                from,
+                tried,
+                delivery,
+            } => {
                 self.delivered_again(at, *tried, *delivery);
                 self.delivered_where(at, *from, *host, *tried);
                 self.exposed(at, *from, *host, *build, *tried);
             }
-            Seen::Replied { tried, delivery, kind: ReplyKind::Full, .. } => {
+            Seen::Replied {
+                tried,
+                delivery,
+                kind: ReplyKind::Full,
+                ..
+            } => {
                 if let Some(t) = self.tries.get_mut(tried) {
-                    t.out.iter_mut().filter(|d| d.1 == *delivery).for_each(|d| d.2 = true);
+                    t.out
+                        .iter_mut()
+                        .filter(|d| d.1 == *delivery)
+                        .for_each(|d| d.2 = true);
                 }
             }
-            Seen::Ran { tried, command, op, .. } => self.ran(at, *tried, *command, usize::from(*op)),
+            Seen::Ran {
+                tried, command, op, ..
+            } => self.ran(at, *tried, *command, usize::from(*op)),
             Seen::Listed { to, whole, lines } => {
                 let view = self.views.entry(*to).or_default();
                 if *whole {
@@ -234,16 +280,27 @@
                     if *phase != Phase::Gone {
                         known.0 = *build;
                     }
-                    known.1 = if *phase == Phase::Ready { None } else { known.1.or(Some(at)) };
+                    known.1 = if *phase == Phase::Ready {
+                        None
+                    } else {
+                        known.1.or(Some(at))
+                    };
                 }
             }
-            Seen::News { to, build, standing, cap, .. } => {
+            Seen::News {
+                to,
+                build,
+                standing,
+                cap,
+                ..
+            } => {
                 let view = self.views.entry(*to).or_default();
                 view.news.push_back((at, *build, *standing, *cap));
                 // Rule 5 speaks of the newest build told, on trial or released, and of later ones: one that has
                 // not been released when the next is due goes back, and its keys with it.
                 let back = matches!(standing, Standing::GoingBack | Standing::Withdrawn);
-                view.answered.retain(|_, a| a.0 > *build || a.0 == *build && !back);
+                view.answered
+                    .retain(|_, a| a.0 > *build || a.0 == *build && !back);
             }
             Seen::RouterKilled(p) => self.views.entry(*p).or_default().killed = Some(at),
             Seen::RouterAsked(p) => self.views.entry(*p).or_default().asked = Some(at),
@@ -267,7 +324,9 @@
         while let Some((_, tried)) = self.forget.pop_front_if(|f| f.0 < self.now) {
             self.forget_try(tried);
         }
-        while let Some((at, command)) = self.ran_last.pop_front_if(|r| r.0 + 2 * self.terms.linger < self.now)
+        while let Some((at, command)) = self
+            .ran_last
+            .pop_front_if(|r| r.0 + 2 * self.terms.linger < self.now)
         {
             if self.ran.get(&command).is_some_and(|r| r.2 <= at) {
                 self.ran.remove(&command);
@@ -287,32 +346,50 @@
                 while view.news.len() > 1 && now - view.news[1].0 > 2 * window {
                     view.news.pop_front();
                 }
-                view.hosts.retain(|_, host| host.1.is_none_or(|since| now - since < 2 * t.linger));
+                view.hosts
+                    .retain(|_, host| host.1.is_none_or(|since| now - since < 2 * t.linger));
                 // No earlier build is left to which a key could go back.
                 let oldest = view.hosts.values().map(|h| h.0).min().unwrap_or(0);
                 view.answered.retain(|_, a| a.0 > oldest);
             }
-            let done = |v: &View| v.killed.or(v.asked).is_some_and(|at| now - at > 2 * t.linger);
+            let done = |v: &View| {
+                v.killed
+                    .or(v.asked)
+                    .is_some_and(|at| now - at > 2 * t.linger)
+            };
             self.views.retain(|_, view| !done(view));
         }
     }
 
     /// Rule 1, first half: an answer in time.
     fn overdue(&mut self, deadline: Micros, tried: u64) {
-        let Some(t) = self.tries.get(&tried) else { return };
+        let Some(t) = self.tries.get(&tried) else {
+            return;
+        };
         // A killed router owes nothing more; one that is ending takes nothing new.
-        let killed = self.views.get(&t.by).and_then(|v| v.killed).is_some_and(|at| at <= deadline);
+        let killed = self
+            .views
+            .get(&t.by)
+            .and_then(|v| v.killed)
+            .is_some_and(|at| at <= deadline);
         if !t.answered && !t.left && !t.excused && !killed {
-            let what = format!("no final answer in time: try {tried} of command {}", t.command);
+            let what = format!(
+                "no final answer in time: try {tried} of command {}",
+                t.command
+            );
             self.found(1, deadline, what, vec![format!("try {tried}")]);
         }
     }
 
     fn forget_try(&mut self, tried: u64) {
-        let Some(t) = self.tries.remove(&tried) else { return };
+        let Some(t) = self.tries.remove(&tried) else {
+            return;
+        };
         // Rule 2: no nack without proof that nothing ran.
         let may_have_run = t.out.iter().any(|d| !d.2);
-        if let Some(at) = t.nacked.filter(|_| self.terms.repeats[t.op] == Repeat::AtMostOnce && may_have_run)
+        if let Some(at) = t
+            .nacked
+            .filter(|_| self.terms.repeats[t.op] == Repeat::AtMostOnce && may_have_run)
         {
             let what = format!("nacked though it may have run: try {tried}");
             self.found(2, at, what, vec![format!("try {tried}")]);
@@ -330,10 +407,19 @@
             t.nacked = t.nacked.or(Some(at));
         }
         if again || late {
-            let what = if again { "a second final answer" } else { "the final answer came too late" };
+            let what = if again {
+                "a second final answer"
+            } else {
+                "the final answer came too late"
+            };
             // What was owed and came late has been found at its deadline.
-            let known =
-                !again && self.broken.iter().rev().take(64).any(|b| b.messages == [format!("try {tried}")]);
+            let known = !again
+                && self
+                    .broken
+                    .iter()
+                    .rev()
+                    .take(64)
+                    .any(|b| b.messages == [format!("try {tried}")]);
             if !known {
                 self.found(
                     1,
@@ -370,14 +456,21 @@
         let (times, tries) = (ran.0, ran.1.iter().map(|t| format!("try {t}")).collect());
         self.ran_last.push_back((at, command));
         if times > 1 {
-            self.found(2, at, format!("the effect of command {command} happened {times} times"), tries);
+            self.found(
+                2,
+                at,
+                format!("the effect of command {command} happened {times} times"),
+                tries,
+            );
         }
     }
 
     /// Rule 2: no redelivery without proof that nothing ran.
     fn delivered_again(&mut self, at: Micros, tried: u64, delivery: u64) {
         let slack = self.terms.slack;
-        let Some(t) = self.tries.get_mut(&tried) else { return };
+        let Some(t) = self.tries.get_mut(&tried) else {
+            return;
+        };
         let open = t.out.iter().find(|d| !d.2).map(|d| d.0);
         t.out.push((at, delivery, false));
         let wrong = match (self.terms.repeats[t.op], open) {
@@ -387,7 +480,12 @@
             }
             _ => return,
         };
-        self.found(2, at, format!("{wrong}: try {tried}"), vec![format!("try {tried}")]);
+        self.found(
+            2,
+            at,
+            format!("{wrong}: try {tried}"),
+            vec![format!("try {tried}")],
+        );
     }
 
     /// Rule 3: nothing new to a drained or gone host past the grace.
@@ -395,10 +493,18 @@
         let view = self.views.entry(from).or_default();
         // A host that no list has named for long is as good as gone.
         let since = view.hosts.get(&host).map_or(view.whole, |h| h.1);
-        if let Some(since) = since.filter(|since| at - since > self.terms.drain_grace + self.terms.slack) {
+        if let Some(since) =
+            since.filter(|since| at - since > self.terms.drain_grace + self.terms.slack)
+        {
             let late = (at - since) as f64 / SECOND as f64;
-            let what = format!("try {tried} went to host {host} {late:.2} s after it was told to drain");
-            self.found(3, at, what, vec![format!("try {tried}"), format!("host {host}")]);
+            let what =
+                format!("try {tried} went to host {host} {late:.2} s after it was told to drain");
+            self.found(
+                3,
+                at,
+                what,
+                vec![format!("try {tried}"), format!("host {host}")],
+            );
         }
     }
 
@@ -409,15 +515,21 @@
         let build = view.hosts.get(&host).map_or(build, |h| h.0);
         view.sent.entry(build).or_default().push_back(at);
         let over = over_cap(&self.terms, view, at, build);
-        let newer = view.answered.get(&key).filter(|a| a.0 > build && at - a.1 > self.terms.slack);
-        let newer = newer.filter(|_| self.terms.forward_only && key != 0).map(|a| a.0);
+        let newer = view
+            .answered
+            .get(&key)
+            .filter(|a| a.0 > build && at - a.1 > self.terms.slack);
+        let newer = newer
+            .filter(|_| self.terms.forward_only && key != 0)
+            .map(|a| a.0);
         let newer = newer.filter(|b| !view.unbound(at, self.terms.slack, *b));
         let messages = || vec![format!("try {tried}"), format!("router {}", from.router)];
         if let Some(what) = over {
             self.found(5, at, format!("router {}: {what}", from.router), messages());
         }
         if let Some(newer) = newer {
-            let what = format!("key {key} went to build {build} after build {newer} had answered it");
+            let what =
+                format!("key {key} went to build {build} after build {newer} had answered it");
             self.found(5, at, what, messages());
         }
     }
@@ -443,34 +555,56 @@
 
     /// What the router may go by at some time within `span` before `at`: the states told then, and the last one
     /// before.
-    fn states(&self, at: Micros, span: Micros) -> impl Iterator<Item = &(Micros, u16, Standing, f64)> {
+    fn states(
+        &self,
+        at: Micros,
+        span: Micros,
+    ) -> impl Iterator<Item = &(Micros, u16, Standing, f64)> {
         let upto = self.news.partition_point(|n| n.0 <= at);
-        let from = self.news.partition_point(|n| n.0 <= at - span).min(upto).saturating_sub(1);
+        let from = self
+            .news
+            .partition_point(|n| n.0 <= at - span)
+            .min(upto)
+            .saturating_sub(1);
         self.news.range(from..upto)
     }
 }
 
 fn over_cap(terms: &RuleTerms, view: &View, at: Micros, build: u16) -> Option<String> {
-    let free = |n: &(Micros, u16, Standing, f64)| n.1 > build || n.1 == build && n.2 == Standing::Released;
+    let free =
+        |n: &(Micros, u16, Standing, f64)| n.1 > build || n.1 == build && n.2 == Standing::Released;
     let mut recent = view.states(at, terms.slack).peekable();
     recent.peek()?;
     if recent.any(free) {
         return None;
     }
-    let cap_of = |n: &(Micros, u16, Standing, f64)| if n.1 == build { n.3 } else { terms.first_cap };
+    let cap_of =
+        |n: &(Micros, u16, Standing, f64)| if n.1 == build { n.3 } else { terms.first_cap };
     // A lower cap binds after the grace, and deliveries are counted anew from then.
     let span = terms.drain_grace + terms.slack;
     let cap = view.states(at, span).map(cap_of).fold(0.0, f64::max);
     // Until its first news a router goes by stage 0, and what lowers that binds after the grace as well.
     let unannounced = view.news.front().is_some_and(|n| n.0 > at - span);
-    let cap = if unannounced { cap.max(terms.first_cap) } else { cap };
+    let cap = if unannounced {
+        cap.max(terms.first_cap)
+    } else {
+        cap
+    };
     let upto = view.news.partition_point(|n| n.0 <= at);
     let pairs = view.news.range(..upto).zip(view.news.range(..upto).skip(1));
-    let lowered = pairs.filter(|(a, b)| cap_of(b) < cap_of(a)).map(|(_, b)| b.0 + terms.drain_grace);
-    let anew = lowered.filter(|t| *t <= at).max().unwrap_or(Micros::MIN / 2);
+    let lowered = pairs
+        .filter(|(a, b)| cap_of(b) < cap_of(a))
+        .map(|(_, b)| b.0 + terms.drain_grace);
+    let anew = lowered
+        .filter(|t| *t <= at)
+        .max()
+        .unwrap_or(Micros::MIN / 2);
     let from = (at - terms.exposure_span).max(anew);
     let seen_by = terms.slack + terms.connecting;
-    let sent = view.sent.get(&build).map_or(0, |s| s.len() - s.partition_point(|t| *t <= from + seen_by));
+    let sent = view
+        .sent
+        .get(&build)
+        .map_or(0, |s| s.len() - s.partition_point(|t| *t <= from + seen_by));
     let taken = view.taken.len() - view.taken.partition_point(|t| *t <= from - terms.slack);
     if cap <= 0.0 {
         return Some(format!("a delivery at build {build} at cap 0"));
@@ -489,11 +623,18 @@
     use super::*;
     use crate::seen::Seen::*;
 
-    const P: Process = Process { router: 0, start: 0 };
+    const P: Process = Process {
+        router: 0,
+        start: 0,
+    };
 
     fn terms() -> RuleTerms {
         RuleTerms {
-            repeats: vec![Repeat::Redeliverable, Repeat::Deduplicated(5 * SECOND), Repeat::AtMostOnce],
+            repeats: vec![
+                Repeat::Redeliverable,
+                Repeat::Deduplicated(5 * SECOND),
+                Repeat::AtMostOnce,
+            ],
             drain_grace: SECOND,
             exposure_free: 1.0,
             exposure_span: 4 * SECOND,
@@ -506,15 +647,33 @@
     }
 
     fn taken(tried: u64, op: u16) -> Seen {
-        Taken { by: P, tried, command: tried, op, key: 9, patience: SECOND }
+        Taken {
+            by: P,
+            tried,
+            command: tried,
+            op,
+            key: 9,
+            patience: SECOND,
+        }
     }
 
     fn delivered(tried: u64, host: u32, delivery: u64) -> Seen {
-        Delivered { host, build: 1, from: P, tried, delivery }
+        Delivered {
+            host,
+            build: 1,
+            from: P,
+            tried,
+            delivery,
+        }
     }
 
     fn answered(tried: u64, kind: AnswerKind) -> Seen {
-        Answered { by: P, tried, kind, build: 1 }
+        Answered {
+            by: P,
+            tried,
+            kind,
+            build: 1,
+        }
     }
 
     /// Rules broken by what was seen at these milliseconds.
@@ -531,32 +690,86 @@
     #[test]
     fn one_answer_in_time_is_owed() {
         let end = (9_000, Trouble { what: "end".into() });
-        let (ack, nack) = (answered(1, AnswerKind::Acked), answered(1, AnswerKind::Nacked));
+        let (ack, nack) = (
+            answered(1, AnswerKind::Acked),
+            answered(1, AnswerKind::Nacked),
+        );
         assert!(rules(&[(0, taken(1, 0)), (900, ack.clone()), end.clone()]).is_empty());
         assert_eq!(rules(&[(0, taken(1, 0)), end.clone()]), [1]);
-        assert_eq!(rules(&[(0, taken(1, 0)), (1200, ack.clone()), end.clone()]), [1]);
-        assert_eq!(rules(&[(0, taken(1, 0)), (100, ack.clone()), (200, nack), end.clone()]), [1]);
+        assert_eq!(
+            rules(&[(0, taken(1, 0)), (1200, ack.clone()), end.clone()]),
+            [1]
+        );
+        assert_eq!(
+            rules(&[
+                (0, taken(1, 0)),
+                (100, ack.clone()),
+                (200, nack),
+                end.clone()
+            ]),
+            [1]
+        );
         assert!(rules(&[(0, taken(1, 0)), (500, RouterKilled(P)), end.clone()]).is_empty());
-        assert!(
-            rules(&[(0, RouterAsked(P)), (10, taken(1, 0)), (500, RouterEnded(P)), end.clone()]).is_empty()
+        assert!(rules(&[
+            (0, RouterAsked(P)),
+            (10, taken(1, 0)),
+            (500, RouterEnded(P)),
+            end.clone()
+        ])
+        .is_empty());
+        assert_eq!(
+            rules(&[
+                (0, taken(1, 0)),
+                (10, RouterAsked(P)),
+                (500, RouterEnded(P)),
+                end
+            ]),
+            [1]
         );
-        assert_eq!(rules(&[(0, taken(1, 0)), (10, RouterAsked(P)), (500, RouterEnded(P)), end]), [1]);
     }
 
     #[test]
     fn an_effect_twice_and_a_delivery_or_nack_without_proof_are_found() {
-        let ran = |tried, op| Ran { host: 1, build: 1, tried, command: 1, op };
-        let full = Replied { host: 1, tried: 1, delivery: 1, kind: ReplyKind::Full };
+        let ran = |tried, op| Ran {
+            host: 1,
+            build: 1,
+            tried,
+            command: 1,
+            op,
+        };
+        let full = Replied {
+            host: 1,
+            tried: 1,
+            delivery: 1,
+            kind: ReplyKind::Full,
+        };
         assert_eq!(others(&[(0, ran(1, 2)), (10, ran(2, 2))]), [2]);
         assert!(others(&[(0, ran(1, 0)), (10, ran(2, 0))]).is_empty());
-        let again = [(0, taken(1, 2)), (1, delivered(1, 1, 1)), (9, delivered(1, 2, 2))];
+        let again = [
+            (0, taken(1, 2)),
+            (1, delivered(1, 1, 1)),
+            (9, delivered(1, 2, 2)),
+        ];
         assert_eq!(others(&again), [2]);
-        let proven = [(0, taken(1, 2)), (1, delivered(1, 1, 1)), (5, full), (9, delivered(1, 2, 2))];
+        let proven = [
+            (0, taken(1, 2)),
+            (1, delivered(1, 1, 1)),
+            (5, full),
+            (9, delivered(1, 2, 2)),
+        ];
         assert!(others(&proven).is_empty());
-        let nacked = [(0, taken(1, 2)), (1, delivered(1, 1, 1)), (9, answered(1, AnswerKind::Nacked))];
+        let nacked = [
+            (0, taken(1, 2)),
+            (1, delivered(1, 1, 1)),
+            (9, answered(1, AnswerKind::Nacked)),
+        ];
         assert_eq!(others(&nacked), [2]);
         assert!(others(&[(0, taken(1, 2)), (9, answered(1, AnswerKind::Nacked))]).is_empty());
-        let late = [(0, taken(1, 1)), (1, delivered(1, 1, 1)), (5_200, delivered(1, 2, 2))];
+        let late = [
+            (0, taken(1, 1)),
+            (1, delivered(1, 1, 1)),
+            (5_200, delivered(1, 2, 2)),
+        ];
         assert_eq!(others(&late), [2]);
     }
 
@@ -571,7 +784,13 @@
         let drain = listed(&[(1, Phase::Draining)], false);
         let less = listed(&[(2, Phase::Ready)], true);
         for close in [drain, less] {
-            let at = |t, host| vec![(0, ready.clone()), (10, close.clone()), (t, delivered(1, host, 1))];
+            let at = |t, host| {
+                vec![
+                    (0, ready.clone()),
+                    (10, close.clone()),
+                    (t, delivered(1, host, 1)),
+                ]
+            };
             assert!(others(&at(1_000, 1)).is_empty());
             assert_eq!(others(&at(1_200, 1)), [3]);
             assert!(others(&at(1_200, 2)).is_empty());
@@ -581,7 +800,13 @@
 
     #[test]
     fn exposure_is_counted_over_the_window_and_a_lower_cap_binds_after_the_grace() {
-        let news = |standing, cap| News { to: P, build: 1, stage: 0, standing, cap };
+        let news = |standing, cap| News {
+            to: P,
+            build: 1,
+            stage: 0,
+            standing,
+            cap,
+        };
         let on = news(Standing::OnTrial, 0.1);
         let mut seen = vec![(0, on.clone())];
         seen.extend((0..20).map(|n| (1_000 + n, taken(n as u64 + 1, 0))));
@@ -610,13 +835,25 @@
     /// from whose beginning on it no longer counted at the router.
     #[test]
     fn a_delivery_counts_from_when_it_was_sent_and_not_from_when_its_connection_stood() {
-        let mut seen = vec![(0, News { to: P, build: 1, stage: 0, standing: Standing::OnTrial, cap: 0.1 })];
+        let mut seen = vec![(
+            0,
+            News {
+                to: P,
+                build: 1,
+                stage: 0,
+                standing: Standing::OnTrial,
+                cap: 0.1,
+            },
+        )];
         seen.push((1_250, delivered(1, 1, 1)));
         seen.extend((0..20).map(|n| (3_000 + n, taken(n as u64 + 1, 0))));
         seen.extend((0..4).map(|n| (5_100 + 10 * n, delivered(n as u64 + 2, 1, n as u64 + 2))));
         let count = |connecting| {
             let seen: Vec<_> = seen.iter().map(|(t, s)| (t * MS, s.clone())).collect();
-            let terms = RuleTerms { connecting, ..terms() };
+            let terms = RuleTerms {
+                connecting,
+                ..terms()
+            };
             check(&terms, &seen).iter().filter(|b| b.rule == 5).count()
         };
         assert_eq!((count(0), count(250 * MS)), (2, 1));
@@ -626,24 +863,74 @@
     fn a_key_goes_to_no_earlier_build_until_the_new_one_goes_back() {
         let lines = vec![(1, 1, Phase::Ready), (2, 2, Phase::Ready)];
         let start = [
-            (0, Listed { to: P, whole: true, lines }),
-            (0, News { to: P, build: 2, stage: 4, standing: Standing::OnTrial, cap: 1.0 }),
+            (
+                0,
+                Listed {
+                    to: P,
+                    whole: true,
+                    lines,
+                },
+            ),
+            (
+                0,
+                News {
+                    to: P,
+                    build: 2,
+                    stage: 4,
+                    standing: Standing::OnTrial,
+                    cap: 1.0,
+                },
+            ),
             (10, taken(1, 0)),
-            (20, Answered { by: P, tried: 1, kind: AnswerKind::Acked, build: 2 }),
+            (
+                20,
+                Answered {
+                    by: P,
+                    tried: 1,
+                    kind: AnswerKind::Acked,
+                    build: 2,
+                },
+            ),
             (300, taken(2, 0)),
         ];
         let mut seen = start.to_vec();
         seen.push((400, delivered(2, 1, 1)));
         assert_eq!(others(&seen), [5]);
         let mut seen = start.to_vec();
-        seen.push((350, News { to: P, build: 2, stage: 4, standing: Standing::GoingBack, cap: 0.0 }));
+        seen.push((
+            350,
+            News {
+                to: P,
+                build: 2,
+                stage: 4,
+                standing: Standing::GoingBack,
+                cap: 0.0,
+            },
+        ));
         seen.push((400, delivered(2, 1, 1)));
         assert!(others(&seen).is_empty());
         // Found by a hunt (drawn days 153 and 348): what was still out at the build when it was sent back is
         // answered by it, and the next build's news come before the key's next command.
         seen.pop();
-        seen.push((360, Answered { by: P, tried: 2, kind: AnswerKind::Acked, build: 2 }));
-        seen.push((700, News { to: P, build: 3, stage: 0, standing: Standing::OnTrial, cap: 0.1 }));
+        seen.push((
+            360,
+            Answered {
+                by: P,
+                tried: 2,
+                kind: AnswerKind::Acked,
+                build: 2,
+            },
+        ));
+        seen.push((
+            700,
+            News {
+                to: P,
+                build: 3,
+                stage: 0,
+                standing: Standing::OnTrial,
+                cap: 0.1,
+            },
+        ));
         seen.push((1_000, taken(3, 0)));
         seen.push((1_100, delivered(3, 1, 1)));
         assert!(others(&seen).is_empty());
@@ -653,11 +940,33 @@
     /// hosts go back to build 1.
     #[test]
     fn a_key_is_bound_to_the_newest_build_told_and_to_none_before_it() {
-        let lines = vec![(1, 1, Phase::Ready), (2, 2, Phase::Ready), (3, 3, Phase::Ready)];
-        let tell = |build, standing, cap| News { to: P, build, stage: 4, standing, cap };
-        let ack = |tried, build| Answered { by: P, tried, kind: AnswerKind::Acked, build };
+        let lines = vec![
+            (1, 1, Phase::Ready),
+            (2, 2, Phase::Ready),
+            (3, 3, Phase::Ready),
+        ];
+        let tell = |build, standing, cap| News {
+            to: P,
+            build,
+            stage: 4,
+            standing,
+            cap,
+        };
+        let ack = |tried, build| Answered {
+            by: P,
+            tried,
+            kind: AnswerKind::Acked,
+            build,
+        };
         let start = [
-            (0, Listed { to: P, whole: true, lines }),
+            (
+                0,
+                Listed {
+                    to: P,
+                    whole: true,
+                    lines,
+                },
+            ),
             (0, tell(2, Standing::OnTrial, 1.0)),
             (10, taken(1, 0)),
             (20, ack(1, 2)),
@@ -666,10 +975,23 @@
         ];
         let mut seen = start.to_vec();
         seen.push((600, delivered(2, 1, 1)));
-        assert!(others(&seen).is_empty(), "build 2 went back when build 3 came");
-        seen.splice(6.., [(320, ack(2, 3)), (600, taken(3, 0)), (610, delivered(3, 2, 1))]);
+        assert!(
+            others(&seen).is_empty(),
+            "build 2 went back when build 3 came"
+        );
+        seen.splice(
+            6..,
+            [
+                (320, ack(2, 3)),
+                (600, taken(3, 0)),
+                (610, delivered(3, 2, 1)),
+            ],
+        );
         assert_eq!(others(&seen), [5], "build 3 stands");
-        seen.splice(7.., [(400, tell(3, Standing::Withdrawn, 0.0)), (600, taken(3, 0))]);
+        seen.splice(
+            7..,
+            [(400, tell(3, Standing::Withdrawn, 0.0)), (600, taken(3, 0))],
+        );
         seen.push((700, delivered(3, 1, 1)));
         assert!(others(&seen).is_empty(), "build 3 went back");
     }
@@ -677,15 +999,64 @@
     #[test]
     fn a_long_day_is_judged_in_bounded_memory() {
         let mut checker = Checker::new(terms());
-        let news = News { to: P, build: 2, stage: 4, standing: Standing::Released, cap: 1.0 };
-        checker.see(0, &Listed { to: P, whole: true, lines: vec![(1, 2, Phase::Ready)] });
+        let news = News {
+            to: P,
+            build: 2,
+            stage: 4,
+            standing: Standing::Released,
+            cap: 1.0,
+        };
+        checker.see(
+            0,
+            &Listed {
+                to: P,
+                whole: true,
+                lines: vec![(1, 2, Phase::Ready)],
+            },
+        );
         let mut most = 0;
         for n in 1..40_000 {
             let at = n as Micros * 10 * MS;
-            checker.see(at, &Taken { by: P, tried: n, command: n, op: 1, key: n, patience: SECOND });
-            checker.see(at, &Delivered { host: 1, build: 2, from: P, tried: n, delivery: n });
-            checker.see(at, &Ran { host: 1, build: 2, tried: n, command: n, op: 1 });
-            checker.see(at, &Answered { by: P, tried: n, kind: AnswerKind::Acked, build: 2 });
+            checker.see(
+                at,
+                &Taken {
+                    by: P,
+                    tried: n,
+                    command: n,
+                    op: 1,
+                    key: n,
+                    patience: SECOND,
+                },
+            );
+            checker.see(
+                at,
+                &Delivered {
+                    host: 1,
+                    build: 2,
+                    from: P,
+                    tried: n,
+                    delivery: n,
+                },
+            );
+            checker.see(
+                at,
+                &Ran {
+                    host: 1,
+                    build: 2,
+                    tried: n,
+                    command: n,
+                    op: 1,
+                },
+            );
+            checker.see(
+                at,
+                &Answered {
+                    by: P,
+                    tried: n,
+                    kind: AnswerKind::Acked,
+                    build: 2,
+                },
+            );
             if n % 400 == 0 {
                 checker.see(at, &news);
             }
@@ -695,7 +1066,11 @@
         assert!(most < 10_500, "{most}");
         let view = &checker.views[&P];
         assert!(view.taken.len() < 800 && view.sent[&2].len() < 800 && view.news.len() < 20);
-        assert!(view.answered.len() < 200, "nothing is left to go back to: {}", view.answered.len());
+        assert!(
+            view.answered.len() < 200,
+            "nothing is left to go back to: {}",
+            view.answered.len()
+        );
         assert!(checker.finish().is_empty());
     }
 }
--- a/crates/spokeflow-scenario/src/desk.rs
+++ b/crates/spokeflow-scenario/src/desk.rs
@@ -71,9 +71,21 @@
 
 impl Desk {
     pub fn new(day: &Scenario) -> Desk {
-        let places = (0..day.hosts).map(|host| Place { host, build: 1, next: None }).collect();
+        let places = (0..day.hosts)
+            .map(|host| Place {
+                host,
+                build: 1,
+                next: None,
+            })
+            .collect();
         Desk {
-            state: State { build: 1, stage: 0, standing: Standing::Released, cap: 1.0, since: 0 },
+            state: State {
+                build: 1,
+                stage: 0,
+                standing: Standing::Released,
+                cap: 1.0,
+                since: 0,
+            },
             places,
             shares: day.stage_shares.clone(),
             caps: (0..day.stage_shares.len()).map(|s| day.cap(s)).collect(),
@@ -103,8 +115,13 @@
                     self.earlier = self.state.build;
                 }
                 self.votes.clear();
-                self.state =
-                    State { build, stage: 0, standing: Standing::OnTrial, cap: self.caps[0], since: now };
+                self.state = State {
+                    build,
+                    stage: 0,
+                    standing: Standing::OnTrial,
+                    cap: self.caps[0],
+                    since: now,
+                };
                 self.launch(now, orders);
                 true
             }
@@ -115,23 +132,45 @@
     fn launch(&mut self, now: Micros, orders: &mut Vec<Order>) {
         let build = self.state.build;
         let share = self.shares[usize::from(self.state.stage)];
-        let wanted = ((share * self.places.len() as f64).round() as usize).clamp(1, self.places.len());
-        let have = self.places.iter().filter(|p| p.build == build || p.next.is_some()).count();
-        self.replace(wanted.saturating_sub(have), build, |p| p.build != build, orders);
+        let wanted =
+            ((share * self.places.len() as f64).round() as usize).clamp(1, self.places.len());
+        let have = self
+            .places
+            .iter()
+            .filter(|p| p.build == build || p.next.is_some())
+            .count();
+        self.replace(
+            wanted.saturating_sub(have),
+            build,
+            |p| p.build != build,
+            orders,
+        );
         (self.complete, self.launched) = (None, now);
     }
 
-    fn replace(&mut self, most: usize, build: u16, which: impl Fn(&Place) -> bool, orders: &mut Vec<Order>) {
+    fn replace(
+        &mut self,
+        most: usize,
+        build: u16,
+        which: impl Fn(&Place) -> bool,
+        orders: &mut Vec<Order>,
+    ) {
         let chosen = |p: &&mut Place| p.next.is_none() && which(p);
         // Spread over the fleet, so that a stage is not one site.
         let step = (self.places.len() / most.max(1)).max(1);
-        let order: Vec<usize> = (0..step).flat_map(|s| (s..self.places.len()).step_by(step)).collect();
+        let order: Vec<usize> = (0..step)
+            .flat_map(|s| (s..self.places.len()).step_by(step))
+            .collect();
         let mut left = most;
         for place in order {
             let p = &mut self.places[place];
             if left > 0 && chosen(&p) {
                 p.next = Some((self.next_host, build));
-                orders.push(Order::Start { host: self.next_host, place, build });
+                orders.push(Order::Start {
+                    host: self.next_host,
+                    place,
+                    build,
+                });
                 self.next_host += 1;
                 left -= 1;
             }
@@ -140,7 +179,13 @@
 
     /// A host runs: it takes its place, and the one before is drained.
     pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<Order>) {
-        let Some(p) = self.places.iter_mut().find(|p| p.next.is_some_and(|n| n.0 == host)) else { return };
+        let Some(p) = self
+            .places
+            .iter_mut()
+            .find(|p| p.next.is_some_and(|n| n.0 == host))
+        else {
+            return;
+        };
         orders.push(Order::Drain { host: p.host });
         let build = p.next.take().map_or(p.build, |n| n.1);
         (p.host, p.build) = (host, build);
@@ -151,9 +196,18 @@
 
     pub fn send_back(&mut self, now: Micros, orders: &mut Vec<Order>) {
         let bad = self.state.build;
-        self.state = State { standing: Standing::GoingBack, cap: 0.0, since: now, ..self.state };
+        self.state = State {
+            standing: Standing::GoingBack,
+            cap: 0.0,
+            since: now,
+            ..self.state
+        };
         // Successors that have not started yet are not needed; their place is kept by the host before.
-        for p in self.places.iter_mut().filter(|p| p.next.is_some_and(|n| n.1 == bad)) {
+        for p in self
+            .places
+            .iter_mut()
+            .filter(|p| p.next.is_some_and(|n| n.1 == bad))
+        {
             if let Some((host, _)) = p.next.take() {
                 orders.push(Order::Drain { host });
             }
@@ -162,9 +216,17 @@
     }
 
     /// A vote of router `from`.
-    pub fn vote(&mut self, now: Micros, from: u32, build: u16, stage: u8, verdict: Verdict) -> Counted {
+    pub fn vote(
+        &mut self,
+        now: Micros,
+        from: u32,
+        build: u16,
+        stage: u8,
+        verdict: Verdict,
+    ) -> Counted {
         let (at, left) = self.allowance;
-        let left = (left + (now - at) as f64 / SECOND as f64 * VOTES_A_SECOND).min(2.0 * VOTES_A_SECOND);
+        let left =
+            (left + (now - at) as f64 / SECOND as f64 * VOTES_A_SECOND).min(2.0 * VOTES_A_SECOND);
         self.allowance = (now, (left - 1.0).max(0.0));
         if left < 1.0 {
             return Counted::TooMany;
@@ -173,24 +235,37 @@
         let fits = match verdict {
             Verdict::Hold => false,
             Verdict::None => true,
-            Verdict::On => present && stage == self.state.stage && self.state.standing == Standing::OnTrial,
+            Verdict::On => {
+                present && stage == self.state.stage && self.state.standing == Standing::OnTrial
+            }
             Verdict::Back => {
-                present && matches!(self.state.standing, Standing::OnTrial | Standing::Released) && build > 1
+                present
+                    && matches!(self.state.standing, Standing::OnTrial | Standing::Released)
+                    && build > 1
             }
         };
         if !fits {
             return Counted::Moot;
         }
-        self.votes.insert(from, (build, stage, verdict, now + self.vote_life));
+        self.votes
+            .insert(from, (build, stage, verdict, now + self.vote_life));
         Counted::Counted
     }
 
     /// Moves what is due. A desk that stands still is not asked.
     pub fn tick(&mut self, now: Micros, orders: &mut Vec<Order>) {
-        let State { build, stage, standing, .. } = self.state;
+        let State {
+            build,
+            stage,
+            standing,
+            ..
+        } = self.state;
         let standing_votes = |verdict: Verdict| {
             let counts = |v: &&(u16, u8, Verdict, Micros)| {
-                v.0 == build && v.2 == verdict && v.3 > now && (verdict == Verdict::Back || v.1 == stage)
+                v.0 == build
+                    && v.2 == verdict
+                    && v.3 > now
+                    && (verdict == Verdict::Back || v.1 == stage)
             };
             self.votes.values().filter(counts).count()
         };
@@ -204,20 +279,37 @@
         }
         match standing {
             Standing::OnTrial => {
-                let started = self.complete.unwrap_or(self.launched + LATEST).min(self.launched + LATEST);
+                let started = self
+                    .complete
+                    .unwrap_or(self.launched + LATEST)
+                    .min(self.launched + LATEST);
                 if now < started + self.bake || standing_votes(Verdict::On) < need(0.6) {
                     return;
                 }
                 if usize::from(stage) + 1 == self.shares.len() {
-                    self.state = State { standing: Standing::Released, cap: 1.0, since: now, ..self.state };
+                    self.state = State {
+                        standing: Standing::Released,
+                        cap: 1.0,
+                        since: now,
+                        ..self.state
+                    };
                 } else {
                     let cap = self.caps[usize::from(stage) + 1];
-                    self.state = State { stage: stage + 1, cap, since: now, ..self.state };
+                    self.state = State {
+                        stage: stage + 1,
+                        cap,
+                        since: now,
+                        ..self.state
+                    };
                     self.launch(now, orders);
                 }
             }
             Standing::GoingBack if self.places.iter().all(|p| p.build != build) => {
-                self.state = State { standing: Standing::Withdrawn, since: now, ..self.state };
+                self.state = State {
+                    standing: Standing::Withdrawn,
+                    since: now,
+                    ..self.state
+                };
             }
             _ => {}
         }
@@ -249,7 +341,10 @@
             settle(&mut desk, now, &mut orders);
             assert_eq!(desk.vote(now, 0, 2, stage, Verdict::On), Counted::Counted);
             desk.tick(now + 2_900_000, &mut orders);
-            assert_eq!((desk.state.stage, desk.state.standing), (stage, Standing::OnTrial));
+            assert_eq!(
+                (desk.state.stage, desk.state.standing),
+                (stage, Standing::OnTrial)
+            );
             now += 3 * SECOND;
             desk.tick(now, &mut orders);
         }
@@ -265,7 +360,10 @@
         settle(&mut desk, 0, &mut orders);
         assert_eq!(desk.vote(1, 1, 2, 0, Verdict::Back), Counted::Counted);
         desk.tick(2, &mut orders);
-        assert_eq!((desk.state.standing, desk.state.cap), (Standing::GoingBack, 0.0));
+        assert_eq!(
+            (desk.state.standing, desk.state.cap),
+            (Standing::GoingBack, 0.0)
+        );
         settle(&mut desk, 3, &mut orders);
         desk.tick(4, &mut orders);
         assert_eq!(desk.state.standing, Standing::Withdrawn);
@@ -289,7 +387,9 @@
         let (mut desk, mut orders) = (desk(), Vec::new());
         desk.offer(0, 2, &mut orders);
         settle(&mut desk, 0, &mut orders);
-        let counted = (0..500).filter(|n| desk.vote(0, *n, 2, 0, Verdict::On) == Counted::Counted).count();
+        let counted = (0..500)
+            .filter(|n| desk.vote(0, *n, 2, 0, Verdict::On) == Counted::Counted)
+            .count();
         assert_eq!(counted, 50);
         desk.tick(11 * SECOND, &mut orders);
         assert_eq!(desk.state.stage, 0, "votes stand for ten seconds");
--- a/crates/spokeflow-scenario/src/faults.rs
+++ b/crates/spokeflow-scenario/src/faults.rs
@@ -94,11 +94,17 @@
 
     /// The delay one way, or `None` while the sites are cut from each other.
     pub fn way(&self, a: u16, b: u16, way: Way) -> Option<Micros> {
-        let cut = if way == Way::Hosts { self.cut_hosts } else { self.cut_office };
+        let cut = if way == Way::Hosts {
+            self.cut_hosts
+        } else {
+            self.cut_office
+        };
         if a != b && cut.is_some_and(|site| site == a || site == b) {
             return None;
         }
-        let slow = self.slow_link.filter(|(site, _)| a != b && (*site == a || *site == b));
+        let slow = self
+            .slow_link
+            .filter(|(site, _)| a != b && (*site == a || *site == b));
         Some(if a == b { 0 } else { BETWEEN_SITES } + slow.map_or(0, |s| s.1))
     }
 }
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -18,7 +18,8 @@
 
 impl Built {
     pub fn name(self) -> String {
-        self.to_possible_value().map_or_else(String::new, |v| v.get_name().to_string())
+        self.to_possible_value()
+            .map_or_else(String::new, |v| v.get_name().to_string())
     }
 }
 
@@ -32,7 +33,12 @@
     #[arg(long, env = "SPOKEFLOW_DAY_SECONDS", default_value_t = 60)]
     pub seconds: u64,
     /// A built-in day
-    #[arg(long, env = "SPOKEFLOW_DAY_SCENARIO", value_enum, default_value = "bad-day")]
+    #[arg(
+        long,
+        env = "SPOKEFLOW_DAY_SCENARIO",
+        value_enum,
+        default_value = "bad-day"
+    )]
     pub scenario: Built,
     /// One kind of trouble alone, with a good build on trial; bad-build: a bad one and nothing else
     #[arg(long, env = "SPOKEFLOW_DAY_ONLY")]
@@ -119,14 +125,18 @@
         if let Some(size) = self.size {
             day = day.sized(size);
         }
-        let at_least_one = |flag: &str, n: u64| (n > 0).then_some(()).ok_or(format!("{flag}: at least 1"));
+        let at_least_one =
+            |flag: &str, n: u64| (n > 0).then_some(()).ok_or(format!("{flag}: at least 1"));
         at_least_one("--routers", self.routers.unwrap_or(1).into())?;
         at_least_one("--hosts", self.hosts.unwrap_or(1).into())?;
         at_least_one("--sites", self.sites.unwrap_or(1).into())?;
         at_least_one("--cores", self.cores.unwrap_or(1).into())?;
         day.routers = self.routers.unwrap_or(day.routers);
         day.sites = self.sites.unwrap_or(day.sites);
-        let (hosts, cores) = (self.hosts.unwrap_or(day.hosts), self.cores.unwrap_or(day.cores));
+        let (hosts, cores) = (
+            self.hosts.unwrap_or(day.hosts),
+            self.cores.unwrap_or(day.cores),
+        );
         let able = |hosts: u32, cores: u32| f64::from(hosts) * f64::from(cores);
         let grown = day.rate * able(hosts, cores) / able(day.hosts, day.cores);
         let rate = self.rate.unwrap_or(grown);
@@ -146,7 +156,8 @@
         };
         day.burst = not_negative("--burst", self.burst, 100.0)?.unwrap_or(day.burst);
         day.thrash = not_negative("--thrash", self.thrash, 10.0)?.unwrap_or(day.thrash);
-        day.miss_cost = not_negative("--miss-cost", self.miss_cost, 100.0)?.unwrap_or(day.miss_cost);
+        day.miss_cost =
+            not_negative("--miss-cost", self.miss_cost, 100.0)?.unwrap_or(day.miss_cost);
         day.key_skew = not_negative("--key-skew", self.key_skew, 10.0)?.unwrap_or(day.key_skew);
         day.steal = not_negative("--steal", self.steal, 1.0)?.unwrap_or(day.steal);
         day.cache_keys = self.cache_keys.unwrap_or(day.cache_keys);
@@ -185,7 +196,11 @@
             day.troubles.sort_by_key(|t| t.at);
         }
         if !self.builds.is_empty() || self.bare {
-            if self.builds.windows(2).any(|w| w[0].offered > w[1].offered || w[0].number >= w[1].number) {
+            if self
+                .builds
+                .windows(2)
+                .any(|w| w[0].offered > w[1].offered || w[0].number >= w[1].number)
+            {
                 return Err("--build: numbers and times must rise".into());
             }
             day.builds.truncate(1);
--- a/crates/spokeflow-scenario/src/front.rs
+++ b/crates/spokeflow-scenario/src/front.rs
@@ -16,8 +16,14 @@
 impl Front {
     pub fn new(day: &Scenario) -> Front {
         let mut rng = StdRng::seed_from_u64(day.seed ^ 0xf407);
-        let notice = (0..day.sites).map(|_| rng.random_range(1500 * MS..3600 * MS)).collect();
-        Front { routers: day.routers as usize, sites: usize::from(day.sites), notice }
+        let notice = (0..day.sites)
+            .map(|_| rng.random_range(1500 * MS..3600 * MS))
+            .collect();
+        Front {
+            routers: day.routers as usize,
+            sites: usize::from(day.sites),
+            notice,
+        }
     }
 
     /// The router for try `n` (from 0) of a command whose first is drawn by `drawn`: a first try goes to one of
@@ -37,7 +43,10 @@
         let own = own + self.sites * (drawn % of_site as u64) as usize;
         let open = |r: &usize| down_since(*r).is_none_or(|at| now - at < self.notice[site]);
         let turn = |k: usize| (own + k) % self.routers;
-        (0..self.routers).map(|k| turn(k + n as usize)).find(open).unwrap_or(own % self.routers)
+        (0..self.routers)
+            .map(|k| turn(k + n as usize))
+            .find(open)
+            .unwrap_or(own % self.routers)
     }
 }
 
@@ -48,10 +57,14 @@
 
     #[test]
     fn first_tries_go_to_the_sites_own_and_around_one_that_is_known_to_be_down() {
-        let day = Scenario { routers: 8, ..Scenario::plain(3, 60 * SECOND) };
+        let day = Scenario {
+            routers: 8,
+            ..Scenario::plain(3, 60 * SECOND)
+        };
         let front = Front::new(&day);
-        let met: std::collections::BTreeSet<usize> =
-            (0..50).map(|d| front.router_for(1, d, 0, 0, |_| None)).collect();
+        let met: std::collections::BTreeSet<usize> = (0..50)
+            .map(|d| front.router_for(1, d, 0, 0, |_| None))
+            .collect();
         assert_eq!(met.into_iter().collect::<Vec<_>>(), [1, 4, 7]);
         let down = |r| (r == 1).then_some(0);
         assert_eq!(front.router_for(1, 0, 0, MS, down), 1, "not noticed yet");
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host.rs
@@ -143,7 +143,9 @@
 
     /// The part of its capacity that it has by now.
     pub fn warmth(&self, now: Micros) -> f64 {
-        let age = self.started.map_or(self.warm_within, |at| (now - at).clamp(0, self.warm_within));
+        let age = self
+            .started
+            .map_or(self.warm_within, |at| (now - at).clamp(0, self.warm_within));
         self.cold_from + (1.0 - self.cold_from) * age as f64 / self.warm_within as f64
     }
 
@@ -167,10 +169,15 @@
         if !cold {
             return self.reached.clear();
         }
-        while self.reached.front().is_some_and(|r| r.0 <= now - self.fall_span) {
+        while self
+            .reached
+            .front()
+            .is_some_and(|r| r.0 <= now - self.fall_span)
+        {
             self.reached.pop_front();
         }
-        self.reached.push_back((now, self.ops[op].work as f64 / SECOND as f64));
+        self.reached
+            .push_back((now, self.ops[op].work as f64 / SECOND as f64));
         let sent: f64 = self.reached.iter().map(|r| r.1).sum();
         self.fallen |= sent > self.budget(now) + self.chance_beyond(now);
     }
@@ -196,8 +203,13 @@
     /// without this, the luckiest of some thousand cold hosts fell on drawn days (58, 252, 794 and others).
     fn chance_beyond(&self, now: Micros) -> f64 {
         let all: f64 = self.ops.iter().map(|op| op.share).sum();
-        let mean: f64 =
-            self.ops.iter().map(|op| op.share * op.work as f64).sum::<f64>() / all / SECOND as f64;
+        let mean: f64 = self
+            .ops
+            .iter()
+            .map(|op| op.share * op.work as f64)
+            .sum::<f64>()
+            / all
+            / SECOND as f64;
         (3.0 * (self.budget(now) / mean).sqrt() + 3.0) * mean
     }
 
@@ -205,7 +217,9 @@
     pub fn begin(&mut self, now: Micros, marks: &mut Marks) -> Vec<Begun> {
         let mut begun = Vec::new();
         while self.running.len() < self.cores {
-            let Some(job) = self.waiting.pop_front() else { break };
+            let Some(job) = self.waiting.pop_front() else {
+                break;
+            };
             if now >= job.expires {
                 // Nobody waits for it any more.
                 continue;
@@ -221,8 +235,8 @@
             let work = if effect {
                 let mean = self.ops[job.op].work as f64;
                 // Bounded, so that a single draw does not hold a core for the rest of a short day.
-                let drawn =
-                    0.4 * mean + 0.6 * Exp::new(1.0 / mean).map_or(mean, |d| d.sample(&mut self.chance));
+                let drawn = 0.4 * mean
+                    + 0.6 * Exp::new(1.0 / mean).map_or(mean, |d| d.sample(&mut self.chance));
                 drawn.min(6.0 * mean)
             } else {
                 1000.0
@@ -235,9 +249,19 @@
                 (false, wrong) => Done::Acked { wrong },
             };
             // What fails fast fails at once, and may have had its effect all the same.
-            let took = if failed && self.ailment.fails > 0.0 { took.min(5_000.0) } else { took };
-            begun.push(Begun { tried: job.tried, command: job.command, op: job.op, effect });
-            self.running.push((now + took.max(1.0) as Micros, done, job));
+            let took = if failed && self.ailment.fails > 0.0 {
+                took.min(5_000.0)
+            } else {
+                took
+            };
+            begun.push(Begun {
+                tried: job.tried,
+                command: job.command,
+                op: job.op,
+                effect,
+            });
+            self.running
+                .push((now + took.max(1.0) as Micros, done, job));
         }
         begun
     }
@@ -269,7 +293,11 @@
 
     /// Work that is before a command which arrives now, in microseconds of one core that is warm and well.
     pub fn work_before(&self, now: Micros) -> f64 {
-        let waiting: f64 = self.waiting.iter().map(|j| self.ops[j.op].work as f64).sum();
+        let waiting: f64 = self
+            .waiting
+            .iter()
+            .map(|j| self.ops[j.op].work as f64)
+            .sum();
         let running: f64 = self.running.iter().map(|r| (r.0 - now).max(0) as f64).sum();
         (waiting + running) / self.cores as f64
     }
@@ -308,7 +336,10 @@
         let mut ended: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
         ended.sort_by_key(|r| (r.0, r.2.delivery));
         let hangs = self.ailment.hangs;
-        ended.into_iter().map(|(_, done, job)| (job, if hangs { Done::Silent } else { done })).collect()
+        ended
+            .into_iter()
+            .map(|(_, done, job)| (job, if hangs { Done::Silent } else { done }))
+            .collect()
     }
 
     pub fn cancel(&mut self, from: u64, delivery: u64) {
@@ -327,7 +358,16 @@
     use super::*;
 
     fn job(n: u64, op: usize) -> Job {
-        Job { from: 1, delivery: n, tried: n, command: n, op, key: n, mark: n, expires: 100 * SECOND }
+        Job {
+            from: 1,
+            delivery: n,
+            tried: n,
+            command: n,
+            op,
+            key: n,
+            mark: n,
+            expires: 100 * SECOND,
+        }
     }
 
     fn host(started: Option<Micros>) -> (Scenario, Host) {
@@ -339,7 +379,9 @@
     #[test]
     fn a_cold_host_does_less_and_falls_when_sent_more_than_its_budget() {
         let (_, mut cold) = host(Some(0));
-        assert!((cold.warmth(0) - 0.31).abs() < 1e-9 && (cold.warmth(3_700_000) - 1.0).abs() < 1e-9);
+        assert!(
+            (cold.warmth(0) - 0.31).abs() < 1e-9 && (cold.warmth(3_700_000) - 1.0).abs() < 1e-9
+        );
         // Three times 0.31 cores for three seconds bear 2.79 s of work: 21 of 130 ms, 3 roots of what that is of mean
         // work and 3 more.
         let fell_at = (1..60).find(|n| {
@@ -371,7 +413,13 @@
     #[test]
     fn what_has_expired_never_runs() {
         let (_, mut host) = host(None);
-        host.arrive(0, Job { expires: 10, ..job(1, 0) });
+        host.arrive(
+            0,
+            Job {
+                expires: 10,
+                ..job(1, 0)
+            },
+        );
         assert!(host.begin(10, &mut Marks::default()).is_empty());
         assert_eq!(host.next(), None);
     }
@@ -388,12 +436,23 @@
 
     #[test]
     fn keys_at_hand_cost_less_and_a_cancel_is_heeded_as_the_day_says() {
-        let day = Scenario { cache_keys: 2, miss_cost: 3.0, ..Scenario::plain(1, 60 * SECOND) };
+        let day = Scenario {
+            cache_keys: 2,
+            miss_cost: 3.0,
+            ..Scenario::plain(1, 60 * SECOND)
+        };
         let mut host = Host::new(&day, Flaw::None, 1.0, None, 5);
         let cost: Vec<f64> = [1, 1, 2, 3, 2, 1].iter().map(|k| host.fetch(*k)).collect();
         assert_eq!(cost, [3.0, 1.0, 3.0, 3.0, 1.0, 3.0]);
-        for (cancel, left) in [(Cancel::Stops, 0), (Cancel::Waiting, 1), (Cancel::Ignored, 2)] {
-            let day = Scenario { cancel, ..day.clone() };
+        for (cancel, left) in [
+            (Cancel::Stops, 0),
+            (Cancel::Waiting, 1),
+            (Cancel::Ignored, 2),
+        ] {
+            let day = Scenario {
+                cancel,
+                ..day.clone()
+            };
             let mut host = Host::new(&day, Flaw::None, 1.0, None, 5);
             assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
             host.begin(0, &mut Marks::default());
--- a/crates/spokeflow-scenario/src/report.rs
+++ b/crates/spokeflow-scenario/src/report.rs
@@ -188,14 +188,20 @@
             Seen::Taken { .. } => self.tries += 1,
             Seen::Delivered { build, .. } => {
                 self.deliveries += 1;
-                let trial = self.desk.last().is_some_and(|d| d.1 == *build && d.2 == Standing::OnTrial);
+                let trial = self
+                    .desk
+                    .last()
+                    .is_some_and(|d| d.1 == *build && d.2 == Standing::OnTrial);
                 let s = self.stretch(at);
                 s.deliveries += 1;
                 s.at_trial += u64::from(trial);
             }
             Seen::Voted { build, verdict, .. } => {
                 let back = verdict == "Back";
-                let present = self.desk.last().is_some_and(|d| d.1 == *build && d.2 != Standing::GoingBack);
+                let present = self
+                    .desk
+                    .last()
+                    .is_some_and(|d| d.1 == *build && d.2 != Standing::GoingBack);
                 if back && present && self.voted_back.last().is_none_or(|v| v.1 != *build) {
                     self.voted_back.push((at, *build));
                 }
@@ -203,7 +209,11 @@
                 s.votes_back += u64::from(back);
                 s.votes_on += u64::from(verdict == "On");
             }
-            Seen::Desk { build, stage, standing } => {
+            Seen::Desk {
+                build,
+                stage,
+                standing,
+            } => {
                 self.desk.push((at, *build, *standing, *stage));
                 self.stretch(at).stage = *stage;
             }
@@ -223,7 +233,9 @@
         let good = o.end == End::Acked && o.took <= op.target;
         self.ends[o.end as usize] += 1;
         if o.end == End::Acked {
-            self.times.record(o.took.max(1) as u64).expect("grows as needed");
+            self.times
+                .record(o.took.max(1) as u64)
+                .expect("grows as needed");
         }
         let n = ((o.due - self.start).max(0) / SECOND) as usize;
         if self.by_second.len() <= n {
@@ -245,29 +257,58 @@
         let day = &self.day;
         let part = |n: [f64; 2]| if n[0] > 0.0 { n[1] / n[0] } else { 1.0 };
         let sum = |s: &[[f64; 2]]| s.iter().fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
-        let worst = self.by_second.windows(10).map(|w| part(sum(w))).fold(1.0, f64::min);
-        let of = |n: usize, asked: &dyn Fn(&Stretch) -> &Vec<f64>, good: &dyn Fn(&Stretch) -> &Vec<f64>| {
-            let both: Vec<[f64; 2]> = self.over_time.iter().map(|s| [asked(s)[n], good(s)[n]]).collect();
+        let worst = self
+            .by_second
+            .windows(10)
+            .map(|w| part(sum(w)))
+            .fold(1.0, f64::min);
+        let of = |n: usize,
+                  asked: &dyn Fn(&Stretch) -> &Vec<f64>,
+                  good: &dyn Fn(&Stretch) -> &Vec<f64>| {
+            let both: Vec<[f64; 2]> = self
+                .over_time
+                .iter()
+                .map(|s| [asked(s)[n], good(s)[n]])
+                .collect();
             part(sum(&both))
         };
         let by_op = day.ops.iter().enumerate();
         let by_op = by_op.map(|(n, op)| {
-            (op.name.to_string(), of(n, &|s: &Stretch| &s.asked_by_op, &|s: &Stretch| &s.good_by_op))
+            (
+                op.name.to_string(),
+                of(n, &|s: &Stretch| &s.asked_by_op, &|s: &Stretch| {
+                    &s.good_by_op
+                }),
+            )
         });
         let by_customer = day.customers.iter().enumerate();
         let by_customer = by_customer.map(|(n, c)| {
             (
                 c.name.to_string(),
-                of(n, &|s: &Stretch| &s.asked_by_customer, &|s: &Stretch| &s.good_by_customer),
+                of(n, &|s: &Stretch| &s.asked_by_customer, &|s: &Stretch| {
+                    &s.good_by_customer
+                }),
             )
         });
         let (by_op, by_customer) = (by_op.collect(), by_customer.collect());
         let builds = self.stories();
-        let flawed = |n: u16| day.builds.iter().any(|b| b.number == n && b.flaw != Flaw::None);
+        let flawed = |n: u16| {
+            day.builds
+                .iter()
+                .any(|b| b.number == n && b.flaw != Flaw::None)
+        };
         let back = |s: &&BuildStory| s.end.starts_with("sent back");
-        let false_backs = builds.iter().filter(back).filter(|s| !flawed(s.build)).count() as u32;
+        let false_backs = builds
+            .iter()
+            .filter(back)
+            .filter(|s| !flawed(s.build))
+            .count() as u32;
         let offered = |s: &&BuildStory| s.end != "not offered";
-        let misses = builds.iter().filter(offered).filter(|s| !back(s) && flawed(s.build)).count() as u32;
+        let misses = builds
+            .iter()
+            .filter(offered)
+            .filter(|s| !back(s) && flawed(s.build))
+            .count() as u32;
         let [acked, wrong, nacked, failed, given_up, unreachable] = self.ends;
         let service = part(sum(&self.by_second));
         let mut broken = self.checker.finish();
@@ -319,8 +360,15 @@
             let after = |at: Micros| offered.map(|o| seconds(at - o));
             let (end, after_s) = match (ended(Standing::GoingBack), ended(Standing::Released)) {
                 (Some(back), _) => {
-                    let voted = self.voted_back.iter().any(|v| v.1 == build.number && v.0 <= back.0);
-                    let why = if voted { "sent back" } else { "taken off for the next" };
+                    let voted = self
+                        .voted_back
+                        .iter()
+                        .any(|v| v.1 == build.number && v.0 <= back.0);
+                    let why = if voted {
+                        "sent back"
+                    } else {
+                        "taken off for the next"
+                    };
                     (format!("{why} in stage {}", back.3 + 1), after(back.0))
                 }
                 (None, Some(released)) => ("released".into(), after(released.0)),
@@ -331,9 +379,20 @@
             };
             let flaw = format!("{:?}", build.flaw);
             let offered_s = seconds(offered.map_or(0, |o| o - self.start));
-            BuildStory { build: build.number, flaw, offered_s, end, after_s }
+            BuildStory {
+                build: build.number,
+                flaw,
+                offered_s,
+                end,
+                after_s,
+            }
         };
-        self.day.builds.iter().filter(|b| b.number > 1).map(story).collect()
+        self.day
+            .builds
+            .iter()
+            .filter(|b| b.number > 1)
+            .map(story)
+            .collect()
     }
 }
 
@@ -355,22 +414,53 @@
             let _ = writeln!(t, "  trouble   {trouble}");
         }
         for b in &self.builds {
-            let after = b.after_s.map(|s| format!(" {s:.1} s after its offer")).unwrap_or_default();
+            let after = b
+                .after_s
+                .map(|s| format!(" {s:.1} s after its offer"))
+                .unwrap_or_default();
             let (build, flaw, at, end) = (b.build, &b.flaw, b.offered_s, &b.end);
-            let _ = writeln!(t, "  build {build}   {flaw}, offered at {at:.1} s: {end}{after}");
+            let _ = writeln!(
+                t,
+                "  build {build}   {flaw}, offered at {at:.1} s: {end}{after}"
+            );
         }
         let _ = writeln!(
             t,
             "  commands  {}: {} acked, {} wrong, {} nacked, {} failed, {} given up, {} unreachable",
-            self.commands, self.acked, self.wrong, self.nacked, self.failed, self.given_up, self.unreachable
+            self.commands,
+            self.acked,
+            self.wrong,
+            self.nacked,
+            self.failed,
+            self.given_up,
+            self.unreachable
+        );
+        let _ = writeln!(
+            t,
+            "  messages  {} tries, {} deliveries",
+            self.tries, self.deliveries
+        );
+        let _ = writeln!(
+            t,
+            "  times     p50 {:.0} ms, p99 {:.0} ms",
+            self.p50_ms, self.p99_ms
         );
-        let _ = writeln!(t, "  messages  {} tries, {} deliveries", self.tries, self.deliveries);
-        let _ = writeln!(t, "  times     p50 {:.0} ms, p99 {:.0} ms", self.p50_ms, self.p99_ms);
-        let ops: Vec<String> = self.by_op.iter().map(|(n, s)| format!("{n} {}", percent(*s))).collect();
+        let ops: Vec<String> = self
+            .by_op
+            .iter()
+            .map(|(n, s)| format!("{n} {}", percent(*s)))
+            .collect();
         let (whole, worst) = (percent(self.service), percent(self.worst_ten_seconds));
-        let _ = writeln!(t, "  service   {whole} in time, worst 10 s {worst} ({})", ops.join(", "));
-        let customers: Vec<String> =
-            self.by_customer.iter().map(|(n, s)| format!("{n} {}", percent(*s))).collect();
+        let _ = writeln!(
+            t,
+            "  service   {whole} in time, worst 10 s {worst} ({})",
+            ops.join(", ")
+        );
+        let customers: Vec<String> = self
+            .by_customer
+            .iter()
+            .map(|(n, s)| format!("{n} {}", percent(*s)))
+            .collect();
         let _ = writeln!(t, "            {}", customers.join(", "));
         for fault in &self.faults {
             let _ = writeln!(t, "  fault     {fault}");
@@ -383,7 +473,11 @@
                 }
                 Some(first) => {
                     let _ = writeln!(t, "  rule {rule}    BROKEN {} times", of_rule.len());
-                    let _ = writeln!(t, "            first at {:.3} s: {}", first.at_s, first.what);
+                    let _ = writeln!(
+                        t,
+                        "            first at {:.3} s: {}",
+                        first.at_s, first.what
+                    );
                     first.messages.iter().for_each(|m| {
                         let _ = writeln!(t, "              {m}");
                     });
--- a/crates/spokeflow-scenario/src/scenario.rs
+++ b/crates/spokeflow-scenario/src/scenario.rs
@@ -99,7 +99,11 @@
 impl fmt::Display for Build {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let ((flaw, size), at) = (self.flaw.named(), self.offered as f64 / SECOND as f64);
-        write!(f, "{}:at={at}s:flaw={flaw}:size={size}:speed={}", self.number, self.speed)
+        write!(
+            f,
+            "{}:at={at}s:flaw={flaw}:size={size}:speed={}",
+            self.number, self.speed
+        )
     }
 }
 
@@ -110,17 +114,28 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.trim().split(':');
         let number = words.next().unwrap_or_default();
-        let number: u16 = number.parse().map_err(|_| format!("'{number}' is no number of a build"))?;
+        let number: u16 = number
+            .parse()
+            .map_err(|_| format!("'{number}' is no number of a build"))?;
         if number < 2 {
-            return Err(format!("build {number}: build 1 stands from the start, others are from 2"));
+            return Err(format!(
+                "build {number}: build 1 stands from the start, others are from 2"
+            ));
         }
         let (mut offered, mut flaw, mut size, mut speed) = (None, "none", 0.0, 1.0);
         for word in words {
-            let (name, value) = word.split_once('=').ok_or(format!("'{word}' is not NAME=VALUE"))?;
-            let number = |v: &str| v.parse::<f64>().map_err(|_| format!("'{word}': not a number"));
+            let (name, value) = word
+                .split_once('=')
+                .ok_or(format!("'{word}' is not NAME=VALUE"))?;
+            let number = |v: &str| {
+                v.parse::<f64>()
+                    .map_err(|_| format!("'{word}': not a number"))
+            };
             match name {
                 "at" => {
-                    let seconds = value.strip_suffix('s').ok_or(format!("'{word}': a time ends in s"))?;
+                    let seconds = value
+                        .strip_suffix('s')
+                        .ok_or(format!("'{word}': a time ends in s"))?;
                     offered = Some((number(seconds)? * SECOND as f64).round() as Micros);
                 }
                 "flaw" => flaw = value,
@@ -132,7 +147,12 @@
         let names = "none, errors, one-op, slow, under-load, late, shared, wrong";
         let flaw = Flaw::of(flaw, size).ok_or(format!("flaw '{flaw}' is not one of {names}"))?;
         let offered = offered.ok_or(format!("'{text}': at= is missing"))?;
-        Ok(Build { number, offered, flaw, speed })
+        Ok(Build {
+            number,
+            offered,
+            flaw,
+            speed,
+        })
     }
 }
 
@@ -213,7 +233,8 @@
 
     pub fn name(self) -> String {
         let name = serde_json::to_value(self).ok();
-        name.and_then(|v| v.as_str().map(str::to_string)).unwrap_or_default()
+        name.and_then(|v| v.as_str().map(str::to_string))
+            .unwrap_or_default()
     }
 }
 
@@ -228,7 +249,10 @@
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let names = || Kind::ALL.map(Kind::name).join(", ");
-        Kind::ALL.into_iter().find(|k| k.name() == text).ok_or_else(|| format!("not one of {}", names()))
+        Kind::ALL
+            .into_iter()
+            .find(|k| k.name() == text)
+            .ok_or_else(|| format!("not one of {}", names()))
     }
 }
 
@@ -258,13 +282,24 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.trim().split(':');
         let kind: Kind = words.next().unwrap_or_default().parse()?;
-        let mut trouble = Trouble { kind, at: 0, ..usual(kind) };
+        let mut trouble = Trouble {
+            kind,
+            at: 0,
+            ..usual(kind)
+        };
         let mut timed = false;
         for word in words {
-            let (name, value) = word.split_once('=').ok_or(format!("'{word}' is not NAME=VALUE"))?;
-            let number = |v: &str| v.parse::<f64>().map_err(|_| format!("'{word}': not a number"));
+            let (name, value) = word
+                .split_once('=')
+                .ok_or(format!("'{word}' is not NAME=VALUE"))?;
+            let number = |v: &str| {
+                v.parse::<f64>()
+                    .map_err(|_| format!("'{word}': not a number"))
+            };
             let time = || {
-                let seconds = value.strip_suffix('s').ok_or(format!("'{word}': a time ends in s"))?;
+                let seconds = value
+                    .strip_suffix('s')
+                    .ok_or(format!("'{word}': a time ends in s"))?;
                 Ok::<_, String>((number(seconds)? * SECOND as f64).round() as Micros)
             };
             match name {
@@ -275,7 +310,9 @@
                 _ => return Err(format!("'{name}' is not at, lasts, part or size")),
             }
         }
-        timed.then_some(trouble).ok_or(format!("'{text}': at= is missing"))
+        timed
+            .then_some(trouble)
+            .ok_or(format!("'{text}': at= is missing"))
     }
 }
 
@@ -304,7 +341,13 @@
         Kind::HotKey => (20.0, 0.0, 0.6),
         Kind::BadBuild | Kind::TakeBack | Kind::None => (0.0, 0.0, 0.0),
     };
-    Trouble { kind, at: 0, lasts: (lasts * SECOND as f64) as Micros, part, size }
+    Trouble {
+        kind,
+        at: 0,
+        lasts: (lasts * SECOND as f64) as Micros,
+        part,
+        size,
+    }
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -435,11 +478,31 @@
         };
         let once = Repeat::AtMostOnce;
         let ops = vec![
-            op("set-threshold", 0.45, 130, 1200, 4000, 2.0, Repeat::Redeliverable),
-            op("note-arrival", 0.15, 130, 1200, 4000, 2.0, Repeat::Deduplicated(5 * SECOND)),
+            op(
+                "set-threshold",
+                0.45,
+                130,
+                1200,
+                4000,
+                2.0,
+                Repeat::Redeliverable,
+            ),
+            op(
+                "note-arrival",
+                0.15,
+                130,
+                1200,
+                4000,
+                2.0,
+                Repeat::Deduplicated(5 * SECOND),
+            ),
             op("close-trip", 0.40, 190, 2000, 6000, 3.0, once),
         ];
-        let customer = |name, allowed, usage| Customer { name, allowed, usage };
+        let customer = |name, allowed, usage| Customer {
+            name,
+            allowed,
+            usage,
+        };
         Scenario {
             name: "plain".into(),
             seed,
@@ -457,7 +520,12 @@
                 customer("otaru-cold", 8.0, 0.6),
             ],
             keys: 600,
-            builds: vec![Build { number: 1, offered: 0, flaw: Flaw::None, speed: 1.0 }],
+            builds: vec![Build {
+                number: 1,
+                offered: 0,
+                flaw: Flaw::None,
+                speed: 1.0,
+            }],
             stage_shares: vec![0.04, 0.1, 0.25, 0.55, 1.0],
             slack: 1.4,
             gate: Gate::Single,
@@ -495,19 +563,58 @@
 
     /// Several troubles, some at once, and two builds of which one may be bad.
     pub fn bad_day(seed: u64, length: Micros) -> Scenario {
-        let mut day = Scenario { name: "bad-day".into(), ..Scenario::plain(seed, length) };
+        let mut day = Scenario {
+            name: "bad-day".into(),
+            ..Scenario::plain(seed, length)
+        };
         let mut rng = StdRng::seed_from_u64(seed);
         let bad = rng.random_bool(0.5);
         let flaw = if bad { draw_flaw(&mut rng) } else { Flaw::None };
-        day.builds.push(Build { number: 2, offered: length / 12, flaw, speed: rng.random_range(0.9..1.1) });
+        day.builds.push(Build {
+            number: 2,
+            offered: length / 12,
+            flaw,
+            speed: rng.random_range(0.9..1.1),
+        });
         let next = if bad { Flaw::None } else { draw_flaw(&mut rng) };
-        day.builds.push(Build { number: 3, offered: length / 2, flaw: next, speed: 1.0 });
+        day.builds.push(Build {
+            number: 3,
+            offered: length / 2,
+            flaw: next,
+            speed: 1.0,
+        });
         // One of each family, in any order, at times that let them overlap.
         let families: [&[Kind]; 5] = [
-            &[Kind::Kill, Kind::LoneHost, Kind::Hang, Kind::Slow, Kind::FastErrors],
-            &[Kind::Cut, Kind::CutList, Kind::CutHosts, Kind::SlowLink, Kind::LossyLinks, Kind::SlowConnects],
-            &[Kind::StalledDesk, Kind::LateDesk, Kind::RefusingDesk, Kind::LateList, Kind::ListBreaks],
-            &[Kind::Shift, Kind::Worthless, Kind::GiveUp, Kind::RepeatStorm, Kind::SlowOp, Kind::HotKey],
+            &[
+                Kind::Kill,
+                Kind::LoneHost,
+                Kind::Hang,
+                Kind::Slow,
+                Kind::FastErrors,
+            ],
+            &[
+                Kind::Cut,
+                Kind::CutList,
+                Kind::CutHosts,
+                Kind::SlowLink,
+                Kind::LossyLinks,
+                Kind::SlowConnects,
+            ],
+            &[
+                Kind::StalledDesk,
+                Kind::LateDesk,
+                Kind::RefusingDesk,
+                Kind::LateList,
+                Kind::ListBreaks,
+            ],
+            &[
+                Kind::Shift,
+                Kind::Worthless,
+                Kind::GiveUp,
+                Kind::RepeatStorm,
+                Kind::SlowOp,
+                Kind::HotKey,
+            ],
             &[Kind::RouterKill, Kind::RouterRoll],
         ];
         for family in families {
@@ -521,10 +628,22 @@
 
     /// One kind of trouble only, during the trial of a good build; with `BadBuild`, a bad one and no other.
     pub fn only(kind: Kind, seed: u64, length: Micros) -> Scenario {
-        let mut day = Scenario { name: format!("only {}", kind.name()), ..Scenario::plain(seed, length) };
+        let mut day = Scenario {
+            name: format!("only {}", kind.name()),
+            ..Scenario::plain(seed, length)
+        };
         let mut rng = StdRng::seed_from_u64(seed);
-        let flaw = if kind == Kind::BadBuild { draw_flaw(&mut rng) } else { Flaw::None };
-        day.builds.push(Build { number: 2, offered: length / 10, flaw, speed: 1.0 });
+        let flaw = if kind == Kind::BadBuild {
+            draw_flaw(&mut rng)
+        } else {
+            Flaw::None
+        };
+        day.builds.push(Build {
+            number: 2,
+            offered: length / 10,
+            flaw,
+            speed: 1.0,
+        });
         if kind == Kind::TakeBack {
             // Each stage takes some five seconds: by then the last one has begun.
             day.builds.push(Build {
@@ -535,8 +654,18 @@
             });
         }
         if !matches!(kind, Kind::BadBuild | Kind::TakeBack | Kind::None) {
-            let early = if kind == Kind::HotKey { length / 10 } else { length / 8 };
-            let at = rng.random_range(early..if kind == Kind::HotKey { length / 6 } else { length / 2 });
+            let early = if kind == Kind::HotKey {
+                length / 10
+            } else {
+                length / 8
+            };
+            let at = rng.random_range(
+                early..if kind == Kind::HotKey {
+                    length / 6
+                } else {
+                    length / 2
+                },
+            );
             day.troubles.push(Trouble { at, ..usual(kind) });
         }
         day
@@ -546,7 +675,10 @@
     /// queues that thrash, and clients that burst, each on some days.
     pub fn drawn(seed: u64, length: Micros) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xd4a3);
-        let mut day = Scenario { name: "drawn".into(), ..Scenario::plain(seed, length) };
+        let mut day = Scenario {
+            name: "drawn".into(),
+            ..Scenario::plain(seed, length)
+        };
         let some = |rng: &mut StdRng, part: f64| rng.random_bool(part);
         if some(&mut rng, 0.25) {
             day.burst = rng.random_range(0.3..1.5);
@@ -565,8 +697,17 @@
         day.key_skew = rng.random_range(0.3..1.1);
         let mut offered = rng.random_range(length / 20..length / 4);
         for number in 2..2 + rng.random_range(0..3) {
-            let flaw = if some(&mut rng, 0.4) { draw_flaw(&mut rng) } else { Flaw::None };
-            day.builds.push(Build { number, offered, flaw, speed: rng.random_range(0.85..1.2) });
+            let flaw = if some(&mut rng, 0.4) {
+                draw_flaw(&mut rng)
+            } else {
+                Flaw::None
+            };
+            day.builds.push(Build {
+                number,
+                offered,
+                flaw,
+                speed: rng.random_range(0.85..1.2),
+            });
             offered += rng.random_range(length / 8..length / 2);
         }
         for _ in 0..rng.random_range(0..6) {
@@ -616,15 +757,39 @@
     #[test]
     fn a_trouble_survives_its_own_text_and_faults_are_named() {
         let trouble: Trouble = "cut:at=5s:lasts=6.5s".parse().unwrap();
-        assert_eq!((trouble.kind, trouble.at, trouble.lasts), (Kind::Cut, 5 * SECOND, 6_500_000));
-        assert_eq!(trouble.to_string().parse::<Trouble>().unwrap().to_string(), trouble.to_string());
-        assert!("cut".parse::<Trouble>().unwrap_err().contains("at= is missing"));
-        assert!("cutt:at=1s".parse::<Trouble>().unwrap_err().contains("router-roll"));
-        assert!("cut:at=1".parse::<Trouble>().unwrap_err().contains("ends in s"));
+        assert_eq!(
+            (trouble.kind, trouble.at, trouble.lasts),
+            (Kind::Cut, 5 * SECOND, 6_500_000)
+        );
+        assert_eq!(
+            trouble.to_string().parse::<Trouble>().unwrap().to_string(),
+            trouble.to_string()
+        );
+        assert!("cut"
+            .parse::<Trouble>()
+            .unwrap_err()
+            .contains("at= is missing"));
+        assert!("cutt:at=1s"
+            .parse::<Trouble>()
+            .unwrap_err()
+            .contains("router-roll"));
+        assert!("cut:at=1"
+            .parse::<Trouble>()
+            .unwrap_err()
+            .contains("ends in s"));
         let build: Build = "3:at=5.5s:flaw=one-op:size=0.25".parse().unwrap();
-        assert_eq!((build.number, build.offered, build.flaw), (3, 5_500_000, Flaw::OneOp(0.25)));
-        assert_eq!(build.to_string().parse::<Build>().unwrap().to_string(), build.to_string());
+        assert_eq!(
+            (build.number, build.offered, build.flaw),
+            (3, 5_500_000, Flaw::OneOp(0.25))
+        );
+        assert_eq!(
+            build.to_string().parse::<Build>().unwrap().to_string(),
+            build.to_string()
+        );
         assert!("1:at=5s".parse::<Build>().unwrap_err().contains("from 2"));
-        assert!("2:at=5s:flaw=ugly".parse::<Build>().unwrap_err().contains("under-load"));
+        assert!("2:at=5s:flaw=ugly"
+            .parse::<Build>()
+            .unwrap_err()
+            .contains("under-load"));
     }
 }
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -32,22 +32,33 @@
 impl Traffic {
     pub fn new(day: &Scenario, start: Micros) -> Traffic {
         let rng = StdRng::seed_from_u64(day.seed ^ 0xc0de);
-        let keys =
-            Zipf::new(day.keys.max(1) as f64, day.key_skew).expect("at least one key, skew not negative");
-        Traffic { rng, keys, at: start, burst_until: start, burst_next: start }
+        let keys = Zipf::new(day.keys.max(1) as f64, day.key_skew)
+            .expect("at least one key, skew not negative");
+        Traffic {
+            rng,
+            keys,
+            at: start,
+            burst_until: start,
+            burst_next: start,
+        }
     }
 
     /// The next command, due after the one before it.
     pub fn next(&mut self, day: &Scenario, faults: &Faults) -> Wanted {
         // A gentle wave over the day, as the morning's trucks make it.
-        let wave = 1.0 + day.wave * (self.at as f64 / day.wave_span as f64 * std::f64::consts::TAU).sin();
+        let wave =
+            1.0 + day.wave * (self.at as f64 / day.wave_span as f64 * std::f64::consts::TAU).sin();
         let mut rate = day.rate * wave * (1.0 + faults.worthless * 0.2);
         if day.burst > 0.0 {
             if self.at >= self.burst_next {
                 self.burst_until = self.at + SECOND;
                 self.burst_next = self.at + SECOND + self.rng.random_range(4 * SECOND..16 * SECOND);
             }
-            rate *= if self.at < self.burst_until { 1.0 + day.burst } else { 1.0 };
+            rate *= if self.at < self.burst_until {
+                1.0 + day.burst
+            } else {
+                1.0
+            };
         }
         let gap = Exp::new(rate).map_or(0.1, |d| d.sample(&mut self.rng));
         self.at += ((gap * SECOND as f64) as Micros).max(1);
@@ -58,11 +69,25 @@
         });
         let customer = pick(&mut self.rng, weights);
         let shifted = self.rng.random_bool(faults.shift);
-        let site = if shifted { 0 } else { self.rng.random_range(0..day.sites) };
+        let site = if shifted {
+            0
+        } else {
+            self.rng.random_range(0..day.sites)
+        };
         let hot = self.rng.random_bool(faults.hot_key);
-        let key =
-            if hot { 1 << 40 | (self.at / SECOND) as u64 } else { self.keys.sample(&mut self.rng) as u64 };
-        Wanted { op, customer, site, key, due: self.at, seed: self.rng.random() }
+        let key = if hot {
+            1 << 40 | (self.at / SECOND) as u64
+        } else {
+            self.keys.sample(&mut self.rng) as u64
+        };
+        Wanted {
+            op,
+            customer,
+            site,
+            key,
+            due: self.at,
+            seed: self.rng.random(),
+        }
     }
 }
 
@@ -124,27 +149,46 @@
 
 impl Client {
     pub fn new(wanted: Wanted) -> Client {
-        Client { wanted, tries: 0, rng: StdRng::seed_from_u64(wanted.seed) }
+        Client {
+            wanted,
+            tries: 0,
+            rng: StdRng::seed_from_u64(wanted.seed),
+        }
     }
 
     /// Begins a try: how long the client says that it waits, and how long it does. `None`: no time is left.
-    pub fn try_again(&mut self, day: &Scenario, faults: &Faults, now: Micros) -> Option<(Micros, Micros)> {
+    pub fn try_again(
+        &mut self,
+        day: &Scenario,
+        faults: &Faults,
+        now: Micros,
+    ) -> Option<(Micros, Micros)> {
         let op = &day.ops[self.wanted.op];
         self.tries += 1;
         let [least, most] = day.try_part;
         let left = self.wanted.due + op.timeout - now;
-        let patience = ((op.timeout as f64 * self.rng.random_range(least..=most)) as Micros).min(left);
+        let patience =
+            ((op.timeout as f64 * self.rng.random_range(least..=most)) as Micros).min(left);
         if patience < LEAST_PATIENCE {
             return None;
         }
         let hasty = faults.give_up > 0.0 && self.rng.random_bool(0.5);
-        let waits =
-            if hasty { (patience as f64 * faults.give_up) as Micros } else { patience + LEAVES_AFTER };
+        let waits = if hasty {
+            (patience as f64 * faults.give_up) as Micros
+        } else {
+            patience + LEAVES_AFTER
+        };
         Some((patience, waits))
     }
 
     /// After how long the client tries again; `None`: this end is the last.
-    pub fn after(&mut self, day: &Scenario, faults: &Faults, now: Micros, end: TryEnd) -> Option<Micros> {
+    pub fn after(
+        &mut self,
+        day: &Scenario,
+        faults: &Faults,
+        now: Micros,
+        end: TryEnd,
+    ) -> Option<Micros> {
         let (again, pause) = match end {
             TryEnd::Acked { .. } => return None,
             TryEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
@@ -162,8 +206,16 @@
         if !(again || harmless) || self.tries > retries {
             return None;
         }
-        let backoff = if faults.repeats > 0.0 { MS } else { self.rng.random_range(60 * MS..480 * MS) };
-        Some(if faults.repeats > 0.0 { backoff } else { pause.max(backoff) })
+        let backoff = if faults.repeats > 0.0 {
+            MS
+        } else {
+            self.rng.random_range(60 * MS..480 * MS)
+        };
+        Some(if faults.repeats > 0.0 {
+            backoff
+        } else {
+            pause.max(backoff)
+        })
     }
 }
 
@@ -173,32 +225,62 @@
 
     #[test]
     fn an_open_loop_asks_at_its_rate_and_equal_seeds_ask_alike() {
-        let day = Scenario { rate: 200.0, burst: 2.0, ..Scenario::plain(4, 60 * SECOND) };
+        let day = Scenario {
+            rate: 200.0,
+            burst: 2.0,
+            ..Scenario::plain(4, 60 * SECOND)
+        };
         let draw = |n: usize| {
             let mut traffic = Traffic::new(&day, 0);
-            (0..n).map(|_| traffic.next(&day, &Faults::default())).collect::<Vec<_>>()
+            (0..n)
+                .map(|_| traffic.next(&day, &Faults::default()))
+                .collect::<Vec<_>>()
         };
         let (one, two) = (draw(20_000), draw(20_000));
         assert_eq!(one, two);
         let rate = 20_000.0 / (one[19_999].due as f64 / SECOND as f64);
-        assert!((200.0..300.0).contains(&rate), "bursts of a second each eleven or so add to it: {rate}");
+        assert!(
+            (200.0..300.0).contains(&rate),
+            "bursts of a second each eleven or so add to it: {rate}"
+        );
         assert!(one.windows(2).all(|w| w[0].due < w[1].due));
         let by_customer = |c| one.iter().filter(|w| w.customer == c).count();
-        assert!(by_customer(0) > 2 * by_customer(3), "customers send by what they are allowed and use");
+        assert!(
+            by_customer(0) > 2 * by_customer(3),
+            "customers send by what they are allowed and use"
+        );
     }
 
     #[test]
     fn what_may_have_run_is_not_asked_again_unless_a_repeat_is_harmless() {
         let (day, faults) = (Scenario::plain(4, 60 * SECOND), Faults::default());
         let again = |op, end, now| {
-            let wanted = Wanted { op, customer: 0, site: 0, key: 1, due: 0, seed: 3 };
+            let wanted = Wanted {
+                op,
+                customer: 0,
+                site: 0,
+                key: 1,
+                due: 0,
+                seed: 3,
+            };
             let mut client = Client::new(wanted);
             client.try_again(&day, &faults, now).unwrap();
             client.after(&day, &faults, now, end)
         };
         assert!(again(0, TryEnd::Failed, 0).is_some() && again(2, TryEnd::Failed, 0).is_none());
-        assert!(again(1, TryEnd::Broken, SECOND).is_some() && again(1, TryEnd::Broken, 3 * SECOND).is_none());
+        assert!(
+            again(1, TryEnd::Broken, SECOND).is_some()
+                && again(1, TryEnd::Broken, 3 * SECOND).is_none()
+        );
         assert!(again(2, TryEnd::Nacked(Some(SECOND)), 0).is_some_and(|p| p >= SECOND));
-        assert!(again(0, TryEnd::Acked { build: 1, wrong: false }, 0).is_none());
+        assert!(again(
+            0,
+            TryEnd::Acked {
+                build: 1,
+                wrong: false
+            },
+            0
+        )
+        .is_none());
     }
 }
--- a/crates/spokeflow-settings/src/lib.rs
+++ b/crates/spokeflow-settings/src/lib.rs
@@ -156,11 +156,16 @@
 
 /// Reads the object's text. Errors: no such object, or a word that is not known, in one line.
 pub fn read(text: &[u8]) -> Result<Told, String> {
-    let p: Params = serde_json::from_slice(text).map_err(|e| format!("settings do not parse: {e}"))?;
+    let p: Params =
+        serde_json::from_slice(text).map_err(|e| format!("settings do not parse: {e}"))?;
     let ops = p.categories.iter().map(op).collect();
     let terms = ServiceTerms {
         ops,
-        shares: p.tenants.iter().map(|t| t.allowance_per_s.max(1e-3)).collect(),
+        shares: p
+            .tenants
+            .iter()
+            .map(|t| t.allowance_per_s.max(1e-3))
+            .collect(),
         own_zone: ZoneId(p.zone),
         own_index: p.me,
         fleet_size: p.fleet_size.max(1),
@@ -199,7 +204,9 @@
         complaint_share: p.family_info.complaint_share,
         back_votes: p.family_info.back_votes,
         // Above 0, or not told.
-        votes_a_second: Some(p.family_info.vote_allowance).filter(|n| *n > 0.0).unwrap_or(f64::INFINITY),
+        votes_a_second: Some(p.family_info.vote_allowance)
+            .filter(|n| *n > 0.0)
+            .unwrap_or(f64::INFINITY),
     };
     Ok(Told {
         terms,
--- a/crates/spokeflow-standin/src/clients.rs
+++ b/crates/spokeflow-standin/src/clients.rs
@@ -60,7 +60,10 @@
         loop {
             let door = self.doors.lock().expect("no holder panics")[self.router];
             let opened = match door.address {
-                Some(address) => timeout(Duration::from_millis(250), self.open(address)).await.ok().flatten(),
+                Some(address) => timeout(Duration::from_millis(250), self.open(address))
+                    .await
+                    .ok()
+                    .flatten(),
                 None => None,
             };
             match opened {
@@ -87,15 +90,24 @@
         }
     }
 
-    async fn open(&self, address: SocketAddr) -> Option<Framed<TcpStream, FrameCodec<ToClient, FromClient>>> {
+    async fn open(
+        &self,
+        address: SocketAddr,
+    ) -> Option<Framed<TcpStream, FrameCodec<ToClient, FromClient>>> {
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let mut link = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        link.send(FromClient::Hello(Hello::new(Role::Client, 0, self.site))).await.ok()?;
+        link.send(FromClient::Hello(Hello::new(Role::Client, 0, self.site)))
+            .await
+            .ok()?;
         matches!(link.next().await, Some(Ok(ToClient::Welcome))).then_some(link)
     }
 
-    async fn work(&mut self, mut link: Framed<TcpStream, FrameCodec<ToClient, FromClient>>, by: Process) {
+    async fn work(
+        &mut self,
+        mut link: Framed<TcpStream, FrameCodec<ToClient, FromClient>>,
+        by: Process,
+    ) {
         let mut open: HashMap<u64, (u64, Option<oneshot::Sender<TryEnd>>)> = HashMap::new();
         let mut closing = false;
         loop {
@@ -173,15 +185,31 @@
         let day = &world.day;
         let link = |router: usize, site| {
             let (to, orders) = mpsc::channel(1024);
-            let link = Link { world: world.clone(), doors: doors.clone(), router, site, orders };
+            let link = Link {
+                world: world.clone(),
+                doors: doors.clone(),
+                router,
+                site,
+                orders,
+            };
             tokio::spawn(link.run());
             to
         };
         let of_router = |router, site| (0..LINKS_EACH).map(|_| link(router, site)).collect();
-        let of_site = |site| (0..day.routers as usize).map(|r| of_router(r, site)).collect();
+        let of_site = |site| {
+            (0..day.routers as usize)
+                .map(|r| of_router(r, site))
+                .collect()
+        };
         let links = (0..day.sites).map(of_site).collect();
         let front = Front::new(day);
-        Arc::new(Crowd { world, doors, links, outcomes: Mutex::default(), front })
+        Arc::new(Crowd {
+            world,
+            doors,
+            links,
+            outcomes: Mutex::default(),
+            front,
+        })
     }
 
     pub fn outcomes(&self) -> Vec<Outcome> {
@@ -204,7 +232,8 @@
     fn router_for(&self, wanted: &Wanted, n: u32) -> usize {
         let doors = self.doors.lock().expect("no holder panics");
         let now = self.world.tap.now();
-        self.front.router_for(wanted.site, wanted.seed, n, now, |r| doors[r].down_since)
+        self.front
+            .router_for(wanted.site, wanted.seed, n, now, |r| doors[r].down_since)
     }
 
     async fn command(self: Arc<Self>, wanted: Wanted) {
@@ -213,7 +242,9 @@
         let mut client = Client::new(wanted);
         let (end, build) = loop {
             let asked = client.try_again(day, &self.world.faults(), self.world.tap.now());
-            let Some((patience, waits)) = asked else { break (End::GivenUp, 0) };
+            let Some((patience, waits)) = asked else {
+                break (End::GivenUp, 0);
+            };
             let router = self.router_for(&wanted, client.tries - 1);
             let links = &self.links[usize::from(wanted.site)][router];
             let link = &links[client.rng.random_range(0..links.len())];
@@ -228,7 +259,13 @@
                 left_us: patience as u64,
                 body: body(tried, number),
             };
-            let send = Send { command, tried, number, patience, end: tell };
+            let send = Send {
+                command,
+                tried,
+                number,
+                patience,
+                end: tell,
+            };
             if link.send(Order::Send(send)).await.is_err() {
                 break (End::Unreachable, 0);
             }
@@ -244,10 +281,29 @@
                 None => break ended.last(),
             }
         };
-        let Wanted { op, customer, site, due, .. } = wanted;
+        let Wanted {
+            op,
+            customer,
+            site,
+            due,
+            ..
+        } = wanted;
         let took = self.world.tap.now() - due;
         let tries = client.tries;
-        let outcome = Outcome { command: number, op, customer, site, due, tries, end, took, build };
-        self.outcomes.lock().expect("no holder panics").push(outcome);
+        let outcome = Outcome {
+            command: number,
+            op,
+            customer,
+            site,
+            due,
+            tries,
+            end,
+            took,
+            build,
+        };
+        self.outcomes
+            .lock()
+            .expect("no holder panics")
+            .push(outcome);
     }
 }
--- a/crates/spokeflow-standin/src/commits.rs
+++ b/crates/spokeflow-standin/src/commits.rs
@@ -36,7 +36,12 @@
 
 fn text(what: &str, times: &Histogram<u64>, span: Duration) -> String {
     let ms = |q: f64| times.value_at_quantile(q) as f64 / 1000.0;
-    format!("{what:24} {:9.0} {:9.2} {:9.2}", times.len() as f64 / span.as_secs_f64(), ms(0.5), ms(0.99))
+    format!(
+        "{what:24} {:9.0} {:9.2} {:9.2}",
+        times.len() as f64 / span.as_secs_f64(),
+        ms(0.5),
+        ms(0.99)
+    )
 }
 
 /// One write of a small record after the other, each synced.
@@ -56,27 +61,45 @@
 /// Offers against a revision that is not the newest: each is an entry of the log, answered once it is committed.
 async fn offers(leader: SocketAddr, out: usize, span: Duration) -> Result<Histogram<u64>, String> {
     let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    let stream = TcpStream::connect(leader).await.map_err(|e| e.to_string())?;
+    let stream = TcpStream::connect(leader)
+        .await
+        .map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
     let mut link = Framed::new(stream, FrameCodec::<FromKeeper, ToKeeper>::new(LIMIT));
-    link.send(ToKeeper::hello(Caller::Person)).await.map_err(|e| e.to_string())?;
+    link.send(ToKeeper::hello(Caller::Person))
+        .await
+        .map_err(|e| e.to_string())?;
     let (mut waits, mut number, start) = (HashMap::new(), 0, Instant::now());
     loop {
         while waits.len() < out && start.elapsed() < span {
             number += 1;
             let token = rand::rng().random();
             let (who, why) = ("load".to_string(), "load".to_string());
-            let offer =
-                Offer { token, against: RevisionNo(u64::MAX), who, why, at_s: 0, values: Values::new() };
+            let offer = Offer {
+                token,
+                against: RevisionNo(u64::MAX),
+                who,
+                why,
+                at_s: 0,
+                values: Values::new(),
+            };
             waits.insert(number, Instant::now());
-            link.feed(ToKeeper::Ask { number, ask: Ask::Offer(offer) }).await.map_err(|e| e.to_string())?;
+            link.feed(ToKeeper::Ask {
+                number,
+                ask: Ask::Offer(offer),
+            })
+            .await
+            .map_err(|e| e.to_string())?;
         }
         link.flush().await.map_err(|e| e.to_string())?;
         if waits.is_empty() {
             return Ok(times);
         }
         match link.next().await {
-            Some(Ok(FromKeeper::Answer { number, answer: Answer::Offered(_) })) => {
+            Some(Ok(FromKeeper::Answer {
+                number,
+                answer: Answer::Offered(_),
+            })) => {
                 if let Some(begun) = waits.remove(&number) {
                     let _ = times.record(begun.elapsed().as_micros() as u64);
                 }
@@ -89,14 +112,18 @@
 
 /// Starts three keepers and measures. Errors: something cannot be started, or a keeper answers otherwise.
 pub async fn commits(flags: &CommitFlags) -> Result<(), String> {
-    let folder = flags
-        .stores
-        .clone()
-        .unwrap_or_else(|| std::env::temp_dir().join(format!("spokeflow-commits-{}", std::process::id())));
+    let folder = flags.stores.clone().unwrap_or_else(|| {
+        std::env::temp_dir().join(format!("spokeflow-commits-{}", std::process::id()))
+    });
     std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
-    let starting = Starting { first: vec!["keeper".into()], ..Starting::own().map_err(|e| e.to_string())? };
+    let starting = Starting {
+        first: vec!["keeper".into()],
+        ..Starting::own().map_err(|e| e.to_string())?
+    };
     let port = || async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
         listener.local_addr().map_err(|e| e.to_string())
     };
     let seats = [port().await?, port().await?, port().await?];
@@ -104,9 +131,17 @@
     for (n, seat) in seats.iter().enumerate() {
         let store = folder.join(format!("keeper-{n}.redb"));
         let _ = std::fs::remove_file(&store);
-        let mut all =
-            vec![format!("--id={n}"), format!("--listen={seat}"), format!("--store={}", store.display())];
-        all.extend(seats.iter().enumerate().map(|(k, s)| format!("--member={k}={s}")));
+        let mut all = vec![
+            format!("--id={n}"),
+            format!("--listen={seat}"),
+            format!("--store={}", store.display()),
+        ];
+        all.extend(
+            seats
+                .iter()
+                .enumerate()
+                .map(|(k, s)| format!("--member={k}={s}")),
+        );
         keepers.push(RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await?);
     }
     let Ok(Answer::View(view)) = ask(&seats, Ask::View, Duration::from_secs(10)).await else {
@@ -121,7 +156,10 @@
         for &out in &flags.out {
             let begun = Instant::now();
             let times = offers(leader, out.max(1), span).await?;
-            println!("{}", text(&format!("commits, {out} out"), &times, begun.elapsed()));
+            println!(
+                "{}",
+                text(&format!("commits, {out} out"), &times, begun.elapsed())
+            );
         }
     }
     for keeper in &mut keepers {
