--- a/crates/spokeflow-standin/src/day.rs
+++ b/crates/spokeflow-standin/src/day.rs
@@ -104,7 +104,11 @@
         let started = stage.start_router(router).await?;
         let address = Some(started.address);
         stage.routers.lock().await.push(Some(started));
-        doors.lock().expect("no holder panics").push(Door { address, process, down_since: None });
+        doors.lock().expect("no holder panics").push(Door {
+            address,
+            process,
+            down_since: None,
+        });
         world.tap.note(Seen::RouterUp(process));
     }
     sleep(Duration::from_micros(LEAD as u64)).await;
@@ -114,10 +118,19 @@
     // After the last command there is time for its answer.
     let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
     let end = start + day.length + longest + SECOND;
-    let mut offers: Vec<Build> = day.builds.iter().copied().filter(|b| b.number > 1).collect();
+    let mut offers: Vec<Build> = day
+        .builds
+        .iter()
+        .copied()
+        .filter(|b| b.number > 1)
+        .collect();
     let mut told = 0;
-    let mut troubles: Vec<(usize, Trouble, bool)> =
-        day.troubles.iter().enumerate().map(|(n, t)| (n, *t, false)).collect();
+    let mut troubles: Vec<(usize, Trouble, bool)> = day
+        .troubles
+        .iter()
+        .enumerate()
+        .map(|(n, t)| (n, *t, false))
+        .collect();
     while world.tap.now() < end {
         let now = world.tap.now();
         if (now - start) / SECOND > told {
@@ -136,7 +149,11 @@
             desk.tick(now, &mut orders);
             let s = desk.state;
             if s != before {
-                world.tap.note(Seen::Desk { build: s.build, stage: s.stage, standing: s.standing });
+                world.tap.note(Seen::Desk {
+                    build: s.build,
+                    stage: s.stage,
+                    standing: s.standing,
+                });
             }
         }
         stage.carry_out(orders);
@@ -144,17 +161,32 @@
         for (n, trouble, begun) in &mut troubles {
             if !*begun && now - start >= trouble.at {
                 *begun = true;
-                world.tap.note(Seen::Trouble { what: format!("begins: {trouble}") });
+                world.tap.note(Seen::Trouble {
+                    what: format!("begins: {trouble}"),
+                });
                 stage.begin(*n, *trouble, now);
             }
         }
-        let over: Vec<_> = troubles.extract_if(.., |t| t.2 && now - start >= t.1.at + t.1.lasts).collect();
+        let over: Vec<_> = troubles
+            .extract_if(.., |t| t.2 && now - start >= t.1.at + t.1.lasts)
+            .collect();
         for (n, trouble, _) in over {
-            world.tap.note(Seen::Trouble { what: format!("ends: {}", trouble.kind.name()) });
-            let others: Vec<(usize, Trouble)> = troubles.iter().filter(|t| t.2).map(|t| (t.0, t.1)).collect();
+            world.tap.note(Seen::Trouble {
+                what: format!("ends: {}", trouble.kind.name()),
+            });
+            let others: Vec<(usize, Trouble)> = troubles
+                .iter()
+                .filter(|t| t.2)
+                .map(|t| (t.0, t.1))
+                .collect();
             stage.end(n, trouble, &others);
         }
-        stage.office.board.lock().expect("no holder panics").tick(now);
+        stage
+            .office
+            .board
+            .lock()
+            .expect("no holder panics")
+            .tick(now);
         stage.drag();
         sleep(Duration::from_millis(10)).await;
     }
@@ -164,7 +196,11 @@
         if let Some(router) = router {
             let ended = router.end(Duration::from_secs(16)).await;
             if let Err(what) = ended {
-                stage.faults.lock().expect("no holder panics").push(format!("router {n}: {what}"));
+                stage
+                    .faults
+                    .lock()
+                    .expect("no holder panics")
+                    .push(format!("router {n}: {what}"));
             }
         }
     }
@@ -174,13 +210,25 @@
     seen.iter().for_each(|(at, s)| record.see(*at, s));
     outcomes.iter().for_each(|o| record.ended(o));
     let report = record.finish(faults, Some(&seen));
-    Ok(Played { day, seen, outcomes, report })
+    Ok(Played {
+        day,
+        seen,
+        outcomes,
+        report,
+    })
 }
 
 impl Stage {
     fn seat(&mut self, host: u32, build: u16, started: Option<Micros>) {
         let site = (host % u32::from(self.world.day.sites)) as u16;
-        let seat = Seat { site, build, started, process: None, draining: false, address: None };
+        let seat = Seat {
+            site,
+            build,
+            started,
+            process: None,
+            draining: false,
+            address: None,
+        };
         self.seats.insert(host, seat);
     }
 
@@ -188,17 +236,28 @@
     async fn run_host(&mut self, host: u32) -> Result<(), String> {
         let day = &self.world.day;
         let seed = day.seed ^ u64::from(host) << 20 ^ self.world.number() << 40;
-        let Some(seat) = self.seats.get_mut(&host) else { return Ok(()) };
+        let Some(seat) = self.seats.get_mut(&host) else {
+            return Ok(());
+        };
         let build = day.builds.iter().find(|b| b.number == seat.build);
         let (flaw, speed) = build.map_or((Flaw::None, 1.0), |b| (b.flaw, b.speed));
         let model = Host::new(day, flaw, speed, seat.started, seed);
-        let place = HostSeat { host, site: seat.site, build: seat.build };
-        let process =
-            hosts::start(&self.world, place, model, seat.address).await.map_err(|e| e.to_string())?;
+        let place = HostSeat {
+            host,
+            site: seat.site,
+            build: seat.build,
+        };
+        let process = hosts::start(&self.world, place, model, seat.address)
+            .await
+            .map_err(|e| e.to_string())?;
         seat.address = Some(process.address);
         let incarnation = process.incarnation;
         seat.process = Some(process);
-        let late = if seat.started.is_none() { 0 } else { self.late() };
+        let late = if seat.started.is_none() {
+            0
+        } else {
+            self.late()
+        };
         self.list(host, Phase::Ready, incarnation, late);
         Ok(())
     }
@@ -209,7 +268,10 @@
     }
 
     fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
-        let Some((seat, address)) = self.seats.get(&host).and_then(|s| Some((s, s.address?))) else { return };
+        let Some((seat, address)) = self.seats.get(&host).and_then(|s| Some((s, s.address?)))
+        else {
+            return;
+        };
         let entry = Entry {
             host,
             address: address.to_string(),
@@ -220,11 +282,18 @@
             started: seat.started,
         };
         let at = self.world.tap.now() + late;
-        self.office.board.lock().expect("no holder panics").know_at(at, entry);
+        self.office
+            .board
+            .lock()
+            .expect("no holder panics")
+            .know_at(at, entry);
     }
 
     fn incarnation(&self, host: u32) -> u64 {
-        self.seats.get(&host).and_then(|s| s.process.as_ref()).map_or(0, |p| p.incarnation)
+        self.seats
+            .get(&host)
+            .and_then(|s| s.process.as_ref())
+            .map_or(0, |p| p.incarnation)
     }
 
     fn carry_out(&mut self, orders: Vec<Order>) {
@@ -234,16 +303,20 @@
                 Order::Start { host, build, .. } => {
                     let [least, most] = self.world.day.boot;
                     self.seat(host, build, Some(now));
-                    self.booting.push((now + self.rng.random_range(least..most), host));
+                    self.booting
+                        .push((now + self.rng.random_range(least..most), host));
                 }
                 Order::Drain { host } => {
                     self.booting.retain(|b| b.1 != host);
-                    let Some(seat) = self.seats.get_mut(&host) else { continue };
+                    let Some(seat) = self.seats.get_mut(&host) else {
+                        continue;
+                    };
                     seat.draining = true;
                     if seat.process.is_some() {
                         let (incarnation, late) = (self.incarnation(host), self.late());
                         self.list(host, Phase::Draining, incarnation, late);
-                        self.stopping.push((now + late + self.world.day.drain, host));
+                        self.stopping
+                            .push((now + late + self.world.day.drain, host));
                     }
                 }
             }
@@ -251,21 +324,42 @@
     }
 
     async fn tick(&mut self, now: Micros) -> Result<(), String> {
-        for (_, host) in self.booting.extract_if(.., |b| b.0 <= now).collect::<Vec<_>>() {
+        for (_, host) in self
+            .booting
+            .extract_if(.., |b| b.0 <= now)
+            .collect::<Vec<_>>()
+        {
             if let Some(seat) = self.seats.get_mut(&host) {
                 seat.started = Some(now);
             }
             self.run_host(host).await?;
             let mut orders = Vec::new();
-            self.office.desk.lock().expect("no holder panics").runs(now, host, &mut orders);
+            self.office
+                .desk
+                .lock()
+                .expect("no holder panics")
+                .runs(now, host, &mut orders);
             self.carry_out(orders);
         }
-        for (_, host) in self.stopping.extract_if(.., |s| s.0 <= now).collect::<Vec<_>>() {
+        for (_, host) in self
+            .stopping
+            .extract_if(.., |s| s.0 <= now)
+            .collect::<Vec<_>>()
+        {
             // It goes on while it has work, for some time.
-            let Some(seat) = self.seats.get_mut(&host) else { continue };
-            let busy =
-                seat.process.as_ref().is_some_and(|p| p.model.lock().expect("no holder panics").held() > 0);
-            if busy && !seat.process.as_ref().is_some_and(|p| p.model.lock().is_ok_and(|m| m.fallen)) {
+            let Some(seat) = self.seats.get_mut(&host) else {
+                continue;
+            };
+            let busy = seat
+                .process
+                .as_ref()
+                .is_some_and(|p| p.model.lock().expect("no holder panics").held() > 0);
+            if busy
+                && !seat
+                    .process
+                    .as_ref()
+                    .is_some_and(|p| p.model.lock().is_ok_and(|m| m.fallen))
+            {
                 self.stopping.push((now + 100 * MS, host));
                 continue;
             }
@@ -275,8 +369,16 @@
             }
             self.list(host, Phase::Gone, incarnation, late);
         }
-        for (_, host) in self.reviving.extract_if(.., |s| s.0 <= now).collect::<Vec<_>>() {
-            if let Some(seat) = self.seats.get_mut(&host).filter(|s| !s.draining && s.process.is_none()) {
+        for (_, host) in self
+            .reviving
+            .extract_if(.., |s| s.0 <= now)
+            .collect::<Vec<_>>()
+        {
+            if let Some(seat) = self
+                .seats
+                .get_mut(&host)
+                .filter(|s| !s.draining && s.process.is_none())
+            {
                 seat.started = Some(now);
                 self.run_host(host).await?;
             }
@@ -286,8 +388,12 @@
 
     /// Hosts that trouble `n` strikes: a part of those that run.
     fn strike(&mut self, n: usize, part: f64) -> Vec<u32> {
-        let mut running: Vec<u32> =
-            self.seats.iter().filter(|(_, s)| s.process.is_some() && !s.draining).map(|(h, _)| *h).collect();
+        let mut running: Vec<u32> = self
+            .seats
+            .iter()
+            .filter(|(_, s)| s.process.is_some() && !s.draining)
+            .map(|(h, _)| *h)
+            .collect();
         running.sort_unstable();
         running.shuffle(&mut self.rng);
         running.truncate(((running.len() as f64 * part).round() as usize).max(1));
@@ -311,7 +417,12 @@
     fn begin(&mut self, n: usize, trouble: Trouble, now: Micros) {
         let seconds = (trouble.size * SECOND as f64) as Micros;
         let world = self.world.clone();
-        if world.faults.lock().expect("no holder panics").begin(&world.day, n, &trouble) {
+        if world
+            .faults
+            .lock()
+            .expect("no holder panics")
+            .begin(&world.day, n, &trouble)
+        {
             return;
         }
         match trouble.kind {
@@ -323,7 +434,8 @@
                     }
                     self.list(host, Phase::Gone, incarnation, late);
                     let first = trouble.kind == Kind::LoneHost && nth == 0;
-                    self.reviving.push((now + if first { seconds } else { trouble.lasts }, host));
+                    self.reviving
+                        .push((now + if first { seconds } else { trouble.lasts }, host));
                 }
             }
             Kind::Hang => {
@@ -339,7 +451,9 @@
                 self.ail(&struck, |a| a.fails = trouble.size);
             }
             Kind::SlowOp => {
-                self.ail(&self.all_hosts(), |a| a.slow_op = (0, trouble.size.max(1.0)));
+                self.ail(&self.all_hosts(), |a| {
+                    a.slow_op = (0, trouble.size.max(1.0))
+                });
             }
             Kind::RouterKill | Kind::RouterRoll => {
                 let mut all: Vec<u32> = (0..self.world.day.routers).collect();
@@ -347,7 +461,11 @@
                 all.truncate(((all.len() as f64 * trouble.part).round() as usize).max(1));
                 let hard = trouble.kind == Kind::RouterKill;
                 let down = if hard { trouble.lasts } else { seconds };
-                let apart = if hard { 0 } else { trouble.lasts / all.len() as Micros };
+                let apart = if hard {
+                    0
+                } else {
+                    trouble.lasts / all.len() as Micros
+                };
                 tokio::spawn(self.restarting().run(all, hard, down, apart));
             }
             _ => {}
@@ -358,7 +476,11 @@
     fn end(&mut self, n: usize, trouble: Trouble, others: &[(usize, Trouble)]) {
         let struck = self.struck.remove(&n).unwrap_or_default();
         let world = self.world.clone();
-        world.faults.lock().expect("no holder panics").end(&world.day, &trouble, others);
+        world
+            .faults
+            .lock()
+            .expect("no holder panics")
+            .end(&world.day, &trouble, others);
         match trouble.kind {
             Kind::Hang => self.ail(&struck, |a| a.hangs = false),
             Kind::Slow => self.ail(&struck, |a| a.slower = 1.0),
@@ -370,8 +492,19 @@
 
     /// A build that slows all hosts does so in step with its part of them.
     fn drag(&mut self) {
-        let flawed = |build: u16| self.world.day.builds.iter().find(|b| b.number == build).map(|b| b.flaw);
-        let running: Vec<&Seat> = self.seats.values().filter(|s| s.process.is_some()).collect();
+        let flawed = |build: u16| {
+            self.world
+                .day
+                .builds
+                .iter()
+                .find(|b| b.number == build)
+                .map(|b| b.flaw)
+        };
+        let running: Vec<&Seat> = self
+            .seats
+            .values()
+            .filter(|s| s.process.is_some())
+            .collect();
         let drags = running.iter().filter_map(|s| match flawed(s.build) {
             Some(Flaw::Shared(times)) => Some(times),
             _ => None,
@@ -434,20 +567,37 @@
 
     async fn stop(&self, router: u32, hard: bool) {
         let process = self.world.process(router);
-        let Some(mut child) = self.routers.lock().await.get_mut(router as usize).and_then(Option::take)
+        let Some(mut child) = self
+            .routers
+            .lock()
+            .await
+            .get_mut(router as usize)
+            .and_then(Option::take)
         else {
             return;
         };
-        let seen = if hard { Seen::RouterKilled(process) } else { Seen::RouterAsked(process) };
+        let seen = if hard {
+            Seen::RouterKilled(process)
+        } else {
+            Seen::RouterAsked(process)
+        };
         self.world.tap.note(seen);
-        if let Some(door) = self.doors.lock().expect("no holder panics").get_mut(router as usize) {
+        if let Some(door) = self
+            .doors
+            .lock()
+            .expect("no holder panics")
+            .get_mut(router as usize)
+        {
             (door.address, door.down_since) = (None, Some(self.world.tap.now()));
         }
         if hard {
             child.kill().await;
         } else {
             if let Err(what) = child.end(Duration::from_secs(16)).await {
-                self.faults.lock().expect("no holder panics").push(format!("router {router}: {what}"));
+                self.faults
+                    .lock()
+                    .expect("no holder panics")
+                    .push(format!("router {router}: {what}"));
             }
             self.world.tap.note(Seen::RouterEnded(process));
         }
@@ -457,13 +607,25 @@
         let process = {
             let mut starts = self.world.starts.lock().expect("no holder panics");
             starts[router as usize] += 1;
-            Process { router, start: starts[router as usize] }
+            Process {
+                router,
+                start: starts[router as usize],
+            }
         };
         match self.start(router).await {
             Ok(child) => {
                 self.world.tap.note(Seen::RouterUp(process));
-                if let Some(door) = self.doors.lock().expect("no holder panics").get_mut(router as usize) {
-                    *door = Door { address: Some(child.address), process, down_since: None };
+                if let Some(door) = self
+                    .doors
+                    .lock()
+                    .expect("no holder panics")
+                    .get_mut(router as usize)
+                {
+                    *door = Door {
+                        address: Some(child.address),
+                        process,
+                        down_since: None,
+                    };
                 }
                 self.routers.lock().await[router as usize] = Some(child);
             }
--- a/crates/spokeflow-standin/src/fleet/check.rs
+++ b/crates/spokeflow-standin/src/fleet/check.rs
@@ -72,7 +72,12 @@
     }
 
     pub fn text(&self) -> String {
-        let mut lines: Vec<String> = self.broken.iter().take(20).map(|b| format!("BROKEN {b}")).collect();
+        let mut lines: Vec<String> = self
+            .broken
+            .iter()
+            .take(20)
+            .map(|b| format!("BROKEN {b}"))
+            .collect();
         lines.push(format!(
             "{} faults, {} frames, {} leaders, {} revisions, {} grants, {} disks refused",
             self.faults, self.frames, self.leaders, self.revisions, self.grants, self.refused_disks
@@ -91,18 +96,27 @@
             self.in_force_max_us / 1000,
             self.lag_us / 1000
         ));
-        lines.push(if self.sound() { "kept".into() } else { format!("{} BROKEN", self.broken.len()) });
+        lines.push(if self.sound() {
+            "kept".into()
+        } else {
+            format!("{} BROKEN", self.broken.len())
+        });
         lines.join("\n")
     }
 }
 
 fn newest(grant: &Grant) -> u64 {
-    grant.announced.as_ref().map_or(grant.in_force.number.0, |a| a.number.0)
+    grant
+        .announced
+        .as_ref()
+        .map_or(grant.in_force.number.0, |a| a.number.0)
 }
 
 /// Whether a revision lets nothing go to the build on trial.
 pub fn closes(values: &Values) -> bool {
-    values.get("stage-cap").is_some_and(|caps| caps.split(',').all(|c| c.trim() == "0"))
+    values
+        .get("stage-cap")
+        .is_some_and(|caps| caps.split(',').all(|c| c.trim() == "0"))
 }
 
 struct Seen {
@@ -129,27 +143,44 @@
 ) -> Report {
     let mut broken = done.unexpected.clone();
     let seen = read(frames, done, lease, &mut broken);
-    let mut report = Report { bound_us: lease, lag_us: slack, ..Report::default() };
+    let mut report = Report {
+        bound_us: lease,
+        lag_us: slack,
+        ..Report::default()
+    };
     acts(&seen, delivered, lease, slack, &mut report, &mut broken);
     commands(delivered, asked, done, slack, &mut report, &mut broken);
-    let mut waits: Vec<Micros> =
-        seen.forced.iter().filter_map(|(n, at)| Some(at - seen.told.get(n)?)).collect();
+    let mut waits: Vec<Micros> = seen
+        .forced
+        .iter()
+        .filter_map(|(n, at)| Some(at - seen.told.get(n)?))
+        .collect();
     waits.sort_unstable();
     report.in_force_p50_us = waits.get(waits.len() / 2).copied().unwrap_or(0);
     report.in_force_p99_us = waits.get(waits.len() * 99 / 100).copied().unwrap_or(0);
     report.in_force_max_us = waits.last().copied().unwrap_or(0);
-    let mut gaps: Vec<Micros> =
-        done.leaders_killed.iter().filter_map(|at| Some(next_leader(frames, *at)? - at)).collect();
+    let mut gaps: Vec<Micros> = done
+        .leaders_killed
+        .iter()
+        .filter_map(|at| Some(next_leader(frames, *at)? - at))
+        .collect();
     gaps.sort_unstable();
     report.leaderless_p50_us = gaps.get(gaps.len() / 2).copied().unwrap_or(0);
     report.leaderless_max_us = gaps.last().copied().unwrap_or(0);
-    let routers: std::collections::HashSet<Node> =
-        frames.iter().flat_map(|f| [f.from, f.to]).filter(|n| matches!(n, Node::Router(_))).collect();
-    let of_routers = frames.iter().filter(|f| routers.contains(&f.from) || routers.contains(&f.to));
+    let routers: std::collections::HashSet<Node> = frames
+        .iter()
+        .flat_map(|f| [f.from, f.to])
+        .filter(|n| matches!(n, Node::Router(_)))
+        .collect();
+    let of_routers = frames
+        .iter()
+        .filter(|f| routers.contains(&f.from) || routers.contains(&f.to));
     let bytes: usize = of_routers.map(|f| f.bytes).sum();
-    report.router_bytes_per_s = bytes as f64 / routers.len().max(1) as f64 / (done.end.max(1) as f64 / 1e6);
+    report.router_bytes_per_s =
+        bytes as f64 / routers.len().max(1) as f64 / (done.end.max(1) as f64 / 1e6);
     (report.faults, report.frames) = (done.faults.len(), frames.len());
-    (report.revisions, report.grants, report.leaders) = (seen.forced.len(), seen.grants, seen.leaders);
+    (report.revisions, report.grants, report.leaders) =
+        (seen.forced.len(), seen.grants, seen.leaders);
     report.refused_disks = done.other_disk.len();
     report.drains = seen.drained.values().map(BTreeMap::len).sum();
     report.broken = broken;
@@ -159,13 +190,21 @@
 /// When the first leader spoke whose term is later than any before `at`.
 fn next_leader(frames: &[Frame], at: Micros) -> Option<Micros> {
     let term = |f: &Frame| match &f.what {
-        Crossed::Up(ToKeeper::Quorum(Message::Append { term, .. } | Message::Install { term, .. })) => {
-            Some(term.0)
-        }
+        Crossed::Up(ToKeeper::Quorum(
+            Message::Append { term, .. } | Message::Install { term, .. },
+        )) => Some(term.0),
         _ => None,
     };
-    let before = frames.iter().filter(|f| f.at <= at).filter_map(term).max()?;
-    frames.iter().filter(|f| f.at > at && term(f).is_some_and(|t| t > before)).map(|f| f.at).min()
+    let before = frames
+        .iter()
+        .filter(|f| f.at <= at)
+        .filter_map(term)
+        .max()?;
+    frames
+        .iter()
+        .filter(|f| f.at > at && term(f).is_some_and(|t| t > before))
+        .map(|f| f.at)
+        .min()
 }
 
 /// Revisions and leases, and whether reads, offers and promises were as they must be.
@@ -195,18 +234,26 @@
                 begun.insert(frame.conn, frame.at);
             }
             Crossed::Up(ToKeeper::Ask { number, ask }) => {
-                asks.entry((frame.conn, *number)).or_insert((frame.at, frame.from, ask));
+                asks.entry((frame.conn, *number))
+                    .or_insert((frame.at, frame.from, ask));
             }
             Crossed::Up(ToKeeper::Quorum(message)) => {
-                let Node::Keeper(from) = frame.from else { continue };
+                let Node::Keeper(from) = frame.from else {
+                    continue;
+                };
                 if let Message::Append { term, .. } | Message::Install { term, .. } = message {
                     let first = *leaders.entry(term.0).or_insert(from);
                     if first != from {
-                        broken.push(format!("keepers {first} and {from} both led in term {}", term.0));
+                        broken.push(format!(
+                            "keepers {first} and {from} both led in term {}",
+                            term.0
+                        ));
                     }
                 }
                 let promises = match message {
-                    Message::Vote { granted, sounded, .. } => *granted && !sounded,
+                    Message::Vote {
+                        granted, sounded, ..
+                    } => *granted && !sounded,
                     Message::Appended { upto, .. } => upto.is_ok(),
                     _ => false,
                 };
@@ -221,7 +268,9 @@
                 }
             }
             Crossed::Down(FromKeeper::Answer { number, answer }) => {
-                let Some((asked_at, from, ask)) = asks.get(&(frame.conn, *number)) else { continue };
+                let Some((asked_at, from, ask)) = asks.get(&(frame.conn, *number)) else {
+                    continue;
+                };
                 let mut tell = |told: u64, forced: u64| {
                     let before = most.partition_point(|m| m.0 < *asked_at);
                     let (_, t, f) = most[before.max(1) - 1];
@@ -252,10 +301,16 @@
                                 HostState::Ready => &mut seen.ready,
                                 _ => &mut seen.drained,
                             };
-                            of.entry(host.host).or_default().entry(host.incarnation).or_insert(frame.at);
+                            of.entry(host.host)
+                                .or_default()
+                                .entry(host.incarnation)
+                                .or_insert(frame.at);
                         }
                         if let (Node::Router(router), Some(on)) = (frame.to, frame.on) {
-                            seen.leases.entry(router).or_default().push((on, asked_at + lease));
+                            seen.leases
+                                .entry(router)
+                                .or_default()
+                                .push((on, asked_at + lease));
                         }
                     }
                     Answer::View(view) => {
@@ -278,7 +333,9 @@
                             let last = *most.last().unwrap_or(&(0, 0, 0));
                             most.push((frame.at, n.0.max(last.1), last.2));
                             seen.told.entry(n.0).or_insert(frame.at);
-                            seen.values.entry(n.0).or_insert_with(|| offer.values.clone());
+                            seen.values
+                                .entry(n.0)
+                                .or_insert_with(|| offer.values.clone());
                         }
                     }
                     _ => {}
@@ -286,7 +343,10 @@
                 for revision in revisions {
                     let known = seen.values.entry(revision.number.0);
                     if *known.or_insert_with(|| revision.values.clone()) != revision.values {
-                        broken.push(format!("revision {} was told in two forms", revision.number.0));
+                        broken.push(format!(
+                            "revision {} was told in two forms",
+                            revision.number.0
+                        ));
                     }
                 }
             }
@@ -309,7 +369,11 @@
 ) {
     let held = |router: &u32, at: Micros| {
         let leases = seen.leases.get(router).into_iter().flatten();
-        leases.take_while(|l| l.0 <= at).map(|l| l.1).max().unwrap_or(0)
+        leases
+            .take_while(|l| l.0 <= at)
+            .map(|l| l.1)
+            .max()
+            .unwrap_or(0)
     };
     for d in delivered {
         // Without a lease a router goes by the last list that it was told: it cannot know of a later one. One that has
@@ -318,8 +382,17 @@
             continue;
         }
         // The process that drained, and the next one, are told apart by when each was first told of.
-        for (process, told) in seen.drained.get(&d.host).into_iter().flatten().filter(|t| *t.1 <= d.at) {
-            let back = seen.ready.get(&d.host).is_some_and(|r| r.range(process + 1..).any(|n| *n.1 <= d.at));
+        for (process, told) in seen
+            .drained
+            .get(&d.host)
+            .into_iter()
+            .flatten()
+            .filter(|t| *t.1 <= d.at)
+        {
+            let back = seen
+                .ready
+                .get(&d.host)
+                .is_some_and(|r| r.range(process + 1..).any(|n| *n.1 <= d.at));
             if back {
                 continue;
             }
@@ -338,10 +411,14 @@
     }
     for d in delivered.iter().filter(|d| d.build == NEW) {
         report.trial_deliveries += 1;
-        let held = seen
-            .leases
-            .get(&d.router)
-            .map_or(0, |leases| leases.iter().take_while(|l| l.0 <= d.at).map(|l| l.1).max().unwrap_or(0));
+        let held = seen.leases.get(&d.router).map_or(0, |leases| {
+            leases
+                .iter()
+                .take_while(|l| l.0 <= d.at)
+                .map(|l| l.1)
+                .max()
+                .unwrap_or(0)
+        });
         if d.at > held + slack {
             broken.push(format!(
                 "router {} sent to the build on trial at {} ms, its lease was over at {} ms",
@@ -352,7 +429,11 @@
         }
         // The newest revision that somebody may have acted on by then; a later one that opens is none before it is
         // in force.
-        for (n, told) in seen.told.iter().filter(|t| *t.1 <= d.at && closes(&seen.values[t.0])) {
+        for (n, told) in seen
+            .told
+            .iter()
+            .filter(|t| *t.1 <= d.at && closes(&seen.values[t.0]))
+        {
             let opened = seen.forced.iter().any(|(m, at)| m > n && *at <= d.at);
             if opened {
                 continue;
@@ -381,7 +462,9 @@
     broken: &mut Vec<String>,
 ) {
     let mut runs: HashMap<u64, usize> = HashMap::new();
-    delivered.iter().for_each(|d| *runs.entry(d.command).or_default() += 1);
+    delivered
+        .iter()
+        .for_each(|d| *runs.entry(d.command).or_default() += 1);
     for (id, a) in asked {
         report.commands += 1;
         let times = runs.get(id).copied().unwrap_or(0);
@@ -392,13 +475,22 @@
             None => {}
         }
         if a.answers.len() > 1 {
-            broken.push(format!("rule 1: command {id} had {} answers", a.answers.len()));
+            broken.push(format!(
+                "rule 1: command {id} had {} answers",
+                a.answers.len()
+            ));
         }
         let by = a.at + PATIENCE + slack;
-        let away = done.away.iter().any(|w| w.0 == a.router && w.1 <= by && w.2 >= a.at);
+        let away = done
+            .away
+            .iter()
+            .any(|w| w.0 == a.router && w.1 <= by && w.2 >= a.at);
         let over = by < done.end;
         if !away && over && !a.broken && a.answers.first().is_none_or(|x| x.0 > by) {
-            broken.push(format!("rule 1: command {id} of router {} had no answer in time", a.router));
+            broken.push(format!(
+                "rule 1: command {id} of router {} had no answer in time",
+                a.router
+            ));
         }
         if a.op == ONCE && times > 1 {
             broken.push(format!("rule 2: command {id} was delivered {times} times"));
--- a/crates/spokeflow-standin/src/fleet/peers.rs
+++ b/crates/spokeflow-standin/src/fleet/peers.rs
@@ -87,7 +87,9 @@
     pub fn turn(&self, host: u32) {
         self.list.send_modify(|(version, lines)| {
             *version += 1;
-            let Some(line) = lines.iter_mut().find(|l| l.host == host) else { return };
+            let Some(line) = lines.iter_mut().find(|l| l.host == host) else {
+                return;
+            };
             (line.phase, line.incarnation) = match line.phase {
                 LinePhase::Ready => (LinePhase::Draining, line.incarnation),
                 _ => (LinePhase::Ready, line.incarnation + 1),
@@ -96,7 +98,12 @@
     }
 
     fn incarnation(&self, host: u32) -> u64 {
-        self.list.borrow().1.iter().find(|l| l.host == host).map_or(1, |l| l.incarnation)
+        self.list
+            .borrow()
+            .1
+            .iter()
+            .find(|l| l.host == host)
+            .map_or(1, |l| l.incarnation)
     }
 
     /// Starts so many hosts, a list, a desk and a list that takes connections and says nothing. Answers the addresses of
@@ -154,20 +161,42 @@
         let _ = stream.set_nodelay(true);
         let mut link: Framed<TcpStream, FrameCodec<ToHost, FromHost>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        let Some(Ok(ToHost::Hello(hello))) = link.next().await else { return };
+        let Some(Ok(ToHost::Hello(hello))) = link.next().await else {
+            return;
+        };
         let incarnation = self.incarnation(host);
-        let welcome = FromHost::Welcome { host, build, incarnation, up_us: 3_600_000_000 };
+        let welcome = FromHost::Welcome {
+            host,
+            build,
+            incarnation,
+            up_us: 3_600_000_000,
+        };
         if link.send(welcome).await.is_err() {
             return;
         }
         while let Some(Ok(message)) = link.next().await {
             let answer = match message {
                 ToHost::Deliver { delivery, body, .. } => {
-                    let command = body.first_chunk::<8>().map_or(0, |b| u64::from_be_bytes(*b));
+                    let command = body
+                        .first_chunk::<8>()
+                        .map_or(0, |b| u64::from_be_bytes(*b));
                     let (at, router) = (self.now(), hello.index);
-                    let delivered = Delivered { at, router, host, build, command };
-                    self.noted.lock().expect("no holder panics").delivered.push(delivered);
-                    FromHost::Acked { delivery, body: Bytes::new() }
+                    let delivered = Delivered {
+                        at,
+                        router,
+                        host,
+                        build,
+                        command,
+                    };
+                    self.noted
+                        .lock()
+                        .expect("no holder panics")
+                        .delivered
+                        .push(delivered);
+                    FromHost::Acked {
+                        delivery,
+                        body: Bytes::new(),
+                    }
                 }
                 ToHost::Ping => FromHost::Pong,
                 ToHost::Probe { probe } => FromHost::Probed { probe },
@@ -183,7 +212,13 @@
     pub async fn client(self: Arc<Self>, router: u32, every: Duration) {
         let mut number = u64::from(router) << 32;
         loop {
-            let door = self.doors.lock().expect("no holder panics").get(router as usize).copied().flatten();
+            let door = self
+                .doors
+                .lock()
+                .expect("no holder panics")
+                .get(router as usize)
+                .copied()
+                .flatten();
             let Some(door) = door else {
                 sleep(Duration::from_millis(20)).await;
                 continue;
@@ -211,7 +246,8 @@
         let _ = stream.set_nodelay(true);
         let mut link: Framed<TcpStream, FrameCodec<ToClient, FromClient>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0))).await?;
+        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0)))
+            .await?;
         let mut ticks = interval(every);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -274,7 +310,9 @@
 async fn desk_link(stream: TcpStream) {
     let mut link: Framed<TcpStream, FrameCodec<ToDesk, FromDesk>> =
         Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-    let Some(Ok(ToDesk::Hello(_))) = link.next().await else { return };
+    let Some(Ok(ToDesk::Hello(_))) = link.next().await else {
+        return;
+    };
     if link.send(FromDesk::Welcome).await.is_err() {
         return;
     }
--- a/crates/spokeflow-standin/src/fleet/plan.rs
+++ b/crates/spokeflow-standin/src/fleet/plan.rs
@@ -76,7 +76,11 @@
         match self {
             Fault::Cut { ways, lasts, reset } => {
                 let first = ways.first();
-                write!(f, "{} ways cut for {lasts:?}, reset {reset}, first {first:?}", ways.len())
+                write!(
+                    f,
+                    "{} ways cut for {lasts:?}, reset {reset}, first {first:?}",
+                    ways.len()
+                )
             }
             other => write!(f, "{other:?}"),
         }
@@ -93,32 +97,70 @@
     let router = rng.random_range(0..routers);
     let lease = lease.as_millis() as u64;
     match rng.random_range(0..100) {
-        0..14 => Fault::KillKeeper { keeper, down: span(rng, 50, 2500), disk: Disk::Own },
-        14..19 => Fault::KillKeeper { keeper, down: span(rng, 50, 500), disk: Disk::Old },
-        19..22 => Fault::KillKeeper { keeper, down: span(rng, 50, 500), disk: Disk::Torn },
-        22..25 => Fault::KillKeeper { keeper, down: span(rng, 50, 500), disk: Disk::Empty },
+        0..14 => Fault::KillKeeper {
+            keeper,
+            down: span(rng, 50, 2500),
+            disk: Disk::Own,
+        },
+        14..19 => Fault::KillKeeper {
+            keeper,
+            down: span(rng, 50, 500),
+            disk: Disk::Old,
+        },
+        19..22 => Fault::KillKeeper {
+            keeper,
+            down: span(rng, 50, 500),
+            disk: Disk::Torn,
+        },
+        22..25 => Fault::KillKeeper {
+            keeper,
+            down: span(rng, 50, 500),
+            disk: Disk::Empty,
+        },
         25..33 => {
             let place = WHERES[rng.random_range(0..WHERES.len())].0;
-            Fault::DieAt { keeper, place: format!("{place}:{}", rng.random_range(1..12)) }
+            Fault::DieAt {
+                keeper,
+                place: format!("{place}:{}", rng.random_range(1..12)),
+            }
         }
-        33..36 => Fault::DiskFails { keeper, after: rng.random_range(1..8) },
-        36..46 => Fault::StopKeeper { keeper, lasts: span(rng, 200, 2 * lease) },
-        46..49 => Fault::AllKeepersDown { lasts: span(rng, lease / 2, 3 * lease) },
+        33..36 => Fault::DiskFails {
+            keeper,
+            after: rng.random_range(1..8),
+        },
+        36..46 => Fault::StopKeeper {
+            keeper,
+            lasts: span(rng, 200, 2 * lease),
+        },
+        46..49 => Fault::AllKeepersDown {
+            lasts: span(rng, lease / 2, 3 * lease),
+        },
         49..53 => Fault::Replace { keeper },
-        53..61 => Fault::KillRouter { router, down: span(rng, 50, 1500) },
-        61..74 => Fault::StopRouter { router, lasts: span(rng, 200, 2 * lease) },
+        53..61 => Fault::KillRouter {
+            router,
+            down: span(rng, 50, 1500),
+        },
+        61..74 => Fault::StopRouter {
+            router,
+            lasts: span(rng, 200, 2 * lease),
+        },
         74..90 => {
             let (kind, lasts) = (rng.random_range(0..6), span(rng, 300, 2 * lease));
             let mut ways = Vec::new();
             let one = Node::Keeper(keeper);
-            let others = || keepers.iter().map(|k| Node::Keeper(*k)).filter(|k| *k != one);
+            let others = || {
+                keepers
+                    .iter()
+                    .map(|k| Node::Keeper(*k))
+                    .filter(|k| *k != one)
+            };
             match kind {
                 // One keeper: alone; not heard; heard by some only.
                 0 => others().for_each(|o| ways.extend([(one, o), (o, one)])),
                 1 => others().for_each(|o| ways.push((one, o))),
-                2 => {
-                    others().filter(|_| rng.random_bool(0.5)).for_each(|o| ways.extend([(one, o), (o, one)]))
-                }
+                2 => others()
+                    .filter(|_| rng.random_bool(0.5))
+                    .for_each(|o| ways.extend([(one, o), (o, one)])),
                 // One router: from all; hears and is not heard; some routers from some keepers.
                 3 => keepers.iter().for_each(|k| {
                     ways.extend([
@@ -126,7 +168,9 @@
                         (Node::Keeper(*k), Node::Router(router)),
                     ]);
                 }),
-                4 => keepers.iter().for_each(|k| ways.push((Node::Router(router), Node::Keeper(*k)))),
+                4 => keepers
+                    .iter()
+                    .for_each(|k| ways.push((Node::Router(router), Node::Keeper(*k)))),
                 _ => (0..routers).for_each(|r| {
                     for k in keepers.iter().filter(|_| rng.random_bool(0.5)) {
                         ways.extend([
@@ -136,7 +180,11 @@
                     }
                 }),
             }
-            Fault::Cut { ways, lasts, reset: rng.random_bool(0.5) }
+            Fault::Cut {
+                ways,
+                lasts,
+                reset: rng.random_bool(0.5),
+            }
         }
         _ => {
             let mut way = Way::SOUND;
@@ -146,7 +194,10 @@
                 2 => way.trickles = true,
                 _ => way.torn = 0.05,
             }
-            Fault::Rough { way, lasts: span(rng, 500, 2 * lease) }
+            Fault::Rough {
+                way,
+                lasts: span(rng, 500, 2 * lease),
+            }
         }
     }
 }
--- a/crates/spokeflow-standin/src/fleet/play.rs
+++ b/crates/spokeflow-standin/src/fleet/play.rs
@@ -79,7 +79,9 @@
     let read = |store: &Path| {
         let look = store.with_extension("look");
         copy(store, &look);
-        Store::open(&look, fleet, KeeperId(keeper), None, 0).ok().map(|(_, saved, start, _)| (saved, start))
+        Store::open(&look, fleet, KeeperId(keeper), None, 0)
+            .ok()
+            .map(|(_, saved, start, _)| (saved, start))
     };
     read(a).is_some_and(|saved| Some(saved) == read(b))
 }
@@ -90,11 +92,21 @@
     }
 
     fn unexpected(&self, what: String) {
-        self.done.lock().expect("no holder panics").unexpected.push(what);
+        self.done
+            .lock()
+            .expect("no holder panics")
+            .unexpected
+            .push(what);
     }
 
     async fn known(&self) -> Vec<SocketAddr> {
-        self.keepers.lock().await.values().filter(|k| !k.retired).map(|k| k.known).collect()
+        self.keepers
+            .lock()
+            .await
+            .values()
+            .filter(|k| !k.retired)
+            .map(|k| k.known)
+            .collect()
     }
 
     async fn keeper_flags(&self, id: u32, more: &[String]) -> Vec<String> {
@@ -110,7 +122,11 @@
             format!("--beat={}us", terms.silence.as_micros() / 5),
             format!("--lease={}us", terms.lease.as_micros()),
         ];
-        flags.extend(self.first.iter().map(|k| format!("--member={k}={}", keepers[k].known)));
+        flags.extend(
+            self.first
+                .iter()
+                .map(|k| format!("--member={k}={}", keepers[k].known)),
+        );
         if terms.agreed_list {
             flags.push(format!("--list={}", self.addresses[0]));
         }
@@ -124,7 +140,10 @@
     /// Errors: it does not start.
     async fn start_keeper(&self, id: u32, more: &[String]) -> Result<(), String> {
         let flags = self.keeper_flags(id, more).await;
-        let starting = Starting { first: vec!["keeper".into()], ..self.starting.clone() };
+        let starting = Starting {
+            first: vec!["keeper".into()],
+            ..self.starting.clone()
+        };
         let process = RouterProcess::start(&starting, &flags, &format!("keeper-{id}")).await?;
         self.board.target(id, Some(process.address));
         if let Some(seat) = self.keepers.lock().await.get_mut(&id) {
@@ -134,7 +153,12 @@
     }
 
     async fn kill_keeper(&self, id: u32) {
-        let process = self.keepers.lock().await.get_mut(&id).and_then(|k| k.process.take());
+        let process = self
+            .keepers
+            .lock()
+            .await
+            .get_mut(&id)
+            .and_then(|k| k.process.take());
         self.board.target(id, None);
         if let Some(mut process) = process {
             process.stop(false);
@@ -155,16 +179,26 @@
             "--op=read:redeliverable:target=500ms:timeout=2s".into(),
             "--op=seal:at-most-once:target=500ms:timeout=2s".into(),
             "--exposure-free=1000".into(),
-            format!("--seed={}", self.terms.seed.wrapping_mul(31).wrapping_add(u64::from(router))),
+            format!(
+                "--seed={}",
+                self.terms
+                    .seed
+                    .wrapping_mul(31)
+                    .wrapping_add(u64::from(router))
+            ),
         ];
         flags.extend(keepers.iter().map(|k| format!("--keeper={k}")));
         if self.terms.agreed_list {
             flags.push("--agreed-list".into());
         }
-        let starting = Starting { first: vec!["router".into()], ..self.starting.clone() };
+        let starting = Starting {
+            first: vec!["router".into()],
+            ..self.starting.clone()
+        };
         match RouterProcess::start(&starting, &flags, &format!("router-{router}")).await {
             Ok(process) => {
-                self.peers.doors.lock().expect("no holder panics")[router as usize] = Some(process.address);
+                self.peers.doors.lock().expect("no holder panics")[router as usize] =
+                    Some(process.address);
                 self.routers.lock().await[router as usize] = Some(process);
             }
             Err(what) => self.unexpected(what),
@@ -174,7 +208,9 @@
     /// Takes hold of a keeper for one fault; `false` where it has one.
     async fn hold(&self, id: u32) -> bool {
         let mut keepers = self.keepers.lock().await;
-        let Some(seat) = keepers.get_mut(&id).filter(|s| !s.busy && !s.retired) else { return false };
+        let Some(seat) = keepers.get_mut(&id).filter(|s| !s.busy && !s.retired) else {
+            return false;
+        };
         seat.busy = true;
         true
     }
@@ -210,21 +246,30 @@
             }
             Fault::KillLeader { down } => {
                 let known = self.known().await;
-                let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(5)).await else {
+                let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(5)).await
+                else {
                     return;
                 };
                 if !self.hold(view.leader.0).await {
                     return;
                 }
                 self.kill_keeper(view.leader.0).await;
-                self.done.lock().expect("no holder panics").leaders_killed.push(self.now());
+                self.done
+                    .lock()
+                    .expect("no holder panics")
+                    .leaders_killed
+                    .push(self.now());
                 sleep(down).await;
                 self.again(view.leader.0).await;
                 self.let_go(view.leader.0).await;
             }
-            Fault::DieAt { keeper, place } => self.ends_by_itself(keeper, format!("--die-at={place}")).await,
+            Fault::DieAt { keeper, place } => {
+                self.ends_by_itself(keeper, format!("--die-at={place}"))
+                    .await
+            }
             Fault::DiskFails { keeper, after } => {
-                self.ends_by_itself(keeper, format!("--fail-writes-from={after}")).await;
+                self.ends_by_itself(keeper, format!("--fail-writes-from={after}"))
+                    .await;
             }
             Fault::StopKeeper { keeper, lasts } => {
                 if !self.hold(keeper).await {
@@ -252,7 +297,9 @@
             }
             Fault::Replace { keeper } => self.replace(keeper).await,
             Fault::KillRouter { router, down } => {
-                let Some(mut process) = self.routers.lock().await[router as usize].take() else { return };
+                let Some(mut process) = self.routers.lock().await[router as usize].take() else {
+                    return;
+                };
                 let from = self.now();
                 self.peers.doors.lock().expect("no holder panics")[router as usize] = None;
                 process.kill().await;
@@ -262,7 +309,9 @@
             }
             Fault::StopRouter { router, lasts } => {
                 // Held while it is stopped: nothing else then happens to it.
-                let Some(process) = self.routers.lock().await[router as usize].take() else { return };
+                let Some(process) = self.routers.lock().await[router as usize].take() else {
+                    return;
+                };
                 let from = self.now();
                 process.stop(true);
                 sleep(lasts).await;
@@ -272,13 +321,21 @@
             }
             Fault::Cut { ways, lasts, reset } => {
                 for (a, b) in &ways {
-                    self.board.set(*a, *b, Way { held: true, ..Way::SOUND });
+                    self.board.set(
+                        *a,
+                        *b,
+                        Way {
+                            held: true,
+                            ..Way::SOUND
+                        },
+                    );
                     if reset {
                         self.board.reset(*a, *b);
                     }
                 }
                 sleep(lasts).await;
-                ways.iter().for_each(|(a, b)| self.board.set(*a, *b, Way::SOUND));
+                ways.iter()
+                    .for_each(|(a, b)| self.board.set(*a, *b, Way::SOUND));
             }
             Fault::Rough { way, lasts } => {
                 let keepers: Vec<u32> = self.keepers.lock().await.keys().copied().collect();
@@ -299,11 +356,21 @@
     fn away(&self, router: u32, from: Micros) {
         // Clients that waited meanwhile, and connections that it made before, settle for a moment.
         let to = self.now() + 500_000;
-        self.done.lock().expect("no holder panics").away.push((router, from, to));
+        self.done
+            .lock()
+            .expect("no holder panics")
+            .away
+            .push((router, from, to));
     }
 
     async fn stop_keeper(&self, id: u32, stopped: bool) {
-        if let Some(process) = self.keepers.lock().await.get(&id).and_then(|k| k.process.as_ref()) {
+        if let Some(process) = self
+            .keepers
+            .lock()
+            .await
+            .get(&id)
+            .and_then(|k| k.process.as_ref())
+        {
             process.stop(stopped);
         }
     }
@@ -334,7 +401,11 @@
         self.kill_keeper(keeper).await;
         // Frames on their way are its own for a moment longer.
         let to = self.now() + 100_000;
-        self.done.lock().expect("no holder panics").other_disk.push((keeper, from, to));
+        self.done
+            .lock()
+            .expect("no holder panics")
+            .other_disk
+            .push((keeper, from, to));
         sleep(Duration::from_millis(150)).await;
         copy(own, store);
     }
@@ -372,7 +443,9 @@
             *next += 1;
             *next
         };
-        let Ok(known) = self.board.open(id).await else { return };
+        let Ok(known) = self.board.open(id).await else {
+            return;
+        };
         let seat = KeeperSeat {
             process: None,
             known,
@@ -385,14 +458,21 @@
         self.again(id).await;
         let known_all = self.known().await;
         let until = Instant::now() + Duration::from_secs(20);
-        let seated = Ask::SetAddress { keeper: KeeperId(id), address: known.to_string() };
+        let seated = Ask::SetAddress {
+            keeper: KeeperId(id),
+            address: known.to_string(),
+        };
         let _ = ask(&known_all, seated, Duration::from_secs(10)).await;
         while Instant::now() < until {
-            let Ok(Answer::View(view)) = ask(&known_all, Ask::View, Duration::from_secs(5)).await else {
+            let Ok(Answer::View(view)) = ask(&known_all, Ask::View, Duration::from_secs(5)).await
+            else {
                 continue;
             };
             let mut members = view.members.clone();
-            let (there, gone) = (members.contains(&KeeperId(id)), !members.contains(&KeeperId(old)));
+            let (there, gone) = (
+                members.contains(&KeeperId(id)),
+                !members.contains(&KeeperId(old)),
+            );
             if there && gone {
                 break;
             }
@@ -425,17 +505,27 @@
         loop {
             // Open for long enough to be used, closed for long enough to be broken.
             let most = if closed { 2000 } else { 5000 };
-            let pause = if self.terms.peace { 100 } else { rng.random_range(200..most) };
+            let pause = if self.terms.peace {
+                100
+            } else {
+                rng.random_range(200..most)
+            };
             sleep(Duration::from_millis(pause)).await;
             let known = self.known().await;
             let one = known[rng.random_range(0..known.len())];
-            let Ok(Answer::View(view)) = ask_one(one, Ask::View).await else { continue };
+            let Ok(Answer::View(view)) = ask_one(one, Ask::View).await else {
+                continue;
+            };
             if view.announced.is_some() {
                 continue;
             }
             let stale = !self.terms.peace && rng.random_bool(0.1);
             let newest = view.in_force.number.0;
-            let against = RevisionNo(if stale { newest.saturating_sub(1) } else { newest });
+            let against = RevisionNo(if stale {
+                newest.saturating_sub(1)
+            } else {
+                newest
+            });
             let values = match closed {
                 true => Values::new(),
                 false => Values::from([
@@ -444,10 +534,19 @@
                 ]),
             };
             let (who, why) = ("rig".to_string(), "drawn".to_string());
-            let offer = Offer { token: rng.random(), against, who, why, at_s: 0, values };
+            let offer = Offer {
+                token: rng.random(),
+                against,
+                who,
+                why,
+                at_s: 0,
+                values,
+            };
             let mut answer = ask_one(one, Ask::Offer(offer.clone())).await;
             for _ in 0..8 {
-                if matches!(answer, Ok(Answer::Offered(_) | Answer::Bad(_))) && !rng.random_bool(0.2) {
+                if matches!(answer, Ok(Answer::Offered(_) | Answer::Bad(_)))
+                    && !rng.random_bool(0.2)
+                {
                     break;
                 }
                 // Not clear, or once more for good measure: the same offer, at another keeper.
@@ -458,7 +557,8 @@
             if let Ok(Answer::Offered(spokeflow_agreed::Verdict::Announced(_))) = answer {
                 closed = !closed;
             } else if let Ok(Answer::View(view)) = ask_one(one, Ask::View).await {
-                closed = super::check::closes(&view.announced.as_ref().unwrap_or(&view.in_force).values);
+                closed =
+                    super::check::closes(&view.announced.as_ref().unwrap_or(&view.in_force).values);
             }
         }
     }
@@ -491,7 +591,17 @@
         let store = terms.folder.join(format!("keeper-{id}.redb"));
         let _ = std::fs::remove_file(&store);
         let (process, joins, busy, retired) = (None, false, false, false);
-        keepers.lock().await.insert(*id, KeeperSeat { process, known, store, joins, busy, retired });
+        keepers.lock().await.insert(
+            *id,
+            KeeperSeat {
+                process,
+                known,
+                store,
+                joins,
+                busy,
+                retired,
+            },
+        );
     }
     let routers = tokio::sync::Mutex::new((0..terms.routers).map(|_| None).collect());
     let stage = Arc::new(Stage {
@@ -521,8 +631,14 @@
     let until = Instant::now() + terms.lasts;
     let mut script = terms.script.iter().cloned();
     loop {
-        let ids: Vec<u32> =
-            stage.keepers.lock().await.iter().filter(|k| !k.1.retired).map(|k| *k.0).collect();
+        let ids: Vec<u32> = stage
+            .keepers
+            .lock()
+            .await
+            .iter()
+            .filter(|k| !k.1.retired)
+            .map(|k| *k.0)
+            .collect();
         let (drawn, pause) = match script.next() {
             Some(next) => next,
             None if !terms.script.is_empty() || Instant::now() >= until => break,
@@ -548,9 +664,10 @@
         sleep(pause).await;
     }
     // Each ends by itself; a replacement may need a while.
-    let _ =
-        tokio::time::timeout(Duration::from_secs(40), async { while faults.join_next().await.is_some() {} })
-            .await;
+    let _ = tokio::time::timeout(Duration::from_secs(40), async {
+        while faults.join_next().await.is_some() {}
+    })
+    .await;
     faults.abort_all();
     board.mend();
     offering.abort();
@@ -562,7 +679,10 @@
     let end = stage.now();
     let (delivered, asked) = {
         let mut noted = peers.noted.lock().expect("no holder panics");
-        (std::mem::take(&mut noted.delivered), std::mem::take(&mut noted.asked))
+        (
+            std::mem::take(&mut noted.delivered),
+            std::mem::take(&mut noted.asked),
+        )
     };
     let frames = board.take();
     helpers.abort_all();
@@ -613,7 +733,9 @@
         if Instant::now() >= until {
             break None;
         }
-        let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(10)).await else { continue };
+        let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(10)).await else {
+            continue;
+        };
         if view.announced.is_some() {
             sleep(Duration::from_millis(100)).await;
             continue;
@@ -624,11 +746,19 @@
         token += 1;
         let (who, why) = ("rig".to_string(), "peace".to_string());
         let against = view.in_force.number;
-        let offer = Offer { token, against, who, why, at_s: 0, values: Values::new() };
+        let offer = Offer {
+            token,
+            against,
+            who,
+            why,
+            at_s: 0,
+            values: Values::new(),
+        };
         let _ = ask(&known, Ask::Offer(offer), Duration::from_secs(10)).await;
     };
     if opened.is_none() {
-        return stage.unexpected("all was mended, and no revision came into force within 20 s".into());
+        return stage
+            .unexpected("all was mended, and no revision came into force within 20 s".into());
     }
     let from = stage.now();
     let until = Instant::now() + Duration::from_secs(15);
@@ -636,8 +766,14 @@
         let missing: Vec<u32> = {
             let noted = stage.peers.noted.lock().expect("no holder panics");
             let served = |r: &u32| {
-                let new = |d: &&super::peers::Delivered| d.router == *r && d.build == super::peers::NEW;
-                noted.delivered.iter().rev().take_while(|d| d.at >= from).any(|d| new(&d))
+                let new =
+                    |d: &&super::peers::Delivered| d.router == *r && d.build == super::peers::NEW;
+                noted
+                    .delivered
+                    .iter()
+                    .rev()
+                    .take_while(|d| d.at >= from)
+                    .any(|d| new(&d))
             };
             (0..stage.terms.routers).filter(|r| !served(r)).collect()
         };
--- a/crates/spokeflow-standin/src/fleet/switchboard.rs
+++ b/crates/spokeflow-standin/src/fleet/switchboard.rs
@@ -86,7 +86,14 @@
     pub fn new(start: Instant) -> Arc<Self> {
         let resets = watch::Sender::new((0, Node::Person, Node::Person));
         let (ways, targets, frames, conns) = Default::default();
-        Arc::new(Switchboard { start, ways, targets, frames, conns, resets })
+        Arc::new(Switchboard {
+            start,
+            ways,
+            targets,
+            frames,
+            conns,
+            resets,
+        })
     }
 
     pub fn now(&self) -> Micros {
@@ -94,11 +101,19 @@
     }
 
     pub fn way(&self, from: Node, to: Node) -> Way {
-        self.ways.lock().expect("no holder panics").get(&(from, to)).copied().unwrap_or(Way::SOUND)
+        self.ways
+            .lock()
+            .expect("no holder panics")
+            .get(&(from, to))
+            .copied()
+            .unwrap_or(Way::SOUND)
     }
 
     pub fn set(&self, from: Node, to: Node, way: Way) {
-        self.ways.lock().expect("no holder panics").insert((from, to), way);
+        self.ways
+            .lock()
+            .expect("no holder panics")
+            .insert((from, to), way);
     }
 
     pub fn mend(&self) {
@@ -138,20 +153,33 @@
     }
 
     async fn carry(self: Arc<Self>, keeper: u32, mut caller: TcpStream) {
-        let Some(first) = read_frame(&mut caller).await else { return };
-        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else { return };
+        let Some(first) = read_frame(&mut caller).await else {
+            return;
+        };
+        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+            return;
+        };
         let from = match who {
-            Caller::Keeper { id: KeeperId(id), .. } => Node::Keeper(id),
+            Caller::Keeper {
+                id: KeeperId(id), ..
+            } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
             Caller::Person => Node::Person,
         };
         let to = Node::Keeper(keeper);
-        let target = self.targets.lock().expect("no holder panics").get(&keeper).copied();
+        let target = self
+            .targets
+            .lock()
+            .expect("no holder panics")
+            .get(&keeper)
+            .copied();
         let Some(target) = target else { return };
         while self.way(from, to).held {
             sleep(Duration::from_millis(5)).await;
         }
-        let Ok(mut called) = TcpStream::connect(target).await else { return };
+        let Ok(mut called) = TcpStream::connect(target).await else {
+            return;
+        };
         let conn = {
             let mut conns = self.conns.lock().expect("no holder panics");
             *conns += 1;
@@ -190,7 +218,15 @@
         };
         let mut frames = self.frames.lock().expect("no holder panics");
         let bytes = body.len() + 4;
-        frames.push(Frame { at: self.now(), on: None, from, to, conn, bytes, what });
+        frames.push(Frame {
+            at: self.now(),
+            on: None,
+            from,
+            to,
+            conn,
+            bytes,
+            what,
+        });
         Some(frames.len() - 1)
     }
 
@@ -239,7 +275,9 @@
                 }
             }
             let copies = 1 + usize::from(drawn(way.twice));
-            let now: Vec<_> = std::iter::repeat_n((number, frame), copies).chain(behind.take()).collect();
+            let now: Vec<_> = std::iter::repeat_n((number, frame), copies)
+                .chain(behind.take())
+                .collect();
             for (number, frame) in now {
                 let sent = match way.trickles {
                     true => trickle(&mut output, &frame).await,
--- a/crates/spokeflow-standin/src/hosts.rs
+++ b/crates/spokeflow-standin/src/hosts.rs
@@ -39,7 +39,14 @@
     pub fn new(day: Scenario) -> Arc<World> {
         let starts = Mutex::new(vec![0; day.routers as usize]);
         let (tap, marks, faults) = (Tap::default(), Mutex::default(), Mutex::default());
-        Arc::new(World { day, tap, marks, faults, starts, next: AtomicU64::new(1) })
+        Arc::new(World {
+            day,
+            tap,
+            marks,
+            faults,
+            starts,
+            next: AtomicU64::new(1),
+        })
     }
 
     /// A number that no other call gets.
@@ -52,8 +59,16 @@
     }
 
     pub fn process(&self, router: u32) -> Process {
-        let start = self.starts.lock().expect("no holder panics").get(router as usize).copied();
-        Process { router, start: start.unwrap_or(0) }
+        let start = self
+            .starts
+            .lock()
+            .expect("no holder panics")
+            .get(router as usize)
+            .copied();
+        Process {
+            router,
+            start: start.unwrap_or(0),
+        }
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
@@ -122,7 +137,11 @@
 }
 
 fn read_body(body: &[u8]) -> (u64, u64) {
-    let part = |from| body.get(from..from + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes);
+    let part = |from| {
+        body.get(from..from + 8)
+            .and_then(|b| b.try_into().ok())
+            .map_or(0, u64::from_be_bytes)
+    };
     (part(0), part(8))
 }
 
@@ -175,7 +194,13 @@
         conns: Arc::default(),
     };
     let task = tokio::spawn(Arc::new(run).serve(listener));
-    Ok(HostProcess { address, incarnation, model, changed, task })
+    Ok(HostProcess {
+        address,
+        incarnation,
+        model,
+        changed,
+        task,
+    })
 }
 
 type Conns = Mutex<HashMap<u64, mpsc::UnboundedSender<(FromHost, u64)>>>;
@@ -206,7 +231,9 @@
             }
             while links.try_join_next().is_some() {}
             if self.model.lock().expect("no holder panics").fallen {
-                self.world.tap.note(Seen::Fell { host: self.seat.host });
+                self.world.tap.note(Seen::Fell {
+                    host: self.seat.host,
+                });
                 return;
             }
         }
@@ -220,8 +247,11 @@
             let delivery = job.delivery;
             let message = match done {
                 Done::Acked { wrong } => {
-                    let body =
-                        if wrong { Bytes::from_static(b"wrong") } else { Bytes::from_static(b"right") };
+                    let body = if wrong {
+                        Bytes::from_static(b"wrong")
+                    } else {
+                        Bytes::from_static(b"right")
+                    };
                     FromHost::Acked { delivery, body }
                 }
                 Done::Error => FromHost::Error { delivery },
@@ -254,14 +284,19 @@
         let _ = stream.set_nodelay(true);
         let mut link: Framed<TcpStream, FrameCodec<ToHost, FromHost>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        let Some(Ok(ToHost::Hello(hello))) = link.next().await else { return };
+        let Some(Ok(ToHost::Hello(hello))) = link.next().await else {
+            return;
+        };
         if let Err(fault) = hello.check(&[Role::Router]) {
             let _ = link.send(FromHost::Refused(fault.refused())).await;
             return;
         }
         let from = self.world.process(hello.index);
         let (site, own) = (hello.zone, self.seat.site);
-        sleep(Duration::from_micros(self.world.faults().slow_connects as u64)).await;
+        sleep(Duration::from_micros(
+            self.world.faults().slow_connects as u64,
+        ))
+        .await;
         while self.world.way(site, own, Way::Hosts).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
@@ -278,7 +313,10 @@
         }
         let (replies, mut to_send) = self.world.delayed(own, site, Way::Hosts);
         let (arrive, mut arrived) = self.world.delayed::<ToHost>(site, own, Way::Hosts);
-        self.conns.lock().expect("no holder panics").insert(conn, replies);
+        self.conns
+            .lock()
+            .expect("no holder panics")
+            .insert(conn, replies);
         loop {
             tokio::select! {
                 read = link.next() => match read {
@@ -316,18 +354,42 @@
     fn arrived(&self, conn: u64, message: ToHost) {
         let now = self.world.tap.now();
         match message {
-            ToHost::Deliver { delivery, op, key, mark, left_us, body, .. } => {
+            ToHost::Deliver {
+                delivery,
+                op,
+                key,
+                mark,
+                left_us,
+                body,
+                ..
+            } => {
                 let (tried, command) = read_body(&body);
                 let op = usize::from(op).min(self.world.day.ops.len() - 1);
                 let expires = now + left_us.min(1 << 40) as Micros;
-                let job = Job { from: conn, delivery, tried, command, op, key, mark, expires };
-                let taken = self.model.lock().expect("no holder panics").arrive(now, job);
+                let job = Job {
+                    from: conn,
+                    delivery,
+                    tried,
+                    command,
+                    op,
+                    key,
+                    mark,
+                    expires,
+                };
+                let taken = self
+                    .model
+                    .lock()
+                    .expect("no holder panics")
+                    .arrive(now, job);
                 if !taken {
                     self.reply(conn, FromHost::Full { delivery }, tried);
                 }
             }
             ToHost::Cancel { delivery } => {
-                self.model.lock().expect("no holder panics").cancel(conn, delivery);
+                self.model
+                    .lock()
+                    .expect("no holder panics")
+                    .cancel(conn, delivery);
             }
             ToHost::Probe { probe } => self.reply(conn, FromHost::Probed { probe }, 0),
             ToHost::Ping => self.reply(conn, FromHost::Pong, 0),
--- a/crates/spokeflow-standin/src/load.rs
+++ b/crates/spokeflow-standin/src/load.rs
@@ -108,9 +108,15 @@
     }
 }
 
-async fn host_link(stream: TcpStream, host: u32, after: Duration, bad: Option<tokio::time::Instant>) {
+async fn host_link(
+    stream: TcpStream,
+    host: u32,
+    after: Duration,
+    bad: Option<tokio::time::Instant>,
+) {
     let _ = stream.set_nodelay(true);
-    let link: Framed<_, FrameCodec<ToHost, FromHost>> = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
+    let link: Framed<_, FrameCodec<ToHost, FromHost>> =
+        Framed::new(stream, FrameCodec::new(WORK_LIMIT));
     let (mut send, mut read) = link.split();
     let (due, mut answers) = mpsc::unbounded_channel::<(tokio::time::Instant, FromHost)>();
     tokio::spawn(async move {
@@ -122,7 +128,9 @@
                 }
                 sleep_until(at).await;
             }
-            if send.feed(message).await.is_err() || answers.is_empty() && send.flush().await.is_err() {
+            if send.feed(message).await.is_err()
+                || answers.is_empty() && send.flush().await.is_err()
+            {
                 return;
             }
         }
@@ -130,7 +138,12 @@
     while let Some(Ok(message)) = read.next().await {
         let now = tokio::time::Instant::now();
         let answer = match message {
-            ToHost::Hello(_) => FromHost::Welcome { host, build: 1, incarnation: 1, up_us: 1 << 40 },
+            ToHost::Hello(_) => FromHost::Welcome {
+                host,
+                build: 1,
+                incarnation: 1,
+                up_us: 1 << 40,
+            },
             ToHost::Deliver { delivery, body, .. } => match ill(host, bad) {
                 Ill::Not => FromHost::Acked { delivery, body },
                 Ill::Hangs => continue,
@@ -147,7 +160,11 @@
             ToHost::Ping => FromHost::Pong,
             _ => continue,
         };
-        let at = if matches!(answer, FromHost::Acked { .. }) { now + after } else { now };
+        let at = if matches!(answer, FromHost::Acked { .. }) {
+            now + after
+        } else {
+            now
+        };
         if due.send((at, answer)).is_err() {
             return;
         }
@@ -156,7 +173,10 @@
 
 /// A list and a desk that say one thing.
 async fn office(hosts: &[SocketAddr], trial: bool) -> std::io::Result<(SocketAddr, SocketAddr)> {
-    let (list, desk) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
+    let (list, desk) = (
+        TcpListener::bind("127.0.0.1:0").await?,
+        TcpListener::bind("127.0.0.1:0").await?,
+    );
     let addresses = (list.local_addr()?, desk.local_addr()?);
     let line = |(n, address): (usize, &SocketAddr)| Line {
         host: n as u32,
@@ -178,8 +198,14 @@
                 while let Some(Ok(message)) = link.next().await {
                     let answer = match message {
                         ToList::Hello(_) => FromList::Welcome,
-                        ToList::Watch { have: Some(_) } => FromList::Changes { version: 1, lines: vec![] },
-                        _ => FromList::Whole { version: 1, lines: lines.clone() },
+                        ToList::Watch { have: Some(_) } => FromList::Changes {
+                            version: 1,
+                            lines: vec![],
+                        },
+                        _ => FromList::Whole {
+                            version: 1,
+                            lines: lines.clone(),
+                        },
                     };
                     if link.send(answer).await.is_err() {
                         return;
@@ -197,7 +223,13 @@
                     true => (2, NewsStanding::OnTrial, 0.35),
                     false => (1, NewsStanding::Released, 1.0),
                 };
-                let news = News { build, stage: 2, standing, cap, age_us: 0 };
+                let news = News {
+                    build,
+                    stage: 2,
+                    standing,
+                    cap,
+                    age_us: 0,
+                };
                 for message in [FromDesk::Welcome, FromDesk::News(news)] {
                     if link.send(message).await.is_err() {
                         return;
@@ -214,7 +246,10 @@
 async fn keeper(starting: &Starting) -> Result<RouterProcess, String> {
     let store = std::env::temp_dir().join(format!("spokeflow-load-{}.redb", std::process::id()));
     let _ = std::fs::remove_file(&store);
-    let starting = Starting { first: vec!["keeper".into()], ..starting.clone() };
+    let starting = Starting {
+        first: vec!["keeper".into()],
+        ..starting.clone()
+    };
     let flags = [
         "--id=1".into(),
         "--listen=127.0.0.1:0".into(),
@@ -242,7 +277,9 @@
 /// Puts the load on and measures. Errors: something cannot be started.
 pub async fn put(load: &Load, starting: &Starting) -> Result<Measured, String> {
     let fault = |e: std::io::Error| e.to_string();
-    let addresses = hosts(load.hosts, load.answer_after, load.bad).await.map_err(fault)?;
+    let addresses = hosts(load.hosts, load.answer_after, load.bad)
+        .await
+        .map_err(fault)?;
     let (keeper, silent) = match load.follows {
         Follows::Keeper => (Some(keeper(starting).await?), None),
         Follows::Stalled => (None, Some(silent().await.map_err(fault)?)),
@@ -276,7 +313,9 @@
     }
     let resident_idle_kib = resident(&router);
     let counts: Arc<[AtomicU64; 3]> = Arc::default();
-    let times = Arc::new(Mutex::new(Histogram::<u64>::new(3).map_err(|e| e.to_string())?));
+    let times = Arc::new(Mutex::new(
+        Histogram::<u64>::new(3).map_err(|e| e.to_string())?,
+    ));
     if load.stalled {
         let mut link = client(router.address).await?;
         tokio::spawn(async move {
@@ -294,7 +333,15 @@
     for n in 0..load.connections {
         let link = client(router.address).await?;
         let (counts, times) = (counts.clone(), times.clone());
-        senders.push(tokio::spawn(sender(link, load.clone(), n, start, warm, counts, times)));
+        senders.push(tokio::spawn(sender(
+            link,
+            load.clone(),
+            n,
+            start,
+            warm,
+            counts,
+            times,
+        )));
     }
     sleep(warm).await;
     let cpu = router.cpu().unwrap_or_default();
@@ -338,16 +385,22 @@
 
 async fn client(address: SocketAddr) -> Result<Client, String> {
     let opening = async {
-        let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|e| e.to_string())?;
         let _ = stream.set_nodelay(true);
         let mut link: Client = Framed::with_capacity(stream, FrameCodec::new(WORK_LIMIT), 1024);
-        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0))).await.map_err(|e| e.to_string())?;
+        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0)))
+            .await
+            .map_err(|e| e.to_string())?;
         match link.next().await {
             Some(Ok(ToClient::Welcome)) => Ok(link),
             other => Err(format!("no welcome but {other:?}")),
         }
     };
-    timeout(Duration::from_secs(5), opening).await.map_err(|_| "no welcome in time".to_string())?
+    timeout(Duration::from_secs(5), opening)
+        .await
+        .map_err(|_| "no welcome in time".to_string())?
 }
 
 fn command(id: u64, body: usize) -> FromClient {
@@ -373,7 +426,8 @@
     times: Arc<Mutex<Histogram<u64>>>,
 ) {
     let (mut send, mut read) = link.split();
-    let every = Duration::from_secs(1).mul_f64(f64::from(load.connections) / load.rate.max(1) as f64);
+    let every =
+        Duration::from_secs(1).mul_f64(f64::from(load.connections) / load.rate.max(1) as f64);
     let first = start + every.mul_f64(f64::from(n) / f64::from(load.connections));
     let total = ((warm.as_secs_f64() + load.seconds as f64) / every.as_secs_f64()) as u64;
     let due_of = move |id: u64| first + every.mul_f64(id as f64);
@@ -394,7 +448,9 @@
     });
     let mut got = 0;
     while got < total {
-        let Ok(Some(Ok(message))) = timeout(Duration::from_secs(6), read.next()).await else { break };
+        let Ok(Some(Ok(message))) = timeout(Duration::from_secs(6), read.next()).await else {
+            break;
+        };
         let (id, kind) = match message {
             ToClient::Acked { id, .. } => (id, 0),
             ToClient::Nacked { id, .. } => (id, 1),
@@ -408,7 +464,10 @@
         }
         counts[kind].fetch_add(1, Ordering::Relaxed);
         if kind == 0 {
-            let took = due_of(id).elapsed().saturating_sub(load.answer_after).as_micros() as u64;
+            let took = due_of(id)
+                .elapsed()
+                .saturating_sub(load.answer_after)
+                .as_micros() as u64;
             if let Ok(mut times) = times.lock() {
                 let _ = times.record(took.max(1));
             }
@@ -423,17 +482,26 @@
 /// The baseline: every frame goes to the next host in turn and its answer back, on the same codec and with the
 /// same number of hops, and nothing is decided.
 pub async fn pass_through(hosts: &[SocketAddr]) -> Result<(), String> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
-    println!("listening on {}", listener.local_addr().map_err(|e| e.to_string())?);
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(|e| e.to_string())?;
+    println!(
+        "listening on {}",
+        listener.local_addr().map_err(|e| e.to_string())?
+    );
     let waiting: Arc<Waiting> = Arc::default();
     let mut to_hosts = Vec::new();
     for address in hosts {
         let (tell, mut told) = mpsc::channel::<ToHost>(1024);
-        let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|e| e.to_string())?;
         let _ = stream.set_nodelay(true);
         let mut link: Framed<_, FrameCodec<FromHost, ToHost>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        link.send(ToHost::Hello(Hello::new(Role::Router, 0, 0))).await.map_err(|e| e.to_string())?;
+        link.send(ToHost::Hello(Hello::new(Role::Router, 0, 0)))
+            .await
+            .map_err(|e| e.to_string())?;
         let waiting = waiting.clone();
         tokio::spawn(async move {
             loop {
@@ -544,13 +612,21 @@
         return Err("--hosts, --rate, --connections, --seconds: at least 1".into());
     }
     let starting = Starting::own().map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     if !flags.json {
         println!("through       hosts  rate  acked/s  nacked  failed  p50 ms  p99 ms  p99.9 ms  cpu us  start KiB  idle KiB  end KiB");
     }
     let kinds = match flags.keepers {
-        true => vec![Follows::Nothing, Follows::Nothing, Follows::Keeper, Follows::Stalled],
+        true => vec![
+            Follows::Nothing,
+            Follows::Nothing,
+            Follows::Keeper,
+            Follows::Stalled,
+        ],
         false => vec![Follows::Nothing; 2],
     };
     for run in 0..kinds.len() as u32 * flags.runs {
--- a/crates/spokeflow-standin/src/main.rs
+++ b/crates/spokeflow-standin/src/main.rs
@@ -158,7 +158,9 @@
         },
         What::Hollow(flags) => scale::hollow(&flags),
         What::Troubles => {
-            Kind::ALL.iter().for_each(|kind| println!("{}", kind.name()));
+            Kind::ALL
+                .iter()
+                .for_each(|kind| println!("{}", kind.name()));
             ExitCode::SUCCESS
         }
         What::Load(flags) => match load(&flags) {
@@ -169,8 +171,14 @@
             }
         },
         What::Commits(flags) => {
-            let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-            match runtime.map_err(|e| e.to_string()).and_then(|r| r.block_on(commits(&flags))) {
+            let runtime = tokio::runtime::Builder::new_multi_thread()
+                .worker_threads(2)
+                .enable_all()
+                .build();
+            match runtime
+                .map_err(|e| e.to_string())
+                .and_then(|r| r.block_on(commits(&flags)))
+            {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(what) => {
                     eprintln!("spokeflow-standin: {what}");
@@ -179,8 +187,13 @@
             }
         }
         What::Pass { host } => {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            match runtime.map_err(|e| e.to_string()).and_then(|r| r.block_on(pass_through(&host))) {
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
+            match runtime
+                .map_err(|e| e.to_string())
+                .and_then(|r| r.block_on(pass_through(&host)))
+            {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(what) => {
                     eprintln!("spokeflow-standin: {what}");
@@ -207,7 +220,10 @@
     }
     starting.logs.clone_from(&flags.logs);
     starting.log.clone_from(&flags.log);
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let shown = std::io::stderr().is_terminal();
     let progress = |at: Micros| {
@@ -232,7 +248,10 @@
     }
     let report = &played.report;
     if flags.json {
-        println!("{}", serde_json::to_string_pretty(report).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(report).map_err(|e| e.to_string())?
+        );
     } else {
         print!("{}", report.text());
     }
@@ -256,7 +275,9 @@
     starting.logs.clone_from(&flags.logs);
     starting.log.clone_from(&flags.log);
     let own = || std::env::temp_dir().join(format!("spokeflow-fleet-{}", std::process::id()));
-    let kill = fleet::Fault::KillLeader { down: std::time::Duration::from_millis(1500) };
+    let kill = fleet::Fault::KillLeader {
+        down: std::time::Duration::from_millis(1500),
+    };
     let terms = FleetTerms {
         routers: flags.routers,
         keepers: flags.keepers,
@@ -271,7 +292,10 @@
         peace: flags.peace,
         pace: flags.pace,
     };
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let progress = |at: Micros, what: &str| eprintln!("{:>7} ms  {what}", at / 1000);
     let (report, frames, _) = runtime.block_on(fleet::play(terms, starting, progress))?;
@@ -283,7 +307,10 @@
         }
     }
     match flags.json {
-        true => println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?),
+        true => println!(
+            "{}",
+            serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?
+        ),
         false => println!("{}", report.text()),
     }
     runtime.shutdown_background();
--- a/crates/spokeflow-standin/src/office.rs
+++ b/crates/spokeflow-standin/src/office.rs
@@ -8,8 +8,8 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_proto::{
-    BallotResult, BallotVerdict, FrameCodec, FromDesk, FromList, Line, LinePhase, News, NewsStanding, Role,
-    ToDesk, ToList, LIST_LIMIT, WORK_LIMIT,
+    BallotResult, BallotVerdict, FrameCodec, FromDesk, FromList, Line, LinePhase, News,
+    NewsStanding, Role, ToDesk, ToList, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -55,7 +55,9 @@
     async fn list(self: Arc<Self>, stream: TcpStream) {
         let mut link: Framed<TcpStream, FrameCodec<ToList, FromList>> =
             Framed::new(stream, FrameCodec::new(LIST_LIMIT));
-        let Some(Ok(ToList::Hello(hello))) = link.next().await else { return };
+        let Some(Ok(ToList::Hello(hello))) = link.next().await else {
+            return;
+        };
         if hello.check(&[Role::Router]).is_err() || self.world.faults().list_breaks {
             return;
         }
@@ -63,7 +65,9 @@
         if link.send(FromList::Welcome).await.is_err() {
             return;
         }
-        let (send, mut ready) = self.world.delayed::<FromList>(OFFICE_SITE, site, Way::Office);
+        let (send, mut ready) = self
+            .world
+            .delayed::<FromList>(OFFICE_SITE, site, Way::Office);
         let mut watched: Option<u64> = None;
         let mut ticks = interval(TICK);
         loop {
@@ -136,20 +140,26 @@
             LinePhase::Ready => Phase::Ready,
             LinePhase::Draining => Phase::Draining,
         };
-        let lines = lines.iter().map(|l| (l.host, l.build.unwrap_or(0), phase(l))).collect();
+        let lines = lines
+            .iter()
+            .map(|l| (l.host, l.build.unwrap_or(0), phase(l)))
+            .collect();
         self.world.tap.note(Seen::Listed { to, whole, lines });
     }
 
     async fn desk(self: Arc<Self>, stream: TcpStream) {
         let mut link: Framed<TcpStream, FrameCodec<ToDesk, FromDesk>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        let Some(Ok(ToDesk::Hello(hello))) = link.next().await else { return };
+        let Some(Ok(ToDesk::Hello(hello))) = link.next().await else {
+            return;
+        };
         if hello.check(&[Role::Router]).is_err() || link.send(FromDesk::Welcome).await.is_err() {
             return;
         }
         let (to, site) = (self.world.process(hello.index), hello.zone);
         let (send, mut ready) =
-            self.world.delayed::<(FromDesk, Option<State>)>(OFFICE_SITE, site, Way::Office);
+            self.world
+                .delayed::<(FromDesk, Option<State>)>(OFFICE_SITE, site, Way::Office);
         let (hear, mut heard) = self.world.delayed::<ToDesk>(site, OFFICE_SITE, Way::Office);
         let mut told: Option<State> = None;
         let mut told_at = Micros::MIN / 2;
@@ -216,8 +226,12 @@
             return Some(BallotResult::Refused);
         }
         let counts = !faults.stalled_desk || rand::rng().random_bool(0.5);
-        let counted = counts
-            .then(|| self.desk.lock().expect("no holder panics").vote(now, router, build, stage, verdict));
+        let counted = counts.then(|| {
+            self.desk
+                .lock()
+                .expect("no holder panics")
+                .vote(now, router, build, stage, verdict)
+        });
         match counted.filter(|_| !faults.stalled_desk)? {
             Counted::Counted => Some(BallotResult::Counted),
             Counted::Moot => Some(BallotResult::Moot),
@@ -226,8 +240,20 @@
     }
 
     fn news(&self, to: Process, state: State) -> News {
-        let State { build, stage, standing, cap, since } = state;
-        self.world.tap.note(Seen::News { to, build, stage, standing, cap });
+        let State {
+            build,
+            stage,
+            standing,
+            cap,
+            since,
+        } = state;
+        self.world.tap.note(Seen::News {
+            to,
+            build,
+            stage,
+            standing,
+            cap,
+        });
         let standing = match standing {
             Standing::OnTrial => NewsStanding::OnTrial,
             Standing::GoingBack => NewsStanding::GoingBack,
@@ -235,6 +261,12 @@
             Standing::Withdrawn => NewsStanding::Withdrawn,
         };
         let age_us = (self.world.tap.now() - since).max(0) as u64;
-        News { build, stage, standing, cap: cap as f32, age_us }
+        News {
+            build,
+            stage,
+            standing,
+            cap: cap as f32,
+            age_us,
+        }
     }
 }
--- a/crates/spokeflow-standin/src/routers.rs
+++ b/crates/spokeflow-standin/src/routers.rs
@@ -35,48 +35,87 @@
     /// This program itself, whose hidden subcommand is the router: a build of the stand-ins alone has both.
     pub fn own() -> std::io::Result<Starting> {
         let program = std::env::current_exe()?;
-        Ok(Starting { program, first: vec!["router".into()], logs: None, log: "info".into() })
+        Ok(Starting {
+            program,
+            first: vec!["router".into()],
+            logs: None,
+            log: "info".into(),
+        })
     }
 }
 
 impl RouterProcess {
     /// Errors: it does not start or does not say where it listens.
-    pub async fn start(starting: &Starting, flags: &[String], name: &str) -> Result<RouterProcess, String> {
+    pub async fn start(
+        starting: &Starting,
+        flags: &[String],
+        name: &str,
+    ) -> Result<RouterProcess, String> {
         let mut flags = flags.to_vec();
         flags.push(format!("--log={}", starting.log));
         RouterProcess::start_as(starting, &flags, name).await
     }
 
     /// A program that listens as a router does and takes no flags of the log.
-    pub async fn start_plain(starting: &Starting, flags: &[String]) -> Result<RouterProcess, String> {
+    pub async fn start_plain(
+        starting: &Starting,
+        flags: &[String],
+    ) -> Result<RouterProcess, String> {
         RouterProcess::start_as(starting, flags, "plain").await
     }
 
-    async fn start_as(starting: &Starting, flags: &[String], name: &str) -> Result<RouterProcess, String> {
+    async fn start_as(
+        starting: &Starting,
+        flags: &[String],
+        name: &str,
+    ) -> Result<RouterProcess, String> {
         let mut command = Command::new(&starting.program);
         command.args(&starting.first).args(flags);
         let log = match &starting.logs {
             Some(folder) => {
                 let file = folder.join(format!("{name}.log"));
-                let file = std::fs::OpenOptions::new().create(true).append(true).open(file);
+                let file = std::fs::OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(file);
                 let file = file.map_err(|e| format!("--logs {}: {e}", folder.display()))?;
                 Stdio::from(file)
             }
             None => Stdio::null(),
         };
         // No variable of the caller's is taken for a term of the day.
-        std::env::vars().filter(|(k, _)| k.starts_with("SPOKEFLOW_")).for_each(|(k, _)| {
-            command.env_remove(k);
-        });
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).kill_on_drop(true);
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", starting.program.display()))?;
-        let Some(out) = child.stdout.take() else { return Err("no output".into()) };
+        std::env::vars()
+            .filter(|(k, _)| k.starts_with("SPOKEFLOW_"))
+            .for_each(|(k, _)| {
+                command.env_remove(k);
+            });
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(log)
+            .kill_on_drop(true);
+        let mut child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", starting.program.display()))?;
+        let Some(out) = child.stdout.take() else {
+            return Err("no output".into());
+        };
         let mut line = String::new();
-        let said = timeout(Duration::from_secs(10), BufReader::new(out).read_line(&mut line)).await;
-        let address = line.trim().strip_prefix("listening on ").and_then(|a| a.parse().ok());
+        let said = timeout(
+            Duration::from_secs(10),
+            BufReader::new(out).read_line(&mut line),
+        )
+        .await;
+        let address = line
+            .trim()
+            .strip_prefix("listening on ")
+            .and_then(|a| a.parse().ok());
         match (said, address) {
             (Ok(Ok(_)), Some(address)) => Ok(RouterProcess { child, address }),
-            _ => Err(format!("router {name} did not say where it listens: '{}'", line.trim())),
+            _ => Err(format!(
+                "router {name} did not say where it listens: '{}'",
+                line.trim()
+            )),
         }
     }
 
@@ -93,14 +132,22 @@
     /// Stopped as by SIGSTOP, or continued.
     pub fn stop(&self, stopped: bool) {
         if let Some(pid) = self.child.id() {
-            let signal = if stopped { Signal::SIGSTOP } else { Signal::SIGCONT };
+            let signal = if stopped {
+                Signal::SIGSTOP
+            } else {
+                Signal::SIGCONT
+            };
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
     /// Whether it has ended by itself, and its exit code then.
     pub fn has_ended(&mut self) -> Option<Option<i32>> {
-        self.child.try_wait().ok().flatten().map(|status| status.code())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.code())
     }
 
     /// Told to end. Answers how it ended; killed where it does not within `within`.
@@ -122,7 +169,8 @@
     pub fn cpu(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()?)).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
+        let ticks: u64 =
+            fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         // The kernel tells in hundredths of a second on every platform that this runs on.
         Some(Duration::from_millis(ticks * 10))
     }
@@ -130,7 +178,14 @@
     /// Resident memory in KiB, where the system tells.
     pub fn resident(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
-        status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB")?.trim().parse().ok())
+        status.lines().find_map(|l| {
+            l.strip_prefix("VmRSS:")?
+                .trim()
+                .strip_suffix(" kB")?
+                .trim()
+                .parse()
+                .ok()
+        })
     }
 }
 
@@ -140,7 +195,12 @@
 
 /// All terms of a day as flags.
 pub fn flags(day: &Scenario, index: u32, list: SocketAddr, desk: SocketAddr) -> Vec<String> {
-    let numbers = |list: &[f64]| list.iter().map(|n| format!("{n}")).collect::<Vec<_>>().join(",");
+    let numbers = |list: &[f64]| {
+        list.iter()
+            .map(|n| format!("{n}"))
+            .collect::<Vec<_>>()
+            .join(",")
+    };
     let mut flags = vec![
         "--listen=127.0.0.1:0".to_string(),
         format!("--list={list}"),
@@ -155,17 +215,31 @@
         format!("--warm-within={}", span(day.warm_within)),
         format!("--fall-multiple={}", day.fall_multiple),
         format!("--fall-span={}", span(day.fall_span)),
-        format!("--gate={}", if day.gate == Gate::Single { "single" } else { "majority" }),
+        format!(
+            "--gate={}",
+            if day.gate == Gate::Single {
+                "single"
+            } else {
+                "majority"
+            }
+        ),
         format!("--stage-share={}", numbers(&day.stage_shares)),
         format!(
             "--stage-cap={}",
-            numbers(&(0..day.stage_shares.len()).map(|s| day.cap(s)).collect::<Vec<_>>())
+            numbers(
+                &(0..day.stage_shares.len())
+                    .map(|s| day.cap(s))
+                    .collect::<Vec<_>>()
+            )
         ),
         format!("--exposure-free={}", day.exposure_free),
         format!("--exposure-span={}", span(day.exposure_span)),
         format!("--stage-bake={}", span(day.bake)),
         format!("--complaint-share={}", day.reported),
-        format!("--seed={}", day.seed.wrapping_mul(31).wrapping_add(u64::from(index))),
+        format!(
+            "--seed={}",
+            day.seed.wrapping_mul(31).wrapping_add(u64::from(index))
+        ),
     ];
     if day.forward_only {
         flags.push("--forward-only".into());
@@ -189,6 +263,10 @@
         };
         flags.push(format!("--op={}", op_flag(&op)));
     }
-    flags.extend(day.customers.iter().map(|c| format!("--customer={}={}", c.name, c.allowed)));
+    flags.extend(
+        day.customers
+            .iter()
+            .map(|c| format!("--customer={}={}", c.name, c.allowed)),
+    );
     flags
 }
--- a/crates/spokeflow-standin/src/scale/bounds.rs
+++ b/crates/spokeflow-standin/src/scale/bounds.rs
@@ -53,7 +53,11 @@
             + u64::from(flags.hollow_processes()) * HOLLOW_PROCESS
             + routers * hosts * IN_FLIGHT_FOR_HOST;
         let descriptors = DESCRIPTORS_APART + DESCRIPTORS_FOR_ROUTER * (routers + voters * voters);
-        Demand { processes, memory_bytes, descriptors }
+        Demand {
+            processes,
+            memory_bytes,
+            descriptors,
+        }
     }
 }
 
@@ -69,10 +73,17 @@
 impl Machine {
     /// Errors: the system does not tell.
     pub fn here() -> Result<Machine, String> {
-        let memory_bytes = procfs::Meminfo::current().map_err(|e| format!("/proc/meminfo: {e}"))?.mem_total;
-        let (descriptors, _) = getrlimit(Resource::RLIMIT_NOFILE).map_err(|e| format!("ulimit -n: {e}"))?;
+        let memory_bytes = procfs::Meminfo::current()
+            .map_err(|e| format!("/proc/meminfo: {e}"))?
+            .mem_total;
+        let (descriptors, _) =
+            getrlimit(Resource::RLIMIT_NOFILE).map_err(|e| format!("ulimit -n: {e}"))?;
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
-        Ok(Machine { cores, memory_bytes, descriptors })
+        Ok(Machine {
+            cores,
+            memory_bytes,
+            descriptors,
+        })
     }
 
     /// Bytes that a run may take.
@@ -89,7 +100,10 @@
                 self.memory_at_most() / MEGABYTE,
                 self.memory_bytes / MEGABYTE
             ),
-            format!("descriptors of one process at most {} (ulimit -n)", self.descriptors),
+            format!(
+                "descriptors of one process at most {} (ulimit -n)",
+                self.descriptors
+            ),
         ]
     }
 
--- a/crates/spokeflow-standin/src/scale/flags.rs
+++ b/crates/spokeflow-standin/src/scale/flags.rs
@@ -31,7 +31,8 @@
 impl Phase {
     /// The name as on the command line and in the report.
     pub fn name(self) -> String {
-        self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_string())
+        self.to_possible_value()
+            .map_or_else(String::new, |value| value.get_name().to_string())
     }
 }
 
@@ -47,7 +48,8 @@
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    humantime::parse_duration(text).map_err(|e| format!("{e}; a time with its unit, such as 250ms or 10s"))
+    humantime::parse_duration(text)
+        .map_err(|e| format!("{e}; a time with its unit, such as 250ms or 10s"))
 }
 
 #[derive(Args, Clone, Debug)]
@@ -142,16 +144,31 @@
             }
         };
         when(self.routers == 0, "--routers: at least 1".into());
-        when(self.real > self.routers, format!("--real {}: more than --routers {}", self.real, self.routers));
-        when(self.hollow_per_process == 0, "--hollow-per-process: at least 1".into());
-        when(![3, 5, 7].contains(&self.voters), format!("--voters {}: 3, 5 or 7", self.voters));
+        when(
+            self.real > self.routers,
+            format!("--real {}: more than --routers {}", self.real, self.routers),
+        );
+        when(
+            self.hollow_per_process == 0,
+            "--hollow-per-process: at least 1".into(),
+        );
+        when(
+            ![3, 5, 7].contains(&self.voters),
+            format!("--voters {}: 3, 5 or 7", self.voters),
+        );
         when(self.regions == 0, "--regions: at least 1".into());
         when(
             self.zones < self.regions,
-            format!("--zones {}: fewer than --regions {}", self.zones, self.regions),
+            format!(
+                "--zones {}: fewer than --regions {}",
+                self.zones, self.regions
+            ),
         );
         let rate = self.changes_per_minute;
-        when(!rate.is_finite() || rate <= 0.0, format!("--changes-per-minute {rate}: above 0"));
+        when(
+            !rate.is_finite() || rate <= 0.0,
+            format!("--changes-per-minute {rate}: above 0"),
+        );
         let spans = [
             ("quiet-lasts", self.quiet_lasts),
             ("changes-last", self.changes_last),
@@ -162,18 +179,27 @@
         for (flag, lasts) in spans {
             when(lasts.is_zero(), format!("--{flag}: above 0s"));
         }
-        when(self.lease < Duration::from_millis(500), "--lease: at least 500ms".into());
+        when(
+            self.lease < Duration::from_millis(500),
+            "--lease: at least 500ms".into(),
+        );
         let budgets = [
             ("router-bytes-per-second", self.router_bytes_per_second),
             ("router-processor-share", self.router_processor_share),
             ("router-memory-mb", self.router_memory_mb),
         ];
         for (flag, budget) in budgets {
-            when(!budget.is_finite() || budget <= 0.0, format!("--{flag} {budget}: above 0"));
+            when(
+                !budget.is_finite() || budget <= 0.0,
+                format!("--{flag} {budget}: above 0"),
+            );
         }
         let hollow = self.hollow();
         let stalls = self.phases.contains(&Phase::Stalled);
-        when(stalls && hollow == 0, "--phase stalled: needs a hollow router".into());
+        when(
+            stalls && hollow == 0,
+            "--phase stalled: needs a hollow router".into(),
+        );
         match faults.is_empty() {
             true => Ok(()),
             false => Err(faults.join("; ")),
--- a/crates/spokeflow-standin/src/scale/hollow.rs
+++ b/crates/spokeflow-standin/src/scale/hollow.rs
@@ -92,7 +92,10 @@
 
 impl Hollow {
     fn start(&mut self, index: u32) {
-        let terms = RouterTerms { index, ..self.terms.clone() };
+        let terms = RouterTerms {
+            index,
+            ..self.terms.clone()
+        };
         let seed = self.seed.wrapping_mul(31).wrapping_add(u64::from(index));
         let (core, arrivals) = mpsc::channel(ARRIVALS);
         let (acts_on, applied) = watch::channel(RevisionNo(0));
@@ -115,7 +118,9 @@
                     }
                 }
             }
-            HollowCommand::Return(routers) => routers.into_iter().for_each(|router| self.start(router)),
+            HollowCommand::Return(routers) => {
+                routers.into_iter().for_each(|router| self.start(router))
+            }
         }
     }
 }
@@ -145,16 +150,25 @@
     };
     // Required by the flags; a hollow router calls neither.
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    let around = Surroundings { list: nowhere, desk: nowhere };
+    let around = Surroundings {
+        list: nowhere,
+        desk: nowhere,
+    };
     let line = std::iter::once("router".to_string()).chain(settings.flags(flags.first, 0, around));
-    let mut terms = RouterLine::try_parse_from(line).map_err(|e| e.to_string())?.terms;
+    let mut terms = RouterLine::try_parse_from(line)
+        .map_err(|e| e.to_string())?
+        .terms;
     terms.service.customers = customers(flags.tenants);
     terms.check().map_err(|faults| faults.to_string())?;
     Ok(terms)
 }
 
 async fn run(flags: &HollowFlags, terms: RouterTerms) {
-    let mut hollow = Hollow { terms, seed: flags.seed, running: BTreeMap::new() };
+    let mut hollow = Hollow {
+        terms,
+        seed: flags.seed,
+        running: BTreeMap::new(),
+    };
     for index in flags.first..flags.first.saturating_add(flags.count) {
         hollow.start(index);
     }
@@ -185,7 +199,10 @@
         }
     };
     // One thread, as a router has.
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("spokeflow-standin hollow: cannot start: {e}");
--- a/crates/spokeflow-standin/src/scale/list.rs
+++ b/crates/spokeflow-standin/src/scale/list.rs
@@ -29,7 +29,9 @@
 impl Lines {
     fn since(&self, version: u64) -> Vec<Line> {
         let changed = self.changed.iter().filter(|(_, at)| **at > version);
-        changed.filter_map(|(host, _)| self.lines.get(host).cloned()).collect()
+        changed
+            .filter_map(|(host, _)| self.lines.get(host).cloned())
+            .collect()
     }
 }
 
@@ -53,8 +55,15 @@
         };
         let lines = (0..hosts).map(|host| (host, line(host))).collect();
         let changed = (0..hosts).map(|host| (host, 1)).collect();
-        let lines = Mutex::new(Lines { version: 1, lines, changed });
-        Arc::new(ListSource { lines, version: watch::Sender::new(1) })
+        let lines = Mutex::new(Lines {
+            version: 1,
+            lines,
+            changed,
+        });
+        Arc::new(ListSource {
+            lines,
+            version: watch::Sender::new(1),
+        })
     }
 
     /// These hosts are gone, all with one version.
@@ -124,14 +133,23 @@
     fn whole(&self, told: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
         *told = Some(lines.version);
-        let there = lines.lines.values().filter(|line| line.phase != LinePhase::Gone);
-        FromList::Whole { version: lines.version, lines: there.cloned().collect() }
+        let there = lines
+            .lines
+            .values()
+            .filter(|line| line.phase != LinePhase::Gone);
+        FromList::Whole {
+            version: lines.version,
+            lines: there.cloned().collect(),
+        }
     }
 
     fn changes(&self, told: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
         let changed = lines.since(told.unwrap_or(0));
         *told = Some(lines.version);
-        FromList::Changes { version: lines.version, lines: changed }
+        FromList::Changes {
+            version: lines.version,
+            lines: changed,
+        }
     }
 }
--- a/crates/spokeflow-standin/src/scale/measure.rs
+++ b/crates/spokeflow-standin/src/scale/measure.rs
@@ -23,11 +23,19 @@
 
 const LINK_QUANTITIES: [LinkQuantity; 6] = [
     ("bytes_sent", "bytes/s", |l| rate(l, |t| t.bytes_sent)),
-    ("bytes_received", "bytes/s", |l| rate(l, |t| t.bytes_received)),
+    ("bytes_received", "bytes/s", |l| {
+        rate(l, |t| t.bytes_received)
+    }),
     ("frames_sent", "frames/s", |l| rate(l, |t| t.frames_sent)),
-    ("frames_received", "frames/s", |l| rate(l, |t| t.frames_received)),
-    ("connections", "connections", |l| l.traffic.connections as f64),
-    ("connections_opened", "connections", |l| l.traffic.connections_opened as f64),
+    ("frames_received", "frames/s", |l| {
+        rate(l, |t| t.frames_received)
+    }),
+    ("connections", "connections", |l| {
+        l.traffic.connections as f64
+    }),
+    ("connections_opened", "connections", |l| {
+        l.traffic.connections_opened as f64
+    }),
 ];
 
 fn share(samples: &ProcessSamples) -> f64 {
@@ -42,7 +50,10 @@
 }
 
 fn of_role<K, S>(all: &BTreeMap<(Role, K), S>, role: Role) -> Vec<&S> {
-    all.iter().filter(|((of, _), _)| *of == role).map(|(_, samples)| samples).collect()
+    all.iter()
+        .filter(|((of, _), _)| *of == role)
+        .map(|(_, samples)| samples)
+        .collect()
 }
 
 fn values<S>(samples: &[&S], value: impl Fn(&S) -> f64) -> Vec<f64> {
@@ -58,16 +69,42 @@
 }
 
 /// Adds the figures of one phase, and a finding for each budget that a router exceeded in it.
-pub fn measure(report: &mut Report, flags: &ScaleFlags, phase: &str, judged: Judged, samples: &PhaseSamples) {
-    let roles = [Role::VoterLeader, Role::VoterFollower, Role::HollowRouter, Role::RealRouter, Role::Harness];
+pub fn measure(
+    report: &mut Report,
+    flags: &ScaleFlags,
+    phase: &str,
+    judged: Judged,
+    samples: &PhaseSamples,
+) {
+    let roles = [
+        Role::VoterLeader,
+        Role::VoterFollower,
+        Role::HollowRouter,
+        Role::RealRouter,
+        Role::Harness,
+    ];
     for role in roles {
         process_figures(report, phase, role, samples);
         link_figures(report, phase, role, samples);
     }
     let memory = Spread::one(samples.memory_peak_bytes as f64);
-    report.figure(phase, Role::Fleet, "memory_peak", "bytes", memory, SpreadOf::One);
+    report.figure(
+        phase,
+        Role::Fleet,
+        "memory_peak",
+        "bytes",
+        memory,
+        SpreadOf::One,
+    );
     let processes = Spread::one(f64::from(samples.process_count));
-    report.figure(phase, Role::Fleet, "processes", "processes", processes, SpreadOf::One);
+    report.figure(
+        phase,
+        Role::Fleet,
+        "processes",
+        "processes",
+        processes,
+        SpreadOf::One,
+    );
     for role in [Role::HollowRouter, Role::RealRouter] {
         budgets(report, flags, phase, judged, role, samples);
     }
@@ -75,16 +112,31 @@
 
 fn process_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
     let processes = of_role(&samples.processes, role);
-    let long: Vec<&ProcessSamples> =
-        processes.iter().copied().filter(|p| p.observed_seconds >= LEAST_SECONDS).collect();
+    let long: Vec<&ProcessSamples> = processes
+        .iter()
+        .copied()
+        .filter(|p| p.observed_seconds >= LEAST_SECONDS)
+        .collect();
     let mut add = |quantity, unit, spread: Option<Spread>| {
         if let Some(spread) = spread {
             report.figure(phase, role, quantity, unit, spread, SpreadOf::Processes);
         }
     };
-    add("processor_share", "share of a core", Spread::mean(&values(&long, share)));
-    add("memory_steady", "bytes", Spread::mean(&values(&processes, |p| resident(p, 0.5))));
-    add("memory_peak", "bytes", Spread::greatest(&values(&processes, |p| resident(p, 1.0))));
+    add(
+        "processor_share",
+        "share of a core",
+        Spread::mean(&values(&long, share)),
+    );
+    add(
+        "memory_steady",
+        "bytes",
+        Spread::mean(&values(&processes, |p| resident(p, 0.5))),
+    );
+    add(
+        "memory_peak",
+        "bytes",
+        Spread::greatest(&values(&processes, |p| resident(p, 1.0))),
+    );
     let proportional: Vec<f64> = processes
         .iter()
         .filter_map(|p| Some(p.proportional_bytes? as f64 / f64::from(p.routers.max(1))))
@@ -99,8 +151,11 @@
 
 fn link_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
     let links = of_role(&samples.links, role);
-    let long: Vec<&LinkSamples> =
-        links.iter().copied().filter(|l| l.observed_seconds >= LEAST_SECONDS).collect();
+    let long: Vec<&LinkSamples> = links
+        .iter()
+        .copied()
+        .filter(|l| l.observed_seconds >= LEAST_SECONDS)
+        .collect();
     for (quantity, unit, value) in LINK_QUANTITIES {
         if let Some(spread) = Spread::mean(&values(&long, value)) {
             report.figure(phase, role, quantity, unit, spread, SpreadOf::Links);
@@ -117,20 +172,44 @@
     samples: &PhaseSamples,
 ) {
     let processes = of_role(&samples.processes, role);
-    let long: Vec<&ProcessSamples> =
-        processes.iter().copied().filter(|p| p.observed_seconds >= LEAST_SECONDS).collect();
+    let long: Vec<&ProcessSamples> = processes
+        .iter()
+        .copied()
+        .filter(|p| p.observed_seconds >= LEAST_SECONDS)
+        .collect();
     let links = of_role(&samples.links, role);
     let both = |l: &LinkSamples| rate(l, |t| t.bytes_sent + t.bytes_received);
     let measured = [
-        ("processor", "of a core", values(&long, share), flags.router_processor_share),
-        (MEMORY, "MB", values(&processes, |p| resident(p, 1.0) / MEGABYTE), flags.router_memory_mb),
-        ("bytes", "bytes a second", values(&links, both), flags.router_bytes_per_second),
+        (
+            "processor",
+            "of a core",
+            values(&long, share),
+            flags.router_processor_share,
+        ),
+        (
+            MEMORY,
+            "MB",
+            values(&processes, |p| resident(p, 1.0) / MEGABYTE),
+            flags.router_memory_mb,
+        ),
+        (
+            "bytes",
+            "bytes a second",
+            values(&links, both),
+            flags.router_bytes_per_second,
+        ),
     ];
     for (bound, unit, values, allowed) in measured {
-        let Some(Spread { value: mean, max, .. }) = Spread::mean(&values) else { continue };
+        let Some(Spread {
+            value: mean, max, ..
+        }) = Spread::mean(&values)
+        else {
+            continue;
+        };
         if max > allowed && (judged == Judged::All || bound == MEMORY) {
-            let text =
-                format!("{role:?}: {max:.4} {unit} at the most, {mean:.4} in the mean, {allowed} allowed");
+            let text = format!(
+                "{role:?}: {max:.4} {unit} at the most, {mean:.4} in the mean, {allowed} allowed"
+            );
             report.find(phase, bound, text);
         }
     }
@@ -147,10 +226,20 @@
     let mut seconds: Vec<f64> = micros.iter().map(|t| *t as f64 / MICROS).collect();
     seconds.sort_by(f64::total_cmp);
     let (min, max) = (*seconds.first()?, *seconds.last()?);
-    for (name, value) in [("p50", quantile(&seconds, 0.5)), ("p99", quantile(&seconds, 0.99)), ("worst", max)]
-    {
+    for (name, value) in [
+        ("p50", quantile(&seconds, 0.5)),
+        ("p99", quantile(&seconds, 0.99)),
+        ("worst", max),
+    ] {
         let spread = Spread { value, min, max };
-        report.figure(phase, Role::Fleet, &format!("{quantity}_{name}"), "s", spread, of);
+        report.figure(
+            phase,
+            Role::Fleet,
+            &format!("{quantity}_{name}"),
+            "s",
+            spread,
+            of,
+        );
     }
     Some(max)
 }
--- a/crates/spokeflow-standin/src/scale/offers.rs
+++ b/crates/spokeflow-standin/src/scale/offers.rs
@@ -30,7 +30,13 @@
 impl Offers {
     pub fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed);
-        Offers { rig, random, newest: RevisionNo(0), offered: 0, refused: None }
+        Offers {
+            rig,
+            random,
+            newest: RevisionNo(0),
+            offered: 0,
+            refused: None,
+        }
     }
 
     /// Offers one revision until it is announced. Answers its number, or `None` where none was or will be taken.
@@ -83,13 +89,17 @@
                     (offer.against, offer.token) = (announced, self.random.random());
                     last = format!("revision {} was still not in force", announced.0);
                 }
-                Ok(Answer::Bad(what)) => return Err(format!("an offer of {bytes} bytes is refused: {what}")),
+                Ok(Answer::Bad(what)) => {
+                    return Err(format!("an offer of {bytes} bytes is refused: {what}"))
+                }
                 Ok(answer) => last = format!("{answer:?}"),
                 Err(what) => last = what,
             }
             sleep(PAUSE).await;
         }
-        Err(format!("an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"))
+        Err(format!(
+            "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
+        ))
     }
 
     /// Offers at the rate of the flags for this time. Answers the numbers of the revisions that were taken.
--- a/crates/spokeflow-standin/src/scale/phases.rs
+++ b/crates/spokeflow-standin/src/scale/phases.rs
@@ -42,7 +42,12 @@
 impl Phases {
     pub fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed ^ 0x5ca1e);
-        Phases { rig, random, revisions: Vec::new(), election: None }
+        Phases {
+            rig,
+            random,
+            revisions: Vec::new(),
+            election: None,
+        }
     }
 
     /// Plays one phase. Errors: a process that cannot be started, or has ended.
@@ -50,7 +55,9 @@
         let flags = self.rig.flags.clone();
         match phase {
             Phase::Quiet => sleep(flags.quiet_lasts).await,
-            Phase::Changes => self.revisions.extend(offers.at_rate(flags.changes_last).await),
+            Phase::Changes => self
+                .revisions
+                .extend(offers.at_rate(flags.changes_last).await),
             Phase::Churn => self.churn(offers, flags.changes_last).await?,
             Phase::Zone => self.zone(offers).await?,
             Phase::Start => self.start(offers).await?,
@@ -106,8 +113,12 @@
         let rig = self.rig.clone();
         let flags = &rig.flags;
         let lost = self.random.random_range(0..flags.zones);
-        let routers: BTreeSet<u32> = (0..flags.routers).filter(|r| flags.zone(*r) == lost).collect();
-        let hosts: Vec<u32> = (0..flags.hosts).filter(|h| flags.zone(*h) == lost).collect();
+        let routers: BTreeSet<u32> = (0..flags.routers)
+            .filter(|r| flags.zone(*r) == lost)
+            .collect();
+        let hosts: Vec<u32> = (0..flags.hosts)
+            .filter(|h| flags.zone(*h) == lost)
+            .collect();
         let losing = async {
             rig.list.remove(&hosts);
             rig.leave(&routers).await?;
@@ -144,7 +155,10 @@
         let led = after.term > before.term;
         let since = |at: Option<Micros>| at.filter(|_| led).map(|at| at - killed);
         let (leaderless, first_grant) = (since(Some(after.since)), since(after.first_grant));
-        self.election = Some(Election { leaderless, first_grant });
+        self.election = Some(Election {
+            leaderless,
+            first_grant,
+        });
         rig.start_voter(before.voter).await?;
         sleep(rig.flags.away_lasts).await;
         Ok(())
@@ -178,12 +192,16 @@
 
     fn absent(&self, routers: &BTreeSet<u32>) {
         let (now, mut seen) = (self.rig.tap.now(), self.rig.tap.seen());
-        routers.iter().for_each(|router| seen.propagation.left(now, *router));
+        routers
+            .iter()
+            .for_each(|router| seen.propagation.left(now, *router));
     }
 
     fn present(&self, routers: &BTreeSet<u32>) {
         let (now, mut seen) = (self.rig.tap.now(), self.rig.tap.seen());
-        routers.iter().for_each(|router| seen.propagation.returned(now, *router));
+        routers
+            .iter()
+            .for_each(|router| seen.propagation.returned(now, *router));
     }
 }
 
@@ -198,7 +216,14 @@
 /// Waits until every router that is there has all revisions, for the time that the flags allow.
 pub async fn until_in_force(rig: &Rig) {
     let until = Instant::now() + rig.flags.in_force_within;
-    while Instant::now() < until && !rig.tap.seen().propagation.missing(rig.flags.routers).is_empty() {
+    while Instant::now() < until
+        && !rig
+            .tap
+            .seen()
+            .propagation
+            .missing(rig.flags.routers)
+            .is_empty()
+    {
         sleep(LOOK_EVERY).await;
     }
 }
--- a/crates/spokeflow-standin/src/scale/propagation.rs
+++ b/crates/spokeflow-standin/src/scale/propagation.rs
@@ -61,7 +61,14 @@
     }
 
     /// A grant that names the revision in force was handed on to a router.
-    pub fn told(&mut self, at: Micros, router: u32, number: u64, with_list: bool, needs_list: bool) {
+    pub fn told(
+        &mut self,
+        at: Micros,
+        router: u32,
+        number: u64,
+        with_list: bool,
+        needs_list: bool,
+    ) {
         arrived(at, router, number, &mut self.newest_told, &mut self.told);
         if with_list || !needs_list {
             if let Some(started) = self.starting.remove(&router) {
@@ -72,7 +79,13 @@
 
     /// A router's request names the revision that it has in force.
     pub fn confirmed(&mut self, at: Micros, router: u32, number: u64) {
-        arrived(at, router, number, &mut self.newest_confirmed, &mut self.confirmed);
+        arrived(
+            at,
+            router,
+            number,
+            &mut self.newest_confirmed,
+            &mut self.confirmed,
+        );
     }
 
     /// A router is started now.
@@ -92,11 +105,17 @@
 
     pub fn left(&mut self, at: Micros, router: u32) {
         self.starting.remove(&router);
-        self.absences.entry(router).or_default().push(Absence { from: at, to: None });
+        self.absences
+            .entry(router)
+            .or_default()
+            .push(Absence { from: at, to: None });
     }
 
     pub fn returned(&mut self, at: Micros, router: u32) {
-        let last = self.absences.get_mut(&router).and_then(|absences| absences.last_mut());
+        let last = self
+            .absences
+            .get_mut(&router)
+            .and_then(|absences| absences.last_mut());
         if let Some(absence) = last {
             absence.to = absence.to.or(Some(at));
         }
@@ -105,31 +124,40 @@
     /// Whether a router was there all the time from `from` to `to`.
     pub fn was_present(&self, router: u32, from: Micros, to: Micros) -> bool {
         let absences = self.absences.get(&router).into_iter().flatten();
-        !absences.clone().any(|a| a.from <= to && a.to.is_none_or(|end| end >= from))
+        !absences
+            .clone()
+            .any(|a| a.from <= to && a.to.is_none_or(|end| end >= from))
     }
 
     fn is_away(&self, router: u32) -> bool {
-        self.absences.get(&router).and_then(|a| a.last()).is_some_and(|a| a.to.is_none())
+        self.absences
+            .get(&router)
+            .and_then(|a| a.last())
+            .is_some_and(|a| a.to.is_none())
     }
 
     /// From when on a router's time counts for a revision offered at `offered` that it had at `arrived`.
     fn counts_from(&self, router: u32, offered: Micros, arrived: Micros) -> Micros {
         let absences = self.absences.get(&router).into_iter().flatten();
         let ends = absences.filter(|a| a.from <= arrived).filter_map(|a| a.to);
-        ends.filter(|end| *end <= arrived).fold(offered, Micros::max)
+        ends.filter(|end| *end <= arrived)
+            .fold(offered, Micros::max)
     }
 
     fn times(&self, offered: Micros, arrivals: Option<&Arrivals>) -> Vec<Micros> {
         let arrivals = arrivals.into_iter().flatten();
-        arrivals.map(|(router, at)| (at - self.counts_from(*router, offered, *at)).max(0)).collect()
+        arrivals
+            .map(|(router, at)| (at - self.counts_from(*router, offered, *at)).max(0))
+            .collect()
     }
 
     /// How one revision spread over the first `routers` routers; `None`: it was not offered here.
     pub fn spread(&self, number: u64, routers: u32) -> Option<Spread> {
         let offered = *self.offered.get(&number)?;
         let confirmed = self.confirmed.get(&number);
-        let lacks =
-            |router: &u32| !confirmed.is_some_and(|c| c.contains_key(router)) && !self.is_away(*router);
+        let lacks = |router: &u32| {
+            !confirmed.is_some_and(|c| c.contains_key(router)) && !self.is_away(*router)
+        };
         Some(Spread {
             told: self.times(offered, self.told.get(&number)),
             confirmed: self.times(offered, confirmed),
@@ -139,8 +167,13 @@
 
     /// Routers that are there and lack one of the revisions offered so far.
     pub fn missing(&self, routers: u32) -> BTreeSet<u32> {
-        let newest = self.offered.last_key_value().map_or(0, |(number, _)| *number);
+        let newest = self
+            .offered
+            .last_key_value()
+            .map_or(0, |(number, _)| *number);
         let has = |router: &u32| self.newest_confirmed.get(router).copied().unwrap_or(0);
-        (0..routers).filter(|router| has(router) < newest && !self.is_away(*router)).collect()
+        (0..routers)
+            .filter(|router| has(router) < newest && !self.is_away(*router))
+            .collect()
     }
 }
--- a/crates/spokeflow-standin/src/scale/report.rs
+++ b/crates/spokeflow-standin/src/scale/report.rs
@@ -91,19 +91,31 @@
 
 impl Spread {
     pub fn one(value: f64) -> Spread {
-        Spread { value, min: value, max: value }
+        Spread {
+            value,
+            min: value,
+            max: value,
+        }
     }
 
     /// The mean, the least and the greatest; `None` of no values.
     pub fn mean(values: &[f64]) -> Option<Spread> {
         let (min, max) = (least(values)?, greatest(values)?);
-        Some(Spread { value: values.iter().sum::<f64>() / values.len() as f64, min, max })
+        Some(Spread {
+            value: values.iter().sum::<f64>() / values.len() as f64,
+            min,
+            max,
+        })
     }
 
     /// The greatest, with the spread of all.
     pub fn greatest(values: &[f64]) -> Option<Spread> {
         let (min, max) = (least(values)?, greatest(values)?);
-        Some(Spread { value: max, min, max })
+        Some(Spread {
+            value: max,
+            min,
+            max,
+        })
     }
 }
 
@@ -118,7 +130,10 @@
 /// The value below which this part of the sorted values lies; 0 of none.
 pub fn quantile(sorted: &[f64], part: f64) -> f64 {
     let place = (sorted.len() as f64 * part) as usize;
-    sorted.get(place.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
+    sorted
+        .get(place.min(sorted.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0.0)
 }
 
 /// A bound that was exceeded, or something else that must not happen.
@@ -146,7 +161,12 @@
         how: how.into(),
     };
     vec![
-        of("routers", flags.routers, true, "each holds a link to one voter and asks for leases"),
+        of(
+            "routers",
+            flags.routers,
+            true,
+            "each holds a link to one voter and asks for leases",
+        ),
         of("hosts", flags.hosts, true, "lines of the agreed list"),
         of(
             "tenants",
@@ -154,8 +174,18 @@
             true,
             "customers in every router's settings; a revision that changes one names all of them",
         ),
-        of("services", flags.services, false, "not carried: settings have no notion of a service"),
-        of("routes", flags.routes, false, "not carried: settings have no notion of a route"),
+        of(
+            "services",
+            flags.services,
+            false,
+            "not carried: settings have no notion of a service",
+        ),
+        of(
+            "routes",
+            flags.routes,
+            false,
+            "not carried: settings have no notion of a route",
+        ),
     ]
 }
 
@@ -203,7 +233,10 @@
         ("time_to_ready", "from the start of a router to its first lease, with the host list where there is one"),
         ("lease_lapses", "grants that reached a router that was there after its last lease was over"),
     ];
-    notes.into_iter().map(|(name, note)| (name.to_string(), note.to_string())).collect()
+    notes
+        .into_iter()
+        .map(|(name, note)| (name.to_string(), note.to_string()))
+        .collect()
 }
 
 impl Report {
@@ -257,7 +290,11 @@
 
     pub fn find(&mut self, phase: &str, bound: &str, text: String) {
         self.outcome = Outcome::Exceeded;
-        self.findings.push(Finding { phase: phase.into(), bound: bound.into(), text });
+        self.findings.push(Finding {
+            phase: phase.into(),
+            bound: bound.into(),
+            text,
+        });
     }
 
     /// The run ends before its last phase.
@@ -269,15 +306,29 @@
     /// A few lines for people: what took how long, what is not carried, what was exceeded, the verdict.
     pub fn text(&self) -> String {
         let mut lines = Vec::new();
-        let told = |figure: &&Figure| figure.role == Role::Fleet && TOLD.contains(&figure.quantity.as_str());
+        let told = |figure: &&Figure| {
+            figure.role == Role::Fleet && TOLD.contains(&figure.quantity.as_str())
+        };
         for figure in self.figures.iter().filter(told) {
-            let Figure { phase, quantity, value, unit, .. } = figure;
+            let Figure {
+                phase,
+                quantity,
+                value,
+                unit,
+                ..
+            } = figure;
             lines.push(format!("{phase}: {quantity} {value:.3} {unit}"));
         }
-        let left_out = self.carried.iter().filter(|size| !size.carried && size.asked > 0);
+        let left_out = self
+            .carried
+            .iter()
+            .filter(|size| !size.carried && size.asked > 0);
         lines.extend(left_out.map(|size| format!("{} {}: {}", size.size, size.asked, size.how)));
-        lines
-            .extend(self.findings.iter().map(|f| format!("EXCEEDED {} in {}: {}", f.bound, f.phase, f.text)));
+        lines.extend(
+            self.findings
+                .iter()
+                .map(|f| format!("EXCEEDED {} in {}: {}", f.bound, f.phase, f.text)),
+        );
         lines.extend(self.stopped.iter().map(|why| format!("STOPPED {why}")));
         lines.push(match self.outcome {
             Outcome::Kept => "bounds kept".into(),
@@ -290,11 +341,17 @@
 /// All bounds of a run, one a line.
 pub fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
     let mut bounds = machine.bounds();
-    bounds.push(format!("a revision in force everywhere within {:?} of its offer", flags.in_force_within));
+    bounds.push(format!(
+        "a revision in force everywhere within {:?} of its offer",
+        flags.in_force_within
+    ));
     bounds.push(format!(
         "each router at most {} of a core, {} MB, {} bytes a second",
         flags.router_processor_share, flags.router_memory_mb, flags.router_bytes_per_second
     ));
-    bounds.push(format!("all routers ready within {:?} of their start", flags.ready_within));
+    bounds.push(format!(
+        "all routers ready within {:?} of their start",
+        flags.ready_within
+    ));
     bounds
 }
--- a/crates/spokeflow-standin/src/scale/rig.rs
+++ b/crates/spokeflow-standin/src/scale/rig.rs
@@ -42,7 +42,10 @@
     async fn tell(&mut self, command: &HollowCommand) -> Result<(), String> {
         let mut line = serde_json::to_string(command).map_err(|e| e.to_string())?;
         line.push('\n');
-        self.commands.write_all(line.as_bytes()).await.map_err(|e| format!("{}: {e}", self.name))
+        self.commands
+            .write_all(line.as_bytes())
+            .await
+            .map_err(|e| format!("{}: {e}", self.name))
     }
 }
 
@@ -72,7 +75,11 @@
 
 impl Rig {
     /// Opens what surrounds the processes and starts none. Errors: a port or a folder cannot be had.
-    pub async fn open(flags: ScaleFlags, starting: Starting, stores: PathBuf) -> Result<Arc<Rig>, String> {
+    pub async fn open(
+        flags: ScaleFlags,
+        starting: Starting,
+        stores: PathBuf,
+    ) -> Result<Arc<Rig>, String> {
         std::fs::create_dir_all(&stores).map_err(|e| format!("{}: {e}", stores.display()))?;
         let port = |e: std::io::Error| format!("no port on loopback: {e}");
         let drift = 0.01;
@@ -135,7 +142,10 @@
             self.start_voter(id).await?;
         }
         let real = (0..self.flags.real).map(|router| self.start_real(router));
-        join_all(real).await.into_iter().collect::<Result<Vec<()>, String>>()?;
+        join_all(real)
+            .await
+            .into_iter()
+            .collect::<Result<Vec<()>, String>>()?;
         let step = self.flags.hollow_per_process as usize;
         let firsts = (self.flags.real..self.flags.routers).step_by(step);
         let started = join_all(firsts.map(|first| self.start_hollow(first))).await;
@@ -150,7 +160,10 @@
         let mut flags = vec![
             format!("--id={id}"),
             "--listen=127.0.0.1:0".into(),
-            format!("--store={}", self.stores.join(format!("{name}.redb")).display()),
+            format!(
+                "--store={}",
+                self.stores.join(format!("{name}.redb")).display()
+            ),
             format!("--silence={}us", silence.as_micros()),
             format!("--beat={}us", (silence / BEATS_IN_SILENCE).as_micros()),
             format!("--lease={}us", self.flags.lease.as_micros()),
@@ -160,7 +173,10 @@
         if self.with_list() {
             flags.push(format!("--list={}", self.list_at));
         }
-        let starting = Starting { first: vec!["keeper".into()], ..self.starting.clone() };
+        let starting = Starting {
+            first: vec!["keeper".into()],
+            ..self.starting.clone()
+        };
         let process = RouterProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
         self.roster.add(&name, process.pid(), Kind::Voter(id));
@@ -184,7 +200,10 @@
         let settings = self.settings();
         let mut flags = settings.flags(router, self.flags.zone(router), self.around);
         flags.extend(settings.customer_flags());
-        let starting = Starting { first: vec!["router".into()], ..self.starting.clone() };
+        let starting = Starting {
+            first: vec!["router".into()],
+            ..self.starting.clone()
+        };
         self.tap.seen().started(self.tap.now(), router);
         let process = RouterProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
@@ -197,15 +216,26 @@
     async fn start_hollow(&self, first: u32) -> Result<HollowProcess, String> {
         let name = format!("hollow-{first}");
         let fault = |what: String| format!("{name} cannot be started: {what}");
-        let end = first.saturating_add(self.flags.hollow_per_process).min(self.flags.routers);
+        let end = first
+            .saturating_add(self.flags.hollow_per_process)
+            .min(self.flags.routers);
         let settings = self.settings();
         let mut command = Command::new(&self.starting.program);
-        command.args(["hollow", &format!("--first={first}"), &format!("--count={}", end - first)]);
+        command.args([
+            "hollow",
+            &format!("--first={first}"),
+            &format!("--count={}", end - first),
+        ]);
         command.arg(format!("--fleet-size={}", settings.fleet_size));
         command.arg(format!("--tenants={}", settings.tenants));
         command.arg(format!("--seed={}", settings.seed));
         command.arg(format!("--log={}", self.starting.log));
-        command.args(settings.keepers.iter().map(|keeper| format!("--keeper={keeper}")));
+        command.args(
+            settings
+                .keepers
+                .iter()
+                .map(|keeper| format!("--keeper={keeper}")),
+        );
         if settings.agreed_list {
             command.arg("--agreed-list");
         }
@@ -213,7 +243,11 @@
         variables.for_each(|(name, _)| {
             command.env_remove(name);
         });
-        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(self.log_of(&name)?).kill_on_drop(true);
+        command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(self.log_of(&name)?)
+            .kill_on_drop(true);
         let routers: BTreeSet<u32> = (first..end).collect();
         self.note_started(&routers);
         let mut child = command.spawn().map_err(|e| fault(e.to_string()))?;
@@ -221,19 +255,37 @@
             return Err(fault("it has no standard input or output".into()));
         };
         let mut line = String::new();
-        let said = timeout(HOLLOW_STARTS_WITHIN, BufReader::new(out).read_line(&mut line)).await;
+        let said = timeout(
+            HOLLOW_STARTS_WITHIN,
+            BufReader::new(out).read_line(&mut line),
+        )
+        .await;
         if !matches!(said, Ok(Ok(_))) || line.trim() != STARTED {
-            return Err(fault(format!("it did not say that its routers start, but '{}'", line.trim())));
+            return Err(fault(format!(
+                "it did not say that its routers start, but '{}'",
+                line.trim()
+            )));
         }
-        self.roster.add(&name, child.id(), Kind::Hollow(end - first));
-        Ok(HollowProcess { name, child, commands, routers })
+        self.roster
+            .add(&name, child.id(), Kind::Hollow(end - first));
+        Ok(HollowProcess {
+            name,
+            child,
+            commands,
+            routers,
+        })
     }
 
     fn log_of(&self, name: &str) -> Result<Stdio, String> {
-        let Some(folder) = &self.starting.logs else { return Ok(Stdio::null()) };
-        let file =
-            std::fs::OpenOptions::new().create(true).append(true).open(folder.join(format!("{name}.log")));
-        file.map(Stdio::from).map_err(|e| format!("--logs {}: {e}", folder.display()))
+        let Some(folder) = &self.starting.logs else {
+            return Ok(Stdio::null());
+        };
+        let file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(folder.join(format!("{name}.log")));
+        file.map(Stdio::from)
+            .map_err(|e| format!("--logs {}: {e}", folder.display()))
     }
 
     fn note_started(&self, routers: &BTreeSet<u32>) {
@@ -245,7 +297,9 @@
     pub async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
         {
             let (now, mut seen) = (self.tap.now(), self.tap.seen());
-            routers.iter().for_each(|router| seen.propagation.left(now, *router));
+            routers
+                .iter()
+                .for_each(|router| seen.propagation.left(now, *router));
         }
         self.tell_hollow(routers, HollowCommand::Leave).await?;
         for router in routers.range(..self.flags.real) {
@@ -268,7 +322,9 @@
             }
         }
         self.tell_hollow(routers, HollowCommand::Return).await?;
-        let real = routers.range(..self.flags.real).map(|router| self.start_real(*router));
+        let real = routers
+            .range(..self.flags.real)
+            .map(|router| self.start_real(*router));
         join_all(real).await.into_iter().collect()
     }
 
@@ -289,8 +345,14 @@
     /// Stops the last process of hollow routers as by SIGSTOP, or lets it go on. Answers its routers.
     pub async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
         let hollow = self.hollow.lock().await;
-        let Some(process) = hollow.last() else { return BTreeSet::new() };
-        let signal = if stopped { Signal::SIGSTOP } else { Signal::SIGCONT };
+        let Some(process) = hollow.last() else {
+            return BTreeSet::new();
+        };
+        let signal = if stopped {
+            Signal::SIGSTOP
+        } else {
+            Signal::SIGCONT
+        };
         if let Some(pid) = process.child.id().and_then(|pid| i32::try_from(pid).ok()) {
             let _ = kill(Pid::from_raw(pid), signal);
         }
--- a/crates/spokeflow-standin/src/scale/roster.rs
+++ b/crates/spokeflow-standin/src/scale/roster.rs
@@ -28,8 +28,13 @@
 impl Roster {
     /// A process is there from now on.
     pub fn add(&self, name: &str, pid: Option<u32>, kind: Kind) {
-        let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) else { return };
-        self.0.lock().expect("no holder panics").insert(name.to_string(), Member { pid, kind });
+        let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) else {
+            return;
+        };
+        self.0
+            .lock()
+            .expect("no holder panics")
+            .insert(name.to_string(), Member { pid, kind });
     }
 
     /// A process is about to be ended: that it is no more is expected.
@@ -39,11 +44,18 @@
 
     pub fn members(&self) -> Vec<(String, Member)> {
         let members = self.0.lock().expect("no holder panics");
-        members.iter().map(|(name, member)| (name.clone(), *member)).collect()
+        members
+            .iter()
+            .map(|(name, member)| (name.clone(), *member))
+            .collect()
     }
 
     /// Whether this very process is still expected to be there.
     pub fn has(&self, name: &str, pid: i32) -> bool {
-        self.0.lock().expect("no holder panics").get(name).is_some_and(|member| member.pid == pid)
+        self.0
+            .lock()
+            .expect("no holder panics")
+            .get(name)
+            .is_some_and(|member| member.pid == pid)
     }
 }
--- a/crates/spokeflow-standin/src/scale/run.rs
+++ b/crates/spokeflow-standin/src/scale/run.rs
@@ -39,10 +39,15 @@
             true => ProgressBar::new(phases as u64),
             false => ProgressBar::hidden(),
         };
-        if let Ok(style) = ProgressStyle::with_template("{pos} of {len} phases, {elapsed} gone {wide_msg}") {
+        if let Ok(style) =
+            ProgressStyle::with_template("{pos} of {len} phases, {elapsed} gone {wide_msg}")
+        {
             bar.set_style(style);
         }
-        Progress { bar, start: Instant::now() }
+        Progress {
+            bar,
+            start: Instant::now(),
+        }
     }
 
     fn say(&self, what: &str) {
@@ -74,8 +79,12 @@
     flags.check()?;
     let machine = Machine::here()?;
     let demand = Demand::of(flags);
-    bounds(flags, &machine).iter().for_each(|bound| eprintln!("bound: {bound}"));
-    machine.bears(&demand).map_err(|what| format!("this run needs {what}"))?;
+    bounds(flags, &machine)
+        .iter()
+        .for_each(|bound| eprintln!("bound: {bound}"));
+    machine
+        .bears(&demand)
+        .map_err(|what| format!("this run needs {what}"))?;
     let mut starting = Starting::own().map_err(|e| e.to_string())?;
     if let Some(folder) = &flags.logs {
         std::fs::create_dir_all(folder).map_err(|e| format!("--logs {}: {e}", folder.display()))?;
@@ -86,7 +95,10 @@
         // Before anything is started: the report of a long run is not lost for a wrong name.
         write(file, "")?;
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let mut report = Report::new(flags, machine, demand, command());
     let stores = std::env::temp_dir().join(format!("spokeflow-scale-{}", std::process::id()));
@@ -98,7 +110,10 @@
     })?;
     runtime.shutdown_background();
     if let Some(file) = &flags.json {
-        write(file, &serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?)?;
+        write(
+            file,
+            &serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?,
+        )?;
     }
     Ok(report)
 }
@@ -110,7 +125,9 @@
 /// Resolves once someone tells this program to end. Errors of the signal's handler leave it waiting.
 async fn interrupted() -> String {
     use tokio::signal::unix::{signal, SignalKind};
-    let Ok(mut terminated) = signal(SignalKind::terminate()) else { return std::future::pending().await };
+    let Ok(mut terminated) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         _ = terminated.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
@@ -121,7 +138,13 @@
 /// Plays all phases, or until the run has to stop; whatever ends it is in the report.
 async fn play(rig: &Arc<Rig>, machine: Machine, report: &mut Report) {
     let (stop, mut stopped) = watch::channel(None);
-    let sampler = Sampler::new(rig.roster.clone(), rig.tap.clone(), machine, rig.flags.real, stop);
+    let sampler = Sampler::new(
+        rig.roster.clone(),
+        rig.tap.clone(),
+        machine,
+        rig.flags.real,
+        stop,
+    );
     let sampling = tokio::spawn(sampler.clone().run());
     let ended = tokio::select! {
         played = phases(rig, &sampler, report) => played.err(),
@@ -148,7 +171,10 @@
     judge(rig, report, LAUNCH, &[], &sampler.take());
     let starting = rig.tap.seen().propagation.starting().len();
     if starting > 0 {
-        return Err(format!("{starting} of {} routers were not ready in time", rig.flags.routers));
+        return Err(format!(
+            "{starting} of {} routers were not ready in time",
+            rig.flags.routers
+        ));
     }
     let mut offers = Offers::new(rig.clone());
     let mut phases = Phases::new(rig.clone());
@@ -176,12 +202,18 @@
 /// Figures and findings of one phase.
 fn judge(rig: &Rig, report: &mut Report, phase: &str, revisions: &[u64], samples: &PhaseSamples) {
     let flags = &rig.flags;
-    let judged = if phase == LAUNCH { Judged::Memory } else { Judged::All };
+    let judged = if phase == LAUNCH {
+        Judged::Memory
+    } else {
+        Judged::All
+    };
     measure(report, flags, phase, judged, samples);
     let mut seen = rig.tap.seen();
     let (mut told, mut confirmed, mut everywhere) = (Vec::new(), Vec::new(), Vec::new());
     for number in revisions {
-        let Some(spread) = seen.propagation.spread(*number, flags.routers) else { continue };
+        let Some(spread) = seen.propagation.spread(*number, flags.routers) else {
+            continue;
+        };
         if let Some(first) = spread.missing.first() {
             let text = format!(
                 "revision {number} is not in force at {} routers, such as {first}",
@@ -195,21 +227,48 @@
     }
     if !revisions.is_empty() {
         let taken = Spread::one(revisions.len() as f64);
-        report.figure(phase, Role::Fleet, "revisions", "revisions", taken, SpreadOf::One);
+        report.figure(
+            phase,
+            Role::Fleet,
+            "revisions",
+            "revisions",
+            taken,
+            SpreadOf::One,
+        );
     }
     times(report, phase, "offer_to_told", &told, SpreadOf::Arrivals);
-    times(report, phase, "offer_to_in_force_everywhere", &everywhere, SpreadOf::Arrivals);
-    let worst = times(report, phase, "offer_to_in_force", &confirmed, SpreadOf::Arrivals);
+    times(
+        report,
+        phase,
+        "offer_to_in_force_everywhere",
+        &everywhere,
+        SpreadOf::Arrivals,
+    );
+    let worst = times(
+        report,
+        phase,
+        "offer_to_in_force",
+        &confirmed,
+        SpreadOf::Arrivals,
+    );
     let within = flags.in_force_within.as_secs_f64();
     if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(phase, "in force", format!("{worst:.3} s at the slowest router, {within} s allowed"));
+        report.find(
+            phase,
+            "in force",
+            format!("{worst:.3} s at the slowest router, {within} s allowed"),
+        );
     }
     let ready = seen.propagation.take_ready();
     let worst = times(report, phase, "time_to_ready", &ready, SpreadOf::Starts);
     let within = flags.ready_within.as_secs_f64();
     let not_ready = seen.propagation.starting();
     if let Some(first) = not_ready.first() {
-        let traffic = seen.traffic.get(&Node::Router(*first)).copied().unwrap_or_default();
+        let traffic = seen
+            .traffic
+            .get(&Node::Router(*first))
+            .copied()
+            .unwrap_or_default();
         let text = format!(
             "{} routers were not ready within {within} s, such as router {first}: {} connections opened, {} frames sent, {} received",
             not_ready.len(),
@@ -219,25 +278,52 @@
         );
         report.find(phase, "ready", text);
     } else if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(phase, "ready", format!("{worst:.3} s at the slowest router, {within} s allowed"));
+        report.find(
+            phase,
+            "ready",
+            format!("{worst:.3} s at the slowest router, {within} s allowed"),
+        );
     }
     let lapses = std::mem::take(&mut seen.lapses);
     let count = Spread::one(lapses.count as f64);
-    report.figure(phase, Role::Fleet, "lease_lapses", "lapses", count, SpreadOf::One);
+    report.figure(
+        phase,
+        Role::Fleet,
+        "lease_lapses",
+        "lapses",
+        count,
+        SpreadOf::One,
+    );
     let longest = Spread::one(lapses.longest as f64 / MICROS);
-    report.figure(phase, Role::Fleet, "longest_lease_lapse", "s", longest, SpreadOf::One);
+    report.figure(
+        phase,
+        Role::Fleet,
+        "longest_lease_lapse",
+        "s",
+        longest,
+        SpreadOf::One,
+    );
 }
 
 fn judge_election(report: &mut Report, phase: &str, phases: &mut Phases) {
-    let Some(election) = phases.election.take() else { return };
-    let figures = [("leaderless", election.leaderless), ("kill_to_first_lease", election.first_grant)];
+    let Some(election) = phases.election.take() else {
+        return;
+    };
+    let figures = [
+        ("leaderless", election.leaderless),
+        ("kill_to_first_lease", election.first_grant),
+    ];
     for (quantity, micros) in figures {
         match micros {
             Some(micros) => {
                 let spread = Spread::one(micros as f64 / MICROS);
                 report.figure(phase, Role::Fleet, quantity, "s", spread, SpreadOf::One);
             }
-            None => report.find(phase, "election", format!("{quantity}: not seen while the voter was away")),
+            None => report.find(
+                phase,
+                "election",
+                format!("{quantity}: not seen while the voter was away"),
+            ),
         }
     }
 }
--- a/crates/spokeflow-standin/src/scale/sample.rs
+++ b/crates/spokeflow-standin/src/scale/sample.rs
@@ -55,8 +55,9 @@
         return Err(Gone::Ended);
     }
     Ok(Usage {
-        processor_seconds: processor_seconds(&process)
-            .unwrap_or_else(|| (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64),
+        processor_seconds: processor_seconds(&process).unwrap_or_else(|| {
+            (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64
+        }),
         resident_bytes: stat.rss_bytes().get(),
         descriptors: process.fd_count().map_err(|_| Gone::Unreadable)? as u64,
     })
@@ -64,7 +65,10 @@
 
 /// Time on a processor of all threads, to the nanosecond; `None` where the system keeps no such account.
 fn processor_seconds(process: &Process) -> Option<f64> {
-    let threads = process.tasks().ok()?.filter_map(|thread| thread.ok()?.schedstat().ok());
+    let threads = process
+        .tasks()
+        .ok()?
+        .filter_map(|thread| thread.ok()?.schedstat().ok());
     let nanoseconds: u64 = threads.map(|thread| thread.sum_exec_runtime).sum();
     (nanoseconds > 0).then_some(nanoseconds as f64 / 1e9)
 }
@@ -131,9 +135,23 @@
         real: u32,
         stop: watch::Sender<Option<String>>,
     ) -> Sampler {
-        let (phase, last_usage, last_traffic, last_at) =
-            (PhaseSamples::default(), BTreeMap::new(), BTreeMap::new(), Instant::now());
-        let state = State { roster, tap, machine, real, phase, last_usage, last_traffic, last_at, stop };
+        let (phase, last_usage, last_traffic, last_at) = (
+            PhaseSamples::default(),
+            BTreeMap::new(),
+            BTreeMap::new(),
+            Instant::now(),
+        );
+        let state = State {
+            roster,
+            tap,
+            machine,
+            real,
+            phase,
+            last_usage,
+            last_traffic,
+            last_at,
+            stop,
+        };
         Sampler(Arc::new(Mutex::new(state)))
     }
 
@@ -154,7 +172,10 @@
         let mut samples = std::mem::take(&mut state.phase);
         for (name, member) in state.roster.members() {
             let bytes = proportional_bytes(member.pid);
-            let of_name = samples.processes.iter_mut().filter(|((_, of), _)| *of == name);
+            let of_name = samples
+                .processes
+                .iter_mut()
+                .filter(|((_, of), _)| *of == name);
             of_name.for_each(|(_, process)| process.proportional_bytes = bytes);
         }
         samples
@@ -176,7 +197,11 @@
         let processes = self.roster.members().len() as u32;
         self.phase.memory_peak_bytes = self.phase.memory_peak_bytes.max(memory_bytes);
         self.phase.process_count = self.phase.process_count.max(processes);
-        if let Err(what) = self.machine.bears(&Demand { processes, memory_bytes, descriptors: 0 }) {
+        if let Err(what) = self.machine.bears(&Demand {
+            processes,
+            memory_bytes,
+            descriptors: 0,
+        }) {
             self.stop(format!("stopped while running: {what}"));
         }
     }
@@ -201,7 +226,10 @@
                     self.note_process(&name, member, usage, leader, seconds);
                 }
                 Err(Gone::Ended) if self.roster.has(&name, member.pid) => {
-                    self.stop(format!("{name} (process {}) has ended by itself", member.pid));
+                    self.stop(format!(
+                        "{name} (process {}) has ended by itself",
+                        member.pid
+                    ));
                 }
                 Err(_) => {}
             }
@@ -210,9 +238,18 @@
         memory_bytes
     }
 
-    fn note_process(&mut self, name: &str, member: Member, usage: Usage, leader: u32, seconds: f64) {
+    fn note_process(
+        &mut self,
+        name: &str,
+        member: Member,
+        usage: Usage,
+        leader: u32,
+        seconds: f64,
+    ) {
         // Of a process that has just come nothing is known of the time before.
-        let Some(before) = self.last_usage.get(&member.pid) else { return };
+        let Some(before) = self.last_usage.get(&member.pid) else {
+            return;
+        };
         let (role, routers) = match member.kind {
             Kind::Voter(id) if id == leader => (Role::VoterLeader, 1),
             Kind::Voter(_) => (Role::VoterFollower, 1),
@@ -220,7 +257,11 @@
             Kind::Real(_) => (Role::RealRouter, 1),
             Kind::Harness => (Role::Harness, 1),
         };
-        let samples = self.phase.processes.entry((role, name.to_string())).or_default();
+        let samples = self
+            .phase
+            .processes
+            .entry((role, name.to_string()))
+            .or_default();
         // A thread that has ended takes its time along.
         samples.processor_seconds += (usage.processor_seconds - before.processor_seconds).max(0.0);
         samples.observed_seconds += seconds;
--- a/crates/spokeflow-standin/src/scale/settings.rs
+++ b/crates/spokeflow-standin/src/scale/settings.rs
@@ -32,7 +32,9 @@
 
 /// Customers of a run, by name, with their shares.
 pub fn customers(tenants: u32) -> Vec<(String, f64)> {
-    (0..tenants).map(|number| (tenant(number), f64::from(SHARE))).collect()
+    (0..tenants)
+        .map(|number| (tenant(number), f64::from(SHARE)))
+        .collect()
 }
 
 /// The values of the `number`-th revision: one plain value, and where there are customers, all of them with one share
@@ -42,7 +44,9 @@
     if tenants > 0 {
         let changed = number % tenants;
         let share = |n: u32| if n == changed { SHARE + 1 } else { SHARE };
-        let list: Vec<String> = (0..tenants).map(|n| format!("{}={}", tenant(n), share(n))).collect();
+        let list: Vec<String> = (0..tenants)
+            .map(|n| format!("{}={}", tenant(n), share(n)))
+            .collect();
         values.insert("customer".into(), list.join(","));
     }
     values
@@ -60,9 +64,16 @@
             format!("--fleet-size={}", self.fleet_size),
             "--op=read:redeliverable:target=500ms:timeout=2s".into(),
             "--op=seal:at-most-once:target=500ms:timeout=2s".into(),
-            format!("--seed={}", self.seed.wrapping_mul(31).wrapping_add(u64::from(index))),
+            format!(
+                "--seed={}",
+                self.seed.wrapping_mul(31).wrapping_add(u64::from(index))
+            ),
         ];
-        flags.extend(self.keepers.iter().map(|keeper| format!("--keeper={keeper}")));
+        flags.extend(
+            self.keepers
+                .iter()
+                .map(|keeper| format!("--keeper={keeper}")),
+        );
         if self.agreed_list {
             flags.push("--agreed-list".into());
         }
@@ -74,7 +85,10 @@
         let mut flags: Vec<String> = Vec::new();
         for (name, share) in customers(self.tenants) {
             let named = format!("{name}={share}");
-            match flags.last_mut().filter(|flag| flag.len() + named.len() < ARGUMENT_AT_MOST) {
+            match flags
+                .last_mut()
+                .filter(|flag| flag.len() + named.len() < ARGUMENT_AT_MOST)
+            {
                 Some(flag) => {
                     flag.push(',');
                     flag.push_str(&named);
--- a/crates/spokeflow-standin/src/scale/tap.rs
+++ b/crates/spokeflow-standin/src/scale/tap.rs
@@ -27,7 +27,9 @@
 type Output = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(LIMIT).new_codec()
+    LengthDelimitedCodec::builder()
+        .max_frame_length(LIMIT)
+        .new_codec()
 }
 
 pub struct Tap {
@@ -69,7 +71,14 @@
 impl Tap {
     pub fn new(held: Micros, with_list: bool) -> Arc<Tap> {
         let (targets, seen) = Default::default();
-        Arc::new(Tap { start: Instant::now(), held, with_list, targets, cut: watch::Sender::default(), seen })
+        Arc::new(Tap {
+            start: Instant::now(),
+            held,
+            with_list,
+            targets,
+            cut: watch::Sender::default(),
+            seen,
+        })
     }
 
     /// Microseconds since the start of the run.
@@ -111,18 +120,30 @@
     /// Waits while a router is cut off.
     async fn until_passes(&self, node: Node) {
         let Node::Router(router) = node else { return };
-        let _ = self.cut.subscribe().wait_for(|cut| !cut.contains(&router)).await;
+        let _ = self
+            .cut
+            .subscribe()
+            .wait_for(|cut| !cut.contains(&router))
+            .await;
     }
 
     async fn carry(self: Arc<Self>, voter: u32, caller: TcpStream) {
         let _ = caller.set_nodelay(true);
         let (caller_in, caller_out) = caller.into_split();
-        let (mut caller_in, mut caller_out) =
-            (Input::new(caller_in, codec()), Output::new(caller_out, codec()));
-        let Some(Ok(first)) = caller_in.next().await else { return };
-        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else { return };
+        let (mut caller_in, mut caller_out) = (
+            Input::new(caller_in, codec()),
+            Output::new(caller_out, codec()),
+        );
+        let Some(Ok(first)) = caller_in.next().await else {
+            return;
+        };
+        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+            return;
+        };
         let node = match who {
-            Caller::Keeper { id: KeeperId(id), .. } => Node::Keeper(id),
+            Caller::Keeper {
+                id: KeeperId(id), ..
+            } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
             Caller::Person => Node::Person,
         };
@@ -131,18 +152,29 @@
             () = self.until_passes(node) => {}
             _ = ended(caller_in.get_mut()), if matches!(node, Node::Router(_)) => return,
         }
-        let target = self.targets.lock().expect("no holder panics").get(&voter).copied();
+        let target = self
+            .targets
+            .lock()
+            .expect("no holder panics")
+            .get(&voter)
+            .copied();
         let Some(target) = target else { return };
-        let Ok(called) = TcpStream::connect(target).await else { return };
+        let Ok(called) = TcpStream::connect(target).await else {
+            return;
+        };
         let _ = called.set_nodelay(true);
         let (voter_in, voter_out) = called.into_split();
-        let (mut voter_in, mut voter_out) = (Input::new(voter_in, codec()), Output::new(voter_out, codec()));
+        let (mut voter_in, mut voter_out) = (
+            Input::new(voter_in, codec()),
+            Output::new(voter_out, codec()),
+        );
         let connection = self.clone().connection(node, Node::Keeper(voter));
         let length = first.len() as u64;
         if voter_out.send(first.freeze()).await.is_err() {
             return;
         }
-        self.seen().passed(node, connection.voter, length + LENGTH_BYTES);
+        self.seen()
+            .passed(node, connection.voter, length + LENGTH_BYTES);
         tokio::select! {
             () = connection.pump(Direction::ToVoter, &mut caller_in, &mut voter_out) => {}
             () = connection.pump(Direction::FromVoter, &mut voter_in, &mut caller_out) => {}
@@ -157,7 +189,12 @@
             seen.opened(caller);
             seen.opened(voter);
         }
-        Connection { tap: self, caller, voter, requests: Mutex::default() }
+        Connection {
+            tap: self,
+            caller,
+            voter,
+            requests: Mutex::default(),
+        }
     }
 }
 
@@ -203,22 +240,36 @@
                 }
                 self.tap.seen().propagation.confirmed(now, router, in_force);
             }
-            (ToKeeperHead::Leads { term }, Node::Keeper(voter)) => self.tap.seen().led(now, voter, term),
+            (ToKeeperHead::Leads { term }, Node::Keeper(voter)) => {
+                self.tap.seen().led(now, voter, term)
+            }
             _ => {}
         }
     }
 
     fn note_answer(&self, answer: FromKeeperHead) {
-        let FromKeeperHead::Granted { number, in_force, with_list } = answer else { return };
-        let Node::Router(router) = self.caller else { return };
+        let FromKeeperHead::Granted {
+            number,
+            in_force,
+            with_list,
+        } = answer
+        else {
+            return;
+        };
+        let Node::Router(router) = self.caller else {
+            return;
+        };
         let now = self.tap.now();
         let asked = {
             let mut requests = self.requests.lock().expect("no holder panics");
             let place = requests.iter().position(|(n, _)| *n == number);
-            place.and_then(|place| requests.remove(place)).map_or(now, |(_, at)| at)
+            place
+                .and_then(|place| requests.remove(place))
+                .map_or(now, |(_, at)| at)
         };
         let mut seen = self.tap.seen();
         seen.granted(now, router, asked, self.tap.held);
-        seen.propagation.told(now, router, in_force, with_list, self.tap.with_list);
+        seen.propagation
+            .told(now, router, in_force, with_list, self.tap.with_list);
     }
 }
--- a/crates/spokeflow-standin/src/scale/traffic.rs
+++ b/crates/spokeflow-standin/src/scale/traffic.rs
@@ -95,7 +95,12 @@
     /// A message that only the leader of `term` sends.
     pub fn led(&mut self, now: Micros, voter: u32, term: u64) {
         if term > self.leadership.term {
-            self.leadership = Leadership { term, voter, since: now, first_grant: None };
+            self.leadership = Leadership {
+                term,
+                voter,
+                since: now,
+                first_grant: None,
+            };
         }
     }
 
@@ -109,11 +114,14 @@
     pub fn granted(&mut self, now: Micros, router: u32, asked: Micros, held: Micros) {
         self.leadership.first_grant.get_or_insert(now);
         let until = self.lease_until.get(&router).copied();
-        let present = self.propagation.was_present(router, until.unwrap_or(now), now);
+        let present = self
+            .propagation
+            .was_present(router, until.unwrap_or(now), now);
         if let Some(until) = until.filter(|until| *until < now && present) {
             self.lapses.count += 1;
             self.lapses.longest = self.lapses.longest.max(now - until);
         }
-        self.lease_until.insert(router, until.unwrap_or(0).max(asked + held));
+        self.lease_until
+            .insert(router, until.unwrap_or(0).max(asked + held));
     }
 }
--- a/crates/spokeflow-standin/src/scale/wire.rs
+++ b/crates/spokeflow-standin/src/scale/wire.rs
@@ -65,7 +65,10 @@
         return None;
     }
     let (asked, _) = take::<Asked>(rest)?;
-    Some(ToKeeperHead::Lease { number, in_force: asked.knows[0].0 })
+    Some(ToKeeperHead::Lease {
+        number,
+        in_force: asked.knows[0].0,
+    })
 }
 
 /// Reads a frame's body that a keeper sent.
@@ -84,5 +87,9 @@
     }
     type Head = (Known, Option<Known>, Option<Seats>, bool);
     let ((in_force, _, _, with_list), _) = take::<Head>(rest)?;
-    Some(FromKeeperHead::Granted { number, in_force: in_force.number.0, with_list })
+    Some(FromKeeperHead::Granted {
+        number,
+        in_force: in_force.number.0,
+        with_list,
+    })
 }
--- a/crates/spokeflow-standin/src/tap.rs
+++ b/crates/spokeflow-standin/src/tap.rs
@@ -15,7 +15,10 @@
 
 impl Default for Tap {
     fn default() -> Self {
-        Tap { start: Instant::now(), seen: Arc::default() }
+        Tap {
+            start: Instant::now(),
+            seen: Arc::default(),
+        }
     }
 }
 
@@ -25,7 +28,9 @@
     }
 
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(self.start + std::time::Duration::from_micros(at.max(0) as u64))
+        tokio::time::Instant::from_std(
+            self.start + std::time::Duration::from_micros(at.max(0) as u64),
+        )
     }
 
     pub fn note(&self, seen: Seen) {
--- a/crates/spokeflow-standin/tests/scale_propagation.rs
+++ b/crates/spokeflow-standin/tests/scale_propagation.rs
@@ -30,7 +30,10 @@
     propagation.confirmed(300, 0, 1);
     // Told is not confirmed.
     propagation.told(200, 1, 1, false, false);
-    assert_eq!(propagation.spread(1, ROUTERS).unwrap().missing, BTreeSet::from([1, 2]));
+    assert_eq!(
+        propagation.spread(1, ROUTERS).unwrap().missing,
+        BTreeSet::from([1, 2])
+    );
     assert_eq!(propagation.missing(ROUTERS), BTreeSet::from([1, 2]));
 }
 
@@ -40,7 +43,11 @@
     propagation.left(50, 0);
     propagation.left(150, 1);
     propagation.offered(1, 100);
-    assert_eq!(propagation.spread(1, 2).unwrap().missing, BTreeSet::new(), "who is away is not waited for");
+    assert_eq!(
+        propagation.spread(1, 2).unwrap().missing,
+        BTreeSet::new(),
+        "who is away is not waited for"
+    );
     propagation.returned(1000, 0);
     propagation.returned(2000, 1);
     propagation.confirmed(1300, 0, 1);
--- a/crates/spokeflow-standin/tests/scale_traffic.rs
+++ b/crates/spokeflow-standin/tests/scale_traffic.rs
@@ -12,11 +12,23 @@
     assert_eq!(seen.lapses, Lapses::default());
     // The last lease was over at 4100, counted from the sending of its request.
     seen.granted(4500, 0, 4490, LEASE);
-    assert_eq!(seen.lapses, Lapses { count: 1, longest: 400 });
+    assert_eq!(
+        seen.lapses,
+        Lapses {
+            count: 1,
+            longest: 400
+        }
+    );
     // An answer that was overtaken takes nothing back.
     seen.granted(4600, 0, 1200, LEASE);
     seen.granted(7000, 0, 6990, LEASE);
-    assert_eq!(seen.lapses, Lapses { count: 1, longest: 400 });
+    assert_eq!(
+        seen.lapses,
+        Lapses {
+            count: 1,
+            longest: 400
+        }
+    );
 }
 
 #[test]
@@ -48,9 +60,20 @@
     seen.led(200, 1, 4);
     seen.led(300, 2, 5);
     assert_eq!(
-        (seen.leadership.voter, seen.leadership.since, seen.leadership.first_grant),
+        (
+            seen.leadership.voter,
+            seen.leadership.since,
+            seen.leadership.first_grant
+        ),
         (2, 100, Some(150))
     );
     seen.led(400, 3, 6);
-    assert_eq!((seen.leadership.voter, seen.leadership.since, seen.leadership.first_grant), (3, 400, None));
+    assert_eq!(
+        (
+            seen.leadership.voter,
+            seen.leadership.since,
+            seen.leadership.first_grant
+        ),
+        (3, 400, None)
+    );
 }
--- a/crates/spokeflow-standin/tests/scale_wire.rs
+++ b/crates/spokeflow-standin/tests/scale_wire.rs
@@ -2,8 +2,8 @@
 
 use spokeflow_agreed::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper};
 use spokeflow_agreed::{
-    Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo, Seats, Values,
-    Verdict,
+    Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo,
+    Seats, Values, Verdict,
 };
 use spokeflow_quorum::{Message, Place, Snapshot, Term};
 use spokeflow_standin::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
@@ -31,7 +31,10 @@
 #[test]
 fn a_request_for_a_lease_names_its_number_and_the_revision_in_force() {
     for (number, in_force) in [(1, 0), (300, 128), (u64::MAX, 1 << 40)] {
-        let message = ToKeeper::Ask { number, ask: Ask::Lease(asked(in_force)) };
+        let message = ToKeeper::Ask {
+            number,
+            ask: Ask::Lease(asked(in_force)),
+        };
         assert_eq!(up(&message), ToKeeperHead::Lease { number, in_force });
     }
 }
@@ -39,26 +42,62 @@
 #[test]
 fn only_messages_of_a_leader_tell_who_leads() {
     let (term, before, before_term, committed) = (Term(700), Place(3), Term(2), Place(3));
-    let append = Message::Append { term, before, before_term, entries: Vec::new(), committed, round: 1 };
-    let install = Message::Install { term, snapshot: Snapshot::default(), round: 1 };
+    let append = Message::Append {
+        term,
+        before,
+        before_term,
+        entries: Vec::new(),
+        committed,
+        round: 1,
+    };
+    let install = Message::Install {
+        term,
+        snapshot: Snapshot::default(),
+        round: 1,
+    };
     for message in [append, install] {
-        assert_eq!(up(&ToKeeper::Quorum(message)), ToKeeperHead::Leads { term: 700 });
+        assert_eq!(
+            up(&ToKeeper::Quorum(message)),
+            ToKeeperHead::Leads { term: 700 }
+        );
     }
     let others = [
-        Message::Sound { term, last: before, last_term: before_term },
-        Message::Stand { term, last: before, last_term: before_term },
-        Message::Vote { term, sounded: false, granted: true },
-        Message::Appended { term, round: 1, upto: Ok(before) },
+        Message::Sound {
+            term,
+            last: before,
+            last_term: before_term,
+        },
+        Message::Stand {
+            term,
+            last: before,
+            last_term: before_term,
+        },
+        Message::Vote {
+            term,
+            sounded: false,
+            granted: true,
+        },
+        Message::Appended {
+            term,
+            round: 1,
+            upto: Ok(before),
+        },
     ];
     for message in others {
-        assert_eq!(up(&ToKeeper::Quorum(message.clone())), ToKeeperHead::Other, "{message:?}");
+        assert_eq!(
+            up(&ToKeeper::Quorum(message.clone())),
+            ToKeeperHead::Other,
+            "{message:?}"
+        );
     }
 }
 
 #[test]
 fn a_grant_is_read_without_its_list() {
-    let revision =
-        Revision { number: RevisionNo(130), values: Values::from([("customer".into(), "a=1".into())]) };
+    let revision = Revision {
+        number: RevisionNo(130),
+        values: Values::from([("customer".into(), "a=1".into())]),
+    };
     let host = ListedHost {
         host: 1,
         address: "127.0.0.1:9".into(),
@@ -69,22 +108,68 @@
         incarnation: 1,
         up_us: None,
     };
-    let list = ListPart { version: ListNo(2), whole: true, hosts: vec![host; 1000] };
-    let seats = Seats { mark: 7, addresses: vec!["127.0.0.1:7500".into()] };
-    let whole = Known { number: RevisionNo(130), revision: Some(revision) };
-    let known = Known { number: RevisionNo(129), revision: None };
+    let list = ListPart {
+        version: ListNo(2),
+        whole: true,
+        hosts: vec![host; 1000],
+    };
+    let seats = Seats {
+        mark: 7,
+        addresses: vec!["127.0.0.1:7500".into()],
+    };
+    let whole = Known {
+        number: RevisionNo(130),
+        revision: Some(revision),
+    };
+    let known = Known {
+        number: RevisionNo(129),
+        revision: None,
+    };
     let grants = [
         (
-            Grant { in_force: known.clone(), announced: Some(whole.clone()), seats: Some(seats), list: None },
+            Grant {
+                in_force: known.clone(),
+                announced: Some(whole.clone()),
+                seats: Some(seats),
+                list: None,
+            },
+            129,
+            false,
+        ),
+        (
+            Grant {
+                in_force: whole,
+                announced: None,
+                seats: None,
+                list: Some(list),
+            },
+            130,
+            true,
+        ),
+        (
+            Grant {
+                in_force: known,
+                announced: None,
+                seats: None,
+                list: None,
+            },
             129,
             false,
         ),
-        (Grant { in_force: whole, announced: None, seats: None, list: Some(list) }, 130, true),
-        (Grant { in_force: known, announced: None, seats: None, list: None }, 129, false),
     ];
     for (grant, in_force, with_list) in grants {
-        let message = FromKeeper::Answer { number: 200, answer: Answer::Granted(Box::new(grant)) };
-        assert_eq!(down(&message), FromKeeperHead::Granted { number: 200, in_force, with_list });
+        let message = FromKeeper::Answer {
+            number: 200,
+            answer: Answer::Granted(Box::new(grant)),
+        };
+        assert_eq!(
+            down(&message),
+            FromKeeperHead::Granted {
+                number: 200,
+                in_force,
+                with_list
+            }
+        );
     }
 }
 
@@ -100,13 +185,27 @@
     };
     let ups = [
         ToKeeper::hello(Caller::Person),
-        ToKeeper::Ask { number: 1, ask: Ask::Offer(offer) },
-        ToKeeper::Ask { number: 1, ask: Ask::View },
+        ToKeeper::Ask {
+            number: 1,
+            ask: Ask::Offer(offer),
+        },
+        ToKeeper::Ask {
+            number: 1,
+            ask: Ask::View,
+        },
+    ];
+    ups.iter()
+        .for_each(|message| assert_eq!(up(message), ToKeeperHead::Other, "{message:?}"));
+    let downs = [
+        Answer::NoLeader,
+        Answer::Unclear,
+        Answer::Offered(Verdict::Announced(RevisionNo(1))),
     ];
-    ups.iter().for_each(|message| assert_eq!(up(message), ToKeeperHead::Other, "{message:?}"));
-    let downs = [Answer::NoLeader, Answer::Unclear, Answer::Offered(Verdict::Announced(RevisionNo(1)))];
     for answer in downs {
-        assert_eq!(down(&FromKeeper::Answer { number: 1, answer }), FromKeeperHead::Other);
+        assert_eq!(
+            down(&FromKeeper::Answer { number: 1, answer }),
+            FromKeeperHead::Other
+        );
     }
     for damaged in [&[][..], &[2], &[2, 1], &[2, 1, 0], &[255; 20]] {
         assert_eq!(to_keeper(damaged), ToKeeperHead::Other);
--- a/crates/spokeflow-standin/tests/scripted/mod.rs
+++ b/crates/spokeflow-standin/tests/scripted/mod.rs
@@ -73,11 +73,23 @@
             link.next().await;
             link.send(FromDesk::Welcome).await.unwrap();
             let standing = NewsStanding::Released;
-            let news = News { build: 1, stage: 0, standing, cap: 1.0, age_us: 0 };
+            let news = News {
+                build: 1,
+                stage: 0,
+                standing,
+                cap: 1.0,
+                age_us: 0,
+            };
             link.send(FromDesk::News(news)).await.unwrap();
             while let Some(Ok(_)) = link.next().await {}
         });
-        Scene { address, list, end: Some(end), ended, version: 0 }
+        Scene {
+            address,
+            list,
+            end: Some(end),
+            ended,
+            version: 0,
+        }
     }
 
     /// Tells the router of hosts, and waits until it has heard.
@@ -94,7 +106,12 @@
             up_us: None,
         };
         let lines = hosts.iter().map(line).collect();
-        self.list.send(FromList::Changes { version: self.version, lines }).unwrap();
+        self.list
+            .send(FromList::Changes {
+                version: self.version,
+                lines,
+            })
+            .unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 
@@ -105,19 +122,33 @@
     pub async fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).await.unwrap();
         let mut link = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0))).await.unwrap();
+        link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0)))
+            .await
+            .unwrap();
         assert_eq!(heard(&mut link).await, ToClient::Welcome);
         link
     }
 }
 
 pub async fn heard(client: &mut Client) -> ToClient {
-    timeout(SOON, client.next()).await.expect("in time").expect("open").expect("a whole frame")
+    timeout(SOON, client.next())
+        .await
+        .expect("in time")
+        .expect("open")
+        .expect("a whole frame")
 }
 
 pub fn command(id: u64, op: u16, body: usize) -> FromClient {
     let body = Bytes::from(vec![id as u8; body]);
-    FromClient::Command(Command { id, op, share: 0, key: 0, mark: 0, left_us: 3_000_000, body })
+    FromClient::Command(Command {
+        id,
+        op,
+        share: 0,
+        key: 0,
+        mark: 0,
+        left_us: 3_000_000,
+        body,
+    })
 }
 
 /// A port on which a test plays a host, with little room for what it has not read.
@@ -137,10 +168,20 @@
 
 /// Takes one connection of the router and welcomes it.
 pub async fn welcome(port: &TcpListener, host: u32) -> Router {
-    let (stream, _) = timeout(SOON, port.accept()).await.expect("in time").unwrap();
+    let (stream, _) = timeout(SOON, port.accept())
+        .await
+        .expect("in time")
+        .unwrap();
     let mut link: Router = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
     assert!(matches!(link.next().await, Some(Ok(ToHost::Hello(_)))));
-    link.send(FromHost::Welcome { host, build: 1, incarnation: 1, up_us: 100_000_000 }).await.unwrap();
+    link.send(FromHost::Welcome {
+        host,
+        build: 1,
+        incarnation: 1,
+        up_us: 100_000_000,
+    })
+    .await
+    .unwrap();
     link
 }
 
@@ -153,7 +194,12 @@
             while let Some(Ok(message)) = link.next().await {
                 if let ToHost::Deliver { delivery, body, .. } = message {
                     let _ = tell.send(body.first().copied().map_or(0, u64::from));
-                    link.send(FromHost::Acked { delivery, body: Bytes::new() }).await.unwrap();
+                    link.send(FromHost::Acked {
+                        delivery,
+                        body: Bytes::new(),
+                    })
+                    .await
+                    .unwrap();
                 }
             }
         }
--- a/crates/spokeflow-standin/tests/sockets.rs
+++ b/crates/spokeflow-standin/tests/sockets.rs
@@ -19,7 +19,9 @@
     let mut bystander = scene.client().await;
     bystander.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
-    let Some(Ok(ToHost::Deliver { delivery, .. })) = host.next().await else { panic!("no delivery") };
+    let Some(Ok(ToHost::Deliver { delivery, .. })) = host.next().await else {
+        panic!("no delivery")
+    };
 
     let hello = [0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 1, 0, 0, 0];
     let newer = [0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 9, 0, 0, 0];
@@ -29,7 +31,11 @@
         ("wrong version", newer.to_vec(), 6),
         ("a command before the hello", vec![0, 0, 0, 2, 2, 1], 8),
         ("unknown kind", [&hello[..], &[0, 0, 0, 1, 99]].concat(), 3),
-        ("oversized after the hello", [&hello[..], &[0, 9, 0, 0]].concat(), 2),
+        (
+            "oversized after the hello",
+            [&hello[..], &[0, 9, 0, 0]].concat(),
+            2,
+        ),
         ("a second hello", [&hello[..], &hello[..]].concat(), 8),
     ];
     for (what, bytes, code) in cases {
@@ -40,18 +46,32 @@
         while let Ok(Some(Ok(message))) = timeout(SOON, link.next()).await {
             last = Some(message);
         }
-        assert!(matches!(&last, Some(ToClient::Refused(r)) if r.code == code), "{what}: {last:?}");
+        assert!(
+            matches!(&last, Some(ToClient::Refused(r)) if r.code == code),
+            "{what}: {last:?}"
+        );
     }
     // Cut within a frame: closed, and said where it can still be read.
     let mut stream = TcpStream::connect(scene.address).await.unwrap();
     stream.write_all(&hello[..7]).await.unwrap();
     stream.shutdown().await.unwrap();
     let mut said = Vec::new();
-    timeout(SOON, stream.read_to_end(&mut said)).await.unwrap().unwrap();
+    timeout(SOON, stream.read_to_end(&mut said))
+        .await
+        .unwrap()
+        .unwrap();
     assert_eq!(said.get(5), Some(&1), "truncated: {said:?}");
 
-    host.send(FromHost::Acked { delivery, body: Default::default() }).await.unwrap();
-    assert!(matches!(heard(&mut bystander).await, ToClient::Acked { id: 1, .. }));
+    host.send(FromHost::Acked {
+        delivery,
+        body: Default::default(),
+    })
+    .await
+    .unwrap();
+    assert!(matches!(
+        heard(&mut bystander).await,
+        ToClient::Acked { id: 1, .. }
+    ));
 }
 
 #[tokio::test]
@@ -62,13 +82,21 @@
     let mut client = scene.client().await;
     client.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
-    assert!(matches!(host.next().await, Some(Ok(ToHost::Deliver { .. }))));
+    assert!(matches!(
+        host.next().await,
+        Some(Ok(ToHost::Deliver { .. }))
+    ));
     drop(host);
     assert_eq!(heard(&mut client).await, ToClient::Failed { id: 1 });
 
     // A list that says ready for a host that refuses: the command goes elsewhere, and nothing is lost.
     let (good, good_address) = host_port();
-    scene.list(&[(1, closed_port(), LinePhase::Ready), (2, good_address, LinePhase::Ready)]).await;
+    scene
+        .list(&[
+            (1, closed_port(), LinePhase::Ready),
+            (2, good_address, LinePhase::Ready),
+        ])
+        .await;
     drop(port);
     let mut got = good_host(good, 2);
     for id in 2..22 {
@@ -93,7 +121,12 @@
     sleep(Duration::from_millis(150)).await;
     let (good, good_address) = host_port();
     let mut got = good_host(good, 2);
-    scene.list(&[(1, stuck_address, LinePhase::Draining), (2, good_address, LinePhase::Ready)]).await;
+    scene
+        .list(&[
+            (1, stuck_address, LinePhase::Draining),
+            (2, good_address, LinePhase::Ready),
+        ])
+        .await;
     // Past the grace it reads all that there is: whole frames count, a cut one was never sent.
     sleep(Duration::from_millis(700)).await;
     let mut ran = Vec::new();
@@ -139,7 +172,11 @@
     client.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&silent, 1).await;
     assert_eq!(heard(&mut client).await, ToClient::Failed { id: 1 });
-    assert!(sent.elapsed() < Duration::from_secs(2), "{:?}", sent.elapsed());
+    assert!(
+        sent.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        sent.elapsed()
+    );
     let mut pinged = false;
     while let Some(Ok(message)) = host.next().await {
         pinged |= message == ToHost::Ping;
@@ -164,10 +201,18 @@
             other => panic!("{other:?}"),
         }
     }
-    host.send(FromHost::Acked { delivery: delivery.unwrap(), body: Default::default() }).await.unwrap();
+    host.send(FromHost::Acked {
+        delivery: delivery.unwrap(),
+        body: Default::default(),
+    })
+    .await
+    .unwrap();
     let mut answers = [heard(&mut client).await, heard(&mut client).await];
     answers.sort_by_key(|a| matches!(a, ToClient::Acked { .. }));
-    assert!(matches!(answers, [ToClient::Nacked { .. }, ToClient::Acked { .. }]), "{answers:?}");
+    assert!(
+        matches!(answers, [ToClient::Nacked { .. }, ToClient::Acked { .. }]),
+        "{answers:?}"
+    );
 }
 
 #[tokio::test]
@@ -211,16 +256,36 @@
     let mut client = scene.client().await;
     client.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
-    let Some(Ok(ToHost::Deliver { delivery, .. })) = host.next().await else { panic!("no delivery") };
+    let Some(Ok(ToHost::Deliver { delivery, .. })) = host.next().await else {
+        panic!("no delivery")
+    };
     scene.end();
     assert_eq!(heard(&mut client).await, ToClient::Closing);
     client.send(command(2, ONCE, 8)).await.unwrap();
-    assert!(matches!(heard(&mut client).await, ToClient::Nacked { id: 2, .. }));
+    assert!(matches!(
+        heard(&mut client).await,
+        ToClient::Nacked { id: 2, .. }
+    ));
     sleep(Duration::from_millis(300)).await;
-    host.send(FromHost::Acked { delivery, body: Default::default() }).await.unwrap();
-    assert!(matches!(heard(&mut client).await, ToClient::Acked { id: 1, .. }));
-    assert!(TcpStream::connect(scene.address).await.is_err(), "nothing new is taken");
-    timeout(SOON, &mut scene.ended).await.expect("ends by itself").unwrap().unwrap();
+    host.send(FromHost::Acked {
+        delivery,
+        body: Default::default(),
+    })
+    .await
+    .unwrap();
+    assert!(matches!(
+        heard(&mut client).await,
+        ToClient::Acked { id: 1, .. }
+    ));
+    assert!(
+        TcpStream::connect(scene.address).await.is_err(),
+        "nothing new is taken"
+    );
+    timeout(SOON, &mut scene.ended)
+        .await
+        .expect("ends by itself")
+        .unwrap()
+        .unwrap();
 }
 
 #[tokio::test]
@@ -239,7 +304,12 @@
     let mut scene = Scene::open(&[]).await;
     let (port, address) = host_port();
     let (good, good_address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready), (2, good_address, LinePhase::Ready)]).await;
+    scene
+        .list(&[
+            (1, address, LinePhase::Ready),
+            (2, good_address, LinePhase::Ready),
+        ])
+        .await;
     let mut got = good_host(good, 2);
     let mut wrong = good_host(port, 7);
     let mut client = scene.client().await;
@@ -265,13 +335,19 @@
     let scene = Scene::open(&[&flag]).await;
     let mut client = scene.client().await;
     client.send(command(5, ONCE, 8)).await.unwrap();
-    assert!(matches!(heard(&mut client).await, ToClient::Acked { id: 5, .. }));
+    assert!(matches!(
+        heard(&mut client).await,
+        ToClient::Acked { id: 5, .. }
+    ));
     assert_eq!(got.recv().await, Some(5));
     // A damaged one is not read as true.
     std::fs::write(&file, b"SPKFLST1\xff\xff\xff").unwrap();
     let scene = Scene::open(&[&flag]).await;
     let mut client = scene.client().await;
     client.send(command(6, ONCE, 8)).await.unwrap();
-    assert!(matches!(heard(&mut client).await, ToClient::Nacked { id: 6, .. }));
+    assert!(matches!(
+        heard(&mut client).await,
+        ToClient::Nacked { id: 6, .. }
+    ));
     std::fs::remove_file(&file).unwrap();
 }
--- a/crates/spokeflow-wirehost/src/frame.rs
+++ b/crates/spokeflow-wirehost/src/frame.rs
@@ -16,7 +16,11 @@
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.record {
-            Some(n) => write!(f, "record {n}, byte {} of its batch: {}", self.byte, self.what),
+            Some(n) => write!(
+                f,
+                "record {n}, byte {} of its batch: {}",
+                self.byte, self.what
+            ),
             None => write!(f, "batch header, byte {}: {}", self.byte, self.what),
         }
     }
@@ -35,7 +39,11 @@
     }
 
     pub fn malformed(&self, what: impl Into<String>) -> Malformed {
-        Malformed { record: Some(self.record), byte: self.byte, what: what.into() }
+        Malformed {
+            record: Some(self.record),
+            byte: self.byte,
+            what: what.into(),
+        }
     }
 
     pub fn byte(&self) -> usize {
@@ -110,18 +118,29 @@
 }
 
 /// Fills `body` with the next batch. Gives its record count and clock, or `None` at the end of input.
-pub fn read_batch(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<(usize, i64)>, Malformed> {
+pub fn read_batch(
+    input: &mut impl Read,
+    body: &mut Vec<u8>,
+) -> Result<Option<(usize, i64)>, Malformed> {
     let mut header = [0; 16];
     let got = fill(input, &mut header)?;
     if got == 0 {
         return Ok(None);
     }
-    let bad = |byte, what: String| Malformed { record: None, byte, what };
+    let bad = |byte, what: String| Malformed {
+        record: None,
+        byte,
+        what,
+    };
     if got < header.len() {
-        return Err(bad(got, format!("input ends within the 16 bytes of the header, after {got}")));
-    }
-    let word =
-        |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]) as usize;
+        return Err(bad(
+            got,
+            format!("input ends within the 16 bytes of the header, after {got}"),
+        ));
+    }
+    let word = |at: usize| {
+        u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]) as usize
+    };
     let mut clock = [0; 8];
     clock.copy_from_slice(&header[8..]);
     let clock = f64::from_be_bytes(clock);
@@ -131,7 +150,10 @@
     body.clear();
     let wanted = word(0);
     match input.take(wanted as u64).read_to_end(body) {
-        Ok(n) if n < wanted => Err(bad(16 + n, format!("input ends after {n} of {wanted} bytes of records"))),
+        Ok(n) if n < wanted => Err(bad(
+            16 + n,
+            format!("input ends after {n} of {wanted} bytes of records"),
+        )),
         Ok(_) => Ok(Some((word(4), micros(clock)))),
         Err(e) => Err(bad(16, format!("cannot read: {e}"))),
     }
@@ -144,7 +166,13 @@
             Ok(0) => break,
             Ok(n) => got += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(Malformed { record: None, byte: got, what: format!("cannot read: {e}") }),
+            Err(e) => {
+                return Err(Malformed {
+                    record: None,
+                    byte: got,
+                    what: format!("cannot read: {e}"),
+                })
+            }
         }
     }
     Ok(got)
