--- a/crates/spokeflow-wirehost/src/main.rs
+++ b/crates/spokeflow-wirehost/src/main.rs
@@ -10,8 +10,8 @@
 use frame::{Fields, Malformed};
 use reply::Reply;
 use spokeflow_core::{
-    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros, OpType,
-    Router, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
+    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
+    OpType, Router, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
 };
 
 fn main() -> ExitCode {
@@ -34,7 +34,9 @@
         reply: Reply::new(),
     };
     let mut body = Vec::new();
-    while let Some((count, now)) = frame::read_batch(&mut input, &mut body).map_err(|e| e.to_string())? {
+    while let Some((count, now)) =
+        frame::read_batch(&mut input, &mut body).map_err(|e| e.to_string())?
+    {
         wire.batch(&body, count, now).map_err(|e| e.to_string())?;
         output
             .write_all(wire.reply.frame())
@@ -100,7 +102,13 @@
         Ok(())
     }
 
-    fn event(&mut self, code: u8, instance: u32, now: Micros, f: &mut Fields) -> Result<(), Malformed> {
+    fn event(
+        &mut self,
+        code: u8,
+        instance: u32,
+        now: Micros,
+        f: &mut Fields,
+    ) -> Result<(), Malformed> {
         let out = &mut self.reply;
         out.speak_for(instance);
         if code == 0 {
@@ -112,11 +120,14 @@
             if let Some(column) = told.busy_column {
                 self.busy_column.insert(instance, column);
             }
-            self.routers.insert(instance, Router::new(&told.terms, seed, now, out));
+            self.routers
+                .insert(instance, Router::new(&told.terms, seed, now, out));
             return Ok(());
         }
         // What arrives for a router that was killed is nobody's.
-        let Some(router) = self.routers.get_mut(&instance) else { return Ok(()) };
+        let Some(router) = self.routers.get_mut(&instance) else {
+            return Ok(());
+        };
         router.at(now);
         match code {
             1 => {
@@ -161,7 +172,10 @@
                 let latency = f.time()?;
                 let finished = f.u8()? != 0;
                 let load = f.load()?;
-                let busy = self.busy_column.get(&instance).and_then(|column| load.get(*column));
+                let busy = self
+                    .busy_column
+                    .get(&instance)
+                    .and_then(|column| load.get(*column));
                 if let Some(busy) = busy {
                     router.reported(host, *busy);
                 }
@@ -193,7 +207,16 @@
                     router.vote_answered(vote_answer(result));
                 }
                 if result == 100 {
-                    router.told(StageNews { build, stage, standing, cap, age }, out);
+                    router.told(
+                        StageNews {
+                            build,
+                            stage,
+                            standing,
+                            cap,
+                            age,
+                        },
+                        out,
+                    );
                 }
             }
             12 => {
@@ -208,7 +231,14 @@
                 let (op, build) = (OpType(f.u16()?), BuildId(f.u16()?));
                 let mean = f.time()?;
                 let lost = f.u32()?;
-                router.counted(DeskCount { build, op, sampled, lost, mean, age });
+                router.counted(DeskCount {
+                    build,
+                    op,
+                    sampled,
+                    lost,
+                    mean,
+                    age,
+                });
             }
             // Routers send each other nothing, probes are not asked for, codes of a later wire not known.
             _ => {}
@@ -229,11 +259,25 @@
         other => return Err(f.malformed(format!("host phase {other} is not known"))),
     };
     let size = f.f32()?;
-    let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
+    let size = if size.is_finite() && size > 0.0 {
+        size
+    } else {
+        1.0
+    };
     let ready_at = f.time()?;
-    let build = (0.0..65536.0).contains(&release).then_some(BuildId(release as u16));
+    let build = (0.0..65536.0)
+        .contains(&release)
+        .then_some(BuildId(release as u16));
     let started = (ready_at != 0).then_some(ready_at);
-    Ok(HostLine { host: HostId(f.u32()?), build, cell, zone, phase, size, started })
+    Ok(HostLine {
+        host: HostId(f.u32()?),
+        build,
+        cell,
+        zone,
+        phase,
+        size,
+        started,
+    })
 }
 
 fn delivery_end(f: &mut Fields) -> Result<DeliveryEnd, Malformed> {
--- a/crates/spokeflow-wirehost/src/reply.rs
+++ b/crates/spokeflow-wirehost/src/reply.rs
@@ -11,7 +11,11 @@
 
 impl Reply {
     pub fn new() -> Self {
-        Reply { bytes: vec![0; 4], speaker: None, current: 0 }
+        Reply {
+            bytes: vec![0; 4],
+            speaker: None,
+            current: 0,
+        }
     }
 
     /// Whose answers come next.
@@ -100,6 +104,9 @@
 
     fn tell(&mut self, router: Option<u32>, text: &[u8]) {
         let to = router.map_or(u16::MAX, |r| r as u16);
-        self.record(7, &[&to.to_be_bytes(), &(text.len() as u16).to_be_bytes(), text]);
+        self.record(
+            7,
+            &[&to.to_be_bytes(), &(text.len() as u16).to_be_bytes(), text],
+        );
     }
 }
