--- a/crates/spokeflow-agreed/src/keeper.rs
+++ b/crates/spokeflow-agreed/src/keeper.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use spokeflow_core::Micros;
-use spokeflow_quorum::{
+use spokeflow_raft::{
     Body, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
 };
 
--- a/crates/spokeflow-agreed/src/ledger.rs
+++ b/crates/spokeflow-agreed/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 
 use crate::{AgreedList, SourceNews};
 
--- a/crates/spokeflow-agreed/src/wire.rs
+++ b/crates/spokeflow-agreed/src/wire.rs
@@ -2,7 +2,7 @@
 //! wire form.
 
 use serde::{Deserialize, Serialize};
-use spokeflow_quorum::{KeeperId, Message, Place, Term};
+use spokeflow_raft::{KeeperId, Message, Place, Term};
 
 use crate::{Asked, Grant, Offer, Record, Rejection, Revision, Verdict};
 
--- a/crates/spokeflow-agreed/tests/search.rs
+++ b/crates/spokeflow-agreed/tests/search.rs
@@ -11,7 +11,7 @@
 use spokeflow_agreed::wire::{Answer, Ask, ToKeeper};
 use spokeflow_agreed::*;
 use spokeflow_core::Micros;
-use spokeflow_quorum::{KeeperId, QuorumTerms, Saved, Write};
+use spokeflow_raft::{KeeperId, QuorumTerms, Saved, Write};
 
 const KEEPERS: usize = 3;
 const ROUTERS: usize = 2;
--- a/crates/spokeflow-agreed/tests/wire.rs
+++ b/crates/spokeflow-agreed/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_agreed::wire::View;
 use spokeflow_agreed::{Rejection, Revision};
-use spokeflow_quorum::{KeeperId, Place, Term};
+use spokeflow_raft::{KeeperId, Place, Term};
 
 fn view() -> View {
     View {
--- a/crates/spokeflow-emulator/src/agreement.rs
+++ b/crates/spokeflow-emulator/src/agreement.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use spokeflow_agreed::{Asker, KeeperTerms, LeaseHolder, LeaseTerms, Offer};
 use spokeflow_core::Micros;
-use spokeflow_quorum::{KeeperId, QuorumTerms, Saved};
+use spokeflow_raft::{KeeperId, QuorumTerms, Saved};
 
 use self::event::What;
 use self::keepers::KeeperNode;
--- a/crates/spokeflow-emulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-emulator/src/agreement/keepers.rs
@@ -4,7 +4,7 @@
 use spokeflow_agreed::wire::{Answer, ToKeeper};
 use spokeflow_agreed::{Keeper, KeeperTerms, Step};
 use spokeflow_core::Micros;
-use spokeflow_quorum::{KeeperId, Saved, Write};
+use spokeflow_raft::{KeeperId, Saved, Write};
 
 use super::event::{keeper_conn, What, PERSON};
 use super::{World, MS};
--- a/crates/spokeflow-emulator/src/agreement/people.rs
+++ b/crates/spokeflow-emulator/src/agreement/people.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use spokeflow_agreed::wire::Ask;
 use spokeflow_agreed::{Asker, Offer, RevisionNo, Values};
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 
 use super::event::{What, PERSON};
 use super::{World, MS, SECOND};
--- a/crates/spokeflow-fleet/src/main.rs
+++ b/crates/spokeflow-fleet/src/main.rs
@@ -12,7 +12,7 @@
 use spokeflow_agreed::{Offer, RevisionNo, Values, Verdict};
 use spokeflow_keeper::ask::ask;
 use spokeflow_keeper::check;
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 
 /// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
 /// keeper answers
--- a/crates/spokeflow-keeper/src/arrival.rs
+++ b/crates/spokeflow-keeper/src/arrival.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_agreed::wire::{Answer, Ask};
 use spokeflow_agreed::SourceNews;
-use spokeflow_quorum::{KeeperId, Message};
+use spokeflow_raft::{KeeperId, Message};
 use tokio::sync::{mpsc, oneshot};
 
 /// What reaches the task that owns the keeper.
--- a/crates/spokeflow-keeper/src/calls.rs
+++ b/crates/spokeflow-keeper/src/calls.rs
@@ -8,7 +8,7 @@
     Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION,
 };
 use spokeflow_proto::FrameCodec;
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::timeout;
--- a/crates/spokeflow-keeper/src/peers.rs
+++ b/crates/spokeflow-keeper/src/peers.rs
@@ -7,7 +7,7 @@
 use spokeflow_agreed::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
 use spokeflow_platform::Pauses;
 use spokeflow_proto::FrameCodec;
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
--- a/crates/spokeflow-keeper/src/program.rs
+++ b/crates/spokeflow-keeper/src/program.rs
@@ -11,7 +11,7 @@
 use spokeflow_agreed::{KeeperTerms, LeaseTerms};
 use spokeflow_core::Micros;
 use spokeflow_platform::{start_log, LogForm};
-use spokeflow_quorum::{KeeperId, QuorumTerms};
+use spokeflow_raft::{KeeperId, QuorumTerms};
 
 use crate::{check, serve, Store, Where, WHERES};
 
--- a/crates/spokeflow-keeper/src/serve.rs
+++ b/crates/spokeflow-keeper/src/serve.rs
@@ -9,7 +9,7 @@
 use spokeflow_agreed::wire::{Answer, Caller, ToKeeper};
 use spokeflow_agreed::{Asker, Keeper, Step};
 use spokeflow_platform::{Clock, Pauses};
-use spokeflow_quorum::{KeeperId, Saved, Write};
+use spokeflow_raft::{KeeperId, Saved, Write};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{sleep, sleep_until};
--- a/crates/spokeflow-keeper/src/store.rs
+++ b/crates/spokeflow-keeper/src/store.rs
@@ -8,7 +8,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use spokeflow_quorum::{Entry, KeeperId, Place, Saved, Snapshot, Term, Write};
+use spokeflow_raft::{Entry, KeeperId, Place, Saved, Snapshot, Term, Write};
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta-1");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log-1");
--- a/crates/spokeflow-lab/src/capacity/encoded.rs
+++ b/crates/spokeflow-lab/src/capacity/encoded.rs
@@ -11,7 +11,7 @@
     Seats, SourceNews, Values,
 };
 use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
-use spokeflow_quorum::{Body, Entry, Message, Place, Term};
+use spokeflow_raft::{Body, Entry, Message, Place, Term};
 
 use super::records::{Held, Record, Role};
 
--- a/crates/spokeflow-lab/src/capacity/limits.rs
+++ b/crates/spokeflow-lab/src/capacity/limits.rs
@@ -19,7 +19,7 @@
 pub const WHOLE_LIST_EVERY: f64 = 2.0;
 /// Seconds after which a router renews its watch on a list that tells nothing (`--list-renew`).
 pub const WATCH_RENEWED_EVERY: f64 = 5.0;
-/// Entries in one message between voters (`crates/spokeflow-quorum/src/member.rs`, `AT_ONCE`).
+/// Entries in one message between voters (`crates/spokeflow-raft/src/member.rs`, `AT_ONCE`).
 pub const ENTRIES_PER_MESSAGE: f64 = 64.0;
 /// Renewals of a lease within one (`crates/spokeflow-agreed/src/lease_holder.rs`, `LeaseHolder::every`).
 pub const RENEWALS_PER_LEASE: f64 = 3.0;
--- a/crates/spokeflow-lab/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/voter.rs
@@ -13,7 +13,7 @@
 const KEEPER: &str = "`spokeflow-keeper`; `spokeflow-agreed`, `Keeper`";
 const GRANTER: &str = "`spokeflow-agreed`, `Granter`";
 const LEDGER: &str = "`spokeflow-agreed`, `Ledger`";
-const LOG: &str = "`spokeflow-quorum`, `Member`";
+const LOG: &str = "`spokeflow-raft`, `Member`";
 /// The part of a second that changes may be under way, one at a time.
 const ALL_THE_TIME: f64 = 1.0;
 
--- a/crates/spokeflow-lab/tests/capacity.rs
+++ b/crates/spokeflow-lab/tests/capacity.rs
@@ -371,7 +371,7 @@
             2.0,
         ),
         (
-            "crates/spokeflow-quorum/src/member.rs",
+            "crates/spokeflow-raft/src/member.rs",
             "const AT_ONCE: usize = 64;",
             limits::ENTRIES_PER_MESSAGE,
             64.0,
--- a/crates/spokeflow-quorum/tests/days.rs
+++ b/crates/spokeflow-raft/tests/days.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use spokeflow_core::Micros;
-use spokeflow_quorum::{
+use spokeflow_raft::{
     Body, Entry, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
 };
 
--- a/crates/spokeflow-quorum/tests/member.rs
+++ b/crates/spokeflow-raft/tests/member.rs
@@ -1,7 +1,7 @@
 //! One member among scripted others: what drawn days and the search meet too seldom.
 
 use spokeflow_core::Micros;
-use spokeflow_quorum::{
+use spokeflow_raft::{
     Body, Entry, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term,
 };
 
--- a/crates/spokeflow-quorum/tests/search.rs
+++ b/crates/spokeflow-raft/tests/search.rs
@@ -7,7 +7,7 @@
 use std::hash::{Hash, Hasher};
 
 use spokeflow_core::Micros;
-use spokeflow_quorum::{Entry, KeeperId, Member, Message, Out, QuorumTerms, Saved, Term, Write};
+use spokeflow_raft::{Entry, KeeperId, Member, Message, Out, QuorumTerms, Saved, Term, Write};
 
 const MEMBERS: usize = 3;
 
--- a/crates/spokeflow-standin/src/fleet/check.rs
+++ b/crates/spokeflow-standin/src/fleet/check.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use spokeflow_agreed::wire::{Answer, Ask, FromKeeper, ToKeeper};
 use spokeflow_agreed::{Grant, HostState, Revision, Values, Verdict};
-use spokeflow_quorum::Message;
+use spokeflow_raft::Message;
 
 use super::peers::{Asked, Delivered, Ended, NEW, ONCE, PATIENCE};
 use super::switchboard::{Crossed, Frame, Node};
--- a/crates/spokeflow-standin/src/fleet/play.rs
+++ b/crates/spokeflow-standin/src/fleet/play.rs
@@ -12,7 +12,7 @@
 use spokeflow_agreed::{Offer, RevisionNo, Values};
 use spokeflow_keeper::ask::{ask, ask_one};
 use spokeflow_keeper::Store;
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 use tokio::time::{sleep, Instant};
 
 use super::check::{check, Done, Report, Slack};
--- a/crates/spokeflow-standin/src/fleet/switchboard.rs
+++ b/crates/spokeflow-standin/src/fleet/switchboard.rs
@@ -8,7 +8,7 @@
 
 use rand::RngExt;
 use spokeflow_agreed::wire::{Caller, FromKeeper, ToKeeper};
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/crates/spokeflow-standin/src/scale/tap.rs
+++ b/crates/spokeflow-standin/src/scale/tap.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_agreed::wire::{Caller, ToKeeper, LIMIT};
-use spokeflow_quorum::KeeperId;
+use spokeflow_raft::KeeperId;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/crates/spokeflow-standin/src/scale/wire.rs
+++ b/crates/spokeflow-standin/src/scale/wire.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use spokeflow_agreed::{Asked, Known, Seats};
 
-/// Numbers of variants, in the order of `spokeflow_agreed::wire` and `spokeflow_quorum::Message`.
+/// Numbers of variants, in the order of `spokeflow_agreed::wire` and `spokeflow_raft::Message`.
 const TO_KEEPER_QUORUM: u32 = 1;
 const TO_KEEPER_ASK: u32 = 2;
 const ASK_LEASE: u32 = 0;
--- a/crates/spokeflow-standin/tests/scale_wire.rs
+++ b/crates/spokeflow-standin/tests/scale_wire.rs
@@ -5,7 +5,7 @@
     Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo,
     Seats, Values, Verdict,
 };
-use spokeflow_quorum::{Message, Place, Snapshot, Term};
+use spokeflow_raft::{Message, Place, Snapshot, Term};
 use spokeflow_standin::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
 
 fn up(message: &ToKeeper) -> ToKeeperHead {
