--- a/crates/spokeflow-agreed/tests/leases.rs
+++ b/crates/spokeflow-coordination/tests/leases.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::*;
+use spokeflow_coordination::*;
 use spokeflow_core::Micros;
 
 const MS: Micros = 1_000;
--- a/crates/spokeflow-agreed/tests/list.rs
+++ b/crates/spokeflow-coordination/tests/list.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::{
+use spokeflow_coordination::{
     AgreedList, HostState, ListNo, ListPart, ListedHost, Rejection, SourceNews,
 };
 
--- a/crates/spokeflow-agreed/tests/search.rs
+++ b/crates/spokeflow-coordination/tests/search.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use spokeflow_agreed::wire::{Answer, Ask, ToKeeper};
-use spokeflow_agreed::*;
+use spokeflow_coordination::wire::{Answer, Ask, ToKeeper};
+use spokeflow_coordination::*;
 use spokeflow_core::Micros;
 use spokeflow_raft::{KeeperId, QuorumTerms, Saved, Write};
 
--- a/crates/spokeflow-agreed/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What people's programs read of the keepers' messages.
 
-use spokeflow_agreed::wire::View;
-use spokeflow_agreed::{Rejection, Revision};
+use spokeflow_coordination::wire::View;
+use spokeflow_coordination::{Rejection, Revision};
 use spokeflow_raft::{KeeperId, Place, Term};
 
 fn view() -> View {
--- a/crates/spokeflow-emulator/src/agreement.rs
+++ b/crates/spokeflow-emulator/src/agreement.rs
@@ -1,4 +1,4 @@
-//! Keepers and routers that follow them, in simulated time: the cores of `spokeflow-agreed` unchanged, with drawn faults
+//! Keepers and routers that follow them, in simulated time: the cores of `spokeflow-coordination` unchanged, with drawn faults
 //! between them. Messages are lost, doubled, held for seconds and overtake each other; ways are cut alone, one way and in
 //! part; keepers are stopped, killed with what they had not synced, and replaced; routers are stopped and started anew;
 //! every clock runs up to the told drift off. At each act of a router it is checked that no revision which it
@@ -15,7 +15,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::{Asker, KeeperTerms, LeaseHolder, LeaseTerms, Offer};
+use spokeflow_coordination::{Asker, KeeperTerms, LeaseHolder, LeaseTerms, Offer};
 use spokeflow_core::Micros;
 use spokeflow_raft::{KeeperId, QuorumTerms, Saved};
 
--- a/crates/spokeflow-emulator/src/agreement/event.rs
+++ b/crates/spokeflow-emulator/src/agreement/event.rs
@@ -1,6 +1,6 @@
 //! What is to come, and the numbers of the connections that answers go to.
 
-use spokeflow_agreed::wire::{Answer, Ask};
+use spokeflow_coordination::wire::{Answer, Ask};
 use spokeflow_raft::{Message, Write};
 
 /// Whom an answer goes to, as the number of a connection: a keeper that passed on, a router's process, a person.
--- a/crates/spokeflow-emulator/src/agreement/faults.rs
+++ b/crates/spokeflow-emulator/src/agreement/faults.rs
@@ -1,7 +1,7 @@
 //! Drawn faults: processes that are killed or stopped, and ways that are cut.
 
 use rand::RngExt;
-use spokeflow_agreed::LeaseHolder;
+use spokeflow_coordination::LeaseHolder;
 
 use super::event::What;
 use super::{World, MS, SECOND};
--- a/crates/spokeflow-emulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-emulator/src/agreement/keepers.rs
@@ -1,8 +1,8 @@
 //! Processes of keepers: their start, their disk, and what they send.
 
 use rand::RngExt;
-use spokeflow_agreed::wire::{Answer, ToKeeper};
-use spokeflow_agreed::{Keeper, KeeperTerms, Step};
+use spokeflow_coordination::wire::{Answer, ToKeeper};
+use spokeflow_coordination::{Keeper, KeeperTerms, Step};
 use spokeflow_core::Micros;
 use spokeflow_raft::{KeeperId, Saved, Write};
 
--- a/crates/spokeflow-emulator/src/agreement/people.rs
+++ b/crates/spokeflow-emulator/src/agreement/people.rs
@@ -1,8 +1,8 @@
 //! What people do: they offer revisions, and take keepers in and out.
 
 use rand::RngExt;
-use spokeflow_agreed::wire::Ask;
-use spokeflow_agreed::{Asker, Offer, RevisionNo, Values};
+use spokeflow_coordination::wire::Ask;
+use spokeflow_coordination::{Asker, Offer, RevisionNo, Values};
 use spokeflow_raft::KeeperId;
 
 use super::event::{What, PERSON};
--- a/crates/spokeflow-emulator/src/agreement/routers.rs
+++ b/crates/spokeflow-emulator/src/agreement/routers.rs
@@ -1,7 +1,7 @@
 //! Routers: they ask for leases, and act. What must hold is checked at each act.
 
-use spokeflow_agreed::wire::{Answer, Ask};
-use spokeflow_agreed::{Asked, LeaseHolder};
+use spokeflow_coordination::wire::{Answer, Ask};
+use spokeflow_coordination::{Asked, LeaseHolder};
 use spokeflow_core::Micros;
 
 use super::event::{router_conn, What};
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use spokeflow_agreed::AgreedTerms;
+use spokeflow_coordination::AgreedTerms;
 use spokeflow_core::{
     BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
     OpType, Repeat, Router, ServiceTerms, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use spokeflow_agreed::AgreedTerms;
+use spokeflow_coordination::AgreedTerms;
 use spokeflow_core::Micros;
 use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line};
 
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use spokeflow_agreed::AgreedTerms;
+use spokeflow_coordination::AgreedTerms;
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, NoAnswer, Recording, RecordingFault};
 use spokeflow_proto::{
--- a/crates/spokeflow-keeper/src/arrival.rs
+++ b/crates/spokeflow-keeper/src/arrival.rs
@@ -1,7 +1,7 @@
 //! The messages that connection tasks and the disk's thread send to the task that owns the keeper.
 
-use spokeflow_agreed::wire::{Answer, Ask};
-use spokeflow_agreed::SourceNews;
+use spokeflow_coordination::wire::{Answer, Ask};
+use spokeflow_coordination::SourceNews;
 use spokeflow_raft::{KeeperId, Message};
 use tokio::sync::{mpsc, oneshot};
 
--- a/crates/spokeflow-keeper/src/ask.rs
+++ b/crates/spokeflow-keeper/src/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
 use spokeflow_proto::FrameCodec;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
--- a/crates/spokeflow-keeper/src/calls.rs
+++ b/crates/spokeflow-keeper/src/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::wire::{
+use spokeflow_coordination::wire::{
     Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION,
 };
 use spokeflow_proto::FrameCodec;
--- a/crates/spokeflow-keeper/src/check.rs
+++ b/crates/spokeflow-keeper/src/check.rs
@@ -1,7 +1,7 @@
 //! Whether routers could take the values of a revision: by their own checks, on the flags of none.
 
 use clap::Parser;
-use spokeflow_agreed::Values;
+use spokeflow_coordination::Values;
 use spokeflow_router::ServiceFlags;
 
 #[derive(Parser)]
--- a/crates/spokeflow-keeper/src/list.rs
+++ b/crates/spokeflow-keeper/src/list.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::{HostState, ListedHost, SourceNews};
+use spokeflow_coordination::{HostState, ListedHost, SourceNews};
 use spokeflow_platform::Pauses;
 use spokeflow_proto::{FrameCodec, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT};
 use tokio::net::TcpStream;
--- a/crates/spokeflow-keeper/src/peers.rs
+++ b/crates/spokeflow-keeper/src/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
 use spokeflow_platform::Pauses;
 use spokeflow_proto::FrameCodec;
 use spokeflow_raft::KeeperId;
--- a/crates/spokeflow-keeper/src/program.rs
+++ b/crates/spokeflow-keeper/src/program.rs
@@ -7,8 +7,8 @@
 
 use clap::{Args, Parser};
 use rand::RngExt;
-use spokeflow_agreed::wire::Common;
-use spokeflow_agreed::{KeeperTerms, LeaseTerms};
+use spokeflow_coordination::wire::Common;
+use spokeflow_coordination::{KeeperTerms, LeaseTerms};
 use spokeflow_core::Micros;
 use spokeflow_platform::{start_log, LogForm};
 use spokeflow_raft::{KeeperId, QuorumTerms};
--- a/crates/spokeflow-keeper/src/serve.rs
+++ b/crates/spokeflow-keeper/src/serve.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rand::RngExt;
-use spokeflow_agreed::wire::{Answer, Caller, ToKeeper};
-use spokeflow_agreed::{Asker, Keeper, Step};
+use spokeflow_coordination::wire::{Answer, Caller, ToKeeper};
+use spokeflow_coordination::{Asker, Keeper, Step};
 use spokeflow_platform::{Clock, Pauses};
 use spokeflow_raft::{KeeperId, Saved, Write};
 use tokio::net::TcpListener;
--- a/crates/spokeflow-lab/src/capacity/encoded.rs
+++ b/crates/spokeflow-lab/src/capacity/encoded.rs
@@ -5,8 +5,8 @@
 use bytes::BytesMut;
 use serde::Serialize;
 use serde_json::json;
-use spokeflow_agreed::wire::{Answer, Ask, FromKeeper, ToKeeper};
-use spokeflow_agreed::{
+use spokeflow_coordination::wire::{Answer, Ask, FromKeeper, ToKeeper};
+use spokeflow_coordination::{
     Act, Asked, Granter, HostState, LeaseTerms, Ledger, ListNo, ListedHost, Offer, RevisionNo,
     Seats, SourceNews, Values,
 };
--- a/crates/spokeflow-lab/src/capacity/lease.rs
+++ b/crates/spokeflow-lab/src/capacity/lease.rs
@@ -1,7 +1,7 @@
 //! How long two routers may act on settings that contradict each other, and how long a change takes at the longest:
 //! the formulas of `docs/agreement.md`, "The bound".
 
-use spokeflow_agreed::LeaseTerms;
+use spokeflow_coordination::LeaseTerms;
 
 use super::target::Target;
 
--- a/crates/spokeflow-lab/src/capacity/limits.rs
+++ b/crates/spokeflow-lab/src/capacity/limits.rs
@@ -3,15 +3,15 @@
 /// Longest frame between a voter and a router or a person, either way, in bytes
 /// (`crates/spokeflow-keeper/src/calls.rs`, `ASK_LIMIT`).
 pub const CALLER_FRAME: f64 = 65_536.0;
-/// Longest frame between voters, in bytes (`spokeflow_agreed::wire::LIMIT`).
-pub const VOTER_FRAME: f64 = spokeflow_agreed::wire::LIMIT as f64;
+/// Longest frame between voters, in bytes (`spokeflow_coordination::wire::LIMIT`).
+pub const VOTER_FRAME: f64 = spokeflow_coordination::wire::LIMIT as f64;
 /// Longest frame of the list source, in bytes (`spokeflow_proto::LIST_LIMIT`).
 pub const LIST_FRAME: f64 = spokeflow_proto::LIST_LIMIT as f64;
-/// Revisions that the ledger keeps (`crates/spokeflow-agreed/src/ledger.rs`, `KEPT`).
+/// Revisions that the ledger keeps (`crates/spokeflow-coordination/src/ledger.rs`, `KEPT`).
 pub const REVISIONS_KEPT: f64 = 500.0;
-/// Leases that the leader keeps in mind (`crates/spokeflow-agreed/src/granter.rs`, `LEASES_AT_MOST`).
+/// Leases that the leader keeps in mind (`crates/spokeflow-coordination/src/granter.rs`, `LEASES_AT_MOST`).
 pub const LEASES_KEPT: f64 = 8192.0;
-/// Changes of the host list that a lagging router is told one by one (`crates/spokeflow-agreed/src/hosts.rs`,
+/// Changes of the host list that a lagging router is told one by one (`crates/spokeflow-coordination/src/hosts.rs`,
 /// `CHANGES`).
 pub const LIST_CHANGES_KEPT: f64 = 4096.0;
 /// Seconds between two readings of the whole list by the leader (`crates/spokeflow-keeper/src/list.rs`,
@@ -21,7 +21,7 @@
 pub const WATCH_RENEWED_EVERY: f64 = 5.0;
 /// Entries in one message between voters (`crates/spokeflow-raft/src/member.rs`, `AT_ONCE`).
 pub const ENTRIES_PER_MESSAGE: f64 = 64.0;
-/// Renewals of a lease within one (`crates/spokeflow-agreed/src/lease_holder.rs`, `LeaseHolder::every`).
+/// Renewals of a lease within one (`crates/spokeflow-coordination/src/lease_holder.rs`, `LeaseHolder::every`).
 pub const RENEWALS_PER_LEASE: f64 = 3.0;
 /// Wake-ups of the decision module a second (`crates/spokeflow-core/src/router.rs`, `BEAT`).
 pub const BEATS_PER_SECOND: f64 = 50.0;
--- a/crates/spokeflow-lab/src/capacity/page/sections.rs
+++ b/crates/spokeflow-lab/src/capacity/page/sections.rs
@@ -176,7 +176,7 @@
             row(
                 "the list source".into(),
                 "the agreed list stays as it was; hosts that start meanwhile get nothing".into(),
-                "`spokeflow-agreed`, `AgreedList`",
+                "`spokeflow-coordination`, `AgreedList`",
             ),
             row(
                 "the release controller".into(),
--- a/crates/spokeflow-lab/src/capacity/rows/control.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/control.rs
@@ -8,7 +8,7 @@
 use super::super::situation::{Situation, WindowLoad};
 use super::{Inputs, BYTES_PER_KB, BYTES_PER_MB};
 
-const LINK: &str = "`spokeflow-router`, `KeeperLink`; `spokeflow-agreed`, `LeaseHolder`";
+const LINK: &str = "`spokeflow-router`, `KeeperLink`; `spokeflow-coordination`, `LeaseHolder`";
 /// One to a voter, one to the list source, one to the release controller.
 const CONNECTIONS: f64 = 3.0;
 pub const OFFER_FITS: &str = "an offer of this size is accepted";
@@ -135,7 +135,7 @@
             |s| in_force(inputs, s),
         )
         .within(bound.clone())
-        .by("`spokeflow-agreed`, `Granter::ready`")
+        .by("`spokeflow-coordination`, `Granter::ready`")
         .mended_by(Remedy::RelayPerRegion),
         Row::varying(
             Role::RouterControl,
--- a/crates/spokeflow-lab/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/voter.rs
@@ -10,9 +10,9 @@
 use super::control::{scale_run, OFFER_FITS};
 use super::{Inputs, BYTES_PER_MB};
 
-const KEEPER: &str = "`spokeflow-keeper`; `spokeflow-agreed`, `Keeper`";
-const GRANTER: &str = "`spokeflow-agreed`, `Granter`";
-const LEDGER: &str = "`spokeflow-agreed`, `Ledger`";
+const KEEPER: &str = "`spokeflow-keeper`; `spokeflow-coordination`, `Keeper`";
+const GRANTER: &str = "`spokeflow-coordination`, `Granter`";
+const LEDGER: &str = "`spokeflow-coordination`, `Ledger`";
 const LOG: &str = "`spokeflow-raft`, `Member`";
 /// The part of a second that changes may be under way, one at a time.
 const ALL_THE_TIME: f64 = 1.0;
@@ -91,7 +91,7 @@
             Unit::PerSecond,
             Estimate::given(passed_on(inputs)),
         )
-        .by("`spokeflow-agreed`, `Keeper::pass_on`"),
+        .by("`spokeflow-coordination`, `Keeper::pass_on`"),
         Row::steady(
             Role::VoterFollower,
             "connections",
@@ -146,7 +146,7 @@
             ALL_THE_TIME,
             "changes are announced one at a time",
         ))
-        .by("`spokeflow-agreed`, `Ledger::announced`")
+        .by("`spokeflow-coordination`, `Ledger::announced`")
         .mended_by(Remedy::ManyChangesAtOnce),
     ]
 }
--- a/crates/spokeflow-router/src/arrival.rs
+++ b/crates/spokeflow-router/src/arrival.rs
@@ -1,4 +1,4 @@
-use spokeflow_agreed::{AgreedTerms, RevisionNo};
+use spokeflow_coordination::{AgreedTerms, RevisionNo};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
 use spokeflow_proto::ToClient;
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/keepers.rs
@@ -7,8 +7,8 @@
 
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use spokeflow_agreed::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
-use spokeflow_agreed::{HostState, LeaseHolder, LeaseTerms, ListedHost, RevisionNo};
+use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
+use spokeflow_coordination::{HostState, LeaseHolder, LeaseTerms, ListedHost, RevisionNo};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
 use spokeflow_platform::{Clock, Pauses};
--- a/crates/spokeflow-router/src/revision.rs
+++ b/crates/spokeflow-router/src/revision.rs
@@ -1,6 +1,6 @@
 //! Revisions of settings that the fleet has agreed on: values by flag name, read and checked as the flags are.
 
-use spokeflow_agreed::{AgreedTerms, Revision, Values};
+use spokeflow_coordination::{AgreedTerms, Revision, Values};
 
 use crate::terms::{customer, span, Faults, RouterTerms, ServiceFlags};
 
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_agreed::{AgreedTerms, RevisionNo};
+use spokeflow_coordination::{AgreedTerms, RevisionNo};
 use spokeflow_core::{HostId, Micros};
 use spokeflow_engine::{Engine, Input, Links, Recording};
 use spokeflow_platform::Clock;
--- a/crates/spokeflow-standin/src/fleet/check.rs
+++ b/crates/spokeflow-standin/src/fleet/check.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
-use spokeflow_agreed::wire::{Answer, Ask, FromKeeper, ToKeeper};
-use spokeflow_agreed::{Grant, HostState, Revision, Values, Verdict};
+use spokeflow_coordination::wire::{Answer, Ask, FromKeeper, ToKeeper};
+use spokeflow_coordination::{Grant, HostState, Revision, Values, Verdict};
 use spokeflow_raft::Message;
 
 use super::peers::{Asked, Delivered, Ended, NEW, ONCE, PATIENCE};
--- a/crates/spokeflow-standin/src/fleet/play.rs
+++ b/crates/spokeflow-standin/src/fleet/play.rs
@@ -8,8 +8,8 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::wire::{Answer, Ask};
-use spokeflow_agreed::{Offer, RevisionNo, Values};
+use spokeflow_coordination::wire::{Answer, Ask};
+use spokeflow_coordination::{Offer, RevisionNo, Values};
 use spokeflow_keeper::ask::{ask, ask_one};
 use spokeflow_keeper::Store;
 use spokeflow_raft::KeeperId;
@@ -554,7 +554,7 @@
                 let other = known[rng.random_range(0..known.len())];
                 answer = ask_one(other, Ask::Offer(offer.clone())).await;
             }
-            if let Ok(Answer::Offered(spokeflow_agreed::Verdict::Announced(_))) = answer {
+            if let Ok(Answer::Offered(spokeflow_coordination::Verdict::Announced(_))) = answer {
                 closed = !closed;
             } else if let Ok(Answer::View(view)) = ask_one(one, Ask::View).await {
                 closed =
--- a/crates/spokeflow-standin/src/fleet/switchboard.rs
+++ b/crates/spokeflow-standin/src/fleet/switchboard.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_agreed::wire::{Caller, FromKeeper, ToKeeper};
+use spokeflow_coordination::wire::{Caller, FromKeeper, ToKeeper};
 use spokeflow_raft::KeeperId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -294,7 +294,7 @@
 
 async fn read_frame(from: &mut (impl AsyncReadExt + Unpin)) -> Option<Vec<u8>> {
     let length = from.read_u32().await.ok()?;
-    let mut body = vec![0; (length as usize).min(spokeflow_agreed::wire::LIMIT)];
+    let mut body = vec![0; (length as usize).min(spokeflow_coordination::wire::LIMIT)];
     from.read_exact(&mut body).await.ok()?;
     Some(body)
 }
--- a/crates/spokeflow-standin/src/scale/hollow.rs
+++ b/crates/spokeflow-standin/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Parser};
 use serde::{Deserialize, Serialize};
-use spokeflow_agreed::RevisionNo;
+use spokeflow_coordination::RevisionNo;
 use spokeflow_engine::Input;
 use spokeflow_platform::{start_log, Clock, LogForm};
 use spokeflow_proto::{Line, LinePhase};
--- a/crates/spokeflow-standin/src/scale/offers.rs
+++ b/crates/spokeflow-standin/src/scale/offers.rs
@@ -5,8 +5,8 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_agreed::wire::{Answer, Ask};
-use spokeflow_agreed::{Offer, RevisionNo, Verdict};
+use spokeflow_coordination::wire::{Answer, Ask};
+use spokeflow_coordination::{Offer, RevisionNo, Verdict};
 use spokeflow_keeper::ask::ask_one;
 use tokio::time::{sleep, Instant};
 
--- a/crates/spokeflow-standin/src/scale/settings.rs
+++ b/crates/spokeflow-standin/src/scale/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use spokeflow_agreed::Values;
+use spokeflow_coordination::Values;
 
 /// One argument of a program may be no longer than this on Linux, less some room.
 const ARGUMENT_AT_MOST: usize = 100_000;
--- a/crates/spokeflow-standin/src/scale/tap.rs
+++ b/crates/spokeflow-standin/src/scale/tap.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_agreed::wire::{Caller, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Caller, ToKeeper, LIMIT};
 use spokeflow_raft::KeeperId;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/spokeflow-standin/src/scale/wire.rs
+++ b/crates/spokeflow-standin/src/scale/wire.rs
@@ -3,9 +3,9 @@
 //! the leading fields of a message are read as a tuple; `tests/scale_wire.rs` holds this against the messages.
 
 use serde::Deserialize;
-use spokeflow_agreed::{Asked, Known, Seats};
+use spokeflow_coordination::{Asked, Known, Seats};
 
-/// Numbers of variants, in the order of `spokeflow_agreed::wire` and `spokeflow_raft::Message`.
+/// Numbers of variants, in the order of `spokeflow_coordination::wire` and `spokeflow_raft::Message`.
 const TO_KEEPER_QUORUM: u32 = 1;
 const TO_KEEPER_ASK: u32 = 2;
 const ASK_LEASE: u32 = 0;
--- a/crates/spokeflow-standin/tests/fleet.rs
+++ b/crates/spokeflow-standin/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spokeflow_agreed::wire::ToKeeper;
+use spokeflow_coordination::wire::ToKeeper;
 use spokeflow_keeper::WHERES;
 use spokeflow_raft::Message;
 use spokeflow_standin::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
--- a/crates/spokeflow-standin/tests/scale_wire.rs
+++ b/crates/spokeflow-standin/tests/scale_wire.rs
@@ -1,7 +1,7 @@
 //! The beginnings of frames as the tap reads them, against the messages that keepers and routers write.
 
-use spokeflow_agreed::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper};
-use spokeflow_agreed::{
+use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper};
+use spokeflow_coordination::{
     Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo,
     Seats, Values, Verdict,
 };
