--- a/crates/spokeflow-keeper/src/main.rs
+++ b/crates/spokeflow-control-plane/src/main.rs
@@ -1,7 +1,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use spokeflow_keeper::{main_with, KeeperProgram};
+use spokeflow_control_plane::{main_with, KeeperProgram};
 
 fn main() -> ExitCode {
     main_with(KeeperProgram::parse())
--- a/crates/spokeflow-keeper/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -95,7 +95,7 @@
 
 /// Holds, with a few others, what routers agree on.
 #[derive(Debug, Parser)]
-#[command(name = "spokeflow-keeper", version)]
+#[command(name = "spokeflow-control-plane", version)]
 pub struct KeeperProgram {
     #[command(flatten)]
     pub flags: KeeperFlags,
@@ -196,11 +196,11 @@
     if let Err(faults) = flags.check() {
         faults
             .iter()
-            .for_each(|fault| eprintln!("spokeflow-keeper: {fault}"));
+            .for_each(|fault| eprintln!("spokeflow-control-plane: {fault}"));
         return ExitCode::from(2);
     }
     if let Err(fault) = start_log(&flags.log, flags.log_form) {
-        eprintln!("spokeflow-keeper: {fault}");
+        eprintln!("spokeflow-control-plane: {fault}");
         return ExitCode::from(2);
     }
     let process = rand::rng().random();
@@ -216,7 +216,7 @@
         Ok(opened) => opened,
         Err(fault) => {
             eprintln!(
-                "spokeflow-keeper: --store {}: {fault}",
+                "spokeflow-control-plane: --store {}: {fault}",
                 flags.store.display()
             );
             return ExitCode::FAILURE;
@@ -228,14 +228,14 @@
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("spokeflow-keeper: cannot start: {e}");
+            eprintln!("spokeflow-control-plane: cannot start: {e}");
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(serve(flags, store, saved, (start, processes))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("spokeflow-keeper: {what}");
+            eprintln!("spokeflow-control-plane: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/spokeflow-fleet/src/main.rs
+++ b/crates/spokeflow-fleet/src/main.rs
@@ -8,10 +8,10 @@
 use comfy_table::Table;
 use rand::RngExt;
 use serde::Serialize;
+use spokeflow_control_plane::ask::ask;
+use spokeflow_control_plane::check;
 use spokeflow_coordination::wire::{Answer, Ask, View};
 use spokeflow_coordination::{Offer, RevisionNo, Values, Verdict};
-use spokeflow_keeper::ask::ask;
-use spokeflow_keeper::check;
 use spokeflow_raft::KeeperId;
 
 /// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
--- a/crates/spokeflow-lab/src/capacity/placement.rs
+++ b/crates/spokeflow-lab/src/capacity/placement.rs
@@ -26,11 +26,11 @@
     /// What carries it today.
     pub fn mechanism(self) -> &'static str {
         match self {
-            Duty::Voter => "`spokeflow-keeper`",
+            Duty::Voter => "`spokeflow-control-plane`",
             Duty::Relay => "missing",
-            Duty::ListSource => "the operators' own; `spokeflow-keeper --list` reads it",
+            Duty::ListSource => "the operators' own; `spokeflow-control-plane --list` reads it",
             Duty::ReleaseController => "the operators' own; `spokeflow-fleet`",
-            Duty::Spare => "`spokeflow-keeper --join`, to replace a voter",
+            Duty::Spare => "`spokeflow-control-plane --join`, to replace a voter",
         }
     }
 }
--- a/crates/spokeflow-lab/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-lab/src/capacity/rows/voter.rs
@@ -10,7 +10,7 @@
 use super::control::{scale_run, OFFER_FITS};
 use super::{Inputs, BYTES_PER_MB};
 
-const KEEPER: &str = "`spokeflow-keeper`; `spokeflow-coordination`, `Keeper`";
+const KEEPER: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Keeper`";
 const GRANTER: &str = "`spokeflow-coordination`, `Granter`";
 const LEDGER: &str = "`spokeflow-coordination`, `Ledger`";
 const LOG: &str = "`spokeflow-raft`, `Member`";
@@ -196,7 +196,7 @@
             Unit::BytesPerSecond,
             |s| inputs.per_second(entry(inputs).times(inputs.load(s).changes)),
         )
-        .by("`spokeflow-keeper`, `Store`")
+        .by("`spokeflow-control-plane`, `Store`")
         .reached_after(OFFER_FITS),
     ]
 }
--- a/crates/spokeflow-lab/src/main.rs
+++ b/crates/spokeflow-lab/src/main.rs
@@ -2,8 +2,8 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
+use spokeflow_control_plane::KeeperProgram;
 use spokeflow_emulator::{play, Who};
-use spokeflow_keeper::KeeperProgram;
 use spokeflow_lab::capacity;
 use spokeflow_lab::plan::{MatrixFlags, Seeds, Terms, Which};
 use spokeflow_lab::store::{Store, Stored};
@@ -220,7 +220,7 @@
 fn main() -> ExitCode {
     let done = match Program::parse().what {
         What::Router(program) => return main_with(*program),
-        What::Keeper(program) => return spokeflow_keeper::main_with(*program),
+        What::Keeper(program) => return spokeflow_control_plane::main_with(*program),
         What::Run(flags) => run(&flags),
         What::Sweep(flags) => sweep_days(&flags),
         What::Compare(flags) => compare_days(&flags).map(|()| true),
--- a/crates/spokeflow-lab/tests/capacity.rs
+++ b/crates/spokeflow-lab/tests/capacity.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use clap::Parser;
-use spokeflow_keeper::KeeperFlags;
+use spokeflow_control_plane::KeeperFlags;
 use spokeflow_lab::capacity::{evidence, limits, read_records, Target};
 use spokeflow_router::ServiceFlags;
 
@@ -335,7 +335,7 @@
 fn copied_constants_are_those_of_the_source() {
     let says = [
         (
-            "crates/spokeflow-keeper/src/calls.rs",
+            "crates/spokeflow-control-plane/src/calls.rs",
             "const ASK_LIMIT: usize = 64 << 10;",
             limits::CALLER_FRAME,
             65_536.0,
@@ -365,7 +365,7 @@
             3.0,
         ),
         (
-            "crates/spokeflow-keeper/src/list.rs",
+            "crates/spokeflow-control-plane/src/list.rs",
             "const WHOLE_EVERY: Duration = Duration::from_secs(2);",
             limits::WHOLE_LIST_EVERY,
             2.0,
--- a/crates/spokeflow-standin/src/fleet/plan.rs
+++ b/crates/spokeflow-standin/src/fleet/plan.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::RngExt;
-use spokeflow_keeper::WHERES;
+use spokeflow_control_plane::WHERES;
 
 use super::switchboard::{Node, Way};
 
--- a/crates/spokeflow-standin/src/fleet/play.rs
+++ b/crates/spokeflow-standin/src/fleet/play.rs
@@ -8,10 +8,10 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use spokeflow_control_plane::ask::{ask, ask_one};
+use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{Answer, Ask};
 use spokeflow_coordination::{Offer, RevisionNo, Values};
-use spokeflow_keeper::ask::{ask, ask_one};
-use spokeflow_keeper::Store;
 use spokeflow_raft::KeeperId;
 use tokio::time::{sleep, Instant};
 
--- a/crates/spokeflow-standin/src/main.rs
+++ b/crates/spokeflow-standin/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use spokeflow_keeper::KeeperProgram;
+use spokeflow_control_plane::KeeperProgram;
 use spokeflow_router::{main_with, RouterProgram};
 use spokeflow_standin::commits::{commits, CommitFlags};
 use spokeflow_standin::day::play;
@@ -134,7 +134,7 @@
 fn main() -> ExitCode {
     match Program::parse().what {
         What::Router(program) => main_with(*program),
-        What::Keeper(program) => spokeflow_keeper::main_with(*program),
+        What::Keeper(program) => spokeflow_control_plane::main_with(*program),
         What::Fleet(flags) => match play_fleet(&flags) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::from(1),
--- a/crates/spokeflow-standin/src/scale/offers.rs
+++ b/crates/spokeflow-standin/src/scale/offers.rs
@@ -5,9 +5,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use spokeflow_control_plane::ask::ask_one;
 use spokeflow_coordination::wire::{Answer, Ask};
 use spokeflow_coordination::{Offer, RevisionNo, Verdict};
-use spokeflow_keeper::ask::ask_one;
 use tokio::time::{sleep, Instant};
 
 use super::rig::Rig;
--- a/crates/spokeflow-standin/tests/fleet.rs
+++ b/crates/spokeflow-standin/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use spokeflow_control_plane::WHERES;
 use spokeflow_coordination::wire::ToKeeper;
-use spokeflow_keeper::WHERES;
 use spokeflow_raft::Message;
 use spokeflow_standin::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
 use spokeflow_standin::routers::Starting;
