--- a/crates/spokeflow-lab/src/agreement.rs
+++ b/crates/spokeflow-lab/src/agreement.rs
@@ -5,8 +5,8 @@
 
 use clap::Args;
 use comfy_table::Table;
-use spokeflow_emulator::{play_agreement, AgreementDay, AgreementPlayed};
 use spokeflow_scenario::{Micros, SECOND};
+use spokeflow_simulator::{play_agreement, AgreementDay, AgreementPlayed};
 
 #[derive(Args)]
 pub struct AgreementFlags {
--- a/crates/spokeflow-lab/src/hunt.rs
+++ b/crates/spokeflow-lab/src/hunt.rs
@@ -1,9 +1,9 @@
 //! Searches drawn days for those that break a rule or lose most against full sight, and shrinks them: what can
 //! be left out without losing what was found is left out.
 
-use spokeflow_emulator::{play, Who};
 use spokeflow_scenario::scenario::{Cancel, Flaw, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
+use spokeflow_simulator::{play, Who};
 
 /// What a day was found for.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/spokeflow-lab/src/main.rs
+++ b/crates/spokeflow-lab/src/main.rs
@@ -3,7 +3,6 @@
 
 use clap::{Args, Parser, Subcommand};
 use spokeflow_control_plane::KeeperProgram;
-use spokeflow_emulator::{play, Who};
 use spokeflow_lab::capacity;
 use spokeflow_lab::plan::{MatrixFlags, Seeds, Terms, Which};
 use spokeflow_lab::store::{Store, Stored};
@@ -12,6 +11,7 @@
 use spokeflow_scenario::flags::{DayFlags, SizeFlags};
 use spokeflow_scenario::scenario::{Scenario, Size};
 use spokeflow_scenario::{Micros, SECOND};
+use spokeflow_simulator::{play, Who};
 use spokeflow_standin::load::{load, pass_through, LoadFlags};
 use spokeflow_standin::routers::Starting;
 
--- a/crates/spokeflow-lab/src/plan.rs
+++ b/crates/spokeflow-lab/src/plan.rs
@@ -4,10 +4,10 @@
 use std::str::FromStr;
 
 use clap::{Args, ValueEnum};
-use spokeflow_emulator::Who;
 use spokeflow_scenario::flags::{Built, SizeFlags};
 use spokeflow_scenario::scenario::{Kind, Scenario, Size};
 use spokeflow_scenario::{Micros, SECOND};
+use spokeflow_simulator::Who;
 
 /// A built-in day, or `only:KIND`.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/spokeflow-lab/src/store.rs
+++ b/crates/spokeflow-lab/src/store.rs
@@ -86,9 +86,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use spokeflow_emulator::{play, Who};
     use spokeflow_scenario::scenario::Scenario;
     use spokeflow_scenario::SECOND;
+    use spokeflow_simulator::{play, Who};
 
     #[test]
     fn what_was_put_is_there_after_another_opening_and_damage_is_named() {
--- a/crates/spokeflow-lab/src/sweep.rs
+++ b/crates/spokeflow-lab/src/sweep.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc;
 
 use indicatif::{ProgressBar, ProgressStyle};
-use spokeflow_emulator::play;
+use spokeflow_simulator::play;
 
 use crate::charts;
 use crate::plan::Cell;
--- a/crates/spokeflow-lab/src/tables.rs
+++ b/crates/spokeflow-lab/src/tables.rs
@@ -159,9 +159,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use spokeflow_emulator::{play, Who};
     use spokeflow_scenario::scenario::Scenario;
     use spokeflow_scenario::SECOND;
+    use spokeflow_simulator::{play, Who};
 
     #[test]
     fn scores_lie_between_random_and_full_sight_on_the_days_that_both_played() {
--- a/crates/spokeflow-lab/tests/lab.rs
+++ b/crates/spokeflow-lab/tests/lab.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use clap::Parser;
-use spokeflow_emulator::engine_terms;
 use spokeflow_router::RouterTerms;
 use spokeflow_scenario::scenario::Scenario;
 use spokeflow_scenario::SECOND;
+use spokeflow_simulator::engine_terms;
 use spokeflow_standin::routers::flags;
 
 fn lab(args: &[&str]) -> Command {
@@ -232,7 +232,7 @@
     });
     for (day, sockets) in days.iter().zip(played) {
         let simulated =
-            spokeflow_emulator::play(day, spokeflow_emulator::Who::Engine, false).report;
+            spokeflow_simulator::play(day, spokeflow_simulator::Who::Engine, false).report;
         assert!(
             sockets.sound() && simulated.sound(),
             "{}{}",
--- a/crates/spokeflow-emulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! Keepers and the routers that follow them, in simulated time.
 
-use spokeflow_emulator::{play_agreement, AgreementDay};
+use spokeflow_simulator::{play_agreement, AgreementDay};
 
 const SECOND: i64 = 1_000_000;
 
--- a/crates/spokeflow-emulator/tests/days.rs
+++ b/crates/spokeflow-simulator/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days in simulated time.
 
-use spokeflow_emulator::{play, Who};
 use spokeflow_scenario::scenario::{Flaw, Kind, Scenario, Size};
 use spokeflow_scenario::SECOND;
+use spokeflow_simulator::{play, Who};
 
 fn text(day: &Scenario, who: Who) -> String {
     serde_json::to_string(&play(day, who, false).report).unwrap()
--- a/crates/spokeflow-emulator/tests/fleet.rs
+++ b/crates/spokeflow-simulator/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! breaks no rule and sends no good build back.
 
 use clap::Parser;
-use spokeflow_emulator::{play, Who};
 use spokeflow_scenario::flags::DayFlags;
 use spokeflow_scenario::report::Report;
+use spokeflow_simulator::{play, Who};
 
 #[derive(Parser)]
 struct Day {
--- a/crates/spokeflow-emulator/tests/kept.rs
+++ b/crates/spokeflow-simulator/tests/kept.rs
@@ -1,8 +1,8 @@
 //! Days that once broke a rule, as the hunt shrunk them: flags of `spokeflow-lab run`, with what was wrong.
 
 use clap::Parser;
-use spokeflow_emulator::{play, Who};
 use spokeflow_scenario::flags::DayFlags;
+use spokeflow_simulator::{play, Who};
 
 #[derive(Parser)]
 struct Day {
