--- a/crates/spokeflow-lab/src/capacity/commands.rs
+++ b/crates/spokeflow-experiments/src/capacity/commands.rs
@@ -106,7 +106,7 @@
             .map_err(|e| CapacityError::new(&flags.slopes, "", e));
     }
     let (of, by) = (flags.target.display(), flags.slopes.display());
-    let command = format!("spokeflow-lab capacity --target {of} --slopes {by}");
+    let command = format!("spokeflow-experiments capacity --target {of} --slopes {by}");
     Ok(Page {
         target: &target,
         slopes: &slopes,
--- a/crates/spokeflow-lab/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -16,7 +16,7 @@
 use super::records::{Held, Record, Role};
 
 pub const PHASE: &str = "encoded";
-pub const COMMAND: &str = "spokeflow-lab measure-bytes --out docs/capacity/runs/bytes.json";
+pub const COMMAND: &str = "spokeflow-experiments measure-bytes --out docs/capacity/runs/bytes.json";
 
 pub const LIST_GRANT: &str = "grant with the whole host list";
 pub const HOST_GRANT: &str = "grant with a change of one host";
--- a/crates/spokeflow-lab/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -145,7 +145,7 @@
 fn command(terms: &ServedTerms) -> String {
     let hosts: Vec<String> = terms.hosts.iter().map(ToString::to_string).collect();
     format!(
-        "spokeflow-lab measure-load --hosts {} --rate {} --seconds {} --runs {} --answer-after {}ms",
+        "spokeflow-experiments measure-load --hosts {} --rate {} --seconds {} --runs {} --answer-after {}ms",
         hosts.join(","),
         terms.rate,
         terms.seconds,
--- a/crates/spokeflow-lab/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -3,10 +3,10 @@
 
 use clap::{Args, Parser, Subcommand};
 use spokeflow_control_plane::KeeperProgram;
-use spokeflow_lab::capacity;
-use spokeflow_lab::plan::{MatrixFlags, Seeds, Terms, Which};
-use spokeflow_lab::store::{Store, Stored};
-use spokeflow_lab::{agree, agreement, alone, charts, compare, hunt, sweep, tables};
+use spokeflow_experiments::capacity;
+use spokeflow_experiments::plan::{MatrixFlags, Seeds, Terms, Which};
+use spokeflow_experiments::store::{Store, Stored};
+use spokeflow_experiments::{agree, agreement, alone, charts, compare, hunt, sweep, tables};
 use spokeflow_router::{main_with, RouterProgram};
 use spokeflow_scenario::flags::{DayFlags, SizeFlags};
 use spokeflow_scenario::scenario::{Scenario, Size};
@@ -17,7 +17,7 @@
 
 /// Days in simulated time: one, many, two ways compared, the worst ones found; and loads on a real router
 #[derive(Parser)]
-#[command(name = "spokeflow-lab", version)]
+#[command(name = "spokeflow-experiments", version)]
 struct Program {
     #[command(subcommand)]
     what: What,
@@ -271,7 +271,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(what) => {
-            eprintln!("spokeflow-lab: {what}");
+            eprintln!("spokeflow-experiments: {what}");
             ExitCode::from(2)
         }
     }
@@ -439,7 +439,7 @@
             hunt::summary(&small),
             hunt::judge(&small)
         );
-        println!("  spokeflow-lab run {}", hunt::flags(&small));
+        println!("  spokeflow-experiments run {}", hunt::flags(&small));
     }
     Ok(broken == 0)
 }
--- a/crates/spokeflow-lab/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -5,21 +5,21 @@
 
 use clap::Parser;
 use spokeflow_control_plane::KeeperFlags;
-use spokeflow_lab::capacity::{evidence, limits, read_records, Target};
+use spokeflow_experiments::capacity::{evidence, limits, read_records, Target};
 use spokeflow_router::ServiceFlags;
 
 const TARGET: &str = "docs/capacity/target.toml";
 const SLOPES: &str = "docs/capacity/slopes.json";
 const RUNS: &str = "docs/capacity/runs";
 const PAGE: &str = "docs/CAPACITY.md";
-const FIXTURES: &str = "crates/spokeflow-lab/tests/fixtures/capacity-runs";
+const FIXTURES: &str = "crates/spokeflow-experiments/tests/fixtures/capacity-runs";
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab"))
+    Command::new(env!("CARGO_BIN_EXE_spokeflow-experiments"))
         .current_dir(root())
         .args(args)
         .output()
@@ -93,7 +93,7 @@
     assert!(text.len() > 5000);
     assert!(
         text == read(PAGE),
-        "print it anew: spokeflow-lab capacity > {PAGE}"
+        "print it anew: spokeflow-experiments capacity > {PAGE}"
     );
 }
 
--- a/crates/spokeflow-lab/tests/capacity_fits.rs
+++ b/crates/spokeflow-experiments/tests/capacity_fits.rs
@@ -1,6 +1,6 @@
 //! Fits of measured lines, and what they say at other sizes.
 
-use spokeflow_lab::capacity::{Fit, Form, Line, Point, Role};
+use spokeflow_experiments::capacity::{Fit, Form, Line, Point, Role};
 
 fn line(points: &[(f64, f64)]) -> Line {
     let point = |&(size, value): &(f64, f64)| Point {
--- a/crates/spokeflow-lab/tests/capacity_inputs.rs
+++ b/crates/spokeflow-experiments/tests/capacity_inputs.rs
@@ -11,7 +11,7 @@
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_spokeflow-lab"))
+    Command::new(env!("CARGO_BIN_EXE_spokeflow-experiments"))
         .current_dir(root())
         .args(args)
         .output()
--- a/crates/spokeflow-lab/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -12,7 +12,7 @@
 use spokeflow_standin::routers::flags;
 
 fn lab(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-experiments"));
     command.args(args);
     command
 }
@@ -198,12 +198,12 @@
     }
 }
 
-/// The bound is wide, since sockets share a small machine with other tests; `spokeflow-lab agree` measures.
+/// The bound is wide, since sockets share a small machine with other tests; `spokeflow-experiments agree` measures.
 #[test]
 fn days_on_sockets_and_in_simulated_time_agree() {
     use spokeflow_scenario::scenario::Kind;
     use spokeflow_standin::routers::Starting;
-    let program = env!("CARGO_BIN_EXE_spokeflow-lab").into();
+    let program = env!("CARGO_BIN_EXE_spokeflow-experiments").into();
     let starting = Starting {
         program,
         first: vec!["router".into()],
--- a/crates/spokeflow-simulator/tests/kept.rs
+++ b/crates/spokeflow-simulator/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Days that once broke a rule, as the hunt shrunk them: flags of `spokeflow-lab run`, with what was wrong.
+//! Days that once broke a rule, as the hunt shrunk them: flags of `spokeflow-experiments run`, with what was wrong.
 
 use clap::Parser;
 use spokeflow_scenario::flags::DayFlags;
