--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use serde_json::json;
-use spokeflow_standin::load::{put, Follows, Load, Measured};
-use spokeflow_standin::routers::Starting;
+use spokeflow_testbed::load::{put, Follows, Load, Measured};
+use spokeflow_testbed::routers::Starting;
 
 use super::records::{Held, Record, Role};
 
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -12,8 +12,8 @@
 use spokeflow_scenario::scenario::{Scenario, Size};
 use spokeflow_scenario::{Micros, SECOND};
 use spokeflow_simulator::{play, Who};
-use spokeflow_standin::load::{load, pass_through, LoadFlags};
-use spokeflow_standin::routers::Starting;
+use spokeflow_testbed::load::{load, pass_through, LoadFlags};
+use spokeflow_testbed::routers::Starting;
 
 /// Days in simulated time: one, many, two ways compared, the worst ones found; and loads on a real router
 #[derive(Parser)]
@@ -465,7 +465,7 @@
     for some in days.chunks(flags.beside) {
         let on_sockets = runtime.block_on(async {
             let all = some.iter().map(|day| {
-                tokio::spawn(spokeflow_standin::day::play(
+                tokio::spawn(spokeflow_testbed::day::play(
                     day.clone(),
                     starting.clone(),
                     |_| {},
--- a/crates/spokeflow-experiments/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -9,7 +9,7 @@
 use spokeflow_scenario::scenario::Scenario;
 use spokeflow_scenario::SECOND;
 use spokeflow_simulator::engine_terms;
-use spokeflow_standin::routers::flags;
+use spokeflow_testbed::routers::flags;
 
 fn lab(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-experiments"));
@@ -202,7 +202,7 @@
 #[test]
 fn days_on_sockets_and_in_simulated_time_agree() {
     use spokeflow_scenario::scenario::Kind;
-    use spokeflow_standin::routers::Starting;
+    use spokeflow_testbed::routers::Starting;
     let program = env!("CARGO_BIN_EXE_spokeflow-experiments").into();
     let starting = Starting {
         program,
@@ -223,7 +223,7 @@
     let played = runtime.block_on(async {
         let all = days
             .clone()
-            .map(|day| tokio::spawn(spokeflow_standin::day::play(day, starting.clone(), |_| {})));
+            .map(|day| tokio::spawn(spokeflow_testbed::day::play(day, starting.clone(), |_| {})));
         let mut played = Vec::new();
         for day in all {
             played.push(day.await.unwrap().unwrap().report);
--- a/crates/spokeflow-standin/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -5,19 +5,19 @@
 use clap::{Args, Parser, Subcommand};
 use spokeflow_control_plane::KeeperProgram;
 use spokeflow_router::{main_with, RouterProgram};
-use spokeflow_standin::commits::{commits, CommitFlags};
-use spokeflow_standin::day::play;
-use spokeflow_standin::fleet::{self, FleetTerms};
-use spokeflow_standin::load::{load, pass_through, LoadFlags};
-use spokeflow_standin::routers::Starting;
-use spokeflow_standin::scale::{self, HollowFlags, Outcome, ScaleFlags};
-use spokeflow_standin::scenario::flags::DayFlags;
-use spokeflow_standin::scenario::scenario::Kind;
-use spokeflow_standin::{Micros, SECOND};
+use spokeflow_testbed::commits::{commits, CommitFlags};
+use spokeflow_testbed::day::play;
+use spokeflow_testbed::fleet::{self, FleetTerms};
+use spokeflow_testbed::load::{load, pass_through, LoadFlags};
+use spokeflow_testbed::routers::Starting;
+use spokeflow_testbed::scale::{self, HollowFlags, Outcome, ScaleFlags};
+use spokeflow_testbed::scenario::flags::DayFlags;
+use spokeflow_testbed::scenario::scenario::Kind;
+use spokeflow_testbed::{Micros, SECOND};
 
 /// Stand-ins for what surrounds the routers, and days to try real routers on.
 #[derive(Parser)]
-#[command(name = "spokeflow-standin", version)]
+#[command(name = "spokeflow-testbed", version)]
 struct Program {
     #[command(subcommand)]
     what: What,
@@ -139,7 +139,7 @@
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::from(1),
             Err(what) => {
-                eprintln!("spokeflow-standin: {what}");
+                eprintln!("spokeflow-testbed: {what}");
                 ExitCode::from(2)
             }
         },
@@ -152,7 +152,7 @@
                 }
             }
             Err(what) => {
-                eprintln!("spokeflow-standin: {what}");
+                eprintln!("spokeflow-testbed: {what}");
                 ExitCode::from(2)
             }
         },
@@ -166,7 +166,7 @@
         What::Load(flags) => match load(&flags) {
             Ok(()) => ExitCode::SUCCESS,
             Err(what) => {
-                eprintln!("spokeflow-standin: {what}");
+                eprintln!("spokeflow-testbed: {what}");
                 ExitCode::from(2)
             }
         },
@@ -181,7 +181,7 @@
             {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(what) => {
-                    eprintln!("spokeflow-standin: {what}");
+                    eprintln!("spokeflow-testbed: {what}");
                     ExitCode::from(2)
                 }
             }
@@ -196,7 +196,7 @@
             {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(what) => {
-                    eprintln!("spokeflow-standin: {what}");
+                    eprintln!("spokeflow-testbed: {what}");
                     ExitCode::FAILURE
                 }
             }
@@ -205,7 +205,7 @@
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::from(1),
             Err(what) => {
-                eprintln!("spokeflow-standin: {what}");
+                eprintln!("spokeflow-testbed: {what}");
                 ExitCode::from(2)
             }
         },
--- a/crates/spokeflow-standin/src/scale/flags.rs
+++ b/crates/spokeflow-testbed/src/scale/flags.rs
@@ -1,4 +1,4 @@
-//! Flags of `spokeflow-standin scale`, checked before anything is started.
+//! Flags of `spokeflow-testbed scale`, checked before anything is started.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/spokeflow-standin/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -178,7 +178,7 @@
         match serde_json::from_str(&line) {
             Ok(command) => hollow.obey(command),
             Err(e) => {
-                eprintln!("spokeflow-standin hollow: a command cannot be read: {e}");
+                eprintln!("spokeflow-testbed hollow: a command cannot be read: {e}");
                 return;
             }
         }
@@ -188,13 +188,13 @@
 /// Runs hollow routers until standard input ends. Exit code 0: it has ended; 1: cannot start; 2: settings that do not fit.
 pub fn hollow(flags: &HollowFlags) -> ExitCode {
     if let Err(fault) = start_log(&flags.log, LogForm::Text) {
-        eprintln!("spokeflow-standin hollow: {fault}");
+        eprintln!("spokeflow-testbed hollow: {fault}");
         return ExitCode::from(2);
     }
     let terms = match terms(flags) {
         Ok(terms) => terms,
         Err(faults) => {
-            eprintln!("spokeflow-standin hollow: {faults}");
+            eprintln!("spokeflow-testbed hollow: {faults}");
             return ExitCode::from(2);
         }
     };
@@ -205,7 +205,7 @@
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("spokeflow-standin hollow: cannot start: {e}");
+            eprintln!("spokeflow-testbed hollow: cannot start: {e}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/spokeflow-standin/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -61,7 +61,7 @@
 
 /// The command as typed, without places of this machine.
 fn command() -> String {
-    let mut words = vec!["spokeflow-standin".to_string()];
+    let mut words = vec!["spokeflow-testbed".to_string()];
     let mut arguments = std::env::args().skip(1);
     while let Some(argument) = arguments.next() {
         let place = PLACES.iter().find(|place| argument.starts_with(**place));
--- a/crates/spokeflow-standin/tests/days.rs
+++ b/crates/spokeflow-testbed/tests/days.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 
-use spokeflow_standin::day::{play, Played};
-use spokeflow_standin::routers::Starting;
-use spokeflow_standin::scenario::scenario::{Flaw, Kind, Scenario};
-use spokeflow_standin::scenario::seen::Seen;
-use spokeflow_standin::{Micros, SECOND};
+use spokeflow_testbed::day::{play, Played};
+use spokeflow_testbed::routers::Starting;
+use spokeflow_testbed::scenario::scenario::{Flaw, Kind, Scenario};
+use spokeflow_testbed::scenario::seen::Seen;
+use spokeflow_testbed::{Micros, SECOND};
 
 fn starting() -> Starting {
-    let program = env!("CARGO_BIN_EXE_spokeflow-standin").into();
+    let program = env!("CARGO_BIN_EXE_spokeflow-testbed").into();
     Starting {
         program,
         first: vec!["router".into()],
@@ -138,7 +138,7 @@
 #[test]
 fn a_terminal_sees_what_was_asked_and_wrong_use_is_named() {
     let run = |flags: &[&str]| {
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_spokeflow-standin"));
+        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_spokeflow-testbed"));
         command.arg("day").args(flags).output().unwrap()
     };
     let wrong = run(&["--only", "earthquake"]);
--- a/crates/spokeflow-standin/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -5,8 +5,8 @@
 use spokeflow_control_plane::WHERES;
 use spokeflow_coordination::wire::ToKeeper;
 use spokeflow_raft::Message;
-use spokeflow_standin::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
-use spokeflow_standin::routers::Starting;
+use spokeflow_testbed::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
+use spokeflow_testbed::routers::Starting;
 
 fn played(
     name: &str,
@@ -14,7 +14,7 @@
     routers: u32,
     script: Vec<(Fault, Duration)>,
 ) -> (Report, Vec<Frame>) {
-    let program = env!("CARGO_BIN_EXE_spokeflow-standin").into();
+    let program = env!("CARGO_BIN_EXE_spokeflow-testbed").into();
     let starting = Starting {
         program,
         first: Vec::new(),
--- a/crates/spokeflow-standin/tests/scale.rs
+++ b/crates/spokeflow-testbed/tests/scale.rs
@@ -8,7 +8,7 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeflow-standin");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeflow-testbed");
 /// 30 hollow routers in two processes and one real one, three voters.
 const SMALL: [&str; 4] = [
     "scale",
@@ -333,7 +333,7 @@
             .collect();
         assert_eq!(lines.len(), 1, "{arguments:?}: {said}");
         assert!(
-            lines[0].starts_with("spokeflow-standin: ") && lines[0].contains(what),
+            lines[0].starts_with("spokeflow-testbed: ") && lines[0].contains(what),
             "{arguments:?}: {said}"
         );
     }
--- a/crates/spokeflow-standin/tests/scale_propagation.rs
+++ b/crates/spokeflow-testbed/tests/scale_propagation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use spokeflow_standin::scale::Propagation;
+use spokeflow_testbed::scale::Propagation;
 
 const ROUTERS: u32 = 3;
 
--- a/crates/spokeflow-standin/tests/scale_traffic.rs
+++ b/crates/spokeflow-testbed/tests/scale_traffic.rs
@@ -1,6 +1,6 @@
 //! Leases that were over before the next grant came, and who leads, by what the tap notes.
 
-use spokeflow_standin::scale::{Lapses, Seen};
+use spokeflow_testbed::scale::{Lapses, Seen};
 
 const LEASE: i64 = 3000;
 
--- a/crates/spokeflow-standin/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -6,7 +6,7 @@
     Seats, Values, Verdict,
 };
 use spokeflow_raft::{Message, Place, Snapshot, Term};
-use spokeflow_standin::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
+use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
 
 fn up(message: &ToKeeper) -> ToKeeperHead {
     to_keeper(&postcard::to_stdvec(message).unwrap())
