--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// `spokeflow-fleet status --json` prints them, whatever the fields are called here.
+/// `spokeflowctl status --json` prints them, whatever the fields are called here.
 #[test]
 fn json_keys_of_a_view_stay() {
     let json = serde_json::to_value(view()).unwrap();
--- a/crates/spokeflow-fleet/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -17,7 +17,7 @@
 /// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
 /// keeper answers
 #[derive(Parser)]
-#[command(name = "spokeflow-fleet", version)]
+#[command(name = "spokeflowctl", version)]
 struct Program {
     #[command(flatten)]
     common: Common,
@@ -399,18 +399,18 @@
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("spokeflow-fleet: cannot start: {e}");
+            eprintln!("spokeflowctl: cannot start: {e}");
             return ExitCode::from(2);
         }
     };
     match runtime.block_on(run(program)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Fault::Refused(what)) => {
-            eprintln!("spokeflow-fleet: {what}");
+            eprintln!("spokeflowctl: {what}");
             ExitCode::FAILURE
         }
         Err(Fault::Wrong(what)) => {
-            eprintln!("spokeflow-fleet: {what}");
+            eprintln!("spokeflowctl: {what}");
             ExitCode::from(2)
         }
     }
--- a/crates/spokeflow-fleet/tests/verbs.rs
+++ b/crates/spokeflow-ctl/tests/verbs.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 fn help(verb: &str) -> (Option<i32>, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_spokeflow-fleet"))
+    let output = Command::new(env!("CARGO_BIN_EXE_spokeflowctl"))
         .args([verb, "--help"])
         .output()
         .unwrap();
@@ -17,7 +17,7 @@
 fn register_is_found_under_its_earlier_name() {
     let (code, text) = help("register");
     assert!(
-        code == Some(0) && text.contains("Usage: spokeflow-fleet register"),
+        code == Some(0) && text.contains("Usage: spokeflowctl register"),
         "{code:?} {text}"
     );
     assert_eq!(help("seat"), (code, text));
--- a/crates/spokeflow-experiments/src/capacity/placement.rs
+++ b/crates/spokeflow-experiments/src/capacity/placement.rs
@@ -29,7 +29,7 @@
             Duty::Voter => "`spokeflow-control-plane`",
             Duty::Relay => "missing",
             Duty::ListSource => "the operators' own; `spokeflow-control-plane --list` reads it",
-            Duty::ReleaseController => "the operators' own; `spokeflow-fleet`",
+            Duty::ReleaseController => "the operators' own; `spokeflowctl`",
             Duty::Spare => "`spokeflow-control-plane --join`, to replace a voter",
         }
     }
--- a/crates/spokeflow-experiments/src/capacity/rows/others.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/others.rs
@@ -166,7 +166,7 @@
             offer,
         )
         .within(frame())
-        .by("`spokeflow-fleet offer`")
+        .by("`spokeflowctl offer`")
         .mended_by(Remedy::ChangesByTenant),
         Row::steady(
             Role::Tool,
@@ -175,7 +175,7 @@
             status,
         )
         .within(frame())
-        .by("`spokeflow-fleet status`")
+        .by("`spokeflowctl status`")
         .mended_by(Remedy::ChangesByTenant)
         .reached_after(OFFER_FITS),
     ]
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -274,7 +274,8 @@
     }
     starting.logs.clone_from(&flags.logs);
     starting.log.clone_from(&flags.log);
-    let own = || std::env::temp_dir().join(format!("spokeflow-fleet-{}", std::process::id()));
+    let own =
+        || std::env::temp_dir().join(format!("spokeflow-testbed-fleet-{}", std::process::id()));
     let kill = fleet::Fault::KillLeader {
         down: std::time::Duration::from_millis(1500),
     };
