--- a/crates/spokeflow-router/src/bin/spokeflow-move.rs
+++ b/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
@@ -1,7 +1,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use spokeflow_router::carry::{carry, MoveProgram};
+use spokeflow_router::migrate::{carry, MoveProgram};
 
 /// Exit code 0: carried over, or it would be; 2: nothing written, each fault on a line of standard error.
 fn main() -> ExitCode {
@@ -13,14 +13,14 @@
             }
             notes
                 .iter()
-                .for_each(|note| eprintln!("spokeflow-move: {note}"));
+                .for_each(|note| eprintln!("spokeflow-migrate: {note}"));
             ExitCode::SUCCESS
         }
         Err(faults) => {
             faults
                 .0
                 .iter()
-                .for_each(|fault| eprintln!("spokeflow-move: {fault}"));
+                .for_each(|fault| eprintln!("spokeflow-migrate: {fault}"));
             ExitCode::from(2)
         }
     }
--- a/crates/spokeflow-router/src/lib.rs
+++ b/crates/spokeflow-router/src/lib.rs
@@ -4,7 +4,7 @@
 //! path of a command takes a lock, writes to disk or waits for a peer.
 
 mod arrival;
-pub mod carry;
+pub mod migrate;
 mod clients;
 mod desk;
 mod hosts;
--- a/crates/spokeflow-router/src/carry.rs
+++ b/crates/spokeflow-router/src/migrate.rs
@@ -15,7 +15,7 @@
 /// Reads a router's file of environment variables, writes its counterpart for a deployment where both builds stand
 /// side by side, and lists what it could not carry over.
 #[derive(Debug, Parser)]
-#[command(name = "spokeflow-move", version)]
+#[command(name = "spokeflow-migrate", version)]
 pub struct MoveProgram {
     /// The file for the old shape; it is never touched
     #[arg(long)]
--- a/crates/spokeflow-router/tests/carry.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::*;
-use spokeflow_router::carry::{carry, checked, read, MoveProgram};
+use spokeflow_router::migrate::{carry, checked, read, MoveProgram};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -33,7 +33,7 @@
 impl Folder {
     fn new(name: &str, old: &str) -> Folder {
         let path =
-            std::env::temp_dir().join(format!("spokeflow-move-{name}-{}", std::process::id()));
+            std::env::temp_dir().join(format!("spokeflow-migrate-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         std::fs::write(path.join("old.env"), old).unwrap();
         Folder(path)
