--- a/crates/spokeflow-control-plane/src/calls.rs
+++ b/crates/spokeflow-control-plane/src/calls.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::Framed;
 use tracing::info;
 
-use spokeflow_platform::Clock;
+use spokeflow_runtime::Clock;
 
 use crate::arrival::Arrival;
 
@@ -57,7 +57,7 @@
             }
             Err(refused) => refused,
         };
-        if let Some(kept_back) = self.clock.line() {
+        if let Some(kept_back) = self.clock.allow_log_line() {
             info!(conn = self.conn, why = ?refused.0, text = refused.1, kept_back, "caller refused");
         }
         let _ = timeout(
--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -5,8 +5,8 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::{HostState, ListedHost, SourceNews};
-use spokeflow_platform::Pauses;
 use spokeflow_proto::{FrameCodec, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT};
+use spokeflow_runtime::Backoff;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -21,7 +21,7 @@
 
 pub struct ListLink {
     pub address: SocketAddr,
-    pub pauses: Pauses,
+    pub backoff: Backoff,
     pub core: mpsc::Sender<Arrival>,
     /// Whether this keeper is the one to read.
     pub reads: watch::Receiver<bool>,
@@ -40,7 +40,7 @@
                 Err(what) => {
                     failures += 1;
                     warn!(failures, what, "host list cannot be read");
-                    sleep(self.pauses.after(failures)).await;
+                    sleep(self.backoff.delay(failures)).await;
                 }
             }
         }
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -5,9 +5,9 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
-use spokeflow_platform::Pauses;
 use spokeflow_proto::FrameCodec;
 use spokeflow_raft::KeeperId;
+use spokeflow_runtime::Backoff;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -27,7 +27,7 @@
     pub caller: Caller,
     /// Told with each call, as it is then.
     pub addresses: watch::Receiver<Vec<(KeeperId, String)>>,
-    pub pauses: Pauses,
+    pub backoff: Backoff,
     pub core: mpsc::Sender<Arrival>,
     pub queue: mpsc::Receiver<ToKeeper>,
 }
@@ -55,7 +55,7 @@
                 _ => {}
             }
             failures += 1;
-            sleep(self.pauses.after(failures)).await;
+            sleep(self.backoff.delay(failures)).await;
             // What was meant for the connection before is lost, as any message may be.
             while self.queue.try_recv().is_ok() {}
         }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -10,8 +10,8 @@
 use spokeflow_coordination::wire::Common;
 use spokeflow_coordination::{KeeperTerms, LeaseTerms};
 use spokeflow_core::Micros;
-use spokeflow_platform::{start_log, LogForm};
 use spokeflow_raft::{KeeperId, QuorumTerms};
+use spokeflow_runtime::{init_logging, LogFormat};
 
 use crate::{check, serve, Store, Where, WHERES};
 
@@ -84,7 +84,7 @@
     pub log: String,
     /// Form of the log
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
-    pub log_form: LogForm,
+    pub log_form: LogFormat,
     /// For tests: dies at this place, PLACE:NTH
     #[arg(long, hide = true, value_parser = place)]
     pub die_at: Option<(Where, u64)>,
@@ -199,7 +199,7 @@
             .for_each(|fault| eprintln!("spokeflow-control-plane: {fault}"));
         return ExitCode::from(2);
     }
-    if let Err(fault) = start_log(&flags.log, flags.log_form) {
+    if let Err(fault) = init_logging(&flags.log, flags.log_form) {
         eprintln!("spokeflow-control-plane: {fault}");
         return ExitCode::from(2);
     }
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -8,8 +8,8 @@
 use rand::RngExt;
 use spokeflow_coordination::wire::{Answer, Caller, ToKeeper};
 use spokeflow_coordination::{Asker, Keeper, Step};
-use spokeflow_platform::{Clock, Pauses};
 use spokeflow_raft::{KeeperId, Saved, Write};
+use spokeflow_runtime::{shutdown_signal, Backoff, Clock};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::time::{sleep, sleep_until};
@@ -193,7 +193,7 @@
             .is_none_or(|p| p.0 != address || p.1.is_closed())
         {
             let (say, queue) = mpsc::channel(PEER_QUEUE);
-            let pauses = Pauses::new(self.seed, u64::from(id.0), FIRST_PAUSE, LONGEST_PAUSE);
+            let backoff = Backoff::new(self.seed, u64::from(id.0), FIRST_PAUSE, LONGEST_PAUSE);
             let (caller, core) = (self.caller.clone(), self.core.clone());
             let addresses = self.addresses.subscribe();
             tokio::spawn(
@@ -202,7 +202,7 @@
                     address,
                     caller,
                     addresses,
-                    pauses,
+                    backoff,
                     core,
                     queue,
                 }
@@ -293,11 +293,11 @@
     };
     let (reads, reading) = watch::channel(false);
     if let Some(address) = list {
-        let pauses = Pauses::new(seed, 1 << 32, FIRST_PAUSE, LONGEST_PAUSE);
+        let backoff = Backoff::new(seed, 1 << 32, FIRST_PAUSE, LONGEST_PAUSE);
         tokio::spawn(
             ListLink {
                 address,
-                pauses,
+                backoff,
                 core: core.clone(),
                 reads: reading,
             }
@@ -334,10 +334,10 @@
             }
         })
     };
-    let mut ending = std::pin::pin!(ended_by_signal());
+    let mut ending = std::pin::pin!(shutdown_signal());
     let mut batch = Vec::with_capacity(AT_ONCE);
     let ended = 'run: loop {
-        let wake = clock.at(shell.keeper.next_wake(clock.now()));
+        let wake = clock.instant_at(shell.keeper.next_wake(clock.now()));
         tokio::select! {
             biased;
             _ = &mut ending => break Ok(()),
@@ -414,14 +414,3 @@
     accepting.abort();
     ended
 }
-
-async fn ended_by_signal() {
-    use tokio::signal::unix::{signal, SignalKind};
-    let Ok(mut term) = signal(SignalKind::terminate()) else {
-        return std::future::pending().await;
-    };
-    tokio::select! {
-        _ = term.recv() => {}
-        _ = tokio::signal::ctrl_c() => {}
-    }
-}
--- a/crates/spokeflow-platform/src/clients.rs
+++ b/crates/spokeflow-platform/src/clients.rs
@@ -20,7 +20,7 @@
 
 use crate::arrival::Arrival;
 use crate::hosts::{waits, Waits};
-use crate::Clock;
+use spokeflow_runtime::Clock;
 
 /// Bytes of a body at most, as the platform says.
 pub const BODY_LIMIT: usize = 64 << 10;
@@ -233,7 +233,7 @@
         };
         let mut asked = false;
         if let Err(fault) = self.serve(&mut link, &mut asked).await {
-            if let Some(kept_back) = self.house.clock.line() {
+            if let Some(kept_back) = self.house.clock.allow_log_line() {
                 info!(conn = self.conn, kept_back, %fault, "client refused");
             }
             if let Some(status) = fault.status() {
@@ -345,7 +345,7 @@
             };
             // One that has already sent its next request gets an answer to that as well.
             let more = || link.begun() || waits(&link.stream) == Waits::Bytes;
-            answer.close |= !stays || self.house.clock.ending() && !more();
+            answer.close |= !stays || self.house.clock.is_shutting_down() && !more();
             link.send(&answer).await?;
             if answer.close {
                 link.depart().await;
@@ -365,7 +365,7 @@
             })
         };
         if request.target.as_ref() == b"/up" {
-            let up = self.house.up.load(Ordering::Relaxed) && !self.house.clock.ending();
+            let up = self.house.up.load(Ordering::Relaxed) && !self.house.clock.is_shutting_down();
             return Checked::Answer(Answer {
                 status: if up { 200 } else { 503 },
                 ..Answer::default()
--- a/crates/spokeflow-platform/src/deployer.rs
+++ b/crates/spokeflow-platform/src/deployer.rs
@@ -17,7 +17,7 @@
 
 use crate::arrival::Arrival;
 use crate::configuration::Stage;
-use crate::{Clock, Pauses};
+use spokeflow_runtime::{Backoff, Clock};
 
 /// A line of so many bytes ends the connection, as the platform says.
 const LINE_LIMIT: usize = 8 << 10;
@@ -64,7 +64,7 @@
     pub address: watch::Receiver<SocketAddr>,
     pub clock: Arc<Clock>,
     pub core: mpsc::Sender<Arrival>,
-    pub pauses: Pauses,
+    pub backoff: Backoff,
 }
 
 impl Subscription {
@@ -80,11 +80,11 @@
                 Ok(()) = moved.changed() => { failures = 0; continue }
             };
             failures = if heard { 0 } else { failures + 1 };
-            if let Some(kept_back) = self.clock.line() {
+            if let Some(kept_back) = self.clock.allow_log_line() {
                 info!(%address, failures, kept_back, fault, "deployer lost");
             }
             tokio::select! {
-                _ = sleep(self.pauses.after(failures)) => {}
+                _ = sleep(self.backoff.delay(failures)) => {}
                 Ok(()) = moved.changed() => {}
             }
         }
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: one connection, made anew with growing pauses, told where to by the configuration.
+//! The watch on discovery: one connection, made anew with growing backoff, told where to by the configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::arrival::Arrival;
 use crate::roster::Listing;
-use crate::{Clock, Pauses};
+use spokeflow_runtime::{Backoff, Clock};
 
 /// "An empty line comes every 2 s while nothing changes" (protocol page): silence for longer than two of them is a dead way.
 const SILENCE: Duration = Duration::from_secs(5);
@@ -35,7 +35,7 @@
     pub core: mpsc::Sender<Arrival>,
     /// The newest revision handed over.
     pub after: u64,
-    pub pauses: Pauses,
+    pub backoff: Backoff,
 }
 
 const UNANSWERED: &str = "not answered at once";
@@ -63,11 +63,11 @@
                 Ok(()) = moved.changed() => { failures = 0; continue }
             };
             failures = in_a_row(failures, fell_silent || self.after != before);
-            if let Some(kept_back) = self.clock.line() {
+            if let Some(kept_back) = self.clock.allow_log_line() {
                 info!(%address, failures, kept_back, fault, "discovery lost");
             }
             // One that refuses may be asked less often; one that says nothing may speak at any moment.
-            let mut pause = self.pauses.after(failures);
+            let mut pause = self.backoff.delay(failures);
             if fault == UNANSWERED {
                 pause = pause.min(UNANSWERED_PAUSE);
             }
--- a/crates/spokeflow-platform/src/engine_links.rs
+++ b/crates/spokeflow-platform/src/engine_links.rs
@@ -109,8 +109,8 @@
         let ways = self.ways.clone();
         let clock = &ways.clock;
         let (until, leave_by) = (
-            clock.at(clock.now() + left_us as Micros),
-            clock.at(leave_by),
+            clock.instant_at(clock.now() + left_us as Micros),
+            clock.instant_at(leave_by),
         );
         let attempt = Attempt {
             ways,
--- a/crates/spokeflow-platform/src/hosts.rs
+++ b/crates/spokeflow-platform/src/hosts.rs
@@ -24,7 +24,7 @@
 use crate::arrival::Arrival;
 use crate::clients::BODY_LIMIT;
 use crate::reuse::Reuse;
-use crate::Clock;
+use spokeflow_runtime::Clock;
 
 /// Bytes kept ready for what comes back on a connection.
 const ROOM: usize = 2 << 10;
@@ -316,7 +316,7 @@
             _ = &mut self.halt => Err(NoAnswer::NotSent),
             _ = sleep_until(leave_by) => Err(NoAnswer::NotSent),
             sent = sending => sent.map_err(|fault| {
-                if let Some(kept_back) = self.ways.clock.line() {
+                if let Some(kept_back) = self.ways.clock.allow_log_line() {
                     info!(host = self.host.0, %address, kept_back, fault, "host not connected");
                 }
                 NoAnswer::NotConnected
@@ -345,7 +345,7 @@
             }
             Err(HttpFault::Io(_) | HttpFault::Truncated) => (Outcome::Lost(NoAnswer::Reset), None),
             Err(fault) => {
-                if let Some(kept_back) = self.ways.clock.line() {
+                if let Some(kept_back) = self.ways.clock.allow_log_line() {
                     info!(host = self.host.0, kept_back, %fault, "answer cannot be read");
                 }
                 // It may have run and is waited for no longer. No error: a good answer may have been written, which
--- a/crates/spokeflow-platform/src/lib.rs
+++ b/crates/spokeflow-platform/src/lib.rs
@@ -6,23 +6,17 @@
 
 mod arrival;
 mod clients;
-mod clock;
 mod configuration;
 mod deployer;
 mod discovery;
 mod engine_links;
 mod hosts;
-mod log;
-mod pauses;
 mod program;
 mod reuse;
 mod roster;
 mod serve;
 mod shutdown;
 
-pub use clock::Clock;
 pub use configuration::Configuration;
-pub use log::{start_log, LogForm};
-pub use pauses::Pauses;
 pub use program::{main_with, PlatformProgram, Signals};
 pub use serve::serve;
--- a/crates/spokeflow-platform/src/program.rs
+++ b/crates/spokeflow-platform/src/program.rs
@@ -8,7 +8,8 @@
 use tokio::time::{sleep, Instant};
 
 use crate::configuration::ConfigurationFault;
-use crate::{serve, start_log, Configuration, LogForm};
+use crate::{serve, Configuration};
+use spokeflow_runtime::{init_logging, LogFormat};
 
 /// A file that is no whole text is looked at again so often and for so long: whoever writes it is at it.
 pub const LOOKED_AGAIN: Duration = Duration::from_millis(20);
@@ -53,7 +54,7 @@
     pub log: String,
     /// Form of the log lines
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
-    pub log_form: LogForm,
+    pub log_form: LogFormat,
 }
 
 impl PlatformProgram {
@@ -109,7 +110,7 @@
             .first_configuration()
             .await
             .map_err(|fault| (fault.what, 2))?;
-        start_log(&program.log, program.log_form).map_err(|what| (what, 2))?;
+        init_logging(&program.log, program.log_form).map_err(|e| (e.to_string(), 2))?;
         serve(program, told, signals)
             .await
             .map_err(|what| (what, 1))
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -26,7 +26,8 @@
 use crate::reuse::Reuse;
 use crate::roster::{Listing, Roster};
 use crate::shutdown::{Shutdown, Step};
-use crate::{Clock, Configuration, Pauses};
+use crate::Configuration;
+use spokeflow_runtime::{Backoff, Clock};
 
 /// Arrivals that wait for the engine at most; a task whose arrival finds no room waits, and so does its peer.
 const ARRIVALS: usize = 4096;
@@ -303,7 +304,7 @@
         here.give(Input::FromDesk(FromDesk::News(news)));
     }
     let mut helpers = JoinSet::new();
-    let pauses = |way| Pauses::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
+    let backoff = |way| Backoff::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
     let (watching, hearing) = (core.clone(), core);
     helpers.spawn(
         Watching {
@@ -311,7 +312,7 @@
             clock: clock.clone(),
             core: watching,
             after,
-            pauses: pauses(0),
+            backoff: backoff(0),
         }
         .run(),
     );
@@ -320,7 +321,7 @@
             address: deployer_at,
             clock: clock.clone(),
             core: hearing,
-            pauses: pauses(1),
+            backoff: backoff(1),
         }
         .run(),
     );
@@ -337,7 +338,7 @@
     let mut reload: Option<Reload> = None;
     let (mut swept, mut looked) = (Instant::now(), Instant::now());
     loop {
-        let wake = clock.at(here.engine.next_wake());
+        let wake = clock.instant_at(here.engine.next_wake());
         let wake = shutdown
             .next_look(Instant::now())
             .map_or(wake, |look| look.min(wake));
@@ -346,7 +347,7 @@
             biased;
             _ = term.recv(), if !shutdown.begun() => {
                 info!(held = here.engine.held(), "router ends");
-                clock.end();
+                clock.begin_shutdown();
                 shutdown.begin(Instant::now());
             }
             _ = hup.recv() => reload = Some(Reload::asked(Instant::now())),
--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -34,18 +34,18 @@
 /// What a silent watch misses counts as told after 6 s, however often that happens and nothing changes meanwhile.
 #[test]
 fn a_watch_that_falls_silent_again_and_again_is_opened_anew_in_time() {
-    let mut pauses = Pauses::new(5, 0, FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(5, 0, FIRST_PAUSE, LONGEST_PAUSE);
     let mut failures = 0;
     for _ in 0..20 {
         failures = in_a_row(failures, true);
         assert!(
-            SILENCE + pauses.after(failures) < Duration::from_millis(5_500),
+            SILENCE + backoff.delay(failures) < Duration::from_millis(5_500),
             "{failures} in a row"
         );
     }
     let mut refused = 0;
     (0..20).for_each(|_| refused = in_a_row(refused, false));
-    assert!(pauses.after(refused) >= LONGEST_PAUSE / 2);
+    assert!(backoff.delay(refused) >= LONGEST_PAUSE / 2);
 }
 
 #[test]
@@ -97,13 +97,13 @@
     let (core, mut arrivals) = mpsc::channel(1);
     core.send(Arrival::ClientGone(0)).await.unwrap();
     let (moves, address) = watch::channel(addresses[0]);
-    let pauses = Pauses::new(1, 0, FIRST_PAUSE, LONGEST_PAUSE);
+    let backoff = Backoff::new(1, 0, FIRST_PAUSE, LONGEST_PAUSE);
     let watching = Watching {
         address,
         clock: Clock::starting_now(),
         core,
         after: 7,
-        pauses,
+        backoff,
     };
     tokio::spawn(watching.run());
     assert!(asks.recv().await.unwrap().contains("after=7 "));
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::Framed;
 use tracing::{debug, info};
 
-use spokeflow_platform::Clock;
+use spokeflow_runtime::Clock;
 
 use crate::arrival::Arrival;
 
@@ -50,7 +50,7 @@
         match fault {
             Ok(()) => debug!(conn = self.conn, "client closed"),
             Err(fault) => {
-                if let Some(kept_back) = self.clock.line() {
+                if let Some(kept_back) = self.clock.allow_log_line() {
                     info!(conn = self.conn, peer = %self.peer, kept_back, %fault, "client refused");
                 }
                 // A peer that reads nothing would not read this either.
@@ -139,7 +139,7 @@
         timeout(STALL, link.flush())
             .await
             .map_err(|_| FrameFault::TooSlow)??;
-        if self.clock.ending() {
+        if self.clock.is_shutting_down() {
             Ok(())
         } else {
             Err(FrameFault::TooSlow)
--- a/crates/spokeflow-router/src/desk.rs
+++ b/crates/spokeflow-router/src/desk.rs
@@ -25,7 +25,7 @@
 impl DeskLink {
     pub async fn run(mut self) {
         let mut failures = 0_u32;
-        let mut pauses = self.terms.pauses(DESK_WAY);
+        let mut backoff = self.terms.backoff(DESK_WAY);
         loop {
             let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
             let hello = ToDesk::Hello(self.terms.hello.clone());
@@ -61,7 +61,7 @@
                 return;
             }
             warn!(failures, %fault, "desk link lost");
-            sleep(pauses.after(failures.saturating_sub(1))).await;
+            sleep(backoff.delay(failures.saturating_sub(1))).await;
         }
     }
 
--- a/crates/spokeflow-router/src/hosts.rs
+++ b/crates/spokeflow-router/src/hosts.rs
@@ -17,7 +17,7 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, info};
 
-use spokeflow_platform::{Clock, Pauses};
+use spokeflow_runtime::{Backoff, Clock};
 
 use crate::arrival::Arrival;
 
@@ -55,9 +55,9 @@
 }
 
 impl LinkTerms {
-    /// Pauses of one of this router's ways, by its number.
-    pub fn pauses(&self, way: u64) -> Pauses {
-        Pauses::new(self.seed, way, self.first_pause, self.longest_pause)
+    /// Backoff of one of this router's ways, by its number.
+    pub fn backoff(&self, peer: u64) -> Backoff {
+        Backoff::new(self.seed, peer, self.first_pause, self.longest_pause)
     }
 }
 
@@ -85,7 +85,7 @@
 impl HostLink {
     pub async fn run(mut self) {
         let mut outgoing = Outgoing::default();
-        let mut pauses = self.terms.pauses(u64::from(self.host.0));
+        let mut backoff = self.terms.backoff(u64::from(self.host.0));
         let mut failures = 0_u32;
         let mut not_before = Instant::now();
         loop {
@@ -120,14 +120,14 @@
                             } else {
                                 failures + 1
                             };
-                            not_before = Instant::now() + pauses.after(failures.saturating_sub(1));
+                            not_before = Instant::now() + backoff.delay(failures.saturating_sub(1));
                         }
                     }
                 }
                 Err(fault) => {
-                    not_before = Instant::now() + pauses.after(failures);
+                    not_before = Instant::now() + backoff.delay(failures);
                     failures += 1;
-                    if let Some(kept_back) = self.clock.line() {
+                    if let Some(kept_back) = self.clock.allow_log_line() {
                         info!(
                             host = self.host.0,
                             failures, kept_back, fault, "host not connected"
@@ -286,7 +286,7 @@
                         }
                     }
                     Some(Err(fault)) => {
-                        if let Some(kept_back) = self.clock.line() {
+                        if let Some(kept_back) = self.clock.allow_log_line() {
                             info!(host = self.host.0, kept_back, %fault, "host connection broken");
                         }
                         break Ended::Broken;
@@ -306,7 +306,7 @@
                     }
                     // What the system still holds for a way that is cut would arrive when the cut ends, after
                     // hosts have forgotten the mark of a repeat: it is dropped with the connection.
-                    if let Some(kept_back) = self.clock.line() {
+                    if let Some(kept_back) = self.clock.allow_log_line() {
                         info!(host = self.host.0, kept_back, "the way to the host is silent: connection dropped");
                     }
                     let _ = writer.as_ref().set_zero_linger();
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/keepers.rs
@@ -11,8 +11,8 @@
 use spokeflow_coordination::{HostState, LeaseHolder, LeaseTerms, ListedHost, RevisionNo};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_platform::{Clock, Pauses};
 use spokeflow_proto::{FrameCodec, Line, LinePhase};
+use spokeflow_runtime::{Backoff, Clock};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout, Instant};
@@ -32,7 +32,7 @@
 pub struct KeeperLink {
     terms: RouterTerms,
     process: u64,
-    pauses: Pauses,
+    backoff: Backoff,
     clock: Arc<Clock>,
     core: mpsc::Sender<Arrival>,
     applied: watch::Receiver<RevisionNo>,
@@ -57,7 +57,7 @@
         core: mpsc::Sender<Arrival>,
         applied: watch::Receiver<RevisionNo>,
     ) -> Self {
-        let pauses = Pauses::new(
+        let backoff = Backoff::new(
             seed,
             KEEPER_WAY,
             Duration::from_millis(50),
@@ -69,7 +69,7 @@
         KeeperLink {
             terms,
             process,
-            pauses,
+            backoff,
             clock,
             core,
             applied,
@@ -97,12 +97,12 @@
             };
             let held = self.lease_holder.as_ref().and_then(LeaseHolder::until);
             failures = if held > before { 0 } else { failures + 1 };
-            if let Some(kept_back) = self.clock.line() {
+            if let Some(kept_back) = self.clock.allow_log_line() {
                 let left_us = held.map_or(0, |until| until - self.clock.now());
                 warn!(keeper = %address, why, failures, left_us, kept_back, "keeper left for the next");
             }
             turn += 1;
-            sleep(self.pauses.after(failures)).await;
+            sleep(self.backoff.delay(failures)).await;
         }
     }
 
--- a/crates/spokeflow-router/src/lib.rs
+++ b/crates/spokeflow-router/src/lib.rs
@@ -4,13 +4,13 @@
 //! path of a command takes a lock, writes to disk or waits for a peer.
 
 mod arrival;
-pub mod migrate;
 mod clients;
 mod desk;
 mod hosts;
 mod keepers;
 mod links;
 mod list;
+pub mod migrate;
 mod program;
 mod revision;
 mod serve;
@@ -22,5 +22,4 @@
 pub use revision::REVISABLE;
 pub use serve::{serve, Listening};
 pub use spokeflow_core::{Repeat, RepeatScope};
-pub use spokeflow_platform::start_log;
 pub use terms::{op_flag, Faults, NamedOp, RouterTerms, ServiceFlags};
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -28,7 +28,7 @@
 impl ListLink {
     pub async fn run(mut self) {
         let (mut failures, mut version) = (0_u32, None);
-        let mut pauses = self.terms.pauses(LIST_WAY);
+        let mut backoff = self.terms.backoff(LIST_WAY);
         let mut kept = Kept::default();
         loop {
             let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
@@ -62,7 +62,7 @@
                 return;
             }
             warn!(failures, %fault, "list link lost");
-            sleep(pauses.after(failures.saturating_sub(1))).await;
+            sleep(backoff.delay(failures.saturating_sub(1))).await;
         }
     }
 
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 
-use spokeflow_platform::start_log;
+use spokeflow_runtime::{init_logging, shutdown_signal};
 
 use crate::{serve, Listening, RouterTerms};
 
@@ -27,7 +27,7 @@
             .for_each(|fault| eprintln!("spokeflow-router: {fault}"));
         return ExitCode::from(2);
     }
-    if let Err(fault) = start_log(&terms.log, terms.log_form) {
+    if let Err(fault) = init_logging(&terms.log, terms.log_form) {
         eprintln!("spokeflow-router: {fault}");
         return ExitCode::from(2);
     }
@@ -45,7 +45,7 @@
     let ended = runtime.block_on(async {
         let listening = Listening::open(&terms).await?;
         println!("listening on {}", listening.address());
-        serve(terms, listening, ended_by_signal()).await
+        serve(terms, listening, shutdown_signal()).await
     });
     match ended {
         Ok(()) => ExitCode::SUCCESS,
@@ -55,14 +55,3 @@
         }
     }
 }
-
-async fn ended_by_signal() {
-    use tokio::signal::unix::{signal, SignalKind};
-    let Ok(mut term) = signal(SignalKind::terminate()) else {
-        return std::future::pending().await;
-    };
-    tokio::select! {
-        _ = term.recv() => {}
-        _ = tokio::signal::ctrl_c() => {}
-    }
-}
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -10,8 +10,8 @@
 use spokeflow_coordination::{AgreedTerms, RevisionNo};
 use spokeflow_core::{HostId, Micros};
 use spokeflow_engine::{Engine, Input, Links, Recording};
-use spokeflow_platform::Clock;
 use spokeflow_proto::{Hello, Role, ToClient, ToDesk, ToHost, ToList};
+use spokeflow_runtime::Clock;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::task::JoinSet;
@@ -288,12 +288,12 @@
     let mut end_by = None;
     let mut idle_since: Option<Instant> = None;
     loop {
-        let wake = clock.at(engine.next_wake());
+        let wake = clock.instant_at(engine.next_wake());
         tokio::select! {
             biased;
             _ = &mut ending, if end_by.is_none() => {
                 info!(held = engine.held(), "router ends: takes nothing new");
-                clock.end();
+                clock.begin_shutdown();
                 end_by = Some(Instant::now() + terms.shutdown_within);
                 accepting.abort();
                 batch.push(Arrival::Close);
@@ -395,7 +395,7 @@
             };
             // Without a place the connection is closed unheard: no command has been taken from it.
             let Ok(place) = self.places.clone().try_acquire_owned() else {
-                if let Some(kept_back) = self.clock.line() {
+                if let Some(kept_back) = self.clock.allow_log_line() {
                     warn!(%peer, kept_back, "as many clients as --clients-at-most: closed");
                 }
                 continue;
--- a/crates/spokeflow-router/src/terms.rs
+++ b/crates/spokeflow-router/src/terms.rs
@@ -9,7 +9,7 @@
 use spokeflow_core::{Gate, Micros, OpTerms, Repeat, RepeatScope, ServiceTerms, ZoneId};
 use spokeflow_engine::EngineTerms;
 
-use spokeflow_platform::LogForm;
+use spokeflow_runtime::LogFormat;
 
 pub(crate) fn span(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
@@ -232,7 +232,7 @@
     pub log: String,
     /// Form of the log
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
-    pub log_form: LogForm,
+    pub log_form: LogFormat,
     #[command(flatten)]
     pub service: ServiceFlags,
 }
--- /dev/null
+++ b/crates/spokeflow-runtime/tests/backoff.rs
@@ -0,0 +1,40 @@
+//! Delays between connection attempts: repeatable by seed, bounded, spread.
+
+use std::time::Duration;
+
+use spokeflow_runtime::Backoff;
+
+const FIRST: Duration = Duration::from_millis(50);
+const LONGEST: Duration = Duration::from_secs(1);
+
+fn delays(seed: u64, peer: u64) -> Vec<Duration> {
+    let mut backoff = Backoff::new(seed, peer, FIRST, LONGEST);
+    (0..20).map(|failures| backoff.delay(failures)).collect()
+}
+
+/// Drawn from the thread's generator, no start could be played again.
+#[test]
+fn equal_seeds_pause_alike_and_other_seeds_or_ways_do_not() {
+    assert_eq!(delays(7, 1), delays(7, 1));
+    assert_ne!(delays(7, 1), delays(8, 1));
+    assert_ne!(delays(7, 1), delays(7, 2));
+}
+
+#[test]
+fn they_grow_to_the_longest_and_spread_over_its_upper_half() {
+    for (n, delay) in delays(3, 0).into_iter().enumerate() {
+        let full = FIRST.saturating_mul(1 << n.min(16)).min(LONGEST);
+        assert!(delay >= full / 2 && delay <= full, "{delay:?} after {n}");
+    }
+    // Three hundred routers that lose the same peer: no twentieth of a second sees a fifth of them return.
+    let mut at: Vec<u32> = (0..300)
+        .map(|seed| delays(seed, 1)[8].as_millis() as u32 / 50)
+        .collect();
+    at.sort_unstable();
+    let most = at
+        .chunk_by(|a, b| a == b)
+        .map(<[u32]>::len)
+        .max()
+        .unwrap_or(0);
+    assert!(most < 60, "{most} at once");
+}
--- a/crates/spokeflow-simulator/src/pair.rs
+++ b/crates/spokeflow-simulator/src/pair.rs
@@ -1,5 +1,5 @@
 //! One router's connection to one host, as `spokeflow-router` keeps it: made when there is work, made anew with
-//! growing pauses, dropped when the way is silent.
+//! growing backoff, dropped when the way is silent.
 
 use spokeflow_scenario::{Micros, MS, SECOND};
 
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_coordination::RevisionNo;
 use spokeflow_engine::Input;
-use spokeflow_platform::{start_log, Clock, LogForm};
 use spokeflow_proto::{Line, LinePhase};
 use spokeflow_router::{Arrival, KeeperLink, RouterTerms};
+use spokeflow_runtime::{init_logging, Clock, LogFormat};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -187,7 +187,7 @@
 
 /// Runs hollow routers until standard input ends. Exit code 0: it has ended; 1: cannot start; 2: settings that do not fit.
 pub fn hollow(flags: &HollowFlags) -> ExitCode {
-    if let Err(fault) = start_log(&flags.log, LogForm::Text) {
+    if let Err(fault) = init_logging(&flags.log, LogFormat::Text) {
         eprintln!("spokeflow-testbed hollow: {fault}");
         return ExitCode::from(2);
     }
