--- /dev/null
+++ b/crates/spokeflow-config/src/lib.rs
@@ -0,0 +1,17 @@
+//! The configuration that all routers of a service share: its flags and environment variables ([`ServiceFlags`]), what
+//! of them a replicated revision may change ([`REVISABLE`]), and one check of both. No I/O.
+//!
+//! The router reads the flags at start and applies revisions to them; the control plane checks a proposed revision with
+//! [`check_overrides`] before it is replicated.
+
+mod duration;
+mod error;
+mod operation;
+mod revision;
+mod service;
+
+pub use duration::parse_duration;
+pub use error::ConfigErrors;
+pub use operation::{OperationFlag, OperationFlagError};
+pub use revision::{check_overrides, REVISABLE};
+pub use service::{GateFlag, ServiceFlags};
--- /dev/null
+++ b/crates/spokeflow-config/src/operation.rs
@@ -0,0 +1,143 @@
+//! An operation of the service as the text of one flag.
+
+use std::fmt;
+use std::str::FromStr;
+use std::time::Duration;
+
+use spokeflow_core::{Repeat, RepeatScope};
+
+use crate::parse_duration;
+
+/// An operation and what the service promises of it:
+/// `NAME:REPEAT:target=TIME:timeout=TIME:importance=NUMBER[:memory=TIME][:streamed]`.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OperationFlag {
+    /// Name of the operation, unique in the service.
+    pub name: String,
+    /// Whether a command may be delivered again.
+    pub repeat: Repeat,
+    /// Which hosts recognise a repeated delivery.
+    pub scope: RepeatScope,
+    /// How long a host recognises a repeated delivery (`memory=`).
+    pub memory: Duration,
+    /// The latency objective (`target=`).
+    pub target: Duration,
+    /// The client's deadline (`timeout=`).
+    pub timeout: Duration,
+    /// Weight against other operations, above 0.
+    pub importance: f64,
+    /// Whether responses are streamed.
+    pub streamed: bool,
+}
+
+/// The text of an operation's flag cannot be parsed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum OperationFlagError {
+    /// The text starts with a colon, or is empty.
+    #[error("the name is missing")]
+    NameMissing,
+    /// The second part names no known kind of repetition.
+    #[error("'{0}' is not redeliverable, at-most-once or deduplicated/SCOPE")]
+    Repeat(String),
+    /// A duration cannot be parsed.
+    #[error("{0}")]
+    Duration(String),
+    /// `importance=` is not a number.
+    #[error("'{0}': not a number")]
+    Importance(String),
+    /// A part is none of the known ones.
+    #[error("'{0}' is not target=, timeout=, memory=, importance= or streamed")]
+    Part(String),
+}
+
+impl OperationFlag {
+    fn named(name: &str, repeat: Repeat, scope: RepeatScope) -> Self {
+        OperationFlag {
+            name: name.to_string(),
+            repeat,
+            scope,
+            memory: Duration::ZERO,
+            target: Duration::ZERO,
+            timeout: Duration::ZERO,
+            importance: 1.0,
+            streamed: false,
+        }
+    }
+
+    fn apply(&mut self, part: &str) -> Result<(), OperationFlagError> {
+        let duration = |text| parse_duration(text).map_err(OperationFlagError::Duration);
+        let (key, value) = part.split_once('=').unwrap_or((part, ""));
+        match key {
+            "target" => self.target = duration(value)?,
+            "timeout" => self.timeout = duration(value)?,
+            "memory" => self.memory = duration(value)?,
+            "importance" => {
+                let number = value.parse();
+                self.importance =
+                    number.map_err(|_| OperationFlagError::Importance(part.to_string()))?;
+            }
+            "streamed" if value.is_empty() => self.streamed = true,
+            _ => return Err(OperationFlagError::Part(part.to_string())),
+        }
+        Ok(())
+    }
+}
+
+fn parse_repeat(text: &str) -> Result<(Repeat, RepeatScope), OperationFlagError> {
+    Ok(match text {
+        "redeliverable" => (Repeat::Redeliverable, RepeatScope::Unknown),
+        "at-most-once" => (Repeat::AtMostOnce, RepeatScope::Unknown),
+        "deduplicated/all" => (Repeat::Deduplicated, RepeatScope::All),
+        "deduplicated/zone" => (Repeat::Deduplicated, RepeatScope::Zone),
+        "deduplicated/cell" => (Repeat::Deduplicated, RepeatScope::Cell),
+        "deduplicated/host" => (Repeat::Deduplicated, RepeatScope::Unknown),
+        other => return Err(OperationFlagError::Repeat(other.to_string())),
+    })
+}
+
+fn repeat_text(repeat: Repeat, scope: RepeatScope) -> &'static str {
+    match (repeat, scope) {
+        (Repeat::Redeliverable, _) => "redeliverable",
+        (Repeat::AtMostOnce, _) => "at-most-once",
+        (Repeat::Deduplicated, RepeatScope::All) => "deduplicated/all",
+        (Repeat::Deduplicated, RepeatScope::Zone) => "deduplicated/zone",
+        (Repeat::Deduplicated, RepeatScope::Cell) => "deduplicated/cell",
+        (Repeat::Deduplicated, RepeatScope::Unknown) => "deduplicated/host",
+    }
+}
+
+impl FromStr for OperationFlag {
+    type Err = OperationFlagError;
+
+    fn from_str(text: &str) -> Result<Self, OperationFlagError> {
+        let mut parts = text.split(':');
+        let name = parts.next().filter(|name| !name.is_empty());
+        let name = name.ok_or(OperationFlagError::NameMissing)?;
+        let (repeat, scope) = parse_repeat(parts.next().unwrap_or_default())?;
+        let mut operation = OperationFlag::named(name, repeat, scope);
+        for part in parts {
+            operation.apply(part)?;
+        }
+        Ok(operation)
+    }
+}
+
+/// The flag's text, durations in whole microseconds.
+impl fmt::Display for OperationFlag {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            f,
+            "{}:{}:target={}us:timeout={}us:memory={}us:importance={}",
+            self.name,
+            repeat_text(self.repeat, self.scope),
+            self.target.as_micros(),
+            self.timeout.as_micros(),
+            self.memory.as_micros(),
+            self.importance,
+        )?;
+        if self.streamed {
+            f.write_str(":streamed")?;
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/spokeflow-config/src/revision.rs
@@ -0,0 +1,131 @@
+//! Overrides of the service flags by a replicated revision: values by flag name, parsed and checked as the flags are.
+
+use std::str::FromStr;
+
+use clap::Parser;
+use spokeflow_coordination::Values;
+
+use crate::service::parse_customer;
+use crate::{parse_duration, ConfigErrors, ServiceFlags};
+
+/// Flags that a revision may name. The others need new processes: what was counted under them cannot be counted anew.
+pub const REVISABLE: [&str; 14] = [
+    "customer",
+    "fleet-size",
+    "delivery-cap",
+    "side-by-side",
+    "longest-return",
+    "drain-grace",
+    "cold-from",
+    "fall-multiple",
+    "stage-cap",
+    "exposure-free",
+    "guarded-stages",
+    "complaint-share",
+    "back-votes",
+    "votes-a-second",
+];
+
+/// The flags on which a revision is checked where those of the routers are not known: defaults and one operation.
+#[derive(Parser)]
+struct BaseFlags {
+    #[command(flatten)]
+    service: ServiceFlags,
+}
+
+const BASE_ARGUMENTS: [&str; 2] = ["check", "--op=any:redeliverable:target=1s:timeout=60s"];
+
+fn parse_number<T: FromStr>(text: &str) -> Result<T, String> {
+    text.trim()
+        .parse()
+        .map_err(|_| format!("'{text}' is not such a number"))
+}
+
+fn parse_list<T>(text: &str, parse: impl Fn(&str) -> Result<T, String>) -> Result<Vec<T>, String> {
+    text.split(',').map(|part| parse(part.trim())).collect()
+}
+
+/// Checks each value by itself and together with the defaults of what is not named. A router checks again, together
+/// with its own flags, before it acts on it.
+///
+/// # Errors
+///
+/// Every fault, one a line, naming the flag.
+pub fn check_overrides(values: &Values) -> Result<(), ConfigErrors> {
+    let base = BaseFlags::try_parse_from(BASE_ARGUMENTS)
+        .expect("the base flags are complete")
+        .service;
+    let mut errors = ConfigErrors::default();
+    let mut flags = base.with_overrides(values, &mut errors);
+    flags.assume_unnamed_fits(values);
+    flags.check(&mut errors);
+    errors.or_value(())
+}
+
+impl ServiceFlags {
+    /// These flags with a revision's values in place of their own, checked.
+    ///
+    /// # Errors
+    ///
+    /// Every fault, one a line, naming the flag.
+    pub fn revised(&self, values: &Values) -> Result<ServiceFlags, ConfigErrors> {
+        let mut errors = ConfigErrors::default();
+        let flags = self.with_overrides(values, &mut errors);
+        let same_customers = flags.customer_names().eq(self.customer_names());
+        errors.check(
+            !same_customers,
+            "customer",
+            "not the customers that this router was started with, in their order",
+        );
+        flags.check(&mut errors);
+        errors.or_value(flags)
+    }
+
+    fn customer_names(&self) -> impl Iterator<Item = &str> {
+        self.customers.iter().map(|(name, _)| name.as_str())
+    }
+
+    fn with_overrides(&self, values: &Values, errors: &mut ConfigErrors) -> ServiceFlags {
+        let mut flags = self.clone();
+        for (name, text) in values {
+            if let Err(fault) = flags.apply_override(name, text) {
+                errors.check(true, name, fault);
+            }
+        }
+        flags
+    }
+
+    fn apply_override(&mut self, name: &str, text: &str) -> Result<(), String> {
+        match name {
+            "customer" => self.customers = parse_list(text, parse_customer)?,
+            "fleet-size" => self.fleet_size = parse_number(text)?,
+            "delivery-cap" => self.delivery_cap = parse_number(text)?,
+            "side-by-side" => self.side_by_side = parse_number(text)?,
+            "longest-return" => self.longest_return = parse_duration(text)?,
+            "drain-grace" => self.drain_grace = parse_duration(text)?,
+            "cold-from" => self.cold_from = parse_number(text)?,
+            "fall-multiple" => self.fall_multiple = parse_number(text)?,
+            "stage-cap" => self.stage_caps = parse_list(text, parse_number)?,
+            "exposure-free" => self.exposure_free = parse_number(text)?,
+            "guarded-stages" => self.guarded_stages = parse_number(text)?,
+            "complaint-share" => self.complaint_share = parse_number(text)?,
+            "back-votes" => self.back_votes = parse_number(text)?,
+            "votes-a-second" => self.votes_a_second = parse_number(text)?,
+            _ => return Err("cannot be changed while routers run".into()),
+        }
+        Ok(())
+    }
+
+    /// Takes what `values` does not name to fit what it names.
+    fn assume_unnamed_fits(&mut self, values: &Values) {
+        if !values.contains_key("fleet-size") {
+            self.fleet_size = u32::MAX;
+        }
+        if values.contains_key("stage-cap") {
+            self.stage_shares.clone_from(&self.stage_caps);
+        } else if values.contains_key("guarded-stages") {
+            self.stage_caps = vec![1.0; usize::from(self.guarded_stages)];
+            self.stage_shares.clone_from(&self.stage_caps);
+        }
+    }
+}
--- a/crates/spokeflow-control-plane/src/lib.rs
+++ b/crates/spokeflow-control-plane/src/lib.rs
@@ -4,7 +4,6 @@
 mod arrival;
 pub mod ask;
 mod calls;
-pub mod check;
 mod list;
 mod peers;
 mod program;
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -7,13 +7,14 @@
 
 use clap::{Args, Parser};
 use rand::RngExt;
+use spokeflow_config::check_overrides;
 use spokeflow_coordination::wire::Common;
 use spokeflow_coordination::{KeeperTerms, LeaseTerms};
 use spokeflow_core::Micros;
 use spokeflow_raft::{KeeperId, QuorumTerms};
 use spokeflow_runtime::{init_logging, LogFormat};
 
-use crate::{check, serve, Store, Where, WHERES};
+use crate::{serve, Store, Where, WHERES};
 
 fn span(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
@@ -176,7 +177,7 @@
                 .iter()
                 .map(|m| (KeeperId(m.0), m.1.to_string()))
                 .collect(),
-            check: check::values,
+            check: |values| check_overrides(values).map_err(|errors| errors.to_string()),
         }
     }
 
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -8,8 +8,8 @@
 use comfy_table::Table;
 use rand::RngExt;
 use serde::Serialize;
+use spokeflow_config::check_overrides;
 use spokeflow_control_plane::ask::ask;
-use spokeflow_control_plane::check;
 use spokeflow_coordination::wire::{Answer, Ask, View};
 use spokeflow_coordination::{Offer, RevisionNo, Values, Verdict};
 use spokeflow_raft::KeeperId;
@@ -266,7 +266,7 @@
         }
         What::Check { values } => {
             let values = read(&values)?;
-            check::values(&values).map_err(Fault::Refused)?;
+            check_overrides(&values).map_err(|errors| Fault::Refused(errors.to_string()))?;
             common.print(&values, || {
                 "each value fits by itself; each router checks them with its own flags".into()
             })
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -4,9 +4,9 @@
 use std::process::{Command, Output};
 
 use clap::Parser;
+use spokeflow_config::ServiceFlags;
 use spokeflow_control_plane::KeeperFlags;
 use spokeflow_experiments::capacity::{evidence, limits, read_records, Target};
-use spokeflow_router::ServiceFlags;
 
 const TARGET: &str = "docs/capacity/target.toml";
 const SLOPES: &str = "docs/capacity/slopes.json";
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/keepers.rs
@@ -235,13 +235,14 @@
                     .await
                     .is_ok()
             }
-            Err(faults) => {
+            Err(errors) => {
                 // The lease binds to a revision that this router cannot act on: it acts on none.
                 if self.misfit != revision {
                     self.misfit = revision;
                     warn!(
                         revision = revision.0,
-                        faults, "a revision does not fit: no lease is acted on"
+                        errors = errors.to_string(),
+                        "a revision does not fit: no lease is acted on"
                     );
                 }
                 true
--- a/crates/spokeflow-router/src/lib.rs
+++ b/crates/spokeflow-router/src/lib.rs
@@ -12,14 +12,11 @@
 mod list;
 pub mod migrate;
 mod program;
-mod revision;
 mod serve;
 mod terms;
 
 pub use arrival::Arrival;
 pub use keepers::KeeperLink;
 pub use program::{main_with, RouterProgram};
-pub use revision::REVISABLE;
 pub use serve::{serve, Listening};
-pub use spokeflow_core::{Repeat, RepeatScope};
-pub use terms::{op_flag, Faults, NamedOp, RouterTerms, ServiceFlags};
+pub use terms::RouterTerms;
--- a/crates/spokeflow-router/src/migrate.rs
+++ b/crates/spokeflow-router/src/migrate.rs
@@ -221,7 +221,7 @@
     };
     terms
         .check()
-        .map_err(|f| CarryFaults(f.0.iter().map(named).collect()))?;
+        .map_err(|f| CarryFaults(f.lines().iter().map(named).collect()))?;
     Ok(terms)
 }
 
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -20,9 +20,9 @@
 /// Runs the router until SIGTERM or SIGINT. Exit code 0: ended as asked; 1: could not go on; 2: bad terms.
 pub fn main_with(program: RouterProgram) -> ExitCode {
     let terms = program.terms;
-    if let Err(faults) = terms.check() {
-        faults
-            .0
+    if let Err(errors) = terms.check() {
+        errors
+            .lines()
             .iter()
             .for_each(|fault| eprintln!("spokeflow-router: {fault}"));
         return ExitCode::from(2);
--- /dev/null
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -0,0 +1,91 @@
+//! The router's flags: what they become, and how faults in them are told.
+
+use clap::Parser;
+use spokeflow_core::Repeat;
+use spokeflow_router::RouterTerms;
+
+#[derive(Parser)]
+struct Line {
+    #[command(flatten)]
+    terms: RouterTerms,
+}
+
+fn read(more: &[&str]) -> Result<RouterTerms, String> {
+    let base = [
+        "router",
+        "--list=127.0.0.1:1",
+        "--desk=127.0.0.1:2",
+        "--op=set-threshold:redeliverable:target=1.2s:timeout=4s:importance=2",
+        "--op=close-trip:at-most-once:target=2s:timeout=6s:importance=3",
+    ];
+    let line = Line::try_parse_from(base.iter().chain(more)).map_err(|e| e.to_string())?;
+    line.terms
+        .check()
+        .map(|()| line.terms)
+        .map_err(|f| f.to_string())
+}
+
+#[test]
+fn good_terms_become_the_modules() {
+    let terms = read(&[
+        "--customer=a=25,b=3.5",
+        "--forward-only",
+        "--answer-margin=20ms",
+    ])
+    .unwrap()
+    .engine();
+    assert_eq!(terms.service.ops[1].repeat, Repeat::AtMostOnce);
+    assert_eq!(terms.service.ops[0].service_target, 1_200_000);
+    assert_eq!(terms.service.shares, [25.0, 3.5]);
+    assert_eq!(terms.answer_margin, 20_000);
+    assert!(terms.service.forward_only && terms.service.rolling);
+}
+
+#[test]
+fn each_fault_is_one_line_that_names_its_flag() {
+    let faults = read(&[
+        "--stage-cap=0.5,0.2",
+        "--cold-from=0",
+        "--index=4",
+        "--vote-wait=20s",
+        "--shutdown-within=1s",
+        "--op=odd:deduplicated/zone:target=1s:timeout=500ms",
+        "--op=brief:deduplicated/all:target=1s:timeout=2s:memory=800ms",
+    ])
+    .unwrap_err();
+    let lines: Vec<&str> = faults.lines().collect();
+    let flags = [
+        "op: op type 'odd'",
+        "op: op type 'odd'",
+        "cold-from",
+        "stage-cap",
+        "stage-cap",
+        "vote-wait",
+        "index",
+    ];
+    for (n, flag) in flags.iter().enumerate() {
+        assert!(lines[n].starts_with(&format!("--{flag}")), "{n}: {faults}");
+    }
+    assert!(
+        lines.last().unwrap().starts_with("--shutdown-within"),
+        "{faults}"
+    );
+    assert!(
+        faults.contains("--way-timeout: not shorter than memory="),
+        "{faults}"
+    );
+    assert_eq!(lines.len(), 9, "{faults}");
+}
+
+#[test]
+fn what_cannot_be_read_is_said_at_once() {
+    assert!(read(&["--drain-grace=soon"])
+        .unwrap_err()
+        .contains("--drain-grace"));
+    assert!(read(&["--op=x:sometimes"])
+        .unwrap_err()
+        .contains("'sometimes' is not"));
+    assert!(read(&["--customer=x"])
+        .unwrap_err()
+        .contains("NAME=COMMANDS_A_SECOND"));
+}
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -11,7 +11,8 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-use spokeflow_router::{op_flag, NamedOp};
+use spokeflow_config::OperationFlag;
+use spokeflow_core::RepeatScope;
 
 use spokeflow_scenario::scenario::{Gate, Repeat, Scenario};
 
@@ -247,21 +248,21 @@
     for op in &day.ops {
         let micros = |t: Micros| Duration::from_micros(t as u64);
         let (repeat, memory) = match op.repeat {
-            Repeat::Redeliverable => (spokeflow_router::Repeat::Redeliverable, 0),
-            Repeat::Deduplicated(memory) => (spokeflow_router::Repeat::Deduplicated, memory),
-            Repeat::AtMostOnce => (spokeflow_router::Repeat::AtMostOnce, 0),
+            Repeat::Redeliverable => (spokeflow_core::Repeat::Redeliverable, 0),
+            Repeat::Deduplicated(memory) => (spokeflow_core::Repeat::Deduplicated, memory),
+            Repeat::AtMostOnce => (spokeflow_core::Repeat::AtMostOnce, 0),
         };
-        let op = NamedOp {
+        let op = OperationFlag {
             name: op.name.to_string(),
             repeat,
-            scope: spokeflow_router::RepeatScope::All,
+            scope: RepeatScope::All,
             memory: micros(memory),
             target: micros(op.target),
             timeout: micros(op.timeout),
             importance: op.importance,
             streamed: false,
         };
-        flags.push(format!("--op={}", op_flag(&op)));
+        flags.push(format!("--op={}", op));
     }
     flags.extend(
         day.customers
