--- /dev/null
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -0,0 +1,230 @@
+//! A router's recording that commit d62ab1d wrote, read by the present code.
+//!
+//! `fixtures/d62ab1d/router.recording` is what `spokeflow-router --record` of that commit wrote in
+//! five seconds: it followed three keepers for its service terms and its host list, took five
+//! commands from one client, delivered them to two hosts, and was ended by SIGTERM.
+
+use bytes::Bytes;
+use spokeflow_agreed::AgreedTerms;
+use spokeflow_core::Micros;
+use spokeflow_engine::{Input, Recording, RecordingFault};
+use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding};
+
+const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
+
+/// All inputs but those that only let time pass.
+fn inputs() -> Vec<(Micros, Input)> {
+    let (seed, start, inputs, fault) = Recording::read(RECORDING);
+    assert_eq!((seed, start, inputs.len(), fault), (62, 30, 278, None));
+    inputs
+        .into_iter()
+        .filter(|(_, input)| *input != Input::Wake)
+        .collect()
+}
+
+/// The times of those inputs for which `wanted` answers, with its answers.
+fn of_kind<Content>(wanted: impl Fn(Input) -> Option<Content>) -> Vec<(Micros, Content)> {
+    let answered = inputs()
+        .into_iter()
+        .filter_map(|(at, input)| Some((at, wanted(input)?)));
+    answered.collect()
+}
+
+fn line(host: u32, place: u16, phase: LinePhase, up_us: Option<u64>) -> Line {
+    Line {
+        host,
+        address: format!("127.0.0.1:{}", 27931 + u32::from(place)),
+        build: Some(7),
+        cell: 11 + place,
+        zone: place,
+        phase,
+        incarnation: 41 + u64::from(place),
+        up_us,
+    }
+}
+
+/// Three hosts, with the times since their starts, of which the second's is long ago.
+fn lines(first_up_us: u64, third_up_us: u64) -> Vec<Line> {
+    vec![
+        line(301, 0, LinePhase::Ready, Some(first_up_us)),
+        line(302, 1, LinePhase::Ready, None),
+        line(303, 2, LinePhase::Draining, Some(third_up_us)),
+    ]
+}
+
+/// The terms that the router's own flags said.
+fn own_terms() -> AgreedTerms {
+    AgreedTerms {
+        shares: vec![50.0],
+        fleet_size: 1,
+        delivery_cap: 4,
+        side_by_side: false,
+        longest_return: 2_000_000,
+        drain_grace: 1_000_000,
+        cold_from: 0.3,
+        fall_multiple: 3.0,
+        stage_caps: vec![0.07, 0.28, 0.7, 1.0],
+        exposure_free: 1.0,
+        guarded_stages: 0,
+        complaint_share: 0.0,
+        back_votes: 0,
+        votes_a_second: f64::INFINITY,
+    }
+}
+
+fn second_revision() -> AgreedTerms {
+    AgreedTerms {
+        delivery_cap: 3,
+        stage_caps: vec![0.02, 0.1, 0.4, 1.0],
+        ..own_terms()
+    }
+}
+
+fn acked(delivery: u64, host: u32) -> FromHost {
+    FromHost::Acked {
+        delivery,
+        body: Bytes::from(format!("done by {host}")),
+    }
+}
+
+#[test]
+fn commands_of_the_client_are_read() {
+    let commands = of_kind(|input| match input {
+        Input::Command { conn, command } => Some((conn, command)),
+        _ => None,
+    });
+    let expected = (1..=5).map(|n| {
+        let body = Bytes::from(format!("command {n}"));
+        let (op, key, mark) = ((n % 2) as u16, 9000 + n, 500 + n);
+        (
+            1,
+            Command {
+                id: 100 + n,
+                op,
+                share: 0,
+                key,
+                mark,
+                left_us: 1_500_000,
+                body,
+            },
+        )
+    });
+    assert!(commands
+        .iter()
+        .map(|command| command.1.clone())
+        .eq(expected));
+    let times: Vec<Micros> = commands.iter().map(|command| command.0).collect();
+    assert_eq!(
+        times,
+        [1_505_534, 1_556_752, 1_607_287, 1_664_488, 1_714_954]
+    );
+}
+
+#[test]
+fn the_end_of_the_client_is_read() {
+    let all = inputs();
+    let leave = all
+        .iter()
+        .find(|(_, input)| matches!(input, Input::Leave { .. }))
+        .unwrap();
+    assert_eq!(leave, &(1_791_988, Input::Leave { conn: 1, id: 105 }));
+    assert!(all.contains(&(1_967_827, Input::ClientGone { conn: 1 })));
+    assert!(all.contains(&(5_065_730, Input::Close)));
+}
+
+#[test]
+fn answers_of_hosts_are_read() {
+    let heard = of_kind(|input| match input {
+        Input::FromHost { host, message } => Some((host, message)),
+        _ => None,
+    });
+    let heard: Vec<(u32, FromHost)> = heard.into_iter().map(|message| message.1).collect();
+    let welcome = |host, incarnation| FromHost::Welcome {
+        host,
+        build: 7,
+        incarnation,
+        up_us: 9_500_000,
+    };
+    let expected = [
+        (302, welcome(302, 42)),
+        (302, acked(0, 302)),
+        (302, acked(1, 302)),
+        (301, welcome(301, 41)),
+        (301, acked(2, 301)),
+        (302, acked(3, 302)),
+        (302, acked(4, 302)),
+    ];
+    assert_eq!(heard, expected);
+}
+
+#[test]
+fn what_list_and_desk_said_is_read() {
+    let all = inputs();
+    let whole = FromList::Whole {
+        version: 77,
+        lines: lines(9_000_000, 5_000_000),
+    };
+    assert!(all.contains(&(6_383, Input::FromList(whole))));
+    let standing = NewsStanding::Released;
+    let news = News {
+        build: 7,
+        stage: 0,
+        standing,
+        cap: 1.0,
+        age_us: 123_456,
+    };
+    assert!(all.contains(&(6_407, Input::FromDesk(FromDesk::News(news)))));
+}
+
+#[test]
+fn lists_from_the_keepers_are_read() {
+    let lists = of_kind(|input| match input {
+        Input::AgreedList { whole, hosts } => Some((whole, hosts)),
+        _ => None,
+    });
+    let first = (1_140, (false, Vec::new()));
+    let second = (7_795, (true, lines(10_920_152, 6_920_152)));
+    assert_eq!(lists, [first, second]);
+}
+
+#[test]
+fn terms_from_the_keepers_are_read() {
+    let agreed = of_kind(|input| match input {
+        Input::Agreed { until, terms } => Some((until, *terms)),
+        _ => None,
+    });
+    assert_eq!(agreed.len(), 9);
+    assert_eq!(agreed[0], (1_129, (1_129, own_terms())));
+    assert_eq!(agreed[1], (7_838, (2_977_496, second_revision())));
+    // Of revisions 3 (in force) and 4 (announced) the stricter value of each.
+    let last = AgreedTerms {
+        delivery_cap: 2,
+        guarded_stages: 1,
+        ..second_revision()
+    };
+    assert_eq!(agreed[8], (4_968_011, (7_937_449, last)));
+}
+
+#[test]
+fn the_inputs_are_written_as_before() {
+    let (seed, start, inputs, _) = Recording::read(RECORDING);
+    let entries = inputs
+        .iter()
+        .flat_map(|(at, input)| Recording::entry(*at, input));
+    let written: Vec<u8> = Recording::head(seed, start)
+        .into_iter()
+        .chain(entries)
+        .collect();
+    assert_eq!(written, RECORDING);
+}
+
+#[test]
+fn a_changed_byte_is_found() {
+    let mut changed = RECORDING.to_vec();
+    changed[4_000] ^= 1;
+    let fault = Recording::read(&changed).3;
+    assert!(
+        matches!(fault, Some(RecordingFault::Torn { .. })),
+        "{fault:?}"
+    );
+}
