--- /dev/null
+++ b/crates/spokeflow-keeper/tests/stored_by_start.rs
@@ -0,0 +1,245 @@
+//! Stores of keepers that commit d62ab1d wrote, opened by the present code.
+//!
+//! `fixtures/d62ab1d` holds the store files of the three keepers of fleet 62. They had been started
+//! twice, agreed on five revisions and on a list of three hosts, and were ended by SIGTERM.
+//! `status.json` and `history.json` are what `spokeflow-fleet status --json` and `history --json` of
+//! that commit printed just before. `keeper-1-with-snapshot.redb` is the store of keeper 1 after 500
+//! more entries, which made it take a snapshot, and a sixth revision; `status-with-snapshot.json` is
+//! the status just before its end.
+
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
+
+use spokeflow_agreed::wire::{Answer, Ask, View};
+use spokeflow_agreed::{Act, Ledger, ListNo, Record, RevisionNo, Values, Verdict};
+use spokeflow_keeper::ask::ask;
+use spokeflow_keeper::Store;
+use spokeflow_quorum::{Body, KeeperId, Place, Saved, Term};
+
+const FLEET: u64 = 62;
+const STATUS: &str = include_str!("fixtures/d62ab1d/status.json");
+const HISTORY: &str = include_str!("fixtures/d62ab1d/history.json");
+const STATUS_WITH_SNAPSHOT: &str = include_str!("fixtures/d62ab1d/status-with-snapshot.json");
+/// The number that the process of a test gives to the store that it opens.
+const OWN_PROCESS: u64 = 4242;
+/// The stale offer, which was refused, had this token.
+const STALE_TOKEN: u64 = 16872578440122145327;
+
+/// A copy of a store file for one test, since opening a store writes to it.
+fn copy_of(store: &str, test: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join("stored_by_start")
+        .join(test);
+    std::fs::create_dir_all(&folder).unwrap();
+    let copy = folder.join(store);
+    let fixtures = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/d62ab1d");
+    std::fs::copy(fixtures.join(store), &copy).unwrap();
+    copy
+}
+
+fn status() -> View {
+    serde_json::from_str(STATUS).unwrap()
+}
+
+fn status_with_snapshot() -> View {
+    serde_json::from_str(STATUS_WITH_SNAPSHOT).unwrap()
+}
+
+fn keepers() -> [KeeperId; 3] {
+    [1, 2, 3].map(KeeperId)
+}
+
+fn values(named: &[(&str, &str)]) -> Values {
+    let owned = named
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.to_string()));
+    owned.collect()
+}
+
+/// The state after all that was stored.
+fn ledger_of(saved: &Saved) -> Ledger {
+    let mut ledger = match saved.snapshot.upto {
+        Place(0) => Ledger::default(),
+        _ => Ledger::restore(&saved.snapshot.state).unwrap(),
+    };
+    for entry in &saved.log {
+        if let Body::Act(bytes) = &entry.body {
+            ledger.apply(Act::read(bytes).expect("an act of this version"));
+        }
+    }
+    ledger
+}
+
+/// What the start build printed of its state is what the stored state says.
+fn check_ledger(ledger: &Ledger, printed: &View) {
+    assert_eq!(ledger.in_force, printed.in_force);
+    assert_eq!(ledger.announced, printed.announced);
+    assert!(ledger.history.iter().eq(&printed.history));
+    assert_eq!(ledger.list.version, ListNo(printed.list));
+    assert_eq!(ledger.list.source, printed.list_source);
+    assert_eq!(ledger.list.hosts().count() as u64, printed.hosts);
+}
+
+fn check_store_of(keeper: KeeperId) {
+    let file = copy_of(&format!("keeper-{}.redb", keeper.0), "each_store");
+    let (store, saved, start, processes) =
+        Store::open(&file, FLEET, keeper, None, OWN_PROCESS).unwrap();
+    assert_eq!((start, processes.len()), (3, 3));
+    assert_eq!(processes[2], OWN_PROCESS);
+    let met = store.starts().unwrap();
+    let met: Vec<(KeeperId, u64)> = met.iter().map(|(other, start)| (*other, start.0)).collect();
+    let others = keepers().into_iter().filter(|other| *other != keeper);
+    assert_eq!(met, others.map(|other| (other, 2)).collect::<Vec<_>>());
+    assert_eq!(
+        (saved.term, saved.voted),
+        (status().term, Some(status().leader))
+    );
+    assert_eq!(saved.log.len() as u64, status().committed.0);
+    check_ledger(&ledger_of(&saved), &status());
+    assert_eq!(
+        ledger_of(&saved).verdict(STALE_TOKEN),
+        Some(Verdict::Stale {
+            newest: RevisionNo(5)
+        })
+    );
+}
+
+#[test]
+fn each_store_holds_what_the_start_build_printed() {
+    keepers().into_iter().for_each(check_store_of);
+}
+
+#[test]
+fn the_processes_that_keepers_met_are_those_that_the_stores_say() {
+    let newest = keepers().map(|keeper| {
+        let file = copy_of(&format!("keeper-{}.redb", keeper.0), "processes");
+        let opened = Store::open(&file, FLEET, keeper, None, OWN_PROCESS).unwrap();
+        (keeper, (2, opened.3[1]), opened.0.starts().unwrap())
+    });
+    for (keeper, _, met) in &newest {
+        let others = newest.iter().filter(|other| other.0 != *keeper);
+        assert!(met
+            .iter()
+            .copied()
+            .eq(others.map(|other| (other.0, other.1))));
+    }
+}
+
+#[test]
+fn printed_status_and_history_are_read_as_they_were_meant() {
+    let view = status();
+    assert_eq!(
+        (view.leader, view.term, view.committed),
+        (KeeperId(2), Term(3), Place(15))
+    );
+    assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
+    assert_eq!(view.members, keepers());
+    let history: Vec<Record> = serde_json::from_str(HISTORY).unwrap();
+    assert_eq!(history, view.history);
+    assert!(history.iter().map(|r| r.revision.number.0).eq(1..=5));
+    let who: Vec<&str> = history.iter().map(|r| r.who.as_str()).collect();
+    assert_eq!(who, ["ann", "bert", "cora", "dina", "emil o'hara"]);
+    assert_eq!(history[4].why, "names with signs: é, \" and ,");
+    let newest = [
+        ("delivery-cap", "2"),
+        ("guarded-stages", "1"),
+        ("longest-return", "5s"),
+        ("stage-cap", "0.01,0.05,0.3,1"),
+    ];
+    assert_eq!(view.in_force.values, values(&newest));
+}
+
+#[test]
+fn a_store_with_a_snapshot_holds_what_the_start_build_printed() {
+    let file = copy_of("keeper-1-with-snapshot.redb", "with_snapshot");
+    let (_, saved, start, _) = Store::open(&file, FLEET, KeeperId(1), None, OWN_PROCESS).unwrap();
+    let printed = status_with_snapshot();
+    assert_eq!((start, saved.term, printed.term), (4, Term(4), Term(4)));
+    assert_eq!(
+        (saved.snapshot.upto, saved.snapshot.term),
+        (Place(500), Term(4))
+    );
+    assert_eq!(saved.snapshot.members, keepers());
+    assert_eq!(
+        saved.snapshot.upto.0 + saved.log.len() as u64,
+        printed.committed.0
+    );
+    check_ledger(&ledger_of(&saved), &printed);
+    let address = ledger_of(&saved).addresses.get(&KeeperId(9)).cloned();
+    assert_eq!(address.as_deref(), Some("127.0.0.1:30500"));
+    assert_eq!(ledger_of(&saved).in_force.number, RevisionNo(6));
+}
+
+/// A keeper's process, ended with the test.
+struct Running(Child);
+
+impl Running {
+    /// A keeper that does not take its store ends at once.
+    fn still_runs(&mut self) -> bool {
+        self.0.try_wait().unwrap().is_none()
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+fn free_addresses() -> Vec<SocketAddr> {
+    let listeners = keepers().map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
+    listeners
+        .iter()
+        .map(|listener| listener.local_addr().unwrap())
+        .collect()
+}
+
+/// Starts the built program on a copy of this keeper's store.
+fn start(keeper: KeeperId, addresses: &[SocketAddr]) -> Running {
+    let file = copy_of(&format!("keeper-{}.redb", keeper.0), "started");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-keeper"));
+    command.args(["--id", &keeper.0.to_string(), "--fleet", &FLEET.to_string()]);
+    command
+        .arg("--listen")
+        .arg(addresses[keeper.0 as usize - 1].to_string());
+    command.arg("--store").arg(file);
+    for (member, address) in keepers().iter().zip(addresses) {
+        command
+            .arg("--member")
+            .arg(format!("{}={address}", member.0));
+    }
+    command.stdout(Stdio::null()).stderr(Stdio::null());
+    Running(command.spawn().unwrap())
+}
+
+/// The state that the started keepers answer with once one of them leads.
+fn view_from(addresses: &[SocketAddr]) -> View {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    match runtime.block_on(ask(addresses, Ask::View, Duration::from_secs(30))) {
+        Ok(Answer::View(view)) => *view,
+        other => panic!("no view but {other:?}"),
+    }
+}
+
+#[test]
+fn keepers_started_on_the_stores_answer_as_the_start_build_did() {
+    let addresses = free_addresses();
+    let mut running = keepers().map(|keeper| start(keeper, &addresses));
+    let (view, printed) = (view_from(&addresses), status());
+    assert!(running.iter_mut().all(Running::still_runs));
+    assert!(view.term > printed.term);
+    assert!(view.committed > printed.committed);
+    assert_eq!(
+        (view.in_force, view.announced),
+        (printed.in_force, printed.announced)
+    );
+    assert_eq!(view.history, printed.history);
+    assert_eq!(view.members, printed.members);
+    assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
+}
