--- a/crates/spokeflow-control-plane/src/arrival.rs
+++ b/crates/spokeflow-control-plane/src/arrival.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_coordination::wire::{Answer, Ask};
 use spokeflow_coordination::SourceNews;
-use spokeflow_raft::{KeeperId, Message};
+use spokeflow_raft::{Message, NodeId};
 use tokio::sync::{mpsc, oneshot};
 
 /// What reaches the task that owns the keeper.
@@ -19,15 +19,15 @@
         ask: Ask,
     },
     /// A message between keepers.
-    Heard(KeeperId, Message),
+    Heard(NodeId, Message),
     /// Another keeper has answered the request that was passed on to it under this number.
     PassedBack(u64, Answer),
     /// A keeper calls; answered `Err` where its disk is older than one that was met.
     Met {
-        id: KeeperId,
+        id: NodeId,
         start: u64,
         processes: Vec<u64>,
-        addresses: Vec<(KeeperId, String)>,
+        addresses: Vec<(NodeId, String)>,
         answer: oneshot::Sender<Result<(), String>>,
     },
     /// Another keeper says that this one's disk is old.
--- a/crates/spokeflow-control-plane/src/calls.rs
+++ b/crates/spokeflow-control-plane/src/calls.rs
@@ -8,7 +8,7 @@
     Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION,
 };
 use spokeflow_proto::FrameCodec;
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::timeout;
@@ -30,7 +30,7 @@
 
 pub struct Call {
     pub conn: u64,
-    pub own: KeeperId,
+    pub own: NodeId,
     pub common: Common,
     pub core: mpsc::Sender<Arrival>,
     pub clock: Arc<Clock>,
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -6,7 +6,7 @@
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
 use spokeflow_proto::FrameCodec;
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 use spokeflow_runtime::Backoff;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -22,11 +22,11 @@
 pub const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
 pub struct PeerLink {
-    pub id: KeeperId,
+    pub id: NodeId,
     pub address: SocketAddr,
     pub caller: Caller,
     /// Told with each call, as it is then.
-    pub addresses: watch::Receiver<Vec<(KeeperId, String)>>,
+    pub addresses: watch::Receiver<Vec<(NodeId, String)>>,
     pub backoff: Backoff,
     pub core: mpsc::Sender<Arrival>,
     pub queue: mpsc::Receiver<ToKeeper>,
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -11,7 +11,7 @@
 use spokeflow_coordination::wire::Common;
 use spokeflow_coordination::{KeeperTerms, LeaseTerms};
 use spokeflow_core::Micros;
-use spokeflow_raft::{KeeperId, QuorumTerms};
+use spokeflow_raft::{NodeId, RaftConfig};
 use spokeflow_runtime::{init_logging, LogFormat};
 
 use crate::{serve, Store, Where, WHERES};
@@ -159,14 +159,14 @@
 
     pub fn terms(&self) -> KeeperTerms {
         let micros = |span: Duration| span.as_micros() as Micros;
-        let members: Vec<KeeperId> = self.members.iter().map(|m| KeeperId(m.0)).collect();
+        let members: Vec<NodeId> = self.members.iter().map(|m| NodeId(m.0)).collect();
         KeeperTerms {
-            own: KeeperId(self.id),
-            quorum: QuorumTerms {
-                members: if self.join { Vec::new() } else { members },
-                silence: micros(self.silence),
-                beat: micros(self.beat),
-                drift: self.drift,
+            own: NodeId(self.id),
+            quorum: RaftConfig {
+                voters: if self.join { Vec::new() } else { members },
+                election_timeout: micros(self.silence),
+                heartbeat_interval: micros(self.beat),
+                max_clock_drift: self.drift,
             },
             lease: LeaseTerms {
                 lease: micros(self.lease),
@@ -175,7 +175,7 @@
             addresses: self
                 .members
                 .iter()
-                .map(|m| (KeeperId(m.0), m.1.to_string()))
+                .map(|m| (NodeId(m.0), m.1.to_string()))
                 .collect(),
             check: |values| check_overrides(values).map_err(|errors| errors.to_string()),
         }
@@ -205,7 +205,7 @@
         return ExitCode::from(2);
     }
     let process = rand::rng().random();
-    let own = KeeperId(flags.id);
+    let own = NodeId(flags.id);
     let opened = Store::open(
         &flags.store,
         flags.fleet,
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use spokeflow_coordination::wire::{Answer, Caller, ToKeeper};
 use spokeflow_coordination::{Asker, Keeper, Step};
-use spokeflow_raft::{KeeperId, Saved, Write};
+use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 use spokeflow_runtime::{shutdown_signal, Backoff, Clock};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
@@ -31,8 +31,8 @@
 
 /// What the disk's thread is handed.
 struct ToDisk {
-    writes: Vec<Write>,
-    met: Vec<(KeeperId, Start)>,
+    writes: Vec<PersistRequest>,
+    met: Vec<(NodeId, Start)>,
     /// Told once it is on the disk.
     told: Vec<oneshot::Sender<Result<(), String>>>,
 }
@@ -61,7 +61,7 @@
         steps.pass(Where::AfterSync);
         order.told.into_iter().for_each(|t| drop(t.send(Ok(()))));
         if let Some(last) = order.writes.last() {
-            if core.blocking_send(Arrival::Synced(last.number)).is_err() {
+            if core.blocking_send(Arrival::Synced(last.sequence)).is_err() {
                 return;
             }
         }
@@ -75,17 +75,17 @@
     seed: u64,
     core: mpsc::Sender<Arrival>,
     callers: HashMap<u64, mpsc::Sender<(u64, Answer)>>,
-    peers: BTreeMap<KeeperId, (SocketAddr, mpsc::Sender<ToKeeper>)>,
-    met: BTreeMap<KeeperId, Start>,
-    addresses: watch::Sender<Vec<(KeeperId, String)>>,
+    peers: BTreeMap<NodeId, (SocketAddr, mpsc::Sender<ToKeeper>)>,
+    met: BTreeMap<NodeId, Start>,
+    addresses: watch::Sender<Vec<(NodeId, String)>>,
     to_disk: std::sync::mpsc::Sender<ToDisk>,
     steps: Arc<Steps>,
     /// What was last said of it in the log.
-    said: Option<(u64, bool, Option<KeeperId>)>,
+    said: Option<(u64, bool, Option<NodeId>)>,
 }
 
 impl Shell {
-    fn say_to(&mut self, id: KeeperId, message: ToKeeper) {
+    fn say_to(&mut self, id: NodeId, message: ToKeeper) {
         // What finds no room is lost: the other does not read, or is not there.
         let _ = self.link(id).map(|say| say.try_send(message));
     }
@@ -134,7 +134,7 @@
     /// keeper does not forget it either.
     fn meet(
         &mut self,
-        id: KeeperId,
+        id: NodeId,
         start: u64,
         processes: &[u64],
         answer: oneshot::Sender<Result<(), String>>,
@@ -185,7 +185,7 @@
         }
     }
 
-    fn link(&mut self, id: KeeperId) -> Option<&mpsc::Sender<ToKeeper>> {
+    fn link(&mut self, id: NodeId) -> Option<&mpsc::Sender<ToKeeper>> {
         let address = self.keeper.address(id).and_then(|a| a.parse().ok())?;
         if self
             .peers
@@ -215,7 +215,11 @@
 
     fn say(&mut self) {
         let (member, now) = (self.keeper.member(), self.clock.now());
-        let state = (member.term().0, member.speaks(now), member.leader());
+        let state = (
+            member.term().0,
+            member.has_leader_lease(now),
+            member.leader(),
+        );
         if self.said.replace(state) != Some(state) {
             let leader = state.2.map(|l| l.0);
             info!(
@@ -233,7 +237,7 @@
 pub async fn serve(
     flags: KeeperFlags,
     store: Store,
-    saved: Saved,
+    saved: PersistentState,
     (start, processes): (u64, Vec<u64>),
 ) -> Result<(), String> {
     let clock = Clock::starting_now();
@@ -253,7 +257,7 @@
         %address,
         start,
         entries = saved.log.len(),
-        snapshot = saved.snapshot.upto.0,
+        snapshot = saved.snapshot.last_included_index.0,
         term = saved.term.0,
         ?longest,
         "keeper starts; no two routers act on contradicting revisions for longer than one lease"
@@ -266,7 +270,7 @@
         let (core, steps) = (core.clone(), steps.clone());
         std::thread::spawn(move || disk(store, orders, core, steps));
     }
-    let (own, list) = (KeeperId(flags.id), flags.list);
+    let (own, list) = (NodeId(flags.id), flags.list);
     let common = flags.common();
     let caller = Caller::Keeper {
         id: own,
@@ -374,7 +378,9 @@
                         &mut step,
                     );
                 }
-                Arrival::Heard(from, message) => shell.keeper.heard(now, from, message, &mut step),
+                Arrival::Heard(from, message) => {
+                    shell.keeper.on_message(now, from, message, &mut step)
+                }
                 Arrival::PassedBack(number, answer) => {
                     shell.keeper.passed_back(number, answer, &mut step)
                 }
@@ -389,7 +395,7 @@
                     shell.meet(id, start, &processes, answer);
                     shell.reach();
                 }
-                Arrival::Synced(number) => shell.keeper.synced(now, number, &mut step),
+                Arrival::Synced(number) => shell.keeper.on_persisted(now, number, &mut step),
                 // It may have voted and forgotten it: it must not vote again.
                 Arrival::OldDisk(text) => break 'run Err(text),
                 Arrival::DiskFails(what) => break 'run Err(what),
@@ -404,11 +410,11 @@
         let now = clock.now();
         if now >= shell.keeper.next_wake(now) {
             let mut step = Step::default();
-            shell.keeper.woken(now, &mut step);
+            shell.keeper.on_timer(now, &mut step);
             shell.carry_out(step);
         }
         shell.say();
-        let leads = shell.keeper.member().speaks(now);
+        let leads = shell.keeper.member().has_leader_lease(now);
         reads.send_if_modified(|r| std::mem::replace(r, leads) != leads);
     };
     accepting.abort();
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -8,7 +8,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use spokeflow_raft::{Entry, KeeperId, Place, Saved, Snapshot, Term, Write};
+use spokeflow_raft::{Entry, LogIndex, NodeId, PersistRequest, PersistentState, Snapshot, Term};
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta-1");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log-1");
@@ -84,10 +84,10 @@
     pub fn open(
         file: &Path,
         fleet: u64,
-        own: KeeperId,
+        own: NodeId,
         fails_from: Option<u64>,
         process: u64,
-    ) -> Result<(Store, Saved, u64, Vec<u64>), StoreFault> {
+    ) -> Result<(Store, PersistentState, u64, Vec<u64>), StoreFault> {
         if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty()) {
             disk!(std::fs::create_dir_all(folder));
         }
@@ -104,7 +104,7 @@
             let mut meta = disk!(write.open_table(META));
             disk!(write.open_table(LOG));
             disk!(write.open_table(STARTS));
-            let whose: Option<(u64, KeeperId)> = read(&meta, "whose")?;
+            let whose: Option<(u64, NodeId)> = read(&meta, "whose")?;
             if let Some((f, id)) = whose.filter(|w| *w != (fleet, own)) {
                 return Err(StoreFault::Foreign(format!(
                     "it is keeper {}'s of fleet {f}",
@@ -127,15 +127,14 @@
         &self.file
     }
 
-    fn saved(&self) -> Result<Saved, StoreFault> {
+    fn saved(&self) -> Result<PersistentState, StoreFault> {
         let txn = disk!(self.db.begin_read());
         let meta = disk!(txn.open_table(META));
-        let (term, voted) =
-            read::<(Term, Option<KeeperId>)>(&meta, "promised")?.unwrap_or_default();
+        let (term, voted) = read::<(Term, Option<NodeId>)>(&meta, "promised")?.unwrap_or_default();
         let snapshot = read::<Snapshot>(&meta, "snapshot")?.unwrap_or_default();
         let mut log = Vec::new();
         let table = disk!(txn.open_table(LOG));
-        for (expected, row) in (snapshot.upto.0 + 1..).zip(disk!(table.iter())) {
+        for (expected, row) in (snapshot.last_included_index.0 + 1..).zip(disk!(table.iter())) {
             let (place, record) = disk!(row);
             if place.value() != expected {
                 return Err(StoreFault::Damaged(format!(
@@ -147,23 +146,23 @@
                 record.value(),
             )?);
         }
-        Ok(Saved {
+        Ok(PersistentState {
             term,
-            voted,
+            voted_for: voted,
             snapshot,
             log,
         })
     }
 
     /// Starts with which other keepers have been met, by id.
-    pub fn starts(&self) -> Result<Vec<(KeeperId, Start)>, StoreFault> {
+    pub fn starts(&self) -> Result<Vec<(NodeId, Start)>, StoreFault> {
         let txn = disk!(self.db.begin_read());
         let table = disk!(txn.open_table(STARTS));
         let mut all = Vec::new();
         for row in disk!(table.iter()) {
             let (id, record) = disk!(row);
             all.push((
-                KeeperId(id.value()),
+                NodeId(id.value()),
                 opened("a count of starts", record.value())?,
             ));
         }
@@ -172,7 +171,11 @@
 
     /// All of it in one commit, synced when this returns. Errors: the disk; nothing of it may then be taken for done,
     /// nor for not done.
-    pub fn write(&mut self, writes: &[Write], met: &[(KeeperId, Start)]) -> Result<(), StoreFault> {
+    pub fn write(
+        &mut self,
+        writes: &[PersistRequest],
+        met: &[(NodeId, Start)],
+    ) -> Result<(), StoreFault> {
         self.writes += 1;
         if self.fails_from.is_some_and(|n| self.writes >= n) {
             return Err(StoreFault::Disk("told to by --fail-writes-from".into()));
@@ -186,14 +189,14 @@
                 disk!(starts.insert(id.0, sealed(start).as_slice()));
             }
             if let Some(last) = writes.last() {
-                disk!(meta.insert("promised", sealed(&(last.term, last.voted)).as_slice()));
+                disk!(meta.insert("promised", sealed(&(last.term, last.voted_for)).as_slice()));
             }
             for w in writes {
                 if let Some(snapshot) = &w.snapshot {
                     disk!(meta.insert("snapshot", sealed(snapshot).as_slice()));
-                    disk!(log.retain_in(..=snapshot.upto.0, |_, _| false));
+                    disk!(log.retain_in(..=snapshot.last_included_index.0, |_, _| false));
                 }
-                let Place(keep) = w.keep;
+                let LogIndex(keep) = w.truncate_after;
                 disk!(log.retain_in(keep + 1.., |_, _| false));
                 for (place, entry) in (keep + 1..).zip(&w.entries) {
                     disk!(log.insert(place, sealed(entry).as_slice()));
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -16,7 +16,7 @@
 use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{Answer, Ask, View};
 use spokeflow_coordination::{Act, Ledger, ListNo, Record, RevisionNo, Values, Verdict};
-use spokeflow_raft::{Body, KeeperId, Place, Saved, Term};
+use spokeflow_raft::{LogIndex, NodeId, Payload, PersistentState, Term};
 
 const FLEET: u64 = 62;
 const STATUS: &str = include_str!("fixtures/d62ab1d/status.json");
@@ -47,8 +47,8 @@
     serde_json::from_str(STATUS_WITH_SNAPSHOT).unwrap()
 }
 
-fn keepers() -> [KeeperId; 3] {
-    [1, 2, 3].map(KeeperId)
+fn keepers() -> [NodeId; 3] {
+    [1, 2, 3].map(NodeId)
 }
 
 fn values(named: &[(&str, &str)]) -> Values {
@@ -59,13 +59,13 @@
 }
 
 /// The state after all that was stored.
-fn ledger_of(saved: &Saved) -> Ledger {
-    let mut ledger = match saved.snapshot.upto {
-        Place(0) => Ledger::default(),
+fn ledger_of(saved: &PersistentState) -> Ledger {
+    let mut ledger = match saved.snapshot.last_included_index {
+        LogIndex(0) => Ledger::default(),
         _ => Ledger::restore(&saved.snapshot.state).unwrap(),
     };
     for entry in &saved.log {
-        if let Body::Act(bytes) = &entry.body {
+        if let Payload::Command(bytes) = &entry.body {
             ledger.apply(Act::read(bytes).expect("an act of this version"));
         }
     }
@@ -82,18 +82,18 @@
     assert_eq!(ledger.list.hosts().count() as u64, printed.hosts);
 }
 
-fn check_store_of(keeper: KeeperId) {
+fn check_store_of(keeper: NodeId) {
     let file = copy_of(&format!("keeper-{}.redb", keeper.0), "each_store");
     let (store, saved, start, processes) =
         Store::open(&file, FLEET, keeper, None, OWN_PROCESS).unwrap();
     assert_eq!((start, processes.len()), (3, 3));
     assert_eq!(processes[2], OWN_PROCESS);
     let met = store.starts().unwrap();
-    let met: Vec<(KeeperId, u64)> = met.iter().map(|(other, start)| (*other, start.0)).collect();
+    let met: Vec<(NodeId, u64)> = met.iter().map(|(other, start)| (*other, start.0)).collect();
     let others = keepers().into_iter().filter(|other| *other != keeper);
     assert_eq!(met, others.map(|other| (other, 2)).collect::<Vec<_>>());
     assert_eq!(
-        (saved.term, saved.voted),
+        (saved.term, saved.voted_for),
         (status().term, Some(status().leader))
     );
     assert_eq!(saved.log.len() as u64, status().committed.0);
@@ -132,7 +132,7 @@
     let view = status();
     assert_eq!(
         (view.leader, view.term, view.committed),
-        (KeeperId(2), Term(3), Place(15))
+        (NodeId(2), Term(3), LogIndex(15))
     );
     assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
     assert_eq!(view.members, keepers());
@@ -154,20 +154,20 @@
 #[test]
 fn a_store_with_a_snapshot_holds_what_the_start_build_printed() {
     let file = copy_of("keeper-1-with-snapshot.redb", "with_snapshot");
-    let (_, saved, start, _) = Store::open(&file, FLEET, KeeperId(1), None, OWN_PROCESS).unwrap();
+    let (_, saved, start, _) = Store::open(&file, FLEET, NodeId(1), None, OWN_PROCESS).unwrap();
     let printed = status_with_snapshot();
     assert_eq!((start, saved.term, printed.term), (4, Term(4), Term(4)));
     assert_eq!(
-        (saved.snapshot.upto, saved.snapshot.term),
-        (Place(500), Term(4))
+        (saved.snapshot.last_included_index, saved.snapshot.term),
+        (LogIndex(500), Term(4))
     );
     assert_eq!(saved.snapshot.members, keepers());
     assert_eq!(
-        saved.snapshot.upto.0 + saved.log.len() as u64,
+        saved.snapshot.last_included_index.0 + saved.log.len() as u64,
         printed.committed.0
     );
     check_ledger(&ledger_of(&saved), &printed);
-    let address = ledger_of(&saved).addresses.get(&KeeperId(9)).cloned();
+    let address = ledger_of(&saved).addresses.get(&NodeId(9)).cloned();
     assert_eq!(address.as_deref(), Some("127.0.0.1:30500"));
     assert_eq!(ledger_of(&saved).in_force.number, RevisionNo(6));
 }
@@ -198,7 +198,7 @@
 }
 
 /// Starts the built program on a copy of this keeper's store.
-fn start(keeper: KeeperId, addresses: &[SocketAddr]) -> Running {
+fn start(keeper: NodeId, addresses: &[SocketAddr]) -> Running {
     let file = copy_of(&format!("keeper-{}.redb", keeper.0), "started");
     let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-control-plane"));
     command.args(["--id", &keeper.0.to_string(), "--fleet", &FLEET.to_string()]);
--- a/crates/spokeflow-coordination/src/keeper.rs
+++ b/crates/spokeflow-coordination/src/keeper.rs
@@ -5,7 +5,8 @@
 
 use spokeflow_core::Micros;
 use spokeflow_raft::{
-    Body, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
+    LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
+    RaftNode, Term,
 };
 
 use crate::wire::{Answer, Ask, ToKeeper, View};
@@ -27,11 +28,11 @@
 
 #[derive(Clone, Debug)]
 pub struct KeeperTerms {
-    pub own: KeeperId,
-    pub quorum: QuorumTerms,
+    pub own: NodeId,
+    pub quorum: RaftConfig,
     pub lease: LeaseTerms,
     /// Where keepers are to be found by the flags; the ledger has the others.
-    pub addresses: BTreeMap<KeeperId, String>,
+    pub addresses: BTreeMap<NodeId, String>,
     /// Whether routers could take these values. Errors: every fault.
     pub check: fn(&Values) -> Result<(), String>,
 }
@@ -48,9 +49,9 @@
 /// What one call asks for. Writes are to be synced in their order, and told by [`Keeper::synced`].
 #[derive(Debug, Default)]
 pub struct Step {
-    pub to_keepers: Vec<(KeeperId, ToKeeper)>,
+    pub to_keepers: Vec<(NodeId, ToKeeper)>,
     pub answers: Vec<(u64, u64, Answer)>,
-    pub writes: Vec<Write>,
+    pub writes: Vec<PersistRequest>,
     /// Whether the ledger has changed.
     pub changed: bool,
     /// Its ledger is not what the log says: it must end before anything of this step leaves.
@@ -68,14 +69,14 @@
 #[derive(Clone, Debug)]
 pub struct Keeper {
     terms: KeeperTerms,
-    member: Member,
+    member: RaftNode,
     ledger: Ledger,
-    applied: Place,
+    applied: LogIndex,
     /// While it leads: for which term, and who holds leases.
     granter: Option<(Term, Granter)>,
     seats: Seats,
     /// Addresses that callers told, for want of better knowledge.
-    learned: BTreeMap<KeeperId, String>,
+    learned: BTreeMap<NodeId, String>,
     /// The revision that it has asked the log to put in force, and when.
     forcing: Option<(Term, RevisionNo)>,
     /// By token, offers that are in the log and not committed.
@@ -99,13 +100,18 @@
 
 impl Keeper {
     /// Errors: the snapshot cannot be read.
-    pub fn new(terms: KeeperTerms, seed: u64, saved: Saved, now: Micros) -> Result<Self, String> {
-        let applied = saved.snapshot.upto;
+    pub fn new(
+        terms: KeeperTerms,
+        seed: u64,
+        saved: PersistentState,
+        now: Micros,
+    ) -> Result<Self, String> {
+        let applied = saved.snapshot.last_included_index;
         let ledger = match applied.0 {
             0 => Ledger::default(),
             _ => Ledger::restore(&saved.snapshot.state)?,
         };
-        let member = Member::new(terms.own, terms.quorum.clone(), seed, saved, now);
+        let member = RaftNode::new(terms.own, terms.quorum.clone(), seed, saved, now);
         Ok(Keeper {
             terms,
             member,
@@ -131,12 +137,12 @@
         &self.ledger
     }
 
-    pub fn member(&self) -> &Member {
+    pub fn member(&self) -> &RaftNode {
         &self.member
     }
 
     /// Where a keeper is to be found: as the flags say, else as the ledger does.
-    pub fn address(&self, id: KeeperId) -> Option<&str> {
+    pub fn address(&self, id: NodeId) -> Option<&str> {
         let known = self
             .terms
             .addresses
@@ -146,21 +152,21 @@
     }
 
     /// All that it knows of where keepers are to be found.
-    pub fn addresses(&self) -> Vec<(KeeperId, String)> {
+    pub fn addresses(&self) -> Vec<(NodeId, String)> {
         let ids = self
             .terms
             .addresses
             .keys()
             .chain(self.ledger.addresses.keys())
             .chain(self.learned.keys());
-        let ids: BTreeSet<KeeperId> = ids.copied().collect();
+        let ids: BTreeSet<NodeId> = ids.copied().collect();
         ids.into_iter()
             .filter_map(|id| Some((id, self.address(id)?.to_string())))
             .collect()
     }
 
     /// Another keeper said where some are to be found.
-    pub fn learn(&mut self, addresses: &[(KeeperId, String)]) {
+    pub fn learn(&mut self, addresses: &[(NodeId, String)]) {
         self.learned.extend(addresses.iter().take(LEARNED).cloned());
         while self.learned.len() > LEARNED {
             self.learned.pop_first();
@@ -180,7 +186,7 @@
         }
     }
 
-    pub fn applied(&self) -> Place {
+    pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
@@ -203,9 +209,9 @@
             .min(waits.unwrap_or(Micros::MAX))
     }
 
-    pub fn woken(&mut self, now: Micros, step: &mut Step) {
-        let mut out = Out::default();
-        self.member.woken(now, &mut out);
+    pub fn on_timer(&mut self, now: Micros, step: &mut Step) {
+        let mut out = Output::default();
+        self.member.on_timer(now, &mut out);
         let late: Vec<u64> = self
             .passed
             .iter()
@@ -225,23 +231,23 @@
         self.settle(now, out, step);
     }
 
-    pub fn heard(&mut self, now: Micros, from: KeeperId, message: Message, step: &mut Step) {
-        let mut out = Out::default();
-        self.member.heard(now, from, message, &mut out);
+    pub fn on_message(&mut self, now: Micros, from: NodeId, message: Message, step: &mut Step) {
+        let mut out = Output::default();
+        self.member.on_message(now, from, message, &mut out);
         self.settle(now, out, step);
     }
 
-    pub fn synced(&mut self, now: Micros, number: u64, step: &mut Step) {
-        let mut out = Out::default();
-        self.member.synced(now, number, &mut out);
+    pub fn on_persisted(&mut self, now: Micros, number: u64, step: &mut Step) {
+        let mut out = Output::default();
+        self.member.on_persisted(now, number, &mut out);
         self.settle(now, out, step);
     }
 
     /// Takes in a request. It is answered in this step, or in a later one within [`PATIENCE`].
     pub fn asked(&mut self, now: Micros, from: Asker, ask: Ask, step: &mut Step) {
-        let mut out = Out::default();
+        let mut out = Output::default();
         // Asked at each act: this process may have been stopped since the last.
-        let answer = match self.member.speaks(now) {
+        let answer = match self.member.has_leader_lease(now) {
             true => self.lead(now, from, ask, &mut out),
             false => self.pass_on(now, from, ask, step),
         };
@@ -280,7 +286,7 @@
         None
     }
 
-    fn lead(&mut self, now: Micros, from: Asker, ask: Ask, out: &mut Out) -> Option<Answer> {
+    fn lead(&mut self, now: Micros, from: Asker, ask: Ask, out: &mut Output) -> Option<Answer> {
         match ask {
             Ask::Lease(asked) => {
                 let term = self.member.term();
@@ -310,7 +316,7 @@
                 let waiting = self.offers.entry(token).or_default();
                 if waiting.is_empty() {
                     let act = Act::Offer(Offer { at_s, ..offer });
-                    if self.member.offer(now, act.bytes(), out).is_err() {
+                    if self.member.propose(now, act.bytes(), out).is_err() {
                         self.offers.remove(&token);
                         return Some(Answer::NoLeader);
                     }
@@ -328,7 +334,7 @@
                 let act = Act::TrustList;
                 Some(
                     self.member
-                        .offer(now, act.bytes(), out)
+                        .propose(now, act.bytes(), out)
                         .map_or(Answer::NoLeader, |_| Answer::Begun),
                 )
             }
@@ -341,7 +347,7 @@
                 let act = Act::SetAddress { keeper, address };
                 Some(
                     self.member
-                        .offer(now, act.bytes(), out)
+                        .propose(now, act.bytes(), out)
                         .map_or(Answer::NoLeader, |_| Answer::Begun),
                 )
             }
@@ -353,7 +359,7 @@
                         unknown.0
                     )));
                 }
-                let begun = self.member.change(now, members, out);
+                let begun = self.member.propose_membership(now, members, out);
                 let not = || {
                     Answer::Bad(
                         "another change is under way, or it is not one keeper's difference".into(),
@@ -366,7 +372,7 @@
 
     /// What the list's source said, to a keeper that reads it. Only the leader does anything with it.
     pub fn list_told(&mut self, now: Micros, news: SourceNews, step: &mut Step) {
-        if !self.member.speaks(now) {
+        if !self.member.has_leader_lease(now) {
             return;
         }
         if self.list_out {
@@ -386,10 +392,10 @@
         self.rejection = rejection;
         self.rejected = matches!(rejection, Some(Rejection::Halved { .. })).then_some(news);
         if let Ok(Some(news)) = weighed {
-            let mut out = Out::default();
+            let mut out = Output::default();
             self.list_out = self
                 .member
-                .offer(now, Act::List(news).bytes(), &mut out)
+                .propose(now, Act::List(news).bytes(), &mut out)
                 .is_ok();
             self.settle(now, out, step);
         }
@@ -442,7 +448,7 @@
     }
 
     /// Applies what is committed, and does what a leader has to.
-    fn settle(&mut self, now: Micros, mut out: Out, step: &mut Step) {
+    fn settle(&mut self, now: Micros, mut out: Output, step: &mut Step) {
         loop {
             if let Some(snapshot) = out.restored.take() {
                 // Written by a keeper that read its own: if this one cannot, it must not go on as if it could.
@@ -450,13 +456,13 @@
                     Ok(ledger) => self.ledger = ledger,
                     Err(what) => step.broken = Some(what),
                 }
-                (self.applied, step.changed) = (snapshot.upto, true);
+                (self.applied, step.changed) = (snapshot.last_included_index, true);
                 self.note_hosts(now);
             }
             for (place, entry) in std::mem::take(&mut out.committed) {
                 self.applied = place;
                 step.changed = true;
-                if let Body::Act(bytes) = entry.body {
+                if let Payload::Command(bytes) = entry.body {
                     if let Some(act) = Act::read(&bytes) {
                         let listed = matches!(act, Act::List(_) | Act::TrustList);
                         self.ledger.apply(act);
@@ -467,7 +473,7 @@
                     }
                 }
             }
-            step.writes.append(&mut out.writes);
+            step.writes.append(&mut out.persist_requests);
             let messages = out.messages.drain(..);
             step.to_keepers
                 .extend(messages.map(|(to, m)| (to, ToKeeper::Quorum(m))));
@@ -491,16 +497,16 @@
     }
 
     /// Whether something has been added to `out`.
-    fn rule(&mut self, now: Micros, out: &mut Out) -> bool {
-        if self.member.kept() > KEPT && self.applied.0 > 0 {
+    fn rule(&mut self, now: Micros, out: &mut Output) -> bool {
+        if self.member.log_len() > KEPT && self.applied.0 > 0 {
             self.member.compact(self.applied, self.ledger.state(), out);
-            if !out.writes.is_empty() {
+            if !out.persist_requests.is_empty() {
                 return true;
             }
         }
-        if !self.member.speaks(now) {
+        if !self.member.has_leader_lease(now) {
             // Leases may have been given by others since: what is known of them is worth nothing.
-            if !self.member.is_elected() {
+            if !self.member.is_leader() {
                 (self.granter, self.list_out, self.rejected) = (None, false, None);
                 self.list_waits.clear();
             }
@@ -523,7 +529,7 @@
             revision,
             at_s: self.wall_s,
         };
-        if self.member.offer(now, act.bytes(), out).is_ok() {
+        if self.member.propose(now, act.bytes(), out).is_ok() {
             self.forcing = Some((term, revision));
             return true;
         }
--- a/crates/spokeflow-coordination/src/ledger.rs
+++ b/crates/spokeflow-coordination/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 
 use crate::{AgreedList, SourceNews};
 
@@ -53,7 +53,7 @@
     TrustList,
     /// Where a keeper is to be found, before it is taken in.
     SetAddress {
-        keeper: KeeperId,
+        keeper: NodeId,
         address: String,
     },
 }
@@ -89,7 +89,7 @@
     /// The newest last.
     pub history: VecDeque<Record>,
     /// Where keepers are to be found, also those that do not vote yet.
-    pub addresses: BTreeMap<KeeperId, String>,
+    pub addresses: BTreeMap<NodeId, String>,
     pub list: AgreedList,
     verdicts: VecDeque<(u64, Verdict)>,
 }
--- a/crates/spokeflow-coordination/src/wire.rs
+++ b/crates/spokeflow-coordination/src/wire.rs
@@ -2,7 +2,7 @@
 //! wire form.
 
 use serde::{Deserialize, Serialize};
-use spokeflow_raft::{KeeperId, Message, Place, Term};
+use spokeflow_raft::{LogIndex, Message, NodeId, Term};
 
 use crate::{Asked, Grant, Offer, Record, Rejection, Revision, Verdict};
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Caller {
     Keeper {
-        id: KeeperId,
+        id: NodeId,
         /// Counted on its disk at each start.
         start: u64,
         /// Numbers that its latest processes drew and kept on that disk, the present one last. A disk that lacks a
@@ -31,7 +31,7 @@
         processes: Vec<u64>,
         common: Common,
         /// Where it knows keepers to be found: one that joins has no ledger yet to find the leader by.
-        addresses: Vec<(KeeperId, String)>,
+        addresses: Vec<(NodeId, String)>,
     },
     Router {
         index: u32,
@@ -46,13 +46,13 @@
     View,
     /// Where a keeper is to be found; then it may be taken in.
     SetAddress {
-        keeper: KeeperId,
+        keeper: NodeId,
         address: String,
     },
     /// The list's source may begin anew, from any version.
     TrustList,
     /// Who votes from now on: one more or one less.
-    Members(Vec<KeeperId>),
+    Members(Vec<NodeId>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -73,17 +73,17 @@
 /// The state at one instant, as the leading keeper holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    pub leader: KeeperId,
+    pub leader: NodeId,
     pub term: Term,
-    pub committed: Place,
+    pub committed: LogIndex,
     pub in_force: Revision,
     pub announced: Option<Revision>,
     /// The newest last.
     pub history: Vec<Record>,
-    pub members: Vec<KeeperId>,
+    pub members: Vec<NodeId>,
     /// Where keepers are to be found; under its earlier name in JSON, which scripts read.
     #[serde(rename = "seats")]
-    pub addresses: Vec<(KeeperId, String)>,
+    pub addresses: Vec<(NodeId, String)>,
     /// Leases that this leader has given and that hold, and how many of them act on the newest revision.
     pub leases: u64,
     /// Version of the list, the source's version behind it, hosts that are there, and why newer news is rejected.
@@ -134,7 +134,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromKeeper {
-    Welcome { keeper: KeeperId, common: Common },
+    Welcome { keeper: NodeId, common: Common },
     Refused { why: Refusal, text: String },
     Answer { number: u64, answer: Answer },
 }
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -21,7 +21,7 @@
     Act, Asked, Grant, HostState, Known, Ledger, ListNo, ListPart, ListedHost, Offer, Record,
     Rejection, Revision, RevisionNo, Seats, SourceNews, Values, Verdict,
 };
-use spokeflow_raft::{Body, Entry, KeeperId, Message, Place, Snapshot, Term};
+use spokeflow_raft::{Entry, LogIndex, Message, NodeId, Payload, Snapshot, Term};
 
 const FRAMES: &str = include_str!("fixtures/d62ab1d/frames.txt");
 const RECORDS: &str = include_str!("fixtures/d62ab1d/records.txt");
@@ -121,8 +121,8 @@
     }
 }
 
-fn address(keeper: u32) -> (KeeperId, String) {
-    (KeeperId(keeper), format!("10.0.0.{keeper}:7500"))
+fn address(keeper: u32) -> (NodeId, String) {
+    (NodeId(keeper), format!("10.0.0.{keeper}:7500"))
 }
 
 fn values(name: &str, value: &str) -> Values {
@@ -189,7 +189,7 @@
 
 fn caller() -> Caller {
     Caller::Keeper {
-        id: KeeperId(301),
+        id: NodeId(301),
         start: 1_002,
         processes: vec![1_003, 1_004],
         common: common(),
@@ -209,59 +209,59 @@
     vec![
         Entry {
             term: Term(1_011),
-            body: Body::Begin,
+            body: Payload::Noop,
         },
         Entry {
             term: Term(1_012),
-            body: Body::Act(vec![7, 8, 9]),
+            body: Payload::Command(vec![7, 8, 9]),
         },
         Entry {
             term: Term(1_013),
-            body: Body::Members(vec![KeeperId(5), KeeperId(6)]),
+            body: Payload::Membership(vec![NodeId(5), NodeId(6)]),
         },
     ]
 }
 
 /// The bodies that [`entries_of_each_body`] has are all that there are: another one does not
 /// compile here.
-fn name_of_body(body: &Body) -> &'static str {
+fn name_of_body(body: &Payload) -> &'static str {
     match body {
-        Body::Begin => "Begin",
-        Body::Act(_) => "Act",
-        Body::Members(_) => "Members",
+        Payload::Noop => "Begin",
+        Payload::Command(_) => "Act",
+        Payload::Membership(_) => "Members",
     }
 }
 
 fn append() -> Message {
-    Message::Append {
+    Message::AppendEntries {
         term: Term(1_001),
-        before: Place(1_002),
-        before_term: Term(1_003),
+        prev_log_index: LogIndex(1_002),
+        prev_log_term: Term(1_003),
         entries: entries_of_each_body(),
-        committed: Place(1_004),
+        leader_commit: LogIndex(1_004),
         round: 1_005,
     }
 }
 
 fn install() -> Message {
     let snapshot = Snapshot {
-        upto: Place(1_002),
+        last_included_index: LogIndex(1_002),
         term: Term(1_003),
-        members: vec![KeeperId(5), KeeperId(6)],
+        members: vec![NodeId(5), NodeId(6)],
         state: vec![1, 2, 3],
     };
-    Message::Install {
+    Message::InstallSnapshot {
         term: Term(1_001),
         snapshot,
         round: 1_004,
     }
 }
 
-fn appended(upto: Result<Place, Place>) -> ToKeeper {
-    ToKeeper::Quorum(Message::Appended {
+fn appended(upto: Result<LogIndex, LogIndex>) -> ToKeeper {
+    ToKeeper::Quorum(Message::AppendEntriesResponse {
         term: Term(1_001),
         round: 1_002,
-        upto,
+        match_index: upto,
     })
 }
 
@@ -292,29 +292,29 @@
 }
 
 fn quorum_messages() -> Vec<Named<ToKeeper>> {
-    let (term, last, last_term) = (Term(1_001), Place(1_002), Term(1_003));
+    let (term, last, last_log_term) = (Term(1_001), LogIndex(1_002), Term(1_003));
     let vote = |sounded, granted| {
-        ToKeeper::Quorum(Message::Vote {
+        ToKeeper::Quorum(Message::VoteResponse {
             term,
-            sounded,
+            pre_vote: sounded,
             granted,
         })
     };
     vec![
         (
             "ToKeeper::Quorum/Sound",
-            ToKeeper::Quorum(Message::Sound {
+            ToKeeper::Quorum(Message::PreVote {
                 term,
-                last,
-                last_term,
+                last_log_index: last,
+                last_log_term,
             }),
         ),
         (
             "ToKeeper::Quorum/Stand",
-            ToKeeper::Quorum(Message::Stand {
+            ToKeeper::Quorum(Message::RequestVote {
                 term,
-                last,
-                last_term,
+                last_log_index: last,
+                last_log_term,
             }),
         ),
         ("ToKeeper::Quorum/Vote/sounded", vote(true, false)),
@@ -322,11 +322,11 @@
         ("ToKeeper::Quorum/Append", ToKeeper::Quorum(append())),
         (
             "ToKeeper::Quorum/Appended/agrees",
-            appended(Ok(Place(1_003))),
+            appended(Ok(LogIndex(1_003))),
         ),
         (
             "ToKeeper::Quorum/Appended/differs",
-            appended(Err(Place(1_004))),
+            appended(Err(LogIndex(1_004))),
         ),
         ("ToKeeper::Quorum/Install", ToKeeper::Quorum(install())),
     ]
@@ -352,7 +352,7 @@
         ("ToKeeper::Ask/TrustList", ask(Ask::TrustList)),
         (
             "ToKeeper::Ask/Members",
-            ask(Ask::Members(vec![KeeperId(6), KeeperId(7)])),
+            ask(Ask::Members(vec![NodeId(6), NodeId(7)])),
         ),
     ]
 }
@@ -369,12 +369,12 @@
             Caller::Person => "ToKeeper::Hello/Person",
         },
         ToKeeper::Quorum(message) => match message {
-            Message::Sound { .. } => "ToKeeper::Quorum/Sound",
-            Message::Stand { .. } => "ToKeeper::Quorum/Stand",
-            Message::Vote { .. } => "ToKeeper::Quorum/Vote",
-            Message::Append { .. } => "ToKeeper::Quorum/Append",
-            Message::Appended { .. } => "ToKeeper::Quorum/Appended",
-            Message::Install { .. } => "ToKeeper::Quorum/Install",
+            Message::PreVote { .. } => "ToKeeper::Quorum/Sound",
+            Message::RequestVote { .. } => "ToKeeper::Quorum/Stand",
+            Message::VoteResponse { .. } => "ToKeeper::Quorum/Vote",
+            Message::AppendEntries { .. } => "ToKeeper::Quorum/Append",
+            Message::AppendEntriesResponse { .. } => "ToKeeper::Quorum/Appended",
+            Message::InstallSnapshot { .. } => "ToKeeper::Quorum/Install",
         },
         ToKeeper::Ask { ask, .. } => match ask {
             Ask::Lease(_) => "ToKeeper::Ask/Lease",
@@ -435,13 +435,13 @@
 
 fn view(list_rejection: Option<Rejection>) -> View {
     View {
-        leader: KeeperId(301),
+        leader: NodeId(301),
         term: Term(1_002),
-        committed: Place(1_003),
+        committed: LogIndex(1_003),
         in_force: revision(1_004),
         announced: Some(revision(1_005)),
         history: records(),
-        members: vec![KeeperId(5), KeeperId(6)],
+        members: vec![NodeId(5), NodeId(6)],
         addresses: vec![address(5), address(6)],
         leases: 1_006,
         list: 1_007,
@@ -472,7 +472,7 @@
 
 fn openings() -> Vec<Named<FromKeeper>> {
     let welcome = FromKeeper::Welcome {
-        keeper: KeeperId(301),
+        keeper: NodeId(301),
         common: common(),
     };
     vec![
--- a/crates/spokeflow-coordination/tests/search.rs
+++ b/crates/spokeflow-coordination/tests/search.rs
@@ -11,7 +11,7 @@
 use spokeflow_coordination::wire::{Answer, Ask, ToKeeper};
 use spokeflow_coordination::*;
 use spokeflow_core::Micros;
-use spokeflow_raft::{KeeperId, QuorumTerms, Saved, Write};
+use spokeflow_raft::{NodeId, PersistRequest, PersistentState, RaftConfig};
 
 const KEEPERS: usize = 3;
 const ROUTERS: usize = 2;
@@ -41,8 +41,8 @@
 struct World {
     now: Micros,
     keepers: Vec<Keeper>,
-    disks: Vec<Saved>,
-    unsynced: Vec<VecDeque<Write>>,
+    disks: Vec<PersistentState>,
+    unsynced: Vec<VecDeque<PersistRequest>>,
     holders: Vec<LeaseHolder>,
     wire: Vec<Message>,
     left: Left,
@@ -52,12 +52,12 @@
 
 fn terms(own: usize) -> KeeperTerms {
     KeeperTerms {
-        own: KeeperId(own as u32),
-        quorum: QuorumTerms {
-            members: (0..KEEPERS as u32).map(KeeperId).collect(),
-            silence: SILENCE,
-            beat: SILENCE / 3,
-            drift: 0.0,
+        own: NodeId(own as u32),
+        quorum: RaftConfig {
+            voters: (0..KEEPERS as u32).map(NodeId).collect(),
+            election_timeout: SILENCE,
+            heartbeat_interval: SILENCE / 3,
+            max_clock_drift: 0.0,
         },
         lease: LeaseTerms {
             lease: LEASE,
@@ -72,7 +72,7 @@
 
 impl World {
     fn new() -> World {
-        let keeper = |n| Keeper::new(terms(n), n as u64, Saved::default(), 0).unwrap();
+        let keeper = |n| Keeper::new(terms(n), n as u64, PersistentState::default(), 0).unwrap();
         let holder = |n| {
             LeaseHolder::new(
                 LeaseTerms {
@@ -86,7 +86,7 @@
         World {
             now: 0,
             keepers: (0..KEEPERS).map(keeper).collect(),
-            disks: vec![Saved::default(); KEEPERS],
+            disks: vec![PersistentState::default(); KEEPERS],
             unsynced: vec![VecDeque::new(); KEEPERS],
             holders: (0..ROUTERS).map(holder).collect(),
             wire: Vec::new(),
@@ -157,7 +157,7 @@
         match self.wire.remove(k) {
             Message::ToKeeper(from, to, ToKeeper::Quorum(message)) => self
                 .call(to, |k, now, step| {
-                    k.heard(now, KeeperId(from as u32), message, step)
+                    k.on_message(now, NodeId(from as u32), message, step)
                 }),
             Message::ToKeeper(..) => Ok(()),
             Message::Asks(router, to, number, ask) => {
@@ -186,7 +186,7 @@
             return Ok(());
         };
         self.disks[n].apply(&write);
-        self.call(n, |k, now, step| k.synced(now, write.number, step))
+        self.call(n, |k, now, step| k.on_persisted(now, write.sequence, step))
     }
 
     fn ask(&mut self, router: usize, to: usize) {
@@ -250,14 +250,14 @@
                     .min()
                     .unwrap();
                 self.now = now.max(at);
-                self.call(n, |k, now, step| k.woken(now, step)).unwrap();
+                self.call(n, |k, now, step| k.on_timer(now, step)).unwrap();
             }
         }
         panic!("never so");
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..KEEPERS).find(|n| self.keepers[*n].member().speaks(self.now))
+        (0..KEEPERS).find(|n| self.keepers[*n].member().has_leader_lease(self.now))
     }
 
     /// All worlds one event away.
@@ -294,17 +294,17 @@
                 turn(&|w| {
                     w.left.wakes -= 1;
                     w.now = w.now.max(w.keepers[n].next_wake(w.now));
-                    w.call(n, |k, now, step| k.woken(now, step))
+                    w.call(n, |k, now, step| k.on_timer(now, step))
                 })?;
             }
-            if self.left.offers > 0 && self.keepers[n].member().is_elected() {
+            if self.left.offers > 0 && self.keepers[n].member().is_leader() {
                 turn(&|w| {
                     w.left.offers -= 1;
                     w.offer(n)
                 })?;
             }
             for router in (0..ROUTERS).filter(|_| self.left.asks > 0) {
-                if self.keepers[n].member().is_elected() {
+                if self.keepers[n].member().is_leader() {
                     turn(&|w| {
                         w.left.asks -= 1;
                         w.ask(router, n);
@@ -463,7 +463,7 @@
     world.peace(&[first], |w| w.holders[0].newest().0 == 1);
     world.wire.clear();
     world.peace(&others, |w| {
-        others.iter().any(|n| w.keepers[*n].member().is_elected())
+        others.iter().any(|n| w.keepers[*n].member().is_leader())
     });
     world.left = Left {
         losses: 1,
@@ -491,12 +491,12 @@
     // Known to be committed by the first alone, which is gone.
     world.wire.clear();
     world.peace(&others, |w| {
-        others.iter().any(|n| w.keepers[*n].member().is_elected())
+        others.iter().any(|n| w.keepers[*n].member().is_leader())
     });
     let second = others
         .iter()
         .copied()
-        .find(|n| world.keepers[*n].member().is_elected())
+        .find(|n| world.keepers[*n].member().is_leader())
         .unwrap();
     let third = others.iter().copied().find(|n| *n != second).unwrap();
     assert!(
@@ -518,7 +518,7 @@
         }
     }
     assert!(
-        world.keepers[second].member().leads(world.now),
+        world.keepers[second].member().has_recent_quorum(world.now),
         "its lease on leadership holds"
     );
     world.wire.clear();
--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -2,18 +2,18 @@
 
 use spokeflow_coordination::wire::View;
 use spokeflow_coordination::{Rejection, Revision};
-use spokeflow_raft::{KeeperId, Place, Term};
+use spokeflow_raft::{LogIndex, NodeId, Term};
 
 fn view() -> View {
     View {
-        leader: KeeperId(1),
+        leader: NodeId(1),
         term: Term(2),
-        committed: Place(3),
+        committed: LogIndex(3),
         in_force: Revision::default(),
         announced: None,
         history: Vec::new(),
-        members: vec![KeeperId(1)],
-        addresses: vec![(KeeperId(1), "127.0.0.1:7500".into())],
+        members: vec![NodeId(1)],
+        addresses: vec![(NodeId(1), "127.0.0.1:7500".into())],
         leases: 4,
         list: 5,
         list_source: 6,
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -12,7 +12,7 @@
 use spokeflow_control_plane::ask::ask;
 use spokeflow_coordination::wire::{Answer, Ask, View};
 use spokeflow_coordination::{Offer, RevisionNo, Values, Verdict};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 
 /// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
 /// keeper answers
@@ -205,17 +205,17 @@
 
     async fn members(&self, keeper: u32, take_in: bool) -> Result<(), Fault> {
         let mut members = self.view().await?.members;
-        let there = members.contains(&KeeperId(keeper));
+        let there = members.contains(&NodeId(keeper));
         if there != take_in {
             members.retain(|m| m.0 != keeper);
-            members.extend(take_in.then_some(KeeperId(keeper)));
+            members.extend(take_in.then_some(NodeId(keeper)));
             self.ask(Ask::Members(members)).await?;
         }
         let until = tokio::time::Instant::now() + self.within;
         loop {
             // In the view from its beginning on; it stands once something later is committed.
             let view = self.view().await?;
-            if view.members.contains(&KeeperId(keeper)) == take_in {
+            if view.members.contains(&NodeId(keeper)) == take_in {
                 let ids: Vec<u32> = view.members.iter().map(|m| m.0).collect();
                 return self.print(&ids, || format!("keepers that vote: {ids:?}"));
             }
@@ -273,7 +273,7 @@
         }
         What::Watch { revision } => common.wait_for(revision).await,
         What::Register { keeper, address } => {
-            let (keeper, address) = (KeeperId(keeper), address.to_string());
+            let (keeper, address) = (NodeId(keeper), address.to_string());
             common
                 .ask(Ask::SetAddress { keeper, address })
                 .await
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -11,7 +11,7 @@
     Seats, SourceNews, Values,
 };
 use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
-use spokeflow_raft::{Body, Entry, Message, Place, Term};
+use spokeflow_raft::{Entry, LogIndex, Message, Payload, Term};
 
 use super::records::{Held, Record, Role};
 
@@ -286,17 +286,17 @@
 }
 
 fn append_frame(act: &Act) -> usize {
-    let (term, before) = (Term(12), Place(REQUEST));
+    let (term, before) = (Term(12), LogIndex(REQUEST));
     let entries = vec![Entry {
         term,
-        body: Body::Act(act.bytes()),
+        body: Payload::Command(act.bytes()),
     }];
-    let append = Message::Append {
+    let append = Message::AppendEntries {
         term,
-        before,
-        before_term: term,
+        prev_log_index: before,
+        prev_log_term: term,
         entries,
-        committed: before,
+        leader_commit: before,
         round: REQUEST,
     };
     frame(&ToKeeper::Quorum(append))
--- a/crates/spokeflow-raft/src/lib.rs
+++ b/crates/spokeflow-raft/src/lib.rs
@@ -4,10 +4,11 @@
 //!
 //! `docs/agreement.md` tells what is built and what is not yet.
 
-mod member;
+mod node;
 mod types;
 
-pub use member::Member;
+pub use node::RaftNode;
 pub use types::{
-    Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write,
+    Entry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
+    Snapshot, Term,
 };
--- a/crates/spokeflow-raft/src/member.rs
+++ b/crates/spokeflow-raft/src/node.rs
@@ -5,85 +5,92 @@
 use spokeflow_core::{Chance, Micros};
 
 use crate::{
-    Body, Entry, KeeperId, Message, Out, Place, QuorumTerms, Saved, Snapshot, Term, Write,
+    Entry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
+    Snapshot, Term,
 };
 
 /// Entries in one message at most.
-const AT_ONCE: usize = 64;
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 /// Writes that wait for their sync at most. Beyond, the disk is taken to hang: nothing that writes is taken in.
-const UNSYNCED: usize = 1024;
+const MAX_UNSYNCED_WRITES: usize = 1024;
 
 #[derive(Clone, Debug)]
 enum Role {
-    Follows,
+    Follower,
     /// Asks whether it would be voted for, then for votes.
-    Stands {
-        sounds: bool,
-        votes: BTreeSet<KeeperId>,
+    Candidate {
+        pre_vote: bool,
+        votes: BTreeSet<NodeId>,
     },
-    Leads(Lead),
+    Leader(LeaderState),
 }
 
 /// By other member: the next place to send, the place up to which its log is known to agree, and when the latest
 /// round that it has answered was sent.
 #[derive(Clone, Debug, Default)]
-struct Lead {
-    next: BTreeMap<KeeperId, Place>,
-    agrees: BTreeMap<KeeperId, Place>,
-    answered: BTreeMap<KeeperId, Micros>,
+struct LeaderState {
+    next: BTreeMap<NodeId, LogIndex>,
+    agrees: BTreeMap<NodeId, LogIndex>,
+    answered: BTreeMap<NodeId, Micros>,
     /// Rounds that are out: number and when sent, the oldest first.
     rounds: VecDeque<(u64, Micros)>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Member {
-    own: KeeperId,
-    terms: QuorumTerms,
+pub struct RaftNode {
+    own: NodeId,
+    config: RaftConfig,
     chance: Chance,
     now: Micros,
     wake: Micros,
     term: Term,
-    voted: Option<KeeperId>,
+    voted_for: Option<NodeId>,
     /// Who votes by the newest entry that says so, committed or not.
-    members: Vec<KeeperId>,
+    members: Vec<NodeId>,
     snapshot: Snapshot,
     /// What comes after the snapshot.
     log: Vec<Entry>,
-    committed: Place,
-    handed_out: Place,
+    committed: LogIndex,
+    handed_out: LogIndex,
     role: Role,
-    leader: Option<KeeperId>,
+    leader: Option<NodeId>,
     /// Since when no leader has spoken; no vote is given until that is long enough.
     silent_since: Micros,
     written: u64,
     /// Writes that are not synced: number, how much of the log they keep, and its length with them.
-    unsynced: VecDeque<(u64, Place, Place)>,
-    durable: Place,
+    unsynced: VecDeque<(u64, LogIndex, LogIndex)>,
+    durable: LogIndex,
     /// Messages that promise what is not synced yet, with the write they wait for.
-    promised: VecDeque<(u64, KeeperId, Message)>,
+    promised: VecDeque<(u64, NodeId, Message)>,
     round: u64,
 }
 
-impl Member {
+impl RaftNode {
     /// A member that has just started: it may have heard a leader a moment before and not remember it, so it keeps
     /// still for the least silence.
-    pub fn new(own: KeeperId, terms: QuorumTerms, seed: u64, saved: Saved, now: Micros) -> Self {
-        let base = saved.snapshot.upto;
-        let mut member = Member {
+    pub fn new(
+        own: NodeId,
+        config: RaftConfig,
+        seed: u64,
+        saved: PersistentState,
+        now: Micros,
+    ) -> Self {
+        let base = saved.snapshot.last_included_index;
+        let mut member = RaftNode {
             own,
             members: Vec::new(),
-            terms,
+            config,
             chance: Chance::new(seed),
             now,
             wake: now,
             term: saved.term,
-            voted: saved.voted,
-            durable: Place(base.0 + saved.log.len() as u64),
+            voted_for: saved.voted_for,
+            durable: LogIndex(base.0 + saved.log.len() as u64),
             snapshot: saved.snapshot,
             log: saved.log,
             committed: base,
             handed_out: base,
-            role: Role::Follows,
+            role: Role::Follower,
             leader: None,
             silent_since: now,
             written: 0,
@@ -99,27 +106,27 @@
     /// Who votes: as the newest entry says, else the snapshot, else the terms.
     fn refresh_members(&mut self) {
         let newest = self.log.iter().rev().find_map(|e| match &e.body {
-            Body::Members(members) => Some(members),
+            Payload::Membership(members) => Some(members),
             _ => None,
         });
         let kept = Some(&self.snapshot.members).filter(|m| !m.is_empty());
-        self.members = newest.or(kept).unwrap_or(&self.terms.members).clone();
+        self.members = newest.or(kept).unwrap_or(&self.config.voters).clone();
     }
 
-    pub fn own(&self) -> KeeperId {
+    pub fn own(&self) -> NodeId {
         self.own
     }
 
-    pub fn members(&self) -> &[KeeperId] {
+    pub fn members(&self) -> &[NodeId] {
         &self.members
     }
 
-    pub fn committed(&self) -> Place {
+    pub fn committed(&self) -> LogIndex {
         self.committed
     }
 
     /// Entries that are kept beside the snapshot.
-    pub fn kept(&self) -> usize {
+    pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
@@ -136,33 +143,34 @@
     }
 
     /// Whether it was elected, be its lease over or not.
-    pub fn is_elected(&self) -> bool {
-        matches!(self.role, Role::Leads(_))
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leader(_))
     }
 
-    pub fn leader(&self) -> Option<KeeperId> {
+    pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
     /// Whether it may act as leader at this moment of its own clock: nobody else can have been elected, since most
     /// members have answered a round sent less than the least silence ago, less what clocks may differ by. To be
     /// asked at each act.
-    pub fn leads(&self, now: Micros) -> bool {
-        let Role::Leads(lead) = &self.role else {
+    pub fn has_recent_quorum(&self, now: Micros) -> bool {
+        let Role::Leader(lead) = &self.role else {
             return false;
         };
-        let lease = self.terms.silence as f64 * (1.0 - self.terms.drift) / (1.0 + self.terms.drift);
+        let lease = self.config.election_timeout as f64 * (1.0 - self.config.max_clock_drift)
+            / (1.0 + self.config.max_clock_drift);
         self.last_quorum(lead, now)
             .is_some_and(|at| now < at + lease as Micros)
     }
 
     /// Whether it leads and holds all that was ever committed, so that what it was handed is the present state.
-    pub fn speaks(&self, now: Micros) -> bool {
-        self.leads(now) && self.term_at(self.committed) == Some(self.term)
+    pub fn has_leader_lease(&self, now: Micros) -> bool {
+        self.has_recent_quorum(now) && self.term_at(self.committed) == Some(self.term)
     }
 
     /// When the latest round was sent that most members have answered.
-    fn last_quorum(&self, lead: &Lead, now: Micros) -> Option<Micros> {
+    fn last_quorum(&self, lead: &LeaderState, now: Micros) -> Option<Micros> {
         let mut at: Vec<Micros> = self
             .members
             .iter()
@@ -177,7 +185,7 @@
         self.members.len() / 2 + 1
     }
 
-    fn others(&self) -> Vec<KeeperId> {
+    fn others(&self) -> Vec<NodeId> {
         self.members
             .iter()
             .copied()
@@ -185,73 +193,73 @@
             .collect()
     }
 
-    fn last(&self) -> Place {
-        Place(self.snapshot.upto.0 + self.log.len() as u64)
+    fn last(&self) -> LogIndex {
+        LogIndex(self.snapshot.last_included_index.0 + self.log.len() as u64)
     }
 
-    fn term_at(&self, place: Place) -> Option<Term> {
-        match place.0.checked_sub(self.snapshot.upto.0)? {
+    fn term_at(&self, place: LogIndex) -> Option<Term> {
+        match place.0.checked_sub(self.snapshot.last_included_index.0)? {
             0 => Some(self.snapshot.term),
             n => self.log.get(n as usize - 1).map(|e| e.term),
         }
     }
 
     /// Puts an entry into the log. `Err` names the leader, if one is known.
-    pub fn offer(
+    pub fn propose(
         &mut self,
         now: Micros,
         body: Vec<u8>,
-        out: &mut Out,
-    ) -> Result<Place, Option<KeeperId>> {
+        out: &mut Output,
+    ) -> Result<LogIndex, Option<NodeId>> {
         self.now = now;
-        if !self.leads(now) || self.unsynced.len() >= UNSYNCED {
+        if !self.has_recent_quorum(now) || self.unsynced.len() >= MAX_UNSYNCED_WRITES {
             return Err(self.leader.filter(|l| *l != self.own));
         }
-        Ok(self.lay_down(Body::Act(body), out))
+        Ok(self.append_to_log(Payload::Command(body), out))
     }
 
     /// Takes one member in or out. One change at a time: any two majorities of the members before and after share
     /// one, so that no two leaders can be elected side by side. `None`: not now, or not one member's difference.
-    pub fn change(
+    pub fn propose_membership(
         &mut self,
         now: Micros,
-        mut members: Vec<KeeperId>,
-        out: &mut Out,
-    ) -> Option<Place> {
+        mut members: Vec<NodeId>,
+        out: &mut Output,
+    ) -> Option<LogIndex> {
         self.now = now;
         members.sort_unstable();
         members.dedup();
         let moved = members.iter().filter(|m| !self.members.contains(m)).count()
             + self.members.iter().filter(|m| !members.contains(m)).count();
         // A change by an earlier leader that is not committed could still fall or stand: first an own entry must.
-        let committed = (self.committed.0 - self.snapshot.upto.0) as usize;
+        let committed = (self.committed.0 - self.snapshot.last_included_index.0) as usize;
         let open = self.log[committed..]
             .iter()
-            .any(|e| matches!(e.body, Body::Members(_)));
-        if !self.speaks(now) || open || moved != 1 || members.is_empty() {
+            .any(|e| matches!(e.body, Payload::Membership(_)));
+        if !self.has_leader_lease(now) || open || moved != 1 || members.is_empty() {
             return None;
         }
-        Some(self.lay_down(Body::Members(members), out))
+        Some(self.append_to_log(Payload::Membership(members), out))
     }
 
     /// The caller's state holds all that it was handed up to `upto`: the log before is kept as that state.
-    pub fn compact(&mut self, upto: Place, state: Vec<u8>, out: &mut Out) {
-        if upto <= self.snapshot.upto || upto > self.handed_out {
+    pub fn compact(&mut self, upto: LogIndex, state: Vec<u8>, out: &mut Output) {
+        if upto <= self.snapshot.last_included_index || upto > self.handed_out {
             return;
         }
-        let cut = (upto.0 - self.snapshot.upto.0) as usize;
+        let cut = (upto.0 - self.snapshot.last_included_index.0) as usize;
         let term = self.log[cut - 1].term;
         let newest = self.log[..cut].iter().rev().find_map(|e| match &e.body {
-            Body::Members(members) => Some(members.clone()),
+            Payload::Membership(members) => Some(members.clone()),
             _ => None,
         });
         let kept = || Some(self.snapshot.members.clone()).filter(|m| !m.is_empty());
         let members = newest
             .or_else(kept)
-            .unwrap_or_else(|| self.terms.members.clone());
+            .unwrap_or_else(|| self.config.voters.clone());
         self.put(
             Some(Snapshot {
-                upto,
+                last_included_index: upto,
                 term,
                 members,
                 state,
@@ -262,7 +270,7 @@
         );
     }
 
-    fn lay_down(&mut self, body: Body, out: &mut Out) -> Place {
+    fn append_to_log(&mut self, body: Payload, out: &mut Output) -> LogIndex {
         let (keep, entry) = (
             self.last(),
             Entry {
@@ -271,40 +279,50 @@
             },
         );
         self.write(keep, vec![entry], out);
-        self.speak(out);
+        self.broadcast_append(out);
         self.last()
     }
 
     /// Writes term and vote, and the log behind `keep`.
-    fn write(&mut self, keep: Place, entries: Vec<Entry>, out: &mut Out) {
+    fn write(&mut self, keep: LogIndex, entries: Vec<Entry>, out: &mut Output) {
         self.put(None, keep, entries, out);
     }
 
-    fn put(&mut self, snapshot: Option<Snapshot>, keep: Place, entries: Vec<Entry>, out: &mut Out) {
+    fn put(
+        &mut self,
+        snapshot: Option<Snapshot>,
+        keep: LogIndex,
+        entries: Vec<Entry>,
+        out: &mut Output,
+    ) {
         if let Some(snapshot) = &snapshot {
-            let over = (snapshot.upto.0 - self.snapshot.upto.0) as usize;
+            let over =
+                (snapshot.last_included_index.0 - self.snapshot.last_included_index.0) as usize;
             self.log.drain(..over.min(self.log.len()));
             self.snapshot = snapshot.clone();
         }
-        self.log.truncate((keep.0 - self.snapshot.upto.0) as usize);
+        self.log
+            .truncate((keep.0 - self.snapshot.last_included_index.0) as usize);
         self.log.extend_from_slice(&entries);
         self.refresh_members();
         self.durable = self.durable.min(keep);
         self.written += 1;
         self.unsynced.push_back((self.written, keep, self.last()));
-        let (number, term, voted) = (self.written, self.term, self.voted);
-        out.writes.push(Write {
-            number,
+        let number = self.written;
+        let term = self.term;
+        let voted_for = self.voted_for;
+        out.persist_requests.push(PersistRequest {
+            sequence: number,
             term,
-            voted,
+            voted_for,
             snapshot,
-            keep,
+            truncate_after: keep,
             entries,
         });
     }
 
     /// Sends what promises that all written so far is synced.
-    fn promise(&mut self, to: KeeperId, message: Message, out: &mut Out) {
+    fn promise(&mut self, to: NodeId, message: Message, out: &mut Output) {
         if self.unsynced.is_empty() {
             out.messages.push((to, message));
         } else {
@@ -313,7 +331,7 @@
     }
 
     /// All writes up to this number are on disk and stay there.
-    pub fn synced(&mut self, now: Micros, number: u64, out: &mut Out) {
+    pub fn on_persisted(&mut self, now: Micros, number: u64, out: &mut Output) {
         self.now = now;
         while let Some((_, _, upto)) = self.unsynced.pop_front_if(|w| w.0 <= number) {
             self.durable = upto;
@@ -326,28 +344,28 @@
         while let Some((_, to, message)) = self.promised.pop_front_if(|p| p.0 <= number) {
             out.messages.push((to, message));
         }
-        if matches!(&self.role, Role::Stands { sounds: false, votes } if votes.len() >= self.most())
+        if matches!(&self.role, Role::Candidate { pre_vote: false, votes } if votes.len() >= self.most())
         {
-            self.lead(out);
+            self.become_leader(out);
         }
         self.commit(out);
     }
 
-    pub fn woken(&mut self, now: Micros, out: &mut Out) {
+    pub fn on_timer(&mut self, now: Micros, out: &mut Output) {
         self.now = now;
         if now < self.wake {
             return;
         }
         match &self.role {
-            Role::Leads(lead) => {
+            Role::Leader(lead) => {
                 // A leader that most have left cannot commit, and must not keep others from asking.
                 if self
                     .last_quorum(lead, now)
-                    .is_none_or(|at| now - at > 2 * self.terms.silence)
+                    .is_none_or(|at| now - at > 2 * self.config.election_timeout)
                 {
                     self.follow(self.term, None, out);
                 } else {
-                    self.speak(out);
+                    self.broadcast_append(out);
                 }
             }
             // One that is not, or no longer, among those who vote waits to be told.
@@ -355,86 +373,87 @@
             _ => {
                 self.leader = None;
                 let term = Term(self.term.0 + 1);
-                self.stand(true, term, out);
+                self.start_election(true, term, out);
             }
         }
     }
 
     fn wait_for_leader(&mut self) {
-        let spread = self.chance.below(self.terms.silence as usize) as Micros;
-        self.wake = self.now + self.terms.silence + spread;
+        let spread = self.chance.below(self.config.election_timeout as usize) as Micros;
+        self.wake = self.now + self.config.election_timeout + spread;
     }
 
-    fn stand(&mut self, sounds: bool, term: Term, out: &mut Out) {
-        self.role = Role::Stands {
-            sounds,
+    fn start_election(&mut self, pre_vote: bool, term: Term, out: &mut Output) {
+        self.role = Role::Candidate {
+            pre_vote,
             votes: BTreeSet::from([self.own]),
         };
-        if !sounds {
-            (self.term, self.voted) = (term, Some(self.own));
+        if !pre_vote {
+            (self.term, self.voted_for) = (term, Some(self.own));
             self.write(self.last(), Vec::new(), out);
         }
         self.wait_for_leader();
-        let (last, last_term) = (self.last(), self.term_at(self.last()).unwrap_or_default());
+        let (last_log_index, last_log_term) =
+            (self.last(), self.term_at(self.last()).unwrap_or_default());
         for to in self.others() {
-            if sounds {
+            if pre_vote {
                 out.messages.push((
                     to,
-                    Message::Sound {
+                    Message::PreVote {
                         term,
-                        last,
-                        last_term,
+                        last_log_index,
+                        last_log_term,
                     },
                 ));
             } else {
                 // The own vote is among those that elect: it must not be forgotten.
                 self.promise(
                     to,
-                    Message::Stand {
+                    Message::RequestVote {
                         term,
-                        last,
-                        last_term,
+                        last_log_index,
+                        last_log_term,
                     },
                     out,
                 );
             }
         }
-        if sounds && self.most() == 1 {
-            self.stand(false, term, out);
+        if pre_vote && self.most() == 1 {
+            self.start_election(false, term, out);
         }
     }
 
     /// Goes by this term, which is the own or a later one.
-    fn follow(&mut self, term: Term, leader: Option<KeeperId>, out: &mut Out) {
+    fn follow(&mut self, term: Term, leader: Option<NodeId>, out: &mut Output) {
         if term > self.term {
-            (self.term, self.voted) = (term, None);
+            (self.term, self.voted_for) = (term, None);
             self.write(self.last(), Vec::new(), out);
         }
-        if self.is_elected() || leader.is_some() {
+        if self.is_leader() || leader.is_some() {
             self.wait_for_leader();
         }
-        (self.role, self.leader) = (Role::Follows, leader);
+        (self.role, self.leader) = (Role::Follower, leader);
     }
 
-    fn lead(&mut self, out: &mut Out) {
+    fn become_leader(&mut self, out: &mut Output) {
         let others = self.others();
-        let next = Place(self.last().0 + 1);
-        self.role = Role::Leads(Lead {
+        let next = LogIndex(self.last().0 + 1);
+        self.role = Role::Leader(LeaderState {
             next: others.iter().map(|m| (*m, next)).collect(),
-            agrees: others.iter().map(|m| (*m, Place(0))).collect(),
-            ..Lead::default()
+            agrees: others.iter().map(|m| (*m, LogIndex(0))).collect(),
+            ..LeaderState::default()
         });
         self.leader = Some(self.own);
         // Entries of earlier terms are committed by one of the own.
-        self.lay_down(Body::Begin, out);
+        self.append_to_log(Payload::Noop, out);
     }
 
     /// One round: to each what it lacks.
-    fn speak(&mut self, out: &mut Out) {
+    fn broadcast_append(&mut self, out: &mut Output) {
         self.round += 1;
-        self.wake = self.now + self.terms.beat;
+        self.wake = self.now + self.config.heartbeat_interval;
         let (round, now) = (self.round, self.now);
-        if let Role::Leads(lead) = &mut self.role {
+        if let Role::Leader(lead) = &mut self.role {
             lead.rounds.push_back((round, now));
             if lead.rounds.len() > 256 {
                 lead.rounds.pop_front();
@@ -446,47 +465,53 @@
         self.commit(out);
     }
 
-    fn append(&self, to: KeeperId, round: u64, out: &mut Out) {
-        let Role::Leads(lead) = &self.role else {
+    fn append(&self, to: NodeId, round: u64, out: &mut Output) {
+        let Role::Leader(lead) = &self.role else {
             return;
         };
         let next = lead
             .next
             .get(&to)
             .copied()
-            .unwrap_or(Place(self.last().0 + 1));
-        let before = Place(next.0 - 1);
-        let Some(before_term) = self.term_at(before) else {
+            .unwrap_or(LogIndex(self.last().0 + 1));
+        let prev_log_index = LogIndex(next.0 - 1);
+        let Some(prev_log_term) = self.term_at(prev_log_index) else {
             let (term, snapshot) = (self.term, self.snapshot.clone());
             return out.messages.push((
                 to,
-                Message::Install {
+                Message::InstallSnapshot {
                     term,
                     snapshot,
                     round,
                 },
             ));
         };
-        let skip = (before.0 - self.snapshot.upto.0) as usize;
-        let entries = self.log.iter().skip(skip).take(AT_ONCE).cloned().collect();
-        let (term, committed) = (self.term, self.committed);
+        let skip = (prev_log_index.0 - self.snapshot.last_included_index.0) as usize;
+        let entries = self
+            .log
+            .iter()
+            .skip(skip)
+            .take(MAX_ENTRIES_PER_MESSAGE)
+            .cloned()
+            .collect();
+        let (term, leader_commit) = (self.term, self.committed);
         out.messages.push((
             to,
-            Message::Append {
+            Message::AppendEntries {
                 term,
-                before,
-                before_term,
+                prev_log_index,
+                prev_log_term,
                 entries,
-                committed,
+                leader_commit,
                 round,
             },
         ));
     }
 
     /// Only an entry of the own term is counted; with it all before it are committed.
-    fn commit(&mut self, out: &mut Out) {
-        if let Role::Leads(lead) = &self.role {
-            let mut agree: Vec<Place> = self
+    fn commit(&mut self, out: &mut Output) {
+        if let Role::Leader(lead) = &self.role {
+            let mut agree: Vec<LogIndex> = self
                 .members
                 .iter()
                 .filter_map(|m| lead.agrees.get(m).copied())
@@ -500,49 +525,50 @@
         }
         while self.handed_out < self.committed {
             self.handed_out.0 += 1;
-            let at = (self.handed_out.0 - self.snapshot.upto.0) as usize - 1;
+            let at = (self.handed_out.0 - self.snapshot.last_included_index.0) as usize - 1;
             out.committed.push((self.handed_out, self.log[at].clone()));
         }
         // One that has committed its own leaving has no more to say.
-        if self.is_elected() && !self.votes() && self.committed == self.last() {
+        if self.is_leader() && !self.votes() && self.committed == self.last() {
             self.follow(self.term, None, out);
         }
     }
 
-    pub fn heard(&mut self, now: Micros, from: KeeperId, message: Message, out: &mut Out) {
+    pub fn on_message(&mut self, now: Micros, from: NodeId, message: Message, out: &mut Output) {
         self.now = now;
         // As if the message were lost: a disk that hangs must not fill the memory with what waits for it.
-        if self.unsynced.len() >= UNSYNCED {
+        if self.unsynced.len() >= MAX_UNSYNCED_WRITES {
             return;
         }
         match message {
-            Message::Sound {
+            Message::PreVote {
                 term,
-                last,
-                last_term,
+                last_log_index,
+                last_log_term,
             } => {
-                let granted =
-                    term > self.term && self.may_vote() && self.is_behind(last, last_term);
+                let granted = term > self.term
+                    && self.may_vote()
+                    && self.is_behind(last_log_index, last_log_term);
                 let term = if granted { term } else { self.term };
                 out.messages.push((
                     from,
-                    Message::Vote {
+                    Message::VoteResponse {
                         term,
-                        sounded: true,
+                        pre_vote: true,
                         granted,
                     },
                 ));
             }
-            Message::Stand {
+            Message::RequestVote {
                 term,
-                last,
-                last_term,
+                last_log_index,
+                last_log_term,
             } => {
                 // While a leader may hold its lease no later term is even looked at: the message may be old.
                 if term < self.term || !self.may_vote() {
-                    let vote = Message::Vote {
+                    let vote = Message::VoteResponse {
                         term: self.term,
-                        sounded: false,
+                        pre_vote: false,
                         granted: false,
                     };
                     return out.messages.push((from, vote));
@@ -550,84 +576,88 @@
                 if term > self.term {
                     self.follow(term, None, out);
                 }
-                let granted =
-                    self.voted.is_none_or(|v| v == from) && self.is_behind(last, last_term);
-                if granted && self.voted.is_none() {
-                    self.voted = Some(from);
+                let granted = self.voted_for.is_none_or(|v| v == from)
+                    && self.is_behind(last_log_index, last_log_term);
+                if granted && self.voted_for.is_none() {
+                    self.voted_for = Some(from);
                     self.write(self.last(), Vec::new(), out);
                     self.wait_for_leader();
                 }
                 self.promise(
                     from,
-                    Message::Vote {
+                    Message::VoteResponse {
                         term: self.term,
-                        sounded: false,
+                        pre_vote: false,
                         granted,
                     },
                     out,
                 );
             }
-            Message::Vote {
+            Message::VoteResponse {
                 term,
-                sounded,
+                pre_vote,
                 granted,
-            } => self.voted_for(from, term, sounded, granted, out),
-            Message::Append {
+            } => self.on_vote_response(from, term, pre_vote, granted, out),
+            Message::AppendEntries {
                 term,
-                before,
-                before_term,
+                prev_log_index,
+                prev_log_term,
                 entries,
-                committed,
+                leader_commit,
                 round,
             } => {
                 if term < self.term {
-                    let upto = Err(Place(0));
+                    let upto = Err(LogIndex(0));
                     return out.messages.push((
                         from,
-                        Message::Appended {
+                        Message::AppendEntriesResponse {
                             term: self.term,
                             round,
-                            upto,
+                            match_index: upto,
                         },
                     ));
                 }
                 self.follow(term, Some(from), out);
                 self.silent_since = now;
-                let upto = self.take_in(before, before_term, entries, out);
+                let upto = self.take_in(prev_log_index, prev_log_term, entries, out);
                 if let Ok(upto) = upto {
-                    self.committed = self.committed.max(committed.min(upto));
+                    self.committed = self.committed.max(leader_commit.min(upto));
                     self.commit(out);
                 }
                 self.promise(
                     from,
-                    Message::Appended {
+                    Message::AppendEntriesResponse {
                         term: self.term,
                         round,
-                        upto,
+                        match_index: upto,
                     },
                     out,
                 );
             }
-            Message::Appended { term, round, upto } => self.appended(from, term, round, upto, out),
-            Message::Install {
+            Message::AppendEntriesResponse {
+                term,
+                round,
+                match_index: upto,
+            } => self.appended(from, term, round, upto, out),
+            Message::InstallSnapshot {
                 term,
                 snapshot,
                 round,
             } => {
                 if term < self.term {
-                    let upto = Err(Place(0));
+                    let upto = Err(LogIndex(0));
                     return out.messages.push((
                         from,
-                        Message::Appended {
+                        Message::AppendEntriesResponse {
                             term: self.term,
                             round,
-                            upto,
+                            match_index: upto,
                         },
                     ));
                 }
                 self.follow(term, Some(from), out);
                 self.silent_since = now;
-                let upto = snapshot.upto;
+                let upto = snapshot.last_included_index;
                 if upto > self.committed {
                     // What follows the place in the own log stays where it agrees there.
                     let agrees = self.term_at(upto) == Some(snapshot.term);
@@ -639,10 +669,10 @@
                 }
                 self.promise(
                     from,
-                    Message::Appended {
+                    Message::AppendEntriesResponse {
                         term: self.term,
                         round,
-                        upto: Ok(upto),
+                        match_index: Ok(upto),
                     },
                     out,
                 );
@@ -652,85 +682,100 @@
 
     /// No vote while a leader may hold its lease on this member's silence, a leader's own among them.
     fn may_vote(&self) -> bool {
-        !self.is_elected() && self.now - self.silent_since >= self.terms.silence
+        !self.is_leader() && self.now - self.silent_since >= self.config.election_timeout
     }
 
     /// Whether the own log holds nothing that one with this end may lack.
-    fn is_behind(&self, last: Place, last_term: Term) -> bool {
-        (last_term, last) >= (self.term_at(self.last()).unwrap_or_default(), self.last())
+    fn is_behind(&self, last: LogIndex, last_log_term: Term) -> bool {
+        (last_log_term, last) >= (self.term_at(self.last()).unwrap_or_default(), self.last())
     }
 
-    fn voted_for(
+    fn on_vote_response(
         &mut self,
-        from: KeeperId,
+        from: NodeId,
         term: Term,
-        sounded: bool,
+        pre_vote: bool,
         granted: bool,
-        out: &mut Out,
+        out: &mut Output,
     ) {
         if !granted && term > self.term {
             return self.follow(term, None, out);
         }
         let most = self.most();
-        let Role::Stands { sounds, votes } = &mut self.role else {
+        let Role::Candidate {
+            pre_vote: asks_pre_votes,
+            votes,
+        } = &mut self.role
+        else {
             return;
         };
-        let asked = Term(self.term.0 + u64::from(*sounds));
-        if !granted || *sounds != sounded || term != asked {
+        let asked = Term(self.term.0 + u64::from(*asks_pre_votes));
+        if !granted || *asks_pre_votes != pre_vote || term != asked {
             return;
         }
         votes.insert(from);
         if votes.len() < most {
             return;
         }
-        match *sounds {
-            true => self.stand(false, asked, out),
-            false => self.lead(out),
+        match pre_vote {
+            true => self.start_election(false, asked, out),
+            false => self.become_leader(out),
         }
     }
 
     fn take_in(
         &mut self,
-        mut before: Place,
-        mut before_term: Term,
+        mut prev_log_index: LogIndex,
+        mut prev_log_term: Term,
         mut entries: Vec<Entry>,
-        out: &mut Out,
-    ) -> Result<Place, Place> {
+        out: &mut Output,
+    ) -> Result<LogIndex, LogIndex> {
         // What the snapshot holds was committed, and agrees.
-        let held = self.snapshot.upto.0.saturating_sub(before.0);
+        let held = self
+            .snapshot
+            .last_included_index
+            .0
+            .saturating_sub(prev_log_index.0);
         if held > 0 {
             entries.drain(..entries.len().min(held as usize));
-            (before, before_term) = (self.snapshot.upto, self.snapshot.term);
+            (prev_log_index, prev_log_term) =
+                (self.snapshot.last_included_index, self.snapshot.term);
         }
-        if self.term_at(before) != Some(before_term) {
-            return Err(Place(self.last().0.min(before.0.saturating_sub(1))));
+        if self.term_at(prev_log_index) != Some(prev_log_term) {
+            return Err(LogIndex(
+                self.last().0.min(prev_log_index.0.saturating_sub(1)),
+            ));
         }
-        let upto = Place(before.0 + entries.len() as u64);
+        let upto = LogIndex(prev_log_index.0 + entries.len() as u64);
         // What agrees stays: an old message must not cut what a later one has brought.
         let same = entries
             .iter()
-            .zip(before.0 + 1..)
-            .take_while(|(e, n)| self.term_at(Place(*n)) == Some(e.term));
+            .zip(prev_log_index.0 + 1..)
+            .take_while(|(e, n)| self.term_at(LogIndex(*n)) == Some(e.term));
         let same = same.count();
         if same < entries.len() {
-            self.write(Place(before.0 + same as u64), entries[same..].to_vec(), out);
+            self.write(
+                LogIndex(prev_log_index.0 + same as u64),
+                entries[same..].to_vec(),
+                out,
+            );
         }
         Ok(upto)
     }
 
     fn appended(
         &mut self,
-        from: KeeperId,
+        from: NodeId,
         term: Term,
         round: u64,
-        upto: Result<Place, Place>,
-        out: &mut Out,
+        upto: Result<LogIndex, LogIndex>,
+        out: &mut Output,
     ) {
         if term > self.term {
             return self.follow(term, None, out);
         }
         let (own, last) = (self.term, self.last());
-        let Role::Leads(lead) = &mut self.role else {
+        let Role::Leader(lead) = &mut self.role else {
             return;
         };
         if term != own {
@@ -744,7 +789,7 @@
             Ok(upto) => {
                 let agrees = lead.agrees.entry(from).or_default();
                 *agrees = upto.max(*agrees);
-                let next = Place(agrees.0 + 1);
+                let next = LogIndex(agrees.0 + 1);
                 lead.next.insert(from, next);
                 self.commit(out);
                 if next <= last {
@@ -753,7 +798,7 @@
             }
             Err(hint) => {
                 let known = lead.agrees.get(&from).copied().unwrap_or_default();
-                lead.next.insert(from, Place(hint.max(known).0 + 1));
+                lead.next.insert(from, LogIndex(hint.max(known).0 + 1));
                 self.append(from, round, out);
             }
         }
--- a/crates/spokeflow-raft/tests/days.rs
+++ b/crates/spokeflow-raft/tests/days.rs
@@ -8,7 +8,8 @@
 use rand::{RngExt, SeedableRng};
 use spokeflow_core::Micros;
 use spokeflow_raft::{
-    Body, Entry, KeeperId, Member, Message, Out, Place, QuorumTerms, Saved, Term, Write,
+    Entry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
+    RaftNode, Term,
 };
 
 const MS: Micros = 1_000;
@@ -18,13 +19,13 @@
 enum What {
     Arrives {
         to: usize,
-        from: KeeperId,
+        from: NodeId,
         message: Message,
     },
     Synced {
         member: usize,
         start: u32,
-        write: Write,
+        write: PersistRequest,
     },
     Wake {
         member: usize,
@@ -47,9 +48,9 @@
 
 struct Keeper {
     /// `None` while it is dead.
-    member: Option<Member>,
+    member: Option<RaftNode>,
     start: u32,
-    disk: Saved,
+    disk: PersistentState,
     stopped: bool,
     /// What came while it was stopped.
     kept: Vec<What>,
@@ -71,33 +72,33 @@
     /// Ways that are cut, from and to, by number of the cut.
     cuts: Vec<(u64, usize, usize)>,
     faulty: bool,
-    terms: QuorumTerms,
+    terms: RaftConfig,
     /// What was committed anywhere, and who was elected in each term.
     log: BTreeMap<u64, Entry>,
     /// By place, the sum over all up to it.
     states: BTreeMap<u64, u64>,
     restored: usize,
     changes: usize,
-    elected: BTreeMap<Term, KeeperId>,
-    taken: Vec<(Place, Term, u64)>,
+    elected: BTreeMap<Term, NodeId>,
+    taken: Vec<(LogIndex, Term, u64)>,
     elections: usize,
 }
 
 impl Day {
     /// `spare`: members that are there and not taken in yet.
     fn new(seed: u64, keepers: u32, spare: u32, faulty: bool) -> Day {
-        let members = (0..keepers).map(KeeperId).collect();
-        let terms = QuorumTerms {
-            members,
-            silence: 300 * MS,
-            beat: 60 * MS,
-            drift: 0.01,
+        let members = (0..keepers).map(NodeId).collect();
+        let terms = RaftConfig {
+            voters: members,
+            election_timeout: 300 * MS,
+            heartbeat_interval: 60 * MS,
+            max_clock_drift: 0.01,
         };
         let mut chance = StdRng::seed_from_u64(seed);
         let keepers = (0..keepers + spare).map(|_| Keeper {
             member: None,
             start: 0,
-            disk: Saved::default(),
+            disk: PersistentState::default(),
             stopped: false,
             kept: Vec::new(),
             rate: chance.random_range(0.99..1.01),
@@ -148,15 +149,15 @@
 
     fn restart(&mut self, n: usize) {
         let (now, seed) = (self.clock(n), self.chance.random());
-        let id = KeeperId(n as u32);
+        let id = NodeId(n as u32);
         let mut terms = self.terms.clone();
-        terms.members.retain(|_| self.terms.members.contains(&id));
+        terms.voters.retain(|_| self.terms.voters.contains(&id));
         let k = &mut self.keepers[n];
         k.start += 1;
-        (k.stopped, k.done, k.wrote) = (false, k.disk.snapshot.upto.0, 0);
+        (k.stopped, k.done, k.wrote) = (false, k.disk.snapshot.last_included_index.0, 0);
         k.state = self.states[&k.done];
         k.kept.clear();
-        k.member = Some(Member::new(id, terms, seed, k.disk.clone(), now));
+        k.member = Some(RaftNode::new(id, terms, seed, k.disk.clone(), now));
         self.wake(n);
     }
 
@@ -169,24 +170,24 @@
         self.plan(after, What::Wake { member: n, start });
     }
 
-    fn call(&mut self, n: usize, act: impl FnOnce(&mut Member, Micros, &mut Out)) {
+    fn call(&mut self, n: usize, act: impl FnOnce(&mut RaftNode, Micros, &mut Output)) {
         let now = self.clock(n);
-        let mut out = Out::default();
+        let mut out = Output::default();
         let Some(member) = &mut self.keepers[n].member else {
             return;
         };
         act(member, now, &mut out);
-        let (elected, term) = (member.is_elected(), member.term());
+        let (elected, term) = (member.is_leader(), member.term());
         let start = self.keepers[n].start;
         if elected {
-            let id = KeeperId(n as u32);
+            let id = NodeId(n as u32);
             let before = *self.elected.entry(term).or_insert_with(|| {
                 self.elections += 1;
                 id
             });
             assert_eq!(before, id, "two leaders in {term:?}");
         }
-        for write in out.writes {
+        for write in out.persist_requests {
             // One disk, in order: a sync takes up to 30 ms.
             let after = self
                 .chance
@@ -204,7 +205,7 @@
             self.send(n, to.0 as usize, message);
         }
         if let Some(snapshot) = out.restored {
-            let (k, upto) = (&mut self.keepers[n], snapshot.upto.0);
+            let (k, upto) = (&mut self.keepers[n], snapshot.last_included_index.0);
             assert!(upto > k.done, "a snapshot takes nothing back");
             assert_eq!(
                 snapshot.state,
@@ -226,14 +227,14 @@
             assert_eq!(*self.states.entry(place.0).or_insert(k.state), k.state);
         }
         let k = &mut self.keepers[n];
-        let many = k.member.as_ref().map_or(0, |m| m.kept());
-        if many > 150 && k.done > k.disk.snapshot.upto.0 + 50 && !k.stopped {
-            let (upto, state) = (Place(k.done - 20), self.states[&(k.done - 20)]);
-            let mut out = Out::default();
+        let many = k.member.as_ref().map_or(0, |m| m.log_len());
+        if many > 150 && k.done > k.disk.snapshot.last_included_index.0 + 50 && !k.stopped {
+            let (upto, state) = (LogIndex(k.done - 20), self.states[&(k.done - 20)]);
+            let mut out = Output::default();
             if let Some(member) = &mut k.member {
                 member.compact(upto, state.to_be_bytes().to_vec(), &mut out);
             }
-            for write in out.writes {
+            for write in out.persist_requests {
                 let start = self.keepers[n].start;
                 self.plan(
                     2 * MS,
@@ -256,7 +257,9 @@
     /// Whether it could act at this instant; one that is stopped cannot, and asks again before it does.
     fn leads(&self, n: usize) -> bool {
         let k = &self.keepers[n];
-        k.member.as_ref().is_some_and(|m| m.leads(self.clock(n)))
+        k.member
+            .as_ref()
+            .is_some_and(|m| m.has_recent_quorum(self.clock(n)))
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -280,7 +283,7 @@
             };
             let what = What::Arrives {
                 to,
-                from: KeeperId(from as u32),
+                from: NodeId(from as u32),
                 message: message.clone(),
             };
             self.plan(after, what);
@@ -329,7 +332,7 @@
             let mut taken = None;
             self.call(m, |member, now, out| {
                 taken = member
-                    .offer(now, n.to_be_bytes().to_vec(), out)
+                    .propose(now, n.to_be_bytes().to_vec(), out)
                     .ok()
                     .map(|p| (p, member.term()));
             });
@@ -349,12 +352,12 @@
             let mut changed = false;
             self.call(m, |member, now, out| {
                 let mut members = member.members().to_vec();
-                if !members.contains(&KeeperId(drawn)) && members.len() < 5 {
-                    members.push(KeeperId(drawn));
+                if !members.contains(&NodeId(drawn)) && members.len() < 5 {
+                    members.push(NodeId(drawn));
                 } else if members.len() > 3 {
-                    members.retain(|k| *k != KeeperId(drawn));
+                    members.retain(|k| *k != NodeId(drawn));
                 }
-                changed = member.change(now, members, out).is_some();
+                changed = member.propose_membership(now, members, out).is_some();
             });
             self.changes += usize::from(changed);
         }
@@ -400,7 +403,7 @@
         }
         match what {
             What::Arrives { to, from, message } => {
-                self.call(to, |m, now, out| m.heard(now, from, message, out));
+                self.call(to, |m, now, out| m.on_message(now, from, message, out));
                 self.wake(to);
             }
             What::Wake { member, start } if start == self.keepers[member].start => {
@@ -410,7 +413,7 @@
                     .as_ref()
                     .is_some_and(|m| m.next_wake() <= due)
                 {
-                    self.call(member, |m, now, out| m.woken(now, out));
+                    self.call(member, |m, now, out| m.on_timer(now, out));
                     self.wake(member);
                 }
             }
@@ -423,7 +426,7 @@
                     return;
                 }
                 // Writes reach the disk in their order: one that waits for an earlier one is tried again.
-                if write.number != self.keepers[member].wrote + 1 {
+                if write.sequence != self.keepers[member].wrote + 1 {
                     return self.plan(
                         MS,
                         What::Synced {
@@ -434,8 +437,10 @@
                     );
                 }
                 self.keepers[member].disk.apply(&write);
-                self.keepers[member].wrote = write.number;
-                self.call(member, |m, now, out| m.synced(now, write.number, out));
+                self.keepers[member].wrote = write.sequence;
+                self.call(member, |m, now, out| {
+                    m.on_persisted(now, write.sequence, out)
+                });
                 self.wake(member);
             }
             What::Offer(n) => self.offer(n),
@@ -496,7 +501,7 @@
             if let Some(entry) = day.log.get(&place.0).filter(|e| e.term == *term) {
                 assert_eq!(
                     entry.body,
-                    Body::Act(n.to_be_bytes().to_vec()),
+                    Payload::Command(n.to_be_bytes().to_vec()),
                     "seed {seed}: another body at {place:?}"
                 );
             }
--- a/crates/spokeflow-raft/tests/search.rs
+++ b/crates/spokeflow-raft/tests/search.rs
@@ -7,44 +7,54 @@
 use std::hash::{Hash, Hasher};
 
 use spokeflow_core::Micros;
-use spokeflow_raft::{Entry, KeeperId, Member, Message, Out, QuorumTerms, Saved, Term, Write};
+use spokeflow_raft::{
+    Entry, Message, NodeId, Output, PersistRequest, PersistentState, RaftConfig, RaftNode, Term,
+};
 
 const MEMBERS: usize = 3;
 
 #[derive(Clone, Debug)]
 struct World {
-    members: Vec<Member>,
+    members: Vec<RaftNode>,
     clocks: Vec<Micros>,
-    disks: Vec<Saved>,
-    unsynced: Vec<VecDeque<Write>>,
+    disks: Vec<PersistentState>,
+    unsynced: Vec<VecDeque<PersistRequest>>,
     /// On their way, from and to; in an order that says nothing.
-    out: Vec<(KeeperId, KeeperId, Message)>,
+    out: Vec<(NodeId, NodeId, Message)>,
     done: Vec<u64>,
     /// How often each may still wake, and all together be killed.
     wakes: [u8; MEMBERS],
     kills: u8,
-    elected: BTreeMap<Term, KeeperId>,
+    elected: BTreeMap<Term, NodeId>,
     log: BTreeMap<u64, Entry>,
 }
 
-fn terms() -> QuorumTerms {
-    let members = (0..MEMBERS as u32).map(KeeperId).collect();
-    QuorumTerms {
-        members,
-        silence: 300_000,
-        beat: 60_000,
-        drift: 0.01,
+fn terms() -> RaftConfig {
+    let members = (0..MEMBERS as u32).map(NodeId).collect();
+    RaftConfig {
+        voters: members,
+        election_timeout: 300_000,
+        heartbeat_interval: 60_000,
+        max_clock_drift: 0.01,
     }
 }
 
 impl World {
     fn new(wakes: [u8; MEMBERS], kills: u8) -> World {
-        let member = |n| Member::new(KeeperId(n), terms(), u64::from(n), Saved::default(), 0);
+        let member = |n| {
+            RaftNode::new(
+                NodeId(n),
+                terms(),
+                u64::from(n),
+                PersistentState::default(),
+                0,
+            )
+        };
         World {
             members: (0..MEMBERS as u32).map(member).collect(),
             // All have been up for the least silence: any may vote and be voted for.
             clocks: vec![300_000; MEMBERS],
-            disks: vec![Saved::default(); MEMBERS],
+            disks: vec![PersistentState::default(); MEMBERS],
             unsynced: vec![VecDeque::new(); MEMBERS],
             out: Vec::new(),
             done: vec![0; MEMBERS],
@@ -58,15 +68,15 @@
     fn call(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut Member, Micros, &mut Out),
+        act: impl FnOnce(&mut RaftNode, Micros, &mut Output),
     ) -> Result<(), String> {
-        let mut out = Out::default();
+        let mut out = Output::default();
         act(&mut self.members[n], self.clocks[n], &mut out);
-        let (id, member) = (KeeperId(n as u32), &self.members[n]);
-        if member.is_elected() && *self.elected.entry(member.term()).or_insert(id) != id {
+        let (id, member) = (NodeId(n as u32), &self.members[n]);
+        if member.is_leader() && *self.elected.entry(member.term()).or_insert(id) != id {
             return Err(format!("two leaders in {:?}", member.term()));
         }
-        self.unsynced[n].extend(out.writes);
+        self.unsynced[n].extend(out.persist_requests);
         self.out.extend(
             out.messages
                 .into_iter()
@@ -92,14 +102,14 @@
                 let mut world = self.clone();
                 world.wakes[n] -= 1;
                 world.clocks[n] = world.clocks[n].max(world.members[n].next_wake());
-                world.call(n, |m, now, out| m.woken(now, out))?;
+                world.call(n, |m, now, out| m.on_timer(now, out))?;
                 all.push(world);
             }
             if let Some(write) = self.unsynced[n].front() {
                 let mut world = self.clone();
                 world.unsynced[n].pop_front();
                 world.disks[n].apply(write);
-                world.call(n, |m, now, out| m.synced(now, write.number, out))?;
+                world.call(n, |m, now, out| m.on_persisted(now, write.sequence, out))?;
                 all.push(world);
             }
             if self.kills > 0 {
@@ -107,8 +117,8 @@
                 world.kills -= 1;
                 world.unsynced[n].clear();
                 world.done[n] = 0;
-                let (id, saved) = (KeeperId(n as u32), self.disks[n].clone());
-                world.members[n] = Member::new(id, terms(), n as u64, saved, self.clocks[n]);
+                let (id, saved) = (NodeId(n as u32), self.disks[n].clone());
+                world.members[n] = RaftNode::new(id, terms(), n as u64, saved, self.clocks[n]);
                 // Long enough for it to vote again.
                 world.clocks[n] += 300_000;
                 all.push(world);
@@ -121,7 +131,7 @@
             let mut world = self.clone();
             let (from, to, message) = world.out.remove(k);
             world.call(to.0 as usize, |m, now, out| {
-                m.heard(now, from, message, out)
+                m.on_message(now, from, message, out)
             })?;
             all.push(world);
         }
@@ -140,17 +150,17 @@
     let mut world = World::new([1, 1, 0], kills);
     for n in 0..2 {
         world.clocks[n] = world.members[n].next_wake();
-        world.call(n, |m, now, out| m.woken(now, out)).unwrap();
+        world.call(n, |m, now, out| m.on_timer(now, out)).unwrap();
         for to in [2, n as u32] {
             let k = world
                 .out
                 .iter()
-                .position(|m| m.1 == KeeperId(to) && m.0 != KeeperId(1 - n as u32))
+                .position(|m| m.1 == NodeId(to) && m.0 != NodeId(1 - n as u32))
                 .unwrap();
             let (from, to, message) = world.out.remove(k);
             world
                 .call(to.0 as usize, |m, now, out| {
-                    m.heard(now, from, message, out)
+                    m.on_message(now, from, message, out)
                 })
                 .unwrap();
         }
--- a/crates/spokeflow-simulator/src/agreement.rs
+++ b/crates/spokeflow-simulator/src/agreement.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use spokeflow_coordination::{Asker, KeeperTerms, LeaseHolder, LeaseTerms, Offer};
 use spokeflow_core::Micros;
-use spokeflow_raft::{KeeperId, QuorumTerms, Saved};
+use spokeflow_raft::{NodeId, PersistentState, RaftConfig};
 
 use self::event::What;
 use self::keepers::KeeperNode;
@@ -81,21 +81,21 @@
 
 /// Plays a day. Equal days give equal results.
 pub fn play_agreement(day: AgreementDay) -> AgreementPlayed {
-    let members: Vec<KeeperId> = (0..day.keepers).map(KeeperId).collect();
+    let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
     let terms = KeeperTerms {
-        own: KeeperId(0),
-        quorum: QuorumTerms {
-            members,
-            silence: day.silence,
-            beat: day.silence / 5,
-            drift: day.drift,
+        own: NodeId(0),
+        quorum: RaftConfig {
+            voters: members,
+            election_timeout: day.silence,
+            heartbeat_interval: day.silence / 5,
+            max_clock_drift: day.drift,
         },
         lease: LeaseTerms {
             lease: day.lease,
             drift: day.drift,
         },
         addresses: (0..day.keepers + 2)
-            .map(|n| (KeeperId(n), n.to_string()))
+            .map(|n| (NodeId(n), n.to_string()))
             .collect(),
         check: |_| Ok(()),
     };
@@ -105,7 +105,7 @@
     let keepers = (0..day.keepers + 2).map(|_| KeeperNode {
         core: None,
         start: 0,
-        disk: Saved::default(),
+        disk: PersistentState::default(),
         wrote: 0,
         stopped: false,
         kept: Vec::new(),
@@ -183,7 +183,7 @@
         self.played.waits = waits.collect();
         for core in self.keepers.iter().filter_map(|s| s.core.as_ref()) {
             self.played.terms = self.played.terms.max(core.member().term().0);
-            self.played.kept_entries = self.played.kept_entries.max(core.member().kept());
+            self.played.kept_entries = self.played.kept_entries.max(core.member().log_len());
         }
         let state = self
             .keepers
@@ -242,7 +242,7 @@
         match what {
             What::Quorum { to, from, message } => {
                 self.call(to, |k, now, step| {
-                    k.heard(now, KeeperId(from as u32), message, step)
+                    k.on_message(now, NodeId(from as u32), message, step)
                 });
             }
             What::Asks {
@@ -277,7 +277,7 @@
                 keeper,
                 start,
                 write,
-            } => self.synced(keeper, start, write),
+            } => self.on_persisted(keeper, start, write),
             // One that was planned before a sooner one has been overtaken by it.
             What::Wake { keeper, start }
                 if start == self.keepers[keeper].start
@@ -286,7 +286,7 @@
                 self.keepers[keeper].wakes = Micros::MAX;
                 self.call(keeper, |k, now, step| {
                     if k.next_wake(now) <= now {
-                        k.woken(now, step);
+                        k.on_timer(now, step);
                     }
                 });
             }
--- a/crates/spokeflow-simulator/src/agreement/event.rs
+++ b/crates/spokeflow-simulator/src/agreement/event.rs
@@ -1,7 +1,7 @@
 //! What is to come, and the numbers of the connections that answers go to.
 
 use spokeflow_coordination::wire::{Answer, Ask};
-use spokeflow_raft::{Message, Write};
+use spokeflow_raft::{Message, PersistRequest};
 
 /// Whom an answer goes to, as the number of a connection: a keeper that passed on, a router's process, a person.
 pub(super) const PERSON: u64 = 0;
@@ -35,7 +35,7 @@
     Synced {
         keeper: usize,
         start: u32,
-        write: Box<Write>,
+        write: Box<PersistRequest>,
     },
     Wake {
         keeper: usize,
--- a/crates/spokeflow-simulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-simulator/src/agreement/keepers.rs
@@ -4,7 +4,7 @@
 use spokeflow_coordination::wire::{Answer, ToKeeper};
 use spokeflow_coordination::{Keeper, KeeperTerms, Step};
 use spokeflow_core::Micros;
-use spokeflow_raft::{KeeperId, Saved, Write};
+use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 
 use super::event::{keeper_conn, What, PERSON};
 use super::{World, MS};
@@ -12,7 +12,7 @@
 pub(super) struct KeeperNode {
     pub(super) core: Option<Keeper>,
     pub(super) start: u32,
-    pub(super) disk: Saved,
+    pub(super) disk: PersistentState,
     pub(super) wrote: u64,
     pub(super) stopped: bool,
     pub(super) kept: Vec<What>,
@@ -25,13 +25,13 @@
     pub(super) fn start(&mut self, n: usize) {
         let now = self.clock(self.keepers[n].rate);
         let seed = self.chance.random();
-        let own = KeeperId(n as u32);
+        let own = NodeId(n as u32);
         let mut terms = KeeperTerms {
             own,
             ..self.terms.clone()
         };
         if n >= self.day.keepers as usize {
-            terms.quorum.members.clear();
+            terms.quorum.voters.clear();
         }
         let node = &mut self.keepers[n];
         node.start += 1;
@@ -141,12 +141,12 @@
         }
     }
 
-    pub(super) fn synced(&mut self, keeper: usize, start: u32, write: Box<Write>) {
+    pub(super) fn on_persisted(&mut self, keeper: usize, start: u32, write: Box<PersistRequest>) {
         let node = &mut self.keepers[keeper];
         if start != node.start || node.core.is_none() {
             return;
         }
-        if write.number != node.wrote + 1 {
+        if write.sequence != node.wrote + 1 {
             return self.plan(
                 MS,
                 What::Synced {
@@ -157,7 +157,9 @@
             );
         }
         node.disk.apply(&write);
-        node.wrote = write.number;
-        self.call(keeper, |k, now, step| k.synced(now, write.number, step));
+        node.wrote = write.sequence;
+        self.call(keeper, |k, now, step| {
+            k.on_persisted(now, write.sequence, step)
+        });
     }
 }
--- a/crates/spokeflow-simulator/src/agreement/people.rs
+++ b/crates/spokeflow-simulator/src/agreement/people.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use spokeflow_coordination::wire::Ask;
 use spokeflow_coordination::{Asker, Offer, RevisionNo, Values};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 
 use super::event::{What, PERSON};
 use super::{World, MS, SECOND};
@@ -50,7 +50,7 @@
     pub(super) fn change(&mut self) {
         let after = self.chance.random_range(SECOND..4 * SECOND);
         self.plan(after, What::Change);
-        let drawn = KeeperId(self.chance.random_range(0..self.keepers.len() as u32));
+        let drawn = NodeId(self.chance.random_range(0..self.keepers.len() as u32));
         for n in 0..self.keepers.len() {
             let Some(core) = self.keepers[n]
                 .core
@@ -65,7 +65,9 @@
             } else if members.len() > self.day.keepers as usize {
                 members.retain(|m| *m != drawn);
             }
-            let leads = core.member().speaks(self.clock(self.keepers[n].rate));
+            let leads = core
+                .member()
+                .has_leader_lease(self.clock(self.keepers[n].rate));
             if leads {
                 let asker = Asker {
                     conn: PERSON,
--- a/crates/spokeflow-testbed/src/fleet/check.rs
+++ b/crates/spokeflow-testbed/src/fleet/check.rs
@@ -191,7 +191,7 @@
 fn next_leader(frames: &[Frame], at: Micros) -> Option<Micros> {
     let term = |f: &Frame| match &f.what {
         Crossed::Up(ToKeeper::Quorum(
-            Message::Append { term, .. } | Message::Install { term, .. },
+            Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. },
         )) => Some(term.0),
         _ => None,
     };
@@ -241,7 +241,9 @@
                 let Node::Keeper(from) = frame.from else {
                     continue;
                 };
-                if let Message::Append { term, .. } | Message::Install { term, .. } = message {
+                if let Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. } =
+                    message
+                {
                     let first = *leaders.entry(term.0).or_insert(from);
                     if first != from {
                         broken.push(format!(
@@ -251,10 +253,14 @@
                     }
                 }
                 let promises = match message {
-                    Message::Vote {
-                        granted, sounded, ..
+                    Message::VoteResponse {
+                        granted,
+                        pre_vote: sounded,
+                        ..
                     } => *granted && !sounded,
-                    Message::Appended { upto, .. } => upto.is_ok(),
+                    Message::AppendEntriesResponse {
+                        match_index: upto, ..
+                    } => upto.is_ok(),
                     _ => false,
                 };
                 // By when its connection began: what an earlier process said may still be on its way.
--- a/crates/spokeflow-testbed/src/fleet/play.rs
+++ b/crates/spokeflow-testbed/src/fleet/play.rs
@@ -12,7 +12,7 @@
 use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{Answer, Ask};
 use spokeflow_coordination::{Offer, RevisionNo, Values};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 use tokio::time::{sleep, Instant};
 
 use super::check::{check, Done, Report, Slack};
@@ -79,7 +79,7 @@
     let read = |store: &Path| {
         let look = store.with_extension("look");
         copy(store, &look);
-        Store::open(&look, fleet, KeeperId(keeper), None, 0)
+        Store::open(&look, fleet, NodeId(keeper), None, 0)
             .ok()
             .map(|(_, saved, start, _)| (saved, start))
     };
@@ -459,7 +459,7 @@
         let known_all = self.known().await;
         let until = Instant::now() + Duration::from_secs(20);
         let seated = Ask::SetAddress {
-            keeper: KeeperId(id),
+            keeper: NodeId(id),
             address: known.to_string(),
         };
         let _ = ask(&known_all, seated, Duration::from_secs(10)).await;
@@ -470,21 +470,21 @@
             };
             let mut members = view.members.clone();
             let (there, gone) = (
-                members.contains(&KeeperId(id)),
-                !members.contains(&KeeperId(old)),
+                members.contains(&NodeId(id)),
+                !members.contains(&NodeId(old)),
             );
             if there && gone {
                 break;
             }
             match there {
-                false => members.push(KeeperId(id)),
+                false => members.push(NodeId(id)),
                 true => members.retain(|m| m.0 != old),
             }
             let _ = ask(&known_all, Ask::Members(members), Duration::from_secs(2)).await;
             sleep(Duration::from_millis(200)).await;
         }
         let out = match ask(&known_all, Ask::View, Duration::from_secs(5)).await {
-            Ok(Answer::View(view)) => !view.members.contains(&KeeperId(old)),
+            Ok(Answer::View(view)) => !view.members.contains(&NodeId(old)),
             _ => false,
         };
         if out {
--- a/crates/spokeflow-testbed/src/fleet/switchboard.rs
+++ b/crates/spokeflow-testbed/src/fleet/switchboard.rs
@@ -8,7 +8,7 @@
 
 use rand::RngExt;
 use spokeflow_coordination::wire::{Caller, FromKeeper, ToKeeper};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -160,9 +160,7 @@
             return;
         };
         let from = match who {
-            Caller::Keeper {
-                id: KeeperId(id), ..
-            } => Node::Keeper(id),
+            Caller::Keeper { id: NodeId(id), .. } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
             Caller::Person => Node::Person,
         };
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::wire::{Caller, ToKeeper, LIMIT};
-use spokeflow_raft::KeeperId;
+use spokeflow_raft::NodeId;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -141,9 +141,7 @@
             return;
         };
         let node = match who {
-            Caller::Keeper {
-                id: KeeperId(id), ..
-            } => Node::Keeper(id),
+            Caller::Keeper { id: NodeId(id), .. } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
             Caller::Person => Node::Person,
         };
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -139,7 +139,7 @@
     let says = |f: &&Frame| {
         matches!(
             f.what,
-            Crossed::Up(ToKeeper::Quorum(Message::Append { .. }))
+            Crossed::Up(ToKeeper::Quorum(Message::AppendEntries { .. }))
         )
     };
     let last = frames
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -5,7 +5,7 @@
     Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo,
     Seats, Values, Verdict,
 };
-use spokeflow_raft::{Message, Place, Snapshot, Term};
+use spokeflow_raft::{LogIndex, Message, Snapshot, Term};
 use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
 
 fn up(message: &ToKeeper) -> ToKeeperHead {
@@ -41,16 +41,16 @@
 
 #[test]
 fn only_messages_of_a_leader_tell_who_leads() {
-    let (term, before, before_term, committed) = (Term(700), Place(3), Term(2), Place(3));
-    let append = Message::Append {
+    let (term, before, prev_log_term, committed) = (Term(700), LogIndex(3), Term(2), LogIndex(3));
+    let append = Message::AppendEntries {
         term,
-        before,
-        before_term,
+        prev_log_index: before,
+        prev_log_term,
         entries: Vec::new(),
-        committed,
+        leader_commit: committed,
         round: 1,
     };
-    let install = Message::Install {
+    let install = Message::InstallSnapshot {
         term,
         snapshot: Snapshot::default(),
         round: 1,
@@ -62,25 +62,25 @@
         );
     }
     let others = [
-        Message::Sound {
+        Message::PreVote {
             term,
-            last: before,
-            last_term: before_term,
+            last_log_index: before,
+            last_log_term: prev_log_term,
         },
-        Message::Stand {
+        Message::RequestVote {
             term,
-            last: before,
-            last_term: before_term,
+            last_log_index: before,
+            last_log_term: prev_log_term,
         },
-        Message::Vote {
+        Message::VoteResponse {
             term,
-            sounded: false,
+            pre_vote: false,
             granted: true,
         },
-        Message::Appended {
+        Message::AppendEntriesResponse {
             term,
             round: 1,
-            upto: Ok(before),
+            match_index: Ok(before),
         },
     ];
     for message in others {
