--- a/crates/spokeflow-config/src/revision.rs
+++ b/crates/spokeflow-config/src/revision.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 
 use clap::Parser;
-use spokeflow_coordination::Values;
+use spokeflow_coordination::Overrides;
 
 use crate::service::parse_customer;
 use crate::{parse_duration, ConfigErrors, ServiceFlags};
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Every fault, one a line, naming the flag.
-pub fn check_overrides(values: &Values) -> Result<(), ConfigErrors> {
+pub fn check_overrides(values: &Overrides) -> Result<(), ConfigErrors> {
     let base = BaseFlags::try_parse_from(BASE_ARGUMENTS)
         .expect("the base flags are complete")
         .service;
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Every fault, one a line, naming the flag.
-    pub fn revised(&self, values: &Values) -> Result<ServiceFlags, ConfigErrors> {
+    pub fn revised(&self, values: &Overrides) -> Result<ServiceFlags, ConfigErrors> {
         let mut errors = ConfigErrors::default();
         let flags = self.with_overrides(values, &mut errors);
         let same_customers = flags.customer_names().eq(self.customer_names());
@@ -85,7 +85,7 @@
         self.customers.iter().map(|(name, _)| name.as_str())
     }
 
-    fn with_overrides(&self, values: &Values, errors: &mut ConfigErrors) -> ServiceFlags {
+    fn with_overrides(&self, values: &Overrides, errors: &mut ConfigErrors) -> ServiceFlags {
         let mut flags = self.clone();
         for (name, text) in values {
             if let Err(fault) = flags.apply_override(name, text) {
@@ -117,7 +117,7 @@
     }
 
     /// Takes what `values` does not name to fit what it names.
-    fn assume_unnamed_fits(&mut self, values: &Values) {
+    fn assume_unnamed_fits(&mut self, values: &Overrides) {
         if !values.contains_key("fleet-size") {
             self.fleet_size = u32::MAX;
         }
--- a/crates/spokeflow-control-plane/src/ask.rs
+++ b/crates/spokeflow-control-plane/src/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
 use spokeflow_proto::FrameCodec;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
@@ -15,27 +15,30 @@
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Asks one keeper, once. Errors: it is not reached, or says nothing, in one line.
-pub async fn ask_one(keeper: SocketAddr, ask: Ask) -> Result<Answer, String> {
+pub async fn ask_one(keeper: SocketAddr, ask: Request) -> Result<Response, String> {
     let asking = async {
         let stream = TcpStream::connect(keeper)
             .await
             .map_err(|e| format!("{keeper}: {e}"))?;
-        let codec = FrameCodec::<FromKeeper, ToKeeper>::new(LIMIT);
+        let codec = FrameCodec::<FromNode, ToNode>::new(LIMIT);
         let mut link = Framed::with_capacity(stream, codec, 1024);
         let fault = |e: spokeflow_proto::FrameFault| format!("{keeper}: {e}");
-        link.send(ToKeeper::hello(Caller::Person))
-            .await
-            .map_err(fault)?;
-        link.send(ToKeeper::Ask { number: 1, ask })
+        link.send(ToNode::hello(Caller::Operator))
             .await
             .map_err(fault)?;
+        link.send(ToNode::Request {
+            number: 1,
+            request: ask,
+        })
+        .await
+        .map_err(fault)?;
         while let Some(read) = link.next().await {
             match read.map_err(fault)? {
-                FromKeeper::Welcome { .. } => {}
-                FromKeeper::Refused { text, .. } => {
-                    return Err(format!("{keeper}: refused: {text}"))
-                }
-                FromKeeper::Answer { answer, .. } => return Ok(answer),
+                FromNode::Welcome { .. } => {}
+                FromNode::Refused { text, .. } => return Err(format!("{keeper}: refused: {text}")),
+                FromNode::Response {
+                    response: answer, ..
+                } => return Ok(answer),
             }
         }
         Err(format!("{keeper}: the connection was closed"))
@@ -49,15 +52,22 @@
 /// asked again though it may have been done: it is done once. Others, where it is not clear, are not asked again.
 ///
 /// Errors: nobody did within that time, with what the last one said.
-pub async fn ask(keepers: &[SocketAddr], ask: Ask, within: Duration) -> Result<Answer, String> {
+pub async fn ask(
+    keepers: &[SocketAddr],
+    ask: Request,
+    within: Duration,
+) -> Result<Response, String> {
     let until = Instant::now() + within;
-    let again = matches!(ask, Ask::Offer(_) | Ask::View | Ask::SetAddress { .. });
+    let again = matches!(
+        ask,
+        Request::Propose(_) | Request::Status | Request::SetAddress { .. }
+    );
     let mut last = "no keeper was named".to_string();
     while Instant::now() < until {
         for &keeper in keepers {
             match ask_one(keeper, ask.clone()).await {
-                Ok(Answer::NoLeader) => last = format!("{keeper}: knows no leader"),
-                Ok(Answer::Unclear) if again => {
+                Ok(Response::NoLeader) => last = format!("{keeper}: knows no leader"),
+                Ok(Response::Indeterminate) if again => {
                     last = format!("{keeper}: not clear whether it was done")
                 }
                 Ok(answer) => return Ok(answer),
--- a/crates/spokeflow-control-plane/src/calls.rs
+++ b/crates/spokeflow-control-plane/src/calls.rs
@@ -5,7 +5,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::wire::{
-    Caller, Common, FromKeeper, Refusal, ToKeeper, LIMIT, MAGIC, VERSION,
+    Caller, ClusterParameters, FromNode, Refusal, ToNode, LIMIT, MAGIC, VERSION,
 };
 use spokeflow_proto::FrameCodec;
 use spokeflow_raft::NodeId;
@@ -31,13 +31,13 @@
 pub struct Call {
     pub conn: u64,
     pub own: NodeId,
-    pub common: Common,
+    pub common: ClusterParameters,
     pub core: mpsc::Sender<Arrival>,
     pub clock: Arc<Clock>,
     pub _place: OwnedSemaphorePermit,
 }
 
-type Link = Framed<TcpStream, FrameCodec<ToKeeper, FromKeeper>>;
+type Link = Framed<TcpStream, FrameCodec<ToNode, FromNode>>;
 
 impl Call {
     pub async fn run(self, stream: TcpStream) {
@@ -48,7 +48,7 @@
         };
         let refused = match self.admit(first).await {
             Ok(caller) => {
-                let keeper = matches!(caller, Caller::Keeper { .. });
+                let keeper = matches!(caller, Caller::Node { .. });
                 link.codec_mut()
                     .set_limit(if keeper { LIMIT } else { ASK_LIMIT });
                 self.talk(link, caller).await;
@@ -62,7 +62,7 @@
         }
         let _ = timeout(
             PATIENCE,
-            link.send(FromKeeper::Refused {
+            link.send(FromNode::Refused {
                 why: refused.0,
                 text: refused.1,
             }),
@@ -70,8 +70,8 @@
         .await;
     }
 
-    async fn admit(&self, first: ToKeeper) -> Result<Caller, (Refusal, String)> {
-        let ToKeeper::Hello {
+    async fn admit(&self, first: ToNode) -> Result<Caller, (Refusal, String)> {
+        let ToNode::Hello {
             magic,
             version,
             caller,
@@ -85,11 +85,11 @@
                 format!("this end speaks version {VERSION} of keepers"),
             ));
         }
-        if let Caller::Keeper {
+        if let Caller::Node {
             id,
             start,
             processes,
-            common,
+            parameters: common,
             addresses,
         } = &caller
         {
@@ -98,7 +98,7 @@
                     "keeper {} was told {common:?}, this one {:?}",
                     id.0, self.common
                 );
-                return Err((Refusal::Terms, text));
+                return Err((Refusal::ConfigMismatch, text));
             }
             // Answered by the task that knows all that was met, once it is on the disk.
             let (answer, met) = oneshot::channel();
@@ -111,7 +111,7 @@
             };
             let _ = self.core.send(asked).await;
             if let Ok(Err(text)) = met.await {
-                return Err((Refusal::OldDisk, text));
+                return Err((Refusal::StaleStore, text));
             }
         }
         Ok(caller)
@@ -119,12 +119,12 @@
 
     async fn talk(&self, mut link: Link, caller: Caller) {
         let (answers, mut to_send) = mpsc::channel(ANSWERS);
-        let welcome = FromKeeper::Welcome {
-            keeper: self.own,
-            common: self.common,
+        let welcome = FromNode::Welcome {
+            node: self.own,
+            parameters: self.common,
         };
         let keeper = match caller {
-            Caller::Keeper { id, .. } => Some(id),
+            Caller::Node { id, .. } => Some(id),
             _ => None,
         };
         if self
@@ -142,10 +142,10 @@
             tokio::select! {
                 read = link.next() => {
                     let arrival = match read {
-                        Some(Ok(ToKeeper::Ask { number, ask })) => {
+                        Some(Ok(ToNode::Request { number, request: ask })) => {
                             Arrival::Asked { conn: self.conn, number, keeper: keeper.is_some(), ask }
                         }
-                        Some(Ok(ToKeeper::Quorum(message))) => match keeper {
+                        Some(Ok(ToNode::Raft(message))) => match keeper {
                             Some(from) => Arrival::Heard(from, message),
                             None => return,
                         },
@@ -158,9 +158,9 @@
                 answer = to_send.recv() => {
                     let Some((number, answer)) = answer else { return };
                     let sending = async {
-                        link.feed(FromKeeper::Answer { number, answer }).await?;
+                        link.feed(FromNode::Response { number, response: answer }).await?;
                         while let Ok((number, answer)) = to_send.try_recv() {
-                            link.feed(FromKeeper::Answer { number, answer }).await?;
+                            link.feed(FromNode::Response { number, response: answer }).await?;
                         }
                         link.flush().await
                     };
--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_coordination::{HostState, ListedHost, SourceNews};
+use spokeflow_coordination::{HostState, ListedHost, SourceUpdate};
 use spokeflow_proto::{FrameCodec, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT};
 use spokeflow_runtime::Backoff;
 use tokio::net::TcpStream;
@@ -105,7 +105,7 @@
     }
 }
 
-fn news(version: u64, whole: bool, lines: Vec<Line>) -> SourceNews {
+fn news(version: u64, whole: bool, lines: Vec<Line>) -> SourceUpdate {
     let host = |line: Line| {
         let Line {
             host,
@@ -133,9 +133,9 @@
             up_us,
         }
     };
-    SourceNews {
+    SourceUpdate {
         version,
-        whole,
+        complete: whole,
         hosts: lines.into_iter().map(host).collect(),
     }
 }
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_coordination::wire::{Caller, FromKeeper, Refusal, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Caller, FromNode, Refusal, ToNode, LIMIT};
 use spokeflow_proto::FrameCodec;
 use spokeflow_raft::NodeId;
 use spokeflow_runtime::Backoff;
@@ -29,10 +29,10 @@
     pub addresses: watch::Receiver<Vec<(NodeId, String)>>,
     pub backoff: Backoff,
     pub core: mpsc::Sender<Arrival>,
-    pub queue: mpsc::Receiver<ToKeeper>,
+    pub queue: mpsc::Receiver<ToNode>,
 }
 
-type Link = Framed<TcpStream, FrameCodec<FromKeeper, ToKeeper>>;
+type Link = Framed<TcpStream, FrameCodec<FromNode, ToNode>>;
 
 impl PeerLink {
     pub async fn run(mut self) {
@@ -46,7 +46,7 @@
                     failures = 0;
                     self.talk(link).await;
                 }
-                Ok(Err(Some((Refusal::OldDisk, text)))) => {
+                Ok(Err(Some((Refusal::StaleStore, text)))) => {
                     let _ = self.core.send(Arrival::OldDisk(text)).await;
                 }
                 Ok(Err(Some((why, text)))) => {
@@ -66,13 +66,13 @@
         let _ = stream.set_nodelay(true);
         let mut link: Link = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 4096);
         let mut caller = self.caller.clone();
-        if let Caller::Keeper { addresses, .. } = &mut caller {
+        if let Caller::Node { addresses, .. } = &mut caller {
             addresses.clone_from(&self.addresses.borrow());
         }
-        link.send(ToKeeper::hello(caller)).await.map_err(|_| None)?;
+        link.send(ToNode::hello(caller)).await.map_err(|_| None)?;
         match link.next().await {
-            Some(Ok(FromKeeper::Welcome { .. })) => Ok(link),
-            Some(Ok(FromKeeper::Refused { why, text })) => Err(Some((why, text))),
+            Some(Ok(FromNode::Welcome { .. })) => Ok(link),
+            Some(Ok(FromNode::Refused { why, text })) => Err(Some((why, text))),
             _ => Err(None),
         }
     }
@@ -95,7 +95,7 @@
                     }
                 }
                 heard = link.next() => match heard {
-                    Some(Ok(FromKeeper::Answer { number, answer })) => {
+                    Some(Ok(FromNode::Response { number, response: answer })) => {
                         if self.core.send(Arrival::PassedBack(number, answer)).await.is_err() {
                             return;
                         }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -8,8 +8,8 @@
 use clap::{Args, Parser};
 use rand::RngExt;
 use spokeflow_config::check_overrides;
-use spokeflow_coordination::wire::Common;
-use spokeflow_coordination::{KeeperTerms, LeaseTerms};
+use spokeflow_coordination::wire::ClusterParameters;
+use spokeflow_coordination::{CoordinatorConfig, LeaseConfig};
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, RaftConfig};
 use spokeflow_runtime::{init_logging, LogFormat};
@@ -157,20 +157,20 @@
         }
     }
 
-    pub fn terms(&self) -> KeeperTerms {
+    pub fn terms(&self) -> CoordinatorConfig {
         let micros = |span: Duration| span.as_micros() as Micros;
         let members: Vec<NodeId> = self.members.iter().map(|m| NodeId(m.0)).collect();
-        KeeperTerms {
-            own: NodeId(self.id),
-            quorum: RaftConfig {
+        CoordinatorConfig {
+            id: NodeId(self.id),
+            raft: RaftConfig {
                 voters: if self.join { Vec::new() } else { members },
                 election_timeout: micros(self.silence),
                 heartbeat_interval: micros(self.beat),
                 max_clock_drift: self.drift,
             },
-            lease: LeaseTerms {
-                lease: micros(self.lease),
-                drift: self.drift,
+            lease: LeaseConfig {
+                duration: micros(self.lease),
+                max_clock_drift: self.drift,
             },
             addresses: self
                 .members
@@ -181,12 +181,12 @@
         }
     }
 
-    pub fn common(&self) -> Common {
-        Common {
+    pub fn common(&self) -> ClusterParameters {
+        ClusterParameters {
             fleet: self.fleet,
-            silence_us: self.silence.as_micros() as u64,
+            election_timeout_us: self.silence.as_micros() as u64,
             lease_us: self.lease.as_micros() as u64,
-            drift: self.drift,
+            max_clock_drift: self.drift,
         }
     }
 }
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rand::RngExt;
-use spokeflow_coordination::wire::{Answer, Caller, ToKeeper};
-use spokeflow_coordination::{Asker, Keeper, Step};
+use spokeflow_coordination::wire::{Caller, Response, ToNode};
+use spokeflow_coordination::{Coordinator, Effects, RequestOrigin};
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 use spokeflow_runtime::{shutdown_signal, Backoff, Clock};
 use tokio::net::TcpListener;
@@ -70,12 +70,12 @@
 
 struct Shell {
     clock: Arc<Clock>,
-    keeper: Keeper,
+    keeper: Coordinator,
     caller: Caller,
     seed: u64,
     core: mpsc::Sender<Arrival>,
-    callers: HashMap<u64, mpsc::Sender<(u64, Answer)>>,
-    peers: BTreeMap<NodeId, (SocketAddr, mpsc::Sender<ToKeeper>)>,
+    callers: HashMap<u64, mpsc::Sender<(u64, Response)>>,
+    peers: BTreeMap<NodeId, (SocketAddr, mpsc::Sender<ToNode>)>,
     met: BTreeMap<NodeId, Start>,
     addresses: watch::Sender<Vec<(NodeId, String)>>,
     to_disk: std::sync::mpsc::Sender<ToDisk>,
@@ -85,40 +85,40 @@
 }
 
 impl Shell {
-    fn say_to(&mut self, id: NodeId, message: ToKeeper) {
+    fn say_to(&mut self, id: NodeId, message: ToNode) {
         // What finds no room is lost: the other does not read, or is not there.
         let _ = self.link(id).map(|say| say.try_send(message));
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn carry_out(&mut self, step: Effects) {
         if let Some(rejection) = step.rejection {
             warn!(?rejection, "news of the host list is not believed");
         }
-        if step.changed {
+        if step.config_changed {
             self.steps.pass(Where::Applied);
             self.reach();
         }
-        if !step.writes.is_empty() {
+        if !step.persist_requests.is_empty() {
             let _ = self.to_disk.send(ToDisk {
-                writes: step.writes,
+                writes: step.persist_requests,
                 met: Vec::new(),
                 told: Vec::new(),
             });
         }
-        if !step.to_keepers.is_empty() {
+        if !step.messages.is_empty() {
             self.steps.pass(Where::BeforeSending);
         }
-        let half = step.to_keepers.len().div_ceil(2);
-        for (n, (to, message)) in step.to_keepers.into_iter().enumerate() {
+        let half = step.messages.len().div_ceil(2);
+        for (n, (to, message)) in step.messages.into_iter().enumerate() {
             if n == half {
                 self.steps.pass(Where::WithinSending);
             }
             self.say_to(to, message);
         }
-        if !step.answers.is_empty() {
+        if !step.responses.is_empty() {
             self.steps.pass(Where::BeforeAnswering);
         }
-        for (conn, number, answer) in step.answers {
+        for (conn, number, answer) in step.responses {
             let full = self
                 .callers
                 .get(&conn)
@@ -145,7 +145,7 @@
             start.saturating_sub(known.0) >= PROCESSES as u64 || processes.contains(&known.1);
         let (process, own) = (
             processes.last().copied().unwrap_or(0),
-            id == self.keeper.member().own(),
+            id == self.keeper.raft().own(),
         );
         if own || known != (0, 0) && (start < known.0 || !remembers) {
             let text = format!(
@@ -177,15 +177,15 @@
             }
         });
         let (members, own) = (
-            self.keeper.member().members().to_vec(),
-            self.keeper.member().own(),
+            self.keeper.raft().members().to_vec(),
+            self.keeper.raft().own(),
         );
         for member in members.into_iter().filter(|m| *m != own) {
             self.link(member);
         }
     }
 
-    fn link(&mut self, id: NodeId) -> Option<&mpsc::Sender<ToKeeper>> {
+    fn link(&mut self, id: NodeId) -> Option<&mpsc::Sender<ToNode>> {
         let address = self.keeper.address(id).and_then(|a| a.parse().ok())?;
         if self
             .peers
@@ -214,7 +214,7 @@
     }
 
     fn say(&mut self) {
-        let (member, now) = (self.keeper.member(), self.clock.now());
+        let (member, now) = (self.keeper.raft(), self.clock.now());
         let state = (
             member.term().0,
             member.has_leader_lease(now),
@@ -272,14 +272,14 @@
     }
     let (own, list) = (NodeId(flags.id), flags.list);
     let common = flags.common();
-    let caller = Caller::Keeper {
+    let caller = Caller::Node {
         id: own,
         start,
         processes,
-        common,
+        parameters: common,
         addresses: Vec::new(),
     };
-    let keeper = Keeper::new(terms, seed, saved, clock.now())?;
+    let keeper = Coordinator::new(terms, seed, saved, clock.now())?;
     let places = Arc::new(Semaphore::new(flags.callers_at_most));
     let mut shell = Shell {
         clock: clock.clone(),
@@ -352,8 +352,8 @@
             let wall = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_secs());
-            shell.keeper.wall_s = wall;
-            let (now, mut step) = (clock.now(), Step::default());
+            shell.keeper.wall_clock_s = wall;
+            let (now, mut step) = (clock.now(), Effects::default());
             match arrival {
                 Arrival::Came(conn, answers) => {
                     shell.callers.insert(conn, answers);
@@ -367,12 +367,12 @@
                     keeper,
                     ask,
                 } => {
-                    shell.keeper.asked(
+                    shell.keeper.on_request(
                         now,
-                        Asker {
-                            conn,
+                        RequestOrigin {
+                            connection: conn,
                             number,
-                            keeper,
+                            forwarded: keeper,
                         },
                         ask,
                         &mut step,
@@ -382,7 +382,7 @@
                     shell.keeper.on_message(now, from, message, &mut step)
                 }
                 Arrival::PassedBack(number, answer) => {
-                    shell.keeper.passed_back(number, answer, &mut step)
+                    shell.keeper.on_forward_response(number, answer, &mut step)
                 }
                 Arrival::Met {
                     id,
@@ -399,22 +399,22 @@
                 // It may have voted and forgotten it: it must not vote again.
                 Arrival::OldDisk(text) => break 'run Err(text),
                 Arrival::DiskFails(what) => break 'run Err(what),
-                Arrival::List(news) => shell.keeper.list_told(now, news, &mut step),
+                Arrival::List(news) => shell.keeper.on_source_update(now, news, &mut step),
             }
             // An empty ledger in its place would be granted on.
-            if let Some(what) = step.broken {
+            if let Some(what) = step.fatal {
                 break 'run Err(what);
             }
             shell.carry_out(step);
         }
         let now = clock.now();
         if now >= shell.keeper.next_wake(now) {
-            let mut step = Step::default();
+            let mut step = Effects::default();
             shell.keeper.on_timer(now, &mut step);
             shell.carry_out(step);
         }
         shell.say();
-        let leads = shell.keeper.member().has_leader_lease(now);
+        let leads = shell.keeper.raft().has_leader_lease(now);
         reads.send_if_modified(|r| std::mem::replace(r, leads) != leads);
     };
     accepting.abort();
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -14,8 +14,11 @@
 
 use spokeflow_control_plane::ask::ask;
 use spokeflow_control_plane::Store;
-use spokeflow_coordination::wire::{Answer, Ask, View};
-use spokeflow_coordination::{Act, Ledger, ListNo, Record, RevisionNo, Values, Verdict};
+use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
+use spokeflow_coordination::{
+    ConfigState, ListVersion, LogCommand, Overrides, ProposalOutcome, RevisionNumber,
+    RevisionRecord,
+};
 use spokeflow_raft::{LogIndex, NodeId, Payload, PersistentState, Term};
 
 const FLEET: u64 = 62;
@@ -39,11 +42,11 @@
     copy
 }
 
-fn status() -> View {
+fn status() -> ClusterStatus {
     serde_json::from_str(STATUS).unwrap()
 }
 
-fn status_with_snapshot() -> View {
+fn status_with_snapshot() -> ClusterStatus {
     serde_json::from_str(STATUS_WITH_SNAPSHOT).unwrap()
 }
 
@@ -51,7 +54,7 @@
     [1, 2, 3].map(NodeId)
 }
 
-fn values(named: &[(&str, &str)]) -> Values {
+fn values(named: &[(&str, &str)]) -> Overrides {
     let owned = named
         .iter()
         .map(|(name, value)| (name.to_string(), value.to_string()));
@@ -59,25 +62,25 @@
 }
 
 /// The state after all that was stored.
-fn ledger_of(saved: &PersistentState) -> Ledger {
+fn ledger_of(saved: &PersistentState) -> ConfigState {
     let mut ledger = match saved.snapshot.last_included_index {
-        LogIndex(0) => Ledger::default(),
-        _ => Ledger::restore(&saved.snapshot.state).unwrap(),
+        LogIndex(0) => ConfigState::default(),
+        _ => ConfigState::decode(&saved.snapshot.state).unwrap(),
     };
     for entry in &saved.log {
         if let Payload::Command(bytes) = &entry.body {
-            ledger.apply(Act::read(bytes).expect("an act of this version"));
+            ledger.apply(LogCommand::decode(bytes).expect("an act of this version"));
         }
     }
     ledger
 }
 
 /// What the start build printed of its state is what the stored state says.
-fn check_ledger(ledger: &Ledger, printed: &View) {
+fn check_ledger(ledger: &ConfigState, printed: &ClusterStatus) {
     assert_eq!(ledger.in_force, printed.in_force);
-    assert_eq!(ledger.announced, printed.announced);
+    assert_eq!(ledger.pending, printed.pending);
     assert!(ledger.history.iter().eq(&printed.history));
-    assert_eq!(ledger.list.version, ListNo(printed.list));
+    assert_eq!(ledger.list.version, ListVersion(printed.list));
     assert_eq!(ledger.list.source, printed.list_source);
     assert_eq!(ledger.list.hosts().count() as u64, printed.hosts);
 }
@@ -99,9 +102,9 @@
     assert_eq!(saved.log.len() as u64, status().committed.0);
     check_ledger(&ledger_of(&saved), &status());
     assert_eq!(
-        ledger_of(&saved).verdict(STALE_TOKEN),
-        Some(Verdict::Stale {
-            newest: RevisionNo(5)
+        ledger_of(&saved).outcome(STALE_TOKEN),
+        Some(ProposalOutcome::Stale {
+            newest: RevisionNumber(5)
         })
     );
 }
@@ -135,8 +138,8 @@
         (NodeId(2), Term(3), LogIndex(15))
     );
     assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
-    assert_eq!(view.members, keepers());
-    let history: Vec<Record> = serde_json::from_str(HISTORY).unwrap();
+    assert_eq!(view.voters, keepers());
+    let history: Vec<RevisionRecord> = serde_json::from_str(HISTORY).unwrap();
     assert_eq!(history, view.history);
     assert!(history.iter().map(|r| r.revision.number.0).eq(1..=5));
     let who: Vec<&str> = history.iter().map(|r| r.who.as_str()).collect();
@@ -169,7 +172,7 @@
     check_ledger(&ledger_of(&saved), &printed);
     let address = ledger_of(&saved).addresses.get(&NodeId(9)).cloned();
     assert_eq!(address.as_deref(), Some("127.0.0.1:30500"));
-    assert_eq!(ledger_of(&saved).in_force.number, RevisionNo(6));
+    assert_eq!(ledger_of(&saved).in_force.number, RevisionNumber(6));
 }
 
 /// A keeper's process, ended with the test.
@@ -216,13 +219,13 @@
 }
 
 /// The state that the started keepers answer with once one of them leads.
-fn view_from(addresses: &[SocketAddr]) -> View {
+fn view_from(addresses: &[SocketAddr]) -> ClusterStatus {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    match runtime.block_on(ask(addresses, Ask::View, Duration::from_secs(30))) {
-        Ok(Answer::View(view)) => *view,
+    match runtime.block_on(ask(addresses, Request::Status, Duration::from_secs(30))) {
+        Ok(Response::Status(view)) => *view,
         other => panic!("no view but {other:?}"),
     }
 }
@@ -236,10 +239,10 @@
     assert!(view.term > printed.term);
     assert!(view.committed > printed.committed);
     assert_eq!(
-        (view.in_force, view.announced),
-        (printed.in_force, printed.announced)
+        (view.in_force, view.pending),
+        (printed.in_force, printed.pending)
     );
     assert_eq!(view.history, printed.history);
-    assert_eq!(view.members, printed.members);
+    assert_eq!(view.voters, printed.voters);
     assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
 }
--- a/crates/spokeflow-coordination/src/hosts.rs
+++ b/crates/spokeflow-coordination/src/hosts.rs
@@ -10,7 +10,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct ListNo(pub u64);
+pub struct ListVersion(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HostState {
@@ -48,10 +48,10 @@
 
 /// What the list's source said.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SourceNews {
+pub struct SourceUpdate {
     pub version: u64,
     /// Hosts that are not named are gone.
-    pub whole: bool,
+    pub complete: bool,
     pub hosts: Vec<ListedHost>,
 }
 
@@ -68,22 +68,22 @@
 
 /// A part of the list, for one who has it up to some version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListPart {
-    pub version: ListNo,
-    pub whole: bool,
+pub struct EndpointListUpdate {
+    pub version: ListVersion,
+    pub complete: bool,
     pub hosts: Vec<ListedHost>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct AgreedList {
-    pub version: ListNo,
+pub struct EndpointList {
+    pub version: ListVersion,
     /// The source's version that was taken in last.
     pub source: u64,
     hosts: BTreeMap<u32, ListedHost>,
-    changes: VecDeque<(ListNo, u32)>,
+    changes: VecDeque<(ListVersion, u32)>,
 }
 
-impl AgreedList {
+impl EndpointList {
     pub fn hosts(&self) -> impl Iterator<Item = &ListedHost> {
         self.hosts.values()
     }
@@ -93,7 +93,11 @@
     }
 
     /// What of the news differs from the list. `Ok(None)`: nothing. `twice`: a second reading said the same.
-    pub fn weigh(&self, news: &SourceNews, twice: bool) -> Result<Option<SourceNews>, Rejection> {
+    pub fn evaluate(
+        &self,
+        news: &SourceUpdate,
+        twice: bool,
+    ) -> Result<Option<SourceUpdate>, Rejection> {
         if news.version < self.source {
             return Err(Rejection::Backwards {
                 told: news.version,
@@ -105,7 +109,7 @@
         differ.retain(|h| !self.hosts.get(&h.host).is_some_and(|known| known.same(h)));
         // One that was never there need not be told to be gone.
         differ.retain(|h| h.state != HostState::Gone || self.hosts.contains_key(&h.host));
-        if news.whole {
+        if news.complete {
             let missing: Vec<&ListedHost> =
                 self.there().filter(|h| !named.contains(&h.host)).collect();
             let before = self.there().count();
@@ -129,15 +133,15 @@
                 version: news.version,
             });
         }
-        Ok(Some(SourceNews {
+        Ok(Some(SourceUpdate {
             version: news.version,
-            whole: false,
+            complete: false,
             hosts: differ,
         }))
     }
 
     /// Takes in what was weighed.
-    pub fn apply(&mut self, news: SourceNews) {
+    pub fn apply(&mut self, news: SourceUpdate) {
         self.version.0 += 1;
         self.source = news.version;
         for host in news.hosts {
@@ -162,23 +166,23 @@
     }
 
     /// The source may begin anew, from any version: said by a person.
-    pub fn trust(&mut self) {
+    pub fn trust_source(&mut self) {
         self.source = 0;
     }
 
     /// What one lacks who has the list up to `have`; `None`: nothing.
-    pub fn since(&self, have: ListNo) -> Option<ListPart> {
+    pub fn update_since(&self, have: ListVersion) -> Option<EndpointListUpdate> {
         if have == self.version {
             return None;
         }
-        let first = self.changes.front().map_or(ListNo(u64::MAX), |c| c.0);
+        let first = self.changes.front().map_or(ListVersion(u64::MAX), |c| c.0);
         let version = self.version;
         // One version may have been cut in the middle: what comes right after it is not known whole.
         if have.0 == 0 || have >= self.version || have.0 < first.0 {
             let hosts = self.there().cloned().collect();
-            return Some(ListPart {
+            return Some(EndpointListUpdate {
                 version,
-                whole: true,
+                complete: true,
                 hosts,
             });
         }
@@ -192,9 +196,9 @@
             .iter()
             .filter_map(|h| self.hosts.get(h).cloned())
             .collect();
-        Some(ListPart {
+        Some(EndpointListUpdate {
             version,
-            whole: false,
+            complete: false,
             hosts,
         })
     }
--- a/crates/spokeflow-coordination/src/keeper.rs
+++ b/crates/spokeflow-coordination/src/keeper.rs
@@ -9,10 +9,10 @@
     RaftNode, Term,
 };
 
-use crate::wire::{Answer, Ask, ToKeeper, View};
+use crate::wire::{ClusterStatus, Request, Response, ToNode};
 use crate::{
-    Act, Granter, HostState, LeaseTerms, Ledger, ListPart, Offer, Rejection, RevisionNo, Seats,
-    SourceNews, Values,
+    ConfigState, EndpointListUpdate, HostState, LeaseConfig, LeaseGranter, LogCommand, Overrides,
+    Proposal, Rejection, RevisionNumber, SourceUpdate, VoterAddresses,
 };
 
 /// Entries beside the snapshot from which a new one is made.
@@ -27,58 +27,58 @@
 const PATIENCE: Micros = 2_000_000;
 
 #[derive(Clone, Debug)]
-pub struct KeeperTerms {
-    pub own: NodeId,
-    pub quorum: RaftConfig,
-    pub lease: LeaseTerms,
+pub struct CoordinatorConfig {
+    pub id: NodeId,
+    pub raft: RaftConfig,
+    pub lease: LeaseConfig,
     /// Where keepers are to be found by the flags; the ledger has the others.
     pub addresses: BTreeMap<NodeId, String>,
     /// Whether routers could take these values. Errors: every fault.
-    pub check: fn(&Values) -> Result<(), String>,
+    pub check: fn(&Overrides) -> Result<(), String>,
 }
 
 /// Whom an answer is for: a connection, and the caller's number of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
-    pub conn: u64,
+pub struct RequestOrigin {
+    pub connection: u64,
     pub number: u64,
     /// Whether another keeper passes it on: it is then not passed on again.
-    pub keeper: bool,
+    pub forwarded: bool,
 }
 
-/// What one call asks for. Writes are to be synced in their order, and told by [`Keeper::synced`].
+/// What one call asks for. Writes are to be synced in their order, and told by [`Coordinator::synced`].
 #[derive(Debug, Default)]
-pub struct Step {
-    pub to_keepers: Vec<(NodeId, ToKeeper)>,
-    pub answers: Vec<(u64, u64, Answer)>,
-    pub writes: Vec<PersistRequest>,
+pub struct Effects {
+    pub messages: Vec<(NodeId, ToNode)>,
+    pub responses: Vec<(u64, u64, Response)>,
+    pub persist_requests: Vec<PersistRequest>,
     /// Whether the ledger has changed.
-    pub changed: bool,
+    pub config_changed: bool,
     /// Its ledger is not what the log says: it must end before anything of this step leaves.
-    pub broken: Option<String>,
+    pub fatal: Option<String>,
     /// Why news of the list's source was rejected, for the log; it is to be read once more.
     pub rejection: Option<Rejection>,
 }
 
 #[derive(Clone, Debug)]
 struct Waiting {
-    from: Asker,
+    from: RequestOrigin,
     until: Micros,
 }
 
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    terms: KeeperTerms,
-    member: RaftNode,
-    ledger: Ledger,
+pub struct Coordinator {
+    terms: CoordinatorConfig,
+    raft: RaftNode,
+    config: ConfigState,
     applied: LogIndex,
     /// While it leads: for which term, and who holds leases.
-    granter: Option<(Term, Granter)>,
-    seats: Seats,
+    granter: Option<(Term, LeaseGranter)>,
+    seats: VoterAddresses,
     /// Addresses that callers told, for want of better knowledge.
     learned: BTreeMap<NodeId, String>,
     /// The revision that it has asked the log to put in force, and when.
-    forcing: Option<(Term, RevisionNo)>,
+    forcing: Option<(Term, RevisionNumber)>,
     /// By token, offers that are in the log and not committed.
     offers: BTreeMap<u64, Vec<Waiting>>,
     /// By own number, requests passed on to the leader.
@@ -88,37 +88,37 @@
     /// it is up. Of a keeper that has just started that is less than true, and such a host is taken to be colder.
     applied_at: BTreeMap<u32, (u64, Micros)>,
     /// A whole list that lacked too much, to be accepted where it is read again.
-    rejected: Option<SourceNews>,
+    rejected: Option<SourceUpdate>,
     rejection: Option<Rejection>,
     /// Whether a part of the list is in the log and not committed: the next is weighed against it.
     list_out: bool,
     /// News that came meanwhile; what finds no room is read again.
-    list_waits: VecDeque<SourceNews>,
+    list_waits: VecDeque<SourceUpdate>,
     /// Seconds since 1970, for people.
-    pub wall_s: u64,
+    pub wall_clock_s: u64,
 }
 
-impl Keeper {
+impl Coordinator {
     /// Errors: the snapshot cannot be read.
     pub fn new(
-        terms: KeeperTerms,
+        terms: CoordinatorConfig,
         seed: u64,
         saved: PersistentState,
         now: Micros,
     ) -> Result<Self, String> {
         let applied = saved.snapshot.last_included_index;
         let ledger = match applied.0 {
-            0 => Ledger::default(),
-            _ => Ledger::restore(&saved.snapshot.state)?,
+            0 => ConfigState::default(),
+            _ => ConfigState::decode(&saved.snapshot.state)?,
         };
-        let member = RaftNode::new(terms.own, terms.quorum.clone(), seed, saved, now);
-        Ok(Keeper {
+        let member = RaftNode::new(terms.id, terms.raft.clone(), seed, saved, now);
+        Ok(Coordinator {
             terms,
-            member,
-            ledger,
+            raft: member,
+            config: ledger,
             applied,
             granter: None,
-            seats: Seats::default(),
+            seats: VoterAddresses::default(),
             learned: BTreeMap::new(),
             forcing: None,
             offers: BTreeMap::new(),
@@ -129,16 +129,16 @@
             rejection: None,
             list_out: false,
             list_waits: VecDeque::new(),
-            wall_s: 0,
+            wall_clock_s: 0,
         })
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn config(&self) -> &ConfigState {
+        &self.config
     }
 
-    pub fn member(&self) -> &RaftNode {
-        &self.member
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
 
     /// Where a keeper is to be found: as the flags say, else as the ledger does.
@@ -147,7 +147,7 @@
             .terms
             .addresses
             .get(&id)
-            .or_else(|| self.ledger.addresses.get(&id));
+            .or_else(|| self.config.addresses.get(&id));
         known.or_else(|| self.learned.get(&id)).map(String::as_str)
     }
 
@@ -157,7 +157,7 @@
             .terms
             .addresses
             .keys()
-            .chain(self.ledger.addresses.keys())
+            .chain(self.config.addresses.keys())
             .chain(self.learned.keys());
         let ids: BTreeSet<NodeId> = ids.copied().collect();
         ids.into_iter()
@@ -175,14 +175,17 @@
 
     /// Told to routers: those whose first keepers have all been replaced would else find none.
     fn seat(&mut self) {
-        let members = self.member.members().iter();
+        let members = self.raft.members().iter();
         let addresses: Vec<String> = members
             .filter_map(|m| self.address(*m))
             .map(str::to_string)
             .collect();
         if addresses != self.seats.addresses {
             let mark = u64::from(crc32fast::hash(addresses.join(" ").as_bytes())) + 1;
-            self.seats = Seats { mark, addresses };
+            self.seats = VoterAddresses {
+                fingerprint: mark,
+                addresses,
+            };
         }
     }
 
@@ -194,7 +197,7 @@
         let look = self
             .granter
             .as_ref()
-            .and_then(|(_, g)| g.next_look(now))
+            .and_then(|(_, g)| g.next_check(now))
             .unwrap_or(Micros::MAX);
         let waits = self
             .offers
@@ -203,15 +206,15 @@
             .chain(self.passed.values())
             .map(|w| w.until)
             .min();
-        self.member
+        self.raft
             .next_wake()
             .min(look)
             .min(waits.unwrap_or(Micros::MAX))
     }
 
-    pub fn on_timer(&mut self, now: Micros, step: &mut Step) {
+    pub fn on_timer(&mut self, now: Micros, step: &mut Effects) {
         let mut out = Output::default();
-        self.member.on_timer(now, &mut out);
+        self.raft.on_timer(now, &mut out);
         let late: Vec<u64> = self
             .passed
             .iter()
@@ -219,54 +222,67 @@
             .map(|p| *p.0)
             .collect();
         for number in late {
-            self.passed_back(number, Answer::Unclear, step);
+            self.on_forward_response(number, Response::Indeterminate, step);
         }
         self.offers.retain(|_, waiting| {
             for w in waiting.extract_if(.., |w| w.until <= now) {
-                step.answers
-                    .push((w.from.conn, w.from.number, Answer::Unclear));
+                step.responses
+                    .push((w.from.connection, w.from.number, Response::Indeterminate));
             }
             !waiting.is_empty()
         });
         self.settle(now, out, step);
     }
 
-    pub fn on_message(&mut self, now: Micros, from: NodeId, message: Message, step: &mut Step) {
+    pub fn on_message(&mut self, now: Micros, from: NodeId, message: Message, step: &mut Effects) {
         let mut out = Output::default();
-        self.member.on_message(now, from, message, &mut out);
+        self.raft.on_message(now, from, message, &mut out);
         self.settle(now, out, step);
     }
 
-    pub fn on_persisted(&mut self, now: Micros, number: u64, step: &mut Step) {
+    pub fn on_persisted(&mut self, now: Micros, number: u64, step: &mut Effects) {
         let mut out = Output::default();
-        self.member.on_persisted(now, number, &mut out);
+        self.raft.on_persisted(now, number, &mut out);
         self.settle(now, out, step);
     }
 
     /// Takes in a request. It is answered in this step, or in a later one within [`PATIENCE`].
-    pub fn asked(&mut self, now: Micros, from: Asker, ask: Ask, step: &mut Step) {
+    pub fn on_request(
+        &mut self,
+        now: Micros,
+        from: RequestOrigin,
+        ask: Request,
+        step: &mut Effects,
+    ) {
         let mut out = Output::default();
-        // Asked at each act: this process may have been stopped since the last.
-        let answer = match self.member.has_leader_lease(now) {
+        // LeaseRequest at each act: this process may have been stopped since the last.
+        let answer = match self.raft.has_leader_lease(now) {
             true => self.lead(now, from, ask, &mut out),
-            false => self.pass_on(now, from, ask, step),
+            false => self.forward(now, from, ask, step),
         };
-        step.answers
-            .extend(answer.map(|answer| (from.conn, from.number, answer)));
+        step.responses
+            .extend(answer.map(|answer| (from.connection, from.number, answer)));
         self.settle(now, out, step);
     }
 
     /// The answer of the keeper to which a request was passed on.
-    pub fn passed_back(&mut self, number: u64, answer: Answer, step: &mut Step) {
+    pub fn on_forward_response(&mut self, number: u64, answer: Response, step: &mut Effects) {
         if let Some(w) = self.passed.remove(&number) {
-            step.answers.push((w.from.conn, w.from.number, answer));
+            step.responses
+                .push((w.from.connection, w.from.number, answer));
         }
     }
 
-    fn pass_on(&mut self, now: Micros, from: Asker, ask: Ask, step: &mut Step) -> Option<Answer> {
-        let leader = self.member.leader().filter(|l| *l != self.terms.own);
-        let Some(leader) = leader.filter(|_| !from.keeper && self.passed.len() < WAITING) else {
-            return Some(Answer::NoLeader);
+    fn forward(
+        &mut self,
+        now: Micros,
+        from: RequestOrigin,
+        ask: Request,
+        step: &mut Effects,
+    ) -> Option<Response> {
+        let leader = self.raft.leader().filter(|l| *l != self.terms.id);
+        let Some(leader) = leader.filter(|_| !from.forwarded && self.passed.len() < WAITING) else {
+            return Some(Response::NoLeader);
         };
         self.next_pass += 1;
         self.passed.insert(
@@ -276,49 +292,55 @@
                 until: now + PATIENCE,
             },
         );
-        step.to_keepers.push((
+        step.messages.push((
             leader,
-            ToKeeper::Ask {
+            ToNode::Request {
                 number: self.next_pass,
-                ask,
+                request: ask,
             },
         ));
         None
     }
 
-    fn lead(&mut self, now: Micros, from: Asker, ask: Ask, out: &mut Output) -> Option<Answer> {
+    fn lead(
+        &mut self,
+        now: Micros,
+        from: RequestOrigin,
+        ask: Request,
+        out: &mut Output,
+    ) -> Option<Response> {
         match ask {
-            Ask::Lease(asked) => {
-                let term = self.member.term();
+            Request::Lease(asked) => {
+                let term = self.raft.term();
                 let lease = self.terms.lease;
                 // Told to one that has just begun to lead before it has looked at its ledger: it looks now.
                 let (of, granter) = self
                     .granter
-                    .get_or_insert_with(|| (term, Granter::new(lease, now)));
+                    .get_or_insert_with(|| (term, LeaseGranter::new(lease, now)));
                 if *of != term {
-                    (*of, *granter) = (term, Granter::new(lease, now));
+                    (*of, *granter) = (term, LeaseGranter::new(lease, now));
                 }
-                let mut grant = granter.ask(now, &asked, &self.ledger, &self.seats);
+                let mut grant = granter.grant(now, &asked, &self.config, &self.seats);
                 if let Some(part) = &mut grant.list {
                     age(part, &self.applied_at, now);
                 }
-                Some(Answer::Granted(Box::new(grant)))
+                Some(Response::Granted(Box::new(grant)))
             }
-            Ask::Offer(offer) => {
-                if let Some(verdict) = self.ledger.verdict(offer.token) {
-                    return Some(Answer::Offered(verdict));
+            Request::Propose(offer) => {
+                if let Some(verdict) = self.config.outcome(offer.token) {
+                    return Some(Response::Proposed(verdict));
                 }
                 if let Err(what) = (self.terms.check)(&offer.values) {
-                    return Some(Answer::Bad(what));
+                    return Some(Response::Invalid(what));
                 }
                 let token = offer.token;
-                let at_s = self.wall_s;
+                let at_s = self.wall_clock_s;
                 let waiting = self.offers.entry(token).or_default();
                 if waiting.is_empty() {
-                    let act = Act::Offer(Offer { at_s, ..offer });
-                    if self.member.propose(now, act.bytes(), out).is_err() {
+                    let act = LogCommand::Propose(Proposal { at_s, ..offer });
+                    if self.raft.propose(now, act.encode(), out).is_err() {
                         self.offers.remove(&token);
-                        return Some(Answer::NoLeader);
+                        return Some(Response::NoLeader);
                     }
                 }
                 if let Some(waiting) = self.offers.get_mut(&token).filter(|w| w.len() < WAITING) {
@@ -329,50 +351,56 @@
                 }
                 None
             }
-            Ask::View => Some(Answer::View(Box::new(self.view(now)))),
-            Ask::TrustList => {
-                let act = Act::TrustList;
+            Request::Status => Some(Response::Status(Box::new(self.view(now)))),
+            Request::TrustList => {
+                let act = LogCommand::TrustList;
                 Some(
-                    self.member
-                        .propose(now, act.bytes(), out)
-                        .map_or(Answer::NoLeader, |_| Answer::Begun),
+                    self.raft
+                        .propose(now, act.encode(), out)
+                        .map_or(Response::NoLeader, |_| Response::Accepted),
                 )
             }
-            Ask::SetAddress { keeper, address } => {
+            Request::SetAddress {
+                node: keeper,
+                address,
+            } => {
                 if address.parse::<std::net::SocketAddr>().is_err() {
-                    return Some(Answer::Bad(format!(
+                    return Some(Response::Invalid(format!(
                         "'{address}' is not an address with a port"
                     )));
                 }
-                let act = Act::SetAddress { keeper, address };
+                let act = LogCommand::SetAddress {
+                    node: keeper,
+                    address,
+                };
                 Some(
-                    self.member
-                        .propose(now, act.bytes(), out)
-                        .map_or(Answer::NoLeader, |_| Answer::Begun),
+                    self.raft
+                        .propose(now, act.encode(), out)
+                        .map_or(Response::NoLeader, |_| Response::Accepted),
                 )
             }
-            Ask::Members(members) => {
+            Request::ChangeVoters(members) => {
                 let unknown = members.iter().find(|m| self.address(**m).is_none());
                 if let Some(unknown) = unknown {
-                    return Some(Answer::Bad(format!(
+                    return Some(Response::Invalid(format!(
                         "no address of keeper {} is known yet: register it first",
                         unknown.0
                     )));
                 }
-                let begun = self.member.propose_membership(now, members, out);
+                let begun = self.raft.propose_membership(now, members, out);
                 let not = || {
-                    Answer::Bad(
+                    Response::Invalid(
                         "another change is under way, or it is not one keeper's difference".into(),
                     )
                 };
-                Some(begun.map_or_else(not, |_| Answer::Begun))
+                Some(begun.map_or_else(not, |_| Response::Accepted))
             }
         }
     }
 
     /// What the list's source said, to a keeper that reads it. Only the leader does anything with it.
-    pub fn list_told(&mut self, now: Micros, news: SourceNews, step: &mut Step) {
-        if !self.member.has_leader_lease(now) {
+    pub fn on_source_update(&mut self, now: Micros, news: SourceUpdate, step: &mut Effects) {
+        if !self.raft.has_leader_lease(now) {
             return;
         }
         if self.list_out {
@@ -383,8 +411,8 @@
         let twice = self
             .rejected
             .as_ref()
-            .is_some_and(|r| r.whole && news.whole && alike(r, &news));
-        let weighed = self.ledger.list.weigh(&news, twice);
+            .is_some_and(|r| r.complete && news.complete && alike(r, &news));
+        let weighed = self.config.list.evaluate(&news, twice);
         let rejection = weighed.as_ref().err().copied();
         if rejection.is_some() && self.rejection != rejection {
             step.rejection = rejection;
@@ -394,8 +422,8 @@
         if let Ok(Some(news)) = weighed {
             let mut out = Output::default();
             self.list_out = self
-                .member
-                .propose(now, Act::List(news).bytes(), &mut out)
+                .raft
+                .propose(now, LogCommand::UpdateList(news).encode(), &mut out)
                 .is_ok();
             self.settle(now, out, step);
         }
@@ -403,7 +431,7 @@
 
     fn note_hosts(&mut self, now: Micros) {
         let mut noted = BTreeMap::new();
-        for host in self.ledger.list.hosts() {
+        for host in self.config.list.hosts() {
             let known = self
                 .applied_at
                 .get(&host.host)
@@ -413,59 +441,60 @@
         self.applied_at = noted;
     }
 
-    fn view(&self, now: Micros) -> View {
+    fn view(&self, now: Micros) -> ClusterStatus {
         let counts = self
             .granter
             .as_ref()
-            .map(|(_, g)| g.counts(now, &self.ledger));
+            .map(|(_, g)| g.lease_counts(now, &self.config));
         let (leases, acting) = counts.unwrap_or_default();
-        View {
-            leader: self.terms.own,
-            term: self.member.term(),
-            committed: self.member.committed(),
-            in_force: self.ledger.in_force.clone(),
-            announced: self.ledger.announced.clone(),
-            history: self.ledger.history.iter().cloned().collect(),
-            members: self.member.members().to_vec(),
+        ClusterStatus {
+            leader: self.terms.id,
+            term: self.raft.term(),
+            committed: self.raft.committed(),
+            in_force: self.config.in_force.clone(),
+            pending: self.config.pending.clone(),
+            history: self.config.history.iter().cloned().collect(),
+            voters: self.raft.members().to_vec(),
             addresses: self
-                .ledger
+                .config
                 .addresses
                 .iter()
                 .map(|(k, a)| (*k, a.clone()))
                 .collect(),
             leases: leases as u64,
-            list: self.ledger.list.version.0,
-            list_source: self.ledger.list.source,
+            list: self.config.list.version.0,
+            list_source: self.config.list.source,
             hosts: self
-                .ledger
+                .config
                 .list
                 .hosts()
                 .filter(|h| h.state != HostState::Gone)
                 .count() as u64,
             list_rejection: self.rejection,
-            acting: acting as u64,
+            up_to_date_leases: acting as u64,
         }
     }
 
     /// Applies what is committed, and does what a leader has to.
-    fn settle(&mut self, now: Micros, mut out: Output, step: &mut Step) {
+    fn settle(&mut self, now: Micros, mut out: Output, step: &mut Effects) {
         loop {
             if let Some(snapshot) = out.restored.take() {
                 // Written by a keeper that read its own: if this one cannot, it must not go on as if it could.
-                match Ledger::restore(&snapshot.state) {
-                    Ok(ledger) => self.ledger = ledger,
-                    Err(what) => step.broken = Some(what),
+                match ConfigState::decode(&snapshot.state) {
+                    Ok(ledger) => self.config = ledger,
+                    Err(what) => step.fatal = Some(what),
                 }
-                (self.applied, step.changed) = (snapshot.last_included_index, true);
+                (self.applied, step.config_changed) = (snapshot.last_included_index, true);
                 self.note_hosts(now);
             }
             for (place, entry) in std::mem::take(&mut out.committed) {
                 self.applied = place;
-                step.changed = true;
+                step.config_changed = true;
                 if let Payload::Command(bytes) = entry.body {
-                    if let Some(act) = Act::read(&bytes) {
-                        let listed = matches!(act, Act::List(_) | Act::TrustList);
-                        self.ledger.apply(act);
+                    if let Some(act) = LogCommand::decode(&bytes) {
+                        let listed =
+                            matches!(act, LogCommand::UpdateList(_) | LogCommand::TrustList);
+                        self.config.apply(act);
                         if listed {
                             self.list_out = false;
                             self.note_hosts(now);
@@ -473,63 +502,69 @@
                     }
                 }
             }
-            step.writes.append(&mut out.persist_requests);
+            step.persist_requests.append(&mut out.persist_requests);
             let messages = out.messages.drain(..);
-            step.to_keepers
-                .extend(messages.map(|(to, m)| (to, ToKeeper::Quorum(m))));
+            step.messages
+                .extend(messages.map(|(to, m)| (to, ToNode::Raft(m))));
             if !self.rule(now, &mut out) {
                 break;
             }
         }
         if let Some(news) = self.list_waits.pop_front_if(|_| !self.list_out) {
-            self.list_told(now, news, step);
+            self.on_source_update(now, news, step);
         }
         self.seat();
-        let ledger = &self.ledger;
+        let ledger = &self.config;
         self.offers.retain(|token, waiting| {
-            let Some(verdict) = ledger.verdict(*token) else {
+            let Some(verdict) = ledger.outcome(*token) else {
                 return true;
             };
-            let answer = |w: Waiting| (w.from.conn, w.from.number, Answer::Offered(verdict));
-            step.answers.extend(waiting.drain(..).map(answer));
+            let answer = |w: Waiting| {
+                (
+                    w.from.connection,
+                    w.from.number,
+                    Response::Proposed(verdict),
+                )
+            };
+            step.responses.extend(waiting.drain(..).map(answer));
             false
         });
     }
 
     /// Whether something has been added to `out`.
     fn rule(&mut self, now: Micros, out: &mut Output) -> bool {
-        if self.member.log_len() > KEPT && self.applied.0 > 0 {
-            self.member.compact(self.applied, self.ledger.state(), out);
+        if self.raft.log_len() > KEPT && self.applied.0 > 0 {
+            self.raft.compact(self.applied, self.config.encode(), out);
             if !out.persist_requests.is_empty() {
                 return true;
             }
         }
-        if !self.member.has_leader_lease(now) {
+        if !self.raft.has_leader_lease(now) {
             // Leases may have been given by others since: what is known of them is worth nothing.
-            if !self.member.is_leader() {
+            if !self.raft.is_leader() {
                 (self.granter, self.list_out, self.rejected) = (None, false, None);
                 self.list_waits.clear();
             }
             return false;
         }
-        let (term, lease) = (self.member.term(), self.terms.lease);
+        let (term, lease) = (self.raft.term(), self.terms.lease);
         if self.granter.as_ref().is_none_or(|g| g.0 != term) {
-            self.granter = Some((term, Granter::new(lease, now)));
+            self.granter = Some((term, LeaseGranter::new(lease, now)));
         }
         let Some((_, granter)) = &mut self.granter else {
             return false;
         };
-        let Some(revision) = granter.ready(now, &self.ledger) else {
+        let Some(revision) = granter.ready_revision(now, &self.config) else {
             return false;
         };
         if self.forcing == Some((term, revision)) {
             return false;
         }
-        let act = Act::InForce {
+        let act = LogCommand::PutInForce {
             revision,
-            at_s: self.wall_s,
+            at_s: self.wall_clock_s,
         };
-        if self.member.propose(now, act.bytes(), out).is_ok() {
+        if self.raft.propose(now, act.encode(), out).is_ok() {
             self.forcing = Some((term, revision));
             return true;
         }
@@ -538,7 +573,7 @@
 }
 
 /// Adds what has passed since the hosts were listed.
-fn age(part: &mut ListPart, applied_at: &BTreeMap<u32, (u64, Micros)>, now: Micros) {
+fn age(part: &mut EndpointListUpdate, applied_at: &BTreeMap<u32, (u64, Micros)>, now: Micros) {
     for host in &mut part.hosts {
         let since = applied_at
             .get(&host.host)
@@ -547,8 +582,8 @@
     }
 }
 
-fn alike(a: &SourceNews, b: &SourceNews) -> bool {
-    let named = |news: &SourceNews| {
+fn alike(a: &SourceUpdate, b: &SourceUpdate) -> bool {
+    let named = |news: &SourceUpdate| {
         news.hosts
             .iter()
             .map(|h| (h.host, h.state))
--- a/crates/spokeflow-coordination/src/leases.rs
+++ b/crates/spokeflow-coordination/src/leases.rs
@@ -6,14 +6,14 @@
 
 use spokeflow_core::Micros;
 
-use crate::RevisionNo;
+use crate::RevisionNumber;
 
 /// A router's permission to act, by the leader's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
     pub until: Micros,
     /// The newest revision that the router has said it acts on.
-    pub acts_on: RevisionNo,
+    pub applied_revision: RevisionNumber,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
     /// Expiry and process of each lease.
     by_expiry: BTreeSet<(Micros, u64)>,
     /// How many leases are of routers that act on a revision; a revision without one is not kept.
-    by_revision: BTreeMap<RevisionNo, usize>,
+    by_revision: BTreeMap<RevisionNumber, usize>,
 }
 
 impl LeaseTable {
@@ -32,18 +32,20 @@
     }
 
     /// What the router of this process has said it acts on; `None` where it holds no lease.
-    pub fn acts_on(&self, process: u64) -> Option<RevisionNo> {
-        self.leases.get(&process).map(|lease| lease.acts_on)
+    pub fn applied_revision(&self, process: u64) -> Option<RevisionNumber> {
+        self.leases
+            .get(&process)
+            .map(|lease| lease.applied_revision)
     }
 
     /// Gives the process this lease in place of the one it holds, if any.
     pub fn insert(&mut self, process: u64, lease: Lease) {
         if let Some(earlier) = self.leases.insert(process, lease) {
             self.by_expiry.remove(&(earlier.until, process));
-            self.uncount(earlier.acts_on);
+            self.uncount(earlier.applied_revision);
         }
         self.by_expiry.insert((lease.until, process));
-        *self.by_revision.entry(lease.acts_on).or_default() += 1;
+        *self.by_revision.entry(lease.applied_revision).or_default() += 1;
     }
 
     /// Takes out every lease that is over by `now`.
@@ -54,13 +56,13 @@
             }
             self.by_expiry.pop_first();
             if let Some(expired) = self.leases.remove(&process) {
-                self.uncount(expired.acts_on);
+                self.uncount(expired.applied_revision);
             }
         }
     }
 
     /// Whether every router that holds a lease acts on `revision` or a later one.
-    pub fn all_act_on(&self, revision: RevisionNo) -> bool {
+    pub fn all_applied(&self, revision: RevisionNumber) -> bool {
         self.by_revision
             .first_key_value()
             .is_none_or(|(oldest, _)| *oldest >= revision)
@@ -68,7 +70,7 @@
 
     /// How many leases hold at `now`, and how many of these are of routers that act on `revision` or a later one.
     /// Walks the leases that are over and not taken out yet.
-    pub fn live(&self, now: Micros, revision: RevisionNo) -> (usize, usize) {
+    pub fn live(&self, now: Micros, revision: RevisionNumber) -> (usize, usize) {
         let mut live = self.leases.len();
         let mut acting: usize = self
             .by_revision
@@ -77,12 +79,12 @@
             .sum();
         for (_, process) in self.by_expiry.iter().take_while(|(until, _)| *until <= now) {
             live -= 1;
-            acting -= usize::from(self.acts_on(*process) >= Some(revision));
+            acting -= usize::from(self.applied_revision(*process) >= Some(revision));
         }
         (live, acting)
     }
 
-    fn uncount(&mut self, revision: RevisionNo) {
+    fn uncount(&mut self, revision: RevisionNumber) {
         let Some(leases) = self.by_revision.get_mut(&revision) else {
             return;
         };
--- a/crates/spokeflow-coordination/src/ledger.rs
+++ b/crates/spokeflow-coordination/src/ledger.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_raft::NodeId;
 
-use crate::{AgreedList, SourceNews};
+use crate::{EndpointList, SourceUpdate};
 
 /// Records and verdicts that are kept.
 const KEPT: usize = 500;
@@ -13,68 +13,68 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct RevisionNo(pub u64);
+pub struct RevisionNumber(pub u64);
 
 /// Names of flags without their dashes, and their values as one would write them. What is not named is as each
 /// router's own flags say.
-pub type Values = BTreeMap<String, String>;
+pub type Overrides = BTreeMap<String, String>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    pub number: RevisionNo,
-    pub values: Values,
+    pub number: RevisionNumber,
+    pub values: Overrides,
 }
 
 /// A change that somebody wants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Offer {
+pub struct Proposal {
     /// Drawn by whoever offers: the same offer sent again has the same one, and is one offer.
     pub token: u64,
     /// The newest revision that the author knew of, whether in force or announced.
-    pub against: RevisionNo,
+    pub base: RevisionNumber,
     pub who: String,
     pub why: String,
     /// Seconds since 1970 by the clock of the keeper that took it: for people, nothing is decided by it.
     pub at_s: u64,
-    pub values: Values,
+    pub values: Overrides,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Act {
-    Offer(Offer),
+pub enum LogCommand {
+    Propose(Proposal),
     /// By the leading keeper, once no router can act on an earlier revision in a way that contradicts this one.
-    InForce {
-        revision: RevisionNo,
+    PutInForce {
+        revision: RevisionNumber,
         at_s: u64,
     },
     /// What the list's source said, as far as it differs.
-    List(SourceNews),
+    UpdateList(SourceUpdate),
     /// The list's source may begin anew.
     TrustList,
     /// Where a keeper is to be found, before it is taken in.
     SetAddress {
-        keeper: NodeId,
+        node: NodeId,
         address: String,
     },
 }
 
 /// What became of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Verdict {
-    Announced(RevisionNo),
+pub enum ProposalOutcome {
+    Pending(RevisionNumber),
     /// It was made against another revision than the newest.
     Stale {
-        newest: RevisionNo,
+        newest: RevisionNumber,
     },
     /// Another one is announced and not in force yet.
     Busy {
-        announced: RevisionNo,
+        pending: RevisionNumber,
     },
 }
 
 /// For people: who, when, why.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct RevisionRecord {
     pub revision: Revision,
     pub who: String,
     pub why: String,
@@ -83,27 +83,27 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct ConfigState {
     pub in_force: Revision,
-    pub announced: Option<Revision>,
+    pub pending: Option<Revision>,
     /// The newest last.
-    pub history: VecDeque<Record>,
+    pub history: VecDeque<RevisionRecord>,
     /// Where keepers are to be found, also those that do not vote yet.
     pub addresses: BTreeMap<NodeId, String>,
-    pub list: AgreedList,
-    verdicts: VecDeque<(u64, Verdict)>,
+    pub list: EndpointList,
+    verdicts: VecDeque<(u64, ProposalOutcome)>,
 }
 
-impl Ledger {
+impl ConfigState {
     /// The newest number, in force or announced.
-    pub fn newest(&self) -> RevisionNo {
-        self.announced
+    pub fn newest(&self) -> RevisionNumber {
+        self.pending
             .as_ref()
             .map_or(self.in_force.number, |a| a.number)
     }
 
     /// What became of the offer with this token; `None` where none is known.
-    pub fn verdict(&self, token: u64) -> Option<Verdict> {
+    pub fn outcome(&self, token: u64) -> Option<ProposalOutcome> {
         self.verdicts
             .iter()
             .rev()
@@ -112,12 +112,12 @@
     }
 
     /// Applies one committed entry.
-    pub fn apply(&mut self, act: Act) {
+    pub fn apply(&mut self, act: LogCommand) {
         match act {
-            Act::Offer(offer) => self.offered(offer),
-            Act::InForce { revision, at_s } => {
+            LogCommand::Propose(offer) => self.offered(offer),
+            LogCommand::PutInForce { revision, at_s } => {
                 // A second one, from a leader that had not seen the first committed, changes nothing.
-                let Some(announced) = self.announced.take_if(|a| a.number == revision) else {
+                let Some(announced) = self.pending.take_if(|a| a.number == revision) else {
                     return;
                 };
                 self.in_force = announced;
@@ -129,39 +129,42 @@
                     record.in_force_s = Some(at_s);
                 }
             }
-            Act::List(news) => self.list.apply(news),
-            Act::TrustList => self.list.trust(),
-            Act::SetAddress { keeper, address } => {
+            LogCommand::UpdateList(news) => self.list.apply(news),
+            LogCommand::TrustList => self.list.trust_source(),
+            LogCommand::SetAddress {
+                node: keeper,
+                address,
+            } => {
                 self.addresses.insert(keeper, address);
             }
         }
     }
 
-    fn offered(&mut self, offer: Offer) {
-        if self.verdict(offer.token).is_some() {
+    fn offered(&mut self, offer: Proposal) {
+        if self.outcome(offer.token).is_some() {
             return;
         }
         let newest = self.newest();
-        let verdict = match &self.announced {
-            _ if offer.against != newest => Verdict::Stale { newest },
-            Some(announced) => Verdict::Busy {
-                announced: announced.number,
+        let verdict = match &self.pending {
+            _ if offer.base != newest => ProposalOutcome::Stale { newest },
+            Some(announced) => ProposalOutcome::Busy {
+                pending: announced.number,
             },
             None => {
                 let revision = Revision {
-                    number: RevisionNo(newest.0 + 1),
+                    number: RevisionNumber(newest.0 + 1),
                     values: offer.values,
                 };
-                self.announced = Some(revision.clone());
+                self.pending = Some(revision.clone());
                 let (who, why, offered_s) = (offer.who, offer.why, offer.at_s);
-                self.history.push_back(Record {
+                self.history.push_back(RevisionRecord {
                     revision,
                     who,
                     why,
                     offered_s,
                     in_force_s: None,
                 });
-                Verdict::Announced(RevisionNo(newest.0 + 1))
+                ProposalOutcome::Pending(RevisionNumber(newest.0 + 1))
             }
         };
         self.verdicts.push_back((offer.token, verdict));
@@ -174,23 +177,23 @@
     }
 
     /// As bytes, for a snapshot.
-    pub fn state(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Errors: not a state of this version.
-    pub fn restore(state: &[u8]) -> Result<Ledger, String> {
+    pub fn decode(state: &[u8]) -> Result<ConfigState, String> {
         postcard::from_bytes(state).map_err(|e| format!("the snapshot cannot be read: {e}"))
     }
 }
 
-impl Act {
-    pub fn bytes(&self) -> Vec<u8> {
+impl LogCommand {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// `None`: not an act of this version; it changes nothing.
-    pub fn read(bytes: &[u8]) -> Option<Act> {
+    pub fn decode(bytes: &[u8]) -> Option<LogCommand> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/spokeflow-coordination/src/terms.rs
+++ b/crates/spokeflow-coordination/src/terms.rs
@@ -4,35 +4,35 @@
 use spokeflow_core::{Micros, ServiceTerms};
 
 #[derive(Clone, Copy, Debug)]
-pub struct LeaseTerms {
+pub struct LeaseConfig {
     /// Longest time, by a true clock, for which one grant may be acted on.
-    pub lease: Micros,
+    pub duration: Micros,
     /// How much faster or slower than true a clock may run, as a share.
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
-impl LeaseTerms {
+impl LeaseConfig {
     /// By the lease holder's own clock, from the sending of its request: no longer than the lease though it run slow.
-    pub fn held(&self) -> Micros {
-        (self.lease as f64 * (1.0 - self.drift)) as Micros
+    pub fn holder_duration(&self) -> Micros {
+        (self.duration as f64 * (1.0 - self.max_clock_drift)) as Micros
     }
 
     /// By the granter's own clock: no shorter than the lease though it run fast.
-    pub fn waits(&self) -> Micros {
-        (self.lease as f64 * (1.0 + self.drift)).ceil() as Micros
+    pub fn granter_duration(&self) -> Micros {
+        (self.duration as f64 * (1.0 + self.max_clock_drift)).ceil() as Micros
     }
 
     /// The longest time for which two routers may act on revisions that contradict each other, whatever fails: what
     /// was granted before the first grant of the later revision has run out after one lease.
     pub fn longest_contradiction(&self) -> Micros {
-        self.lease
+        self.duration
     }
 }
 
 /// What a revision may change while routers run. Windows (`exposure-span`, `fall-span`), what counts in them, op types
 /// and one-way keys are not among them: what was counted under the old ones cannot be counted anew.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AgreedTerms {
+pub struct EffectiveConfig {
     /// Each customer's commands a second, all routers together.
     pub shares: Vec<f64>,
     pub fleet_size: u32,
@@ -51,9 +51,9 @@
     pub votes_a_second: f64,
 }
 
-impl AgreedTerms {
+impl EffectiveConfig {
     pub fn of(terms: &ServiceTerms) -> Self {
-        AgreedTerms {
+        EffectiveConfig {
             shares: terms.shares.clone(),
             fleet_size: terms.fleet_size,
             delivery_cap: terms.delivery_cap,
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn put_into(&self, terms: &mut ServiceTerms) {
+    pub fn apply_to(&self, terms: &mut ServiceTerms) {
         terms.shares.clone_from(&self.shares);
         terms.fleet_size = self.fleet_size;
         terms.delivery_cap = self.delivery_cap;
@@ -95,11 +95,11 @@
     /// sooner, lower caps (a stage that one of both lacks has none), more guarded stages, a larger fleet, since each
     /// router's part of every common budget is smaller. Of customers' shares, times to come back and the counting of
     /// votes none is the stricter.
-    pub fn stricter(&self, announced: &AgreedTerms) -> AgreedTerms {
+    pub fn stricter_of(&self, announced: &EffectiveConfig) -> EffectiveConfig {
         let (a, b) = (self, announced);
         let stages = a.stage_caps.len().max(b.stage_caps.len());
         let cap = |caps: &[f64], n: usize| caps.get(n).copied().unwrap_or(0.0);
-        AgreedTerms {
+        EffectiveConfig {
             fleet_size: a.fleet_size.max(b.fleet_size),
             delivery_cap: a.delivery_cap.min(b.delivery_cap),
             side_by_side: a.side_by_side && b.side_by_side,
@@ -118,8 +118,8 @@
     /// What contradicts no later revision, however strict that is: nothing goes to a build on trial, one delivery for
     /// each command, hosts that drain get nothing more at once, and cold ones next to nothing. Of customers' shares and
     /// the counting of votes none is the stricter: they stay.
-    pub fn standing_build_only(&self) -> AgreedTerms {
-        AgreedTerms {
+    pub fn standing_build_only(&self) -> EffectiveConfig {
+        EffectiveConfig {
             stage_caps: vec![0.0; self.stage_caps.len()],
             exposure_free: 0.0,
             guarded_stages: u8::MAX,
--- a/crates/spokeflow-coordination/src/wire.rs
+++ b/crates/spokeflow-coordination/src/wire.rs
@@ -4,7 +4,9 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_raft::{LogIndex, Message, NodeId, Term};
 
-use crate::{Asked, Grant, Offer, Record, Rejection, Revision, Verdict};
+use crate::{
+    LeaseGrant, LeaseRequest, Proposal, ProposalOutcome, Rejection, Revision, RevisionRecord,
+};
 
 pub const MAGIC: [u8; 4] = *b"SPKK";
 pub const VERSION: u16 = 1;
@@ -13,74 +15,78 @@
 
 /// What all keepers of a fleet must be told alike.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Common {
+pub struct ClusterParameters {
     pub fleet: u64,
-    pub silence_us: u64,
+    pub election_timeout_us: u64,
     pub lease_us: u64,
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Caller {
-    Keeper {
+    Node {
         id: NodeId,
         /// Counted on its disk at each start.
         start: u64,
         /// Numbers that its latest processes drew and kept on that disk, the present one last. A disk that lacks a
         /// process which was met has lost what that one promised, however often it has been started since.
         processes: Vec<u64>,
-        common: Common,
+        parameters: ClusterParameters,
         /// Where it knows keepers to be found: one that joins has no ledger yet to find the leader by.
         addresses: Vec<(NodeId, String)>,
     },
     Router {
         index: u32,
     },
-    Person,
+    Operator,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    Lease(Asked),
-    Offer(Offer),
-    View,
+pub enum Request {
+    Lease(LeaseRequest),
+    Propose(Proposal),
+    Status,
     /// Where a keeper is to be found; then it may be taken in.
     SetAddress {
-        keeper: NodeId,
+        node: NodeId,
         address: String,
     },
     /// The list's source may begin anew, from any version.
     TrustList,
     /// Who votes from now on: one more or one less.
-    Members(Vec<NodeId>),
+    ChangeVoters(Vec<NodeId>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
-    Granted(Box<Grant>),
+pub enum Response {
+    Granted(Box<LeaseGrant>),
     /// Nobody leads, as far as this keeper knows: nothing was done.
     NoLeader,
-    Offered(Verdict),
+    Proposed(ProposalOutcome),
     /// It may have been done or not; asking again with the same token tells.
-    Unclear,
+    Indeterminate,
     /// It was refused for what it says.
-    Bad(String),
-    View(Box<View>),
+    Invalid(String),
+    Status(Box<ClusterStatus>),
     /// Laid down; whether it stands is seen in the view.
-    Begun,
+    Accepted,
 }
 
 /// The state at one instant, as the leading keeper holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct ClusterStatus {
     pub leader: NodeId,
     pub term: Term,
     pub committed: LogIndex,
     pub in_force: Revision,
-    pub announced: Option<Revision>,
+    /// Under its earlier name in JSON, which scripts read.
+    #[serde(rename = "announced")]
+    pub pending: Option<Revision>,
     /// The newest last.
-    pub history: Vec<Record>,
-    pub members: Vec<NodeId>,
+    pub history: Vec<RevisionRecord>,
+    /// Under its earlier name in JSON, which scripts read.
+    #[serde(rename = "members")]
+    pub voters: Vec<NodeId>,
     /// Where keepers are to be found; under its earlier name in JSON, which scripts read.
     #[serde(rename = "seats")]
     pub addresses: Vec<(NodeId, String)>,
@@ -93,26 +99,28 @@
     /// Under its earlier name in JSON, which scripts read.
     #[serde(rename = "list_doubt")]
     pub list_rejection: Option<Rejection>,
-    pub acting: u64,
+    /// Leases of routers that act on the newest revision; under its earlier name in JSON, which scripts read.
+    #[serde(rename = "acting")]
+    pub up_to_date_leases: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToKeeper {
+pub enum ToNode {
     Hello {
         magic: [u8; 4],
         version: u16,
         caller: Caller,
     },
-    Quorum(Message),
-    Ask {
+    Raft(Message),
+    Request {
         number: u64,
-        ask: Ask,
+        request: Request,
     },
 }
 
-impl ToKeeper {
+impl ToNode {
     pub fn hello(caller: Caller) -> Self {
-        ToKeeper::Hello {
+        ToNode::Hello {
             magic: MAGIC,
             version: VERSION,
             caller,
@@ -125,16 +133,25 @@
     Version,
     OutOfOrder,
     /// Keepers that are not told alike.
-    Terms,
+    ConfigMismatch,
     /// The caller's disk is older than one that this keeper has met.
-    OldDisk,
+    StaleStore,
     /// As many callers as there is room for.
-    Full,
+    TooManyConnections,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromKeeper {
-    Welcome { keeper: NodeId, common: Common },
-    Refused { why: Refusal, text: String },
-    Answer { number: u64, answer: Answer },
+pub enum FromNode {
+    Welcome {
+        node: NodeId,
+        parameters: ClusterParameters,
+    },
+    Refused {
+        why: Refusal,
+        text: String,
+    },
+    Response {
+        number: u64,
+        response: Response,
+    },
 }
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -15,11 +15,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use spokeflow_coordination::wire::{
-    Answer, Ask, Caller, Common, FromKeeper, Refusal, ToKeeper, View,
+    Caller, ClusterParameters, ClusterStatus, FromNode, Refusal, Request, Response, ToNode,
 };
 use spokeflow_coordination::{
-    Act, Asked, Grant, HostState, Known, Ledger, ListNo, ListPart, ListedHost, Offer, Record,
-    Rejection, Revision, RevisionNo, Seats, SourceNews, Values, Verdict,
+    ConfigState, EndpointListUpdate, HostState, LeaseGrant, LeaseRequest, ListVersion, ListedHost,
+    LogCommand, Overrides, Proposal, ProposalOutcome, Rejection, Revision, RevisionNumber,
+    RevisionRecord, RevisionRef, SourceUpdate, VoterAddresses,
 };
 use spokeflow_raft::{Entry, LogIndex, Message, NodeId, Payload, Snapshot, Term};
 
@@ -112,12 +113,12 @@
     );
 }
 
-fn common() -> Common {
-    Common {
+fn common() -> ClusterParameters {
+    ClusterParameters {
         fleet: 1_001,
-        silence_us: 1_002,
+        election_timeout_us: 1_002,
         lease_us: 1_003,
-        drift: 0.25,
+        max_clock_drift: 0.25,
     }
 }
 
@@ -125,21 +126,21 @@
     (NodeId(keeper), format!("10.0.0.{keeper}:7500"))
 }
 
-fn values(name: &str, value: &str) -> Values {
-    Values::from([(name.to_string(), value.to_string())])
+fn values(name: &str, value: &str) -> Overrides {
+    Overrides::from([(name.to_string(), value.to_string())])
 }
 
 fn revision(number: u64) -> Revision {
     Revision {
-        number: RevisionNo(number),
+        number: RevisionNumber(number),
         values: values("delivery-cap", &number.to_string()),
     }
 }
 
-fn offer() -> Offer {
-    Offer {
+fn offer() -> Proposal {
+    Proposal {
         token: 1_001,
-        against: RevisionNo(1_002),
+        base: RevisionNumber(1_002),
         who: "ann".into(),
         why: "slower stages".into(),
         at_s: 1_003,
@@ -188,17 +189,17 @@
 }
 
 fn caller() -> Caller {
-    Caller::Keeper {
+    Caller::Node {
         id: NodeId(301),
         start: 1_002,
         processes: vec![1_003, 1_004],
-        common: common(),
+        parameters: common(),
         addresses: vec![address(5), address(6)],
     }
 }
 
-fn hello(caller: Caller) -> ToKeeper {
-    ToKeeper::Hello {
+fn hello(caller: Caller) -> ToNode {
+    ToNode::Hello {
         magic: *b"SPKK",
         version: 1,
         caller,
@@ -257,44 +258,47 @@
     }
 }
 
-fn appended(upto: Result<LogIndex, LogIndex>) -> ToKeeper {
-    ToKeeper::Quorum(Message::AppendEntriesResponse {
+fn appended(upto: Result<LogIndex, LogIndex>) -> ToNode {
+    ToNode::Raft(Message::AppendEntriesResponse {
         term: Term(1_001),
         round: 1_002,
         match_index: upto,
     })
 }
 
-fn asked(list: Option<ListNo>) -> Asked {
-    Asked {
+fn asked(list: Option<ListVersion>) -> LeaseRequest {
+    LeaseRequest {
         process: 1_001,
         router: 70_002,
-        knows: [RevisionNo(1_003), RevisionNo(1_004)],
-        acts_on: RevisionNo(1_005),
-        seats: 1_006,
+        known_revisions: [RevisionNumber(1_003), RevisionNumber(1_004)],
+        applied_revision: RevisionNumber(1_005),
+        voters_fingerprint: 1_006,
         list,
     }
 }
 
-fn ask(ask: Ask) -> ToKeeper {
-    ToKeeper::Ask { number: 5, ask }
+fn ask(ask: Request) -> ToNode {
+    ToNode::Request {
+        number: 5,
+        request: ask,
+    }
 }
 
-fn hellos() -> Vec<Named<ToKeeper>> {
+fn hellos() -> Vec<Named<ToNode>> {
     vec![
         ("ToKeeper::Hello/Keeper", hello(caller())),
         (
             "ToKeeper::Hello/Router",
             hello(Caller::Router { index: 70_001 }),
         ),
-        ("ToKeeper::Hello/Person", hello(Caller::Person)),
+        ("ToKeeper::Hello/Person", hello(Caller::Operator)),
     ]
 }
 
-fn quorum_messages() -> Vec<Named<ToKeeper>> {
+fn quorum_messages() -> Vec<Named<ToNode>> {
     let (term, last, last_log_term) = (Term(1_001), LogIndex(1_002), Term(1_003));
     let vote = |sounded, granted| {
-        ToKeeper::Quorum(Message::VoteResponse {
+        ToNode::Raft(Message::VoteResponse {
             term,
             pre_vote: sounded,
             granted,
@@ -303,7 +307,7 @@
     vec![
         (
             "ToKeeper::Quorum/Sound",
-            ToKeeper::Quorum(Message::PreVote {
+            ToNode::Raft(Message::PreVote {
                 term,
                 last_log_index: last,
                 last_log_term,
@@ -311,7 +315,7 @@
         ),
         (
             "ToKeeper::Quorum/Stand",
-            ToKeeper::Quorum(Message::RequestVote {
+            ToNode::Raft(Message::RequestVote {
                 term,
                 last_log_index: last,
                 last_log_term,
@@ -319,7 +323,7 @@
         ),
         ("ToKeeper::Quorum/Vote/sounded", vote(true, false)),
         ("ToKeeper::Quorum/Vote/granted", vote(false, true)),
-        ("ToKeeper::Quorum/Append", ToKeeper::Quorum(append())),
+        ("ToKeeper::Quorum/Append", ToNode::Raft(append())),
         (
             "ToKeeper::Quorum/Appended/agrees",
             appended(Ok(LogIndex(1_003))),
@@ -328,47 +332,50 @@
             "ToKeeper::Quorum/Appended/differs",
             appended(Err(LogIndex(1_004))),
         ),
-        ("ToKeeper::Quorum/Install", ToKeeper::Quorum(install())),
+        ("ToKeeper::Quorum/Install", ToNode::Raft(install())),
     ]
 }
 
-fn asks() -> Vec<Named<ToKeeper>> {
+fn asks() -> Vec<Named<ToNode>> {
     let (keeper, address) = address(5);
     vec![
         (
             "ToKeeper::Ask/Lease/with-list",
-            ask(Ask::Lease(asked(Some(ListNo(1_007))))),
+            ask(Request::Lease(asked(Some(ListVersion(1_007))))),
         ),
         (
             "ToKeeper::Ask/Lease/without-list",
-            ask(Ask::Lease(asked(None))),
+            ask(Request::Lease(asked(None))),
         ),
-        ("ToKeeper::Ask/Offer", ask(Ask::Offer(offer()))),
-        ("ToKeeper::Ask/View", ask(Ask::View)),
+        ("ToKeeper::Ask/Offer", ask(Request::Propose(offer()))),
+        ("ToKeeper::Ask/View", ask(Request::Status)),
         (
             "ToKeeper::Ask/SetAddress",
-            ask(Ask::SetAddress { keeper, address }),
+            ask(Request::SetAddress {
+                node: keeper,
+                address,
+            }),
         ),
-        ("ToKeeper::Ask/TrustList", ask(Ask::TrustList)),
+        ("ToKeeper::Ask/TrustList", ask(Request::TrustList)),
         (
             "ToKeeper::Ask/Members",
-            ask(Ask::Members(vec![NodeId(6), NodeId(7)])),
+            ask(Request::ChangeVoters(vec![NodeId(6), NodeId(7)])),
         ),
     ]
 }
 
-fn to_keeper() -> Vec<Named<ToKeeper>> {
+fn to_keeper() -> Vec<Named<ToNode>> {
     [hellos(), quorum_messages(), asks()].concat()
 }
 
-fn name_of_to_keeper(message: &ToKeeper) -> &'static str {
+fn name_of_to_keeper(message: &ToNode) -> &'static str {
     match message {
-        ToKeeper::Hello { caller, .. } => match caller {
-            Caller::Keeper { .. } => "ToKeeper::Hello/Keeper",
+        ToNode::Hello { caller, .. } => match caller {
+            Caller::Node { .. } => "ToKeeper::Hello/Keeper",
             Caller::Router { .. } => "ToKeeper::Hello/Router",
-            Caller::Person => "ToKeeper::Hello/Person",
+            Caller::Operator => "ToKeeper::Hello/Person",
         },
-        ToKeeper::Quorum(message) => match message {
+        ToNode::Raft(message) => match message {
             Message::PreVote { .. } => "ToKeeper::Quorum/Sound",
             Message::RequestVote { .. } => "ToKeeper::Quorum/Stand",
             Message::VoteResponse { .. } => "ToKeeper::Quorum/Vote",
@@ -376,54 +383,54 @@
             Message::AppendEntriesResponse { .. } => "ToKeeper::Quorum/Appended",
             Message::InstallSnapshot { .. } => "ToKeeper::Quorum/Install",
         },
-        ToKeeper::Ask { ask, .. } => match ask {
-            Ask::Lease(_) => "ToKeeper::Ask/Lease",
-            Ask::Offer(_) => "ToKeeper::Ask/Offer",
-            Ask::View => "ToKeeper::Ask/View",
-            Ask::SetAddress { .. } => "ToKeeper::Ask/SetAddress",
-            Ask::TrustList => "ToKeeper::Ask/TrustList",
-            Ask::Members(_) => "ToKeeper::Ask/Members",
+        ToNode::Request { request: ask, .. } => match ask {
+            Request::Lease(_) => "ToKeeper::Ask/Lease",
+            Request::Propose(_) => "ToKeeper::Ask/Offer",
+            Request::Status => "ToKeeper::Ask/View",
+            Request::SetAddress { .. } => "ToKeeper::Ask/SetAddress",
+            Request::TrustList => "ToKeeper::Ask/TrustList",
+            Request::ChangeVoters(_) => "ToKeeper::Ask/Members",
         },
     }
 }
 
-fn whole_grant() -> Grant {
-    Grant {
-        in_force: Known {
-            number: RevisionNo(1_001),
+fn whole_grant() -> LeaseGrant {
+    LeaseGrant {
+        in_force: RevisionRef {
+            number: RevisionNumber(1_001),
             revision: Some(revision(1_001)),
         },
-        announced: Some(Known {
-            number: RevisionNo(1_002),
+        pending: Some(RevisionRef {
+            number: RevisionNumber(1_002),
             revision: None,
         }),
-        seats: Some(Seats {
-            mark: 1_003,
+        voters: Some(VoterAddresses {
+            fingerprint: 1_003,
             addresses: vec!["10.0.0.5:7500".into()],
         }),
-        list: Some(ListPart {
-            version: ListNo(1_004),
-            whole: true,
+        list: Some(EndpointListUpdate {
+            version: ListVersion(1_004),
+            complete: true,
             hosts: hosts_in_each_state(),
         }),
     }
 }
 
-fn grant_without_options() -> Grant {
-    let in_force = Known {
-        number: RevisionNo(1_001),
+fn grant_without_options() -> LeaseGrant {
+    let in_force = RevisionRef {
+        number: RevisionNumber(1_001),
         revision: None,
     };
-    Grant {
+    LeaseGrant {
         in_force,
-        announced: None,
-        seats: None,
+        pending: None,
+        voters: None,
         list: None,
     }
 }
 
-fn records() -> Vec<Record> {
-    let record = |number, in_force_s| Record {
+fn records() -> Vec<RevisionRecord> {
+    let record = |number, in_force_s| RevisionRecord {
         revision: revision(number),
         who: "ann".into(),
         why: "slower stages".into(),
@@ -433,69 +440,72 @@
     vec![record(1_004, Some(1_102)), record(1_005, None)]
 }
 
-fn view(list_rejection: Option<Rejection>) -> View {
-    View {
+fn view(list_rejection: Option<Rejection>) -> ClusterStatus {
+    ClusterStatus {
         leader: NodeId(301),
         term: Term(1_002),
         committed: LogIndex(1_003),
         in_force: revision(1_004),
-        announced: Some(revision(1_005)),
+        pending: Some(revision(1_005)),
         history: records(),
-        members: vec![NodeId(5), NodeId(6)],
+        voters: vec![NodeId(5), NodeId(6)],
         addresses: vec![address(5), address(6)],
         leases: 1_006,
         list: 1_007,
         list_source: 1_008,
         hosts: 1_009,
         list_rejection,
-        acting: 1_010,
+        up_to_date_leases: 1_010,
     }
 }
 
-fn view_without_options() -> View {
-    View {
-        announced: None,
+fn view_without_options() -> ClusterStatus {
+    ClusterStatus {
+        pending: None,
         ..view(None)
     }
 }
 
-fn answer(answer: Answer) -> FromKeeper {
-    FromKeeper::Answer { number: 5, answer }
+fn answer(answer: Response) -> FromNode {
+    FromNode::Response {
+        number: 5,
+        response: answer,
+    }
 }
 
-fn refused(why: Refusal) -> FromKeeper {
-    FromKeeper::Refused {
+fn refused(why: Refusal) -> FromNode {
+    FromNode::Refused {
         why,
         text: "refused".into(),
     }
 }
 
-fn openings() -> Vec<Named<FromKeeper>> {
-    let welcome = FromKeeper::Welcome {
-        keeper: NodeId(301),
-        common: common(),
+fn openings() -> Vec<Named<FromNode>> {
+    let welcome = FromNode::Welcome {
+        node: NodeId(301),
+        parameters: common(),
     };
     vec![
         ("FromKeeper::Welcome", welcome),
         ("FromKeeper::Refused/Version", refused(Refusal::Version)),
+        ("FromKeeper::Refused/OutOfOrder", refused(Refusal::OutOfOrder)),
+        ("FromKeeper::Refused/Terms", refused(Refusal::ConfigMismatch)),
+        ("FromKeeper::Refused/OldDisk", refused(Refusal::StaleStore)),
         (
-            "FromKeeper::Refused/OutOfOrder",
-            refused(Refusal::OutOfOrder),
+            "FromKeeper::Refused/Full",
+            refused(Refusal::TooManyConnections),
         ),
-        ("FromKeeper::Refused/Terms", refused(Refusal::Terms)),
-        ("FromKeeper::Refused/OldDisk", refused(Refusal::OldDisk)),
-        ("FromKeeper::Refused/Full", refused(Refusal::Full)),
     ]
 }
 
-fn answers_to_offers() -> Vec<Named<FromKeeper>> {
-    let offered = |verdict| answer(Answer::Offered(verdict));
-    let announced = Verdict::Announced(RevisionNo(1_001));
-    let stale = Verdict::Stale {
-        newest: RevisionNo(1_002),
+fn answers_to_offers() -> Vec<Named<FromNode>> {
+    let offered = |verdict| answer(Response::Proposed(verdict));
+    let announced = ProposalOutcome::Pending(RevisionNumber(1_001));
+    let stale = ProposalOutcome::Stale {
+        newest: RevisionNumber(1_002),
     };
-    let busy = Verdict::Busy {
-        announced: RevisionNo(1_003),
+    let busy = ProposalOutcome::Busy {
+        pending: RevisionNumber(1_003),
     };
     vec![
         ("FromKeeper::Answer/Offered/Announced", offered(announced)),
@@ -504,8 +514,8 @@
     ]
 }
 
-fn views() -> Vec<Named<FromKeeper>> {
-    let rejected = |rejection| answer(Answer::View(Box::new(view(Some(rejection)))));
+fn views() -> Vec<Named<FromNode>> {
+    let rejected = |rejection| answer(Response::Status(Box::new(view(Some(rejection)))));
     let backwards = Rejection::Backwards {
         told: 1_021,
         before: 1_022,
@@ -515,42 +525,47 @@
         before: 1_024,
         missing: 1_025,
     };
-    let least = answer(Answer::View(Box::new(view_without_options())));
+    let least = answer(Response::Status(Box::new(view_without_options())));
     vec![
         ("FromKeeper::Answer/View/no-rejection", least),
-        ("FromKeeper::Answer/View/Backwards", rejected(backwards)),
+        (
+            "FromKeeper::Answer/View/Backwards",
+            rejected(backwards),
+        ),
         ("FromKeeper::Answer/View/Forked", rejected(forked)),
         ("FromKeeper::Answer/View/Halved", rejected(halved)),
     ]
 }
 
-fn other_answers() -> Vec<Named<FromKeeper>> {
-    let granted = |grant| answer(Answer::Granted(Box::new(grant)));
+fn other_answers() -> Vec<Named<FromNode>> {
+    let granted = |grant| answer(Response::Granted(Box::new(grant)));
     vec![
         ("FromKeeper::Answer/Granted/whole", granted(whole_grant())),
         (
             "FromKeeper::Answer/Granted/without-options",
             granted(grant_without_options()),
         ),
-        ("FromKeeper::Answer/NoLeader", answer(Answer::NoLeader)),
-        ("FromKeeper::Answer/Unclear", answer(Answer::Unclear)),
+        ("FromKeeper::Answer/NoLeader", answer(Response::NoLeader)),
+        ("FromKeeper::Answer/Unclear", answer(Response::Indeterminate)),
         (
             "FromKeeper::Answer/Bad",
-            answer(Answer::Bad("not a flag".into())),
+            answer(Response::Invalid("not a flag".into())),
         ),
-        ("FromKeeper::Answer/Begun", answer(Answer::Begun)),
+        ("FromKeeper::Answer/Begun", answer(Response::Accepted)),
     ]
 }
 
-fn from_keeper() -> Vec<Named<FromKeeper>> {
+fn from_keeper() -> Vec<Named<FromNode>> {
     [openings(), answers_to_offers(), views(), other_answers()].concat()
 }
 
-fn name_of_from_keeper(message: &FromKeeper) -> &'static str {
+fn name_of_from_keeper(message: &FromNode) -> &'static str {
     match message {
-        FromKeeper::Welcome { .. } => "FromKeeper::Welcome",
-        FromKeeper::Refused { why, .. } => name_of_refusal(*why),
-        FromKeeper::Answer { answer, .. } => name_of_answer(answer),
+        FromNode::Welcome { .. } => "FromKeeper::Welcome",
+        FromNode::Refused { why, .. } => name_of_refusal(*why),
+        FromNode::Response {
+            response: answer, ..
+        } => name_of_answer(answer),
     }
 }
 
@@ -558,101 +573,110 @@
     match why {
         Refusal::Version => "FromKeeper::Refused/Version",
         Refusal::OutOfOrder => "FromKeeper::Refused/OutOfOrder",
-        Refusal::Terms => "FromKeeper::Refused/Terms",
-        Refusal::OldDisk => "FromKeeper::Refused/OldDisk",
-        Refusal::Full => "FromKeeper::Refused/Full",
+        Refusal::ConfigMismatch => "FromKeeper::Refused/Terms",
+        Refusal::StaleStore => "FromKeeper::Refused/OldDisk",
+        Refusal::TooManyConnections => "FromKeeper::Refused/Full",
     }
 }
 
-fn name_of_answer(answer: &Answer) -> &'static str {
+fn name_of_answer(answer: &Response) -> &'static str {
     match answer {
-        Answer::Granted(_) => "FromKeeper::Answer/Granted",
-        Answer::NoLeader => "FromKeeper::Answer/NoLeader",
-        Answer::Offered(verdict) => match verdict {
-            Verdict::Announced(_) => "FromKeeper::Answer/Offered/Announced",
-            Verdict::Stale { .. } => "FromKeeper::Answer/Offered/Stale",
-            Verdict::Busy { .. } => "FromKeeper::Answer/Offered/Busy",
+        Response::Granted(_) => "FromKeeper::Answer/Granted",
+        Response::NoLeader => "FromKeeper::Answer/NoLeader",
+        Response::Proposed(verdict) => match verdict {
+            ProposalOutcome::Pending(_) => "FromKeeper::Answer/Offered/Announced",
+            ProposalOutcome::Stale { .. } => "FromKeeper::Answer/Offered/Stale",
+            ProposalOutcome::Busy { .. } => "FromKeeper::Answer/Offered/Busy",
         },
-        Answer::Unclear => "FromKeeper::Answer/Unclear",
-        Answer::Bad(_) => "FromKeeper::Answer/Bad",
-        Answer::View(view) => match view.list_rejection {
+        Response::Indeterminate => "FromKeeper::Answer/Unclear",
+        Response::Invalid(_) => "FromKeeper::Answer/Bad",
+        Response::Status(view) => match view.list_rejection {
             None => "FromKeeper::Answer/View/no-rejection",
             Some(Rejection::Backwards { .. }) => "FromKeeper::Answer/View/Backwards",
             Some(Rejection::Forked { .. }) => "FromKeeper::Answer/View/Forked",
             Some(Rejection::Halved { .. }) => "FromKeeper::Answer/View/Halved",
         },
-        Answer::Begun => "FromKeeper::Answer/Begun",
+        Response::Accepted => "FromKeeper::Answer/Begun",
     }
 }
 
-fn acts() -> Vec<Named<Act>> {
+fn acts() -> Vec<Named<LogCommand>> {
     let (keeper, address) = address(5);
-    let news = SourceNews {
+    let news = SourceUpdate {
         version: 1_001,
-        whole: true,
+        complete: true,
         hosts: hosts_in_each_state(),
     };
     vec![
-        ("Act::Offer", Act::Offer(offer())),
+        ("Act::Offer", LogCommand::Propose(offer())),
         (
             "Act::InForce",
-            Act::InForce {
-                revision: RevisionNo(1_001),
+            LogCommand::PutInForce {
+                revision: RevisionNumber(1_001),
                 at_s: 1_002,
             },
         ),
-        ("Act::List", Act::List(news)),
-        ("Act::TrustList", Act::TrustList),
-        ("Act::SetAddress", Act::SetAddress { keeper, address }),
+        ("Act::List", LogCommand::UpdateList(news)),
+        ("Act::TrustList", LogCommand::TrustList),
+        (
+            "Act::SetAddress",
+            LogCommand::SetAddress {
+                node: keeper,
+                address,
+            },
+        ),
     ]
 }
 
-fn name_of_act(act: &Act) -> &'static str {
+fn name_of_act(act: &LogCommand) -> &'static str {
     match act {
-        Act::Offer(_) => "Act::Offer",
-        Act::InForce { .. } => "Act::InForce",
-        Act::List(_) => "Act::List",
-        Act::TrustList => "Act::TrustList",
-        Act::SetAddress { .. } => "Act::SetAddress",
+        LogCommand::Propose(_) => "Act::Offer",
+        LogCommand::PutInForce { .. } => "Act::InForce",
+        LogCommand::UpdateList(_) => "Act::List",
+        LogCommand::TrustList => "Act::TrustList",
+        LogCommand::SetAddress { .. } => "Act::SetAddress",
     }
 }
 
 /// One revision in force, another announced, offers with each verdict, three hosts, an address.
-fn ledger() -> Ledger {
+fn ledger() -> ConfigState {
     let (keeper, address) = address(5);
-    let first = Offer {
-        against: RevisionNo(0),
+    let first = Proposal {
+        base: RevisionNumber(0),
         ..offer()
     };
-    let second = Offer {
+    let second = Proposal {
         token: 1_002,
-        against: RevisionNo(1),
+        base: RevisionNumber(1),
         ..offer()
     };
-    let busy = Offer {
+    let busy = Proposal {
         token: 1_003,
-        against: RevisionNo(2),
+        base: RevisionNumber(2),
         ..offer()
     };
-    let news = SourceNews {
+    let news = SourceUpdate {
         version: 1_001,
-        whole: true,
+        complete: true,
         hosts: hosts_in_each_state(),
     };
-    let mut ledger = Ledger::default();
-    ledger.apply(Act::Offer(first));
-    ledger.apply(Act::InForce {
-        revision: RevisionNo(1),
+    let mut ledger = ConfigState::default();
+    ledger.apply(LogCommand::Propose(first));
+    ledger.apply(LogCommand::PutInForce {
+        revision: RevisionNumber(1),
         at_s: 1_004,
     });
-    ledger.apply(Act::Offer(second));
-    ledger.apply(Act::Offer(busy));
-    ledger.apply(Act::Offer(Offer {
+    ledger.apply(LogCommand::Propose(second));
+    ledger.apply(LogCommand::Propose(busy));
+    ledger.apply(LogCommand::Propose(Proposal {
         token: 1_005,
         ..offer()
     }));
-    ledger.apply(Act::List(news));
-    ledger.apply(Act::SetAddress { keeper, address });
+    ledger.apply(LogCommand::UpdateList(news));
+    ledger.apply(LogCommand::SetAddress {
+        node: keeper,
+        address,
+    });
     ledger
 }
 
@@ -661,15 +685,15 @@
     let bodies = bodies_of("ToKeeper");
     check_values(&bodies, &to_keeper());
     check_names(&to_keeper(), name_of_to_keeper);
-    check_every_kind::<ToKeeper>(&bodies, &[]);
+    check_every_kind::<ToNode>(&bodies, &[]);
 }
 
 #[test]
 fn no_kind_of_caller_quorum_message_or_ask_is_left_out() {
     let bodies = bodies_of("ToKeeper");
-    check_every_kind::<ToKeeper>(&bodies, &[0, b'S', b'P', b'K', b'K', 1]);
-    check_every_kind::<ToKeeper>(&bodies, &[1]);
-    check_every_kind::<ToKeeper>(&bodies, &[2, 5]);
+    check_every_kind::<ToNode>(&bodies, &[0, b'S', b'P', b'K', b'K', 1]);
+    check_every_kind::<ToNode>(&bodies, &[1]);
+    check_every_kind::<ToNode>(&bodies, &[2, 5]);
     let names = entries_of_each_body()
         .iter()
         .map(|e| name_of_body(&e.body))
@@ -682,15 +706,15 @@
     let bodies = bodies_of("FromKeeper");
     check_values(&bodies, &from_keeper());
     check_names(&from_keeper(), name_of_from_keeper);
-    check_every_kind::<FromKeeper>(&bodies, &[]);
+    check_every_kind::<FromNode>(&bodies, &[]);
 }
 
 #[test]
 fn no_kind_of_refusal_answer_or_verdict_is_left_out() {
     let bodies = bodies_of("FromKeeper");
-    check_every_kind::<FromKeeper>(&bodies, &[1]);
-    check_every_kind::<FromKeeper>(&bodies, &[2, 5]);
-    check_every_kind::<FromKeeper>(&bodies, &[2, 5, 2]);
+    check_every_kind::<FromNode>(&bodies, &[1]);
+    check_every_kind::<FromNode>(&bodies, &[2, 5]);
+    check_every_kind::<FromNode>(&bodies, &[2, 5, 2]);
     let names = hosts_in_each_state()
         .iter()
         .map(|h| name_of_state(h.state))
@@ -703,10 +727,10 @@
     let stored = lines_of(RECORDS, "Act");
     check_values(&stored, &acts());
     check_names(&acts(), name_of_act);
-    check_every_kind::<Act>(&stored, &[]);
+    check_every_kind::<LogCommand>(&stored, &[]);
     for ((_, bytes), (_, act)) in stored.iter().zip(acts()) {
-        assert_eq!(Act::read(bytes).as_ref(), Some(&act));
-        assert_eq!(&act.bytes(), bytes);
+        assert_eq!(LogCommand::decode(bytes).as_ref(), Some(&act));
+        assert_eq!(&act.encode(), bytes);
     }
 }
 
@@ -714,17 +738,17 @@
 fn the_state_in_a_snapshot_is_read_and_written_as_before() {
     let stored = lines_of(RECORDS, "Ledger");
     check_values(&stored, &[("Ledger", ledger())]);
-    assert_eq!(Ledger::restore(&stored[0].1).unwrap(), ledger());
-    assert_eq!(ledger().state(), stored[0].1);
-    let verdicts = [1_001, 1_002, 1_003, 1_005].map(|token| ledger().verdict(token).unwrap());
+    assert_eq!(ConfigState::decode(&stored[0].1).unwrap(), ledger());
+    assert_eq!(ledger().encode(), stored[0].1);
+    let verdicts = [1_001, 1_002, 1_003, 1_005].map(|token| ledger().outcome(token).unwrap());
     let expected = [
-        Verdict::Announced(RevisionNo(1)),
-        Verdict::Announced(RevisionNo(2)),
-        Verdict::Busy {
-            announced: RevisionNo(2),
+        ProposalOutcome::Pending(RevisionNumber(1)),
+        ProposalOutcome::Pending(RevisionNumber(2)),
+        ProposalOutcome::Busy {
+            pending: RevisionNumber(2),
         },
-        Verdict::Stale {
-            newest: RevisionNo(2),
+        ProposalOutcome::Stale {
+            newest: RevisionNumber(2),
         },
     ];
     assert_eq!(verdicts, expected);
--- a/crates/spokeflow-coordination/tests/granter.rs
+++ b/crates/spokeflow-coordination/tests/granter.rs
@@ -9,9 +9,9 @@
 use spokeflow_core::Micros;
 
 const SECOND: Micros = 1_000_000;
-const TERMS: LeaseTerms = LeaseTerms {
-    lease: 2 * SECOND,
-    drift: 0.01,
+const TERMS: LeaseConfig = LeaseConfig {
+    duration: 2 * SECOND,
+    max_clock_drift: 0.01,
 };
 /// Leases that a granter keeps at most.
 const LEASES_AT_MOST: usize = 8192;
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy)]
 struct Lease {
     until: Micros,
-    acts_on: RevisionNo,
+    acts_on: RevisionNumber,
 }
 
 /// By definition: who holds a lease, and when the announced revision may come into force.
 struct PlainGranter {
     led_since: Micros,
-    announced: Option<(RevisionNo, Micros)>,
+    announced: Option<(RevisionNumber, Micros)>,
     leases: BTreeMap<u64, Lease>,
     over: bool,
 }
@@ -40,39 +40,39 @@
         }
     }
 
-    fn ask(&mut self, now: Micros, asked: &Asked) {
+    fn ask(&mut self, now: Micros, asked: &LeaseRequest) {
         self.leases.retain(|_, lease| lease.until > now);
         let known = self
             .leases
             .get(&asked.process)
-            .map_or(RevisionNo(0), |lease| lease.acts_on);
-        if known == RevisionNo(0) && self.leases.len() >= LEASES_AT_MOST {
+            .map_or(RevisionNumber(0), |lease| lease.acts_on);
+        if known == RevisionNumber(0) && self.leases.len() >= LEASES_AT_MOST {
             self.over = true;
             return;
         }
         let lease = Lease {
-            until: now + TERMS.waits(),
-            acts_on: asked.acts_on.max(known),
+            until: now + TERMS.granter_duration(),
+            acts_on: asked.applied_revision.max(known),
         };
         self.leases.insert(asked.process, lease);
     }
 
-    fn ready(&mut self, now: Micros, ledger: &Ledger) -> Option<RevisionNo> {
-        let number = ledger.announced.as_ref()?.number;
+    fn ready(&mut self, now: Micros, ledger: &ConfigState) -> Option<RevisionNumber> {
+        let number = ledger.pending.as_ref()?.number;
         let since = match self.announced {
             Some((announced, since)) if announced == number => since,
             _ => now,
         };
         self.announced = Some((number, since));
-        let all_known = now - self.led_since >= TERMS.waits() && !self.over;
+        let all_known = now - self.led_since >= TERMS.granter_duration() && !self.over;
         let all_act = self
             .leases
             .values()
             .all(|lease| lease.until <= now || lease.acts_on >= number);
-        (now - since >= TERMS.waits() || all_known && all_act).then_some(number)
+        (now - since >= TERMS.granter_duration() || all_known && all_act).then_some(number)
     }
 
-    fn counts(&self, now: Micros, ledger: &Ledger) -> (usize, usize) {
+    fn counts(&self, now: Micros, ledger: &ConfigState) -> (usize, usize) {
         let live = || self.leases.values().filter(|lease| lease.until > now);
         (
             live().count(),
@@ -97,8 +97,8 @@
 struct Run {
     chance: StdRng,
     now: Micros,
-    ledger: Ledger,
-    granter: Granter,
+    ledger: ConfigState,
+    granter: LeaseGranter,
     plain: PlainGranter,
     announced_at: Micros,
     met: Met,
@@ -110,32 +110,32 @@
         Run {
             chance: StdRng::seed_from_u64(seed),
             now,
-            ledger: Ledger::default(),
-            granter: Granter::new(TERMS, now),
+            ledger: ConfigState::default(),
+            granter: LeaseGranter::new(TERMS, now),
             plain: PlainGranter::new(now),
             announced_at: now,
             met: Met::default(),
         }
     }
 
-    fn ask(&mut self, process: u64, acts_on: RevisionNo) {
+    fn ask(&mut self, process: u64, acts_on: RevisionNumber) {
         let knows = [self.ledger.in_force.number, self.ledger.newest()];
-        let asked = Asked {
+        let asked = LeaseRequest {
             process,
             router: 0,
-            knows,
-            acts_on,
-            seats: 0,
+            known_revisions: knows,
+            applied_revision: acts_on,
+            voters_fingerprint: 0,
             list: None,
         };
         let grant = self
             .granter
-            .ask(self.now, &asked, &self.ledger, &Seats::default());
+            .grant(self.now, &asked, &self.ledger, &VoterAddresses::default());
         self.plain.ask(self.now, &asked);
         assert_eq!(grant.in_force.number, self.ledger.in_force.number);
         assert_eq!(
-            grant.announced.map(|known| known.number),
-            self.ledger.announced.as_ref().map(|a| a.number)
+            grant.pending.map(|known| known.number),
+            self.ledger.pending.as_ref().map(|a| a.number)
         );
     }
 
@@ -144,15 +144,15 @@
         let process = self.chance.random_range(0..processes);
         let newest = self.ledger.newest().0;
         let behind = [0, 0, 0, 1, 2, newest][self.chance.random_range(0..6)];
-        self.ask(process, RevisionNo(newest.saturating_sub(behind)));
+        self.ask(process, RevisionNumber(newest.saturating_sub(behind)));
     }
 
     fn announce(&mut self) {
         let against = self.ledger.newest();
-        let (who, why, values) = (String::new(), String::new(), Values::new());
-        self.ledger.apply(Act::Offer(Offer {
+        let (who, why, values) = (String::new(), String::new(), Overrides::new());
+        self.ledger.apply(LogCommand::Propose(Proposal {
             token: against.0,
-            against,
+            base: against,
             who,
             why,
             at_s: 0,
@@ -162,7 +162,7 @@
     }
 
     fn look(&mut self) {
-        let ready = self.granter.ready(self.now, &self.ledger);
+        let ready = self.granter.ready_revision(self.now, &self.ledger);
         assert_eq!(
             ready,
             self.plain.ready(self.now, &self.ledger),
@@ -170,12 +170,15 @@
             self.now
         );
         match ready {
-            Some(_) if self.now - self.announced_at < TERMS.waits() => self.met.early += 1,
+            Some(_) if self.now - self.announced_at < TERMS.granter_duration() => {
+                self.met.early += 1
+            }
             Some(_) => {}
-            None => self.met.waiting += usize::from(self.ledger.announced.is_some()),
+            None => self.met.waiting += usize::from(self.ledger.pending.is_some()),
         }
         if let Some(revision) = ready.filter(|_| self.chance.random_bool(0.3)) {
-            self.ledger.apply(Act::InForce { revision, at_s: 0 });
+            self.ledger
+                .apply(LogCommand::PutInForce { revision, at_s: 0 });
         }
     }
 
@@ -215,7 +218,7 @@
         let (live, acting) = self.plain.counts(self.now, &self.ledger);
         self.met.mixed += usize::from(0 < acting && acting < live);
         for now in [self.now, self.now + self.chance.random_range(0..3 * SECOND)] {
-            let counts = self.granter.counts(now, &self.ledger);
+            let counts = self.granter.lease_counts(now, &self.ledger);
             assert_eq!(
                 counts,
                 self.plain.counts(now, &self.ledger),
@@ -255,22 +258,22 @@
 #[test]
 fn more_routers_than_are_kept_leave_time_alone() {
     let mut run = Run::new(1);
-    (0..LEASES_AT_MOST as u64).for_each(|process| run.ask(process, RevisionNo(0)));
+    (0..LEASES_AT_MOST as u64).for_each(|process| run.ask(process, RevisionNumber(0)));
     run.compare();
-    run.now += TERMS.waits() - 1;
+    run.now += TERMS.granter_duration() - 1;
     // One that is known has its place, and so has nobody else, not even by asking again.
-    run.ask(0, RevisionNo(0));
-    run.ask(LEASES_AT_MOST as u64, RevisionNo(0));
+    run.ask(0, RevisionNumber(0));
+    run.ask(LEASES_AT_MOST as u64, RevisionNumber(0));
     run.compare();
     // The place of one whose lease is over is free.
     run.now += 1;
-    run.ask(LEASES_AT_MOST as u64, RevisionNo(0));
+    run.ask(LEASES_AT_MOST as u64, RevisionNumber(0));
     run.compare();
     run.announce();
-    run.ask(LEASES_AT_MOST as u64, RevisionNo(1));
+    run.ask(LEASES_AT_MOST as u64, RevisionNumber(1));
     run.compare();
     run.look();
-    run.now += TERMS.waits();
+    run.now += TERMS.granter_duration();
     run.look();
     assert_eq!((run.met.early, run.met.waiting), (0, 1));
 }
--- a/crates/spokeflow-coordination/tests/leases.rs
+++ b/crates/spokeflow-coordination/tests/leases.rs
@@ -11,9 +11,9 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
-const TERMS: LeaseTerms = LeaseTerms {
-    lease: 2 * SECOND,
-    drift: 0.01,
+const TERMS: LeaseConfig = LeaseConfig {
+    duration: 2 * SECOND,
+    max_clock_drift: 0.01,
 };
 
 struct Router {
@@ -25,16 +25,16 @@
 }
 
 enum What {
-    Asks(usize, u64, Asked),
-    Answers(usize, u64, u64, Grant),
+    Asks(usize, u64, LeaseRequest),
+    Answers(usize, u64, u64, LeaseGrant),
 }
 
 struct World {
     now: Micros,
     chance: StdRng,
     routers: Vec<Router>,
-    ledger: Ledger,
-    leader: Option<(Granter, f64)>,
+    ledger: ConfigState,
+    leader: Option<(LeaseGranter, f64)>,
     lead_from: Micros,
     wire: BTreeMap<(Micros, u64), What>,
     sent: u64,
@@ -55,7 +55,7 @@
             process: n,
         });
         let routers = routers.collect();
-        let (ledger, wire, at) = (Ledger::default(), BTreeMap::new(), BTreeMap::new());
+        let (ledger, wire, at) = (ConfigState::default(), BTreeMap::new(), BTreeMap::new());
         let (now, leader, lead_from, sent) = (100 * SECOND, None, 101 * SECOND, 0);
         World {
             now,
@@ -96,7 +96,7 @@
         }
         if self.leader.is_none() && self.now >= self.lead_from {
             let rate = self.chance.random_range(0.99..=1.01);
-            self.leader = Some((Granter::new(TERMS, self.leader_now(rate)), rate));
+            self.leader = Some((LeaseGranter::new(TERMS, self.leader_now(rate)), rate));
         }
         while self
             .wire
@@ -107,7 +107,8 @@
                 What::Asks(n, number, asked) => {
                     let now = self.leader.as_ref().map(|l| self.leader_now(l.1));
                     if let (Some((granter, _)), Some(now)) = (&mut self.leader, now) {
-                        let grant = granter.ask(now, &asked, &self.ledger, &Seats::default());
+                        let grant =
+                            granter.grant(now, &asked, &self.ledger, &VoterAddresses::default());
                         let process = asked.process;
                         self.post(What::Answers(n, process, number, grant));
                     }
@@ -120,30 +121,30 @@
                         self.sent += 1;
                         self.wire
                             .insert((at, self.sent), What::Answers(n, process, number, grant));
-                    } else if process == r.process && r.holder.granted(number, grant) {
+                    } else if process == r.process && r.holder.on_grant(number, grant) {
                         let newest = r.holder.newest();
-                        r.holder.acts_on(newest);
+                        r.holder.set_applied_revision(newest);
                     }
                 }
             }
         }
         if let Some((granter, rate)) = &mut self.leader {
             let now = (self.now as f64 * *rate) as Micros;
-            if let Some(n) = granter.ready(now, &self.ledger) {
-                self.ledger.apply(Act::InForce {
+            if let Some(n) = granter.ready_revision(now, &self.ledger) {
+                self.ledger.apply(LogCommand::PutInForce {
                     revision: n,
                     at_s: 0,
                 });
                 let at = self.at.get_mut(&n.0).unwrap();
                 at.1 = Some(self.now);
                 self.waits.push(self.now - at.0);
-            } else if self.ledger.announced.is_none() && self.chance.random_bool(0.01) {
+            } else if self.ledger.pending.is_none() && self.chance.random_bool(0.01) {
                 let against = self.ledger.newest();
                 let token = against.0 + 1000;
-                let (who, why, values) = ("w".into(), "y".into(), Values::new());
-                self.ledger.apply(Act::Offer(Offer {
+                let (who, why, values) = ("w".into(), "y".into(), Overrides::new());
+                self.ledger.apply(LogCommand::Propose(Proposal {
                     token,
-                    against,
+                    base: against,
                     who,
                     why,
                     at_s: 0,
@@ -164,8 +165,8 @@
             let r = &mut self.routers[n];
             let now = (self.now as f64 * r.rate) as Micros;
             if self.now >= r.stopped_until && now >= r.ask_at {
-                let (number, asked) = r.holder.ask(now);
-                r.ask_at = now + r.holder.every();
+                let (number, asked) = r.holder.request(now);
+                r.ask_at = now + r.holder.renewal_interval();
                 self.post(What::Asks(n, number, asked));
             }
         }
@@ -216,24 +217,24 @@
         (0..30_000).for_each(|_| world.step());
         revisions += world.waits.len();
         longest = longest.max(world.longest);
-        quick += world.waits.iter().filter(|w| **w < TERMS.lease).count();
+        quick += world.waits.iter().filter(|w| **w < TERMS.duration).count();
     }
     println!(
         "{revisions} revisions in force, {quick} of them before a lease had passed; longest contradiction {longest} us"
     );
     // The days must come near the bound, and the way by acknowledgement must be taken.
     assert!(revisions > 1000 && quick > 50, "{revisions} {quick}");
-    assert!(longest > TERMS.lease * 8 / 10, "{longest}");
+    assert!(longest > TERMS.duration * 8 / 10, "{longest}");
 }
 
 #[test]
 fn an_offer_sent_twice_is_one_and_one_against_an_old_revision_is_refused() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigState::default();
     let offer = |token, against| {
-        let (who, why, values) = ("w".to_string(), "y".to_string(), Values::new());
-        Act::Offer(Offer {
+        let (who, why, values) = ("w".to_string(), "y".to_string(), Overrides::new());
+        LogCommand::Propose(Proposal {
             token,
-            against: RevisionNo(against),
+            base: RevisionNumber(against),
             who,
             why,
             at_s: 0,
@@ -243,96 +244,96 @@
     ledger.apply(offer(1, 0));
     ledger.apply(offer(1, 0));
     assert_eq!(
-        (ledger.verdict(1), ledger.history.len()),
-        (Some(Verdict::Announced(RevisionNo(1))), 1)
+        (ledger.outcome(1), ledger.history.len()),
+        (Some(ProposalOutcome::Pending(RevisionNumber(1))), 1)
     );
     ledger.apply(offer(2, 0));
     assert_eq!(
-        ledger.verdict(2),
-        Some(Verdict::Stale {
-            newest: RevisionNo(1)
+        ledger.outcome(2),
+        Some(ProposalOutcome::Stale {
+            newest: RevisionNumber(1)
         })
     );
     ledger.apply(offer(3, 1));
     assert_eq!(
-        ledger.verdict(3),
-        Some(Verdict::Busy {
-            announced: RevisionNo(1)
+        ledger.outcome(3),
+        Some(ProposalOutcome::Busy {
+            pending: RevisionNumber(1)
         })
     );
     // Put in force twice, by two leaders: the second changes nothing.
-    ledger.apply(Act::InForce {
-        revision: RevisionNo(1),
+    ledger.apply(LogCommand::PutInForce {
+        revision: RevisionNumber(1),
         at_s: 5,
     });
     ledger.apply(offer(4, 1));
-    ledger.apply(Act::InForce {
-        revision: RevisionNo(1),
+    ledger.apply(LogCommand::PutInForce {
+        revision: RevisionNumber(1),
         at_s: 6,
     });
     assert_eq!(
         (ledger.in_force.number, ledger.newest()),
-        (RevisionNo(1), RevisionNo(2))
+        (RevisionNumber(1), RevisionNumber(2))
     );
-    assert_eq!(Ledger::restore(&ledger.state()), Ok(ledger));
+    assert_eq!(ConfigState::decode(&ledger.encode()), Ok(ledger));
 }
 
 #[test]
 fn an_answer_gives_no_more_than_from_its_asking_and_takes_nothing_back() {
-    let (mut holder, mut ledger) = (LeaseHolder::new(TERMS, 1, 0), Ledger::default());
-    let mut granter = Granter::new(TERMS, 0);
-    let (first, asked) = holder.ask(0);
-    let early = granter.ask(0, &asked, &ledger, &Seats::default());
-    let offer = Offer {
+    let (mut holder, mut ledger) = (LeaseHolder::new(TERMS, 1, 0), ConfigState::default());
+    let mut granter = LeaseGranter::new(TERMS, 0);
+    let (first, asked) = holder.request(0);
+    let early = granter.grant(0, &asked, &ledger, &VoterAddresses::default());
+    let offer = Proposal {
         token: 1,
-        against: RevisionNo(0),
+        base: RevisionNumber(0),
         who: String::new(),
         why: String::new(),
         at_s: 0,
-        values: Values::new(),
+        values: Overrides::new(),
     };
-    ledger.apply(Act::Offer(offer));
-    let (second, asked) = holder.ask(SECOND);
-    let late = granter.ask(SECOND, &asked, &ledger, &Seats::default());
-    assert!(holder.granted(second, late.clone()));
-    assert_eq!(holder.until(), Some(SECOND + TERMS.held()));
-    assert!(!holder.granted(first, early), "overtaken");
-    assert!(!holder.granted(second, late), "an answer counts once");
-    assert_eq!(holder.newest(), RevisionNo(1));
+    ledger.apply(LogCommand::Propose(offer));
+    let (second, asked) = holder.request(SECOND);
+    let late = granter.grant(SECOND, &asked, &ledger, &VoterAddresses::default());
+    assert!(holder.on_grant(second, late.clone()));
+    assert_eq!(holder.until(), Some(SECOND + TERMS.holder_duration()));
+    assert!(!holder.on_grant(first, early), "overtaken");
+    assert!(!holder.on_grant(second, late), "an answer counts once");
+    assert_eq!(holder.newest(), RevisionNumber(1));
 }
 
 /// The request sent first arrives last: its answer knows of more, and comes first.
 #[test]
 fn an_answer_that_knows_of_less_is_not_taken_in_though_its_lease_is_longer() {
-    let (mut holder, mut ledger) = (LeaseHolder::new(TERMS, 1, 0), Ledger::default());
-    let mut granter = Granter::new(TERMS, 0);
-    let (first, asked_first) = holder.ask(0);
-    let (second, asked_second) = holder.ask(1);
-    let knows_less = granter.ask(10, &asked_second, &ledger, &Seats::default());
-    let (who, why, values) = (String::new(), String::new(), Values::new());
-    let against = RevisionNo(0);
-    ledger.apply(Act::Offer(Offer {
+    let (mut holder, mut ledger) = (LeaseHolder::new(TERMS, 1, 0), ConfigState::default());
+    let mut granter = LeaseGranter::new(TERMS, 0);
+    let (first, asked_first) = holder.request(0);
+    let (second, asked_second) = holder.request(1);
+    let knows_less = granter.grant(10, &asked_second, &ledger, &VoterAddresses::default());
+    let (who, why, values) = (String::new(), String::new(), Overrides::new());
+    let against = RevisionNumber(0);
+    ledger.apply(LogCommand::Propose(Proposal {
         token: 1,
-        against,
+        base: against,
         who,
         why,
         at_s: 0,
         values,
     }));
-    let knows_more = granter.ask(20, &asked_first, &ledger, &Seats::default());
-    assert!(holder.granted(first, knows_more));
+    let knows_more = granter.grant(20, &asked_first, &ledger, &VoterAddresses::default());
+    assert!(holder.on_grant(first, knows_more));
     assert!(
-        !holder.granted(second, knows_less),
+        !holder.on_grant(second, knows_less),
         "it would take the announced revision back"
     );
-    assert_eq!(holder.newest(), RevisionNo(1));
+    assert_eq!(holder.newest(), RevisionNumber(1));
 }
 
 /// The slowest clock that holds and the fastest that waits.
 #[test]
 fn the_wait_is_not_shorter_than_a_lease_whatever_clocks_do_within_the_drift() {
     let by_true_clock = |local: Micros, rate: f64| local as f64 / rate;
-    let (slow, fast) = (1.0 - TERMS.drift, 1.0 + TERMS.drift);
-    assert!(by_true_clock(TERMS.held(), slow) <= TERMS.lease as f64);
-    assert!(by_true_clock(TERMS.waits(), fast) >= TERMS.lease as f64);
+    let (slow, fast) = (1.0 - TERMS.max_clock_drift, 1.0 + TERMS.max_clock_drift);
+    assert!(by_true_clock(TERMS.holder_duration(), slow) <= TERMS.duration as f64);
+    assert!(by_true_clock(TERMS.granter_duration(), fast) >= TERMS.duration as f64);
 }
--- a/crates/spokeflow-coordination/tests/list.rs
+++ b/crates/spokeflow-coordination/tests/list.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use spokeflow_coordination::{
-    AgreedList, HostState, ListNo, ListPart, ListedHost, Rejection, SourceNews,
+    EndpointList, EndpointListUpdate, HostState, ListVersion, ListedHost, Rejection, SourceUpdate,
 };
 
 fn host(host: u32, state: HostState, incarnation: u64) -> ListedHost {
@@ -22,49 +22,49 @@
     }
 }
 
-fn whole(version: u64, hosts: impl IntoIterator<Item = u32>) -> SourceNews {
+fn whole(version: u64, hosts: impl IntoIterator<Item = u32>) -> SourceUpdate {
     let hosts = hosts
         .into_iter()
         .map(|h| host(h, HostState::Ready, 1))
         .collect();
-    SourceNews {
+    SourceUpdate {
         version,
-        whole: true,
+        complete: true,
         hosts,
     }
 }
 
-fn taken(list: &mut AgreedList, news: SourceNews) {
-    let weighed = list.weigh(&news, false).unwrap().unwrap();
+fn taken(list: &mut EndpointList, news: SourceUpdate) {
+    let weighed = list.evaluate(&news, false).unwrap().unwrap();
     list.apply(weighed);
 }
 
 #[test]
 fn a_source_that_goes_backwards_forks_or_sends_halves_is_not_believed() {
-    let mut list = AgreedList::default();
+    let mut list = EndpointList::default();
     taken(&mut list, whole(7, 0..10));
     assert_eq!(
-        list.weigh(&whole(7, 0..10), false),
+        list.evaluate(&whole(7, 0..10), false),
         Ok(None),
         "the same again is nothing new"
     );
     assert_eq!(
-        list.weigh(&whole(6, 0..9), false),
+        list.evaluate(&whole(6, 0..9), false),
         Err(Rejection::Backwards { told: 6, before: 7 })
     );
     assert_eq!(
-        list.weigh(&whole(7, 0..9), false),
+        list.evaluate(&whole(7, 0..9), false),
         Err(Rejection::Forked { version: 7 })
     );
     let half = whole(8, 0..4);
     assert_eq!(
-        list.weigh(&half, false),
+        list.evaluate(&half, false),
         Err(Rejection::Halved {
             before: 10,
             missing: 6
         })
     );
-    let told = list.weigh(&half, true).unwrap().unwrap();
+    let told = list.evaluate(&half, true).unwrap().unwrap();
     assert_eq!(
         told.hosts
             .iter()
@@ -76,19 +76,19 @@
     // Six that are said to be gone one by one are no half list.
     let gone = (4..10).map(|h| host(h, HostState::Gone, 1)).collect();
     assert!(list
-        .weigh(
-            &SourceNews {
+        .evaluate(
+            &SourceUpdate {
                 version: 8,
-                whole: false,
+                complete: false,
                 hosts: gone
             },
             false
         )
         .unwrap()
         .is_some());
-    list.trust();
+    list.trust_source();
     assert!(
-        list.weigh(&whole(1, 0..9), false).unwrap().is_some(),
+        list.evaluate(&whole(1, 0..9), false).unwrap().is_some(),
         "a person said that it begins anew"
     );
 }
@@ -98,9 +98,9 @@
 fn what_one_is_told_who_lags_makes_the_same_list() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut list = AgreedList::default();
+        let mut list = EndpointList::default();
         // Three that follow, one of them seldom.
-        let mut have: Vec<(ListNo, BTreeMap<u32, ListedHost>)> = vec![Default::default(); 3];
+        let mut have: Vec<(ListVersion, BTreeMap<u32, ListedHost>)> = vec![Default::default(); 3];
         let mut incarnations: BTreeMap<u32, u64> = BTreeMap::new();
         for version in 1..400 {
             let many = rng.random_range(1..80);
@@ -115,23 +115,23 @@
                     host(h, state, *n)
                 })
                 .collect();
-            let news = SourceNews {
+            let news = SourceUpdate {
                 version,
-                whole: false,
+                complete: false,
                 hosts,
             };
-            if let Some(news) = list.weigh(&news, false).unwrap() {
+            if let Some(news) = list.evaluate(&news, false).unwrap() {
                 list.apply(news);
             }
             for (n, (at, hosts)) in have.iter_mut().enumerate() {
                 if !version.is_multiple_of([1, 7, 150][n]) {
                     continue;
                 }
-                let Some(ListPart {
+                let Some(EndpointListUpdate {
                     version,
-                    whole,
+                    complete: whole,
                     hosts: told,
-                }) = list.since(*at)
+                }) = list.update_since(*at)
                 else {
                     continue;
                 };
@@ -150,7 +150,7 @@
                     there,
                     "seed {seed}, follower {n}"
                 );
-                assert_eq!(list.since(*at), None);
+                assert_eq!(list.update_since(*at), None);
             }
         }
     }
--- a/crates/spokeflow-coordination/tests/search.rs
+++ b/crates/spokeflow-coordination/tests/search.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use spokeflow_coordination::wire::{Answer, Ask, ToKeeper};
+use spokeflow_coordination::wire::{Request, Response, ToNode};
 use spokeflow_coordination::*;
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState, RaftConfig};
@@ -21,9 +21,9 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    ToKeeper(usize, usize, ToKeeper),
-    Asks(usize, usize, u64, Ask),
-    Answers(usize, u64, Answer),
+    ToNode(usize, usize, ToNode),
+    Asks(usize, usize, u64, Request),
+    Answers(usize, u64, Response),
 }
 
 /// How often each may still happen.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 struct World {
     now: Micros,
-    keepers: Vec<Keeper>,
+    keepers: Vec<Coordinator>,
     disks: Vec<PersistentState>,
     unsynced: Vec<VecDeque<PersistRequest>>,
     holders: Vec<LeaseHolder>,
@@ -50,18 +50,18 @@
     forced: BTreeMap<u64, Micros>,
 }
 
-fn terms(own: usize) -> KeeperTerms {
-    KeeperTerms {
-        own: NodeId(own as u32),
-        quorum: RaftConfig {
+fn terms(own: usize) -> CoordinatorConfig {
+    CoordinatorConfig {
+        id: NodeId(own as u32),
+        raft: RaftConfig {
             voters: (0..KEEPERS as u32).map(NodeId).collect(),
             election_timeout: SILENCE,
             heartbeat_interval: SILENCE / 3,
             max_clock_drift: 0.0,
         },
-        lease: LeaseTerms {
-            lease: LEASE,
-            drift: 0.0,
+        lease: LeaseConfig {
+            duration: LEASE,
+            max_clock_drift: 0.0,
         },
         addresses: BTreeMap::new(),
         check: |_| Ok(()),
@@ -72,12 +72,13 @@
 
 impl World {
     fn new() -> World {
-        let keeper = |n| Keeper::new(terms(n), n as u64, PersistentState::default(), 0).unwrap();
+        let keeper =
+            |n| Coordinator::new(terms(n), n as u64, PersistentState::default(), 0).unwrap();
         let holder = |n| {
             LeaseHolder::new(
-                LeaseTerms {
-                    lease: LEASE,
-                    drift: 0.0,
+                LeaseConfig {
+                    duration: LEASE,
+                    max_clock_drift: 0.0,
                 },
                 n as u64 + 1,
                 n as u32,
@@ -103,18 +104,22 @@
         }
     }
 
-    fn call(&mut self, n: usize, act: impl FnOnce(&mut Keeper, Micros, &mut Step)) -> Outcome {
-        let mut step = Step::default();
+    fn call(
+        &mut self,
+        n: usize,
+        act: impl FnOnce(&mut Coordinator, Micros, &mut Effects),
+    ) -> Outcome {
+        let mut step = Effects::default();
         act(&mut self.keepers[n], self.now, &mut step);
-        self.unsynced[n].extend(step.writes);
-        for (to, message) in step.to_keepers {
-            self.wire.push(Message::ToKeeper(n, to.0 as usize, message));
+        self.unsynced[n].extend(step.persist_requests);
+        for (to, message) in step.messages {
+            self.wire.push(Message::ToNode(n, to.0 as usize, message));
         }
-        for (conn, number, answer) in step.answers.into_iter().filter(|a| a.0 != PERSON) {
+        for (conn, number, answer) in step.responses.into_iter().filter(|a| a.0 != PERSON) {
             self.wire
                 .push(Message::Answers(conn as usize, number, answer));
         }
-        let ledger = self.keepers[n].ledger();
+        let ledger = self.keepers[n].config();
         let known = (ledger.newest().0, ledger.in_force.number.0);
         for r in 1..=known.0 {
             self.told.entry(r).or_insert(self.now);
@@ -155,25 +160,24 @@
 
     fn deliver(&mut self, k: usize) -> Outcome {
         match self.wire.remove(k) {
-            Message::ToKeeper(from, to, ToKeeper::Quorum(message)) => self
-                .call(to, |k, now, step| {
-                    k.on_message(now, NodeId(from as u32), message, step)
-                }),
-            Message::ToKeeper(..) => Ok(()),
+            Message::ToNode(from, to, ToNode::Raft(message)) => self.call(to, |k, now, step| {
+                k.on_message(now, NodeId(from as u32), message, step)
+            }),
+            Message::ToNode(..) => Ok(()),
             Message::Asks(router, to, number, ask) => {
-                let asker = Asker {
-                    conn: router as u64,
+                let asker = RequestOrigin {
+                    connection: router as u64,
                     number,
-                    keeper: true,
+                    forwarded: true,
                 };
-                self.call(to, |k, now, step| k.asked(now, asker, ask, step))
+                self.call(to, |k, now, step| k.on_request(now, asker, ask, step))
             }
             Message::Answers(router, number, answer) => {
-                if let Answer::Granted(grant) = answer {
+                if let Response::Granted(grant) = answer {
                     let holder = &mut self.holders[router];
-                    if holder.granted(number, *grant) {
+                    if holder.on_grant(number, *grant) {
                         let newest = holder.newest();
-                        holder.acts_on(newest);
+                        holder.set_applied_revision(newest);
                     }
                 }
                 self.check()
@@ -190,36 +194,37 @@
     }
 
     fn ask(&mut self, router: usize, to: usize) {
-        let (number, asked) = self.holders[router].ask(self.now);
+        let (number, asked) = self.holders[router].request(self.now);
         self.wire
-            .push(Message::Asks(router, to, number, Ask::Lease(asked)));
+            .push(Message::Asks(router, to, number, Request::Lease(asked)));
     }
 
     fn offer(&mut self, to: usize) -> Outcome {
-        let against = self.keepers[to].ledger().newest();
+        let against = self.keepers[to].config().newest();
         let token = against.0 + 50;
-        let (who, why, values) = (String::new(), String::new(), Values::new());
-        let offer = Offer {
+        let (who, why, values) = (String::new(), String::new(), Overrides::new());
+        let offer = Proposal {
             token,
-            against,
+            base: against,
             who,
             why,
             at_s: 0,
             values,
         };
-        let asker = Asker {
-            conn: PERSON,
+        let asker = RequestOrigin {
+            connection: PERSON,
             number: 0,
-            keeper: true,
+            forwarded: true,
         };
         self.call(to, |k, now, step| {
-            k.asked(now, asker, Ask::Offer(offer), step)
+            k.on_request(now, asker, Request::Propose(offer), step)
         })
     }
 
     fn kill(&mut self, n: usize) {
         self.unsynced[n].clear();
-        self.keepers[n] = Keeper::new(terms(n), n as u64, self.disks[n].clone(), self.now).unwrap();
+        self.keepers[n] =
+            Coordinator::new(terms(n), n as u64, self.disks[n].clone(), self.now).unwrap();
     }
 
     /// In peace among these keepers, until it is so: all is delivered and synced at once, timers fire when due.
@@ -229,7 +234,7 @@
                 return;
             }
             let away = |m: &Message| match m {
-                Message::ToKeeper(from, to, _) => !among.contains(from) || !among.contains(to),
+                Message::ToNode(from, to, _) => !among.contains(from) || !among.contains(to),
                 Message::Asks(_, to, ..) => !among.contains(to),
                 Message::Answers(..) => false,
             };
@@ -257,7 +262,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..KEEPERS).find(|n| self.keepers[*n].member().has_leader_lease(self.now))
+        (0..KEEPERS).find(|n| self.keepers[*n].raft().has_leader_lease(self.now))
     }
 
     /// All worlds one event away.
@@ -297,14 +302,14 @@
                     w.call(n, |k, now, step| k.on_timer(now, step))
                 })?;
             }
-            if self.left.offers > 0 && self.keepers[n].member().is_leader() {
+            if self.left.offers > 0 && self.keepers[n].raft().is_leader() {
                 turn(&|w| {
                     w.left.offers -= 1;
                     w.offer(n)
                 })?;
             }
             for router in (0..ROUTERS).filter(|_| self.left.asks > 0) {
-                if self.keepers[n].member().is_leader() {
+                if self.keepers[n].raft().is_leader() {
                     turn(&|w| {
                         w.left.asks -= 1;
                         w.ask(router, n);
@@ -463,7 +468,7 @@
     world.peace(&[first], |w| w.holders[0].newest().0 == 1);
     world.wire.clear();
     world.peace(&others, |w| {
-        others.iter().any(|n| w.keepers[*n].member().is_leader())
+        others.iter().any(|n| w.keepers[*n].raft().is_leader())
     });
     world.left = Left {
         losses: 1,
@@ -488,19 +493,19 @@
     let others: Vec<usize> = (0..KEEPERS).filter(|n| *n != first).collect();
     world.offer(first).unwrap();
     world.peace(&[0, 1, 2], |w| w.told.len() == 1);
-    // Known to be committed by the first alone, which is gone.
+    // RevisionRef to be committed by the first alone, which is gone.
     world.wire.clear();
     world.peace(&others, |w| {
-        others.iter().any(|n| w.keepers[*n].member().is_leader())
+        others.iter().any(|n| w.keepers[*n].raft().is_leader())
     });
     let second = others
         .iter()
         .copied()
-        .find(|n| world.keepers[*n].member().is_leader())
+        .find(|n| world.keepers[*n].raft().is_leader())
         .unwrap();
     let third = others.iter().copied().find(|n| *n != second).unwrap();
     assert!(
-        world.keepers[second].ledger().announced.is_none(),
+        world.keepers[second].config().pending.is_none(),
         "it does not show yet"
     );
     // The other answers, so that it leads; its own write is not on the disk, so that nothing is committed.
@@ -508,7 +513,7 @@
         let Some(k) = world
             .wire
             .iter()
-            .position(|m| matches!(m, Message::ToKeeper(_, to, _) if *to != first))
+            .position(|m| matches!(m, Message::ToNode(_, to, _) if *to != first))
         else {
             break;
         };
@@ -518,14 +523,14 @@
         }
     }
     assert!(
-        world.keepers[second].member().has_recent_quorum(world.now),
+        world.keepers[second].raft().has_recent_quorum(world.now),
         "its lease on leadership holds"
     );
     world.wire.clear();
     world.ask(1, second);
     world.deliver(0).unwrap();
     assert!(
-        matches!(world.wire[..], [Message::Answers(1, _, Answer::NoLeader)]),
+        matches!(world.wire[..], [Message::Answers(1, _, Response::NoLeader)]),
         "{:?}",
         world.wire
     );
@@ -535,6 +540,6 @@
     world.wire.clear();
     world.ask(1, second);
     world.deliver(0).unwrap();
-    let told = |m: &Message| matches!(m, Message::Answers(1, _, Answer::Granted(g)) if g.announced.is_some());
+    let told = |m: &Message| matches!(m, Message::Answers(1, _, Response::Granted(g)) if g.pending.is_some());
     assert!(told(&world.wire[0]), "{:?}", world.wire);
 }
--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -1,25 +1,25 @@
 //! What people's programs read of the keepers' messages.
 
-use spokeflow_coordination::wire::View;
+use spokeflow_coordination::wire::ClusterStatus;
 use spokeflow_coordination::{Rejection, Revision};
 use spokeflow_raft::{LogIndex, NodeId, Term};
 
-fn view() -> View {
-    View {
+fn view() -> ClusterStatus {
+    ClusterStatus {
         leader: NodeId(1),
         term: Term(2),
         committed: LogIndex(3),
         in_force: Revision::default(),
-        announced: None,
+        pending: None,
         history: Vec::new(),
-        members: vec![NodeId(1)],
+        voters: vec![NodeId(1)],
         addresses: vec![(NodeId(1), "127.0.0.1:7500".into())],
         leases: 4,
         list: 5,
         list_source: 6,
         hosts: 7,
         list_rejection: Some(Rejection::Forked { version: 8 }),
-        acting: 9,
+        up_to_date_leases: 9,
     }
 }
 
@@ -50,5 +50,8 @@
         "term",
     ];
     assert_eq!(keys, expected);
-    assert_eq!(serde_json::from_value::<View>(json).unwrap(), view());
+    assert_eq!(
+        serde_json::from_value::<ClusterStatus>(json).unwrap(),
+        view()
+    );
 }
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -10,8 +10,8 @@
 use serde::Serialize;
 use spokeflow_config::check_overrides;
 use spokeflow_control_plane::ask::ask;
-use spokeflow_coordination::wire::{Answer, Ask, View};
-use spokeflow_coordination::{Offer, RevisionNo, Values, Verdict};
+use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
+use spokeflow_coordination::{Overrides, Proposal, ProposalOutcome, RevisionNumber};
 use spokeflow_raft::NodeId;
 
 /// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
@@ -100,8 +100,8 @@
     Wrong(String),
 }
 
-fn read(values: &[String]) -> Result<Values, Fault> {
-    let mut all = Values::new();
+fn read(values: &[String]) -> Result<Overrides, Fault> {
+    let mut all = Overrides::new();
     for text in values {
         let (name, value) = text.split_once('=').ok_or_else(|| {
             Fault::Wrong(format!(
@@ -113,7 +113,7 @@
     Ok(all)
 }
 
-fn text(values: &Values) -> String {
+fn text(values: &Overrides) -> String {
     match values.is_empty() {
         true => "each router's own flags".into(),
         false => values
@@ -131,7 +131,7 @@
     after: Option<String>,
 }
 
-fn changes(before: &Values, after: &Values) -> Vec<Change> {
+fn changes(before: &Overrides, after: &Overrides) -> Vec<Change> {
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
     names.sort();
     names.dedup();
@@ -148,15 +148,15 @@
 }
 
 impl Common {
-    async fn ask(&self, what: Ask) -> Result<Answer, Fault> {
+    async fn ask(&self, what: Request) -> Result<Response, Fault> {
         if self.keepers.is_empty() {
             return Err(Fault::Wrong(
                 "--keeper: at least one address, or the variable SPOKEFLOW_KEEPER".into(),
             ));
         }
         match ask(&self.keepers, what, self.within).await {
-            Ok(Answer::Bad(what)) => Err(Fault::Refused(what)),
-            Ok(Answer::Unclear) => Err(Fault::Refused(
+            Ok(Response::Invalid(what)) => Err(Fault::Refused(what)),
+            Ok(Response::Indeterminate) => Err(Fault::Refused(
                 "not clear whether it was done: see status".into(),
             )),
             Ok(answer) => Ok(answer),
@@ -164,9 +164,9 @@
         }
     }
 
-    async fn view(&self) -> Result<View, Fault> {
-        match self.ask(Ask::View).await? {
-            Answer::View(view) => Ok(*view),
+    async fn view(&self) -> Result<ClusterStatus, Fault> {
+        match self.ask(Request::Status).await? {
+            Response::Status(view) => Ok(*view),
             other => Err(Fault::Wrong(format!("another answer came: {other:?}"))),
         }
     }
@@ -204,19 +204,19 @@
     }
 
     async fn members(&self, keeper: u32, take_in: bool) -> Result<(), Fault> {
-        let mut members = self.view().await?.members;
+        let mut members = self.view().await?.voters;
         let there = members.contains(&NodeId(keeper));
         if there != take_in {
             members.retain(|m| m.0 != keeper);
             members.extend(take_in.then_some(NodeId(keeper)));
-            self.ask(Ask::Members(members)).await?;
+            self.ask(Request::ChangeVoters(members)).await?;
         }
         let until = tokio::time::Instant::now() + self.within;
         loop {
             // In the view from its beginning on; it stands once something later is committed.
             let view = self.view().await?;
-            if view.members.contains(&NodeId(keeper)) == take_in {
-                let ids: Vec<u32> = view.members.iter().map(|m| m.0).collect();
+            if view.voters.contains(&NodeId(keeper)) == take_in {
+                let ids: Vec<u32> = view.voters.iter().map(|m| m.0).collect();
                 return self.print(&ids, || format!("keepers that vote: {ids:?}"));
             }
             if tokio::time::Instant::now() >= until {
@@ -243,7 +243,7 @@
         What::Offer(flags) => offer(common, flags).await,
         What::Diff { values } => {
             let view = common.view().await?;
-            let newest = view.announced.as_ref().unwrap_or(&view.in_force);
+            let newest = view.pending.as_ref().unwrap_or(&view.in_force);
             let changes = changes(&newest.values, &read(&values)?);
             common.print(&changes, || {
                 let mut table = Table::new();
@@ -275,7 +275,10 @@
         What::Register { keeper, address } => {
             let (keeper, address) = (NodeId(keeper), address.to_string());
             common
-                .ask(Ask::SetAddress { keeper, address })
+                .ask(Request::SetAddress {
+                    node: keeper,
+                    address,
+                })
                 .await
                 .map(drop)
         }
@@ -287,45 +290,44 @@
 async fn offer(common: &Common, flags: OfferFlags) -> Result<(), Fault> {
     let mut values = read(&flags.values)?;
     let view = common.view().await?;
-    let newest = view.announced.as_ref().unwrap_or(&view.in_force);
+    let newest = view.pending.as_ref().unwrap_or(&view.in_force);
     if flags.keep {
         let mut kept = newest.values.clone();
         kept.append(&mut values);
         values = kept;
     }
-    let against = RevisionNo(flags.against.unwrap_or(newest.number.0));
+    let against = RevisionNumber(flags.against.unwrap_or(newest.number.0));
     let token = rand::rng().random();
     let (who, why) = (flags.who, flags.why);
-    let offer = Offer {
+    let offer = Proposal {
         token,
-        against,
+        base: against,
         who,
         why,
         at_s: 0,
         values,
     };
-    match common.ask(Ask::Offer(offer)).await? {
-        Answer::Offered(Verdict::Announced(RevisionNo(n))) => {
+    match common.ask(Request::Propose(offer)).await? {
+        Response::Proposed(ProposalOutcome::Pending(RevisionNumber(n))) => {
             common.print(&n, || format!("revision {n} is announced"))?;
             if flags.wait {
                 common.wait_for(n).await?;
             }
             Ok(())
         }
-        Answer::Offered(Verdict::Stale { newest }) => Err(Fault::Refused(format!(
+        Response::Proposed(ProposalOutcome::Stale { newest }) => Err(Fault::Refused(format!(
             "made against revision {}, but {} is the newest",
             against.0, newest.0
         ))),
-        Answer::Offered(Verdict::Busy { announced }) => Err(Fault::Refused(format!(
-            "revision {} is announced and not in force yet",
-            announced.0
-        ))),
+        Response::Proposed(ProposalOutcome::Busy { pending: announced }) => Err(Fault::Refused(
+            format!("revision {} is announced and not in force yet", announced.0),
+        )),
         other => Err(Fault::Wrong(format!("another answer came: {other:?}"))),
     }
 }
 
-fn status(view: &View) -> String {
-    let ids: Vec<u32> = view.members.iter().map(|m| m.0).collect();
+fn status(view: &ClusterStatus) -> String {
+    let ids: Vec<u32> = view.voters.iter().map(|m| m.0).collect();
     let mut lines = vec![
         format!(
             "leader          keeper {}, term {}",
@@ -341,7 +343,7 @@
             text(&view.in_force.values)
         ),
     ];
-    if let Some(a) = &view.announced {
+    if let Some(a) = &view.pending {
         lines.push(format!(
             "announced       revision {}: {}",
             a.number.0,
@@ -359,12 +361,12 @@
     }
     lines.push(format!(
         "routers         {} hold a lease, {} act on the newest revision",
-        view.leases, view.acting
+        view.leases, view.up_to_date_leases
     ));
     lines.join("\n")
 }
 
-fn history(view: &View) -> String {
+fn history(view: &ClusterStatus) -> String {
     let mut table = Table::new();
     table.set_header([
         "revision",
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use spokeflow_coordination::AgreedTerms;
+use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::{
     BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
     OpType, Repeat, Router, ServiceTerms, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
@@ -45,7 +45,7 @@
 /// What the keepers have granted last.
 struct Agreed {
     until: Micros,
-    terms: AgreedTerms,
+    terms: EffectiveConfig,
     leased: bool,
 }
 
@@ -279,7 +279,7 @@
             false => agreed.terms.standing_build_only(),
         };
         links.drain_grace(terms.drain_grace);
-        terms.put_into(&mut self.terms.service);
+        terms.apply_to(&mut self.terms.service);
         self.router.go_by(&self.terms.service);
         self.tell_news(links);
     }
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use spokeflow_coordination::AgreedTerms;
+use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
 use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line};
 
@@ -58,7 +58,7 @@
     /// keepers it is the first input, with a time that is over.
     Agreed {
         until: Micros,
-        terms: Box<AgreedTerms>,
+        terms: Box<EffectiveConfig>,
     },
     /// From the keepers: hosts that the list now has otherwise, or all that it has. Of a router that takes its list from
     /// them it comes first without any host; what its own list says then only takes hosts away.
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use spokeflow_coordination::AgreedTerms;
+use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, NoAnswer, Recording, RecordingFault};
 use spokeflow_proto::{
@@ -398,11 +398,11 @@
     rig.input(Input::FromDesk(FromDesk::News(news)));
 }
 
-fn agreed() -> AgreedTerms {
-    AgreedTerms::of(&terms().service)
+fn agreed() -> EffectiveConfig {
+    EffectiveConfig::of(&terms().service)
 }
 
-fn grant(rig: &mut Rig, lasts: Micros, change: impl FnOnce(&mut AgreedTerms)) {
+fn grant(rig: &mut Rig, lasts: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
     let mut terms = agreed();
     change(&mut terms);
     let until = rig.now + lasts;
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -5,7 +5,7 @@
 //! commands from one client, delivered them to two hosts, and was ended by SIGTERM.
 
 use bytes::Bytes;
-use spokeflow_coordination::AgreedTerms;
+use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, Recording, RecordingFault};
 use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding};
@@ -53,8 +53,8 @@
 }
 
 /// The terms that the router's own flags said.
-fn own_terms() -> AgreedTerms {
-    AgreedTerms {
+fn own_terms() -> EffectiveConfig {
+    EffectiveConfig {
         shares: vec![50.0],
         fleet_size: 1,
         delivery_cap: 4,
@@ -72,8 +72,8 @@
     }
 }
 
-fn second_revision() -> AgreedTerms {
-    AgreedTerms {
+fn second_revision() -> EffectiveConfig {
+    EffectiveConfig {
         delivery_cap: 3,
         stage_caps: vec![0.02, 0.1, 0.4, 1.0],
         ..own_terms()
@@ -197,7 +197,7 @@
     assert_eq!(agreed[0], (1_129, (1_129, own_terms())));
     assert_eq!(agreed[1], (7_838, (2_977_496, second_revision())));
     // Of revisions 3 (in force) and 4 (announced) the stricter value of each.
-    let last = AgreedTerms {
+    let last = EffectiveConfig {
         delivery_cap: 2,
         guarded_stages: 1,
         ..second_revision()
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -5,10 +5,10 @@
 use bytes::BytesMut;
 use serde::Serialize;
 use serde_json::json;
-use spokeflow_coordination::wire::{Answer, Ask, FromKeeper, ToKeeper};
+use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{
-    Act, Asked, Granter, HostState, LeaseTerms, Ledger, ListNo, ListedHost, Offer, RevisionNo,
-    Seats, SourceNews, Values,
+    ConfigState, HostState, LeaseConfig, LeaseGranter, LeaseRequest, ListVersion, ListedHost,
+    LogCommand, Overrides, Proposal, RevisionNumber, SourceUpdate, VoterAddresses,
 };
 use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
 use spokeflow_raft::{Entry, LogIndex, Message, Payload, Term};
@@ -37,9 +37,9 @@
 const ZONES: u32 = 15;
 /// Bytes of a frame's length, before its message.
 const FRAME_HEAD: usize = 4;
-const LEASE: LeaseTerms = LeaseTerms {
-    lease: 3_000_000,
-    drift: 0.01,
+const LEASE: LeaseConfig = LeaseConfig {
+    duration: 3_000_000,
+    max_clock_drift: 0.01,
 };
 /// A process number, request number and token of usual length.
 const PROCESS: u64 = 0x9d3c_5a71_e20b_4f86;
@@ -98,29 +98,29 @@
             ("routers".to_string(), json!(1300)),
         ])
     };
-    let whole = SourceNews {
+    let whole = SourceUpdate {
         version: 1,
-        whole: true,
+        complete: true,
         hosts: (0..hosts).map(listed_host).collect(),
     };
     let drained = ListedHost {
         state: HostState::Draining,
         ..listed_host(hosts / 2)
     };
-    let change = SourceNews {
+    let change = SourceUpdate {
         version: 2,
-        whole: false,
+        complete: false,
         hosts: vec![drained],
     };
-    let mut ledger = Ledger::default();
-    let empty = ledger.state().len();
-    ledger.apply(Act::List(whole.clone()));
-    let state = ledger.state().len() - empty;
-    let whole_grant = grant_frame(&ledger, Some(ListNo(0)));
+    let mut ledger = ConfigState::default();
+    let empty = ledger.encode().len();
+    ledger.apply(LogCommand::UpdateList(whole.clone()));
+    let state = ledger.encode().len() - empty;
+    let whole_grant = grant_frame(&ledger, Some(ListVersion(0)));
     let before = ledger.list.version;
-    ledger.apply(Act::List(change.clone()));
+    ledger.apply(LogCommand::UpdateList(change.clone()));
     let change_grant = grant_frame(&ledger, Some(before));
-    let entry = append_frame(&Act::List(change.clone()));
+    let entry = append_frame(&LogCommand::UpdateList(change.clone()));
     let whole_message = list_frame(whole);
     let change_message = list_frame(change);
     let of = |role, quantity, bytes| record(role, quantity, "hosts", hosts, bytes, held());
@@ -142,21 +142,21 @@
         ])
     };
     let (before, after) = (tenant_offer(tenants, 0, 0), tenant_offer(tenants, 1, 1));
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigState::default();
     take(&mut ledger, before, 1);
-    let state_before = ledger.state().len();
-    let offer = frame(&ToKeeper::Ask {
+    let state_before = ledger.encode().len();
+    let offer = frame(&ToNode::Request {
         number: REQUEST,
-        ask: Ask::Offer(after.clone()),
+        request: Request::Propose(after.clone()),
     });
-    let entry = append_frame(&Act::Offer(after.clone()));
-    ledger.apply(Act::Offer(after));
+    let entry = append_frame(&LogCommand::Propose(after.clone()));
+    ledger.apply(LogCommand::Propose(after));
     let grant = grant_frame(&ledger, None);
-    ledger.apply(Act::InForce {
-        revision: RevisionNo(2),
+    ledger.apply(LogCommand::PutInForce {
+        revision: RevisionNumber(2),
         at_s: 1_800_000_000,
     });
-    let growth = ledger.state().len() - state_before;
+    let growth = ledger.encode().len() - state_before;
     let of = |role, quantity, bytes| record(role, quantity, "tenants", tenants, bytes, held());
     vec![
         of(Role::Tool, TENANT_OFFER, offer),
@@ -173,27 +173,27 @@
             ("tenants".to_string(), json!(0)),
         ])
     };
-    let ledger = Ledger::default();
-    let mut granter = Granter::new(LEASE, 0);
+    let ledger = ConfigState::default();
+    let mut granter = LeaseGranter::new(LEASE, 0);
     let mut last = (0, 0);
     for router in 0..routers {
         let own = asked(&ledger, Some(ledger.list.version));
-        let asked = Asked {
+        let asked = LeaseRequest {
             router,
             process: PROCESS - u64::from(router),
             ..own
         };
-        let grant = granter.ask(1, &asked, &ledger, &seats());
-        let request = frame(&ToKeeper::Ask {
+        let grant = granter.grant(1, &asked, &ledger, &seats());
+        let request = frame(&ToNode::Request {
             number: REQUEST,
-            ask: Ask::Lease(asked),
+            request: Request::Lease(asked),
         });
-        let answer = Answer::Granted(Box::new(grant));
+        let answer = Response::Granted(Box::new(grant));
         last = (
             request,
-            frame(&FromKeeper::Answer {
+            frame(&FromNode::Response {
                 number: REQUEST,
-                answer,
+                response: answer,
             }),
         );
     }
@@ -205,10 +205,10 @@
 }
 
 /// Announces an offer and puts it in force.
-fn take(ledger: &mut Ledger, offer: Offer, number: u64) {
-    ledger.apply(Act::Offer(offer));
-    ledger.apply(Act::InForce {
-        revision: RevisionNo(number),
+fn take(ledger: &mut ConfigState, offer: Proposal, number: u64) {
+    ledger.apply(LogCommand::Propose(offer));
+    ledger.apply(LogCommand::PutInForce {
+        revision: RevisionNumber(number),
         at_s: 1_800_000_000,
     });
 }
@@ -236,20 +236,20 @@
 }
 
 /// An offer that names all tenants' shares, as the flag does; `changed` differs between two of them.
-fn tenant_offer(tenants: u32, against: u64, changed: u32) -> Offer {
+fn tenant_offer(tenants: u32, against: u64, changed: u32) -> Proposal {
     let share = |tenant: u32| if tenant == 0 { 12 + changed } else { 11 };
     let shares: Vec<String> = (0..tenants)
         .map(|t| format!("tenant-{t:05}={}.82", share(t)))
         .collect();
-    let values: Values = BTreeMap::from([("customer".to_string(), shares.join(","))]);
+    let values: Overrides = BTreeMap::from([("customer".to_string(), shares.join(","))]);
     let token = PROCESS - u64::from(changed);
     let (who, why) = (
         "operator@example.org".to_string(),
         "larger share for one tenant".to_string(),
     );
-    Offer {
+    Proposal {
         token,
-        against: RevisionNo(against),
+        base: RevisionNumber(against),
         who,
         why,
         at_s: 1_800_000_000,
@@ -258,38 +258,38 @@
 }
 
 /// What a router asks with that has what is in force, and the list up to `list`.
-fn asked(ledger: &Ledger, list: Option<ListNo>) -> Asked {
+fn asked(ledger: &ConfigState, list: Option<ListVersion>) -> LeaseRequest {
     let known = ledger.in_force.number;
-    Asked {
+    LeaseRequest {
         process: PROCESS,
         router: 1299,
-        knows: [known, known],
-        acts_on: known,
-        seats: SEATS_MARK,
+        known_revisions: [known, known],
+        applied_revision: known,
+        voters_fingerprint: SEATS_MARK,
         list,
     }
 }
 
-fn seats() -> Seats {
-    Seats {
-        mark: SEATS_MARK,
+fn seats() -> VoterAddresses {
+    VoterAddresses {
+        fingerprint: SEATS_MARK,
         addresses: Vec::new(),
     }
 }
 
-fn grant_frame(ledger: &Ledger, list: Option<ListNo>) -> usize {
-    let grant = Granter::new(LEASE, 0).ask(1, &asked(ledger, list), ledger, &seats());
-    frame(&FromKeeper::Answer {
+fn grant_frame(ledger: &ConfigState, list: Option<ListVersion>) -> usize {
+    let grant = LeaseGranter::new(LEASE, 0).grant(1, &asked(ledger, list), ledger, &seats());
+    frame(&FromNode::Response {
         number: REQUEST,
-        answer: Answer::Granted(Box::new(grant)),
+        response: Response::Granted(Box::new(grant)),
     })
 }
 
-fn append_frame(act: &Act) -> usize {
+fn append_frame(act: &LogCommand) -> usize {
     let (term, before) = (Term(12), LogIndex(REQUEST));
     let entries = vec![Entry {
         term,
-        body: Payload::Command(act.bytes()),
+        body: Payload::Command(act.encode()),
     }];
     let append = Message::AppendEntries {
         term,
@@ -299,10 +299,10 @@
         leader_commit: before,
         round: REQUEST,
     };
-    frame(&ToKeeper::Quorum(append))
+    frame(&ToNode::Raft(append))
 }
 
-fn list_frame(news: SourceNews) -> usize {
+fn list_frame(news: SourceUpdate) -> usize {
     let line = |h: ListedHost| Line {
         host: h.host,
         address: h.address,
@@ -318,7 +318,7 @@
         up_us: h.up_us,
     };
     let (version, lines) = (news.version, news.hosts.into_iter().map(line).collect());
-    frame(&if news.whole {
+    frame(&if news.complete {
         FromList::Whole { version, lines }
     } else {
         FromList::Changes { version, lines }
--- a/crates/spokeflow-experiments/src/capacity/lease.rs
+++ b/crates/spokeflow-experiments/src/capacity/lease.rs
@@ -1,7 +1,7 @@
 //! How long two routers may act on settings that contradict each other, and how long a change takes at the longest:
 //! the formulas of `docs/agreement.md`, "The bound".
 
-use spokeflow_coordination::LeaseTerms;
+use spokeflow_coordination::LeaseConfig;
 
 use super::target::Target;
 
@@ -27,12 +27,15 @@
 impl LeaseBounds {
     pub fn of(target: &Target) -> LeaseBounds {
         let terms = &target.terms;
-        let lease = LeaseTerms {
-            lease: (terms.lease_seconds * MICROS) as i64,
-            drift: terms.clock_drift,
+        let lease = LeaseConfig {
+            duration: (terms.lease_seconds * MICROS) as i64,
+            max_clock_drift: terms.clock_drift,
         };
         let seconds = |micros: i64| micros as f64 / MICROS;
-        let (held, waits) = (seconds(lease.held()), seconds(lease.waits()));
+        let (held, waits) = (
+            seconds(lease.holder_duration()),
+            seconds(lease.granter_duration()),
+        );
         LeaseBounds {
             lease: terms.lease_seconds,
             held,
--- a/crates/spokeflow-experiments/src/capacity/limits.rs
+++ b/crates/spokeflow-experiments/src/capacity/limits.rs
@@ -21,7 +21,7 @@
 pub const WATCH_RENEWED_EVERY: f64 = 5.0;
 /// Entries in one message between voters (`crates/spokeflow-raft/src/member.rs`, `AT_ONCE`).
 pub const ENTRIES_PER_MESSAGE: f64 = 64.0;
-/// Renewals of a lease within one (`crates/spokeflow-coordination/src/lease_holder.rs`, `LeaseHolder::every`).
+/// Renewals of a lease within one (`crates/spokeflow-coordination/src/lease_holder.rs`, `LeaseHolder::renewal_interval`).
 pub const RENEWALS_PER_LEASE: f64 = 3.0;
 /// Wake-ups of the decision module a second (`crates/spokeflow-core/src/router.rs`, `BEAT`).
 pub const BEATS_PER_SECOND: f64 = 50.0;
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -153,12 +153,12 @@
             row(
                 "a voter that follows".into(),
                 format!("nothing; {spare} of {voters} may be lost. Its routers ask the next one"),
-                "`Member`; `KeeperLink`",
+                "`RaftNode`; `KeeperLink`",
             ),
             row(
                 "the voter that leads".into(),
                 format!("no leases for about {election} s, which leases of {held} s bridge; a change under way is in force within {in_force} s"),
-                "`Member`, `Granter`",
+                "`RaftNode`, `LeaseGranter`",
             ),
             row(
                 format!("{beyond} voters"),
@@ -171,7 +171,7 @@
                     "its {routers} routers serve by the standing build alone and get no change until it is back; a majority of \
                      voters elsewhere goes on"
                 ),
-                "`LeaseHolder`, `Member`",
+                "`LeaseHolder`, `RaftNode`",
             ),
             row(
                 "the list source".into(),
--- a/crates/spokeflow-experiments/src/capacity/rows/control.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/control.rs
@@ -135,7 +135,7 @@
             |s| in_force(inputs, s),
         )
         .within(bound.clone())
-        .by("`spokeflow-coordination`, `Granter::ready`")
+        .by("`spokeflow-coordination`, `LeaseGranter::ready_revision`")
         .mended_by(Remedy::RelayPerRegion),
         Row::varying(
             Role::RouterControl,
--- a/crates/spokeflow-experiments/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/voter.rs
@@ -10,10 +10,10 @@
 use super::control::{scale_run, OFFER_FITS};
 use super::{Inputs, BYTES_PER_MB};
 
-const KEEPER: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Keeper`";
-const GRANTER: &str = "`spokeflow-coordination`, `Granter`";
-const LEDGER: &str = "`spokeflow-coordination`, `Ledger`";
-const LOG: &str = "`spokeflow-raft`, `Member`";
+const KEEPER: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Coordinator`";
+const GRANTER: &str = "`spokeflow-coordination`, `LeaseGranter`";
+const LEDGER: &str = "`spokeflow-coordination`, `ConfigState`";
+const LOG: &str = "`spokeflow-raft`, `RaftNode`";
 /// The part of a second that changes may be under way, one at a time.
 const ALL_THE_TIME: f64 = 1.0;
 
@@ -91,7 +91,7 @@
             Unit::PerSecond,
             Estimate::given(passed_on(inputs)),
         )
-        .by("`spokeflow-coordination`, `Keeper::pass_on`"),
+        .by("`spokeflow-coordination`, `Coordinator::forward`"),
         Row::steady(
             Role::VoterFollower,
             "connections",
@@ -146,7 +146,7 @@
             ALL_THE_TIME,
             "changes are announced one at a time",
         ))
-        .by("`spokeflow-coordination`, `Ledger::announced`")
+        .by("`spokeflow-coordination`, `ConfigState::pending`")
         .mended_by(Remedy::ManyChangesAtOnce),
     ]
 }
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -360,7 +360,7 @@
         ),
         (
             "crates/spokeflow-coordination/src/lease_holder.rs",
-            "self.terms.held() / 3",
+            "self.terms.holder_duration() / 3",
             limits::RENEWALS_PER_LEASE,
             3.0,
         ),
@@ -371,8 +371,8 @@
             2.0,
         ),
         (
-            "crates/spokeflow-raft/src/member.rs",
-            "const AT_ONCE: usize = 64;",
+            "crates/spokeflow-raft/src/node.rs",
+            "const MAX_ENTRIES_PER_MESSAGE: usize = 64;",
             limits::ENTRIES_PER_MESSAGE,
             64.0,
         ),
--- a/crates/spokeflow-router/src/arrival.rs
+++ b/crates/spokeflow-router/src/arrival.rs
@@ -1,4 +1,4 @@
-use spokeflow_coordination::{AgreedTerms, RevisionNo};
+use spokeflow_coordination::{EffectiveConfig, RevisionNumber};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
 use spokeflow_proto::ToClient;
@@ -12,8 +12,8 @@
     /// From the keepers: what may be acted on until then, and the newest revision that it respects.
     Agreed {
         until: Micros,
-        terms: Box<AgreedTerms>,
-        revision: RevisionNo,
+        terms: Box<EffectiveConfig>,
+        revision: RevisionNumber,
     },
     Close,
 }
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/keepers.rs
@@ -7,8 +7,8 @@
 
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
-use spokeflow_coordination::{HostState, LeaseHolder, LeaseTerms, ListedHost, RevisionNo};
+use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
+use spokeflow_coordination::{HostState, LeaseConfig, LeaseHolder, ListedHost, RevisionNumber};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
 use spokeflow_proto::{FrameCodec, Line, LinePhase};
@@ -26,7 +26,7 @@
 /// A keeper that is not reached, or says nothing, for this long is left for the next.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-type Link = Framed<TcpStream, FrameCodec<FromKeeper, ToKeeper>>;
+type Link = Framed<TcpStream, FrameCodec<FromNode, ToNode>>;
 
 /// The control side of one router: its link to the keepers and what it holds of them.
 pub struct KeeperLink {
@@ -35,10 +35,10 @@
     backoff: Backoff,
     clock: Arc<Clock>,
     core: mpsc::Sender<Arrival>,
-    applied: watch::Receiver<RevisionNo>,
+    applied: watch::Receiver<RevisionNumber>,
     lease_holder: Option<LeaseHolder>,
     /// The newest revision that does not fit this router: said once.
-    misfit: RevisionNo,
+    misfit: RevisionNumber,
 }
 
 /// Why a keeper is left.
@@ -55,7 +55,7 @@
         seed: u64,
         clock: Arc<Clock>,
         core: mpsc::Sender<Arrival>,
-        applied: watch::Receiver<RevisionNo>,
+        applied: watch::Receiver<RevisionNumber>,
     ) -> Self {
         let backoff = Backoff::new(
             seed,
@@ -74,7 +74,7 @@
             core,
             applied,
             lease_holder,
-            misfit: RevisionNo(0),
+            misfit: RevisionNumber(0),
         }
     }
 
@@ -112,7 +112,7 @@
         let told = self
             .lease_holder
             .iter()
-            .flat_map(|h| h.seats())
+            .flat_map(|h| h.voter_addresses())
             .filter_map(|a| a.parse().ok());
         all.extend(
             told.filter(|a| !self.terms.keepers.contains(a))
@@ -125,17 +125,20 @@
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let mut link: Link = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 1024);
-        link.send(ToKeeper::hello(Caller::Router {
+        link.send(ToNode::hello(Caller::Router {
             index: self.terms.index,
         }))
         .await
         .ok()?;
-        let Some(Ok(FromKeeper::Welcome { common, .. })) = link.next().await else {
+        let Some(Ok(FromNode::Welcome {
+            parameters: common, ..
+        })) = link.next().await
+        else {
             return None;
         };
-        let terms = LeaseTerms {
-            lease: common.lease_us as Micros,
-            drift: common.drift,
+        let terms = LeaseConfig {
+            duration: common.lease_us as Micros,
+            max_clock_drift: common.max_clock_drift,
         };
         if self.lease_holder.is_none() {
             info!(
@@ -144,7 +147,7 @@
             );
             let lease_holder = LeaseHolder::new(terms, self.process, self.terms.index);
             self.lease_holder = Some(if self.terms.agreed_list {
-                lease_holder.wants_list()
+                lease_holder.with_list()
             } else {
                 lease_holder
             });
@@ -154,7 +157,11 @@
 
     /// Asks for leases until the keeper gives none.
     async fn talk(&mut self, mut link: Link) -> Left {
-        let Some(every) = self.lease_holder.as_ref().map(LeaseHolder::every) else {
+        let Some(every) = self
+            .lease_holder
+            .as_ref()
+            .map(LeaseHolder::renewal_interval)
+        else {
             return Left::For("no lease terms");
         };
         let every = Duration::from_micros(every.max(1000) as u64);
@@ -165,8 +172,8 @@
             tokio::select! {
                 _ = tokio::time::sleep_until(ask_at) => {
                     let Some(lease_holder) = &mut self.lease_holder else { return Left::For("no lease terms") };
-                    let (number, asked) = lease_holder.ask(self.clock.now());
-                    let ask = ToKeeper::Ask { number, ask: Ask::Lease(asked) };
+                    let (number, asked) = lease_holder.request(self.clock.now());
+                    let ask = ToNode::Request { number, request: Request::Lease(asked) };
                     if !matches!(timeout(PATIENCE, link.send(ask)).await, Ok(Ok(()))) {
                         return Left::For("does not read");
                     }
@@ -175,15 +182,15 @@
                 }
                 _ = tokio::time::sleep_until(give_up) => return Left::For("does not answer"),
                 read = link.next() => match read {
-                    Some(Ok(FromKeeper::Answer { number, answer: Answer::Granted(grant) })) => {
+                    Some(Ok(FromNode::Response { number, response: Response::Granted(grant) })) => {
                         unanswered = None;
                         let Some(lease_holder) = &mut self.lease_holder else { return Left::For("no lease terms") };
-                        if lease_holder.granted(number, *grant) && !self.act().await {
+                        if lease_holder.on_grant(number, *grant) && !self.act().await {
                             return Left::Ending;
                         }
                     }
-                    Some(Ok(FromKeeper::Answer { .. })) => return Left::For("knows no leader"),
-                    Some(Ok(FromKeeper::Refused { .. })) => return Left::For("refuses"),
+                    Some(Ok(FromNode::Response { .. })) => return Left::For("knows no leader"),
+                    Some(Ok(FromNode::Refused { .. })) => return Left::For("refuses"),
                     _ => return Left::For("connection lost"),
                 },
                 changed = self.applied.changed() => {
@@ -193,8 +200,8 @@
                     let revision = *self.applied.borrow_and_update();
                     if let Some(lease_holder) = &mut self.lease_holder {
                         // Said at once: the revision comes into force the sooner.
-                        ask_at = if lease_holder.announced().is_some() { Instant::now() } else { ask_at };
-                        lease_holder.acts_on(revision);
+                        ask_at = if lease_holder.pending().is_some() { Instant::now() } else { ask_at };
+                        lease_holder.set_applied_revision(revision);
                     }
                 }
             }
@@ -206,10 +213,10 @@
         let Some(lease_holder) = &mut self.lease_holder else {
             return true;
         };
-        if let Some(part) = lease_holder.list_news() {
+        if let Some(part) = lease_holder.take_list_update() {
             let hosts = part.hosts.into_iter().map(line).collect();
             let list = Input::AgreedList {
-                whole: part.whole,
+                whole: part.complete,
                 hosts,
             };
             if self.core.send(Arrival::Input(list)).await.is_err() {
@@ -222,7 +229,7 @@
         let revision = lease_holder.newest();
         match self
             .terms
-            .agreed(lease_holder.in_force(), lease_holder.announced())
+            .agreed(lease_holder.in_force(), lease_holder.pending())
         {
             Ok(terms) => {
                 let terms = Box::new(terms);
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_coordination::{AgreedTerms, RevisionNo};
+use spokeflow_coordination::{EffectiveConfig, RevisionNumber};
 use spokeflow_core::{HostId, Micros};
 use spokeflow_engine::{Engine, Input, Links, Recording};
 use spokeflow_proto::{Hello, Role, ToClient, ToDesk, ToHost, ToList};
@@ -214,7 +214,7 @@
     };
     helpers.spawn(desk_link.run());
     // Told once the engine goes by a revision: only then may this router say that it acts on it.
-    let (acts_on, applied) = watch::channel(RevisionNo(0));
+    let (acts_on, applied) = watch::channel(RevisionNumber(0));
     if !terms.keepers.is_empty() {
         let link = KeeperLink::new(&terms, seed, clock.clone(), core.clone(), applied);
         helpers.spawn(link.run());
@@ -258,7 +258,7 @@
     };
     if !terms.keepers.is_empty() {
         // Nothing has been granted yet.
-        let own = Box::new(AgreedTerms::of(&terms.engine().service));
+        let own = Box::new(EffectiveConfig::of(&terms.engine().service));
         give(
             &mut engine,
             &mut wires,
--- a/crates/spokeflow-router/src/terms.rs
+++ b/crates/spokeflow-router/src/terms.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use spokeflow_config::{parse_duration, ConfigErrors, GateFlag, OperationFlag, ServiceFlags};
-use spokeflow_coordination::{AgreedTerms, Revision};
+use spokeflow_coordination::{EffectiveConfig, Revision};
 use spokeflow_core::{Gate, Micros, OpTerms, Repeat, ServiceTerms, ZoneId};
 use spokeflow_engine::EngineTerms;
 use spokeflow_runtime::LogFormat;
@@ -243,7 +243,7 @@
         &self,
         in_force: &Revision,
         announced: Option<&Revision>,
-    ) -> Result<AgreedTerms, ConfigErrors> {
+    ) -> Result<EffectiveConfig, ConfigErrors> {
         let terms = |revision: &Revision| {
             let service = self.service.revised(&revision.values)?;
             let revised = RouterTerms {
@@ -251,11 +251,11 @@
                 ..self.clone()
             };
             revised.check()?;
-            Ok::<_, ConfigErrors>(AgreedTerms::of(&revised.engine().service))
+            Ok::<_, ConfigErrors>(EffectiveConfig::of(&revised.engine().service))
         };
         let now = terms(in_force)?;
         Ok(match announced {
-            Some(announced) => now.stricter(&terms(announced)?),
+            Some(announced) => now.stricter_of(&terms(announced)?),
             None => now,
         })
     }
--- a/crates/spokeflow-simulator/src/agreement.rs
+++ b/crates/spokeflow-simulator/src/agreement.rs
@@ -15,7 +15,9 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_coordination::{Asker, KeeperTerms, LeaseHolder, LeaseTerms, Offer};
+use spokeflow_coordination::{
+    CoordinatorConfig, LeaseConfig, LeaseHolder, Proposal, RequestOrigin,
+};
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistentState, RaftConfig};
 
@@ -62,7 +64,7 @@
 
 struct World {
     day: AgreementDay,
-    terms: KeeperTerms,
+    terms: CoordinatorConfig,
     now: Micros,
     chance: StdRng,
     keepers: Vec<KeeperNode>,
@@ -75,24 +77,24 @@
     /// By revision, when a keeper first knew of it, and when one first had it in force.
     told: BTreeMap<u64, Micros>,
     forced: BTreeMap<u64, Micros>,
-    offer: Option<Offer>,
+    offer: Option<Proposal>,
     played: AgreementPlayed,
 }
 
 /// Plays a day. Equal days give equal results.
 pub fn play_agreement(day: AgreementDay) -> AgreementPlayed {
     let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
-    let terms = KeeperTerms {
-        own: NodeId(0),
-        quorum: RaftConfig {
+    let terms = CoordinatorConfig {
+        id: NodeId(0),
+        raft: RaftConfig {
             voters: members,
             election_timeout: day.silence,
             heartbeat_interval: day.silence / 5,
             max_clock_drift: day.drift,
         },
-        lease: LeaseTerms {
-            lease: day.lease,
-            drift: day.drift,
+        lease: LeaseConfig {
+            duration: day.lease,
+            max_clock_drift: day.drift,
         },
         addresses: (0..day.keepers + 2)
             .map(|n| (NodeId(n), n.to_string()))
@@ -182,8 +184,8 @@
             .filter_map(|(n, at)| Some(at - self.told.get(n)?));
         self.played.waits = waits.collect();
         for core in self.keepers.iter().filter_map(|s| s.core.as_ref()) {
-            self.played.terms = self.played.terms.max(core.member().term().0);
-            self.played.kept_entries = self.played.kept_entries.max(core.member().log_len());
+            self.played.terms = self.played.terms.max(core.raft().term().0);
+            self.played.kept_entries = self.played.kept_entries.max(core.raft().log_len());
         }
         let state = self
             .keepers
@@ -251,12 +253,12 @@
                 number,
                 ask,
             } => {
-                let asker = Asker {
-                    conn,
+                let asker = RequestOrigin {
+                    connection: conn,
                     number,
-                    keeper: conn >> 63 == 1,
+                    forwarded: conn >> 63 == 1,
                 };
-                self.call(to, |k, now, step| k.asked(now, asker, ask, step));
+                self.call(to, |k, now, step| k.on_request(now, asker, ask, step));
             }
             What::Answers {
                 conn,
@@ -265,7 +267,7 @@
             } if conn >> 63 == 1 => {
                 let n = (conn as u32 >> 2) as usize;
                 if self.keepers[n].start == (conn >> 32) as u32 & 0x7fff_ffff {
-                    self.call(n, |k, _, step| k.passed_back(number, answer, step));
+                    self.call(n, |k, _, step| k.on_forward_response(number, answer, step));
                 }
             }
             What::Answers {
--- a/crates/spokeflow-simulator/src/agreement/event.rs
+++ b/crates/spokeflow-simulator/src/agreement/event.rs
@@ -1,6 +1,6 @@
 //! What is to come, and the numbers of the connections that answers go to.
 
-use spokeflow_coordination::wire::{Answer, Ask};
+use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_raft::{Message, PersistRequest};
 
 /// Whom an answer goes to, as the number of a connection: a keeper that passed on, a router's process, a person.
@@ -25,12 +25,12 @@
         to: usize,
         conn: u64,
         number: u64,
-        ask: Ask,
+        ask: Request,
     },
     Answers {
         conn: u64,
         number: u64,
-        answer: Answer,
+        answer: Response,
     },
     Synced {
         keeper: usize,
--- a/crates/spokeflow-simulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-simulator/src/agreement/keepers.rs
@@ -1,8 +1,8 @@
 //! Processes of keepers: their start, their disk, and what they send.
 
 use rand::RngExt;
-use spokeflow_coordination::wire::{Answer, ToKeeper};
-use spokeflow_coordination::{Keeper, KeeperTerms, Step};
+use spokeflow_coordination::wire::{Response, ToNode};
+use spokeflow_coordination::{Coordinator, CoordinatorConfig, Effects};
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 
@@ -10,7 +10,7 @@
 use super::{World, MS};
 
 pub(super) struct KeeperNode {
-    pub(super) core: Option<Keeper>,
+    pub(super) core: Option<Coordinator>,
     pub(super) start: u32,
     pub(super) disk: PersistentState,
     pub(super) wrote: u64,
@@ -26,18 +26,18 @@
         let now = self.clock(self.keepers[n].rate);
         let seed = self.chance.random();
         let own = NodeId(n as u32);
-        let mut terms = KeeperTerms {
-            own,
+        let mut terms = CoordinatorConfig {
+            id: own,
             ..self.terms.clone()
         };
         if n >= self.day.keepers as usize {
-            terms.quorum.voters.clear();
+            terms.raft.voters.clear();
         }
         let node = &mut self.keepers[n];
         node.start += 1;
         (node.stopped, node.wrote, node.wakes) = (false, 0, Micros::MAX);
         node.kept.clear();
-        match Keeper::new(terms, seed, node.disk.clone(), now) {
+        match Coordinator::new(terms, seed, node.disk.clone(), now) {
             Ok(core) => node.core = Some(core),
             Err(what) => self.played.broken = Some(format!("keeper {n} does not start: {what}")),
         }
@@ -58,16 +58,20 @@
         self.plan(after, What::Wake { keeper: n, start });
     }
 
-    pub(super) fn call(&mut self, n: usize, act: impl FnOnce(&mut Keeper, Micros, &mut Step)) {
+    pub(super) fn call(
+        &mut self,
+        n: usize,
+        act: impl FnOnce(&mut Coordinator, Micros, &mut Effects),
+    ) {
         let now = self.clock(self.keepers[n].rate);
-        let mut step = Step::default();
+        let mut step = Effects::default();
         let Some(core) = &mut self.keepers[n].core else {
             return;
         };
         act(core, now, &mut step);
         let start = self.keepers[n].start;
-        if step.changed {
-            let ledger = self.keepers[n].core.as_ref().map(Keeper::ledger);
+        if step.config_changed {
+            let ledger = self.keepers[n].core.as_ref().map(Coordinator::config);
             let known = ledger
                 .map(|l| (l.newest().0, l.in_force.number.0))
                 .unwrap_or_default();
@@ -78,7 +82,7 @@
                 self.forced.entry(r).or_insert(self.now);
             }
         }
-        for write in step.writes {
+        for write in step.persist_requests {
             let after = self
                 .chance
                 .random_range(MS..if self.day.faulty { 20 * MS } else { 3 * MS });
@@ -91,10 +95,13 @@
                 },
             );
         }
-        for (to, message) in step.to_keepers {
+        for (to, message) in step.messages {
             let to = to.0 as usize;
             match message {
-                ToKeeper::Ask { number, ask } => {
+                ToNode::Request {
+                    number,
+                    request: ask,
+                } => {
                     let conn = keeper_conn(n, start);
                     self.send(n, to, || What::Asks {
                         to,
@@ -103,8 +110,8 @@
                         ask: ask.clone(),
                     });
                 }
-                ToKeeper::Hello { .. } => {}
-                ToKeeper::Quorum(message) => {
+                ToNode::Hello { .. } => {}
+                ToNode::Raft(message) => {
                     self.send(n, to, || What::Quorum {
                         to,
                         from: n,
@@ -113,13 +120,13 @@
                 }
             }
         }
-        for (conn, number, answer) in step.answers {
+        for (conn, number, answer) in step.responses {
             self.answer(n, conn, number, answer);
         }
         self.wake(n);
     }
 
-    fn answer(&mut self, from: usize, conn: u64, number: u64, answer: Answer) {
+    fn answer(&mut self, from: usize, conn: u64, number: u64, answer: Response) {
         if conn == PERSON {
             // At once: when a person hears of it says nothing of the routers.
             return self.heard_by_person(answer);
@@ -135,8 +142,8 @@
         });
     }
 
-    fn heard_by_person(&mut self, answer: Answer) {
-        if matches!(answer, Answer::Offered(_) | Answer::Bad(_)) {
+    fn heard_by_person(&mut self, answer: Response) {
+        if matches!(answer, Response::Proposed(_) | Response::Invalid(_)) {
             self.offer = None;
         }
     }
--- a/crates/spokeflow-simulator/src/agreement/people.rs
+++ b/crates/spokeflow-simulator/src/agreement/people.rs
@@ -1,8 +1,8 @@
 //! What people do: they offer revisions, and take keepers in and out.
 
 use rand::RngExt;
-use spokeflow_coordination::wire::Ask;
-use spokeflow_coordination::{Asker, Offer, RevisionNo, Values};
+use spokeflow_coordination::wire::Request;
+use spokeflow_coordination::{Overrides, Proposal, RequestOrigin, RevisionNumber};
 use spokeflow_raft::NodeId;
 
 use super::event::{What, PERSON};
@@ -16,32 +16,32 @@
         // One that was not clear is offered again, as it was.
         let offer = self.offer.take().unwrap_or_else(|| {
             let stale = self.chance.random_bool(0.1);
-            let against = RevisionNo(if stale {
+            let against = RevisionNumber(if stale {
                 newest.saturating_sub(1)
             } else {
                 newest
             });
             let token = self.chance.random();
             let (who, why) = ("p".to_string(), String::new());
-            Offer {
+            Proposal {
                 token,
-                against,
+                base: against,
                 who,
                 why,
                 at_s: 0,
-                values: Values::new(),
+                values: Overrides::new(),
             }
         });
         self.offer = Some(offer.clone());
         let to = self.chance.random_range(0..self.keepers.len());
-        let asker = Asker {
-            conn: PERSON,
+        let asker = RequestOrigin {
+            connection: PERSON,
             number: 0,
-            keeper: false,
+            forwarded: false,
         };
         if !self.keepers[to].stopped {
             self.call(to, |k, now, step| {
-                k.asked(now, asker, Ask::Offer(offer), step)
+                k.on_request(now, asker, Request::Propose(offer), step)
             });
         }
     }
@@ -59,23 +59,23 @@
             else {
                 continue;
             };
-            let mut members = core.member().members().to_vec();
+            let mut members = core.raft().members().to_vec();
             if !members.contains(&drawn) && members.len() < self.day.keepers as usize + 1 {
                 members.push(drawn);
             } else if members.len() > self.day.keepers as usize {
                 members.retain(|m| *m != drawn);
             }
             let leads = core
-                .member()
+                .raft()
                 .has_leader_lease(self.clock(self.keepers[n].rate));
             if leads {
-                let asker = Asker {
-                    conn: PERSON,
+                let asker = RequestOrigin {
+                    connection: PERSON,
                     number: 0,
-                    keeper: false,
+                    forwarded: false,
                 };
                 self.call(n, |k, now, step| {
-                    k.asked(now, asker, Ask::Members(members), step)
+                    k.on_request(now, asker, Request::ChangeVoters(members), step)
                 });
             }
         }
--- a/crates/spokeflow-simulator/src/agreement/routers.rs
+++ b/crates/spokeflow-simulator/src/agreement/routers.rs
@@ -1,7 +1,7 @@
 //! Routers: they ask for leases, and act. What must hold is checked at each act.
 
-use spokeflow_coordination::wire::{Answer, Ask};
-use spokeflow_coordination::{Asked, LeaseHolder};
+use spokeflow_coordination::wire::{Request, Response};
+use spokeflow_coordination::{LeaseHolder, LeaseRequest};
 use spokeflow_core::Micros;
 
 use super::event::{router_conn, What};
@@ -25,26 +25,26 @@
         let waited = self.now - self.routers[router].answered;
         let (n, many) = (self.keepers.len(), self.keepers.len());
         let r = &mut self.routers[router];
-        if waited > r.lease_holder.every() + PATIENCE {
+        if waited > r.lease_holder.renewal_interval() + PATIENCE {
             (r.keeper, r.answered) = ((r.keeper + 1) % many, self.now);
         }
-        let (number, asked): (u64, Asked) = r.lease_holder.ask(now);
+        let (number, asked): (u64, LeaseRequest) = r.lease_holder.request(now);
         let (to, start, every) = (
             r.keeper,
             r.start,
-            (r.lease_holder.every() as f64 / r.rate) as Micros,
+            (r.lease_holder.renewal_interval() as f64 / r.rate) as Micros,
         );
         let conn = router_conn(router, start);
         self.send(n + router, to, || What::Asks {
             to,
             conn,
             number,
-            ask: Ask::Lease(asked.clone()),
+            ask: Request::Lease(asked.clone()),
         });
         self.plan(every, What::RouterAsks { router, start });
     }
 
-    pub(super) fn answered(&mut self, conn: u64, number: u64, answer: Answer) {
+    pub(super) fn answered(&mut self, conn: u64, number: u64, answer: Response) {
         let router = (conn as u32 >> 1) as usize;
         let many = self.keepers.len();
         let r = &mut self.routers[router];
@@ -52,12 +52,12 @@
             return;
         }
         match answer {
-            Answer::Granted(grant) => {
+            Response::Granted(grant) => {
                 self.played.grants += 1;
                 r.answered = self.now;
-                if r.lease_holder.granted(number, *grant) {
+                if r.lease_holder.on_grant(number, *grant) {
                     let newest = r.lease_holder.newest();
-                    r.lease_holder.acts_on(newest);
+                    r.lease_holder.set_applied_revision(newest);
                 }
             }
             _ => (r.keeper, r.answered) = ((r.keeper + 1) % many, self.now),
