--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -10,8 +10,8 @@
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use spokeflow_control_plane::ask::ask;
-use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper, LIMIT};
-use spokeflow_coordination::{Offer, RevisionNo, Values};
+use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
+use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
 use spokeflow_proto::FrameCodec;
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
@@ -65,8 +65,8 @@
         .await
         .map_err(|e| e.to_string())?;
     let _ = stream.set_nodelay(true);
-    let mut link = Framed::new(stream, FrameCodec::<FromKeeper, ToKeeper>::new(LIMIT));
-    link.send(ToKeeper::hello(Caller::Person))
+    let mut link = Framed::new(stream, FrameCodec::<FromNode, ToNode>::new(LIMIT));
+    link.send(ToNode::hello(Caller::Operator))
         .await
         .map_err(|e| e.to_string())?;
     let (mut waits, mut number, start) = (HashMap::new(), 0, Instant::now());
@@ -75,18 +75,18 @@
             number += 1;
             let token = rand::rng().random();
             let (who, why) = ("load".to_string(), "load".to_string());
-            let offer = Offer {
+            let offer = Proposal {
                 token,
-                against: RevisionNo(u64::MAX),
+                base: RevisionNumber(u64::MAX),
                 who,
                 why,
                 at_s: 0,
-                values: Values::new(),
+                values: Overrides::new(),
             };
             waits.insert(number, Instant::now());
-            link.feed(ToKeeper::Ask {
+            link.feed(ToNode::Request {
                 number,
-                ask: Ask::Offer(offer),
+                request: Request::Propose(offer),
             })
             .await
             .map_err(|e| e.to_string())?;
@@ -96,15 +96,15 @@
             return Ok(times);
         }
         match link.next().await {
-            Some(Ok(FromKeeper::Answer {
+            Some(Ok(FromNode::Response {
                 number,
-                answer: Answer::Offered(_),
+                response: Response::Proposed(_),
             })) => {
                 if let Some(begun) = waits.remove(&number) {
                     let _ = times.record(begun.elapsed().as_micros() as u64);
                 }
             }
-            Some(Ok(FromKeeper::Welcome { .. })) => {}
+            Some(Ok(FromNode::Welcome { .. })) => {}
             other => return Err(format!("not an answer to an offer: {other:?}")),
         }
     }
@@ -144,7 +144,8 @@
         );
         keepers.push(RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await?);
     }
-    let Ok(Answer::View(view)) = ask(&seats, Ask::View, Duration::from_secs(10)).await else {
+    let Ok(Response::Status(view)) = ask(&seats, Request::Status, Duration::from_secs(10)).await
+    else {
         return Err("no leader within 10 s".into());
     };
     let leader = seats[view.leader.0 as usize];
--- a/crates/spokeflow-testbed/src/fleet/check.rs
+++ b/crates/spokeflow-testbed/src/fleet/check.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
-use spokeflow_coordination::wire::{Answer, Ask, FromKeeper, ToKeeper};
-use spokeflow_coordination::{Grant, HostState, Revision, Values, Verdict};
+use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
+use spokeflow_coordination::{HostState, LeaseGrant, Overrides, ProposalOutcome, Revision};
 use spokeflow_raft::Message;
 
 use super::peers::{Asked, Delivered, Ended, NEW, ONCE, PATIENCE};
@@ -105,15 +105,15 @@
     }
 }
 
-fn newest(grant: &Grant) -> u64 {
+fn newest(grant: &LeaseGrant) -> u64 {
     grant
-        .announced
+        .pending
         .as_ref()
         .map_or(grant.in_force.number.0, |a| a.number.0)
 }
 
 /// Whether a revision lets nothing go to the build on trial.
-pub fn closes(values: &Values) -> bool {
+pub fn closes(values: &Overrides) -> bool {
     values
         .get("stage-cap")
         .is_some_and(|caps| caps.split(',').all(|c| c.trim() == "0"))
@@ -123,7 +123,7 @@
     /// By revision: when first told of anywhere, and when first told to be in force.
     told: BTreeMap<u64, Micros>,
     forced: BTreeMap<u64, Micros>,
-    values: BTreeMap<u64, Values>,
+    values: BTreeMap<u64, Overrides>,
     /// By host: when a list that has it draining was first told, by process; and when one that has it ready was.
     drained: HashMap<u32, BTreeMap<u64, Micros>>,
     ready: HashMap<u32, BTreeMap<u64, Micros>>,
@@ -190,7 +190,7 @@
 /// When the first leader spoke whose term is later than any before `at`.
 fn next_leader(frames: &[Frame], at: Micros) -> Option<Micros> {
     let term = |f: &Frame| match &f.what {
-        Crossed::Up(ToKeeper::Quorum(
+        Crossed::Up(ToNode::Raft(
             Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. },
         )) => Some(term.0),
         _ => None,
@@ -212,7 +212,7 @@
     let mut seen = Seen {
         told: BTreeMap::new(),
         forced: BTreeMap::new(),
-        values: BTreeMap::from([(0, Values::new())]),
+        values: BTreeMap::from([(0, Overrides::new())]),
         drained: HashMap::new(),
         ready: HashMap::new(),
         leases: HashMap::new(),
@@ -220,8 +220,8 @@
         leaders: 0,
     };
     let mut begun: HashMap<u64, Micros> = HashMap::new();
-    let mut asks: HashMap<(u64, u64), (Micros, Node, &Ask)> = HashMap::new();
-    let mut verdicts: HashMap<u64, Verdict> = HashMap::new();
+    let mut asks: HashMap<(u64, u64), (Micros, Node, &Request)> = HashMap::new();
+    let mut verdicts: HashMap<u64, ProposalOutcome> = HashMap::new();
     let mut tokens: HashMap<u64, u64> = HashMap::new();
     let mut leaders: BTreeMap<u64, u32> = BTreeMap::new();
     // What had been told, and been in force, by each instant: a later reader must not see less.
@@ -230,14 +230,17 @@
     order.sort_by_key(|f| f.at);
     for frame in order {
         match &frame.what {
-            Crossed::Up(ToKeeper::Hello { .. }) => {
+            Crossed::Up(ToNode::Hello { .. }) => {
                 begun.insert(frame.conn, frame.at);
             }
-            Crossed::Up(ToKeeper::Ask { number, ask }) => {
+            Crossed::Up(ToNode::Request {
+                number,
+                request: ask,
+            }) => {
                 asks.entry((frame.conn, *number))
                     .or_insert((frame.at, frame.from, ask));
             }
-            Crossed::Up(ToKeeper::Quorum(message)) => {
+            Crossed::Up(ToNode::Raft(message)) => {
                 let Node::Keeper(from) = frame.from else {
                     continue;
                 };
@@ -273,7 +276,10 @@
                     ));
                 }
             }
-            Crossed::Down(FromKeeper::Answer { number, answer }) => {
+            Crossed::Down(FromNode::Response {
+                number,
+                response: answer,
+            }) => {
                 let Some((asked_at, from, ask)) = asks.get(&(frame.conn, *number)) else {
                     continue;
                 };
@@ -297,10 +303,10 @@
                 };
                 let mut revisions: Vec<&Revision> = Vec::new();
                 match answer {
-                    Answer::Granted(grant) => {
+                    Response::Granted(grant) => {
                         seen.grants += 1;
                         tell(newest(grant), grant.in_force.number.0);
-                        let known = grant.announced.iter().chain([&grant.in_force]);
+                        let known = grant.pending.iter().chain([&grant.in_force]);
                         revisions.extend(known.filter_map(|k| k.revision.as_ref()));
                         for host in grant.list.iter().flat_map(|part| &part.hosts) {
                             let of = match host.state {
@@ -319,19 +325,21 @@
                                 .push((on, asked_at + lease));
                         }
                     }
-                    Answer::View(view) => {
-                        let newest = view.announced.as_ref().unwrap_or(&view.in_force).number.0;
+                    Response::Status(view) => {
+                        let newest = view.pending.as_ref().unwrap_or(&view.in_force).number.0;
                         tell(newest, view.in_force.number.0);
-                        revisions.extend(view.announced.iter().chain([&view.in_force]));
+                        revisions.extend(view.pending.iter().chain([&view.in_force]));
                         revisions.extend(view.history.iter().map(|h| &h.revision));
                     }
-                    Answer::Offered(verdict) => {
-                        let Ask::Offer(offer) = ask else { continue };
+                    Response::Proposed(verdict) => {
+                        let Request::Propose(offer) = ask else {
+                            continue;
+                        };
                         let before = *verdicts.entry(offer.token).or_insert(*verdict);
                         if before != *verdict {
                             broken.push(format!("one offer was told {before:?} and {verdict:?}"));
                         }
-                        if let Verdict::Announced(n) = verdict {
+                        if let ProposalOutcome::Pending(n) = verdict {
                             let token = *tokens.entry(n.0).or_insert(offer.token);
                             if token != offer.token {
                                 broken.push(format!("revision {} was given to two offers", n.0));
--- a/crates/spokeflow-testbed/src/fleet/play.rs
+++ b/crates/spokeflow-testbed/src/fleet/play.rs
@@ -10,8 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use spokeflow_control_plane::ask::{ask, ask_one};
 use spokeflow_control_plane::Store;
-use spokeflow_coordination::wire::{Answer, Ask};
-use spokeflow_coordination::{Offer, RevisionNo, Values};
+use spokeflow_coordination::wire::{Request, Response};
+use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
 use spokeflow_raft::NodeId;
 use tokio::time::{sleep, Instant};
 
@@ -246,7 +246,8 @@
             }
             Fault::KillLeader { down } => {
                 let known = self.known().await;
-                let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(5)).await
+                let Ok(Response::Status(view)) =
+                    ask(&known, Request::Status, Duration::from_secs(5)).await
                 else {
                     return;
                 };
@@ -458,17 +459,18 @@
         self.again(id).await;
         let known_all = self.known().await;
         let until = Instant::now() + Duration::from_secs(20);
-        let seated = Ask::SetAddress {
-            keeper: NodeId(id),
+        let seated = Request::SetAddress {
+            node: NodeId(id),
             address: known.to_string(),
         };
         let _ = ask(&known_all, seated, Duration::from_secs(10)).await;
         while Instant::now() < until {
-            let Ok(Answer::View(view)) = ask(&known_all, Ask::View, Duration::from_secs(5)).await
+            let Ok(Response::Status(view)) =
+                ask(&known_all, Request::Status, Duration::from_secs(5)).await
             else {
                 continue;
             };
-            let mut members = view.members.clone();
+            let mut members = view.voters.clone();
             let (there, gone) = (
                 members.contains(&NodeId(id)),
                 !members.contains(&NodeId(old)),
@@ -480,11 +482,16 @@
                 false => members.push(NodeId(id)),
                 true => members.retain(|m| m.0 != old),
             }
-            let _ = ask(&known_all, Ask::Members(members), Duration::from_secs(2)).await;
+            let _ = ask(
+                &known_all,
+                Request::ChangeVoters(members),
+                Duration::from_secs(2),
+            )
+            .await;
             sleep(Duration::from_millis(200)).await;
         }
-        let out = match ask(&known_all, Ask::View, Duration::from_secs(5)).await {
-            Ok(Answer::View(view)) => !view.members.contains(&NodeId(old)),
+        let out = match ask(&known_all, Request::Status, Duration::from_secs(5)).await {
+            Ok(Response::Status(view)) => !view.voters.contains(&NodeId(old)),
             _ => false,
         };
         if out {
@@ -513,38 +520,38 @@
             sleep(Duration::from_millis(pause)).await;
             let known = self.known().await;
             let one = known[rng.random_range(0..known.len())];
-            let Ok(Answer::View(view)) = ask_one(one, Ask::View).await else {
+            let Ok(Response::Status(view)) = ask_one(one, Request::Status).await else {
                 continue;
             };
-            if view.announced.is_some() {
+            if view.pending.is_some() {
                 continue;
             }
             let stale = !self.terms.peace && rng.random_bool(0.1);
             let newest = view.in_force.number.0;
-            let against = RevisionNo(if stale {
+            let against = RevisionNumber(if stale {
                 newest.saturating_sub(1)
             } else {
                 newest
             });
             let values = match closed {
-                true => Values::new(),
-                false => Values::from([
+                true => Overrides::new(),
+                false => Overrides::from([
                     ("stage-cap".into(), "0,0,0,0".into()),
                     ("exposure-free".into(), "0".into()),
                 ]),
             };
             let (who, why) = ("rig".to_string(), "drawn".to_string());
-            let offer = Offer {
+            let offer = Proposal {
                 token: rng.random(),
-                against,
+                base: against,
                 who,
                 why,
                 at_s: 0,
                 values,
             };
-            let mut answer = ask_one(one, Ask::Offer(offer.clone())).await;
+            let mut answer = ask_one(one, Request::Propose(offer.clone())).await;
             for _ in 0..8 {
-                if matches!(answer, Ok(Answer::Offered(_) | Answer::Bad(_)))
+                if matches!(answer, Ok(Response::Proposed(_) | Response::Invalid(_)))
                     && !rng.random_bool(0.2)
                 {
                     break;
@@ -552,13 +559,15 @@
                 // Not clear, or once more for good measure: the same offer, at another keeper.
                 sleep(Duration::from_millis(100)).await;
                 let other = known[rng.random_range(0..known.len())];
-                answer = ask_one(other, Ask::Offer(offer.clone())).await;
+                answer = ask_one(other, Request::Propose(offer.clone())).await;
             }
-            if let Ok(Answer::Offered(spokeflow_coordination::Verdict::Announced(_))) = answer {
+            if let Ok(Response::Proposed(spokeflow_coordination::ProposalOutcome::Pending(_))) =
+                answer
+            {
                 closed = !closed;
-            } else if let Ok(Answer::View(view)) = ask_one(one, Ask::View).await {
+            } else if let Ok(Response::Status(view)) = ask_one(one, Request::Status).await {
                 closed =
-                    super::check::closes(&view.announced.as_ref().unwrap_or(&view.in_force).values);
+                    super::check::closes(&view.pending.as_ref().unwrap_or(&view.in_force).values);
             }
         }
     }
@@ -733,10 +742,12 @@
         if Instant::now() >= until {
             break None;
         }
-        let Ok(Answer::View(view)) = ask(&known, Ask::View, Duration::from_secs(10)).await else {
+        let Ok(Response::Status(view)) =
+            ask(&known, Request::Status, Duration::from_secs(10)).await
+        else {
             continue;
         };
-        if view.announced.is_some() {
+        if view.pending.is_some() {
             sleep(Duration::from_millis(100)).await;
             continue;
         }
@@ -746,15 +757,15 @@
         token += 1;
         let (who, why) = ("rig".to_string(), "peace".to_string());
         let against = view.in_force.number;
-        let offer = Offer {
+        let offer = Proposal {
             token,
-            against,
+            base: against,
             who,
             why,
             at_s: 0,
-            values: Values::new(),
+            values: Overrides::new(),
         };
-        let _ = ask(&known, Ask::Offer(offer), Duration::from_secs(10)).await;
+        let _ = ask(&known, Request::Propose(offer), Duration::from_secs(10)).await;
     };
     if opened.is_none() {
         return stage
--- a/crates/spokeflow-testbed/src/fleet/switchboard.rs
+++ b/crates/spokeflow-testbed/src/fleet/switchboard.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_coordination::wire::{Caller, FromKeeper, ToKeeper};
+use spokeflow_coordination::wire::{Caller, FromNode, ToNode};
 use spokeflow_raft::NodeId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -55,8 +55,8 @@
 /// A frame, as it left its sender.
 #[derive(Clone, Debug)]
 pub enum Crossed {
-    Up(ToKeeper),
-    Down(FromKeeper),
+    Up(ToNode),
+    Down(FromNode),
 }
 
 #[derive(Clone, Debug)]
@@ -156,13 +156,13 @@
         let Some(first) = read_frame(&mut caller).await else {
             return;
         };
-        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+        let Ok(ToNode::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
             return;
         };
         let from = match who {
-            Caller::Keeper { id: NodeId(id), .. } => Node::Keeper(id),
+            Caller::Node { id: NodeId(id), .. } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
-            Caller::Person => Node::Person,
+            Caller::Operator => Node::Person,
         };
         let to = Node::Keeper(keeper);
         let target = self
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Parser};
 use serde::{Deserialize, Serialize};
-use spokeflow_coordination::RevisionNo;
+use spokeflow_coordination::RevisionNumber;
 use spokeflow_engine::Input;
 use spokeflow_proto::{Line, LinePhase};
 use spokeflow_router::{Arrival, KeeperLink, RouterTerms};
@@ -98,7 +98,7 @@
         };
         let seed = self.seed.wrapping_mul(31).wrapping_add(u64::from(index));
         let (core, arrivals) = mpsc::channel(ARRIVALS);
-        let (acts_on, applied) = watch::channel(RevisionNo(0));
+        let (acts_on, applied) = watch::channel(RevisionNumber(0));
         let link = KeeperLink::new(&terms, seed, Clock::starting_now(), core, applied);
         // Both end together when the task is dropped.
         let router = async move {
@@ -126,7 +126,7 @@
 }
 
 /// Stands in for the task that owns a router's engine.
-async fn take(mut arrivals: mpsc::Receiver<Arrival>, acts_on: watch::Sender<RevisionNo>) {
+async fn take(mut arrivals: mpsc::Receiver<Arrival>, acts_on: watch::Sender<RevisionNumber>) {
     let mut told = ToldHosts::default();
     while let Some(arrival) = arrivals.recv().await {
         match arrival {
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -6,8 +6,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use spokeflow_control_plane::ask::ask_one;
-use spokeflow_coordination::wire::{Answer, Ask};
-use spokeflow_coordination::{Offer, RevisionNo, Verdict};
+use spokeflow_coordination::wire::{Request, Response};
+use spokeflow_coordination::{Proposal, ProposalOutcome, RevisionNumber};
 use tokio::time::{sleep, Instant};
 
 use super::rig::Rig;
@@ -21,7 +21,7 @@
 pub struct Offers {
     rig: Arc<Rig>,
     random: StdRng,
-    newest: RevisionNo,
+    newest: RevisionNumber,
     offered: u32,
     /// Why a revision was not taken: no further one is offered.
     pub refused: Option<String>,
@@ -33,7 +33,7 @@
         Offers {
             rig,
             random,
-            newest: RevisionNo(0),
+            newest: RevisionNumber(0),
             offered: 0,
             refused: None,
         }
@@ -59,12 +59,12 @@
         }
     }
 
-    async fn announce(&mut self) -> Result<RevisionNo, String> {
+    async fn announce(&mut self) -> Result<RevisionNumber, String> {
         let within = self.rig.flags.in_force_within;
         let until = Instant::now() + within;
-        let mut offer = Offer {
+        let mut offer = Proposal {
             token: self.random.random(),
-            against: self.newest,
+            base: self.newest,
             who: "scale".into(),
             why: "measured".into(),
             at_s: 0,
@@ -77,19 +77,19 @@
             if Instant::now() >= until || failures >= failures_at_most {
                 break;
             }
-            let asked = ask_one(voter, Ask::Offer(offer.clone())).await;
+            let asked = ask_one(voter, Request::Propose(offer.clone())).await;
             failures = if asked.is_ok() { 0 } else { failures + 1 };
             match asked {
-                Ok(Answer::Offered(Verdict::Announced(number))) => return Ok(number),
-                Ok(Answer::Offered(Verdict::Stale { newest })) => {
-                    (offer.against, offer.token) = (newest, self.random.random());
+                Ok(Response::Proposed(ProposalOutcome::Pending(number))) => return Ok(number),
+                Ok(Response::Proposed(ProposalOutcome::Stale { newest })) => {
+                    (offer.base, offer.token) = (newest, self.random.random());
                     continue;
                 }
-                Ok(Answer::Offered(Verdict::Busy { announced })) => {
-                    (offer.against, offer.token) = (announced, self.random.random());
+                Ok(Response::Proposed(ProposalOutcome::Busy { pending: announced })) => {
+                    (offer.base, offer.token) = (announced, self.random.random());
                     last = format!("revision {} was still not in force", announced.0);
                 }
-                Ok(Answer::Bad(what)) => {
+                Ok(Response::Invalid(what)) => {
                     return Err(format!("an offer of {bytes} bytes is refused: {what}"))
                 }
                 Ok(answer) => last = format!("{answer:?}"),
--- a/crates/spokeflow-testbed/src/scale/settings.rs
+++ b/crates/spokeflow-testbed/src/scale/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use spokeflow_coordination::Values;
+use spokeflow_coordination::Overrides;
 
 /// One argument of a program may be no longer than this on Linux, less some room.
 const ARGUMENT_AT_MOST: usize = 100_000;
@@ -39,8 +39,8 @@
 
 /// The values of the `number`-th revision: one plain value, and where there are customers, all of them with one share
 /// changed, since a revision names a flag's whole value.
-pub fn revision(number: u32, tenants: u32) -> Values {
-    let mut values = Values::from([("exposure-free".to_string(), (1000 + number).to_string())]);
+pub fn revision(number: u32, tenants: u32) -> Overrides {
+    let mut values = Overrides::from([("exposure-free".to_string(), (1000 + number).to_string())]);
     if tenants > 0 {
         let changed = number % tenants;
         let share = |n: u32| if n == changed { SHARE + 1 } else { SHARE };
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_coordination::wire::{Caller, ToKeeper, LIMIT};
+use spokeflow_coordination::wire::{Caller, ToNode, LIMIT};
 use spokeflow_raft::NodeId;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -137,13 +137,13 @@
         let Some(Ok(first)) = caller_in.next().await else {
             return;
         };
-        let Ok(ToKeeper::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+        let Ok(ToNode::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
             return;
         };
         let node = match who {
-            Caller::Keeper { id: NodeId(id), .. } => Node::Keeper(id),
+            Caller::Node { id: NodeId(id), .. } => Node::Keeper(id),
             Caller::Router { index } => Node::Router(index),
-            Caller::Person => Node::Person,
+            Caller::Operator => Node::Person,
         };
         // A connection that is given up while it is held up never reaches the voter.
         tokio::select! {
--- a/crates/spokeflow-testbed/src/scale/wire.rs
+++ b/crates/spokeflow-testbed/src/scale/wire.rs
@@ -3,7 +3,7 @@
 //! the leading fields of a message are read as a tuple; `tests/scale_wire.rs` holds this against the messages.
 
 use serde::Deserialize;
-use spokeflow_coordination::{Asked, Known, Seats};
+use spokeflow_coordination::{LeaseRequest, RevisionRef, VoterAddresses};
 
 /// Numbers of variants, in the order of `spokeflow_coordination::wire` and `spokeflow_raft::Message`.
 const TO_KEEPER_QUORUM: u32 = 1;
@@ -64,10 +64,10 @@
     if ask != ASK_LEASE {
         return None;
     }
-    let (asked, _) = take::<Asked>(rest)?;
+    let (asked, _) = take::<LeaseRequest>(rest)?;
     Some(ToKeeperHead::Lease {
         number,
-        in_force: asked.knows[0].0,
+        in_force: asked.known_revisions[0].0,
     })
 }
 
@@ -85,7 +85,12 @@
     if answer != ANSWER_GRANTED {
         return None;
     }
-    type Head = (Known, Option<Known>, Option<Seats>, bool);
+    type Head = (
+        RevisionRef,
+        Option<RevisionRef>,
+        Option<VoterAddresses>,
+        bool,
+    );
     let ((in_force, _, _, with_list), _) = take::<Head>(rest)?;
     Some(FromKeeperHead::Granted {
         number,
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use spokeflow_control_plane::WHERES;
-use spokeflow_coordination::wire::ToKeeper;
+use spokeflow_coordination::wire::ToNode;
 use spokeflow_raft::Message;
 use spokeflow_testbed::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
 use spokeflow_testbed::routers::Starting;
@@ -139,7 +139,7 @@
     let says = |f: &&Frame| {
         matches!(
             f.what,
-            Crossed::Up(ToKeeper::Quorum(Message::AppendEntries { .. }))
+            Crossed::Up(ToNode::Raft(Message::AppendEntries { .. }))
         )
     };
     let last = frames
@@ -155,7 +155,7 @@
     );
     // Every keeper has met every other, also those that had nothing to say to each other: an older disk is known by all.
     let hello = |a, b| {
-        let says = |f: &Frame| matches!(f.what, Crossed::Up(ToKeeper::Hello { .. }));
+        let says = |f: &Frame| matches!(f.what, Crossed::Up(ToNode::Hello { .. }));
         frames
             .iter()
             .any(|f| (f.from, f.to) == (Node::Keeper(a), Node::Keeper(b)) && says(f))
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -1,39 +1,39 @@
 //! The beginnings of frames as the tap reads them, against the messages that keepers and routers write.
 
-use spokeflow_coordination::wire::{Answer, Ask, Caller, FromKeeper, ToKeeper};
+use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{
-    Asked, Grant, HostState, Known, ListNo, ListPart, ListedHost, Offer, Revision, RevisionNo,
-    Seats, Values, Verdict,
+    EndpointListUpdate, HostState, LeaseGrant, LeaseRequest, ListVersion, ListedHost, Overrides,
+    Proposal, ProposalOutcome, Revision, RevisionNumber, RevisionRef, VoterAddresses,
 };
 use spokeflow_raft::{LogIndex, Message, Snapshot, Term};
 use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
 
-fn up(message: &ToKeeper) -> ToKeeperHead {
+fn up(message: &ToNode) -> ToKeeperHead {
     to_keeper(&postcard::to_stdvec(message).unwrap())
 }
 
-fn down(message: &FromKeeper) -> FromKeeperHead {
+fn down(message: &FromNode) -> FromKeeperHead {
     from_keeper(&postcard::to_stdvec(message).unwrap())
 }
 
-fn asked(in_force: u64) -> Asked {
-    let knows = [RevisionNo(in_force), RevisionNo(in_force + 1)];
-    Asked {
+fn asked(in_force: u64) -> LeaseRequest {
+    let knows = [RevisionNumber(in_force), RevisionNumber(in_force + 1)];
+    LeaseRequest {
         process: u64::MAX,
         router: 70_000,
-        knows,
-        acts_on: RevisionNo(9),
-        seats: 5,
-        list: Some(ListNo(4)),
+        known_revisions: knows,
+        applied_revision: RevisionNumber(9),
+        voters_fingerprint: 5,
+        list: Some(ListVersion(4)),
     }
 }
 
 #[test]
 fn a_request_for_a_lease_names_its_number_and_the_revision_in_force() {
     for (number, in_force) in [(1, 0), (300, 128), (u64::MAX, 1 << 40)] {
-        let message = ToKeeper::Ask {
+        let message = ToNode::Request {
             number,
-            ask: Ask::Lease(asked(in_force)),
+            request: Request::Lease(asked(in_force)),
         };
         assert_eq!(up(&message), ToKeeperHead::Lease { number, in_force });
     }
@@ -57,7 +57,7 @@
     };
     for message in [append, install] {
         assert_eq!(
-            up(&ToKeeper::Quorum(message)),
+            up(&ToNode::Raft(message)),
             ToKeeperHead::Leads { term: 700 }
         );
     }
@@ -85,7 +85,7 @@
     ];
     for message in others {
         assert_eq!(
-            up(&ToKeeper::Quorum(message.clone())),
+            up(&ToNode::Raft(message.clone())),
             ToKeeperHead::Other,
             "{message:?}"
         );
@@ -95,8 +95,8 @@
 #[test]
 fn a_grant_is_read_without_its_list() {
     let revision = Revision {
-        number: RevisionNo(130),
-        values: Values::from([("customer".into(), "a=1".into())]),
+        number: RevisionNumber(130),
+        values: Overrides::from([("customer".into(), "a=1".into())]),
     };
     let host = ListedHost {
         host: 1,
@@ -108,49 +108,49 @@
         incarnation: 1,
         up_us: None,
     };
-    let list = ListPart {
-        version: ListNo(2),
-        whole: true,
+    let list = EndpointListUpdate {
+        version: ListVersion(2),
+        complete: true,
         hosts: vec![host; 1000],
     };
-    let seats = Seats {
-        mark: 7,
+    let seats = VoterAddresses {
+        fingerprint: 7,
         addresses: vec!["127.0.0.1:7500".into()],
     };
-    let whole = Known {
-        number: RevisionNo(130),
+    let whole = RevisionRef {
+        number: RevisionNumber(130),
         revision: Some(revision),
     };
-    let known = Known {
-        number: RevisionNo(129),
+    let known = RevisionRef {
+        number: RevisionNumber(129),
         revision: None,
     };
     let grants = [
         (
-            Grant {
+            LeaseGrant {
                 in_force: known.clone(),
-                announced: Some(whole.clone()),
-                seats: Some(seats),
+                pending: Some(whole.clone()),
+                voters: Some(seats),
                 list: None,
             },
             129,
             false,
         ),
         (
-            Grant {
+            LeaseGrant {
                 in_force: whole,
-                announced: None,
-                seats: None,
+                pending: None,
+                voters: None,
                 list: Some(list),
             },
             130,
             true,
         ),
         (
-            Grant {
+            LeaseGrant {
                 in_force: known,
-                announced: None,
-                seats: None,
+                pending: None,
+                voters: None,
                 list: None,
             },
             129,
@@ -158,9 +158,9 @@
         ),
     ];
     for (grant, in_force, with_list) in grants {
-        let message = FromKeeper::Answer {
+        let message = FromNode::Response {
             number: 200,
-            answer: Answer::Granted(Box::new(grant)),
+            response: Response::Granted(Box::new(grant)),
         };
         assert_eq!(
             down(&message),
@@ -175,35 +175,38 @@
 
 #[test]
 fn whatever_else_crosses_is_neither() {
-    let offer = Offer {
+    let offer = Proposal {
         token: 1,
-        against: RevisionNo(1),
+        base: RevisionNumber(1),
         who: "a".into(),
         why: "b".into(),
         at_s: 0,
-        values: Values::new(),
+        values: Overrides::new(),
     };
     let ups = [
-        ToKeeper::hello(Caller::Person),
-        ToKeeper::Ask {
+        ToNode::hello(Caller::Operator),
+        ToNode::Request {
             number: 1,
-            ask: Ask::Offer(offer),
+            request: Request::Propose(offer),
         },
-        ToKeeper::Ask {
+        ToNode::Request {
             number: 1,
-            ask: Ask::View,
+            request: Request::Status,
         },
     ];
     ups.iter()
         .for_each(|message| assert_eq!(up(message), ToKeeperHead::Other, "{message:?}"));
     let downs = [
-        Answer::NoLeader,
-        Answer::Unclear,
-        Answer::Offered(Verdict::Announced(RevisionNo(1))),
+        Response::NoLeader,
+        Response::Indeterminate,
+        Response::Proposed(ProposalOutcome::Pending(RevisionNumber(1))),
     ];
     for answer in downs {
         assert_eq!(
-            down(&FromKeeper::Answer { number: 1, answer }),
+            down(&FromNode::Response {
+                number: 1,
+                response: answer
+            }),
             FromKeeperHead::Other
         );
     }
