--- a/crates/spokeflow-config/src/operation.rs
+++ b/crates/spokeflow-config/src/operation.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use spokeflow_core::{Repeat, RepeatScope};
+use spokeflow_core::{DeduplicationScope, Repeat};
 
 use crate::parse_duration;
 
@@ -17,7 +17,7 @@
     /// Whether a command may be delivered again.
     pub repeat: Repeat,
     /// Which hosts recognise a repeated delivery.
-    pub scope: RepeatScope,
+    pub scope: DeduplicationScope,
     /// How long a host recognises a repeated delivery (`memory=`).
     pub memory: Duration,
     /// The latency objective (`target=`).
@@ -51,7 +51,7 @@
 }
 
 impl OperationFlag {
-    fn named(name: &str, repeat: Repeat, scope: RepeatScope) -> Self {
+    fn named(name: &str, repeat: Repeat, scope: DeduplicationScope) -> Self {
         OperationFlag {
             name: name.to_string(),
             repeat,
@@ -83,26 +83,26 @@
     }
 }
 
-fn parse_repeat(text: &str) -> Result<(Repeat, RepeatScope), OperationFlagError> {
+fn parse_repeat(text: &str) -> Result<(Repeat, DeduplicationScope), OperationFlagError> {
     Ok(match text {
-        "redeliverable" => (Repeat::Redeliverable, RepeatScope::Unknown),
-        "at-most-once" => (Repeat::AtMostOnce, RepeatScope::Unknown),
-        "deduplicated/all" => (Repeat::Deduplicated, RepeatScope::All),
-        "deduplicated/zone" => (Repeat::Deduplicated, RepeatScope::Zone),
-        "deduplicated/cell" => (Repeat::Deduplicated, RepeatScope::Cell),
-        "deduplicated/host" => (Repeat::Deduplicated, RepeatScope::Unknown),
+        "redeliverable" => (Repeat::Idempotent, DeduplicationScope::Unknown),
+        "at-most-once" => (Repeat::AtMostOnce, DeduplicationScope::Unknown),
+        "deduplicated/all" => (Repeat::Deduplicated, DeduplicationScope::All),
+        "deduplicated/zone" => (Repeat::Deduplicated, DeduplicationScope::Zone),
+        "deduplicated/cell" => (Repeat::Deduplicated, DeduplicationScope::Cell),
+        "deduplicated/host" => (Repeat::Deduplicated, DeduplicationScope::Unknown),
         other => return Err(OperationFlagError::Repeat(other.to_string())),
     })
 }
 
-fn repeat_text(repeat: Repeat, scope: RepeatScope) -> &'static str {
+fn repeat_text(repeat: Repeat, scope: DeduplicationScope) -> &'static str {
     match (repeat, scope) {
-        (Repeat::Redeliverable, _) => "redeliverable",
+        (Repeat::Idempotent, _) => "redeliverable",
         (Repeat::AtMostOnce, _) => "at-most-once",
-        (Repeat::Deduplicated, RepeatScope::All) => "deduplicated/all",
-        (Repeat::Deduplicated, RepeatScope::Zone) => "deduplicated/zone",
-        (Repeat::Deduplicated, RepeatScope::Cell) => "deduplicated/cell",
-        (Repeat::Deduplicated, RepeatScope::Unknown) => "deduplicated/host",
+        (Repeat::Deduplicated, DeduplicationScope::All) => "deduplicated/all",
+        (Repeat::Deduplicated, DeduplicationScope::Zone) => "deduplicated/zone",
+        (Repeat::Deduplicated, DeduplicationScope::Cell) => "deduplicated/cell",
+        (Repeat::Deduplicated, DeduplicationScope::Unknown) => "deduplicated/host",
     }
 }
 
--- a/crates/spokeflow-coordination/src/terms.rs
+++ b/crates/spokeflow-coordination/src/terms.rs
@@ -1,7 +1,7 @@
 //! Terms of leases, and the service terms that a revision may change while routers run.
 
 use serde::{Deserialize, Serialize};
-use spokeflow_core::{Micros, ServiceTerms};
+use spokeflow_core::{Micros, ServiceConfig};
 
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
@@ -52,40 +52,40 @@
 }
 
 impl EffectiveConfig {
-    pub fn of(terms: &ServiceTerms) -> Self {
+    pub fn of(terms: &ServiceConfig) -> Self {
         EffectiveConfig {
-            shares: terms.shares.clone(),
+            shares: terms.tenant_quotas.clone(),
             fleet_size: terms.fleet_size,
             delivery_cap: terms.delivery_cap,
-            side_by_side: terms.side_by_side,
-            longest_return: terms.longest_return,
+            side_by_side: terms.may_hedge,
+            longest_return: terms.longest_retry_after,
             drain_grace: terms.drain_grace,
-            cold_from: terms.cold_from,
-            fall_multiple: terms.fall_multiple,
+            cold_from: terms.slow_start_from,
+            fall_multiple: terms.overload_multiple,
             stage_caps: terms.stage_caps.clone(),
-            exposure_free: terms.exposure_free,
+            exposure_free: terms.exposure_allowance,
             guarded_stages: terms.guarded_stages,
             complaint_share: terms.complaint_share,
-            back_votes: terms.back_votes,
-            votes_a_second: terms.votes_a_second,
+            back_votes: terms.rollback_votes,
+            votes_a_second: terms.votes_per_second,
         }
     }
 
-    pub fn apply_to(&self, terms: &mut ServiceTerms) {
-        terms.shares.clone_from(&self.shares);
+    pub fn apply_to(&self, terms: &mut ServiceConfig) {
+        terms.tenant_quotas.clone_from(&self.shares);
         terms.fleet_size = self.fleet_size;
         terms.delivery_cap = self.delivery_cap;
-        terms.side_by_side = self.side_by_side;
-        terms.longest_return = self.longest_return;
+        terms.may_hedge = self.side_by_side;
+        terms.longest_retry_after = self.longest_return;
         terms.drain_grace = self.drain_grace;
-        terms.cold_from = self.cold_from;
-        terms.fall_multiple = self.fall_multiple;
+        terms.slow_start_from = self.cold_from;
+        terms.overload_multiple = self.fall_multiple;
         terms.stage_caps.clone_from(&self.stage_caps);
-        terms.exposure_free = self.exposure_free;
+        terms.exposure_allowance = self.exposure_free;
         terms.guarded_stages = self.guarded_stages;
         terms.complaint_share = self.complaint_share;
-        terms.back_votes = self.back_votes;
-        terms.votes_a_second = self.votes_a_second;
+        terms.rollback_votes = self.back_votes;
+        terms.votes_per_second = self.votes_a_second;
     }
 
     /// What can be acted on where `announced` may already be acted on by others and this one still is: the stricter
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -488,8 +488,14 @@
     vec![
         ("FromKeeper::Welcome", welcome),
         ("FromKeeper::Refused/Version", refused(Refusal::Version)),
-        ("FromKeeper::Refused/OutOfOrder", refused(Refusal::OutOfOrder)),
-        ("FromKeeper::Refused/Terms", refused(Refusal::ConfigMismatch)),
+        (
+            "FromKeeper::Refused/OutOfOrder",
+            refused(Refusal::OutOfOrder),
+        ),
+        (
+            "FromKeeper::Refused/Terms",
+            refused(Refusal::ConfigMismatch),
+        ),
         ("FromKeeper::Refused/OldDisk", refused(Refusal::StaleStore)),
         (
             "FromKeeper::Refused/Full",
@@ -528,10 +534,7 @@
     let least = answer(Response::Status(Box::new(view_without_options())));
     vec![
         ("FromKeeper::Answer/View/no-rejection", least),
-        (
-            "FromKeeper::Answer/View/Backwards",
-            rejected(backwards),
-        ),
+        ("FromKeeper::Answer/View/Backwards", rejected(backwards)),
         ("FromKeeper::Answer/View/Forked", rejected(forked)),
         ("FromKeeper::Answer/View/Halved", rejected(halved)),
     ]
@@ -546,7 +549,10 @@
             granted(grant_without_options()),
         ),
         ("FromKeeper::Answer/NoLeader", answer(Response::NoLeader)),
-        ("FromKeeper::Answer/Unclear", answer(Response::Indeterminate)),
+        (
+            "FromKeeper::Answer/Unclear",
+            answer(Response::Indeterminate),
+        ),
         (
             "FromKeeper::Answer/Bad",
             answer(Response::Invalid("not a flag".into())),
--- a/crates/spokeflow-core/benches/memory.rs
+++ b/crates/spokeflow-core/benches/memory.rs
@@ -40,15 +40,17 @@
 
 fn router(hosts: u32, tenants: u32, out: &mut Sent) -> Router {
     let mut terms = terms(Phase::Quiet);
-    terms.shares = vec![1.0; tenants as usize];
+    terms.tenant_quotas = vec![1.0; tenants as usize];
     let mut router = Router::new(&terms, 1, NOW, out);
     router
-        .at(NOW)
-        .told(news(EARLIER, Standing::Released, 1.0), out);
-    let lines: Vec<HostLine> = (0..hosts)
+        .set_time(NOW)
+        .on_rollout_status(news(EARLIER, RolloutState::Released, 1.0), out);
+    let lines: Vec<Endpoint> = (0..hosts)
         .map(|host| host_line(Phase::Quiet, host, NOW))
         .collect();
-    router.at(NOW).listed(ListKind::Whole, &lines, out);
+    router
+        .set_time(NOW)
+        .on_endpoints(ListKind::Complete, &lines, out);
     router
 }
 
@@ -76,10 +78,10 @@
     out.deliveries.reserve(count as usize);
     held_by(count, || {
         for id in 1..=count {
-            router.at(NOW).command(
+            router.set_time(NOW).on_command(
                 CommandId(id),
                 OpType(0),
-                ShareId(0),
+                TenantId(0),
                 Key(0),
                 TIMEOUT,
                 &mut out,
@@ -96,14 +98,24 @@
     held_by(count, || {
         for id in 1..=count {
             let key = Key(u64::from(id));
-            router
-                .at(NOW)
-                .command(CommandId(id), OpType(0), ShareId(0), key, TIMEOUT, &mut out);
+            router.set_time(NOW).on_command(
+                CommandId(id),
+                OpType(0),
+                TenantId(0),
+                key,
+                TIMEOUT,
+                &mut out,
+            );
             for command in out.deliveries.drain(..) {
-                let end = DeliveryEnd::Acked;
-                router
-                    .at(NOW)
-                    .ended(command, 0, end, SECOND / 20, true, &mut Sent::default());
+                let end = AttemptOutcome::Acked;
+                router.set_time(NOW).on_attempt_outcome(
+                    command,
+                    0,
+                    end,
+                    SECOND / 20,
+                    true,
+                    &mut Sent::default(),
+                );
             }
         }
     })
--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -90,11 +90,11 @@
     }
     fn cancel(&mut self, _: CommandId, _: u8) {}
     fn wake(&mut self, _: Micros) {}
-    fn vote(&mut self, _: BuildId, _: u8, _: Verdict) {}
+    fn vote(&mut self, _: BuildId, _: u8, _: RolloutVote) {}
     fn probe(&mut self, _: HostId) {}
     fn watch_list(&mut self) {}
     fn fetch_list(&mut self) {}
-    fn tell(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn gossip(&mut self, _: Option<u32>, _: &[u8]) {}
 }
 
 pub struct Traffic {
@@ -118,15 +118,17 @@
         let mut router = Router::new(&terms(phase), 1, now, &mut out);
         if phase != Phase::Unannounced {
             router
-                .at(now)
-                .told(news(EARLIER, Standing::Released, 1.0), &mut out);
+                .set_time(now)
+                .on_rollout_status(news(EARLIER, RolloutState::Released, 1.0), &mut out);
         }
-        let lines: Vec<HostLine> = (0..hosts).map(|host| host_line(phase, host, now)).collect();
-        router.at(now).listed(ListKind::Whole, &lines, &mut out);
+        let lines: Vec<Endpoint> = (0..hosts).map(|host| host_line(phase, host, now)).collect();
+        router
+            .set_time(now)
+            .on_endpoints(ListKind::Complete, &lines, &mut out);
         if phase == Phase::Trial {
             router
-                .at(now)
-                .told(news(LATER, Standing::OnTrial, 0.35), &mut out);
+                .set_time(now)
+                .on_rollout_status(news(LATER, RolloutState::Canary, 0.35), &mut out);
         }
         let due = VecDeque::new();
         Traffic {
@@ -176,8 +178,8 @@
         }
         self.commands += 1;
         let (id, op) = (self.commands, OpType((self.commands % 2) as u16));
-        let (share, key) = (ShareId(id % TENANTS), Key(u64::from(1 + id % KEYS)));
-        self.router.at(self.now).command(
+        let (share, key) = (TenantId(id % TENANTS), Key(u64::from(1 + id % KEYS)));
+        self.router.set_time(self.now).on_command(
             CommandId(id),
             op,
             share,
@@ -190,7 +192,7 @@
 
     /// Wakes the module at the present time.
     pub fn wake(&mut self) {
-        self.router.at(self.now).woken(&mut self.out);
+        self.router.set_time(self.now).on_timer(&mut self.out);
         self.take_deliveries();
     }
 
@@ -198,10 +200,15 @@
         let Some((_, command)) = self.due.pop_front() else {
             return;
         };
-        let end = DeliveryEnd::Acked;
-        self.router
-            .at(self.now)
-            .ended(command, 0, end, ANSWER_AFTER, true, &mut self.out);
+        let end = AttemptOutcome::Acked;
+        self.router.set_time(self.now).on_attempt_outcome(
+            command,
+            0,
+            end,
+            ANSWER_AFTER,
+            true,
+            &mut self.out,
+        );
         self.take_deliveries();
     }
 
@@ -215,95 +222,97 @@
         self.next_change = self.now + SECOND / 10;
         let back = host_line(self.phase, self.draining, self.now);
         self.draining = (self.draining + 1) % self.hosts;
-        let leaving = HostLine {
-            phase: HostPhase::Draining,
+        let leaving = Endpoint {
+            state: EndpointState::Draining,
             ..host_line(self.phase, self.draining, self.now)
         };
-        self.router
-            .at(self.now)
-            .listed(ListKind::Changes, &[back, leaving], &mut self.out);
+        self.router.set_time(self.now).on_endpoints(
+            ListKind::Changes,
+            &[back, leaving],
+            &mut self.out,
+        );
         self.take_deliveries();
     }
 }
 
-pub fn news(build: BuildId, standing: Standing, cap: f64) -> StageNews {
-    StageNews {
+pub fn news(build: BuildId, standing: RolloutState, cap: f64) -> RolloutStatus {
+    RolloutStatus {
         build,
         stage: 1,
-        standing,
-        cap,
+        state: standing,
+        exposure_cap: cap,
         age: 0,
     }
 }
 
-pub fn host_line(phase: Phase, host: u32, now: Micros) -> HostLine {
+pub fn host_line(phase: Phase, host: u32, now: Micros) -> Endpoint {
     let later = phase == Phase::Trial && host.is_multiple_of(4);
     let tenth = host.is_multiple_of(10);
-    HostLine {
+    Endpoint {
         host: HostId(host),
         build: Some(if later { LATER } else { EARLIER }),
         cell: (host % ZONES) as u16,
         zone: ZoneId((host % ZONES) as u16),
-        phase: if phase == Phase::Draining && tenth {
-            HostPhase::Draining
+        state: if phase == Phase::Draining && tenth {
+            EndpointState::Draining
         } else {
-            HostPhase::Ready
+            EndpointState::Ready
         },
         size: 1.0,
-        started: (phase == Phase::Cold && tenth).then_some(now),
+        started_at: (phase == Phase::Cold && tenth).then_some(now),
     }
 }
 
-pub fn terms(phase: Phase) -> ServiceTerms {
-    let op = |repeat| OpTerms {
+pub fn terms(phase: Phase) -> ServiceConfig {
+    let op = |repeat| OperationConfig {
         repeat,
-        repeat_scope: RepeatScope::Unknown,
-        repeat_memory: SECOND,
-        service_target: SECOND,
+        deduplication_scope: DeduplicationScope::Unknown,
+        deduplication_window: SECOND,
+        latency_objective: SECOND,
         command_timeout: COMMAND_TIMEOUT,
-        importance: 1.0,
-        streamed: false,
+        priority_weight: 1.0,
+        streaming: false,
     };
-    ServiceTerms {
-        ops: vec![op(Repeat::Redeliverable), op(Repeat::AtMostOnce)],
-        shares: vec![COMMANDS_PER_SECOND as f64 / f64::from(TENANTS); TENANTS as usize],
+    ServiceConfig {
+        ops: vec![op(Repeat::Idempotent), op(Repeat::AtMostOnce)],
+        tenant_quotas: vec![COMMANDS_PER_SECOND as f64 / f64::from(TENANTS); TENANTS as usize],
         own_zone: ZoneId(0),
         own_index: 0,
         fleet_size: phase.fleet_size(),
         tick: 5 * MILLISECOND,
-        list_must_be_asked: false,
-        list_ask_within: 10 * SECOND,
+        list_requires_subscription: false,
+        list_refresh_within: 10 * SECOND,
         delivery_cap: 4,
-        side_by_side: true,
+        may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_tell: false,
-        may_name_return: true,
-        longest_return: 2 * SECOND,
+        may_gossip: false,
+        may_name_retry_after: true,
+        longest_retry_after: 2 * SECOND,
         drain_grace: 250 * MILLISECOND,
-        cold_from: 0.5,
+        slow_start_from: 0.5,
         // Hosts that are fresh at the start of a measurement are so at its end.
-        warm_within: if phase == Phase::Cold {
+        warm_up_time: if phase == Phase::Cold {
             3_600 * SECOND
         } else {
             4 * SECOND
         },
-        fall_multiple: 3.0,
-        fall_span: 2 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 2 * SECOND,
         gate: Gate::Clocked,
         stage_caps: vec![0.1, 0.35, 1.0],
         stage_shares: vec![0.1, 0.4, 1.0],
-        exposure_free: 2.0,
-        exposure_span: 4 * SECOND,
+        exposure_allowance: 2.0,
+        exposure_window: 4 * SECOND,
         exposure_by_op: false,
         guarded_stages: 0,
         forward_only: false,
         rolling: true,
         stage_bake: SECOND,
-        vote_life: 6 * SECOND,
-        vote_wait: 2 * SECOND,
+        vote_lifetime: 6 * SECOND,
+        vote_timeout: 2 * SECOND,
         complaint_share: 0.2,
-        back_votes: 0,
-        votes_a_second: f64::INFINITY,
+        rollback_votes: 0,
+        votes_per_second: f64::INFINITY,
     }
 }
--- a/crates/spokeflow-core/src/egress.rs
+++ b/crates/spokeflow-core/src/egress.rs
@@ -1,11 +1,11 @@
 use crate::{BuildId, CommandId, HostId, Micros};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    None,
-    On,
+pub enum RolloutVote {
+    Abstain,
+    Promote,
     Hold,
-    Back,
+    RollBack,
 }
 
 /// What the module asks of the world. Calls are carried out in the order they are made.
@@ -20,11 +20,11 @@
     fn cancel(&mut self, cmd: CommandId, delivery: u8);
     /// Asks for [`crate::Router::woken`] at `at` or soon after.
     fn wake(&mut self, at: Micros);
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: Verdict);
+    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote);
     fn probe(&mut self, host: HostId);
     /// Subscribes to the host list.
     fn watch_list(&mut self);
     fn fetch_list(&mut self);
     /// Sends a short message to one router of the fleet, or to all.
-    fn tell(&mut self, router: Option<u32>, text: &[u8]);
+    fn gossip(&mut self, router: Option<u32>, text: &[u8]);
 }
--- a/crates/spokeflow-core/src/ids.rs
+++ b/crates/spokeflow-core/src/ids.rs
@@ -15,7 +15,7 @@
 id!(HostId(u32));
 id!(BuildId(u16));
 id!(
-    /// Index of an op type in [`crate::ServiceTerms::ops`].
+    /// Index of an op type in [`crate::ServiceConfig::ops`].
     OpType(u16)
 );
 id!(
@@ -24,8 +24,8 @@
 );
 id!(ZoneId(u16));
 id!(
-    /// Index of a customer in [`crate::ServiceTerms::shares`].
-    ShareId(u32)
+    /// Index of a customer in [`crate::ServiceConfig::shares`].
+    TenantId(u32)
 );
 
 /// A time or a span in whole microseconds.
--- a/crates/spokeflow-core/src/lib.rs
+++ b/crates/spokeflow-core/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod state;
 mod terms;
 
-pub use chance::{unit, Chance};
-pub use egress::{Egress, Verdict};
-pub use ids::{BuildId, CommandId, HostId, Key, Micros, OpType, ShareId, ZoneId};
-pub use router::{Router, MET_BY};
+pub use chance::{unit, Rng};
+pub use egress::{Egress, RolloutVote};
+pub use ids::{BuildId, CommandId, HostId, Key, Micros, OpType, TenantId, ZoneId};
+pub use router::{Router, ROUTERS_PER_HOST};
 pub use terms::{
-    DeliveryEnd, DeskCount, Gate, HostLine, HostPhase, ListKind, OpTerms, Repeat, RepeatScope,
-    ServiceTerms, StageNews, Standing, VoteAnswer,
+    AttemptOutcome, ControllerStats, DeduplicationScope, Endpoint, EndpointState, Gate, ListKind,
+    OperationConfig, Repeat, RolloutState, RolloutStatus, ServiceConfig, VoteOutcome,
 };
--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -42,7 +42,7 @@
 /// Hosts that must speak against a build at most: a router meets few of many.
 const MOST_VOICES: f64 = 8.0;
 /// Routers that each host is met by at least: uneven traffic evens out.
-pub const MET_BY: f64 = 60.0;
+pub const ROUTERS_PER_HOST: f64 = 60.0;
 /// Answers that convict at the least, of which a router of mean traffic gets so many before all follow.
 const CONVICTS: f64 = SEND_BACK_AT / (LATE_WEIGHT * (2.0 - LATE_MARGIN));
 /// How long nothing comes back from a host before it may count as mute.
@@ -68,7 +68,7 @@
 pub struct Router {
     now: Micros,
     ops: Vec<OpRules>,
-    chance: Chance,
+    chance: Rng,
     index: BTreeMap<HostId, usize>,
     hosts: Hosts,
     /// By zone, by op type and by customer, how much slower than usual answers come, as a logarithm.
@@ -81,7 +81,7 @@
     all_bound: Option<BuildId>,
     taken: Window<usize>,
     exposed: Window<(usize, BuildId)>,
-    news: Option<StageNews>,
+    news: Option<RolloutStatus>,
     stage_began: Micros,
     own_turn: Micros,
     lane_build: BuildId,
@@ -115,7 +115,7 @@
     losses: [f64; 2],
     refused: f64,
     busy: f64,
-    vote: Option<(BuildId, u8, Verdict)>,
+    vote: Option<(BuildId, u8, RolloutVote)>,
     vote_stands_until: Micros,
     vote_again_at: Micros,
     vote_out: bool,
@@ -126,24 +126,24 @@
 }
 
 impl Router {
-    pub fn new(terms: &ServiceTerms, seed: u64, now: Micros, out: Out) -> Self {
+    pub fn new(terms: &ServiceConfig, seed: u64, now: Micros, out: Out) -> Self {
         out.wake(now + BEAT);
-        if terms.list_must_be_asked {
+        if terms.list_requires_subscription {
             out.watch_list();
         }
         Router {
             now,
             ops: terms.ops.iter().map(OpRules::new).collect(),
-            served: vec![0.0; terms.shares.len().max(1)],
-            held: vec![VecDeque::new(); terms.shares.len().max(1)],
+            served: vec![0.0; terms.tenant_quotas.len().max(1)],
+            held: vec![VecDeque::new(); terms.tenant_quotas.len().max(1)],
             sums: vec![0.0; terms.ops.len() + 3],
             old_fails: vec![0.0; terms.ops.len()],
-            by_share: vec![[0.0; 2]; terms.shares.len().max(1)],
-            chance: Chance::new(seed),
+            by_share: vec![[0.0; 2]; terms.tenant_quotas.len().max(1)],
+            chance: Rng::new(seed),
             beaten: now,
             born: now,
             spare: SPARE_AT_MOST / 2.0,
-            ask_list_at: terms.list_must_be_asked.then_some(now + 5 * SECOND),
+            ask_list_at: terms.list_requires_subscription.then_some(now + 5 * SECOND),
             own_index: terms.own_index,
             hosts: Hosts::new(terms.own_index, figures(terms).starts, now),
             fig: figures(terms),
@@ -153,13 +153,13 @@
 
     /// Goes by other terms from the next call on. What was counted, sent and pinned stays: no window begins
     /// anew. The op types, windows and one-way rules have to be the same as before, and as many customers.
-    pub fn go_by(&mut self, terms: &ServiceTerms) {
+    pub fn reconfigure(&mut self, terms: &ServiceConfig) {
         self.fig = figures(terms);
         self.hosts.set_spans(self.fig.starts);
     }
 
     /// Sets the time for the calls that follow.
-    pub fn at(&mut self, now: Micros) -> &mut Self {
+    pub fn set_time(&mut self, now: Micros) -> &mut Self {
         self.now = now;
         self.hosts.advance(now);
         self
@@ -173,8 +173,8 @@
 
     // ---- The list ----
 
-    pub fn listed(&mut self, kind: ListKind, lines: &[HostLine], out: Out) {
-        if kind != ListKind::Remembered {
+    pub fn on_endpoints(&mut self, kind: ListKind, lines: &[Endpoint], out: Out) {
+        if kind != ListKind::Cached {
             (self.ask_list_at, self.ask_pause) = (None, 0);
         }
         if kind != ListKind::Changes {
@@ -190,7 +190,7 @@
         self.place_held(out);
     }
 
-    pub fn list_failed(&mut self) {
+    pub fn on_list_failure(&mut self) {
         // The notice does not say whether a subscription still stands: asking again is the only safe reading.
         self.ask_pause = (self.ask_pause * 2).clamp(SECOND / 2, 4 * SECOND);
         let pause = self.ask_pause as usize;
@@ -199,7 +199,7 @@
 
     // ---- The desk's news ----
 
-    pub fn told(&mut self, news: StageNews, out: Out) {
+    pub fn on_rollout_status(&mut self, news: RolloutStatus, out: Out) {
         let before = self.news.replace(news);
         let same_build = before.is_some_and(|b| b.build == news.build);
         if !same_build {
@@ -207,13 +207,11 @@
             self.sums.fill(0.0);
             self.hosts.clear_blame();
         }
-        if !same_build
-            || before.is_some_and(|b| b.stage != news.stage || b.standing != news.standing)
-        {
+        if !same_build || before.is_some_and(|b| b.stage != news.stage || b.state != news.state) {
             self.stage_began = self.now - news.age;
             (self.seen_in_stage, self.counted_in_stage) = (0, 0.0);
             (self.vote, self.vote_again_at) = (None, self.now);
-            self.own_turn = (self.chance.share() * self.fig.vote_span) as Micros;
+            self.own_turn = (self.chance.fraction() * self.fig.vote_span) as Micros;
         }
         if self.sent_back(news.build) {
             // A send-back returns keys to the earlier build and opens the way that one-way rules closed.
@@ -225,13 +223,13 @@
         self.beat(out);
     }
 
-    pub fn vote_answered(&mut self, answer: VoteAnswer) {
+    pub fn on_vote_outcome(&mut self, answer: VoteOutcome) {
         self.vote_out = false;
-        if answer == VoteAnswer::Counted {
+        if answer == VoteOutcome::Counted {
             (self.vote_again_at, self.vote_stands_until) =
                 (self.now, self.now + self.fig.vote_life * 7 / 10);
         } else {
-            let pause = if answer == VoteAnswer::Moot {
+            let pause = if answer == VoteOutcome::Stale {
                 SECOND
             } else {
                 200 * MS
@@ -246,20 +244,19 @@
     fn on_trial(&self, build: BuildId) -> bool {
         match &self.news {
             None => self.hosts.oldest_build().is_some_and(|b| b < build),
-            Some(n) => build > n.build || (build == n.build && n.standing != Standing::Released),
+            Some(n) => build > n.build || (build == n.build && n.state != RolloutState::Released),
         }
     }
 
     fn cap(&self, build: BuildId) -> f64 {
         self.news
             .filter(|n| n.build == build)
-            .map_or(self.fig.first_cap, |n| n.cap)
+            .map_or(self.fig.first_cap, |n| n.exposure_cap)
     }
 
     fn sent_back(&self, build: BuildId) -> bool {
-        let back = |s| matches!(s, Standing::GoingBack | Standing::Withdrawn);
-        self.news
-            .is_some_and(|n| n.build == build && back(n.standing))
+        let back = |s| matches!(s, RolloutState::RollingBack | RolloutState::Withdrawn);
+        self.news.is_some_and(|n| n.build == build && back(n.state))
     }
 
     /// Whether one-way rules hold keys at this build: the newest that was told, or one after it.
@@ -269,11 +266,11 @@
 
     // ---- Intake ----
 
-    pub fn command(
+    pub fn on_command(
         &mut self,
         cmd: CommandId,
         op: OpType,
-        share: ShareId,
+        share: TenantId,
         key: Key,
         left: Micros,
         out: Out,
@@ -303,8 +300,8 @@
             deliveries,
         };
         self.cmds.insert(cmd, command);
-        if self.chance.share() > (-self.strain(op)).exp() {
-            return self.give_up(cmd, out);
+        if self.chance.fraction() > (-self.strain(op)).exp() {
+            return self.abort(cmd, out);
         }
         if self.now >= self.waits_until(&self.cmds[&cmd]) {
             self.route(cmd, out);
@@ -365,7 +362,7 @@
         // A known key at a full counter under one-way rules is refused at once: it comes when there is room.
         if full && last.is_some() || self.now >= self.waits_until(c) {
             self.flow[2] += 1.0;
-            self.give_up(cmd, out);
+            self.abort(cmd, out);
         } else {
             self.held[c.share].push_back(cmd);
         }
@@ -511,7 +508,7 @@
             .filter(|n| n.build == build)
             .map_or(0, |n| n.stage);
         if cap <= 0.0
-            || (stage < self.fig.guarded_stages && self.ops[op].repeat != Repeat::Redeliverable)
+            || (stage < self.fig.guarded_stages && self.ops[op].repeat != Repeat::Idempotent)
         {
             return false;
         }
@@ -538,18 +535,18 @@
         }
         let rules = &self.ops[c.op];
         let repeats_anywhere =
-            rules.repeat == Repeat::Redeliverable || rules.scope == RepeatScope::All;
+            rules.repeat == Repeat::Idempotent || rules.scope == DeduplicationScope::All;
         let ran_at = c
             .deliveries
             .iter()
             .find(|d| d.may_have_run)
             .map(|d| self.hosts.line(d.host));
         let bound = ran_at.filter(|_| !repeats_anywhere);
-        let drops_repeats = |line: &HostLine| match (bound, rules.scope) {
-            (None, _) | (_, RepeatScope::All) => true,
-            (Some(b), RepeatScope::Zone) => b.zone == line.zone,
-            (Some(b), RepeatScope::Cell) => b.cell == line.cell,
-            (Some(b), RepeatScope::Unknown) => b.host == line.host,
+        let drops_repeats = |line: &Endpoint| match (bound, rules.scope) {
+            (None, _) | (_, DeduplicationScope::All) => true,
+            (Some(b), DeduplicationScope::Zone) => b.zone == line.zone,
+            (Some(b), DeduplicationScope::Cell) => b.cell == line.cell,
+            (Some(b), DeduplicationScope::Unknown) => b.host == line.host,
         };
         let tried = |h: usize| c.deliveries.iter().any(|d| d.host == h);
         let check_all = bound.is_some() || self.refused > MOST_REFUSED;
@@ -596,7 +593,7 @@
         loop {
             let h = pool.nth(self.chance.below(pool.len()));
             let part = self.hosts.line(h).size / largest;
-            if part >= 1.0 || self.chance.share() < part {
+            if part >= 1.0 || self.chance.fraction() < part {
                 return h;
             }
         }
@@ -626,7 +623,7 @@
             near.retain(|h| self.detour(0, self.hosts.line(h).zone.0.into()) == 0.0);
         }
         let (met, sent) = (
-            MET_BY / self.fig.fleet,
+            ROUTERS_PER_HOST / self.fig.fleet,
             0.75 * self.flow[0] / self.hosts.ready_count() as f64,
         );
         let own = ((near.len() as f64 * met.max(sent)).ceil() as usize).max(2);
@@ -746,7 +743,7 @@
         }
     }
 
-    pub fn answer_started(&mut self, cmd: CommandId, nth: u8) {
+    pub fn on_response_started(&mut self, cmd: CommandId, nth: u8) {
         let delivery = |c: &mut Command| {
             c.deliveries
                 .get_mut(usize::from(nth))
@@ -755,11 +752,11 @@
         self.cmds.get_mut(&cmd).and_then(delivery);
     }
 
-    pub fn ended(
+    pub fn on_attempt_outcome(
         &mut self,
         cmd: CommandId,
         nth: u8,
-        end: DeliveryEnd,
+        end: AttemptOutcome,
         took: Micros,
         done: bool,
         out: Out,
@@ -775,9 +772,9 @@
         self.hosts.remove_in_flight(h);
         self.ops[op].out -= 1;
         // What errs at once is no load: it must not excuse slowness.
-        let at_once = end == DeliveryEnd::Error && nth == 0;
+        let at_once = end == AttemptOutcome::Error && nth == 0;
         self.flow[0] = (self.flow[0] - f64::from(u8::from(at_once))).max(0.0);
-        if matches!(end, DeliveryEnd::Acked | DeliveryEnd::TimedOut) {
+        if matches!(end, AttemptOutcome::Acked | AttemptOutcome::TimedOut) {
             let rules = &mut self.ops[op];
             let step = if took as f64 > rules.target * rules.strain.exp() {
                 0.2
@@ -786,14 +783,14 @@
             };
             rules.strain = (rules.strain + step).clamp(-2.0, 1.0);
         }
-        if !matches!(end, DeliveryEnd::Acked | DeliveryEnd::NotSent) {
+        if !matches!(end, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
             self.losses = [0.95 * self.losses[0] + 1.0, 0.95 * self.losses[1]];
         }
         if self.hosts.build(h) == build {
             self.judge(h, op, share, end, took);
             self.health(h, end);
         }
-        let acked = f64::from(u8::from(end == DeliveryEnd::Acked));
+        let acked = f64::from(u8::from(end == AttemptOutcome::Acked));
         self.ops[op].acks += acked;
         self.flow[1] += acked;
         let newest = build.max(self.hosts.build(h));
@@ -801,7 +798,7 @@
         let binds = key.0 != 0
             && !self.sent_back(newest)
             && end.may_have_run()
-            && end != DeliveryEnd::Error;
+            && end != AttemptOutcome::Error;
         let pin = self.pins.entry(key).or_default();
         pin.claims = pin
             .claims
@@ -809,7 +806,7 @@
         pin.claimed_by = pin.claimed_by.filter(|_| pin.claims > 0);
         pin.answered_by = pin.answered_by.max(Some(newest).filter(|_| binds));
         if done || self.cmds[&cmd].ended {
-            self.end(cmd, out);
+            self.finish(cmd, out);
         } else {
             self.settle(cmd, end.may_have_run(), out);
         }
@@ -825,7 +822,7 @@
                 || !self.may_redeliver(c)
                 || guess && self.spare < 1.0)
         {
-            self.give_up(cmd, out);
+            self.abort(cmd, out);
         } else if !open {
             self.spare -= f64::from(u8::from(guess));
             self.route(cmd, out);
@@ -837,7 +834,7 @@
         let rules = &self.ops[c.op];
         let ran = c.deliveries.iter().any(|d| d.may_have_run);
         let allowed = match rules.repeat {
-            Repeat::Redeliverable => true,
+            Repeat::Idempotent => true,
             Repeat::Deduplicated => !ran || self.now + BEAT < c.deliveries[0].sent + rules.memory,
             Repeat::AtMostOnce => !ran,
         };
@@ -845,13 +842,14 @@
     }
 
     /// The final answer where nothing more can be done: a nack wherever trying again is harmless.
-    pub fn give_up(&mut self, cmd: CommandId, out: Out) {
+    pub fn abort(&mut self, cmd: CommandId, out: Out) {
         let Some(c) = self.cmds.get(&cmd) else { return };
         let rules = &self.ops[c.op];
-        let any_drops = rules.repeat == Repeat::Deduplicated && rules.scope == RepeatScope::All;
+        let any_drops =
+            rules.repeat == Repeat::Deduplicated && rules.scope == DeduplicationScope::All;
         let never_ran = c.deliveries.iter().all(|d| !d.may_have_run);
-        if never_ran || any_drops || rules.repeat == Repeat::Redeliverable {
-            let come_back = rules.target / 4.0 * (1.0 + self.chance.share());
+        if never_ran || any_drops || rules.repeat == Repeat::Idempotent {
+            let come_back = rules.target / 4.0 * (1.0 + self.chance.fraction());
             out.nack(
                 cmd,
                 self.fig
@@ -861,11 +859,11 @@
         } else {
             out.fail(cmd);
         }
-        self.end(cmd, out);
+        self.finish(cmd, out);
     }
 
     /// Ends a command that is answered, or that its client has left.
-    pub fn end(&mut self, cmd: CommandId, out: Out) {
+    pub fn finish(&mut self, cmd: CommandId, out: Out) {
         let Some(c) = self.cmds.get_mut(&cmd) else {
             return;
         };
@@ -880,7 +878,7 @@
 
     // ---- Health ----
 
-    pub fn reported(&mut self, host: HostId, busy: f64) {
+    pub fn on_load_report(&mut self, host: HostId, busy: f64) {
         let Some(&h) = self.index.get(&host) else {
             return;
         };
@@ -888,17 +886,17 @@
         self.busy += 0.05 * (self.hosts.busy[h] - self.busy);
     }
 
-    fn health(&mut self, h: usize, end: DeliveryEnd) {
-        let refused = f64::from(u8::from(end == DeliveryEnd::NotConnected));
+    fn health(&mut self, h: usize, end: AttemptOutcome) {
+        let refused = f64::from(u8::from(end == AttemptOutcome::NotConnected));
         self.refused += 0.05 * (refused - self.refused);
         if matches!(
             end,
-            DeliveryEnd::Acked | DeliveryEnd::Error | DeliveryEnd::Full
+            AttemptOutcome::Acked | AttemptOutcome::Error | AttemptOutcome::Rejected
         ) {
             self.hosts.linked_at[h] = self.now;
         }
         match end {
-            DeliveryEnd::Acked => {
+            AttemptOutcome::Acked => {
                 // It answers: a connection broke, or one command erred, and not the host.
                 if self.hosts.strikes(h) > 0 {
                     self.hosts.set_trouble(h, 0, self.now);
@@ -907,29 +905,29 @@
                     .set_answers(h, self.hosts.answers(h).saturating_add(1));
             }
             // Fast errors draw traffic by fewest in flight: who errs or breaks loses what its answers earned.
-            DeliveryEnd::Error | DeliveryEnd::Reset => {
+            AttemptOutcome::Error | AttemptOutcome::Reset => {
                 self.hosts.set_answers(h, self.hosts.answers(h) / 2);
                 if self.hosts.answers(h) == 0 {
                     self.strike(h, SECOND / 2);
                 }
             }
-            DeliveryEnd::Full => {
+            AttemptOutcome::Rejected => {
                 let until = self.hosts.shut_until(h).max(self.now + 100 * MS);
                 self.hosts.set_trouble(h, self.hosts.strikes(h), until);
             }
-            DeliveryEnd::NotConnected => {
+            AttemptOutcome::NotConnected => {
                 self.hosts.linked_at[h] = Micros::MIN;
                 self.learn_way(0, self.hosts.line(h).zone.0.into(), 2.0);
                 self.strike(h, SECOND / 2);
             }
-            DeliveryEnd::TimedOut if self.mute(h) || self.hosts.strikes(h) > 0 => {
+            AttemptOutcome::TimedOut if self.mute(h) || self.hosts.strikes(h) > 0 => {
                 self.strike(h, SECOND)
             }
             _ => {}
         }
         if !matches!(
             end,
-            DeliveryEnd::TimedOut | DeliveryEnd::Cancelled | DeliveryEnd::NotConnected
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotConnected
         ) {
             self.hosts.came_back(h);
         }
@@ -969,28 +967,30 @@
 
     // ---- The judge ----
 
-    fn judge(&mut self, h: usize, op: usize, share: usize, end: DeliveryEnd, took: Micros) {
+    fn judge(&mut self, h: usize, op: usize, share: usize, end: AttemptOutcome, took: Micros) {
         let build = self.hosts.build(h);
         let failed = match end {
-            DeliveryEnd::Acked => 0.0,
-            DeliveryEnd::Error => 1.0,
+            AttemptOutcome::Acked => 0.0,
+            AttemptOutcome::Error => 1.0,
             // Ways break connections too, and one crash breaks all that was out at the host: that is one
             // failure, of one that does little else; a time-out is none where it answered nobody.
-            DeliveryEnd::Reset
+            AttemptOutcome::Reset
                 if self.hosts.answers(h) < 2 && self.now >= self.hosts.shut_until(h) =>
             {
                 1.0
             }
-            DeliveryEnd::TimedOut if (took as f64) < self.ops[op].target => return,
-            DeliveryEnd::TimedOut if self.detour(1, op) > 0.0 => return self.learn_way(1, op, 2.0),
+            AttemptOutcome::TimedOut if (took as f64) < self.ops[op].target => return,
+            AttemptOutcome::TimedOut if self.detour(1, op) > 0.0 => {
+                return self.learn_way(1, op, 2.0)
+            }
             // A full fleet times out too: that is slowness, which more traffic excuses, and no failure.
-            DeliveryEnd::TimedOut if !self.mute(h) && self.hosts.strikes(h) == 0 => 0.0,
+            AttemptOutcome::TimedOut if !self.mute(h) && self.hosts.strikes(h) == 0 => 0.0,
             _ => return,
         };
-        let acked = end == DeliveryEnd::Acked;
+        let acked = end == AttemptOutcome::Acked;
         self.losses[1] += failed;
         self.by_share.iter_mut().flatten().for_each(|n| *n *= 0.98);
-        let erred = f64::from(u8::from(end == DeliveryEnd::Error));
+        let erred = f64::from(u8::from(end == AttemptOutcome::Error));
         self.by_share[share] = [
             self.by_share[share][0] + 1.0,
             self.by_share[share][1] + erred,
@@ -999,7 +999,7 @@
         // A mean of few answers may be off by chance; of many, one is very unlucky and speaks for all.
         let (rests_on, usual) = (f64::from(self.ops[op].usual_seen), self.ops[op].usual);
         let known = rests_on >= 5.0;
-        let luck = if self.fig.fleet > MET_BY {
+        let luck = if self.fig.fleet > ROUTERS_PER_HOST {
             (2.0 * self.fig.fleet.ln()).sqrt()
         } else {
             1.0
@@ -1039,7 +1039,7 @@
             self.add(
                 h,
                 op,
-                gain * self.proof(share) * (self.fig.fleet / MET_BY).clamp(1.0, 1.5),
+                gain * self.proof(share) * (self.fig.fleet / ROUTERS_PER_HOST).clamp(1.0, 1.5),
             );
             if known {
                 let excused = self.old_lag.max(self.by_load());
@@ -1052,7 +1052,7 @@
         self.old_lag += 0.05 * (late - self.old_lag);
         // Thin traffic goes on learning in the first stages, from the earlier build's hosts.
         let few = self.ops[op].usual_seen < 20 && self.lane < 0.2;
-        if acked && (few || self.news.is_none_or(|n| n.standing != Standing::OnTrial)) {
+        if acked && (few || self.news.is_none_or(|n| n.state != RolloutState::Canary)) {
             let rules = &mut self.ops[op];
             rules.usual_seen += 1;
             rules.usual += (time - rules.usual) / f64::from(rules.usual_seen.min(200));
@@ -1079,7 +1079,7 @@
     fn add(&mut self, h: usize, which: usize, gain: f64) {
         let ready = self.hosts.ready_with(self.hosts.build(h));
         let peers = ready.len();
-        let heard = if self.fig.fleet > MET_BY {
+        let heard = if self.fig.fleet > ROUTERS_PER_HOST {
             ready.heard()
         } else {
             peers
@@ -1140,22 +1140,23 @@
     /// the time before, less what traffic explains. It could harm where else the whole fleet slows.
     fn judge_shared(&mut self, late: f64) {
         let judged = self.seen > 0 && self.usual_load[1] > 0.0;
-        if judged && self.news.is_some_and(|n| n.standing == Standing::OnTrial) {
+        if judged && self.news.is_some_and(|n| n.state == RolloutState::Canary) {
             // One of many routers sees by its own traffic only a part of what loads the hosts.
             let gain = LATE_WEIGHT * (late.min(1.5) - self.by_load() - LATE_MARGIN);
             let sum = self.sums.last_mut().expect("made at start");
-            *sum = (*sum + gain.min(self.fig.few.min(MET_BY / self.fig.fleet) * gain)).max(0.0);
+            *sum = (*sum + gain.min(self.fig.few.min(ROUTERS_PER_HOST / self.fig.fleet) * gain))
+                .max(0.0);
         }
     }
 
     /// What the desk counted of all routers' deliveries stands in for answers where a router sees few. One
     /// period brings a part of the proof at most. It could harm where troubles strike trial hosts only.
-    pub fn counted(&mut self, count: DeskCount) {
+    pub fn on_controller_stats(&mut self, count: ControllerStats) {
         let (op, n) = (usize::from(count.op.0), f64::from(count.sampled));
         let Some(news) = self.news.filter(|_| op < self.ops.len() && n > 0.0) else {
             return;
         };
-        let (on_trial, ended) = (news.standing == Standing::OnTrial, self.now - count.age);
+        let (on_trial, ended) = (news.state == RolloutState::Canary, self.now - count.age);
         if ended > self.period + SECOND / 4 {
             let pace = if self.usual_traffic > 0.0 { 0.3 } else { 1.0 };
             if !on_trial && self.traffic[0] > 0.0 {
@@ -1163,8 +1164,8 @@
             }
             (self.period, self.traffic) = (ended, [0.0, self.traffic[0]]);
         }
-        let lost = f64::from(count.lost).min(n);
-        let (acked, mean) = (n - lost, count.mean as f64 / SECOND as f64);
+        let lost = f64::from(count.failed).min(n);
+        let (acked, mean) = (n - lost, count.mean_latency as f64 / SECOND as f64);
         self.traffic[0] += acked;
         let (waits, blamed, last) = (self.detour(1, op) > 0.0, self.blamed(), self.sums.len() - 1);
         let fewer = (self.load()[2] / self.usual_load[2].max(1e-9)).min(MOST_FEWER);
@@ -1202,7 +1203,7 @@
         (self.losses[1] + 1.0) / (self.losses[0] + 1.0)
     }
 
-    pub fn disputed(&mut self, host: HostId, since: Micros) {
+    pub fn on_wrong_answer(&mut self, host: HostId, since: Micros) {
         let Some(&h) = self.index.get(&host) else {
             return;
         };
@@ -1211,30 +1212,30 @@
         let before = self
             .hosts
             .line(h)
-            .started
+            .started_at
             .is_some_and(|at| self.now - since < at);
         if !before && self.news.is_some_and(|n| build >= n.build) && !self.sent_back(build) {
             self.sums[self.ops.len() + 1] += self.fig.complaint_weight;
         }
     }
 
-    fn verdict(&self) -> Option<(BuildId, u8, Verdict)> {
+    fn verdict(&self) -> Option<(BuildId, u8, RolloutVote)> {
         let news = self
             .news
-            .filter(|n| matches!(n.standing, Standing::OnTrial | Standing::Released))?;
-        let on_trial = news.standing == Standing::OnTrial;
+            .filter(|n| matches!(n.state, RolloutState::Canary | RolloutState::Released))?;
+        let on_trial = news.state == RolloutState::Canary;
         // Once released, going back means a cold start of the whole fleet: it wants twice the proof.
         let proof = SEND_BACK_AT * if on_trial { 1.0 } else { 2.0 };
         if f64::from(self.seen) + self.counted_in_stage >= f64::from(ENOUGH_ANSWERS)
             && self.sum() >= proof
         {
-            return Some((news.build, news.stage, Verdict::Back));
+            return Some((news.build, news.stage, RolloutVote::RollBack));
         }
         if !on_trial || self.fig.gate == Gate::Clocked {
             return (on_trial && self.sum() > HOLD_AT).then_some((
                 news.build,
                 news.stage,
-                Verdict::Hold,
+                RolloutVote::Hold,
             ));
         }
         let ready = self.hosts.ready_with(news.build);
@@ -1270,14 +1271,14 @@
         let met = self.fig.even * share * waited as f64 / SECOND as f64;
         // A release takes twice the proof to undo and may wait: all hosts run the build by then.
         let last = usize::from(news.stage) + 1 >= self.fig.stage_shares.len();
-        let waits = last && self.fig.gate == Gate::Single && self.fig.fleet > MET_BY
+        let waits = last && self.fig.gate == Gate::Single && self.fig.fleet > ROUTERS_PER_HOST
             || met < CONVICTS * more;
         let pauses = if known && !waits { 1 } else { 3 };
         // Side by side a stage is cheaply taken back and a release is not: its vote waits for all traffic.
         let beside = !self.fig.rolling && (!last || all && waited >= 4 * self.fig.go_wait);
         let due = beside || self.fig.rolling && waited >= pauses * self.fig.go_wait + self.own_turn;
         let go = self.sum() < QUIET_BELOW && due;
-        go.then_some((news.build, news.stage, Verdict::On))
+        go.then_some((news.build, news.stage, RolloutVote::Promote))
     }
 
     fn cast(&mut self, out: Out) {
@@ -1290,8 +1291,10 @@
             return;
         }
         // A vote for going on must not stand while doubts have come up.
-        let doubted = self.vote.filter(|v| v.2 != Verdict::Back && stands);
-        if let Some((build, stage, verdict)) = want.or(doubted.map(|v| (v.0, v.1, Verdict::None))) {
+        let doubted = self.vote.filter(|v| v.2 != RolloutVote::RollBack && stands);
+        if let Some((build, stage, verdict)) =
+            want.or(doubted.map(|v| (v.0, v.1, RolloutVote::Abstain)))
+        {
             out.vote(build, stage, verdict);
             (self.vote, self.vote_out) = (want, true);
             self.vote_again_at = self.now + self.fig.vote_wait + SECOND / 2;
@@ -1301,7 +1304,7 @@
 
     // ---- The beat ----
 
-    pub fn woken(&mut self, out: Out) {
+    pub fn on_timer(&mut self, out: Out) {
         self.beat(out);
         out.wake(self.now + BEAT);
     }
@@ -1329,7 +1332,7 @@
         let pace = self.flow[1].max(young.into()) / self.lived.max(once);
         // A fleet that answers little for a while can still do what it did.
         self.pace += (pace - self.pace) * if pace > self.pace { 0.02 } else { 0.001 };
-        if self.news.is_none_or(|n| n.standing != Standing::OnTrial)
+        if self.news.is_none_or(|n| n.state != RolloutState::Canary)
             && self.now > self.born + 2 * SECOND
         {
             let (load, pace) = (
@@ -1357,7 +1360,7 @@
             let from = self.news.map(|n| {
                 n.build
                     .0
-                    .saturating_add((n.standing == Standing::Released).into())
+                    .saturating_add((n.state == RolloutState::Released).into())
             });
             // A delivery may stay out for longer than a pin without use: its answer binds the key as well.
             let kept = |p: &Pin| p.claims > 0 || p.answered_by.is_some_and(|b| Some(b.0) >= from);
@@ -1371,63 +1374,66 @@
 }
 
 /// What decisions use of the told terms.
-fn figures(terms: &ServiceTerms) -> Figures {
-    let quorum = terms.gate != Gate::Single && terms.back_votes > 0;
+fn figures(terms: &ServiceConfig) -> Figures {
+    let quorum = terms.gate != Gate::Single && terms.rollback_votes > 0;
     let fleet = f64::from(terms.fleet_size.max(1));
     let few = if quorum {
-        (f64::from(terms.back_votes) / fleet / 0.2).min(1.0)
+        (f64::from(terms.rollback_votes) / fleet / 0.2).min(1.0)
     } else {
         1.0
     };
     // Where a quorum decides, one report lets a router speak: false ones strike few at a time.
     let alone = (0.375 / terms.complaint_share.max(0.05)).clamp(1.0, 2.5);
-    let warm = terms.warm_within.max(1);
+    let warm = terms.warm_up_time.max(1);
     let complaint_weight = if quorum {
         1.3 * SEND_BACK_AT * few
     } else {
         alone
     };
     Figures {
-        shares: if terms.shares.is_empty() {
+        shares: if terms.tenant_quotas.is_empty() {
             vec![1.0]
         } else {
-            terms.shares.clone()
+            terms.tenant_quotas.clone()
         },
         fleet,
         delivery_cap: terms.delivery_cap.min(4) as usize,
-        side_by_side: terms.side_by_side,
+        side_by_side: terms.may_hedge,
         may_cancel: terms.may_cancel,
         rolling: terms.rolling,
-        longest_return: terms.may_name_return.then_some(terms.longest_return),
-        cold_from: terms.cold_from.clamp(0.05, 1.0),
+        longest_return: terms
+            .may_name_retry_after
+            .then_some(terms.longest_retry_after),
+        cold_from: terms.slow_start_from.clamp(0.05, 1.0),
         warm_within: warm,
         starts: StartSpans {
             warming: warm,
             bounded: warm + SECOND,
             young: 3 * warm,
         },
-        fall_span: terms.fall_span.max(1),
-        cold_part: COLD_PART * terms.fall_multiple * terms.fall_span as f64 / SECOND as f64,
+        fall_span: terms.overload_window.max(1),
+        cold_part: COLD_PART * terms.overload_multiple * terms.overload_window as f64
+            / SECOND as f64,
         gate: terms.gate,
         first_cap: terms.stage_caps.first().copied().unwrap_or(0.0),
         stage_shares: terms.stage_shares.clone(),
-        free: terms.exposure_free,
-        span: terms.exposure_span,
+        free: terms.exposure_allowance,
+        span: terms.exposure_window,
         by_op: terms.exposure_by_op,
         guarded_stages: terms.guarded_stages,
         one_way: terms.forward_only,
         // The desk's clock starts about a second after the machines run; a vote before that stands idle.
         go_wait: terms.stage_bake + SECOND,
         even: terms
-            .shares
+            .tenant_quotas
             .iter()
             .copied()
             .reduce(|a, b| a + b)
             .unwrap_or(f64::INFINITY)
             / fleet,
-        vote_span: 2.0 * fleet / terms.votes_a_second * SECOND as f64,
-        vote_life: terms.vote_life,
-        vote_wait: terms.vote_wait,
+        vote_span: 2.0 * fleet / terms.votes_per_second * SECOND as f64,
+        vote_life: terms.vote_lifetime,
+        vote_wait: terms.vote_timeout,
         few,
         complaint_weight,
         wrong_margin: WRONG_MARGIN * if quorum { 2.0 } else { 1.0 },
--- a/crates/spokeflow-core/src/state/hosts.rs
+++ b/crates/spokeflow-core/src/state/hosts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Member, Pool, ReadyHosts, RecentStarts};
-use crate::{unit, BuildId, HostId, HostLine, HostPhase, Micros};
+use crate::{unit, BuildId, Endpoint, EndpointState, HostId, Micros};
 
 /// Above one part of so many of a pool's hosts, checking all of them costs less than looking up the doubtful ones.
 const MANY: usize = 4;
@@ -26,7 +26,7 @@
 pub struct Hosts {
     own_index: u32,
     now: Micros,
-    line: Vec<HostLine>,
+    line: Vec<Endpoint>,
     build: Vec<BuildId>,
     rank: Vec<f64>,
     in_flight: Vec<u32>,
@@ -107,11 +107,11 @@
     }
 
     /// Takes in a host that the list names for the first time; [`Hosts::update`] follows.
-    pub fn add(&mut self, line: &HostLine) -> usize {
+    pub fn add(&mut self, line: &Endpoint) -> usize {
         let h = self.line.len();
         let build = line.build.unwrap_or_default();
-        self.line.push(HostLine {
-            phase: HostPhase::Gone,
+        self.line.push(Endpoint {
+            state: EndpointState::Gone,
             ..*line
         });
         self.build.push(build);
@@ -141,10 +141,10 @@
         h
     }
 
-    pub fn update(&mut self, h: usize, line: &HostLine) {
+    pub fn update(&mut self, h: usize, line: &Endpoint) {
         let (before, build) = (self.line[h], line.build.unwrap_or(self.build[h]));
-        let other_process = before.started != line.started || self.build[h] != build;
-        if !other_process && before.phase == line.phase && before.size == line.size {
+        let other_process = before.started_at != line.started_at || self.build[h] != build;
+        if !other_process && before.state == line.state && before.size == line.size {
             self.line[h] = *line;
             return;
         }
@@ -167,14 +167,14 @@
     }
 
     /// Marks those hosts as gone that no line names.
-    pub fn keep_listed(&mut self, lines: &[HostLine]) {
+    pub fn keep_listed(&mut self, lines: &[Endpoint]) {
         let named: BTreeSet<HostId> = lines.iter().map(|line| line.host).collect();
         for h in 0..self.line.len() {
             if !named.contains(&self.line[h].host) {
                 self.update(
                     h,
-                    &HostLine {
-                        phase: HostPhase::Gone,
+                    &Endpoint {
+                        state: EndpointState::Gone,
                         ..self.line[h]
                     },
                 );
@@ -213,7 +213,7 @@
     }
 
     /// What the list last said.
-    pub fn line(&self, h: usize) -> &HostLine {
+    pub fn line(&self, h: usize) -> &Endpoint {
         &self.line[h]
     }
 
@@ -339,14 +339,14 @@
     // ---- Figures of the ready hosts ----
 
     pub fn is_ready(&self, h: usize) -> bool {
-        self.line[h].phase == HostPhase::Ready
+        self.line[h].state == EndpointState::Ready
     }
 
     fn member(&self, h: usize, warm: bool, bounded: bool) -> Member {
         Member {
             host: h,
             size: self.line[h].size,
-            started: self.line[h].started.unwrap_or(0),
+            started: self.line[h].started_at.unwrap_or(0),
             warm,
             bounded,
             heard: self.is_heard(h),
@@ -357,7 +357,7 @@
         if !self.is_ready(h) {
             return;
         }
-        let (started, now) = (self.line[h].started, self.now);
+        let (started, now) = (self.line[h].started_at, self.now);
         let warms = self.warming.insert(started, h, now);
         let bounded = self.bounded.insert(started, h, now);
         self.young.insert(started, h, now);
@@ -374,7 +374,7 @@
         if !self.is_ready(h) {
             return;
         }
-        let started = self.line[h].started;
+        let started = self.line[h].started_at;
         let warms = self.warming.remove(started, h);
         let bounded = self.bounded.remove(started, h);
         self.young.remove(started, h);
@@ -441,7 +441,7 @@
     /// Time since the process started, a very long one where the list does not say.
     pub fn age(&self, h: usize) -> Micros {
         self.line[h]
-            .started
+            .started_at
             .map_or(LONG_AGO, |at| (self.now - at).max(0))
     }
 
@@ -449,7 +449,7 @@
     /// troubled ones may not count.
     pub fn sum_ready(&self, weight: impl Fn(Micros) -> f64, counts: impl Fn(usize) -> bool) -> f64 {
         let warm: usize = self.ready.values().map(|ready| ready.warm().0).sum();
-        let is_warm = |h: usize| !self.warming.contains(self.line[h].started, h);
+        let is_warm = |h: usize| !self.warming.contains(self.line[h].started_at, h);
         let left_out = self
             .troubled()
             .filter(|&h| is_warm(h) && !counts(h))
--- a/crates/spokeflow-core/src/state/mod.rs
+++ b/crates/spokeflow-core/src/state/mod.rs
@@ -10,11 +10,11 @@
 pub use ready::{Member, ReadyHosts, RecentStarts};
 pub use window::Window;
 
-use crate::{BuildId, Gate, Key, Micros, OpTerms, Repeat, RepeatScope};
+use crate::{BuildId, DeduplicationScope, Gate, Key, Micros, OperationConfig, Repeat};
 
 pub struct OpRules {
     pub repeat: Repeat,
-    pub scope: RepeatScope,
+    pub scope: DeduplicationScope,
     pub memory: Micros,
     pub target: f64,
     /// Mean logarithm of the time to an answer and how many it rests on; learned only while none is on trial.
@@ -35,12 +35,12 @@
 }
 
 impl OpRules {
-    pub fn new(op: &OpTerms) -> Self {
+    pub fn new(op: &OperationConfig) -> Self {
         OpRules {
             repeat: op.repeat,
-            scope: op.repeat_scope,
-            memory: op.repeat_memory,
-            target: op.service_target as f64,
+            scope: op.deduplication_scope,
+            memory: op.deduplication_window,
+            target: op.latency_objective as f64,
             usual: 0.0,
             usual_seen: 0,
             acks: 0.0,
--- a/crates/spokeflow-core/src/terms.rs
+++ b/crates/spokeflow-core/src/terms.rs
@@ -4,14 +4,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    Redeliverable,
+    Idempotent,
     Deduplicated,
     AtMostOnce,
 }
 
 /// Which hosts drop the repeat of a deduplicated command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatScope {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -20,14 +20,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct OpTerms {
+pub struct OperationConfig {
     pub repeat: Repeat,
-    pub repeat_scope: RepeatScope,
-    pub repeat_memory: Micros,
-    pub service_target: Micros,
+    pub deduplication_scope: DeduplicationScope,
+    pub deduplication_window: Micros,
+    pub latency_objective: Micros,
     pub command_timeout: Micros,
-    pub importance: f64,
-    pub streamed: bool,
+    pub priority_weight: f64,
+    pub streaming: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -40,49 +40,49 @@
 
 /// What a deployment promises and allows, as told when a router starts.
 #[derive(Clone, Debug)]
-pub struct ServiceTerms {
-    pub ops: Vec<OpTerms>,
+pub struct ServiceConfig {
+    pub ops: Vec<OperationConfig>,
     /// What each customer may send a second, all routers together; above 0.
-    pub shares: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     pub own_zone: ZoneId,
     pub own_index: u32,
     pub fleet_size: u32,
     pub tick: Micros,
-    pub list_must_be_asked: bool,
-    pub list_ask_within: Micros,
+    pub list_requires_subscription: bool,
+    pub list_refresh_within: Micros,
     pub delivery_cap: u32,
-    pub side_by_side: bool,
+    pub may_hedge: bool,
     pub may_cancel: bool,
     pub may_probe: bool,
-    pub may_tell: bool,
-    pub may_name_return: bool,
-    pub longest_return: Micros,
+    pub may_gossip: bool,
+    pub may_name_retry_after: bool,
+    pub longest_retry_after: Micros,
     pub drain_grace: Micros,
-    pub cold_from: f64,
-    pub warm_within: Micros,
-    pub fall_multiple: f64,
-    pub fall_span: Micros,
+    pub slow_start_from: f64,
+    pub warm_up_time: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
     pub gate: Gate,
     pub stage_caps: Vec<f64>,
     pub stage_shares: Vec<f64>,
-    pub exposure_free: f64,
-    pub exposure_span: Micros,
+    pub exposure_allowance: f64,
+    pub exposure_window: Micros,
     pub exposure_by_op: bool,
     pub guarded_stages: u8,
     pub forward_only: bool,
     pub rolling: bool,
     pub stage_bake: Micros,
-    pub vote_life: Micros,
-    pub vote_wait: Micros,
+    pub vote_lifetime: Micros,
+    pub vote_timeout: Micros,
     pub complaint_share: f64,
     /// Routers whose votes send a build back; infinite where that is not told.
-    pub back_votes: u32,
+    pub rollback_votes: u32,
     /// Votes that the desk takes a second from all routers together; 0 where that is not told.
-    pub votes_a_second: f64,
+    pub votes_per_second: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostPhase {
+pub enum EndpointState {
     Gone,
     Ready,
     Draining,
@@ -90,32 +90,32 @@
 
 /// One line of the host list.
 #[derive(Clone, Copy, Debug)]
-pub struct HostLine {
+pub struct Endpoint {
     pub host: HostId,
     /// `None` where the list does not say.
     pub build: Option<BuildId>,
     pub cell: u16,
     pub zone: ZoneId,
-    pub phase: HostPhase,
+    pub state: EndpointState,
     /// Its capacity against other hosts', in any unit; above 0, and 1 where the list does not say.
     pub size: f64,
     /// When the process last started; `None` for long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     Changes,
-    Whole,
+    Complete,
     /// What a router still had when it started: may be old.
-    Remembered,
+    Cached,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeliveryEnd {
+pub enum AttemptOutcome {
     Acked,
     Error,
-    Full,
+    Rejected,
     TimedOut,
     NotConnected,
     Reset,
@@ -123,56 +123,56 @@
     NotSent,
 }
 
-impl DeliveryEnd {
+impl AttemptOutcome {
     /// Whether a delivery that ended so may have had its effect.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
-            DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::NotConnected | AttemptOutcome::NotSent
         )
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    OnTrial,
-    GoingBack,
+pub enum RolloutState {
+    Canary,
+    RollingBack,
     Released,
     Withdrawn,
 }
 
 /// The desk's news on the newest build.
 #[derive(Clone, Copy, Debug)]
-pub struct StageNews {
+pub struct RolloutStatus {
     pub build: BuildId,
     pub stage: u8,
-    pub standing: Standing,
-    pub cap: f64,
+    pub state: RolloutState,
+    pub exposure_cap: f64,
     /// How long this state had stood when the news came.
     pub age: Micros,
 }
 
 /// What the desk counted of one op type at one build, in a sample of all routers' deliveries over a past period.
 #[derive(Clone, Copy, Debug)]
-pub struct DeskCount {
+pub struct ControllerStats {
     pub build: BuildId,
     pub op: OpType,
     pub sampled: u32,
     /// Those that did not end with an ack.
-    pub lost: u32,
+    pub failed: u32,
     /// Mean time of the others.
-    pub mean: Micros,
+    pub mean_latency: Micros,
     /// How long ago the period ended.
     pub age: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VoteAnswer {
+pub enum VoteOutcome {
     Counted,
     /// Not the present build or stage, or no such verdict here.
-    Moot,
-    TooMany,
+    Stale,
+    RateLimited,
     Refused,
     /// No answer in time: it may count.
-    Silence,
+    NoResponse,
 }
--- a/crates/spokeflow-core/tests/common/mod.rs
+++ b/crates/spokeflow-core/tests/common/mod.rs
@@ -12,57 +12,57 @@
 pub const OLD: BuildId = BuildId(7);
 pub const NEW: BuildId = BuildId(8);
 
-pub fn terms(gate: Gate) -> ServiceTerms {
-    let op = |repeat, repeat_scope| OpTerms {
+pub fn terms(gate: Gate) -> ServiceConfig {
+    let op = |repeat, repeat_scope| OperationConfig {
         repeat,
-        repeat_scope,
-        repeat_memory: 800 * MS,
-        service_target: 600 * MS,
+        deduplication_scope: repeat_scope,
+        deduplication_window: 800 * MS,
+        latency_objective: 600 * MS,
         command_timeout: 2 * SECOND,
-        importance: 1.0,
-        streamed: false,
+        priority_weight: 1.0,
+        streaming: false,
     };
-    ServiceTerms {
+    ServiceConfig {
         ops: vec![
-            op(Repeat::Redeliverable, RepeatScope::Unknown),
-            op(Repeat::Deduplicated, RepeatScope::All),
-            op(Repeat::AtMostOnce, RepeatScope::Unknown),
-            op(Repeat::Deduplicated, RepeatScope::Zone),
+            op(Repeat::Idempotent, DeduplicationScope::Unknown),
+            op(Repeat::Deduplicated, DeduplicationScope::All),
+            op(Repeat::AtMostOnce, DeduplicationScope::Unknown),
+            op(Repeat::Deduplicated, DeduplicationScope::Zone),
         ],
-        shares: vec![20.0, 5.0],
+        tenant_quotas: vec![20.0, 5.0],
         own_zone: ZoneId(0),
         own_index: 0,
         fleet_size: 3,
         tick: 5 * MS,
-        list_must_be_asked: true,
-        list_ask_within: 10 * SECOND,
+        list_requires_subscription: true,
+        list_refresh_within: 10 * SECOND,
         delivery_cap: 4,
-        side_by_side: true,
+        may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_tell: true,
-        may_name_return: true,
-        longest_return: 2 * SECOND,
+        may_gossip: true,
+        may_name_retry_after: true,
+        longest_retry_after: 2 * SECOND,
         drain_grace: 250 * MS,
-        cold_from: 0.4,
-        warm_within: 4 * SECOND,
-        fall_multiple: 3.0,
-        fall_span: 2 * SECOND,
+        slow_start_from: 0.4,
+        warm_up_time: 4 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 2 * SECOND,
         gate,
         stage_caps: vec![0.1, 0.4, 1.0],
         stage_shares: vec![0.1, 0.4, 1.0],
-        exposure_free: 2.0,
-        exposure_span: 4 * SECOND,
+        exposure_allowance: 2.0,
+        exposure_window: 4 * SECOND,
         exposure_by_op: false,
         guarded_stages: 0,
         forward_only: true,
         rolling: true,
         stage_bake: SECOND,
-        vote_life: 6 * SECOND,
-        vote_wait: 2 * SECOND,
+        vote_lifetime: 6 * SECOND,
+        vote_timeout: 2 * SECOND,
         complaint_share: 0.2,
-        back_votes: 0,
-        votes_a_second: f64::INFINITY,
+        rollback_votes: 0,
+        votes_per_second: f64::INFINITY,
     }
 }
 
@@ -86,11 +86,11 @@
 /// What the rules are checked against: only what the module was told.
 pub struct Ledger {
     pub now: Micros,
-    pub terms: ServiceTerms,
-    pub lines: BTreeMap<HostId, HostLine>,
+    pub terms: ServiceConfig,
+    pub lines: BTreeMap<HostId, Endpoint>,
     pub owed: BTreeMap<CommandId, Owed>,
-    pub news: Option<StageNews>,
-    pub votes: Vec<(BuildId, u8, Verdict)>,
+    pub news: Option<RolloutStatus>,
+    pub votes: Vec<(BuildId, u8, RolloutVote)>,
     pub nacks: Vec<(CommandId, Option<Micros>)>,
     pub fails: Vec<CommandId>,
     pub list_asked: u32,
@@ -104,7 +104,7 @@
 }
 
 impl Ledger {
-    pub fn start(terms: ServiceTerms, seed: u64) -> (Router, Ledger) {
+    pub fn start(terms: ServiceConfig, seed: u64) -> (Router, Ledger) {
         let mut ledger = Ledger {
             now: 100 * SECOND,
             terms,
@@ -127,10 +127,10 @@
         (router, ledger)
     }
 
-    pub fn list(&mut self, router: &mut Router, kind: ListKind, lines: &[HostLine]) {
+    pub fn list(&mut self, router: &mut Router, kind: ListKind, lines: &[Endpoint]) {
         for line in lines {
             let before = self.lines.insert(line.host, *line);
-            if before.is_none_or(|b| b.started != line.started || b.build != line.build) {
+            if before.is_none_or(|b| b.started_at != line.started_at || b.build != line.build) {
                 self.since_start.insert(line.host, (0, 0));
             }
         }
@@ -139,18 +139,21 @@
             self.lines
                 .iter_mut()
                 .filter(|(host, _)| !named(host))
-                .for_each(|(_, l)| l.phase = HostPhase::Gone);
+                .for_each(|(_, l)| l.state = EndpointState::Gone);
         }
-        router.at(self.now).listed(kind, lines, self);
+        router.set_time(self.now).on_endpoints(kind, lines, self);
     }
 
-    pub fn tell(&mut self, router: &mut Router, news: StageNews) {
+    pub fn tell(&mut self, router: &mut Router, news: RolloutStatus) {
         self.news = Some(news);
         // Rule 5 speaks of the newest build told, on trial or released, and of later ones.
-        let back = matches!(news.standing, Standing::GoingBack | Standing::Withdrawn);
+        let back = matches!(
+            news.state,
+            RolloutState::RollingBack | RolloutState::Withdrawn
+        );
         self.answered_by
             .retain(|_, b| *b > news.build || *b == news.build && !back);
-        router.at(self.now).told(news, self);
+        router.set_time(self.now).on_rollout_status(news, self);
     }
 
     pub fn command(&mut self, router: &mut Router, id: u32, op: usize, key: u64, left: Micros) {
@@ -164,10 +167,10 @@
             sent: Vec::new(),
         };
         self.owed.insert(CommandId(id), owed);
-        router.at(self.now).command(
+        router.set_time(self.now).on_command(
             CommandId(id),
             OpType(op as u16),
-            ShareId(id % 3),
+            TenantId(id % 3),
             Key(key),
             left,
             self,
@@ -184,30 +187,30 @@
             .collect()
     }
 
-    pub fn end(&mut self, router: &mut Router, cmd: CommandId, nth: usize, end: DeliveryEnd) {
+    pub fn end(&mut self, router: &mut Router, cmd: CommandId, nth: usize, end: AttemptOutcome) {
         let owed = self.owed.get_mut(&cmd).expect("known");
         let sent = &mut owed.sent[nth];
         sent.open = false;
         let took = self.now - sent.at;
         sent.may_have_run = !matches!(
             end,
-            DeliveryEnd::Full | DeliveryEnd::NotConnected | DeliveryEnd::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::NotConnected | AttemptOutcome::NotSent
         );
         let (host, sent_may_have_run) = (sent.host, sent.may_have_run);
-        owed.answered |= end == DeliveryEnd::Acked;
+        owed.answered |= end == AttemptOutcome::Acked;
         let (closed, key) = (owed.answered, owed.key);
         let build = self.lines[&host].build.expect("listed");
         let since = self.since_start.entry(host).or_default();
         since.0 = since.0.saturating_sub(1);
-        if end == DeliveryEnd::Acked {
+        if end == AttemptOutcome::Acked {
             since.1 += 1;
         }
         // An answer counts from its writing, whether or not it was read; what errs or never ran has written none.
-        if sent_may_have_run && end != DeliveryEnd::Error {
+        if sent_may_have_run && end != AttemptOutcome::Error {
             let back = self.news.is_some_and(|n| {
                 n.build > build
                     || n.build == build
-                        && matches!(n.standing, Standing::GoingBack | Standing::Withdrawn)
+                        && matches!(n.state, RolloutState::RollingBack | RolloutState::Withdrawn)
             });
             if key.0 != 0 && !back {
                 let newest = self.answered_by.entry(key).or_insert(build);
@@ -215,8 +218,8 @@
             }
         }
         router
-            .at(self.now)
-            .ended(cmd, nth as u8, end, took, closed, self);
+            .set_time(self.now)
+            .on_attempt_outcome(cmd, nth as u8, end, took, closed, self);
     }
 
     /// Lets time pass: wakes the module when it asked for it and runs deliveries out at the client's time.
@@ -226,11 +229,11 @@
             self.now = (self.now + 5 * MS).min(to);
             if self.now >= self.wake_at {
                 self.wake_at = Micros::MAX;
-                router.at(self.now).woken(self);
+                router.set_time(self.now).on_timer(self);
             }
             for (cmd, nth) in self.open() {
                 if self.owed[&cmd].until <= self.now {
-                    self.end(router, cmd, nth, DeliveryEnd::TimedOut);
+                    self.end(router, cmd, nth, AttemptOutcome::TimedOut);
                 }
             }
             let overdue = self
@@ -255,8 +258,8 @@
         let rules = &self.terms.ops[owed.op];
         let ran = owed.sent.iter().any(|s| s.may_have_run);
         let may_nack = match rules.repeat {
-            Repeat::Redeliverable => true,
-            Repeat::Deduplicated => !ran || rules.repeat_scope == RepeatScope::All,
+            Repeat::Idempotent => true,
+            Repeat::Deduplicated => !ran || rules.deduplication_scope == DeduplicationScope::All,
             Repeat::AtMostOnce => !ran,
         };
         assert!(
@@ -283,26 +286,26 @@
         if rules.repeat == Repeat::Deduplicated {
             for s in ran {
                 assert!(
-                    self.now < s.at + rules.repeat_memory,
+                    self.now < s.at + rules.deduplication_window,
                     "rule 2: repeat after the memory"
                 );
-                let same =
-                    rules.repeat_scope == RepeatScope::All || self.lines[&s.host].zone == line.zone;
+                let same = rules.deduplication_scope == DeduplicationScope::All
+                    || self.lines[&s.host].zone == line.zone;
                 assert!(same, "rule 2: repeat outside its group");
             }
         }
         assert!(
-            self.terms.side_by_side || owed.sent.iter().all(|s| !s.open),
+            self.terms.may_hedge || owed.sent.iter().all(|s| !s.open),
             "rule 2: two at once"
         );
         assert_eq!(
-            line.phase,
-            HostPhase::Ready,
+            line.state,
+            EndpointState::Ready,
             "rule 3: sent to a host that drains or is gone"
         );
         let fresh = line
-            .started
-            .is_some_and(|at| self.now < at + self.terms.warm_within);
+            .started_at
+            .is_some_and(|at| self.now < at + self.terms.warm_up_time);
         let (op, key) = (owed.op, owed.key);
         owed.sent.push(Sent {
             host,
@@ -326,21 +329,21 @@
             "rule 5: back below the build that answered the key"
         );
         let Some(news) = self.news else { return };
-        if build > news.build || (build == news.build && news.standing != Standing::Released) {
+        if build > news.build || (build == news.build && news.state != RolloutState::Released) {
             let announced = build == news.build;
             let cap = if announced {
-                news.cap
+                news.exposure_cap
             } else {
                 self.terms.stage_caps[0]
             };
             let guarded = (if announced { news.stage } else { 0 }) < self.terms.guarded_stages;
             assert!(
-                !guarded || self.terms.ops[op].repeat == Repeat::Redeliverable,
+                !guarded || self.terms.ops[op].repeat == Repeat::Idempotent,
                 "rule 5: guarded stage"
             );
             let (slot, from) = (
                 if self.terms.exposure_by_op { op } else { 0 },
-                self.now - self.terms.exposure_span,
+                self.now - self.terms.exposure_window,
             );
             self.exposed.push((self.now, slot, build));
             let sent = self
@@ -354,7 +357,7 @@
                 .filter(|t| t.0 > from && t.1 == slot)
                 .count() as f64;
             assert!(
-                cap > 0.0 && sent <= self.terms.exposure_free + cap * taken + 1e-9,
+                cap > 0.0 && sent <= self.terms.exposure_allowance + cap * taken + 1e-9,
                 "rule 5: {sent} of {taken}"
             );
         }
@@ -381,10 +384,10 @@
         self.wake_at = self.wake_at.min(at);
     }
 
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: Verdict) {
+    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote) {
         let known = match self.terms.gate {
-            Gate::Clocked => verdict != Verdict::On,
-            Gate::Single | Gate::Majority => verdict != Verdict::Hold,
+            Gate::Clocked => verdict != RolloutVote::Promote,
+            Gate::Single | Gate::Majority => verdict != RolloutVote::Hold,
         };
         assert!(known, "a verdict that this gate does not know");
         self.votes.push((build, stage, verdict));
@@ -400,30 +403,30 @@
         self.list_asked += 1;
     }
 
-    fn tell(&mut self, _router: Option<u32>, text: &[u8]) {
+    fn gossip(&mut self, _router: Option<u32>, text: &[u8]) {
         assert!(text.len() <= 256);
         self.told.push(text.to_vec());
     }
 }
 
-pub fn line(host: u32, build: BuildId) -> HostLine {
-    HostLine {
+pub fn line(host: u32, build: BuildId) -> Endpoint {
+    Endpoint {
         host: HostId(host),
         build: Some(build),
         cell: (host % 4) as u16,
         zone: ZoneId((host % 2) as u16),
-        phase: HostPhase::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-pub fn news(build: BuildId, stage: u8, standing: Standing, cap: f64) -> StageNews {
-    StageNews {
+pub fn news(build: BuildId, stage: u8, standing: RolloutState, cap: f64) -> RolloutStatus {
+    RolloutStatus {
         build,
         stage,
-        standing,
-        cap,
+        state: standing,
+        exposure_cap: cap,
         age: 0,
     }
 }
@@ -442,9 +445,9 @@
     fn fail(&mut self, _: CommandId) {}
     fn cancel(&mut self, _: CommandId, _: u8) {}
     fn wake(&mut self, _: Micros) {}
-    fn vote(&mut self, _: BuildId, _: u8, _: Verdict) {}
+    fn vote(&mut self, _: BuildId, _: u8, _: RolloutVote) {}
     fn probe(&mut self, _: HostId) {}
     fn watch_list(&mut self) {}
     fn fetch_list(&mut self) {}
-    fn tell(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn gossip(&mut self, _: Option<u32>, _: &[u8]) {}
 }
--- a/crates/spokeflow-core/tests/kept_figures.rs
+++ b/crates/spokeflow-core/tests/kept_figures.rs
@@ -44,7 +44,7 @@
 }
 
 fn ready(hosts: &Hosts) -> impl Iterator<Item = usize> + '_ {
-    all(hosts).filter(|&h| hosts.line(h).phase == HostPhase::Ready)
+    all(hosts).filter(|&h| hosts.line(h).state == EndpointState::Ready)
 }
 
 fn ready_of(hosts: &Hosts, build: BuildId) -> Vec<usize> {
@@ -58,7 +58,7 @@
 fn age(hosts: &Hosts, h: usize) -> Micros {
     hosts
         .line(h)
-        .started
+        .started_at
         .map_or(Micros::MAX / 2, |started| (hosts.now() - started).max(0))
 }
 
@@ -126,7 +126,7 @@
     let latest = |hosts: &Hosts, plain: &[usize]| {
         plain
             .iter()
-            .map(|&h| hosts.line(h).started.unwrap_or(0))
+            .map(|&h| hosts.line(h).started_at.unwrap_or(0))
             .max()
             .unwrap_or(0)
     };
@@ -236,7 +236,7 @@
         );
         assert!(
             kept.iter()
-                .all(|&h| hosts.line(h).phase == HostPhase::Ready),
+                .all(|&h| hosts.line(h).state == EndpointState::Ready),
             "none that is not ready"
         );
         // The shut time of those that are open again ended within the last interval of wake-ups.
@@ -292,14 +292,14 @@
         young: 3 * SECOND,
     };
     let mut hosts = Hosts::new(0, spans, 0);
-    let line = HostLine {
+    let line = Endpoint {
         host: HostId(1),
         build: Some(BuildId(1)),
         cell: 0,
         zone: ZoneId(0),
-        phase: HostPhase::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
-        started: None,
+        started_at: None,
     };
     let h = hosts.add(&line);
     hosts.update(h, &line);
@@ -307,8 +307,8 @@
     assert_eq!(hosts.blamed().collect::<Vec<_>>(), [h]);
     hosts.update(
         h,
-        &HostLine {
-            started: Some(0),
+        &Endpoint {
+            started_at: Some(0),
             ..line
         },
     );
--- a/crates/spokeflow-core/tests/level.rs
+++ b/crates/spokeflow-core/tests/level.rs
@@ -32,24 +32,31 @@
 fn pins_of_a_released_build_do_not_grow_with_the_keys_ever_met() {
     let mut out = Quiet::default();
     let mut router = Router::new(&terms(Gate::Single), 3, 0, &mut out);
-    let hosts: Vec<HostLine> = (0..8).map(|h| line(h, NEW)).collect();
-    router.at(0).listed(ListKind::Whole, &hosts, &mut out);
+    let hosts: Vec<Endpoint> = (0..8).map(|h| line(h, NEW)).collect();
     router
-        .at(0)
-        .told(news(NEW, 2, Standing::Released, 1.0), &mut out);
+        .set_time(0)
+        .on_endpoints(ListKind::Complete, &hosts, &mut out);
+    router
+        .set_time(0)
+        .on_rollout_status(news(NEW, 2, RolloutState::Released, 1.0), &mut out);
     let mut after = |keys: std::ops::Range<u32>| {
         for n in keys {
             let now = Micros::from(n) * 10 * MS;
             let (cmd, key) = (CommandId(n), Key(u64::from(n) + 1));
             router
-                .at(now)
-                .command(cmd, OpType(0), ShareId(0), key, SECOND, &mut out);
+                .set_time(now)
+                .on_command(cmd, OpType(0), TenantId(0), key, SECOND, &mut out);
             for cmd in std::mem::take(&mut out.sent) {
-                router
-                    .at(now)
-                    .ended(cmd, 0, DeliveryEnd::Acked, 50 * MS, true, &mut out);
+                router.set_time(now).on_attempt_outcome(
+                    cmd,
+                    0,
+                    AttemptOutcome::Acked,
+                    50 * MS,
+                    true,
+                    &mut out,
+                );
             }
-            router.at(now).woken(&mut out);
+            router.set_time(now).on_timer(&mut out);
         }
         IN_USE.load(Relaxed)
     };
--- a/crates/spokeflow-core/tests/plain.rs
+++ b/crates/spokeflow-core/tests/plain.rs
@@ -6,25 +6,25 @@
 use spokeflow_core::*;
 
 /// A fleet of six old and four new hosts, its time before the trial already lived through.
-fn fleet(gate: Gate, change: impl Fn(&mut ServiceTerms)) -> (Router, Ledger) {
+fn fleet(gate: Gate, change: impl Fn(&mut ServiceConfig)) -> (Router, Ledger) {
     let mut terms = terms(gate);
     change(&mut terms);
     let (mut router, mut ledger) = Ledger::start(terms, 5);
-    ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-    let old: Vec<HostLine> = (0..10).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Remembered, &old);
+    ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
+    let old: Vec<Endpoint> = (0..10).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Cached, &old);
     serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| {
-        (DeliveryEnd::Acked, 50 * MS)
+        (AttemptOutcome::Acked, 50 * MS)
     });
     let started = ledger.now - 5 * SECOND;
-    let new: Vec<HostLine> = (6..10)
-        .map(|h| HostLine {
-            started: Some(started),
+    let new: Vec<Endpoint> = (6..10)
+        .map(|h| Endpoint {
+            started_at: Some(started),
             ..line(h, NEW)
         })
         .collect();
     ledger.list(&mut router, ListKind::Changes, &new);
-    ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
+    ledger.tell(&mut router, news(NEW, 1, RolloutState::Canary, 0.4));
     (router, ledger)
 }
 
@@ -33,7 +33,7 @@
     router: &mut Router,
     ledger: &mut Ledger,
     span: Micros,
-    host: impl Fn(HostId, usize, u32) -> (DeliveryEnd, Micros),
+    host: impl Fn(HostId, usize, u32) -> (AttemptOutcome, Micros),
 ) {
     let to = ledger.now + span;
     while ledger.now < to {
@@ -65,12 +65,12 @@
     f64::from(new) / f64::from(all)
 }
 
-fn votes(ledger: &Ledger, verdict: Verdict) -> usize {
+fn votes(ledger: &Ledger, verdict: RolloutVote) -> usize {
     ledger.votes.iter().filter(|v| v.2 == verdict).count()
 }
 
-const GOOD: (DeliveryEnd, Micros) = (DeliveryEnd::Acked, 50 * MS);
-const BAD: (DeliveryEnd, Micros) = (DeliveryEnd::Error, 20 * MS);
+const GOOD: (AttemptOutcome, Micros) = (AttemptOutcome::Acked, 50 * MS);
+const BAD: (AttemptOutcome, Micros) = (AttemptOutcome::Error, 20 * MS);
 
 #[test]
 fn lane_grows_over_seconds_and_stays_within_the_cap() {
@@ -113,7 +113,7 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
     assert!(
-        votes(&ledger, Verdict::On) > 0 && votes(&ledger, Verdict::Back) == 0,
+        votes(&ledger, RolloutVote::Promote) > 0 && votes(&ledger, RolloutVote::RollBack) == 0,
         "{:?}",
         ledger.votes
     );
@@ -130,7 +130,7 @@
         }
     };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
-    assert!(votes(&ledger, Verdict::Back) > 0);
+    assert!(votes(&ledger, RolloutVote::RollBack) > 0);
 }
 
 #[test]
@@ -138,20 +138,20 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 12 * SECOND, |h, _, _| {
         (
-            DeliveryEnd::Acked,
+            AttemptOutcome::Acked,
             if h.0 >= 6 { 150 * MS } else { 50 * MS },
         )
     });
-    assert!(votes(&ledger, Verdict::Back) > 0);
+    assert!(votes(&ledger, RolloutVote::RollBack) > 0);
 }
 
 #[test]
 fn a_build_that_slows_all_hosts_alike_goes_back() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 12 * SECOND, |_, _, _| {
-        (DeliveryEnd::Acked, 150 * MS)
+        (AttemptOutcome::Acked, 150 * MS)
     });
-    assert!(votes(&ledger, Verdict::Back) > 0);
+    assert!(votes(&ledger, RolloutVote::RollBack) > 0);
 }
 
 #[test]
@@ -165,7 +165,7 @@
         }
     };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
-    assert!(votes(&ledger, Verdict::Hold) > 0 && votes(&ledger, Verdict::Back) > 0);
+    assert!(votes(&ledger, RolloutVote::Hold) > 0 && votes(&ledger, RolloutVote::RollBack) > 0);
 }
 
 #[test]
@@ -178,14 +178,14 @@
             GOOD
         }
     });
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
 fn a_cold_host_that_errs_fast_is_not_sent_everything() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let cold = HostLine {
-        started: Some(ledger.now),
+    let cold = Endpoint {
+        started_at: Some(ledger.now),
         ..line(3, OLD)
     };
     ledger.list(&mut router, ListKind::Changes, &[cold]);
@@ -210,10 +210,10 @@
 #[test]
 fn a_storm_while_most_hosts_are_dead_does_not_raise_what_a_cold_host_is_sent() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    ledger.tell(&mut router, news(NEW, 2, Standing::Released, 1.0));
-    let gone: Vec<HostLine> = (0..9)
-        .map(|h| HostLine {
-            phase: HostPhase::Gone,
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Released, 1.0));
+    let gone: Vec<Endpoint> = (0..9)
+        .map(|h| Endpoint {
+            state: EndpointState::Gone,
             ..line(h, OLD)
         })
         .collect();
@@ -221,9 +221,9 @@
     let mut storm = |router: &mut Router, span: Micros| {
         let (from, to) = (ledger.now, ledger.now + span);
         if span < 3 * SECOND {
-            let cold = HostLine {
-                started: Some(from),
-                phase: HostPhase::Ready,
+            let cold = Endpoint {
+                started_at: Some(from),
+                state: EndpointState::Ready,
                 ..line(3, NEW)
             };
             ledger.list(router, ListKind::Changes, &[cold]);
@@ -253,7 +253,7 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let host = |h: HostId, _, _| {
         (
-            DeliveryEnd::Acked,
+            AttemptOutcome::Acked,
             if h.0 == 2 { 90 * SECOND } else { 50 * MS },
         )
     };
@@ -274,26 +274,40 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 5 * SECOND, |_, _, _| GOOD);
     for _ in 0..4 {
-        router.at(ledger.now).disputed(HostId(77), SECOND);
-        router.at(ledger.now).disputed(HostId(7), 60 * SECOND);
-        router.at(ledger.now).disputed(HostId(1), SECOND);
+        router
+            .set_time(ledger.now)
+            .on_wrong_answer(HostId(77), SECOND);
+        router
+            .set_time(ledger.now)
+            .on_wrong_answer(HostId(7), 60 * SECOND);
+        router
+            .set_time(ledger.now)
+            .on_wrong_answer(HostId(1), SECOND);
     }
     ledger.pass(&mut router, SECOND);
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
-    (0..4).for_each(|_| router.at(ledger.now).disputed(HostId(7), SECOND));
-    router.at(ledger.now).vote_answered(VoteAnswer::Counted);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
+    (0..4).for_each(|_| {
+        router
+            .set_time(ledger.now)
+            .on_wrong_answer(HostId(7), SECOND)
+    });
+    router
+        .set_time(ledger.now)
+        .on_vote_outcome(VoteOutcome::Counted);
     ledger.pass(&mut router, SECOND);
-    assert!(votes(&ledger, Verdict::Back) > 0);
+    assert!(votes(&ledger, RolloutVote::RollBack) > 0);
 }
 
 #[test]
 fn a_vote_without_an_answer_is_cast_again() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
-    let cast = votes(&ledger, Verdict::On);
-    router.at(ledger.now).vote_answered(VoteAnswer::Silence);
+    let cast = votes(&ledger, RolloutVote::Promote);
+    router
+        .set_time(ledger.now)
+        .on_vote_outcome(VoteOutcome::NoResponse);
     serve(&mut router, &mut ledger, 4 * SECOND, |_, _, _| GOOD);
-    assert!(votes(&ledger, Verdict::On) > cast);
+    assert!(votes(&ledger, RolloutVote::Promote) > cast);
 }
 
 /// The desk's counts over periods of two seconds: of each op type at the old and the new build, how many were sampled
@@ -309,15 +323,15 @@
         ledger.pass(router, 2 * SECOND);
         for (build, (sampled, lost, mean)) in [(OLD, old), (NEW, new)] {
             for op in 0..3 {
-                let count = DeskCount {
+                let count = ControllerStats {
                     build,
                     op: OpType(op),
                     sampled,
-                    lost,
-                    mean,
+                    failed: lost,
+                    mean_latency: mean,
                     age: SECOND,
                 };
-                router.at(ledger.now).counted(count);
+                router.set_time(ledger.now).on_controller_stats(count);
             }
         }
     }
@@ -351,23 +365,23 @@
     ];
     for (what, old, new, back) in cases {
         let mut terms = terms(Gate::Majority);
-        (terms.rolling, terms.fleet_size, terms.back_votes) = (false, 100, 25);
+        (terms.rolling, terms.fleet_size, terms.rollback_votes) = (false, 100, 25);
         let (mut router, mut ledger) = Ledger::start(terms, 5);
-        ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-        let hosts: Vec<HostLine> = (0..10)
+        ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
+        let hosts: Vec<Endpoint> = (0..10)
             .map(|h| line(h, if h < 6 { OLD } else { NEW }))
             .collect();
-        ledger.list(&mut router, ListKind::Remembered, &hosts);
+        ledger.list(&mut router, ListKind::Cached, &hosts);
         count(&mut router, &mut ledger, 4, (40, 0, 80 * MS), (0, 0, 0));
-        ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
+        ledger.tell(&mut router, news(NEW, 1, RolloutState::Canary, 0.4));
         count(&mut router, &mut ledger, 1, old, new);
         assert_eq!(
-            votes(&ledger, Verdict::Back),
+            votes(&ledger, RolloutVote::RollBack),
             0,
             "{what}: one period convicts nobody"
         );
         count(&mut router, &mut ledger, 6, old, new);
-        assert_eq!(votes(&ledger, Verdict::Back) > 0, back, "{what}");
+        assert_eq!(votes(&ledger, RolloutVote::RollBack) > 0, back, "{what}");
     }
 }
 
@@ -375,13 +389,15 @@
 fn one_report_of_a_wrong_answer_speaks_only_where_many_must_agree() {
     for (back_votes, back) in [(25, true), (5, false)] {
         let (mut router, mut ledger) = fleet(Gate::Clocked, |t| {
-            (t.fleet_size, t.back_votes, t.complaint_share) = (100, back_votes, 0.5)
+            (t.fleet_size, t.rollback_votes, t.complaint_share) = (100, back_votes, 0.5)
         });
         serve(&mut router, &mut ledger, 2 * SECOND, |_, _, _| GOOD);
-        router.at(ledger.now).disputed(HostId(7), SECOND);
+        router
+            .set_time(ledger.now)
+            .on_wrong_answer(HostId(7), SECOND);
         ledger.pass(&mut router, SECOND);
         assert_eq!(
-            votes(&ledger, Verdict::Back) > 0,
+            votes(&ledger, RolloutVote::RollBack) > 0,
             back,
             "{back_votes} of 100"
         );
@@ -392,12 +408,12 @@
 fn where_few_votes_send_back_own_slowness_weighs_less() {
     let until_back = |back_votes| {
         let (mut router, mut ledger) = fleet(Gate::Clocked, |t| {
-            (t.fleet_size, t.back_votes) = (100, back_votes)
+            (t.fleet_size, t.rollback_votes) = (100, back_votes)
         });
         let from = ledger.now;
-        while votes(&ledger, Verdict::Back) == 0 && ledger.now < from + 30 * SECOND {
+        while votes(&ledger, RolloutVote::RollBack) == 0 && ledger.now < from + 30 * SECOND {
             serve(&mut router, &mut ledger, 100 * MS, |_, _, _| {
-                (DeliveryEnd::Acked, 190 * MS)
+                (AttemptOutcome::Acked, 190 * MS)
             });
         }
         ledger.now - from
@@ -410,10 +426,10 @@
 fn an_op_type_that_waits_at_every_host_is_no_bad_build() {
     let (mut router, mut ledger) = fleet(Gate::Clocked, |_| {});
     serve(&mut router, &mut ledger, 12 * SECOND, |_, op, _| match op {
-        2 => (DeliveryEnd::TimedOut, 700 * MS),
+        2 => (AttemptOutcome::TimedOut, 700 * MS),
         _ => GOOD,
     });
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
@@ -427,12 +443,12 @@
             .count()
     };
     serve(&mut router, &mut ledger, 12 * SECOND, |_, op, _| match op {
-        1 => (DeliveryEnd::Acked, 1500 * MS),
+        1 => (AttemptOutcome::Acked, 1500 * MS),
         _ => GOOD,
     });
     let before = nacked(&ledger, 0) + nacked(&ledger, 2);
     serve(&mut router, &mut ledger, 6 * SECOND, |_, op, _| match op {
-        1 => (DeliveryEnd::Acked, 1500 * MS),
+        1 => (AttemptOutcome::Acked, 1500 * MS),
         _ => GOOD,
     });
     assert!(nacked(&ledger, 1) > 0, "what waits is bounded too");
@@ -455,13 +471,13 @@
 #[test]
 fn where_hosts_take_no_new_connection_a_router_keeps_to_those_that_answer() {
     let (mut router, mut ledger) = Ledger::start(terms(Gate::Single), 5);
-    ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-    let hosts: Vec<HostLine> = (0..60).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Remembered, &hosts);
+    ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
+    let hosts: Vec<Endpoint> = (0..60).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Cached, &hosts);
     serve(&mut router, &mut ledger, 3 * SECOND, |host, _, _| {
         match host.0 % 3 {
             0 => GOOD,
-            _ => (DeliveryEnd::NotConnected, 5 * MS),
+            _ => (AttemptOutcome::NotConnected, 5 * MS),
         }
     });
     let sent = || ledger.owed.values().flat_map(|o| &o.sent);
@@ -478,15 +494,15 @@
     let mut terms = terms(Gate::Single);
     terms.fleet_size = 1;
     let (mut router, mut ledger) = Ledger::start(terms, 5);
-    ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
+    ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
     let size = |h| if h < 2 { 3.0 } else { 1.0 };
-    let hosts: Vec<HostLine> = (0..4)
-        .map(|h| HostLine {
+    let hosts: Vec<Endpoint> = (0..4)
+        .map(|h| Endpoint {
             size: size(h),
             ..line(h, OLD)
         })
         .collect();
-    ledger.list(&mut router, ListKind::Remembered, &hosts);
+    ledger.list(&mut router, ListKind::Cached, &hosts);
     let share = |ledger: &Ledger, from: Micros, hosts: std::ops::Range<u32>| {
         let sent = ledger
             .owed
@@ -505,8 +521,8 @@
     for _ in 0..12 {
         (0..4).for_each(|h| {
             router
-                .at(ledger.now)
-                .reported(HostId(h), if h == 0 { 0.95 } else { 0.3 })
+                .set_time(ledger.now)
+                .on_load_report(HostId(h), if h == 0 { 0.95 } else { 0.3 })
         });
         serve(&mut router, &mut ledger, SECOND / 2, |_, _, _| GOOD);
     }
@@ -517,12 +533,15 @@
 fn side_by_side_stages_go_on_at_once_and_the_release_waits() {
     let (mut router, mut ledger) = fleet(Gate::Majority, |t| t.rolling = false);
     serve(&mut router, &mut ledger, SECOND, |_, _, _| GOOD);
-    assert!(votes(&ledger, Verdict::On) > 0, "the present stage goes on");
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
-    let cast = votes(&ledger, Verdict::On);
+    assert!(
+        votes(&ledger, RolloutVote::Promote) > 0,
+        "the present stage goes on"
+    );
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
+    let cast = votes(&ledger, RolloutVote::Promote);
     serve(&mut router, &mut ledger, 5 * SECOND, |_, _, _| GOOD);
     assert_eq!(
-        votes(&ledger, Verdict::On),
+        votes(&ledger, RolloutVote::Promote),
         cast,
         "the release waits for the whole traffic"
     );
@@ -534,15 +553,20 @@
     // The ledger gives each command the customer of its number modulo three, the last two being one.
     let host = |_: HostId, _, n: u32| if n % 3 < 1 { BAD } else { GOOD };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
 fn an_op_type_that_waits_at_every_host_does_not_convict_the_build() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let host = |_: HostId, op, _| (DeliveryEnd::Acked, if op == 1 { 500 * MS } else { 50 * MS });
+    let host = |_: HostId, op, _| {
+        (
+            AttemptOutcome::Acked,
+            if op == 1 { 500 * MS } else { 50 * MS },
+        )
+    };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
@@ -550,13 +574,13 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let host = |_: HostId, _, n| {
         if n % 4 == 0 {
-            (DeliveryEnd::TimedOut, 300 * MS)
+            (AttemptOutcome::TimedOut, 300 * MS)
         } else {
             GOOD
         }
     };
     serve(&mut router, &mut ledger, 12 * SECOND, host);
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
@@ -564,7 +588,7 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let host = |h: HostId, _, _| {
         (
-            DeliveryEnd::Acked,
+            AttemptOutcome::Acked,
             if h.0 % 2 == 1 { 500 * MS } else { 50 * MS },
         )
     };
@@ -578,7 +602,7 @@
         .filter(|s| s.at >= from);
     let (far, all) = sent.fold((0, 0), |(far, all), s| (far + s.host.0 % 2, all + 1));
     assert!(far * 5 < all, "{far} of {all}");
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 #[test]
@@ -586,16 +610,16 @@
     let mut terms = terms(Gate::Single);
     terms.fleet_size = 500;
     let (mut router, mut ledger) = Ledger::start(terms, 5);
-    ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-    let all: Vec<HostLine> = (0..100).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Remembered, &all);
+    ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
+    let all: Vec<Endpoint> = (0..100).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Cached, &all);
     for id in 0..60 {
         ledger.command(&mut router, id, 0, 0, 1900 * MS);
         ledger.pass(&mut router, 400 * MS);
         ledger
             .open()
             .into_iter()
-            .for_each(|(cmd, nth)| ledger.end(&mut router, cmd, nth, DeliveryEnd::Acked));
+            .for_each(|(cmd, nth)| ledger.end(&mut router, cmd, nth, AttemptOutcome::Acked));
     }
     let met: std::collections::BTreeSet<_> = ledger
         .owed
@@ -608,15 +632,21 @@
 
 #[test]
 fn the_memory_of_a_deduplicated_command_counts_from_its_first_delivery() {
-    let (mut router, mut ledger) = fleet(Gate::Single, |t| t.ops[1].service_target = 2 * SECOND);
+    let (mut router, mut ledger) = fleet(Gate::Single, |t| t.ops[1].latency_objective = 2 * SECOND);
     ledger.command(&mut router, 9_000, 1, 5, 1900 * MS);
     let first = ledger.owed[&CommandId(9_000)].sent[0].host;
     // The host answers nothing: a copy goes out beside the first, which then turns out never to have run.
     ledger.pass(&mut router, 750 * MS);
     let copies = ledger.owed[&CommandId(9_000)].sent.len();
-    ledger.end(&mut router, CommandId(9_000), 0, DeliveryEnd::NotConnected);
+    ledger.end(
+        &mut router,
+        CommandId(9_000),
+        0,
+        AttemptOutcome::NotConnected,
+    );
     ledger.pass(&mut router, 100 * MS);
-    (1..copies).for_each(|nth| ledger.end(&mut router, CommandId(9_000), nth, DeliveryEnd::Error));
+    (1..copies)
+        .for_each(|nth| ledger.end(&mut router, CommandId(9_000), nth, AttemptOutcome::Error));
     ledger.pass(&mut router, SECOND);
     let sent = &ledger.owed[&CommandId(9_000)].sent;
     assert!(
@@ -628,7 +658,7 @@
 #[test]
 fn without_any_host_commands_are_nacked_early_with_a_time_to_come_back() {
     let (mut router, mut ledger) = Ledger::start(terms(Gate::Single), 9);
-    ledger.list(&mut router, ListKind::Remembered, &[]);
+    ledger.list(&mut router, ListKind::Cached, &[]);
     ledger.command(&mut router, 1, 2, 8, 1900 * MS);
     ledger.pass(&mut router, 300 * MS);
     assert_eq!(ledger.nacks.len(), 1);
@@ -639,24 +669,24 @@
 fn a_failed_list_is_asked_for_again_and_strange_input_changes_nothing() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let asked = ledger.list_asked;
-    router.at(ledger.now).list_failed();
+    router.set_time(ledger.now).on_list_failure();
     ledger.pass(&mut router, 2 * SECOND);
     assert!(ledger.list_asked > asked);
     ledger.list(
         &mut router,
         ListKind::Changes,
-        &[HostLine {
+        &[Endpoint {
             build: None,
             ..line(2, OLD)
         }],
     );
     ledger.lines.insert(HostId(2), line(2, OLD));
-    ledger.tell(&mut router, news(NEW, 9, Standing::OnTrial, 0.4));
+    ledger.tell(&mut router, news(NEW, 9, RolloutState::Canary, 0.4));
     let mut unheard = Quiet::default();
-    router.at(ledger.now).command(
+    router.set_time(ledger.now).on_command(
         CommandId(1 << 30),
         OpType(99),
-        ShareId(99),
+        TenantId(99),
         Key(1),
         SECOND,
         &mut unheard,
@@ -666,7 +696,7 @@
         "sent a command of no known op type"
     );
     serve(&mut router, &mut ledger, 6 * SECOND, |_, _, _| GOOD);
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
     assert!(at_new(&ledger, 4 * SECOND) > 0.1);
 }
 
@@ -676,7 +706,7 @@
 #[test]
 fn what_waits_in_vain_at_full_hosts_is_refused_within_a_beat() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    let silent = (DeliveryEnd::Acked, 100 * SECOND);
+    let silent = (AttemptOutcome::Acked, 100 * SECOND);
     let began = ledger.now;
     let mut waited = 0;
     for _ in 0..20 {
@@ -706,7 +736,7 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     let unread = |h: HostId, _, n: u32| match h.0 >= 6 && n.is_multiple_of(3) {
         true => (
-            [DeliveryEnd::TimedOut, DeliveryEnd::Reset][n as usize / 3 % 2],
+            [AttemptOutcome::TimedOut, AttemptOutcome::Reset][n as usize / 3 % 2],
             30 * MS,
         ),
         false => GOOD,
@@ -727,11 +757,11 @@
     };
     for seed in 0..4 {
         let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-        ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
+        ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
         serve(&mut router, &mut ledger, (6 + seed) * SECOND, noise);
-        ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
+        ledger.tell(&mut router, news(NEW, 1, RolloutState::Canary, 0.4));
         serve(&mut router, &mut ledger, 20 * SECOND, noise);
-        assert_eq!(votes(&ledger, Verdict::Back), 0, "{seed}");
+        assert_eq!(votes(&ledger, RolloutVote::RollBack), 0, "{seed}");
         serve(&mut router, &mut ledger, 20 * SECOND, |h, op, n| {
             if h.0 >= 6 && n % 2 == 0 {
                 BAD
@@ -739,7 +769,7 @@
                 noise(h, op, n)
             }
         });
-        assert!(votes(&ledger, Verdict::Back) > 0, "{seed}");
+        assert!(votes(&ledger, RolloutVote::RollBack) > 0, "{seed}");
     }
 }
 
@@ -749,7 +779,7 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 10 * SECOND, |_, _, n| {
         if n.wrapping_mul(0x9e37_79b9) >> 16 & 1023 < 130 {
-            (DeliveryEnd::Reset, 20 * MS)
+            (AttemptOutcome::Reset, 20 * MS)
         } else {
             GOOD
         }
@@ -796,7 +826,7 @@
 #[test]
 fn the_lane_takes_no_more_traffic_than_its_machines_bear() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
     serve(&mut router, &mut ledger, 5 * SECOND, |_, _, _| GOOD);
     let mut key = 1000;
     for _ in 0..1200 {
@@ -809,7 +839,7 @@
         ledger.pass(&mut router, 5 * MS);
         for (cmd, nth) in ledger.open() {
             if ledger.now - ledger.owed[&cmd].sent[nth].at >= 30 * MS {
-                ledger.end(&mut router, cmd, nth, DeliveryEnd::Acked);
+                ledger.end(&mut router, cmd, nth, AttemptOutcome::Acked);
             }
         }
     }
@@ -822,41 +852,41 @@
 #[test]
 fn a_fleet_that_has_just_turned_over_is_not_judged_by_its_slowness() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
     serve(&mut router, &mut ledger, SECOND, |_, _, _| GOOD);
     let started = ledger.now - SECOND;
-    let fresh: Vec<HostLine> = (0..10)
-        .map(|h| HostLine {
-            started: Some(started),
+    let fresh: Vec<Endpoint> = (0..10)
+        .map(|h| Endpoint {
+            started_at: Some(started),
             ..line(h, NEW)
         })
         .collect();
     ledger.list(&mut router, ListKind::Changes, &fresh);
     serve(&mut router, &mut ledger, 4 * SECOND, |_, _, _| {
-        (DeliveryEnd::Acked, 400 * MS)
+        (AttemptOutcome::Acked, 400 * MS)
     });
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 /// Three hundred routers and this one, of more than mean traffic: sixty old hosts, forty of the new build, twelve seconds up.
-fn large_fleet(seed: u64, change: impl Fn(&mut ServiceTerms)) -> (Router, Ledger) {
+fn large_fleet(seed: u64, change: impl Fn(&mut ServiceConfig)) -> (Router, Ledger) {
     let mut terms = terms(Gate::Single);
-    (terms.fleet_size, terms.shares) = (300, vec![600.0, 300.0]);
+    (terms.fleet_size, terms.tenant_quotas) = (300, vec![600.0, 300.0]);
     change(&mut terms);
     let (mut router, mut ledger) = Ledger::start(terms, seed);
-    ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
-    let old: Vec<HostLine> = (0..100).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Remembered, &old);
+    ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
+    let old: Vec<Endpoint> = (0..100).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Cached, &old);
     thin(&mut router, &mut ledger, 8 * SECOND, |_| {
-        (DeliveryEnd::Acked, 50 * MS)
+        (AttemptOutcome::Acked, 50 * MS)
     });
     let started = ledger.now - 12 * SECOND;
-    let new = (60..100).map(|h| HostLine {
-        started: Some(started),
+    let new = (60..100).map(|h| Endpoint {
+        started_at: Some(started),
         ..line(h, NEW)
     });
     ledger.list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
-    ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.4));
+    ledger.tell(&mut router, news(NEW, 1, RolloutState::Canary, 0.4));
     (router, ledger)
 }
 
@@ -865,7 +895,7 @@
     router: &mut Router,
     ledger: &mut Ledger,
     span: Micros,
-    host: impl Fn(HostId) -> (DeliveryEnd, Micros),
+    host: impl Fn(HostId) -> (AttemptOutcome, Micros),
 ) {
     let to = ledger.now + span;
     while ledger.now < to {
@@ -891,13 +921,13 @@
     let (mut router, mut ledger) = large_fleet(5, |_| {});
     thin(&mut router, &mut ledger, 3300 * MS, |_| GOOD);
     assert_eq!(
-        votes(&ledger, Verdict::On),
+        votes(&ledger, RolloutVote::Promote),
         0,
         "not after one answer and the bake time"
     );
     thin(&mut router, &mut ledger, 1500 * MS, |_| GOOD);
     assert!(
-        votes(&ledger, Verdict::On) > 0,
+        votes(&ledger, RolloutVote::Promote) > 0,
         "as many as convict of those that the next stage adds"
     );
 }
@@ -906,9 +936,9 @@
 #[test]
 fn routers_of_a_large_fleet_take_turns_at_the_desk() {
     let voted = |seed| {
-        let (mut router, mut ledger) = large_fleet(seed, |t| t.votes_a_second = 30.0);
+        let (mut router, mut ledger) = large_fleet(seed, |t| t.votes_per_second = 30.0);
         thin(&mut router, &mut ledger, 8 * SECOND, |_| GOOD);
-        votes(&ledger, Verdict::On) > 0
+        votes(&ledger, RolloutVote::Promote) > 0
     };
     let voted = (1..=12).filter(|seed| voted(*seed)).count();
     assert!(
@@ -928,7 +958,11 @@
             GOOD
         }
     });
-    assert!(votes(&ledger, Verdict::Back) > 0, "{:?}", ledger.votes);
+    assert!(
+        votes(&ledger, RolloutVote::RollBack) > 0,
+        "{:?}",
+        ledger.votes
+    );
 }
 
 /// Guards against a bad build that reaches all hosts since no thin router meets five that fail: chance brings three
@@ -954,7 +988,7 @@
             failed.extend(new.map(|s| s.host));
         }
         thin(&mut router, &mut ledger, 300 * MS, |_| GOOD);
-        votes(&ledger, Verdict::Back) > 0
+        votes(&ledger, RolloutVote::RollBack) > 0
     };
     assert!(back(|h| h.0 >= 60));
     assert!(!back(|h| h.0 == 77));
@@ -967,11 +1001,11 @@
         let (mut router, mut ledger) = large_fleet(5, |_| {});
         thin(&mut router, &mut ledger, 14 * SECOND, |h| {
             (
-                DeliveryEnd::Acked,
+                AttemptOutcome::Acked,
                 if h.0 >= 60 { ms * MS } else { 50 * MS },
             )
         });
-        votes(&ledger, Verdict::Back) > 0
+        votes(&ledger, RolloutVote::RollBack) > 0
     };
     assert!(
         !back(150),
@@ -986,9 +1020,9 @@
 fn slowness_of_all_hosts_convicts_no_build_where_own_traffic_tells_little_of_the_load() {
     let (mut router, mut ledger) = large_fleet(5, |_| {});
     thin(&mut router, &mut ledger, 8 * SECOND, |_| {
-        (DeliveryEnd::Acked, 150 * MS)
+        (AttemptOutcome::Acked, 150 * MS)
     });
-    assert_eq!(votes(&ledger, Verdict::Back), 0);
+    assert_eq!(votes(&ledger, RolloutVote::RollBack), 0);
 }
 
 /// Guards against a release, which takes twice the proof to undo, before hosts that fail some time after their start
@@ -998,14 +1032,14 @@
     let voted = |fleet_size| {
         let (mut router, mut ledger) =
             large_fleet(5, |t| (t.fleet_size, t.stage_shares[2]) = (fleet_size, 0.9));
-        let new = (1..100).map(|h| HostLine {
-            started: Some(ledger.now),
+        let new = (1..100).map(|h| Endpoint {
+            started_at: Some(ledger.now),
             ..line(h, NEW)
         });
         ledger.list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
-        ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
+        ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
         let from = ledger.now;
-        while votes(&ledger, Verdict::On) == 0 && ledger.now < from + 20 * SECOND {
+        while votes(&ledger, RolloutVote::Promote) == 0 && ledger.now < from + 20 * SECOND {
             thin(&mut router, &mut ledger, 100 * MS, |_| GOOD);
         }
         ledger.now - from
@@ -1023,9 +1057,9 @@
 fn a_key_is_free_of_a_build_that_the_next_one_has_ended() {
     const NEXT: BuildId = BuildId(9);
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
-    let new: Vec<HostLine> = (0..8).map(|h| line(h, NEW)).collect();
-    ledger.list(&mut router, ListKind::Whole, &new);
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
+    let new: Vec<Endpoint> = (0..8).map(|h| line(h, NEW)).collect();
+    ledger.list(&mut router, ListKind::Complete, &new);
     let ask = |router: &mut Router, ledger: &mut Ledger, id: u32| {
         ledger.command(router, id, 0, 5, 900 * MS);
         let sent = ledger.owed[&CommandId(id)]
@@ -1033,17 +1067,17 @@
             .first()
             .and_then(|s| ledger.lines[&s.host].build);
         if sent.is_some() {
-            ledger.end(router, CommandId(id), 0, DeliveryEnd::Acked);
+            ledger.end(router, CommandId(id), 0, AttemptOutcome::Acked);
         }
         ledger.pass(router, 50 * MS);
         sent
     };
     assert_eq!(ask(&mut router, &mut ledger, 1), Some(NEW));
-    ledger.tell(&mut router, news(NEXT, 0, Standing::OnTrial, 0.1));
-    let old: Vec<HostLine> = (0..8).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Whole, &old);
+    ledger.tell(&mut router, news(NEXT, 0, RolloutState::Canary, 0.1));
+    let old: Vec<Endpoint> = (0..8).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Complete, &old);
     assert_eq!(ask(&mut router, &mut ledger, 2), Some(OLD));
-    ledger.tell(&mut router, news(NEXT, 0, Standing::Withdrawn, 0.0));
+    ledger.tell(&mut router, news(NEXT, 0, RolloutState::Withdrawn, 0.0));
     assert_eq!(ask(&mut router, &mut ledger, 3), Some(OLD));
 }
 
@@ -1051,19 +1085,19 @@
 #[test]
 fn a_key_long_unused_goes_to_no_earlier_build_than_the_released_one() {
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
-    ledger.tell(&mut router, news(NEW, 2, Standing::Released, 1.0));
-    let new: Vec<HostLine> = (0..8).map(|h| line(h, NEW)).collect();
-    ledger.list(&mut router, ListKind::Whole, &new);
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Released, 1.0));
+    let new: Vec<Endpoint> = (0..8).map(|h| line(h, NEW)).collect();
+    ledger.list(&mut router, ListKind::Complete, &new);
     ledger.command(&mut router, 1, 0, 5, 900 * MS);
-    ledger.end(&mut router, CommandId(1), 0, DeliveryEnd::Acked);
+    ledger.end(&mut router, CommandId(1), 0, AttemptOutcome::Acked);
     ledger.pass(&mut router, 12 * SECOND);
-    let old: Vec<HostLine> = (0..8).map(|h| line(h, OLD)).collect();
-    ledger.list(&mut router, ListKind::Whole, &old);
+    let old: Vec<Endpoint> = (0..8).map(|h| line(h, OLD)).collect();
+    ledger.list(&mut router, ListKind::Complete, &old);
     // The ledger breaks at a delivery below the build that answered the key.
     ledger.command(&mut router, 2, 0, 5, 900 * MS);
     ledger.pass(&mut router, SECOND);
     assert!(ledger.owed[&CommandId(2)].sent.is_empty() && !ledger.nacks.is_empty());
-    ledger.tell(&mut router, news(NEW, 2, Standing::GoingBack, 0.0));
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::RollingBack, 0.0));
     ledger.command(&mut router, 3, 0, 5, 900 * MS);
     assert_eq!(ledger.owed[&CommandId(3)].sent.len(), 1);
 }
@@ -1072,16 +1106,21 @@
 /// the other was out; its next command went to the old build, and arrived there after the other had been answered.
 #[test]
 fn a_key_stays_while_any_of_its_deliveries_may_be_answered() {
-    let (mut router, mut ledger) = fleet(Gate::Single, |t| t.exposure_free = 9.0);
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
+    let (mut router, mut ledger) = fleet(Gate::Single, |t| t.exposure_allowance = 9.0);
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
     let all = [line(1, NEW), line(2, NEW), line(3, NEW)];
-    ledger.list(&mut router, ListKind::Whole, &all);
+    ledger.list(&mut router, ListKind::Complete, &all);
     (90_001..90_003).for_each(|id| ledger.command(&mut router, id, 0, 5, 1900 * MS));
     let mut old = all.to_vec();
     old.extend((4..9).map(|h| line(h, OLD)));
-    ledger.list(&mut router, ListKind::Whole, &old);
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 0.01));
-    ledger.end(&mut router, CommandId(90_001), 0, DeliveryEnd::NotConnected);
+    ledger.list(&mut router, ListKind::Complete, &old);
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 0.01));
+    ledger.end(
+        &mut router,
+        CommandId(90_001),
+        0,
+        AttemptOutcome::NotConnected,
+    );
     ledger.command(&mut router, 90_003, 0, 5, 1900 * MS);
     ledger.pass(&mut router, 300 * MS);
     let at_old = |id| {
@@ -1103,17 +1142,17 @@
 #[test]
 fn a_key_stays_while_a_delivery_of_it_is_out_for_long() {
     let (mut router, mut ledger) = fleet(Gate::Single, |t| {
-        t.exposure_free = 9.0;
+        t.exposure_allowance = 9.0;
         t.ops[2].command_timeout = 60 * SECOND;
     });
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 1.0));
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 1.0));
     let all = [line(1, NEW), line(2, NEW), line(3, NEW)];
-    ledger.list(&mut router, ListKind::Whole, &all);
+    ledger.list(&mut router, ListKind::Complete, &all);
     ledger.command(&mut router, 90_001, 2, 5, 60 * SECOND);
     let mut old = all.to_vec();
     old.extend((4..9).map(|h| line(h, OLD)));
-    ledger.list(&mut router, ListKind::Whole, &old);
-    ledger.tell(&mut router, news(NEW, 2, Standing::OnTrial, 0.01));
+    ledger.list(&mut router, ListKind::Complete, &old);
+    ledger.tell(&mut router, news(NEW, 2, RolloutState::Canary, 0.01));
     ledger.pass(&mut router, 15 * SECOND);
     ledger.command(&mut router, 90_002, 0, 5, 1900 * MS);
     ledger.pass(&mut router, 300 * MS);
@@ -1134,11 +1173,11 @@
     let (mut router, mut ledger) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut ledger, 8 * SECOND, |_, _, _| GOOD);
     let (mut lower, before) = (terms(Gate::Single), at_new(&ledger, SECOND));
-    (lower.stage_caps, lower.exposure_free) = (vec![0.05; 3], 0.0);
-    router.go_by(&lower);
+    (lower.stage_caps, lower.exposure_allowance) = (vec![0.05; 3], 0.0);
+    router.reconfigure(&lower);
     // From here on the ledger counts each delivery against the new terms, over the whole window.
     ledger.terms = lower;
-    ledger.tell(&mut router, news(NEW, 1, Standing::OnTrial, 0.05));
+    ledger.tell(&mut router, news(NEW, 1, RolloutState::Canary, 0.05));
     serve(&mut router, &mut ledger, SECOND, |_, _, _| GOOD);
     assert!(
         before > 0.1 && at_new(&ledger, SECOND) == 0.0,
--- a/crates/spokeflow-core/tests/rules.rs
+++ b/crates/spokeflow-core/tests/rules.rs
@@ -16,13 +16,13 @@
     },
     End {
         pick: usize,
-        end: DeliveryEnd,
+        end: AttemptOutcome,
     },
     Pass(Micros),
     List {
         host: u32,
         build: u16,
-        phase: HostPhase,
+        phase: EndpointState,
         fresh: bool,
         whole: bool,
     },
@@ -30,10 +30,10 @@
     News {
         build: u16,
         stage: u8,
-        standing: Standing,
+        standing: RolloutState,
         cap: f64,
     },
-    VoteAnswer(VoteAnswer),
+    VoteOutcome(VoteOutcome),
     Leave(usize),
     Counted {
         op: u16,
@@ -48,25 +48,25 @@
     },
 }
 
-fn ends() -> impl Strategy<Value = DeliveryEnd> {
-    use DeliveryEnd::*;
+fn ends() -> impl Strategy<Value = AttemptOutcome> {
+    use AttemptOutcome::*;
     prop_oneof![
         8 => Just(Acked),
-        3 => proptest::sample::select(vec![Error, Full, TimedOut, NotConnected, Reset, Cancelled]),
+        3 => proptest::sample::select(vec![Error, Rejected, TimedOut, NotConnected, Reset, Cancelled]),
     ]
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    use Standing::*;
-    let standing = prop_oneof![3 => Just(OnTrial), 1 => Just(GoingBack), 2 => Just(Released), 1 => Just(Withdrawn)];
+    use RolloutState::*;
+    let standing = prop_oneof![3 => Just(Canary), 1 => Just(RollingBack), 2 => Just(Released), 1 => Just(Withdrawn)];
     let cap = prop_oneof![Just(0.0), Just(0.1), Just(0.4), Just(1.0)];
-    let phase = prop_oneof![4 => Just(HostPhase::Ready), 1 => Just(HostPhase::Draining), 1 => Just(HostPhase::Gone)];
+    let phase = prop_oneof![4 => Just(EndpointState::Ready), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Gone)];
     let answer = prop_oneof![
-        Just(VoteAnswer::Counted),
-        Just(VoteAnswer::Moot),
-        Just(VoteAnswer::TooMany),
-        Just(VoteAnswer::Refused),
-        Just(VoteAnswer::Silence),
+        Just(VoteOutcome::Counted),
+        Just(VoteOutcome::Stale),
+        Just(VoteOutcome::RateLimited),
+        Just(VoteOutcome::Refused),
+        Just(VoteOutcome::NoResponse),
     ];
     let step = prop_oneof![
         30 => (0..4usize, 0..40u64, 30 * MS..2 * SECOND)
@@ -81,7 +81,7 @@
         1 => Just(Step::ListFails),
         3 => (7..10u16, 0..5u8, standing, cap)
             .prop_map(|(build, stage, standing, cap)| Step::News { build, stage, standing, cap }),
-        2 => answer.prop_map(Step::VoteAnswer),
+        2 => answer.prop_map(Step::VoteOutcome),
         1 => (0..64usize).prop_map(Step::Leave),
         3 => (0..6u16, 7..10u16, 0..60u32, 0..80u32, 0..3 * SECOND)
             .prop_map(|(op, build, sampled, lost, mean)| Step::Counted { op, build, sampled, lost, mean }),
@@ -90,14 +90,14 @@
     proptest::collection::vec(step, 50..300)
 }
 
-fn play(terms: ServiceTerms, seed: u64, steps: Vec<Step>) {
+fn play(terms: ServiceConfig, seed: u64, steps: Vec<Step>) {
     let (mut router, mut ledger) = Ledger::start(terms, seed);
     let router = &mut router;
-    let hosts: Vec<HostLine> = (0..8)
+    let hosts: Vec<Endpoint> = (0..8)
         .map(|h| line(h, if h < 6 { OLD } else { NEW }))
         .collect();
-    ledger.list(router, ListKind::Remembered, &hosts);
-    ledger.tell(router, news(NEW, 0, Standing::OnTrial, 0.1));
+    ledger.list(router, ListKind::Cached, &hosts);
+    ledger.tell(router, news(NEW, 0, RolloutState::Canary, 0.1));
     for (n, step) in steps.into_iter().enumerate() {
         match step {
             Step::Command { op, key, left } => ledger.command(router, n as u32, op, key, left),
@@ -123,26 +123,26 @@
                 } else {
                     None
                 };
-                let one = HostLine {
+                let one = Endpoint {
                     build: Some(BuildId(build)),
-                    phase,
-                    started,
+                    state: phase,
+                    started_at: started,
                     ..line(host, OLD)
                 };
                 if whole {
-                    let mut all: Vec<HostLine> = ledger.lines.values().copied().collect();
+                    let mut all: Vec<Endpoint> = ledger.lines.values().copied().collect();
                     all.retain(|l| l.host.0 % 10 != (host + 1) % 10 && l.host != one.host);
-                    all.retain(|l| l.phase != HostPhase::Gone);
-                    all.push(HostLine {
-                        phase: HostPhase::Ready,
+                    all.retain(|l| l.state != EndpointState::Gone);
+                    all.push(Endpoint {
+                        state: EndpointState::Ready,
                         ..one
                     });
-                    ledger.list(router, ListKind::Whole, &all);
+                    ledger.list(router, ListKind::Complete, &all);
                 } else {
                     ledger.list(router, ListKind::Changes, &[one]);
                 }
             }
-            Step::ListFails => router.at(ledger.now).list_failed(),
+            Step::ListFails => router.set_time(ledger.now).on_list_failure(),
             Step::News {
                 build,
                 stage,
@@ -151,13 +151,13 @@
             } => {
                 ledger.tell(router, news(BuildId(build), stage, standing, cap));
             }
-            Step::VoteAnswer(answer) => router.at(ledger.now).vote_answered(answer),
+            Step::VoteOutcome(answer) => router.set_time(ledger.now).on_vote_outcome(answer),
             Step::Leave(pick) => {
                 let open = ledger.open();
                 if !open.is_empty() {
                     let cmd = open[pick % open.len()].0;
                     ledger.owed.get_mut(&cmd).expect("open").answered = true;
-                    router.at(ledger.now).end(cmd, &mut ledger);
+                    router.set_time(ledger.now).finish(cmd, &mut ledger);
                 }
             }
             Step::Counted {
@@ -168,17 +168,21 @@
                 mean,
             } => {
                 let (build, op) = (BuildId(build), OpType(op));
-                router.at(ledger.now).counted(DeskCount {
-                    build,
-                    op,
-                    sampled,
-                    lost,
-                    mean,
-                    age: SECOND,
-                });
-                router.reported(HostId(op.0.into()), mean as f64 / SECOND as f64);
+                router
+                    .set_time(ledger.now)
+                    .on_controller_stats(ControllerStats {
+                        build,
+                        op,
+                        sampled,
+                        failed: lost,
+                        mean_latency: mean,
+                        age: SECOND,
+                    });
+                router.on_load_report(HostId(op.0.into()), mean as f64 / SECOND as f64);
             }
-            Step::Disputed { host, since } => router.at(ledger.now).disputed(HostId(host), since),
+            Step::Disputed { host, since } => router
+                .set_time(ledger.now)
+                .on_wrong_answer(HostId(host), since),
         }
     }
     ledger.pass(router, 3 * SECOND);
@@ -188,7 +192,7 @@
     );
 }
 
-fn run(change: impl Fn(&mut ServiceTerms)) {
+fn run(change: impl Fn(&mut ServiceConfig)) {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -220,10 +224,10 @@
 #[test]
 fn rules_hold_with_one_copy_at_a_time_counted_by_op() {
     run(|t| {
-        t.side_by_side = false;
+        t.may_hedge = false;
         t.exposure_by_op = true;
-        t.exposure_free = 1.0;
-        t.may_tell = false;
+        t.exposure_allowance = 1.0;
+        t.may_gossip = false;
     });
 }
 
@@ -233,8 +237,8 @@
         t.guarded_stages = 2;
         t.forward_only = false;
         t.may_cancel = false;
-        t.list_must_be_asked = false;
-        t.may_name_return = false;
+        t.list_requires_subscription = false;
+        t.may_name_retry_after = false;
     });
 }
 
@@ -247,7 +251,7 @@
     let mut fleet: Vec<_> = (0..routers)
         .map(|n| {
             Ledger::start(
-                ServiceTerms {
+                ServiceConfig {
                     own_index: n as u32,
                     ..terms.clone()
                 },
@@ -255,10 +259,10 @@
             )
         })
         .collect();
-    let all: Vec<HostLine> = (0..hosts).map(|h| line(h, OLD)).collect();
+    let all: Vec<Endpoint> = (0..hosts).map(|h| line(h, OLD)).collect();
     for (router, ledger) in &mut fleet {
-        ledger.list(router, ListKind::Remembered, &all);
-        ledger.tell(router, news(OLD, 2, Standing::Released, 1.0));
+        ledger.list(router, ListKind::Cached, &all);
+        ledger.tell(router, news(OLD, 2, RolloutState::Released, 1.0));
     }
     let mut round = |cold: bool, rounds: u32| {
         let mut sent = 0;
@@ -275,17 +279,17 @@
                         cmd,
                         nth,
                         if refuses {
-                            DeliveryEnd::Full
+                            AttemptOutcome::Rejected
                         } else {
-                            DeliveryEnd::Acked
+                            AttemptOutcome::Acked
                         },
                     );
                 }
             }
             let all = ledger.owed.values().flat_map(|o| &o.sent);
             sent += all.filter(|s| s.host == HostId(3) && s.at >= from).count();
-            let line = HostLine {
-                started: Some(ledger.now),
+            let line = Endpoint {
+                started_at: Some(ledger.now),
                 ..line(3, OLD)
             };
             ledger.list(router, ListKind::Changes, &[line]);
@@ -296,12 +300,12 @@
     // Forty routers of twelve a second over twelve hosts: forty a second each, which is what one can do.
     let (can, span) = (
         (routers as f64) * each as f64 / f64::from(hosts),
-        terms.fall_span as f64 / SECOND as f64,
+        terms.overload_window as f64 / SECOND as f64,
     );
-    let present = terms.cold_from
-        + (1.0 - terms.cold_from) * span / (terms.warm_within as f64 / SECOND as f64);
+    let present = terms.slow_start_from
+        + (1.0 - terms.slow_start_from) * span / (terms.warm_up_time as f64 / SECOND as f64);
     let sent = round(true, 2 * each as u32);
-    let budget = terms.fall_multiple * can * present * span;
+    let budget = terms.overload_multiple * can * present * span;
     assert!(sent <= budget, "rule 4: {sent} sent, {budget} at most");
 }
 
@@ -315,18 +319,18 @@
     let mut sent = 0;
     for n in 0..routers {
         let (mut router, mut ledger) = Ledger::start(
-            ServiceTerms {
+            ServiceConfig {
                 own_index: n as u32,
                 ..terms.clone()
             },
             n,
         );
-        let cold = HostLine {
-            started: Some(ledger.now - 100 * MS),
+        let cold = Endpoint {
+            started_at: Some(ledger.now - 100 * MS),
             ..line(3, OLD)
         };
-        ledger.list(&mut router, ListKind::Whole, &[cold]);
-        ledger.tell(&mut router, news(OLD, 2, Standing::Released, 1.0));
+        ledger.list(&mut router, ListKind::Complete, &[cold]);
+        ledger.tell(&mut router, news(OLD, 2, RolloutState::Released, 1.0));
         for id in 0..2 * each {
             ledger.command(&mut router, id, 0, 0, 900 * MS);
             ledger.pass(&mut router, SECOND / Micros::from(each));
@@ -334,9 +338,9 @@
         sent += ledger.owed.values().map(|o| o.sent.len()).sum::<usize>();
     }
     // A host that answers one command in a service target bears so many over the told span, and chance on top.
-    let span = terms.fall_span as f64 / SECOND as f64;
-    let can = SECOND as f64 / terms.ops[0].service_target as f64 * terms.cold_from;
-    let room = terms.fall_multiple * can * span;
+    let span = terms.overload_window as f64 / SECOND as f64;
+    let can = SECOND as f64 / terms.ops[0].latency_objective as f64 * terms.slow_start_from;
+    let room = terms.overload_multiple * can * span;
     let bears = room + 3.0 * room.sqrt() + 3.0;
     assert!(
         sent as f64 <= bears && sent > 0,
--- a/crates/spokeflow-core/tests/scenario/mod.rs
+++ b/crates/spokeflow-core/tests/scenario/mod.rs
@@ -133,7 +133,7 @@
         self.record(&[5, at as u64]);
     }
 
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: Verdict) {
+    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote) {
         self.counts.votes += 1;
         self.voted += 1;
         self.record(&[6, u64::from(build.0), u64::from(stage), verdict as u64]);
@@ -151,7 +151,7 @@
         self.record(&[9]);
     }
 
-    fn tell(&mut self, _: Option<u32>, text: &[u8]) {
+    fn gossip(&mut self, _: Option<u32>, text: &[u8]) {
         self.record(&[10, text.len() as u64]);
     }
 }
@@ -178,12 +178,12 @@
     now: Micros,
     pub router: Router,
     out: Recorder,
-    terms: ServiceTerms,
-    lines: Vec<HostLine>,
+    terms: ServiceConfig,
+    lines: Vec<Endpoint>,
     ops: Vec<usize>,
     /// What falls due, in order: the end of a delivery, or none for a wake-up.
     due: BTreeSet<(Micros, u32, u8, u32)>,
-    news: Option<StageNews>,
+    news: Option<RolloutStatus>,
     trouble: Trouble,
     commands: u32,
 }
@@ -222,8 +222,8 @@
     pub fn play_watched(&mut self, mut look: impl FnMut(&World)) -> (u64, Counts) {
         let lines = self.lines.clone();
         self.router
-            .at(self.now)
-            .listed(ListKind::Remembered, &lines, &mut self.out);
+            .set_time(self.now)
+            .on_endpoints(ListKind::Cached, &lines, &mut self.out);
         let to = self.now + self.setting.length;
         while self.now < to {
             self.step();
@@ -248,7 +248,7 @@
         while let Some(at) = self.out.wake_at.filter(|at| *at <= until) {
             self.out.wake_at = None;
             self.now = self.now.max(at);
-            self.router.at(self.now).woken(&mut self.out);
+            self.router.set_time(self.now).on_timer(&mut self.out);
             self.take_outputs();
         }
         self.now = until;
@@ -292,12 +292,12 @@
             1 + self.random.below(KEYS)
         };
         let left = self.random.between(100 * MS, 3 * SECOND);
-        let share = ShareId(self.random.below(u64::from(TENANTS) + 1) as u32);
+        let share = TenantId(self.random.below(u64::from(TENANTS) + 1) as u32);
         let (id, kind) = (CommandId(self.commands), OpType(op as u16));
         self.ops.push(op);
         self.router
-            .at(self.now)
-            .command(id, kind, share, Key(key), left, &mut self.out);
+            .set_time(self.now)
+            .on_command(id, kind, share, Key(key), left, &mut self.out);
         self.take_outputs();
     }
 
@@ -318,17 +318,28 @@
             };
             self.due.remove(&open);
             let took = self.random.between(10 * MS, 300 * MS);
-            let end = DeliveryEnd::Cancelled;
-            self.router
-                .at(self.now)
-                .ended(cmd, nth, end, took, false, &mut self.out);
+            let end = AttemptOutcome::Cancelled;
+            self.router.set_time(self.now).on_attempt_outcome(
+                cmd,
+                nth,
+                end,
+                took,
+                false,
+                &mut self.out,
+            );
         }
         for _ in 0..std::mem::take(&mut self.out.voted) {
-            use VoteAnswer::*;
-            let answer = self
-                .random
-                .pick(&[Counted, Counted, Counted, Moot, TooMany, Refused, Silence]);
-            self.router.at(self.now).vote_answered(answer);
+            use VoteOutcome::*;
+            let answer = self.random.pick(&[
+                Counted,
+                Counted,
+                Counted,
+                Stale,
+                RateLimited,
+                Refused,
+                NoResponse,
+            ]);
+            self.router.set_time(self.now).on_vote_outcome(answer);
         }
     }
 
@@ -336,7 +347,7 @@
         match self.trouble {
             Trouble::ZoneAway(zone) => self.lines[host as usize].zone.0 == zone,
             Trouble::AllAway => true,
-            _ => self.lines[host as usize].phase == HostPhase::Gone,
+            _ => self.lines[host as usize].state == EndpointState::Gone,
         }
     }
 
@@ -352,7 +363,7 @@
     }
 
     fn finish(&mut self, cmd: CommandId, nth: u8, host: u32) {
-        use DeliveryEnd::*;
+        use AttemptOutcome::*;
         let on_trial = self.lines[host as usize].build > Some(BuildId(FIRST_BUILD));
         let end = match self.trouble {
             _ if self.away(host) => self.random.pick(&[NotConnected, NotConnected, Reset]),
@@ -360,13 +371,18 @@
             Trouble::BadBuild if on_trial && self.random.one_in(2) => Error,
             _ if self.random.one_in(30) => self
                 .random
-                .pick(&[Error, Full, TimedOut, Reset, NotSent, Error]),
+                .pick(&[Error, Rejected, TimedOut, Reset, NotSent, Error]),
             _ => Acked,
         };
         let took = self.random.between(20 * MS, 140 * MS) * if end == TimedOut { 20 } else { 1 };
-        self.router
-            .at(self.now)
-            .ended(cmd, nth, end, took, end == Acked, &mut self.out);
+        self.router.set_time(self.now).on_attempt_outcome(
+            cmd,
+            nth,
+            end,
+            took,
+            end == Acked,
+            &mut self.out,
+        );
         self.take_outputs();
     }
 
@@ -384,13 +400,13 @@
             let (fresh, other) = (!self.random.one_in(4), self.random.one_in(2));
             let started = Some(self.now - self.random.between(0, 3 * SECOND));
             let line = &mut self.lines[h];
-            line.phase = match line.phase {
-                HostPhase::Ready if other => HostPhase::Draining,
-                HostPhase::Ready | HostPhase::Draining => HostPhase::Gone,
-                HostPhase::Gone => HostPhase::Ready,
+            line.state = match line.state {
+                EndpointState::Ready if other => EndpointState::Draining,
+                EndpointState::Ready | EndpointState::Draining => EndpointState::Gone,
+                EndpointState::Gone => EndpointState::Ready,
             };
-            if line.phase == HostPhase::Ready {
-                line.started = if fresh { started } else { line.started };
+            if line.state == EndpointState::Ready {
+                line.started_at = if fresh { started } else { line.started_at };
                 line.build = Some(if other {
                     newest
                 } else {
@@ -402,198 +418,210 @@
         }
         match self.random.below(10) {
             0 => {
-                let listed = |line: &&HostLine| line.phase != HostPhase::Gone;
-                let whole: Vec<HostLine> = self.lines.iter().filter(listed).copied().collect();
-                self.router
-                    .at(self.now)
-                    .listed(ListKind::Whole, &whole, &mut self.out);
+                let listed = |line: &&Endpoint| line.state != EndpointState::Gone;
+                let whole: Vec<Endpoint> = self.lines.iter().filter(listed).copied().collect();
+                self.router.set_time(self.now).on_endpoints(
+                    ListKind::Complete,
+                    &whole,
+                    &mut self.out,
+                );
             }
             1 => {
-                let untold: Vec<HostLine> = changed
+                let untold: Vec<Endpoint> = changed
                     .iter()
-                    .map(|l| HostLine { build: None, ..*l })
+                    .map(|l| Endpoint { build: None, ..*l })
                     .collect();
-                self.router
-                    .at(self.now)
-                    .listed(ListKind::Changes, &untold, &mut self.out);
+                self.router.set_time(self.now).on_endpoints(
+                    ListKind::Changes,
+                    &untold,
+                    &mut self.out,
+                );
             }
-            _ => self
-                .router
-                .at(self.now)
-                .listed(ListKind::Changes, &changed, &mut self.out),
+            _ => self.router.set_time(self.now).on_endpoints(
+                ListKind::Changes,
+                &changed,
+                &mut self.out,
+            ),
         }
     }
 
     /// A release goes on by a stage, is sent back, or the next one begins.
     fn tell_news(&mut self) {
-        use Standing::*;
+        use RolloutState::*;
         let caps = [0.1, 0.4, 1.0];
-        let first = StageNews {
+        let first = RolloutStatus {
             build: BuildId(FIRST_BUILD),
             stage: 2,
-            standing: Released,
-            cap: 1.0,
+            state: Released,
+            exposure_cap: 1.0,
             age: 0,
         };
         let next = match self.news {
             None => first,
-            Some(n) if n.standing == OnTrial && n.stage < 2 && !self.random.one_in(5) => {
+            Some(n) if n.state == Canary && n.stage < 2 && !self.random.one_in(5) => {
                 let stage = n.stage + 1;
-                StageNews {
+                RolloutStatus {
                     stage,
-                    cap: caps[usize::from(stage)],
+                    exposure_cap: caps[usize::from(stage)],
                     ..n
                 }
             }
-            Some(n) if n.standing == OnTrial && n.stage == 2 => StageNews {
-                standing: Released,
+            Some(n) if n.state == Canary && n.stage == 2 => RolloutStatus {
+                state: Released,
                 ..n
             },
-            Some(n) if n.standing == OnTrial => StageNews {
-                standing: GoingBack,
-                cap: 0.0,
+            Some(n) if n.state == Canary => RolloutStatus {
+                state: RollingBack,
+                exposure_cap: 0.0,
                 ..n
             },
-            Some(n) if n.standing == GoingBack => StageNews {
-                standing: Withdrawn,
+            Some(n) if n.state == RollingBack => RolloutStatus {
+                state: Withdrawn,
                 ..n
             },
-            Some(n) => StageNews {
+            Some(n) => RolloutStatus {
                 build: BuildId(n.build.0 + 1),
                 stage: 0,
-                standing: OnTrial,
-                cap: caps[0],
+                state: Canary,
+                exposure_cap: caps[0],
                 age: 0,
             },
         };
-        let news = StageNews {
+        let news = RolloutStatus {
             age: self.random.between(0, SECOND),
             ..next
         };
         self.news = Some(news);
-        self.router.at(self.now).told(news, &mut self.out);
+        self.router
+            .set_time(self.now)
+            .on_rollout_status(news, &mut self.out);
     }
 
     fn say_something_else(&mut self) {
         let host = HostId(self.random.below(u64::from(self.setting.hosts)) as u32);
         match self.random.below(40) {
-            0 => self.router.at(self.now).list_failed(),
+            0 => self.router.set_time(self.now).on_list_failure(),
             1 => {
                 let since = self.random.between(0, 5 * SECOND);
-                self.router.at(self.now).disputed(host, since);
+                self.router.set_time(self.now).on_wrong_answer(host, since);
             }
             2 => {
                 let warm_within = self.random.between(SECOND, 5 * SECOND);
-                self.terms = ServiceTerms {
-                    warm_within,
+                self.terms = ServiceConfig {
+                    warm_up_time: warm_within,
                     ..self.terms.clone()
                 };
-                self.router.at(self.now).go_by(&self.terms);
+                self.router.set_time(self.now).reconfigure(&self.terms);
             }
             3..=6 => {
                 let cmd = CommandId(1 + self.random.below(u64::from(self.commands)) as u32);
-                self.router.at(self.now).end(cmd, &mut self.out);
+                self.router.set_time(self.now).finish(cmd, &mut self.out);
             }
             7..=10 => {
                 let open = self.due.iter().nth(self.random.below(8) as usize).copied();
                 if let Some((_, cmd, nth, _)) = open {
-                    self.router.at(self.now).answer_started(CommandId(cmd), nth);
+                    self.router
+                        .set_time(self.now)
+                        .on_response_started(CommandId(cmd), nth);
                 }
             }
             11..=16 => {
                 let sampled = self.random.below(20) as u32;
-                let count = DeskCount {
+                let count = ControllerStats {
                     build: BuildId(FIRST_BUILD + self.random.below(4) as u16),
                     op: OpType(self.random.below(4) as u16),
                     sampled,
-                    lost: sampled / 8,
-                    mean: self.random.between(30 * MS, 120 * MS),
+                    failed: sampled / 8,
+                    mean_latency: self.random.between(30 * MS, 120 * MS),
                     age: self.random.between(0, 2 * SECOND),
                 };
-                self.router.at(self.now).counted(count);
+                self.router.set_time(self.now).on_controller_stats(count);
             }
             _ => {
                 let busy = self.random.below(100) as f64 / 100.0;
-                self.router.at(self.now).reported(host, busy);
+                self.router.set_time(self.now).on_load_report(host, busy);
             }
         }
     }
 }
 
-fn first_line(host: u32, random: &mut Random) -> HostLine {
-    HostLine {
+fn first_line(host: u32, random: &mut Random) -> Endpoint {
+    Endpoint {
         host: HostId(host),
         build: Some(BuildId(FIRST_BUILD)),
         cell: (host % u32::from(CELLS)) as u16,
         zone: ZoneId((host % u32::from(ZONES)) as u16),
-        phase: HostPhase::Ready,
+        state: EndpointState::Ready,
         size: random.pick(&SIZES),
-        started: None,
+        started_at: None,
     }
 }
 
-fn terms(setting: &Setting) -> ServiceTerms {
-    let op = |repeat, repeat_scope| OpTerms {
+fn terms(setting: &Setting) -> ServiceConfig {
+    let op = |repeat, repeat_scope| OperationConfig {
         repeat,
-        repeat_scope,
-        repeat_memory: 900 * MS,
-        service_target: 600 * MS,
+        deduplication_scope: repeat_scope,
+        deduplication_window: 900 * MS,
+        latency_objective: 600 * MS,
         command_timeout: 2 * SECOND,
-        importance: 1.0,
-        streamed: false,
+        priority_weight: 1.0,
+        streaming: false,
     };
     let odd = setting.seed % 2 == 1;
-    ServiceTerms {
+    ServiceConfig {
         ops: vec![
-            op(Repeat::Redeliverable, RepeatScope::Unknown),
-            op(Repeat::Deduplicated, RepeatScope::Cell),
-            op(Repeat::AtMostOnce, RepeatScope::Unknown),
+            op(Repeat::Idempotent, DeduplicationScope::Unknown),
+            op(Repeat::Deduplicated, DeduplicationScope::Cell),
+            op(Repeat::AtMostOnce, DeduplicationScope::Unknown),
             op(
                 Repeat::Deduplicated,
                 if odd {
-                    RepeatScope::Zone
+                    DeduplicationScope::Zone
                 } else {
-                    RepeatScope::All
+                    DeduplicationScope::All
                 },
             ),
         ],
-        shares: vec![f64::from(setting.commands_per_second) / f64::from(TENANTS); TENANTS as usize],
+        tenant_quotas: vec![
+            f64::from(setting.commands_per_second) / f64::from(TENANTS);
+            TENANTS as usize
+        ],
         own_zone: ZoneId(0),
         own_index: (setting.seed % 7) as u32,
         fleet_size: setting.fleet_size,
         tick: 5 * MS,
-        list_must_be_asked: odd,
-        list_ask_within: 10 * SECOND,
+        list_requires_subscription: odd,
+        list_refresh_within: 10 * SECOND,
         delivery_cap: 4,
-        side_by_side: odd,
+        may_hedge: odd,
         may_cancel: true,
         may_probe: false,
-        may_tell: true,
-        may_name_return: true,
-        longest_return: 2 * SECOND,
+        may_gossip: true,
+        may_name_retry_after: true,
+        longest_retry_after: 2 * SECOND,
         drain_grace: 250 * MS,
-        cold_from: 0.5,
-        warm_within: 3 * SECOND,
-        fall_multiple: 3.0,
-        fall_span: 2 * SECOND,
+        slow_start_from: 0.5,
+        warm_up_time: 3 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 2 * SECOND,
         gate: setting.gate,
         stage_caps: vec![0.1, 0.4, 1.0],
         stage_shares: vec![0.1, 0.4, 1.0],
-        exposure_free: 2.0,
-        exposure_span: 4 * SECOND,
+        exposure_allowance: 2.0,
+        exposure_window: 4 * SECOND,
         exposure_by_op: odd,
         guarded_stages: u8::from(odd),
         forward_only: setting.forward_only,
         rolling: setting.rolling,
         stage_bake: SECOND,
-        vote_life: 6 * SECOND,
-        vote_wait: 2 * SECOND,
+        vote_lifetime: 6 * SECOND,
+        vote_timeout: 2 * SECOND,
         complaint_share: 0.2,
-        back_votes: if setting.gate == Gate::Majority {
+        rollback_votes: if setting.gate == Gate::Majority {
             setting.fleet_size / 5 + 1
         } else {
             0
         },
-        votes_a_second: 1_000.0,
+        votes_per_second: 1_000.0,
     }
 }
--- a/crates/spokeflow-engine/src/book.rs
+++ b/crates/spokeflow-engine/src/book.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use bytes::Bytes;
-use spokeflow_core::{BuildId, CommandId, DeliveryEnd, Egress, HostId, HostLine, Micros, Verdict};
+use spokeflow_core::{
+    AttemptOutcome, BuildId, CommandId, Egress, Endpoint, HostId, Micros, RolloutVote,
+};
 use spokeflow_proto::{BallotVerdict, Line, LinePhase, ToClient, ToDesk, ToHost, ToList};
 
 use crate::{Counts, Links};
@@ -40,7 +42,7 @@
     pub address: String,
     pub incarnation: u64,
     /// What the module was told last.
-    pub line: HostLine,
+    pub line: Endpoint,
 }
 
 impl Place {
@@ -77,7 +79,7 @@
     pub places: BTreeMap<HostId, Place>,
     pub wakes: BTreeSet<Micros>,
     /// Ends that the module is told after the call that caused them has returned.
-    pub ends: VecDeque<(u64, DeliveryEnd)>,
+    pub ends: VecDeque<(u64, AttemptOutcome)>,
     pub next_cmd: u32,
     pub next_delivery: u64,
     pub next_ballot: u64,
@@ -213,7 +215,7 @@
         book.due.insert((until, delivery));
         book.counts.deliveries += 1;
         if owed.answered || book.now >= until {
-            return book.ends.push_back((delivery, DeliveryEnd::NotSent));
+            return book.ends.push_back((delivery, AttemptOutcome::NotSent));
         }
         let message = ToHost::Deliver {
             delivery,
@@ -238,7 +240,7 @@
         let leave_by = repeat_by.map_or(leave_by, |at| at.min(leave_by));
         if !self.links.to_host(host, message, leave_by) {
             // A queue that is full here is one that the host does not read: the same as its own being full.
-            book.ends.push_back((delivery, DeliveryEnd::Full));
+            book.ends.push_back((delivery, AttemptOutcome::Rejected));
         }
     }
 
@@ -263,7 +265,9 @@
         if let Some(out) = self.book.out.get(&delivery) {
             self.links
                 .to_host(out.host, ToHost::Cancel { delivery }, Micros::MAX);
-            self.book.ends.push_back((delivery, DeliveryEnd::Cancelled));
+            self.book
+                .ends
+                .push_back((delivery, AttemptOutcome::Cancelled));
         }
     }
 
@@ -271,12 +275,12 @@
         self.book.wakes.insert(at);
     }
 
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: Verdict) {
+    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote) {
         let verdict = match verdict {
-            Verdict::None => BallotVerdict::None,
-            Verdict::On => BallotVerdict::On,
-            Verdict::Hold => BallotVerdict::Hold,
-            Verdict::Back => BallotVerdict::Back,
+            RolloutVote::Abstain => BallotVerdict::None,
+            RolloutVote::Promote => BallotVerdict::On,
+            RolloutVote::Hold => BallotVerdict::Hold,
+            RolloutVote::RollBack => BallotVerdict::Back,
         };
         let book = &mut *self.book;
         let ballot = book.next_ballot;
@@ -313,7 +317,7 @@
         self.book.list_failed |= !self.links.to_list(ToList::Fetch);
     }
 
-    fn tell(&mut self, router: Option<u32>, text: &[u8]) {
+    fn gossip(&mut self, router: Option<u32>, text: &[u8]) {
         self.links.to_routers(router, text);
     }
 }
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -2,8 +2,9 @@
 
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::{
-    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
-    OpType, Repeat, Router, ServiceTerms, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
+    AttemptOutcome, BuildId, CommandId, ControllerStats, Endpoint, EndpointState, HostId, Key,
+    ListKind, Micros, OpType, Repeat, RolloutState, RolloutStatus, Router, ServiceConfig, TenantId,
+    VoteOutcome, ZoneId,
 };
 use spokeflow_proto::{
     BallotResult, Command, FrameFault, FromDesk, FromHost, FromList, Line, LinePhase, News,
@@ -17,7 +18,7 @@
 /// What the engine itself must know beside the module's terms.
 #[derive(Clone, Debug)]
 pub struct EngineTerms {
-    pub service: ServiceTerms,
+    pub service: ServiceConfig,
     /// Kept back from each client's patience, for the way of the answer.
     pub answer_margin: Micros,
     /// Commands held at most; one more is nacked at once.
@@ -66,7 +67,7 @@
         let mut book = Book {
             now,
             born: now,
-            vote_wait: terms.service.vote_wait.max(1),
+            vote_wait: terms.service.vote_timeout.max(1),
             ..Book::default()
         };
         let router = Router::new(
@@ -162,11 +163,11 @@
                     (receipt as u32 as Micros) * 1000,
                 );
                 self.router
-                    .disputed(host, (self.book.now - self.book.born - sent).max(0));
+                    .on_wrong_answer(host, (self.book.now - self.book.born - sent).max(0));
             }
             Input::Reported { host, ago_us } => {
                 let ago = ago_us.min(Micros::MAX as u64 / 4) as Micros;
-                self.router.disputed(HostId(host), ago);
+                self.router.on_wrong_answer(HostId(host), ago);
             }
             Input::FromHost { host, message } => self.hear_host(HostId(host), message, links),
             Input::NotDelivered {
@@ -176,16 +177,16 @@
             } => {
                 if self.is_out(HostId(host), delivery) {
                     let end = match end {
-                        NoAnswer::NotSent => DeliveryEnd::NotSent,
-                        NoAnswer::NotConnected => DeliveryEnd::NotConnected,
-                        NoAnswer::Reset => DeliveryEnd::Reset,
-                        NoAnswer::Silent => DeliveryEnd::TimedOut,
+                        NoAnswer::NotSent => AttemptOutcome::NotSent,
+                        NoAnswer::NotConnected => AttemptOutcome::NotConnected,
+                        NoAnswer::Reset => AttemptOutcome::Reset,
+                        NoAnswer::Silent => AttemptOutcome::TimedOut,
                     };
                     self.ended(delivery, end, links);
                 }
             }
             Input::FromList(message) => self.hear_list(message, links),
-            Input::Remembered(lines) => self.list(ListKind::Remembered, &lines, links),
+            Input::Remembered(lines) => self.list(ListKind::Cached, &lines, links),
             Input::ListGone => self.list_failed(),
             Input::FromDesk(FromDesk::News(news)) => {
                 let before = self.news.replace((news, self.book.now));
@@ -196,26 +197,28 @@
                 // The answer to a vote that has been given up says nothing of the present one.
                 if self.book.ballot.is_some_and(|b| b.0 == ballot) {
                     self.book.ballot = None;
-                    self.router.vote_answered(match result {
-                        BallotResult::Counted => VoteAnswer::Counted,
-                        BallotResult::Moot => VoteAnswer::Moot,
-                        BallotResult::TooMany => VoteAnswer::TooMany,
-                        BallotResult::Refused => VoteAnswer::Refused,
+                    self.router.on_vote_outcome(match result {
+                        BallotResult::Counted => VoteOutcome::Counted,
+                        BallotResult::Moot => VoteOutcome::Stale,
+                        BallotResult::TooMany => VoteOutcome::RateLimited,
+                        BallotResult::Refused => VoteOutcome::Refused,
                     });
                 }
             }
-            Input::FromDesk(FromDesk::Counted(count)) => self.router.counted(DeskCount {
-                build: BuildId(count.build),
-                op: OpType(count.op),
-                sampled: count.sampled,
-                lost: count.lost,
-                mean: count.mean_us.min(Micros::MAX as u64 / 4) as Micros,
-                age: count.age_us.min(Micros::MAX as u64 / 4) as Micros,
-            }),
+            Input::FromDesk(FromDesk::Counted(count)) => {
+                self.router.on_controller_stats(ControllerStats {
+                    build: BuildId(count.build),
+                    op: OpType(count.op),
+                    sampled: count.sampled,
+                    failed: count.lost,
+                    mean_latency: count.mean_us.min(Micros::MAX as u64 / 4) as Micros,
+                    age: count.age_us.min(Micros::MAX as u64 / 4) as Micros,
+                })
+            }
             Input::FromDesk(_) => {}
             Input::DeskGone => {
                 if self.book.ballot.take().is_some() {
-                    self.router.vote_answered(VoteAnswer::Silence);
+                    self.router.on_vote_outcome(VoteOutcome::NoResponse);
                 }
             }
             // The module makes no use of what other routers say.
@@ -241,7 +244,7 @@
             Input::GiveUp => {
                 let owed: Vec<CommandId> = self.book.owed_by.iter().map(|o| o.1).collect();
                 for cmd in owed {
-                    self.router.give_up(
+                    self.router.abort(
                         cmd,
                         &mut Carrier {
                             book: &mut self.book,
@@ -262,7 +265,7 @@
 
     fn at(&mut self, now: Micros) {
         self.book.now = self.book.now.max(now);
-        self.router.at(self.book.now);
+        self.router.set_time(self.book.now);
     }
 
     // ---- What keepers have granted ----
@@ -280,7 +283,7 @@
         };
         links.drain_grace(terms.drain_grace);
         terms.apply_to(&mut self.terms.service);
-        self.router.go_by(&self.terms.service);
+        self.router.reconfigure(&self.terms.service);
         self.tell_news(links);
     }
 
@@ -305,7 +308,7 @@
             let from = BuildId(news.build.saturating_add(released.into()));
             self.book.trial_until = Some((from, agreed.until));
         }
-        self.router.told(
+        self.router.on_rollout_status(
             stage_news(news),
             &mut Carrier {
                 book: &mut self.book,
@@ -362,8 +365,8 @@
             book.counts.over_held += u64::from(full);
             book.counts.nacked += 1;
             let service = &self.terms.service;
-            let come_back_us =
-                (service.may_name_return && known).then_some(service.longest_return as u64);
+            let come_back_us = (service.may_name_retry_after && known)
+                .then_some(service.longest_retry_after as u64);
             return links.to_client(
                 conn,
                 ToClient::Nacked {
@@ -393,13 +396,17 @@
             deliveries: Vec::new(),
             may_have_run: Vec::new(),
             repeat_memory: (op_terms.repeat == Repeat::Deduplicated)
-                .then_some(op_terms.repeat_memory),
+                .then_some(op_terms.deduplication_window),
             open: 0,
         };
         book.cmds.insert(cmd, owed);
-        let (op, share, key) = (OpType(command.op), ShareId(command.share), Key(command.key));
+        let (op, share, key) = (
+            OpType(command.op),
+            TenantId(command.share),
+            Key(command.key),
+        );
         self.router
-            .command(cmd, op, share, key, left, &mut Carrier { book, links });
+            .on_command(cmd, op, share, key, left, &mut Carrier { book, links });
     }
 
     /// The client waits no longer: nothing is owed, what is out still ends.
@@ -411,7 +418,7 @@
         let until = owed.until;
         self.book.owed_by.remove(&(until, cmd));
         self.book.counts.left += 1;
-        self.router.end(
+        self.router.finish(
             cmd,
             &mut Carrier {
                 book: &mut self.book,
@@ -450,18 +457,18 @@
                     receipt,
                     body,
                 });
-                self.ended(delivery, DeliveryEnd::Acked, links);
+                self.ended(delivery, AttemptOutcome::Acked, links);
             }
-            FromHost::Report { busy } => self.router.reported(host, f64::from(busy) / 1000.0),
+            FromHost::Report { busy } => self.router.on_load_report(host, f64::from(busy) / 1000.0),
             FromHost::Error { delivery } if self.is_out(host, delivery) => {
-                self.ended(delivery, DeliveryEnd::Error, links);
+                self.ended(delivery, AttemptOutcome::Error, links);
             }
             FromHost::Full { delivery } if self.is_out(host, delivery) => {
-                self.ended(delivery, DeliveryEnd::Full, links);
+                self.ended(delivery, AttemptOutcome::Rejected, links);
             }
             FromHost::Answering { delivery } if self.is_out(host, delivery) => {
                 let out = &self.book.out[&delivery];
-                self.router.answer_started(out.cmd, out.nth);
+                self.router.on_response_started(out.cmd, out.nth);
             }
             FromHost::Acked { .. } | FromHost::Error { .. } | FromHost::Full { .. } => {
                 self.book.counts.late += 1;
@@ -490,9 +497,9 @@
         };
         let started = self.book.now - up_us.min(Micros::MAX as u64 / 4) as Micros;
         place.incarnation = incarnation;
-        (place.line.build, place.line.started) = (Some(BuildId(build)), Some(started));
+        (place.line.build, place.line.started_at) = (Some(BuildId(build)), Some(started));
         let line = place.line;
-        self.router.listed(
+        self.router.on_endpoints(
             ListKind::Changes,
             &[line],
             &mut Carrier {
@@ -502,7 +509,7 @@
         );
     }
 
-    fn ended(&mut self, delivery: u64, end: DeliveryEnd, links: &mut dyn Links) {
+    fn ended(&mut self, delivery: u64, end: AttemptOutcome, links: &mut dyn Links) {
         let Some(out) = self.book.close(delivery) else {
             return;
         };
@@ -521,7 +528,7 @@
             links,
         };
         self.router
-            .ended(out.cmd, out.nth, end, took, done, carrier);
+            .on_attempt_outcome(out.cmd, out.nth, end, took, done, carrier);
         self.book.forget(out.cmd);
     }
 
@@ -529,7 +536,7 @@
 
     fn hear_list(&mut self, message: FromList, links: &mut dyn Links) {
         let (kind, version, lines) = match message {
-            FromList::Whole { version, lines } => (ListKind::Whole, version, lines),
+            FromList::Whole { version, lines } => (ListKind::Complete, version, lines),
             FromList::Changes { version, lines } => (ListKind::Changes, version, lines),
             FromList::Failed => return self.list_failed(),
             FromList::Sizes { sizes } => return self.sizes(&sizes, links),
@@ -565,10 +572,10 @@
                 changed.extend(agreed.told.get(&line.host).cloned());
             }
         }
-        if kind == ListKind::Whole {
+        if kind == ListKind::Complete {
             let named: BTreeSet<u32> = lines.iter().map(|line| line.host).collect();
             for (host, place) in &self.book.places {
-                if place.line.phase != HostPhase::Gone && !named.contains(&host.0) {
+                if place.line.state != EndpointState::Gone && !named.contains(&host.0) {
                     agreed
                         .taken
                         .insert(host.0, (place.incarnation, LinePhase::Gone));
@@ -596,7 +603,7 @@
         agreed.told.retain(|_, line| line.phase != LinePhase::Gone);
         if whole || !hosts.is_empty() {
             let kind = if whole {
-                ListKind::Whole
+                ListKind::Complete
             } else {
                 ListKind::Changes
             };
@@ -605,26 +612,26 @@
     }
 
     fn list(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Links) {
-        let told: Vec<HostLine> = lines.iter().map(|line| self.host_line(line)).collect();
+        let told: Vec<Endpoint> = lines.iter().map(|line| self.host_line(line)).collect();
         if kind != ListKind::Changes {
             let named: BTreeSet<HostId> = told.iter().map(|line| line.host).collect();
             let places = self.book.places.iter_mut();
             for (&host, place) in
-                places.filter(|(h, p)| p.line.phase != HostPhase::Gone && !named.contains(h))
+                places.filter(|(h, p)| p.line.state != EndpointState::Gone && !named.contains(h))
             {
-                place.line.phase = HostPhase::Gone;
+                place.line.state = EndpointState::Gone;
                 links.host_closed(host, true);
             }
         }
         for line in &told {
-            if line.phase == HostPhase::Ready {
+            if line.state == EndpointState::Ready {
                 let place = &self.book.places[&line.host];
                 links.host_open(line.host, &place.address, place.incarnation);
             } else {
-                links.host_closed(line.host, line.phase == HostPhase::Gone);
+                links.host_closed(line.host, line.state == EndpointState::Gone);
             }
         }
-        self.router.listed(
+        self.router.on_endpoints(
             kind,
             &told,
             &mut Carrier {
@@ -646,7 +653,7 @@
                 told.push(place.line);
             }
         }
-        self.router.listed(
+        self.router.on_endpoints(
             ListKind::Changes,
             &told,
             &mut Carrier {
@@ -658,30 +665,30 @@
 
     /// The module hears of failures only where it has to ask.
     fn list_failed(&mut self) {
-        if self.terms.service.list_must_be_asked {
-            self.router.list_failed();
+        if self.terms.service.list_requires_subscription {
+            self.router.on_list_failure();
         }
     }
 
-    fn host_line(&mut self, line: &Line) -> HostLine {
+    fn host_line(&mut self, line: &Line) -> Endpoint {
         let host = HostId(line.host);
         let phase = match line.phase {
-            LinePhase::Gone => HostPhase::Gone,
-            LinePhase::Ready => HostPhase::Ready,
-            LinePhase::Draining => HostPhase::Draining,
+            LinePhase::Gone => EndpointState::Gone,
+            LinePhase::Ready => EndpointState::Ready,
+            LinePhase::Draining => EndpointState::Draining,
         };
         let up = line
             .up_us
             .map(|up| up.min(Micros::MAX as u64 / 4) as Micros);
         let (build, zone) = (line.build.map(BuildId), ZoneId(line.zone));
-        let fresh = HostLine {
+        let fresh = Endpoint {
             host,
             build,
             cell: line.cell,
             zone,
-            phase,
+            state: phase,
             size: 1.0,
-            started: None,
+            started_at: None,
         };
         let mut first = false;
         let place = self.book.places.entry(host).or_insert_with(|| {
@@ -694,7 +701,7 @@
         });
         if first || line.incarnation > place.incarnation {
             // Computed once for each process: said again it would differ by the way of the message.
-            place.line.started = up.map(|up| self.book.now - up);
+            place.line.started_at = up.map(|up| self.book.now - up);
         }
         if line.incarnation >= place.incarnation {
             place.line.build = build.or(place.line.build);
@@ -702,10 +709,10 @@
             place.address.clone_from(&line.address);
         }
         // Of an earlier process than the host itself has told of, only the phase is taken: it is the list's.
-        place.line = HostLine {
+        place.line = Endpoint {
             cell: line.cell,
             zone,
-            phase,
+            state: phase,
             ..place.line
         };
         place.line
@@ -719,7 +726,7 @@
             self.book.wakes.pop_first();
             // Beats that were missed are made up by one.
             if self.book.wakes.first().is_none_or(|at| *at > now) {
-                self.router.woken(&mut Carrier {
+                self.router.on_timer(&mut Carrier {
                     book: &mut self.book,
                     links,
                 });
@@ -729,13 +736,13 @@
             self.book.due.remove(&(at, delivery));
             let host = self.book.out[&delivery].host;
             links.to_host(host, ToHost::Cancel { delivery }, Micros::MAX);
-            self.ended(delivery, DeliveryEnd::TimedOut, links);
+            self.ended(delivery, AttemptOutcome::TimedOut, links);
         }
         self.settle(links);
         while let Some(&(_, cmd)) = self.book.owed_by.first().filter(|d| d.0 <= now) {
             self.book.counts.overdue += 1;
             self.book.answer(cmd, links, |id| ToClient::Failed { id });
-            self.router.end(
+            self.router.finish(
                 cmd,
                 &mut Carrier {
                     book: &mut self.book,
@@ -746,7 +753,7 @@
         }
         if self.book.ballot.is_some_and(|b| b.1 <= now) {
             self.book.ballot = None;
-            self.router.vote_answered(VoteAnswer::Silence);
+            self.router.on_vote_outcome(VoteOutcome::NoResponse);
         }
     }
 
@@ -760,22 +767,22 @@
             self.list_failed();
         }
         if std::mem::take(&mut self.book.ballot_failed) {
-            self.router.vote_answered(VoteAnswer::Refused);
+            self.router.on_vote_outcome(VoteOutcome::Refused);
         }
     }
 }
 
-fn stage_news(news: News) -> StageNews {
-    StageNews {
+fn stage_news(news: News) -> RolloutStatus {
+    RolloutStatus {
         build: BuildId(news.build),
         stage: news.stage,
-        standing: match news.standing {
-            NewsStanding::OnTrial => Standing::OnTrial,
-            NewsStanding::GoingBack => Standing::GoingBack,
-            NewsStanding::Released => Standing::Released,
-            NewsStanding::Withdrawn => Standing::Withdrawn,
+        state: match news.standing {
+            NewsStanding::OnTrial => RolloutState::Canary,
+            NewsStanding::GoingBack => RolloutState::RollingBack,
+            NewsStanding::Released => RolloutState::Released,
+            NewsStanding::Withdrawn => RolloutState::Withdrawn,
         },
-        cap: f64::from(news.cap.clamp(0.0, 1.0)),
+        exposure_cap: f64::from(news.cap.clamp(0.0, 1.0)),
         age: news.age_us.min(Micros::MAX as u64 / 4) as Micros,
     }
 }
--- a/crates/spokeflow-experiments/src/alone.rs
+++ b/crates/spokeflow-experiments/src/alone.rs
@@ -3,7 +3,7 @@
 //! seen together. A model of answers only; the routers' own rule is not in it.
 
 use clap::Args;
-use spokeflow_core::Chance;
+use spokeflow_core::Rng;
 
 #[derive(Args, Clone, Debug)]
 pub struct AloneFlags {
@@ -69,7 +69,7 @@
 
 /// The share of bad builds found by the best test that sends at most `allowed` of the good ones back.
 fn power(flags: &AloneFlags, answers: f64, hosts: usize, allowed: f64, draws: usize) -> f64 {
-    let mut chance = Chance::new(flags.seed);
+    let mut chance = Rng::new(flags.seed);
     let mut proofs = |bad| -> Vec<f64> {
         let mut all: Vec<f64> = (0..draws)
             .map(|_| proof(flags, answers, hosts, bad, &mut chance))
@@ -85,10 +85,10 @@
 }
 
 /// The logarithm of how much likelier what is seen is under a bad build than under a good one with sick hosts.
-fn proof(flags: &AloneFlags, answers: f64, hosts: usize, bad: bool, chance: &mut Chance) -> f64 {
+fn proof(flags: &AloneFlags, answers: f64, hosts: usize, bad: bool, chance: &mut Rng) -> f64 {
     let mut sum = 0.0;
     for _ in 0..hosts {
-        let sick = !bad && chance.share() < flags.sick;
+        let sick = !bad && chance.fraction() < flags.sick;
         let n = poisson(answers / hosts as f64, chance) as usize;
         // A sick host acks up to some moment and fails from then on.
         let onset = chance.below(n + 1);
@@ -98,7 +98,7 @@
                 if sick {
                     i >= onset
                 } else {
-                    chance.share() < part
+                    chance.fraction() < part
                 }
             })
             .collect();
@@ -111,11 +111,11 @@
     sum
 }
 
-fn poisson(mean: f64, chance: &mut Chance) -> u32 {
-    let (line, mut n, mut product) = ((-mean).exp(), 0, chance.share());
+fn poisson(mean: f64, chance: &mut Rng) -> u32 {
+    let (line, mut n, mut product) = ((-mean).exp(), 0, chance.fraction());
     while product > line {
         n += 1;
-        product *= chance.share();
+        product *= chance.fraction();
     }
     n
 }
@@ -166,7 +166,7 @@
     fn no_more_good_builds_are_sent_back_than_allowed() {
         let flags = flags(8.0);
         let draw = |seed| -> Vec<f64> {
-            let mut chance = Chance::new(seed);
+            let mut chance = Rng::new(seed);
             (0..50_000)
                 .map(|_| proof(&flags, 8.0, 8, false, &mut chance))
                 .collect()
--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -79,7 +79,7 @@
         terms.stage_bake_seconds + AFTER_BAKE,
     );
     let Some(next) = terms.stage_shares.get(stage + 1) else {
-        let large = end.routers_per_service > spokeflow_core::MET_BY;
+        let large = end.routers_per_service > spokeflow_core::ROUTERS_PER_HOST;
         return if large { LONGER * shortest } else { shortest };
     };
     let enough_after = CONVICTS * (next - share) / (end.service_requests(fleet_requests) * share);
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -109,7 +109,7 @@
             row(
                 "services",
                 fleet.services,
-                "missing: one `ServiceTerms`, one host list and one release for a router process; several services need several \
+                "missing: one `ServiceConfig`, one host list and one release for a router process; several services need several \
                  routers and several sets of voters",
             ),
             row("routes", fleet.routes, "missing: no setting of `spokeflow-router` or `spokeflow-settings` names a route"),
--- a/crates/spokeflow-platform/src/clients.rs
+++ b/crates/spokeflow-platform/src/clients.rs
@@ -392,7 +392,7 @@
             return no(400);
         }
         // What may run again is asked by GET and has no body; what must not, by POST.
-        let method: &[u8] = if repeat == Repeat::Redeliverable {
+        let method: &[u8] = if repeat == Repeat::Idempotent {
             b"GET"
         } else {
             b"POST"
@@ -400,7 +400,7 @@
         if request.method != method {
             return no(405);
         }
-        if repeat == Repeat::Redeliverable && !request.body.is_empty() {
+        if repeat == Repeat::Idempotent && !request.body.is_empty() {
             return no(400);
         }
         let path = request
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use spokeflow_core::{Micros, MET_BY};
+use spokeflow_core::{Micros, ROUTERS_PER_HOST};
 use spokeflow_engine::{Engine, EngineTerms, Input};
 use spokeflow_proto::{FrameFault, FromDesk, FromList, ToClient};
 use tokio::sync::{mpsc, watch, Semaphore};
@@ -46,7 +46,7 @@
 /// least and half at most, goes to hosts.
 fn shares(limits: &Limits, fleet: u32, hosts: usize, in_flight: f64) -> (usize, usize) {
     let free = limits.sockets.saturating_sub(OTHERS) as usize;
-    let met = hosts as f64 * (MET_BY / f64::from(fleet.max(1))).min(1.0);
+    let met = hosts as f64 * (ROUTERS_PER_HOST / f64::from(fleet.max(1))).min(1.0);
     let to_hosts = ((met + in_flight).ceil() as usize).clamp(free / 3, free / 2);
     (free - to_hosts, to_hosts)
 }
@@ -228,10 +228,10 @@
     let target = service
         .ops
         .iter()
-        .map(|op| op.service_target)
+        .map(|op| op.latency_objective)
         .max()
         .unwrap_or(0);
-    let even = service.shares.iter().sum::<f64>() / f64::from(service.fleet_size.max(1));
+    let even = service.tenant_quotas.iter().sum::<f64>() / f64::from(service.fleet_size.max(1));
     let in_flight = even * span(target).as_secs_f64();
     let hosts = told.known.as_ref().map_or(0, |known| known.members.len());
     let (client_places, host_places) = shares(&told.limits, service.fleet_size, hosts, in_flight);
@@ -279,7 +279,7 @@
         places: Arc::new(Semaphore::new(host_places)),
         reuse: Reuse::default(),
         deployer,
-        vote_wait: span(service.vote_wait),
+        vote_wait: span(service.vote_timeout),
     };
     info!(name = told.name, listen = %told.listen, client_places, host_places, "router starts");
     let terms = EngineTerms {
--- a/crates/spokeflow-raft/src/node.rs
+++ b/crates/spokeflow-raft/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use spokeflow_core::{Chance, Micros};
+use spokeflow_core::{Micros, Rng};
 
 use crate::{
     Entry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
@@ -40,7 +40,7 @@
 pub struct RaftNode {
     own: NodeId,
     config: RaftConfig,
-    chance: Chance,
+    chance: Rng,
     now: Micros,
     wake: Micros,
     term: Term,
@@ -80,7 +80,7 @@
             own,
             members: Vec::new(),
             config,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             now,
             wake: now,
             term: saved.term,
--- a/crates/spokeflow-router/src/terms.rs
+++ b/crates/spokeflow-router/src/terms.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use spokeflow_config::{parse_duration, ConfigErrors, GateFlag, OperationFlag, ServiceFlags};
 use spokeflow_coordination::{EffectiveConfig, Revision};
-use spokeflow_core::{Gate, Micros, OpTerms, Repeat, ServiceTerms, ZoneId};
+use spokeflow_core::{Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId};
 use spokeflow_engine::EngineTerms;
 use spokeflow_runtime::LogFormat;
 
@@ -177,36 +177,36 @@
 
     pub fn engine(&self) -> EngineTerms {
         let s = &self.service;
-        let op = |op: &OperationFlag| OpTerms {
+        let op = |op: &OperationFlag| OperationConfig {
             repeat: op.repeat,
-            repeat_scope: op.scope,
-            repeat_memory: micros(op.memory),
-            service_target: micros(op.target),
+            deduplication_scope: op.scope,
+            deduplication_window: micros(op.memory),
+            latency_objective: micros(op.target),
             command_timeout: micros(op.timeout),
-            importance: op.importance,
-            streamed: op.streamed,
+            priority_weight: op.importance,
+            streaming: op.streamed,
         };
-        let service = ServiceTerms {
+        let service = ServiceConfig {
             ops: s.ops.iter().map(op).collect(),
-            shares: s.customers.iter().map(|c| c.1).collect(),
+            tenant_quotas: s.customers.iter().map(|c| c.1).collect(),
             own_zone: ZoneId(self.site),
             own_index: self.index,
             fleet_size: s.fleet_size,
             tick: 1000,
-            list_must_be_asked: s.list_must_be_asked,
-            list_ask_within: micros(self.list_renew),
+            list_requires_subscription: s.list_must_be_asked,
+            list_refresh_within: micros(self.list_renew),
             delivery_cap: s.delivery_cap,
-            side_by_side: s.side_by_side,
+            may_hedge: s.side_by_side,
             may_cancel: !s.no_cancel,
             may_probe: s.may_probe,
-            may_tell: s.may_tell,
-            may_name_return: !s.longest_return.is_zero(),
-            longest_return: micros(s.longest_return),
+            may_gossip: s.may_tell,
+            may_name_retry_after: !s.longest_return.is_zero(),
+            longest_retry_after: micros(s.longest_return),
             drain_grace: micros(s.drain_grace),
-            cold_from: s.cold_from,
-            warm_within: micros(s.warm_within),
-            fall_multiple: s.fall_multiple,
-            fall_span: micros(s.fall_span),
+            slow_start_from: s.cold_from,
+            warm_up_time: micros(s.warm_within),
+            overload_multiple: s.fall_multiple,
+            overload_window: micros(s.fall_span),
             gate: match s.gate {
                 GateFlag::Single => Gate::Single,
                 GateFlag::Majority => Gate::Majority,
@@ -214,18 +214,18 @@
             },
             stage_caps: s.stage_caps.clone(),
             stage_shares: s.stage_shares.clone(),
-            exposure_free: s.exposure_free,
-            exposure_span: micros(s.exposure_span),
+            exposure_allowance: s.exposure_free,
+            exposure_window: micros(s.exposure_span),
             exposure_by_op: s.exposure_by_op,
             guarded_stages: s.guarded_stages,
             forward_only: s.forward_only,
             rolling: !s.beside,
             stage_bake: micros(s.stage_bake),
-            vote_life: micros(s.vote_life),
-            vote_wait: micros(s.vote_wait),
+            vote_lifetime: micros(s.vote_life),
+            vote_timeout: micros(s.vote_wait),
             complaint_share: s.complaint_share,
-            back_votes: s.back_votes,
-            votes_a_second: s.votes_a_second,
+            rollback_votes: s.back_votes,
+            votes_per_second: s.votes_a_second,
         };
         EngineTerms {
             service,
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -35,8 +35,8 @@
     .unwrap()
     .engine();
     assert_eq!(terms.service.ops[1].repeat, Repeat::AtMostOnce);
-    assert_eq!(terms.service.ops[0].service_target, 1_200_000);
-    assert_eq!(terms.service.shares, [25.0, 3.5]);
+    assert_eq!(terms.service.ops[0].latency_objective, 1_200_000);
+    assert_eq!(terms.service.tenant_quotas, [25.0, 3.5]);
     assert_eq!(terms.answer_margin, 20_000);
     assert!(terms.service.forward_only && terms.service.rolling);
 }
--- a/crates/spokeflow-runtime/src/backoff.rs
+++ b/crates/spokeflow-runtime/src/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spokeflow_core::Chance;
+use spokeflow_core::Rng;
 
 /// Doublings of the first delay are capped here, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
@@ -12,7 +12,7 @@
 /// Delays that double with each failure in a row. Jitter from the given seed takes up to half off, so that many
 /// routers do not return together and a start with the same seed waits alike.
 pub struct Backoff {
-    rng: Chance,
+    rng: Rng,
     first: Duration,
     longest: Duration,
 }
@@ -22,7 +22,7 @@
     pub fn new(seed: u64, peer: u64, first: Duration, longest: Duration) -> Self {
         let spread = peer.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         Backoff {
-            rng: Chance::new(seed ^ spread),
+            rng: Rng::new(seed ^ spread),
             first,
             longest,
         }
@@ -32,6 +32,6 @@
     pub fn delay(&mut self, failures: u32) -> Duration {
         let doublings = failures.min(MAX_DOUBLINGS);
         let full = self.first.saturating_mul(1 << doublings).min(self.longest);
-        full.mul_f64(1.0 - JITTER * self.rng.share())
+        full.mul_f64(1.0 - JITTER * self.rng.fraction())
     }
 }
--- a/crates/spokeflow-settings/src/lib.rs
+++ b/crates/spokeflow-settings/src/lib.rs
@@ -2,7 +2,9 @@
 //! the module's terms: one reader, so that the two cannot drift apart. Unknown keys are passed over.
 
 use serde::Deserialize;
-use spokeflow_core::{Gate, Micros, OpTerms, Repeat, RepeatScope, ServiceTerms, ZoneId};
+use spokeflow_core::{
+    DeduplicationScope, Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId,
+};
 
 #[derive(Deserialize)]
 struct Params {
@@ -136,7 +138,7 @@
 
 /// What the object says.
 pub struct Told {
-    pub terms: ServiceTerms,
+    pub terms: ServiceConfig,
     /// Which value of a load report says how busy a host's cores are.
     pub busy_column: Option<usize>,
     /// Names of op types, customers and zones, in the order of their numbers in `terms`.
@@ -159,9 +161,9 @@
     let p: Params =
         serde_json::from_slice(text).map_err(|e| format!("settings do not parse: {e}"))?;
     let ops = p.categories.iter().map(op).collect();
-    let terms = ServiceTerms {
+    let terms = ServiceConfig {
         ops,
-        shares: p
+        tenant_quotas: p
             .tenants
             .iter()
             .map(|t| t.allowance_per_s.max(1e-3))
@@ -170,20 +172,20 @@
         own_index: p.me,
         fleet_size: p.fleet_size.max(1),
         tick: micros(p.resolution_s),
-        list_must_be_asked: p.membership_mode == "ask",
-        list_ask_within: micros(p.guarantees.ask_within_s),
+        list_requires_subscription: p.membership_mode == "ask",
+        list_refresh_within: micros(p.guarantees.ask_within_s),
         delivery_cap: p.caps.send_cap,
-        side_by_side: p.caps.parallel_tries,
+        may_hedge: p.caps.parallel_tries,
         may_cancel: p.caps.may_cancel,
         may_probe: p.caps.probes,
-        may_tell: p.caps.peers,
-        may_name_return: p.caps.retry_after,
-        longest_return: micros(p.caps.max_retry_after_s),
+        may_gossip: p.caps.peers,
+        may_name_retry_after: p.caps.retry_after,
+        longest_retry_after: micros(p.caps.max_retry_after_s),
         drain_grace: micros(p.guarantees.drain_grace_s),
-        cold_from: p.guarantees.cold_from,
-        warm_within: micros(p.guarantees.warm_within_s),
-        fall_multiple: p.guarantees.fall_multiple,
-        fall_span: micros(p.guarantees.fall_s),
+        slow_start_from: p.guarantees.cold_from,
+        warm_up_time: micros(p.guarantees.warm_within_s),
+        overload_multiple: p.guarantees.fall_multiple,
+        overload_window: micros(p.guarantees.fall_s),
         gate: match p.family_info.gate_mode.as_str() {
             "single" => Gate::Single,
             "majority" => Gate::Majority,
@@ -192,19 +194,19 @@
         },
         stage_caps: p.family_info.stage_cap,
         stage_shares: p.family_info.waves,
-        exposure_free: p.family_info.free,
-        exposure_span: micros(p.family_info.span_s),
+        exposure_allowance: p.family_info.free,
+        exposure_window: micros(p.family_info.span_s),
         exposure_by_op: p.family_info.counts == "per_lane",
         guarded_stages: p.family_info.guarded_stages,
         forward_only: p.family_info.forward_only,
         rolling: p.family_info.style == "rolling",
         stage_bake: micros(p.family_info.bake_s),
-        vote_life: micros(p.family_info.vote_ttl_s),
-        vote_wait: micros(p.family_info.answer_wait_s),
+        vote_lifetime: micros(p.family_info.vote_ttl_s),
+        vote_timeout: micros(p.family_info.answer_wait_s),
         complaint_share: p.family_info.complaint_share,
-        back_votes: p.family_info.back_votes,
+        rollback_votes: p.family_info.back_votes,
         // Above 0, or not told.
-        votes_a_second: Some(p.family_info.vote_allowance)
+        votes_per_second: Some(p.family_info.vote_allowance)
             .filter(|n| *n > 0.0)
             .unwrap_or(f64::INFINITY),
     };
@@ -219,24 +221,24 @@
     })
 }
 
-fn op(c: &Category) -> OpTerms {
-    OpTerms {
+fn op(c: &Category) -> OperationConfig {
+    OperationConfig {
         repeat: match c.effect.as_str() {
-            "idempotent" => Repeat::Redeliverable,
+            "idempotent" => Repeat::Idempotent,
             "deduplicated" => Repeat::Deduplicated,
             // What is not understood is never run twice.
             _ => Repeat::AtMostOnce,
         },
-        repeat_scope: match c.dedup_scope.as_deref() {
-            Some("all") => RepeatScope::All,
-            Some("zone") => RepeatScope::Zone,
-            Some("cell") => RepeatScope::Cell,
-            _ => RepeatScope::Unknown,
+        deduplication_scope: match c.dedup_scope.as_deref() {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            Some("cell") => DeduplicationScope::Cell,
+            _ => DeduplicationScope::Unknown,
         },
-        repeat_memory: micros(c.dedup_window_s),
-        service_target: micros(c.aim_s),
+        deduplication_window: micros(c.dedup_window_s),
+        latency_objective: micros(c.aim_s),
         command_timeout: micros(c.deadline_s),
-        importance: c.worth,
-        streamed: c.stream,
+        priority_weight: c.worth,
+        streaming: c.stream,
     }
 }
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use spokeflow_core::{BuildId, Chance, HostId, Micros, Repeat};
+use spokeflow_core::{BuildId, HostId, Micros, Repeat, Rng};
 use spokeflow_engine::{EngineTerms, Input, NoAnswer};
 use spokeflow_proto::{
     BallotVerdict, Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding,
@@ -39,7 +39,7 @@
     who: Who,
     terms: EngineTerms,
     now: Micros,
-    chance: Chance,
+    chance: Rng,
     hosts: BTreeMap<u32, Known>,
     held: HashMap<u64, Held>,
     /// By delivery: command, host and when sent.
@@ -64,7 +64,7 @@
             who,
             terms,
             now,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             hosts: BTreeMap::new(),
             held: HashMap::new(),
             out: HashMap::new(),
@@ -103,7 +103,7 @@
     }
 
     fn room(&mut self, build: u16) -> bool {
-        let from = self.now - self.terms.service.exposure_span;
+        let from = self.now - self.terms.service.exposure_window;
         while self.taken.pop_front_if(|at| *at <= from).is_some() {}
         while self.exposed.pop_front_if(|at| *at <= from).is_some() {}
         let first = self
@@ -118,7 +118,7 @@
             .as_ref()
             .filter(|n| n.build == build)
             .map_or(first, |n| f64::from(n.cap));
-        let may = self.terms.service.exposure_free + cap * self.taken.len() as f64;
+        let may = self.terms.service.exposure_allowance + cap * self.taken.len() as f64;
         cap > 0.0 && self.exposed.len() as f64 + 1.0 <= may
     }
 
@@ -177,15 +177,15 @@
                     let way = look.way? as f64;
                     let sound = look.up && look.bears && look.speed > 0.0;
                     let bad = wiring.is_bad(BuildId(self.hosts[h].build)) && floor.is_none();
-                    let own =
-                        200_000.0 * self.terms.service.ops[op].service_target as f64 / 1_200_000.0;
+                    let own = 200_000.0 * self.terms.service.ops[op].latency_objective as f64
+                        / 1_200_000.0;
                     let wait = (look.work_before + own) / look.speed + 2.0 * way;
                     sound.then_some(wait + 4e6 * look.fails + if bad { 2e6 } else { 0.0 })
                 };
                 let best = pool.iter().filter_map(|h| Some((weigh(h)?, *h)));
                 let best = best.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
                 // What would be late anyway is refused, so that it does not make others late.
-                let target = self.terms.service.ops[op].service_target as f64;
+                let target = self.terms.service.ops[op].latency_objective as f64;
                 best.filter(|b| !tried.is_empty() || floor.is_some() || b.0 <= target)
                     .map(|b| b.1)
             }
@@ -247,9 +247,9 @@
         held.may_have_run |= may_have_run;
         let op = &self.terms.service.ops[usize::from(held.command.op)];
         let again = match op.repeat {
-            Repeat::Redeliverable => true,
+            Repeat::Idempotent => true,
             Repeat::Deduplicated => {
-                !held.may_have_run || self.now + WAKE < held.first_sent + op.repeat_memory
+                !held.may_have_run || self.now + WAKE < held.first_sent + op.deduplication_window
             }
             Repeat::AtMostOnce => !held.may_have_run,
         };
