--- a/crates/spokeflow-simulator/src/terms.rs
+++ b/crates/spokeflow-simulator/src/terms.rs
@@ -1,7 +1,7 @@
 //! A day's promises as terms of an engine: the same that the flags of a router process give, see the test
 //! of the lab that compares both.
 
-use spokeflow_core::{Gate, OpTerms, Repeat, RepeatScope, ServiceTerms, ZoneId};
+use spokeflow_core::{DeduplicationScope, Gate, OperationConfig, Repeat, ServiceConfig, ZoneId};
 use spokeflow_engine::EngineTerms;
 use spokeflow_scenario::scenario::{self, Scenario};
 use spokeflow_scenario::{MS, SECOND};
@@ -10,61 +10,61 @@
 pub fn engine_terms(day: &Scenario, index: u32) -> EngineTerms {
     let op = |op: &scenario::Op| {
         let (repeat, repeat_scope, repeat_memory) = match op.repeat {
-            scenario::Repeat::Redeliverable => (Repeat::Redeliverable, RepeatScope::Unknown, 0),
+            scenario::Repeat::Redeliverable => (Repeat::Idempotent, DeduplicationScope::Unknown, 0),
             scenario::Repeat::Deduplicated(memory) => {
-                (Repeat::Deduplicated, RepeatScope::All, memory)
+                (Repeat::Deduplicated, DeduplicationScope::All, memory)
             }
-            scenario::Repeat::AtMostOnce => (Repeat::AtMostOnce, RepeatScope::Unknown, 0),
+            scenario::Repeat::AtMostOnce => (Repeat::AtMostOnce, DeduplicationScope::Unknown, 0),
         };
-        OpTerms {
+        OperationConfig {
             repeat,
-            repeat_scope,
-            repeat_memory,
-            service_target: op.target,
+            deduplication_scope: repeat_scope,
+            deduplication_window: repeat_memory,
+            latency_objective: op.target,
             command_timeout: op.timeout,
-            importance: op.importance,
-            streamed: false,
+            priority_weight: op.importance,
+            streaming: false,
         }
     };
-    let service = ServiceTerms {
+    let service = ServiceConfig {
         ops: day.ops.iter().map(op).collect(),
-        shares: day.customers.iter().map(|c| c.allowed).collect(),
+        tenant_quotas: day.customers.iter().map(|c| c.allowed).collect(),
         own_zone: ZoneId((index % u32::from(day.sites)) as u16),
         own_index: index,
         fleet_size: day.routers,
         tick: MS,
-        list_must_be_asked: false,
-        list_ask_within: 5 * SECOND,
+        list_requires_subscription: false,
+        list_refresh_within: 5 * SECOND,
         delivery_cap: 6,
-        side_by_side: true,
+        may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_tell: day.tells,
-        may_name_return: true,
-        longest_return: 2 * SECOND,
+        may_gossip: day.tells,
+        may_name_retry_after: true,
+        longest_retry_after: 2 * SECOND,
         drain_grace: day.drain_grace,
-        cold_from: day.cold_from,
-        warm_within: day.warm_within,
-        fall_multiple: day.fall_multiple,
-        fall_span: day.fall_span,
+        slow_start_from: day.cold_from,
+        warm_up_time: day.warm_within,
+        overload_multiple: day.fall_multiple,
+        overload_window: day.fall_span,
         gate: match day.gate {
             scenario::Gate::Single => Gate::Single,
             scenario::Gate::Majority => Gate::Majority,
         },
         stage_caps: (0..day.stage_shares.len()).map(|s| day.cap(s)).collect(),
         stage_shares: day.stage_shares.clone(),
-        exposure_free: day.exposure_free,
-        exposure_span: day.exposure_span,
+        exposure_allowance: day.exposure_free,
+        exposure_window: day.exposure_span,
         exposure_by_op: false,
         guarded_stages: 0,
         forward_only: day.forward_only,
         rolling: true,
         stage_bake: day.bake,
-        vote_life: 10 * SECOND,
-        vote_wait: 2 * SECOND,
+        vote_lifetime: 10 * SECOND,
+        vote_timeout: 2 * SECOND,
         complaint_share: day.reported,
-        back_votes: 0,
-        votes_a_second: f64::INFINITY,
+        rollback_votes: 0,
+        votes_per_second: f64::INFINITY,
     };
     EngineTerms {
         service,
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use spokeflow_config::OperationFlag;
-use spokeflow_core::RepeatScope;
+use spokeflow_core::DeduplicationScope;
 
 use spokeflow_scenario::scenario::{Gate, Repeat, Scenario};
 
@@ -248,14 +248,14 @@
     for op in &day.ops {
         let micros = |t: Micros| Duration::from_micros(t as u64);
         let (repeat, memory) = match op.repeat {
-            Repeat::Redeliverable => (spokeflow_core::Repeat::Redeliverable, 0),
+            Repeat::Redeliverable => (spokeflow_core::Repeat::Idempotent, 0),
             Repeat::Deduplicated(memory) => (spokeflow_core::Repeat::Deduplicated, memory),
             Repeat::AtMostOnce => (spokeflow_core::Repeat::AtMostOnce, 0),
         };
         let op = OperationFlag {
             name: op.name.to_string(),
             repeat,
-            scope: RepeatScope::All,
+            scope: DeduplicationScope::All,
             memory: micros(memory),
             target: micros(op.target),
             timeout: micros(op.timeout),
--- a/crates/spokeflow-wirehost/src/main.rs
+++ b/crates/spokeflow-wirehost/src/main.rs
@@ -10,8 +10,8 @@
 use frame::{Fields, Malformed};
 use reply::Reply;
 use spokeflow_core::{
-    BuildId, CommandId, DeliveryEnd, DeskCount, HostId, HostLine, HostPhase, Key, ListKind, Micros,
-    OpType, Router, ShareId, StageNews, Standing, VoteAnswer, ZoneId,
+    AttemptOutcome, BuildId, CommandId, ControllerStats, Endpoint, EndpointState, HostId, Key,
+    ListKind, Micros, OpType, RolloutState, RolloutStatus, Router, TenantId, VoteOutcome, ZoneId,
 };
 
 fn main() -> ExitCode {
@@ -51,7 +51,7 @@
     routers: BTreeMap<u32, Router>,
     /// Where in a load report each router's hosts say how busy they are.
     busy_column: BTreeMap<u32, usize>,
-    lists: [Vec<HostLine>; 16],
+    lists: [Vec<Endpoint>; 16],
     reply: Reply,
 }
 
@@ -128,17 +128,17 @@
         let Some(router) = self.routers.get_mut(&instance) else {
             return Ok(());
         };
-        router.at(now);
+        router.set_time(now);
         match code {
             1 => {
                 f.u32()?;
                 let table = f.u8()?;
                 let kind = match f.u8()? {
                     0 => ListKind::Changes,
-                    1 => ListKind::Whole,
-                    3 => ListKind::Remembered,
+                    1 => ListKind::Complete,
+                    3 => ListKind::Cached,
                     2 => {
-                        router.list_failed();
+                        router.on_list_failure();
                         return Ok(());
                     }
                     other => return Err(f.malformed(format!("list mode {other} is not known"))),
@@ -146,23 +146,23 @@
                 let Some(lines) = self.lists.get(usize::from(table)) else {
                     return Err(f.malformed(format!("list number {table} is over 15")));
                 };
-                router.listed(kind, lines, out);
+                router.on_endpoints(kind, lines, out);
             }
             2 => {
                 let cmd = CommandId(f.u32()?);
                 f.u8()?;
-                let share = ShareId(f.u32()?);
+                let share = TenantId(f.u32()?);
                 let op = OpType(f.u16()?);
                 f.f64()?;
                 let key = Key(f.u64()?);
                 let left = f.time()?;
-                router.command(cmd, op, share, key, left, out);
+                router.on_command(cmd, op, share, key, left, out);
             }
             3 => {
                 let cmd = CommandId(f.u32()?);
                 f.f64()?;
                 let delivery = f.u8()?;
-                router.answer_started(cmd, delivery);
+                router.on_response_started(cmd, delivery);
             }
             4 => {
                 let cmd = CommandId(f.u32()?);
@@ -177,14 +177,14 @@
                     .get(&instance)
                     .and_then(|column| load.get(*column));
                 if let Some(busy) = busy {
-                    router.reported(host, *busy);
+                    router.on_load_report(host, *busy);
                 }
-                router.ended(cmd, delivery, end, latency, finished, out);
+                router.on_attempt_outcome(cmd, delivery, end, latency, finished, out);
             }
-            5 => router.end(CommandId(f.u32()?), out),
+            5 => router.finish(CommandId(f.u32()?), out),
             6 => {
                 f.u32()?;
-                router.woken(out);
+                router.on_timer(out);
             }
             9 => {
                 self.routers.remove(&instance);
@@ -193,10 +193,10 @@
                 let build = BuildId(f.u16()?);
                 let stage = f.u8()?;
                 let standing = match f.u8()? {
-                    0 => Standing::OnTrial,
-                    1 => Standing::GoingBack,
-                    2 => Standing::Released,
-                    3 => Standing::Withdrawn,
+                    0 => RolloutState::Canary,
+                    1 => RolloutState::RollingBack,
+                    2 => RolloutState::Released,
+                    3 => RolloutState::Withdrawn,
                     other => return Err(f.malformed(format!("standing {other} is not known"))),
                 };
                 let answers_vote = f.u8()? == 1;
@@ -204,15 +204,15 @@
                 let cap = f.f32()?;
                 let age = f.time()?;
                 if answers_vote {
-                    router.vote_answered(vote_answer(result));
+                    router.on_vote_outcome(vote_answer(result));
                 }
                 if result == 100 {
-                    router.told(
-                        StageNews {
+                    router.on_rollout_status(
+                        RolloutStatus {
                             build,
                             stage,
-                            standing,
-                            cap,
+                            state: standing,
+                            exposure_cap: cap,
                             age,
                         },
                         out,
@@ -223,7 +223,7 @@
                 let host = HostId(f.u32()?);
                 let since = f.time()?;
                 f.u16()?;
-                router.disputed(host, since);
+                router.on_wrong_answer(host, since);
             }
             11 => {
                 let sampled = f.u32()?;
@@ -231,12 +231,12 @@
                 let (op, build) = (OpType(f.u16()?), BuildId(f.u16()?));
                 let mean = f.time()?;
                 let lost = f.u32()?;
-                router.counted(DeskCount {
+                router.on_controller_stats(ControllerStats {
                     build,
                     op,
                     sampled,
-                    lost,
-                    mean,
+                    failed: lost,
+                    mean_latency: mean,
                     age,
                 });
             }
@@ -247,15 +247,15 @@
     }
 }
 
-fn host_line(f: &mut Fields) -> Result<HostLine, Malformed> {
+fn host_line(f: &mut Fields) -> Result<Endpoint, Malformed> {
     let release = f.f32()?;
     let cell = f.u16()?;
     let zone = ZoneId(f.u16()?);
     f.u8()?;
     let phase = match f.u8()? {
-        0 => HostPhase::Gone,
-        1 => HostPhase::Ready,
-        2 => HostPhase::Draining,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         other => return Err(f.malformed(format!("host phase {other} is not known"))),
     };
     let size = f.f32()?;
@@ -269,37 +269,37 @@
         .contains(&release)
         .then_some(BuildId(release as u16));
     let started = (ready_at != 0).then_some(ready_at);
-    Ok(HostLine {
+    Ok(Endpoint {
         host: HostId(f.u32()?),
         build,
         cell,
         zone,
-        phase,
+        state: phase,
         size,
-        started,
+        started_at: started,
     })
 }
 
-fn delivery_end(f: &mut Fields) -> Result<DeliveryEnd, Malformed> {
+fn delivery_end(f: &mut Fields) -> Result<AttemptOutcome, Malformed> {
     Ok(match f.u16()? {
-        100 => DeliveryEnd::Acked,
-        301 => DeliveryEnd::Error,
-        302 => DeliveryEnd::Full,
-        303 => DeliveryEnd::TimedOut,
-        304 => DeliveryEnd::NotConnected,
-        305 => DeliveryEnd::Reset,
-        306 => DeliveryEnd::Cancelled,
-        307 => DeliveryEnd::NotSent,
+        100 => AttemptOutcome::Acked,
+        301 => AttemptOutcome::Error,
+        302 => AttemptOutcome::Rejected,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::NotConnected,
+        305 => AttemptOutcome::Reset,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
         other => return Err(f.malformed(format!("result {other} is not known"))),
     })
 }
 
-fn vote_answer(result: u16) -> VoteAnswer {
+fn vote_answer(result: u16) -> VoteOutcome {
     match result {
-        100 => VoteAnswer::Counted,
-        307 => VoteAnswer::Moot,
-        302 => VoteAnswer::TooMany,
-        303 => VoteAnswer::Silence,
-        _ => VoteAnswer::Refused,
+        100 => VoteOutcome::Counted,
+        307 => VoteOutcome::Stale,
+        302 => VoteOutcome::RateLimited,
+        303 => VoteOutcome::NoResponse,
+        _ => VoteOutcome::Refused,
     }
 }
--- a/crates/spokeflow-wirehost/src/reply.rs
+++ b/crates/spokeflow-wirehost/src/reply.rs
@@ -1,6 +1,6 @@
 //! Writes the module's answers as records of the wire.
 
-use spokeflow_core::{BuildId, CommandId, Egress, HostId, Micros, Verdict};
+use spokeflow_core::{BuildId, CommandId, Egress, HostId, Micros, RolloutVote};
 
 /// One reply in the making: four bytes for its length, then the records.
 pub struct Reply {
@@ -80,12 +80,12 @@
         self.record(4, &[&seconds(at), &0u32.to_be_bytes()]);
     }
 
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: Verdict) {
+    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote) {
         let code = match verdict {
-            Verdict::None => 0,
-            Verdict::On => 1,
-            Verdict::Hold => 2,
-            Verdict::Back => 3,
+            RolloutVote::Abstain => 0,
+            RolloutVote::Promote => 1,
+            RolloutVote::Hold => 2,
+            RolloutVote::RollBack => 3,
         };
         self.record(12, &[&build.0.to_be_bytes(), &[stage, code]]);
     }
@@ -102,7 +102,7 @@
         self.record(11, &[]);
     }
 
-    fn tell(&mut self, router: Option<u32>, text: &[u8]) {
+    fn gossip(&mut self, router: Option<u32>, text: &[u8]) {
         let to = router.map_or(u16::MAX, |r| r as u16);
         self.record(
             7,
