--- a/crates/spokeflow-control-plane/src/calls.rs
+++ b/crates/spokeflow-control-plane/src/calls.rs
@@ -17,7 +17,7 @@
 
 use spokeflow_runtime::Clock;
 
-use crate::arrival::Arrival;
+use crate::event::NodeEvent;
 
 /// A caller says who it is, and takes what it is sent, within this time.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -32,7 +32,7 @@
     pub conn: u64,
     pub own: NodeId,
     pub common: ClusterParameters,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<NodeEvent>,
     pub clock: Arc<Clock>,
     pub _place: OwnedSemaphorePermit,
 }
@@ -52,7 +52,7 @@
                 link.codec_mut()
                     .set_limit(if keeper { LIMIT } else { ASK_LIMIT });
                 self.talk(link, caller).await;
-                let _ = self.core.send(Arrival::Left(self.conn)).await;
+                let _ = self.core.send(NodeEvent::Left(self.conn)).await;
                 return;
             }
             Err(refused) => refused,
@@ -102,7 +102,7 @@
             }
             // Answered by the task that knows all that was met, once it is on the disk.
             let (answer, met) = oneshot::channel();
-            let asked = Arrival::Met {
+            let asked = NodeEvent::Met {
                 id: *id,
                 start: *start,
                 processes: processes.clone(),
@@ -129,7 +129,7 @@
         };
         if self
             .core
-            .send(Arrival::Came(self.conn, answers))
+            .send(NodeEvent::Came(self.conn, answers))
             .await
             .is_err()
         {
@@ -143,10 +143,10 @@
                 read = link.next() => {
                     let arrival = match read {
                         Some(Ok(ToNode::Request { number, request: ask })) => {
-                            Arrival::Asked { conn: self.conn, number, keeper: keeper.is_some(), ask }
+                            NodeEvent::Asked { conn: self.conn, number, keeper: keeper.is_some(), ask }
                         }
                         Some(Ok(ToNode::Raft(message))) => match keeper {
-                            Some(from) => Arrival::Heard(from, message),
+                            Some(from) => NodeEvent::Heard(from, message),
                             None => return,
                         },
                         _ => return,
--- a/crates/spokeflow-control-plane/src/steps.rs
+++ b/crates/spokeflow-control-plane/src/crash_point.rs
@@ -1,10 +1,10 @@
-//! Places in the program at which tests let it die: each is named here once, and a test that walks [`WHERES`] cannot
+//! Places in the program at which tests let it die: each is named here once, and a test that walks [`CRASH_POINTS`] cannot
 //! miss a new one.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Where {
+pub enum CrashPoint {
     /// Writes are handed to the disk's thread and none of them is on the disk.
     BeforeSync,
     /// They are on the disk, and nobody has been told.
@@ -19,32 +19,32 @@
     Applied,
 }
 
-pub const WHERES: [(&str, Where); 6] = [
-    ("before-sync", Where::BeforeSync),
-    ("after-sync", Where::AfterSync),
-    ("before-sending", Where::BeforeSending),
-    ("within-sending", Where::WithinSending),
-    ("before-answering", Where::BeforeAnswering),
-    ("applied", Where::Applied),
+pub const CRASH_POINTS: [(&str, CrashPoint); 6] = [
+    ("before-sync", CrashPoint::BeforeSync),
+    ("after-sync", CrashPoint::AfterSync),
+    ("before-sending", CrashPoint::BeforeSending),
+    ("within-sending", CrashPoint::WithinSending),
+    ("before-answering", CrashPoint::BeforeAnswering),
+    ("applied", CrashPoint::Applied),
 ];
 
-/// Where to die, and at which passing of that place.
+/// CrashPoint to die, and at which passing of that place.
 #[derive(Debug)]
-pub struct Steps {
-    die_at: Option<(Where, u64)>,
+pub struct CrashInjector {
+    crash_at: Option<(CrashPoint, u64)>,
     passed: AtomicU64,
 }
 
-impl Steps {
-    pub fn new(die_at: Option<(Where, u64)>) -> Self {
-        Steps {
-            die_at,
+impl CrashInjector {
+    pub fn new(die_at: Option<(CrashPoint, u64)>) -> Self {
+        CrashInjector {
+            crash_at: die_at,
             passed: AtomicU64::new(0),
         }
     }
 
-    pub fn pass(&self, at: Where) {
-        let Some((place, nth)) = self.die_at else {
+    pub fn pass(&self, at: CrashPoint) {
+        let Some((place, nth)) = self.crash_at else {
             return;
         };
         if place == at && self.passed.fetch_add(1, Ordering::Relaxed) + 1 == nth {
--- a/crates/spokeflow-control-plane/src/arrival.rs
+++ b/crates/spokeflow-control-plane/src/event.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// What reaches the task that owns the keeper.
-pub enum Arrival {
+pub enum NodeEvent {
     /// A caller is admitted; its answers, with the numbers of its requests, go to the sender.
     Came(u64, mpsc::Sender<(u64, Response)>),
     /// The connection of a caller is closed.
--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -13,7 +13,7 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::arrival::Arrival;
+use crate::event::NodeEvent;
 
 const PATIENCE: Duration = Duration::from_secs(1);
 /// The whole list is asked for this often: news that was not taken in, for whatever reason, comes again.
@@ -22,7 +22,7 @@
 pub struct ListLink {
     pub address: SocketAddr,
     pub backoff: Backoff,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<NodeEvent>,
     /// Whether this keeper is the one to read.
     pub reads: watch::Receiver<bool>,
 }
@@ -84,7 +84,7 @@
                         Some(Err(fault)) => return Err(fault.to_string()),
                         None => return Err("the connection ended".into()),
                     };
-                    if self.core.send(Arrival::List(news)).await.is_err() {
+                    if self.core.send(NodeEvent::List(news)).await.is_err() {
                         return Ok(());
                     }
                 }
--- a/crates/spokeflow-control-plane/src/main.rs
+++ b/crates/spokeflow-control-plane/src/main.rs
@@ -1,8 +1,8 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use spokeflow_control_plane::{main_with, KeeperProgram};
+use spokeflow_control_plane::{main_with, ControlPlaneProgram};
 
 fn main() -> ExitCode {
-    main_with(KeeperProgram::parse())
+    main_with(ControlPlaneProgram::parse())
 }
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::arrival::Arrival;
+use crate::event::NodeEvent;
 
 /// A keeper that is not reached, or takes no byte, for this long is tried on a new connection.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -28,7 +28,7 @@
     /// Told with each call, as it is then.
     pub addresses: watch::Receiver<Vec<(NodeId, String)>>,
     pub backoff: Backoff,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<NodeEvent>,
     pub queue: mpsc::Receiver<ToNode>,
 }
 
@@ -47,7 +47,7 @@
                     self.talk(link).await;
                 }
                 Ok(Err(Some((Refusal::StaleStore, text)))) => {
-                    let _ = self.core.send(Arrival::OldDisk(text)).await;
+                    let _ = self.core.send(NodeEvent::OldDisk(text)).await;
                 }
                 Ok(Err(Some((why, text)))) => {
                     warn!(keeper = self.id.0, ?why, text, "refused by a keeper");
@@ -96,7 +96,7 @@
                 }
                 heard = link.next() => match heard {
                     Some(Ok(FromNode::Response { number, response: answer })) => {
-                        if self.core.send(Arrival::PassedBack(number, answer)).await.is_err() {
+                        if self.core.send(NodeEvent::PassedBack(number, answer)).await.is_err() {
                             return;
                         }
                     }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -14,7 +14,7 @@
 use spokeflow_raft::{NodeId, RaftConfig};
 use spokeflow_runtime::{init_logging, LogFormat};
 
-use crate::{serve, Store, Where, WHERES};
+use crate::{serve, CrashPoint, Store, CRASH_POINTS};
 
 fn span(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
@@ -32,9 +32,9 @@
     ))
 }
 
-fn place(text: &str) -> Result<(Where, u64), String> {
+fn place(text: &str) -> Result<(CrashPoint, u64), String> {
     let (name, nth) = text.split_once(':').unwrap_or((text, "1"));
-    let known = WHERES.iter().find(|w| w.0 == name).map(|w| w.1);
+    let known = CRASH_POINTS.iter().find(|w| w.0 == name).map(|w| w.1);
     Ok((
         known.ok_or("no such place")?,
         nth.parse().map_err(|_| "not PLACE:NTH")?,
@@ -42,11 +42,11 @@
 }
 
 #[derive(Clone, Debug, Args)]
-pub struct KeeperFlags {
+pub struct ControlPlaneFlags {
     /// Number of this keeper, never given to another one, not even in its place
     #[arg(long, env = "SPOKEFLOW_KEEPER_ID")]
     pub id: u32,
-    /// Where routers, people and other keepers connect; port 0 takes a free one, told on standard output
+    /// CrashPoint routers, people and other keepers connect; port 0 takes a free one, told on standard output
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7500")]
     pub listen: SocketAddr,
     /// A keeper of the fleet's first set: ID=ADDRESS; three, five or seven, this one among them, told to all alike.
@@ -88,7 +88,7 @@
     pub log_form: LogFormat,
     /// For tests: dies at this place, PLACE:NTH
     #[arg(long, hide = true, value_parser = place)]
-    pub die_at: Option<(Where, u64)>,
+    pub crash_at: Option<(CrashPoint, u64)>,
     /// For tests: the disk fails from this write on
     #[arg(long, hide = true)]
     pub fail_writes_from: Option<u64>,
@@ -97,12 +97,12 @@
 /// Holds, with a few others, what routers agree on.
 #[derive(Debug, Parser)]
 #[command(name = "spokeflow-control-plane", version)]
-pub struct KeeperProgram {
+pub struct ControlPlaneProgram {
     #[command(flatten)]
-    pub flags: KeeperFlags,
+    pub flags: ControlPlaneFlags,
 }
 
-impl KeeperFlags {
+impl ControlPlaneFlags {
     /// Errors: every fault, naming its flag.
     pub fn check(&self) -> Result<(), Vec<String>> {
         let mut faults = Vec::new();
@@ -157,7 +157,7 @@
         }
     }
 
-    pub fn terms(&self) -> CoordinatorConfig {
+    pub fn coordinator_config(&self) -> CoordinatorConfig {
         let micros = |span: Duration| span.as_micros() as Micros;
         let members: Vec<NodeId> = self.members.iter().map(|m| NodeId(m.0)).collect();
         CoordinatorConfig {
@@ -181,7 +181,7 @@
         }
     }
 
-    pub fn common(&self) -> ClusterParameters {
+    pub fn cluster_parameters(&self) -> ClusterParameters {
         ClusterParameters {
             fleet: self.fleet,
             election_timeout_us: self.silence.as_micros() as u64,
@@ -192,7 +192,7 @@
 }
 
 /// Runs the keeper until SIGTERM or SIGINT. Exit code 0: ended as asked; 1: could not go on; 2: bad terms.
-pub fn main_with(program: KeeperProgram) -> ExitCode {
+pub fn main_with(program: ControlPlaneProgram) -> ExitCode {
     let flags = program.flags;
     if let Err(faults) = flags.check() {
         faults
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -15,13 +15,13 @@
 use tokio::time::{sleep, sleep_until};
 use tracing::{info, warn};
 
-use crate::arrival::Arrival;
 use crate::calls::Call;
+use crate::crash_point::{CrashInjector, CrashPoint};
+use crate::event::NodeEvent;
 use crate::list::ListLink;
 use crate::peers::{PeerLink, FIRST_PAUSE, LONGEST_PAUSE};
-use crate::steps::{Steps, Where};
 use crate::store::{Start, PROCESSES};
-use crate::{KeeperFlags, Store};
+use crate::{ControlPlaneFlags, Store};
 
 /// Arrivals that wait at most; a task whose arrival finds no room waits, and so does its peer.
 const ARRIVALS: usize = 4096;
@@ -41,8 +41,8 @@
 fn disk(
     mut store: Store,
     orders: std::sync::mpsc::Receiver<ToDisk>,
-    core: mpsc::Sender<Arrival>,
-    steps: Arc<Steps>,
+    core: mpsc::Sender<NodeEvent>,
+    steps: Arc<CrashInjector>,
 ) {
     while let Ok(mut order) = orders.recv() {
         while let Ok(more) = orders.try_recv() {
@@ -50,18 +50,21 @@
             order.met.extend(more.met);
             order.told.extend(more.told);
         }
-        steps.pass(Where::BeforeSync);
+        steps.pass(CrashPoint::BeforeSync);
         if let Err(fault) = store.write(&order.writes, &order.met) {
-            let _ = core.blocking_send(Arrival::DiskFails(format!(
+            let _ = core.blocking_send(NodeEvent::DiskFails(format!(
                 "--store {}: {fault}",
                 store.file().display()
             )));
             return;
         }
-        steps.pass(Where::AfterSync);
+        steps.pass(CrashPoint::AfterSync);
         order.told.into_iter().for_each(|t| drop(t.send(Ok(()))));
         if let Some(last) = order.writes.last() {
-            if core.blocking_send(Arrival::Synced(last.sequence)).is_err() {
+            if core
+                .blocking_send(NodeEvent::Synced(last.sequence))
+                .is_err()
+            {
                 return;
             }
         }
@@ -73,13 +76,13 @@
     keeper: Coordinator,
     caller: Caller,
     seed: u64,
-    core: mpsc::Sender<Arrival>,
+    core: mpsc::Sender<NodeEvent>,
     callers: HashMap<u64, mpsc::Sender<(u64, Response)>>,
     peers: BTreeMap<NodeId, (SocketAddr, mpsc::Sender<ToNode>)>,
     met: BTreeMap<NodeId, Start>,
     addresses: watch::Sender<Vec<(NodeId, String)>>,
     to_disk: std::sync::mpsc::Sender<ToDisk>,
-    steps: Arc<Steps>,
+    steps: Arc<CrashInjector>,
     /// What was last said of it in the log.
     said: Option<(u64, bool, Option<NodeId>)>,
 }
@@ -95,7 +98,7 @@
             warn!(?rejection, "news of the host list is not believed");
         }
         if step.config_changed {
-            self.steps.pass(Where::Applied);
+            self.steps.pass(CrashPoint::Applied);
             self.reach();
         }
         if !step.persist_requests.is_empty() {
@@ -106,17 +109,17 @@
             });
         }
         if !step.messages.is_empty() {
-            self.steps.pass(Where::BeforeSending);
+            self.steps.pass(CrashPoint::BeforeSending);
         }
         let half = step.messages.len().div_ceil(2);
         for (n, (to, message)) in step.messages.into_iter().enumerate() {
             if n == half {
-                self.steps.pass(Where::WithinSending);
+                self.steps.pass(CrashPoint::WithinSending);
             }
             self.say_to(to, message);
         }
         if !step.responses.is_empty() {
-            self.steps.pass(Where::BeforeAnswering);
+            self.steps.pass(CrashPoint::BeforeAnswering);
         }
         for (conn, number, answer) in step.responses {
             let full = self
@@ -235,7 +238,7 @@
 
 /// Runs a keeper until it is told to end. Errors: what it cannot go on with.
 pub async fn serve(
-    flags: KeeperFlags,
+    flags: ControlPlaneFlags,
     store: Store,
     saved: PersistentState,
     (start, processes): (u64, Vec<u64>),
@@ -250,7 +253,7 @@
         .map_err(|f| f.to_string())?
         .into_iter()
         .collect();
-    let terms = flags.terms();
+    let terms = flags.coordinator_config();
     let longest = Duration::from_micros(terms.lease.longest_contradiction() as u64);
     info!(
         keeper = flags.id,
@@ -263,7 +266,7 @@
         "keeper starts; no two routers act on contradicting revisions for longer than one lease"
     );
     println!("listening on {address}");
-    let steps = Arc::new(Steps::new(flags.die_at));
+    let steps = Arc::new(CrashInjector::new(flags.crash_at));
     let (core, mut arrivals) = mpsc::channel(ARRIVALS);
     let (to_disk, orders) = std::sync::mpsc::channel();
     {
@@ -271,7 +274,7 @@
         std::thread::spawn(move || disk(store, orders, core, steps));
     }
     let (own, list) = (NodeId(flags.id), flags.list);
-    let common = flags.common();
+    let common = flags.cluster_parameters();
     let caller = Caller::Node {
         id: own,
         start,
@@ -355,13 +358,13 @@
             shell.keeper.wall_clock_s = wall;
             let (now, mut step) = (clock.now(), Effects::default());
             match arrival {
-                Arrival::Came(conn, answers) => {
+                NodeEvent::Came(conn, answers) => {
                     shell.callers.insert(conn, answers);
                 }
-                Arrival::Left(conn) => {
+                NodeEvent::Left(conn) => {
                     shell.callers.remove(&conn);
                 }
-                Arrival::Asked {
+                NodeEvent::Asked {
                     conn,
                     number,
                     keeper,
@@ -378,13 +381,13 @@
                         &mut step,
                     );
                 }
-                Arrival::Heard(from, message) => {
+                NodeEvent::Heard(from, message) => {
                     shell.keeper.on_message(now, from, message, &mut step)
                 }
-                Arrival::PassedBack(number, answer) => {
+                NodeEvent::PassedBack(number, answer) => {
                     shell.keeper.on_forward_response(number, answer, &mut step)
                 }
-                Arrival::Met {
+                NodeEvent::Met {
                     id,
                     start,
                     processes,
@@ -395,11 +398,11 @@
                     shell.meet(id, start, &processes, answer);
                     shell.reach();
                 }
-                Arrival::Synced(number) => shell.keeper.on_persisted(now, number, &mut step),
+                NodeEvent::Synced(number) => shell.keeper.on_persisted(now, number, &mut step),
                 // It may have voted and forgotten it: it must not vote again.
-                Arrival::OldDisk(text) => break 'run Err(text),
-                Arrival::DiskFails(what) => break 'run Err(what),
-                Arrival::List(news) => shell.keeper.on_source_update(now, news, &mut step),
+                NodeEvent::OldDisk(text) => break 'run Err(text),
+                NodeEvent::DiskFails(what) => break 'run Err(what),
+                NodeEvent::List(news) => shell.keeper.on_source_update(now, news, &mut step),
             }
             // An empty ledger in its place would be granted on.
             if let Some(what) = step.fatal {
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -30,9 +30,9 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum StoreFault {
+pub enum StoreError {
     /// Not one of this version, or not to be opened.
-    NotOne(String),
+    NotAStore(String),
     /// A record's checksum does not fit.
     Damaged(String),
     /// It belongs to another fleet or another keeper.
@@ -41,16 +41,16 @@
     Disk(String),
 }
 
-impl fmt::Display for StoreFault {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StoreFault::NotOne(what) => write!(f, "cannot be opened: {what}"),
-            StoreFault::Damaged(what) => write!(
+            StoreError::NotAStore(what) => write!(f, "cannot be opened: {what}"),
+            StoreError::Damaged(what) => write!(
                 f,
                 "damaged: {what}; take this keeper out and add one with a new number and an empty store"
             ),
-            StoreFault::Foreign(what) => write!(f, "of another: {what}"),
-            StoreFault::Disk(what) => write!(f, "the disk fails: {what}"),
+            StoreError::Foreign(what) => write!(f, "of another: {what}"),
+            StoreError::Disk(what) => write!(f, "the disk fails: {what}"),
         }
     }
 }
@@ -62,8 +62,8 @@
     record
 }
 
-fn opened<T: DeserializeOwned>(what: &str, record: &[u8]) -> Result<T, StoreFault> {
-    let fault = || StoreFault::Damaged(what.to_string());
+fn opened<T: DeserializeOwned>(what: &str, record: &[u8]) -> Result<T, StoreError> {
+    let fault = || StoreError::Damaged(what.to_string());
     let (sum, body) = record.split_at_checked(4).ok_or_else(fault)?;
     if sum != crc32fast::hash(body).to_be_bytes() {
         return Err(fault());
@@ -74,7 +74,7 @@
 /// Errors of redb are many types; all say what happened.
 macro_rules! disk {
     ($e:expr) => {
-        $e.map_err(|e| StoreFault::Disk(e.to_string()))?
+        $e.map_err(|e| StoreError::Disk(e.to_string()))?
     };
 }
 
@@ -87,11 +87,11 @@
         own: NodeId,
         fails_from: Option<u64>,
         process: u64,
-    ) -> Result<(Store, PersistentState, u64, Vec<u64>), StoreFault> {
+    ) -> Result<(Store, PersistentState, u64, Vec<u64>), StoreError> {
         if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty()) {
             disk!(std::fs::create_dir_all(folder));
         }
-        let db = Database::create(file).map_err(|e| StoreFault::NotOne(e.to_string()))?;
+        let db = Database::create(file).map_err(|e| StoreError::NotAStore(e.to_string()))?;
         let store = Store {
             db,
             file: file.to_path_buf(),
@@ -106,7 +106,7 @@
             disk!(write.open_table(STARTS));
             let whose: Option<(u64, NodeId)> = read(&meta, "whose")?;
             if let Some((f, id)) = whose.filter(|w| *w != (fleet, own)) {
-                return Err(StoreFault::Foreign(format!(
+                return Err(StoreError::Foreign(format!(
                     "it is keeper {}'s of fleet {f}",
                     id.0
                 )));
@@ -127,7 +127,7 @@
         &self.file
     }
 
-    fn saved(&self) -> Result<PersistentState, StoreFault> {
+    fn saved(&self) -> Result<PersistentState, StoreError> {
         let txn = disk!(self.db.begin_read());
         let meta = disk!(txn.open_table(META));
         let (term, voted) = read::<(Term, Option<NodeId>)>(&meta, "promised")?.unwrap_or_default();
@@ -137,7 +137,7 @@
         for (expected, row) in (snapshot.last_included_index.0 + 1..).zip(disk!(table.iter())) {
             let (place, record) = disk!(row);
             if place.value() != expected {
-                return Err(StoreFault::Damaged(format!(
+                return Err(StoreError::Damaged(format!(
                     "the log lacks place {expected}"
                 )));
             }
@@ -155,7 +155,7 @@
     }
 
     /// Starts with which other keepers have been met, by id.
-    pub fn starts(&self) -> Result<Vec<(NodeId, Start)>, StoreFault> {
+    pub fn starts(&self) -> Result<Vec<(NodeId, Start)>, StoreError> {
         let txn = disk!(self.db.begin_read());
         let table = disk!(txn.open_table(STARTS));
         let mut all = Vec::new();
@@ -175,10 +175,10 @@
         &mut self,
         writes: &[PersistRequest],
         met: &[(NodeId, Start)],
-    ) -> Result<(), StoreFault> {
+    ) -> Result<(), StoreError> {
         self.writes += 1;
         if self.fails_from.is_some_and(|n| self.writes >= n) {
-            return Err(StoreFault::Disk("told to by --fail-writes-from".into()));
+            return Err(StoreError::Disk("told to by --fail-writes-from".into()));
         }
         let txn = disk!(self.db.begin_write());
         {
@@ -211,7 +211,7 @@
 fn read<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
     name: &str,
-) -> Result<Option<T>, StoreFault> {
+) -> Result<Option<T>, StoreError> {
     match disk!(table.get(name)) {
         Some(record) => opened(&format!("the record '{name}'"), record.value()).map(Some),
         None => Ok(None),
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use spokeflow_control_plane::ask::ask;
+use spokeflow_control_plane::client::ask;
 use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
 use spokeflow_coordination::{
--- a/crates/spokeflow-coordination/src/granter.rs
+++ b/crates/spokeflow-coordination/src/lease_granter.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_core::Micros;
 
-use crate::leases::{Lease, LeaseTable};
+use crate::lease_table::{Lease, LeaseTable};
 use crate::{ConfigState, EndpointListUpdate, LeaseConfig, LeaseRequest, Revision, RevisionNumber};
 
 /// Routers whose leases are kept in mind; beyond, an announced revision waits for time alone.
--- a/crates/spokeflow-coordination/src/lib.rs
+++ b/crates/spokeflow-coordination/src/lib.rs
@@ -6,23 +6,23 @@
 //! `docs/agreement.md` has the argument for why no two routers act on revisions that contradict each other for longer
 //! than one lease.
 
-mod granter;
-mod hosts;
-mod keeper;
+mod config;
+mod config_state;
+mod coordinator;
+mod endpoint_list;
+mod lease_granter;
 mod lease_holder;
-mod leases;
-mod ledger;
-mod terms;
+mod lease_table;
 pub mod wire;
 
-pub use granter::{LeaseGrant, LeaseGranter, RevisionRef, VoterAddresses};
-pub use hosts::{
+pub use config::{EffectiveConfig, LeaseConfig};
+pub use coordinator::{Coordinator, CoordinatorConfig, Effects, RequestOrigin};
+pub use endpoint_list::{
     EndpointList, EndpointListUpdate, HostState, ListVersion, ListedHost, Rejection, SourceUpdate,
 };
-pub use keeper::{Coordinator, CoordinatorConfig, Effects, RequestOrigin};
+pub use lease_granter::{LeaseGrant, LeaseGranter, RevisionRef, VoterAddresses};
 pub use lease_holder::{LeaseHolder, LeaseRequest};
-pub use ledger::{
+pub use config_state::{
     ConfigState, LogCommand, Overrides, Proposal, ProposalOutcome, Revision, RevisionNumber,
     RevisionRecord,
 };
-pub use terms::{EffectiveConfig, LeaseConfig};
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use serde::Serialize;
 use spokeflow_config::check_overrides;
-use spokeflow_control_plane::ask::ask;
+use spokeflow_control_plane::client::ask;
 use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
 use spokeflow_coordination::{Overrides, Proposal, ProposalOutcome, RevisionNumber};
 use spokeflow_raft::NodeId;
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -7,32 +7,32 @@
     VoteOutcome, ZoneId,
 };
 use spokeflow_proto::{
-    BallotResult, Command, FrameFault, FromDesk, FromHost, FromList, Line, LinePhase, News,
+    BallotResult, Command, FrameFault, FromController, FromHost, FromList, Line, LinePhase, News,
     NewsStanding, ToClient, ToHost,
 };
 
-use crate::book::{Book, Carrier, Owed, Place};
-use crate::input::NoAnswer;
-use crate::{Input, Links};
+use crate::in_flight::{Book, Carrier, Owed, Place};
+use crate::input::TransportFailure;
+use crate::{Input, Transport};
 
 /// What the engine itself must know beside the module's terms.
 #[derive(Clone, Debug)]
-pub struct EngineTerms {
+pub struct EngineConfig {
     pub service: ServiceConfig,
     /// Kept back from each client's patience, for the way of the answer.
     pub answer_margin: Micros,
     /// Commands held at most; one more is nacked at once.
-    pub held_at_most: usize,
+    pub max_waiting: usize,
 }
 
 /// Counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub taken: u64,
+    pub accepted: u64,
     pub acked: u64,
     pub nacked: u64,
     pub failed: u64,
-    pub left: u64,
+    pub abandoned: u64,
     pub deliveries: u64,
     /// Answers of hosts to deliveries that had been given up.
     pub late: u64,
@@ -40,7 +40,7 @@
     /// Answered by the engine because the module had not in time: always 0 unless the module has a fault.
     pub overdue: u64,
     /// Nacked because as many as are allowed were held.
-    pub over_held: u64,
+    pub over_capacity: u64,
 }
 
 /// What the keepers have granted last.
@@ -53,7 +53,7 @@
 pub struct Engine {
     router: Router,
     book: Book,
-    terms: EngineTerms,
+    terms: EngineConfig,
     /// `None` where no keepers are followed: then the terms are those of the start for good.
     agreed: Option<Agreed>,
     /// The desk's latest news as it came, and when.
@@ -63,7 +63,7 @@
 
 impl Engine {
     /// `seed` starts the module's chance; times are microseconds of any one clock that never goes back.
-    pub fn new(terms: EngineTerms, seed: u64, now: Micros, links: &mut dyn Links) -> Self {
+    pub fn new(terms: EngineConfig, seed: u64, now: Micros, links: &mut dyn Transport) -> Self {
         let mut book = Book {
             now,
             born: now,
@@ -96,12 +96,12 @@
     }
 
     /// Commands that are owed an answer.
-    pub fn held(&self) -> usize {
+    pub fn waiting_commands(&self) -> usize {
         self.book.owed_by.len()
     }
 
     /// Deliveries that the module counts as open.
-    pub fn out(&self) -> usize {
+    pub fn open_deliveries(&self) -> usize {
         self.book.out.len()
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Takes in one thing that has happened at `now`.
-    pub fn take(&mut self, now: Micros, input: Input, links: &mut dyn Links) {
+    pub fn on_input(&mut self, now: Micros, input: Input, links: &mut dyn Transport) {
         self.at(now);
         // Asked before each act, not by a timer: this process may have been stopped.
         if self
@@ -136,7 +136,7 @@
         }
         match input {
             Input::Command { conn, command } => self.command(conn, command, links),
-            Input::Leave { conn, id } => {
+            Input::Abandon { conn, id } => {
                 let cmd = self
                     .book
                     .by_client
@@ -146,7 +146,7 @@
                     self.left(cmd, links);
                 }
             }
-            Input::ClientGone { conn } => {
+            Input::ClientDisconnected { conn } => {
                 for cmd in self
                     .book
                     .by_client
@@ -157,7 +157,7 @@
                     self.left(cmd, links);
                 }
             }
-            Input::Disputed { receipt, .. } => {
+            Input::WrongAnswer { receipt, .. } => {
                 let (host, sent) = (
                     HostId((receipt >> 32) as u32),
                     (receipt as u32 as Micros) * 1000,
@@ -165,35 +165,35 @@
                 self.router
                     .on_wrong_answer(host, (self.book.now - self.book.born - sent).max(0));
             }
-            Input::Reported { host, ago_us } => {
+            Input::WrongAnswerReport { host, ago_us } => {
                 let ago = ago_us.min(Micros::MAX as u64 / 4) as Micros;
                 self.router.on_wrong_answer(HostId(host), ago);
             }
             Input::FromHost { host, message } => self.hear_host(HostId(host), message, links),
-            Input::NotDelivered {
+            Input::DeliveryFailed {
                 host,
                 delivery,
-                end,
+                failure: end,
             } => {
                 if self.is_out(HostId(host), delivery) {
                     let end = match end {
-                        NoAnswer::NotSent => AttemptOutcome::NotSent,
-                        NoAnswer::NotConnected => AttemptOutcome::NotConnected,
-                        NoAnswer::Reset => AttemptOutcome::Reset,
-                        NoAnswer::Silent => AttemptOutcome::TimedOut,
+                        TransportFailure::NotSent => AttemptOutcome::NotSent,
+                        TransportFailure::NotConnected => AttemptOutcome::NotConnected,
+                        TransportFailure::Reset => AttemptOutcome::Reset,
+                        TransportFailure::Unresponsive => AttemptOutcome::TimedOut,
                     };
                     self.ended(delivery, end, links);
                 }
             }
             Input::FromList(message) => self.hear_list(message, links),
-            Input::Remembered(lines) => self.list(ListKind::Cached, &lines, links),
-            Input::ListGone => self.list_failed(),
-            Input::FromDesk(FromDesk::News(news)) => {
+            Input::CachedList(lines) => self.list(ListKind::Cached, &lines, links),
+            Input::ListUnavailable => self.list_failed(),
+            Input::FromController(FromController::News(news)) => {
                 let before = self.news.replace((news, self.book.now));
                 self.tell_news(links);
                 self.recall_lowered(before.map(|b| b.0), news, links);
             }
-            Input::FromDesk(FromDesk::Voted { ballot, result }) => {
+            Input::FromController(FromController::Voted { ballot, result }) => {
                 // The answer to a vote that has been given up says nothing of the present one.
                 if self.book.ballot.is_some_and(|b| b.0 == ballot) {
                     self.book.ballot = None;
@@ -205,7 +205,7 @@
                     });
                 }
             }
-            Input::FromDesk(FromDesk::Counted(count)) => {
+            Input::FromController(FromController::Counted(count)) => {
                 self.router.on_controller_stats(ControllerStats {
                     build: BuildId(count.build),
                     op: OpType(count.op),
@@ -215,15 +215,18 @@
                     age: count.age_us.min(Micros::MAX as u64 / 4) as Micros,
                 })
             }
-            Input::FromDesk(_) => {}
-            Input::DeskGone => {
+            Input::FromController(_) => {}
+            Input::ControllerUnavailable => {
                 if self.book.ballot.take().is_some() {
                     self.router.on_vote_outcome(VoteOutcome::NoResponse);
                 }
             }
             // The module makes no use of what other routers say.
-            Input::Told { .. } => {}
-            Input::Agreed { until, terms } => match &mut self.agreed {
+            Input::Gossip { .. } => {}
+            Input::Lease {
+                until,
+                config: terms,
+            } => match &mut self.agreed {
                 Some(agreed)
                     if agreed.leased && until > self.book.now && agreed.terms == *terms =>
                 {
@@ -239,9 +242,12 @@
                     self.go_by_agreed(links);
                 }
             },
-            Input::AgreedList { whole, hosts } => self.hear_agreed_list(whole, hosts, links),
+            Input::ReplicatedList {
+                complete: whole,
+                hosts,
+            } => self.hear_agreed_list(whole, hosts, links),
             Input::Close => self.closing = true,
-            Input::GiveUp => {
+            Input::AbortAll => {
                 let owed: Vec<CommandId> = self.book.owed_by.iter().map(|o| o.1).collect();
                 for cmd in owed {
                     self.router.abort(
@@ -253,14 +259,14 @@
                     );
                 }
             }
-            Input::Wake => self.wake(links),
+            Input::Timer => self.wake(links),
         }
         self.settle(links);
     }
 
     /// To be called at [`Engine::next_wake`] or soon after.
-    pub fn woken(&mut self, now: Micros, links: &mut dyn Links) {
-        self.take(now, Input::Wake, links);
+    pub fn on_timer(&mut self, now: Micros, links: &mut dyn Transport) {
+        self.on_input(now, Input::Timer, links);
     }
 
     fn at(&mut self, now: Micros) {
@@ -272,7 +278,7 @@
 
     /// One step between two commands: none sees parts of two revisions. Without a lease only what contradicts no
     /// later revision is done.
-    fn go_by_agreed(&mut self, links: &mut dyn Links) {
+    fn go_by_agreed(&mut self, links: &mut dyn Transport) {
         let Some(agreed) = &mut self.agreed else {
             return;
         };
@@ -288,7 +294,7 @@
     }
 
     /// The desk's news as the module may know it: no cap is higher than agreed for its stage.
-    fn tell_news(&mut self, links: &mut dyn Links) {
+    fn tell_news(&mut self, links: &mut dyn Transport) {
         let Some((mut news, at)) = self.news else {
             return;
         };
@@ -318,7 +324,7 @@
     }
 
     /// A lower cap binds what leaves, whenever it was called: what waits for its connection comes back.
-    fn recall_lowered(&self, before: Option<News>, news: News, links: &mut dyn Links) {
+    fn recall_lowered(&self, before: Option<News>, news: News, links: &mut dyn Transport) {
         let first = self
             .terms
             .service
@@ -342,12 +348,12 @@
 
     // ---- Clients ----
 
-    fn command(&mut self, conn: u64, command: Command, links: &mut dyn Links) {
+    fn command(&mut self, conn: u64, command: Command, links: &mut dyn Transport) {
         let book = &mut self.book;
         let margin = self.terms.answer_margin;
         let left = command.left_us.min(Micros::MAX as u64 / 4) as Micros - margin;
         let known = usize::from(command.op) < self.terms.service.ops.len();
-        let full = book.owed_by.len() >= self.terms.held_at_most;
+        let full = book.owed_by.len() >= self.terms.max_waiting;
         if book
             .by_client
             .get(&conn)
@@ -359,10 +365,10 @@
                 ToClient::Refused(FrameFault::IdInUse(command.id).refused()),
             );
         }
-        book.counts.taken += 1;
+        book.counts.accepted += 1;
         if self.closing || full || left <= 0 || !known {
             // Nothing of it has run anywhere, whatever its op type: trying again is harmless.
-            book.counts.over_held += u64::from(full);
+            book.counts.over_capacity += u64::from(full);
             book.counts.nacked += 1;
             let service = &self.terms.service;
             let come_back_us = (service.may_name_retry_after && known)
@@ -410,14 +416,14 @@
     }
 
     /// The client waits no longer: nothing is owed, what is out still ends.
-    fn left(&mut self, cmd: CommandId, links: &mut dyn Links) {
+    fn left(&mut self, cmd: CommandId, links: &mut dyn Transport) {
         let Some(owed) = self.book.cmds.get_mut(&cmd).filter(|o| !o.answered) else {
             return;
         };
         owed.answered = true;
         let until = owed.until;
         self.book.owed_by.remove(&(until, cmd));
-        self.book.counts.left += 1;
+        self.book.counts.abandoned += 1;
         self.router.finish(
             cmd,
             &mut Carrier {
@@ -438,7 +444,7 @@
             .is_some_and(|out| out.host == host)
     }
 
-    fn hear_host(&mut self, host: HostId, message: FromHost, links: &mut dyn Links) {
+    fn hear_host(&mut self, host: HostId, message: FromHost, links: &mut dyn Transport) {
         match message {
             FromHost::Welcome {
                 build,
@@ -485,7 +491,7 @@
         build: u16,
         incarnation: u64,
         up_us: u64,
-        links: &mut dyn Links,
+        links: &mut dyn Transport,
     ) {
         let Some(place) = self
             .book
@@ -509,7 +515,7 @@
         );
     }
 
-    fn ended(&mut self, delivery: u64, end: AttemptOutcome, links: &mut dyn Links) {
+    fn ended(&mut self, delivery: u64, end: AttemptOutcome, links: &mut dyn Transport) {
         let Some(out) = self.book.close(delivery) else {
             return;
         };
@@ -534,7 +540,7 @@
 
     // ---- The list ----
 
-    fn hear_list(&mut self, message: FromList, links: &mut dyn Links) {
+    fn hear_list(&mut self, message: FromList, links: &mut dyn Transport) {
         let (kind, version, lines) = match message {
             FromList::Whole { version, lines } => (ListKind::Complete, version, lines),
             FromList::Changes { version, lines } => (ListKind::Changes, version, lines),
@@ -551,7 +557,7 @@
 
     /// What the own list says while the list is agreed: hosts are taken away at once, and given back to the agreed
     /// list, but nothing is added.
-    fn take_away(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Links) {
+    fn take_away(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Transport) {
         let Some(agreed) = &mut self.book.agreed_list else {
             return;
         };
@@ -586,7 +592,7 @@
         self.list(ListKind::Changes, &changed, links);
     }
 
-    fn hear_agreed_list(&mut self, whole: bool, mut hosts: Vec<Line>, links: &mut dyn Links) {
+    fn hear_agreed_list(&mut self, whole: bool, mut hosts: Vec<Line>, links: &mut dyn Transport) {
         let agreed = self.book.agreed_list.get_or_insert_default();
         if whole {
             agreed.told.clear();
@@ -611,7 +617,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Links) {
+    fn list(&mut self, kind: ListKind, lines: &[Line], links: &mut dyn Transport) {
         let told: Vec<Endpoint> = lines.iter().map(|line| self.host_line(line)).collect();
         if kind != ListKind::Changes {
             let named: BTreeSet<HostId> = told.iter().map(|line| line.host).collect();
@@ -642,7 +648,7 @@
     }
 
     /// What is no size, or of a host that no line has named, is passed over.
-    fn sizes(&mut self, sizes: &[(u32, f32)], links: &mut dyn Links) {
+    fn sizes(&mut self, sizes: &[(u32, f32)], links: &mut dyn Transport) {
         let mut told = Vec::new();
         for (host, size) in sizes
             .iter()
@@ -720,7 +726,7 @@
 
     // ---- Time ----
 
-    fn wake(&mut self, links: &mut dyn Links) {
+    fn wake(&mut self, links: &mut dyn Transport) {
         let now = self.book.now;
         while self.book.wakes.first().is_some_and(|at| *at <= now) {
             self.book.wakes.pop_first();
@@ -759,7 +765,7 @@
 
     /// Tells the module of the ends that its own calls have caused, until none is left: each takes a delivery
     /// off the books, and a command has few.
-    fn settle(&mut self, links: &mut dyn Links) {
+    fn settle(&mut self, links: &mut dyn Transport) {
         while let Some((delivery, end)) = self.book.ends.pop_front() {
             self.ended(delivery, end, links);
         }
--- a/crates/spokeflow-engine/src/book.rs
+++ b/crates/spokeflow-engine/src/in_flight.rs
@@ -6,9 +6,9 @@
 use spokeflow_core::{
     AttemptOutcome, BuildId, CommandId, Egress, Endpoint, HostId, Micros, RolloutVote,
 };
-use spokeflow_proto::{BallotVerdict, Line, LinePhase, ToClient, ToDesk, ToHost, ToList};
+use spokeflow_proto::{BallotVerdict, Line, LinePhase, ToClient, ToController, ToHost, ToList};
 
-use crate::{Counts, Links};
+use crate::{Counts, Transport};
 
 pub struct Owed {
     pub conn: u64,
@@ -121,7 +121,7 @@
     pub fn answer(
         &mut self,
         cmd: CommandId,
-        links: &mut dyn Links,
+        links: &mut dyn Transport,
         message: impl FnOnce(u64) -> ToClient,
     ) {
         let Some(owed) = self.cmds.get_mut(&cmd).filter(|o| !o.answered) else {
@@ -149,7 +149,7 @@
     }
 
     /// Nothing may leave for a command that is answered: guards against connections that come up after that.
-    pub fn recall(&self, cmd: CommandId, links: &mut dyn Links) {
+    pub fn recall(&self, cmd: CommandId, links: &mut dyn Transport) {
         let deliveries = self.cmds.get(&cmd).map_or(&[][..], |owed| &owed.deliveries);
         for (delivery, out) in deliveries
             .iter()
@@ -184,7 +184,7 @@
 /// Carries out what the module asks.
 pub struct Carrier<'a> {
     pub book: &'a mut Book,
-    pub links: &'a mut dyn Links,
+    pub links: &'a mut dyn Transport,
 }
 
 impl Egress for Carrier<'_> {
@@ -286,7 +286,7 @@
         let ballot = book.next_ballot;
         book.next_ballot += 1;
         book.counts.votes += 1;
-        if self.links.to_desk(ToDesk::Vote {
+        if self.links.to_controller(ToController::Vote {
             ballot,
             build: build.0,
             stage,
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
-use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line};
+use spokeflow_proto::{Command, FromController, FromHost, FromList, Line};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
@@ -13,15 +13,15 @@
         conn: u64,
         command: Command,
     },
-    Leave {
+    Abandon {
         conn: u64,
         id: u64,
     },
-    Disputed {
+    WrongAnswer {
         conn: u64,
         receipt: u64,
     },
-    ClientGone {
+    ClientDisconnected {
         conn: u64,
     },
     FromHost {
@@ -29,49 +29,49 @@
         message: FromHost,
     },
     /// How a delivery ended that brought no message back: never left, no connection, or broken.
-    NotDelivered {
+    DeliveryFailed {
         host: u32,
         delivery: u64,
-        end: NoAnswer,
+        failure: TransportFailure,
     },
     FromList(FromList),
     /// The list as it was when an earlier process last heard of it.
-    Remembered(Vec<Line>),
+    CachedList(Vec<Line>),
     /// The list cannot be asked now, or its watch broke.
-    ListGone,
-    FromDesk(FromDesk),
-    DeskGone,
-    Told {
+    ListUnavailable,
+    FromController(FromController),
+    ControllerUnavailable,
+    Gossip {
         router: u32,
         text: Vec<u8>,
     },
     /// Takes no more commands.
     Close,
-    Wake,
+    Timer,
     /// Word came from elsewhere than the client that an answer of this host was wrong, to a delivery sent so many
     /// microseconds ago.
-    Reported {
+    WrongAnswerReport {
         host: u32,
         ago_us: u64,
     },
     /// From the keepers: these terms may be acted on until then, by the engine's clock. Of a router that follows
     /// keepers it is the first input, with a time that is over.
-    Agreed {
+    Lease {
         until: Micros,
-        terms: Box<EffectiveConfig>,
+        config: Box<EffectiveConfig>,
     },
     /// From the keepers: hosts that the list now has otherwise, or all that it has. Of a router that takes its list from
     /// them it comes first without any host; what its own list says then only takes hosts away.
-    AgreedList {
-        whole: bool,
+    ReplicatedList {
+        complete: bool,
         hosts: Vec<Line>,
     },
     /// This process is about to be ended: every command that is owed an answer gets it now.
-    GiveUp,
+    AbortAll,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoAnswer {
+pub enum TransportFailure {
     /// Not a whole frame left: it never ran.
     NotSent,
     /// No connection could be made, or the host refused it: it never ran.
@@ -81,7 +81,7 @@
     /// Nothing has come for so long that the router has dropped the connection itself: it may have run. No sign
     /// that the host's process failed, since a way that is cut looks the same. Or what has come cannot be read, and
     /// the router waits no longer.
-    Silent,
+    Unresponsive,
 }
 
 const MARK: &[u8; 8] = b"SPKFREC1";
@@ -90,25 +90,25 @@
 pub struct Recording;
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum RecordingFault {
+pub enum RecordingError {
     /// Not a recording, or of another version.
-    NotOne,
+    NotARecording,
     /// True up to `whole` inputs; what follows at byte `at` is torn or damaged.
     Torn { whole: usize, at: usize },
 }
 
-impl fmt::Display for RecordingFault {
+impl fmt::Display for RecordingError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RecordingFault::NotOne => write!(f, "not a recording of this version"),
-            RecordingFault::Torn { whole, at } => {
+            RecordingError::NotARecording => write!(f, "not a recording of this version"),
+            RecordingError::Torn { whole, at } => {
                 write!(f, "torn at byte {at}: {whole} inputs before it are whole")
             }
         }
     }
 }
 
-impl std::error::Error for RecordingFault {}
+impl std::error::Error for RecordingError {}
 
 impl Recording {
     pub fn head(seed: u64, now: Micros) -> Vec<u8> {
@@ -128,7 +128,7 @@
     }
 
     /// The seed, the time of start, the inputs, and the fault at which reading ended, if any.
-    pub fn read(bytes: &[u8]) -> (u64, Micros, Vec<(Micros, Input)>, Option<RecordingFault>) {
+    pub fn read(bytes: &[u8]) -> (u64, Micros, Vec<(Micros, Input)>, Option<RecordingError>) {
         let number = |from: usize| {
             let part = bytes
                 .get(from..from + 8)
@@ -136,7 +136,7 @@
             part.map(u64::from_be_bytes)
         };
         let (Some(seed), Some(now), true) = (number(8), number(16), bytes.starts_with(MARK)) else {
-            return (0, 0, Vec::new(), Some(RecordingFault::NotOne));
+            return (0, 0, Vec::new(), Some(RecordingError::NotARecording));
         };
         let (mut inputs, mut at) = (Vec::new(), 24);
         while at < bytes.len() {
@@ -148,7 +148,7 @@
                 Some((postcard::from_bytes(body).ok()?, 8 + length))
             })();
             let Some((input, length)) = entry else {
-                let fault = RecordingFault::Torn {
+                let fault = RecordingError::Torn {
                     whole: inputs.len(),
                     at,
                 };
--- a/crates/spokeflow-engine/src/links.rs
+++ b/crates/spokeflow-engine/src/transport.rs
@@ -1,9 +1,9 @@
 use spokeflow_core::{HostId, Micros};
-use spokeflow_proto::{ToClient, ToDesk, ToHost, ToList};
+use spokeflow_proto::{ToClient, ToController, ToHost, ToList};
 
 /// Where the engine's messages go. None of these may wait: what cannot be taken at once is answered `false`
 /// or dropped with its link.
-pub trait Links {
+pub trait Transport {
     /// To the client on connection `conn`. One that cannot take it is closed, and then told to the engine as
     /// [`crate::Input::ClientGone`].
     fn to_client(&mut self, conn: u64, message: ToClient);
@@ -12,7 +12,7 @@
     /// [`crate::Input::NotDelivered`], or is given up by the engine.
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool;
     fn to_list(&mut self, message: ToList) -> bool;
-    fn to_desk(&mut self, message: ToDesk) -> bool;
+    fn to_controller(&mut self, message: ToController) -> bool;
     /// To one router of the fleet or all others.
     fn to_routers(&mut self, router: Option<u32>, text: &[u8]);
     /// The host may get work: connections to it are wanted, at this address and of this process.
@@ -23,6 +23,6 @@
     /// [`crate::Input::NotDelivered`] with `NotSent`; what has left goes on. Where nothing waits on its way there is
     /// nothing to do.
     fn recall(&mut self, _host: HostId, _delivery: Option<u64>) {}
-    /// How long after [`Links::host_closed`] something may still leave for the host; told where keepers change it.
+    /// How long after [`Transport::host_closed`] something may still leave for the host; told where keepers change it.
     fn drain_grace(&mut self, _grace: Micros) {}
 }
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use spokeflow_core::*;
-use spokeflow_engine::{Engine, EngineTerms, Input, Links, NoAnswer, Recording};
+use spokeflow_engine::{Engine, EngineConfig, Input, Recording, Transport, TransportFailure};
 use spokeflow_proto::*;
 
 pub const SECOND: Micros = 1_000_000;
@@ -19,7 +19,7 @@
     pub hosts: Vec<u32>,
     pub leave_by: Vec<(u32, Micros)>,
     pub answers: Vec<(Micros, u64, ToClient)>,
-    pub votes: Vec<ToDesk>,
+    pub votes: Vec<ToController>,
     pub closed: Vec<(u32, bool)>,
     pub recalled: Vec<(u32, Option<u64>)>,
     /// A host whose queue has no room.
@@ -52,7 +52,7 @@
     }
 }
 
-impl Links for Noted {
+impl Transport for Noted {
     fn to_client(&mut self, conn: u64, message: ToClient) {
         self.note((conn, &message));
         self.answers.push((self.now, conn, message));
@@ -73,7 +73,7 @@
         self.note(message);
         true
     }
-    fn to_desk(&mut self, message: ToDesk) -> bool {
+    fn to_controller(&mut self, message: ToController) -> bool {
         self.note(&message);
         self.votes.push(message);
         true
@@ -102,7 +102,7 @@
     version: u64,
 }
 
-pub fn terms() -> EngineTerms {
+pub fn terms() -> EngineConfig {
     let op = |repeat, repeat_scope| OperationConfig {
         repeat,
         deduplication_scope: repeat_scope,
@@ -153,10 +153,10 @@
         rollback_votes: 0,
         votes_per_second: f64::INFINITY,
     };
-    EngineTerms {
+    EngineConfig {
         service,
         answer_margin: MARGIN,
-        held_at_most: 1000,
+        max_waiting: 1000,
     }
 }
 
@@ -180,7 +180,7 @@
         let mut engine = Engine::new(terms(), seed, start, &mut links);
         for (now, input) in inputs {
             links.now = *now;
-            engine.take(*now, input.clone(), &mut links);
+            engine.on_input(*now, input.clone(), &mut links);
         }
         links.text
     }
@@ -188,7 +188,7 @@
     pub fn input(&mut self, input: Input) {
         self.links.now = self.now;
         self.recording.extend(Recording::entry(self.now, &input));
-        self.engine.take(self.now, input, &mut self.links);
+        self.engine.on_input(self.now, input, &mut self.links);
     }
 
     pub fn draw(&mut self, below: usize) -> u64 {
@@ -223,7 +223,7 @@
             cap: 1.0,
             age_us: 0,
         };
-        self.input(Input::FromDesk(FromDesk::News(news)));
+        self.input(Input::FromController(FromController::News(news)));
     }
 
     pub fn change(&mut self, host: u32, build: u16, phase: LinePhase, incarnation: u64) {
@@ -278,7 +278,7 @@
         let until = self.now + span;
         while self.engine.next_wake() <= until {
             self.now = self.engine.next_wake().max(self.now);
-            self.input(Input::Wake);
+            self.input(Input::Timer);
         }
         self.now = until;
     }
@@ -339,15 +339,15 @@
             ),
             2 => self.host(host, FromHost::Error { delivery }),
             3 => self.host(host, FromHost::Full { delivery }),
-            4 => self.input(Input::NotDelivered {
+            4 => self.input(Input::DeliveryFailed {
                 host,
                 delivery,
-                end: NoAnswer::Reset,
+                failure: TransportFailure::Reset,
             }),
-            _ => self.input(Input::NotDelivered {
+            _ => self.input(Input::DeliveryFailed {
                 host,
                 delivery,
-                end: NoAnswer::NotConnected,
+                failure: TransportFailure::NotConnected,
             }),
         }
     }
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -5,9 +5,9 @@
 use common::*;
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
-use spokeflow_engine::{Input, NoAnswer, Recording, RecordingFault};
+use spokeflow_engine::{Input, Recording, RecordingError, TransportFailure};
 use spokeflow_proto::{
-    FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient,
+    FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient,
 };
 
 const SAFE: u16 = 0;
@@ -45,7 +45,10 @@
     );
     rig.pass(5 * SECOND);
     assert_eq!(rig.answers(10).len(), 1);
-    assert_eq!((rig.engine.counts().late, rig.engine.held()), (1, 0));
+    assert_eq!(
+        (rig.engine.counts().late, rig.engine.waiting_commands()),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -54,10 +57,10 @@
     rig.list(&[1, 2], 7);
     rig.command(10, 1, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::Reset,
+        failure: TransportFailure::Reset,
     });
     assert!(
         matches!(rig.answers(10)[..], [ToClient::Failed { id: 1 }]),
@@ -69,20 +72,20 @@
     // A way that the router has dropped for its silence proves as little.
     rig.command(10, 3, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::Silent,
+        failure: TransportFailure::Unresponsive,
     });
     assert!(matches!(rig.answers(10)[1..], [ToClient::Failed { id: 3 }]));
     assert_eq!(rig.links.sent.len(), 0);
 
     rig.command(10, 2, ONCE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::NotConnected,
+        failure: TransportFailure::NotConnected,
     });
     let (second, delivery) = rig.delivered();
     assert_ne!(host, second);
@@ -129,7 +132,7 @@
     rig.list(&[1, 2], 7);
     rig.command(10, 1, SAFE, 1);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::ClientGone { conn: 10 });
+    rig.input(Input::ClientDisconnected { conn: 10 });
     rig.host(
         host,
         FromHost::Acked {
@@ -162,7 +165,7 @@
         rig.answers(11).is_empty(),
         "the same number on another connection is another command"
     );
-    assert_eq!(rig.engine.held(), 2);
+    assert_eq!(rig.engine.waiting_commands(), 2);
 }
 
 #[test]
@@ -212,10 +215,10 @@
     let (host, delivery) = rig.delivered();
     rig.change(host, 7, LinePhase::Draining, 1);
     assert_eq!(rig.links.closed, [(host, false)]);
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::NotSent,
+        failure: TransportFailure::NotSent,
     });
     let (second, _) = rig.delivered();
     assert_ne!(host, second);
@@ -280,7 +283,7 @@
         cap: 1.0,
         age_us: 0,
     };
-    rig.input(Input::FromDesk(FromDesk::News(news)));
+    rig.input(Input::FromController(FromController::News(news)));
     rig.answer_all(4 * SECOND);
     let votes = rig.links.votes.len();
     assert!(votes >= 1, "a quiet build gets a vote to go on");
@@ -310,16 +313,16 @@
 #[test]
 fn a_torn_recording_is_true_up_to_a_stated_point() {
     let mut bytes = Recording::head(1, 5);
-    let first = Recording::entry(6, &Input::Wake);
+    let first = Recording::entry(6, &Input::Timer);
     bytes.extend(&first);
     bytes.extend(Recording::entry(7, &Input::Close));
     let whole = 24 + first.len();
     for cut in whole + 1..bytes.len() {
         let (_, _, inputs, fault) = Recording::read(&bytes[..cut]);
-        assert_eq!(inputs, [(6, Input::Wake)]);
+        assert_eq!(inputs, [(6, Input::Timer)]);
         assert_eq!(
             fault,
-            Some(RecordingFault::Torn {
+            Some(RecordingError::Torn {
                 whole: 1,
                 at: whole
             })
@@ -329,14 +332,14 @@
     bytes[last] ^= 1;
     assert_eq!(
         Recording::read(&bytes).3,
-        Some(RecordingFault::Torn {
+        Some(RecordingError::Torn {
             whole: 1,
             at: whole
         })
     );
     assert_eq!(
         Recording::read(b"something else entirely, long enough").3,
-        Some(RecordingFault::NotOne)
+        Some(RecordingError::NotARecording)
     );
 }
 
@@ -372,7 +375,7 @@
         rig.pass(3 * SECOND);
         rig.links.one_answer_each(id);
         assert_eq!(
-            (rig.engine.held(), rig.engine.counts().overdue),
+            (rig.engine.waiting_commands(), rig.engine.counts().overdue),
             (0, 0),
             "seed {seed}"
         );
@@ -395,7 +398,7 @@
         cap: 0.4,
         age_us: 0,
     };
-    rig.input(Input::FromDesk(FromDesk::News(news)));
+    rig.input(Input::FromController(FromController::News(news)));
 }
 
 fn agreed() -> EffectiveConfig {
@@ -406,9 +409,9 @@
     let mut terms = agreed();
     change(&mut terms);
     let until = rig.now + lasts;
-    rig.input(Input::Agreed {
+    rig.input(Input::Lease {
         until,
-        terms: Box::new(terms),
+        config: Box::new(terms),
     });
 }
 
@@ -513,18 +516,18 @@
     rig.command(10, 1, KEYED, 0);
     let (host, delivery) = rig.delivered();
     rig.pass(100_000);
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::NotConnected,
+        failure: TransportFailure::NotConnected,
     });
     let (host, delivery) = rig.delivered();
     let first = rig.now;
     rig.pass(300_000);
-    rig.input(Input::NotDelivered {
+    rig.input(Input::DeliveryFailed {
         host,
         delivery,
-        end: NoAnswer::Reset,
+        failure: TransportFailure::Reset,
     });
     rig.delivered();
     let by: Vec<Micros> = rig.links.leave_by.iter().map(|l| l.1).collect();
@@ -542,16 +545,16 @@
     rig.list(&[1, 2], 7);
     rig.command(10, 1, SAFE, 0);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::ClientGone { conn: 10 });
+    rig.input(Input::ClientDisconnected { conn: 10 });
     assert!(rig.links.recalled.contains(&(host, Some(delivery))));
     rig.command(11, 2, ONCE, 0);
     let (host, delivery) = rig.delivered();
-    rig.input(Input::GiveUp);
+    rig.input(Input::AbortAll);
     // It may have run: no nack.
     assert!(matches!(rig.answers(11)[..], [ToClient::Failed { id: 2 }]));
     assert!(rig.links.recalled.contains(&(host, Some(delivery))));
-    assert_eq!(rig.engine.held(), 0);
-    rig.input(Input::GiveUp);
+    assert_eq!(rig.engine.waiting_commands(), 0);
+    rig.input(Input::AbortAll);
     assert_eq!(rig.answers(11).len(), 1);
 }
 
@@ -561,7 +564,7 @@
     let mut rig = Rig::new(5, 0);
     on_trial(&mut rig);
     let news = |build, standing, cap| {
-        Input::FromDesk(FromDesk::News(News {
+        Input::FromController(FromController::News(News {
             build,
             stage: 0,
             standing,
@@ -611,8 +614,8 @@
 fn beside_an_agreed_list_the_own_one_only_takes_hosts_away() {
     use LinePhase::{Draining, Gone, Ready};
     let mut rig = Rig::new(6, 0);
-    rig.input(Input::AgreedList {
-        whole: false,
+    rig.input(Input::ReplicatedList {
+        complete: false,
         hosts: Vec::new(),
     });
     let own = |rig: &mut Rig, whole: bool, hosts: &[(u32, LinePhase, u64)]| {
@@ -630,11 +633,11 @@
         cap: 1.0,
         age_us: 0,
     };
-    rig.input(Input::FromDesk(FromDesk::News(news)));
+    rig.input(Input::FromController(FromController::News(news)));
     assert!(hosts_used(&mut rig).is_empty(), "the own list adds none");
     let all = lines(&[(1, Ready, 1), (2, Ready, 1), (3, Ready, 1)]);
-    rig.input(Input::AgreedList {
-        whole: true,
+    rig.input(Input::ReplicatedList {
+        complete: true,
         hosts: all,
     });
     assert_eq!(hosts_used(&mut rig), [1, 2, 3]);
@@ -645,13 +648,13 @@
         "at once, though the agreed list has them still"
     );
     // The agreed list is behind: said again for whatever reason, the same processes stay away.
-    rig.input(Input::AgreedList {
-        whole: false,
+    rig.input(Input::ReplicatedList {
+        complete: false,
         hosts: lines(&[(2, Ready, 1)]),
     });
     assert_eq!(hosts_used(&mut rig), [1]);
-    rig.input(Input::AgreedList {
-        whole: false,
+    rig.input(Input::ReplicatedList {
+        complete: false,
         hosts: lines(&[(2, Ready, 2)]),
     });
     assert_eq!(hosts_used(&mut rig), [1, 2], "another process of it");
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -7,8 +7,10 @@
 use bytes::Bytes;
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
-use spokeflow_engine::{Input, Recording, RecordingFault};
-use spokeflow_proto::{Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding};
+use spokeflow_engine::{Input, Recording, RecordingError};
+use spokeflow_proto::{
+    Command, FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding,
+};
 
 const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
 
@@ -18,7 +20,7 @@
     assert_eq!((seed, start, inputs.len(), fault), (62, 30, 278, None));
     inputs
         .into_iter()
-        .filter(|(_, input)| *input != Input::Wake)
+        .filter(|(_, input)| *input != Input::Timer)
         .collect()
 }
 
@@ -125,10 +127,10 @@
     let all = inputs();
     let leave = all
         .iter()
-        .find(|(_, input)| matches!(input, Input::Leave { .. }))
+        .find(|(_, input)| matches!(input, Input::Abandon { .. }))
         .unwrap();
-    assert_eq!(leave, &(1_791_988, Input::Leave { conn: 1, id: 105 }));
-    assert!(all.contains(&(1_967_827, Input::ClientGone { conn: 1 })));
+    assert_eq!(leave, &(1_791_988, Input::Abandon { conn: 1, id: 105 }));
+    assert!(all.contains(&(1_967_827, Input::ClientDisconnected { conn: 1 })));
     assert!(all.contains(&(5_065_730, Input::Close)));
 }
 
@@ -173,13 +175,16 @@
         cap: 1.0,
         age_us: 123_456,
     };
-    assert!(all.contains(&(6_407, Input::FromDesk(FromDesk::News(news)))));
+    assert!(all.contains(&(6_407, Input::FromController(FromController::News(news)))));
 }
 
 #[test]
 fn lists_from_the_keepers_are_read() {
     let lists = of_kind(|input| match input {
-        Input::AgreedList { whole, hosts } => Some((whole, hosts)),
+        Input::ReplicatedList {
+            complete: whole,
+            hosts,
+        } => Some((whole, hosts)),
         _ => None,
     });
     let first = (1_140, (false, Vec::new()));
@@ -190,7 +195,10 @@
 #[test]
 fn terms_from_the_keepers_are_read() {
     let agreed = of_kind(|input| match input {
-        Input::Agreed { until, terms } => Some((until, *terms)),
+        Input::Lease {
+            until,
+            config: terms,
+        } => Some((until, *terms)),
         _ => None,
     });
     assert_eq!(agreed.len(), 9);
@@ -224,7 +232,7 @@
     changed[4_000] ^= 1;
     let fault = Recording::read(&changed).3;
     assert!(
-        matches!(fault, Some(RecordingFault::Torn { .. })),
+        matches!(fault, Some(RecordingError::Torn { .. })),
         "{fault:?}"
     );
 }
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -153,7 +153,7 @@
             row(
                 "a voter that follows".into(),
                 format!("nothing; {spare} of {voters} may be lost. Its routers ask the next one"),
-                "`RaftNode`; `KeeperLink`",
+                "`RaftNode`; `ControlPlaneLink`",
             ),
             row(
                 "the voter that leads".into(),
--- a/crates/spokeflow-experiments/src/capacity/remedy.rs
+++ b/crates/spokeflow-experiments/src/capacity/remedy.rs
@@ -62,7 +62,7 @@
             }
             Remedy::CheckedOnce => {
                 "A renewed lease that changes nothing only moves the lease's end: today each grant makes the router read, \
-                 check and apply all settings again (`KeeperLink::act`, `RouterTerms::agreed`; read from the code, not \
+                 check and apply all settings again (`ControlPlaneLink::act`, `RouterFlags::agreed`; read from the code, not \
                  profiled)."
             }
         }
--- a/crates/spokeflow-experiments/src/capacity/rows/control.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/control.rs
@@ -8,7 +8,8 @@
 use super::super::situation::{Situation, WindowLoad};
 use super::{Inputs, BYTES_PER_KB, BYTES_PER_MB};
 
-const LINK: &str = "`spokeflow-router`, `KeeperLink`; `spokeflow-coordination`, `LeaseHolder`";
+const LINK: &str =
+    "`spokeflow-router`, `ControlPlaneLink`; `spokeflow-coordination`, `LeaseHolder`";
 /// One to a voter, one to the list source, one to the release controller.
 const CONNECTIONS: f64 = 3.0;
 pub const OFFER_FITS: &str = "an offer of this size is accepted";
@@ -114,7 +115,7 @@
             |s| scale_run(inputs, Role::RealRouter, "processor_share", s),
         )
         .within(cores.clone())
-        .by("`spokeflow-router`, `KeeperLink::act`")
+        .by("`spokeflow-router`, `ControlPlaneLink::act`")
         .mended_by(Remedy::CheckedOnce),
         Row::varying(
             Role::RouterControl,
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -2,7 +2,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use spokeflow_control_plane::KeeperProgram;
+use spokeflow_control_plane::ControlPlaneProgram;
 use spokeflow_experiments::capacity;
 use spokeflow_experiments::plan::{MatrixFlags, Seeds, Terms, Which};
 use spokeflow_experiments::store::{Store, Stored};
@@ -62,7 +62,7 @@
     #[command(hide = true)]
     Router(Box<RouterProgram>),
     #[command(hide = true)]
-    Keeper(Box<KeeperProgram>),
+    Keeper(Box<ControlPlaneProgram>),
 }
 
 #[derive(Args)]
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -5,7 +5,7 @@
 
 use clap::Parser;
 use spokeflow_config::ServiceFlags;
-use spokeflow_control_plane::KeeperFlags;
+use spokeflow_control_plane::ControlPlaneFlags;
 use spokeflow_experiments::capacity::{evidence, limits, read_records, Target};
 
 const TARGET: &str = "docs/capacity/target.toml";
@@ -306,7 +306,7 @@
 #[derive(Parser)]
 struct Voter {
     #[command(flatten)]
-    flags: KeeperFlags,
+    flags: ControlPlaneFlags,
 }
 
 #[derive(Parser)]
@@ -341,19 +341,19 @@
             65_536.0,
         ),
         (
-            "crates/spokeflow-coordination/src/ledger.rs",
+            "crates/spokeflow-coordination/src/config_state.rs",
             "const KEPT: usize = 500;",
             limits::REVISIONS_KEPT,
             500.0,
         ),
         (
-            "crates/spokeflow-coordination/src/granter.rs",
+            "crates/spokeflow-coordination/src/lease_granter.rs",
             "const LEASES_AT_MOST: usize = 8192;",
             limits::LEASES_KEPT,
             8192.0,
         ),
         (
-            "crates/spokeflow-coordination/src/hosts.rs",
+            "crates/spokeflow-coordination/src/endpoint_list.rs",
             "const CHANGES: usize = 4096;",
             limits::LIST_CHANGES_KEPT,
             4096.0,
--- a/crates/spokeflow-experiments/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use spokeflow_router::RouterTerms;
+use spokeflow_router::RouterFlags;
 use spokeflow_scenario::scenario::Scenario;
 use spokeflow_scenario::SECOND;
 use spokeflow_simulator::engine_terms;
@@ -174,7 +174,7 @@
 #[derive(Parser)]
 struct Router {
     #[command(flatten)]
-    terms: RouterTerms,
+    terms: RouterFlags,
 }
 
 /// What a router process is told by flags and what an engine is told in simulated time are the same promises.
--- a/crates/spokeflow-platform/src/engine_links.rs
+++ b/crates/spokeflow-platform/src/engine_links.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use spokeflow_core::{HostId, Micros};
-use spokeflow_engine::Links;
-use spokeflow_proto::{ToClient, ToDesk, ToHost, ToList};
+use spokeflow_engine::Transport;
+use spokeflow_proto::{ToClient, ToController, ToHost, ToList};
 use tokio::sync::{oneshot, watch, Semaphore};
 use tokio::task::AbortHandle;
 use tracing::{debug, info, warn};
@@ -151,7 +151,7 @@
     }
 }
 
-impl Links for EngineLinks {
+impl Transport for EngineLinks {
     fn to_client(&mut self, conn: u64, message: ToClient) {
         if let Some(waiting) = self.waiting.remove(&conn) {
             let (build, come_back_us) = match &message {
@@ -191,9 +191,9 @@
         true
     }
 
-    fn to_desk(&mut self, message: ToDesk) -> bool {
+    fn to_controller(&mut self, message: ToController) -> bool {
         info!(?message, "vote");
-        let ToDesk::Vote {
+        let ToController::Vote {
             ballot,
             build,
             stage,
--- a/crates/spokeflow-platform/src/hosts.rs
+++ b/crates/spokeflow-platform/src/hosts.rs
@@ -11,7 +11,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use socket2::SockRef;
 use spokeflow_core::HostId;
-use spokeflow_engine::{Input, NoAnswer};
+use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_http::{AnswerCodec, HttpFault, Part};
 use spokeflow_proto::FromHost;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -198,7 +198,7 @@
 #[derive(Debug)]
 enum Outcome {
     Message(FromHost),
-    Lost(NoAnswer),
+    Lost(TransportFailure),
 }
 
 impl Outcome {
@@ -208,9 +208,9 @@
             Outcome::Message(FromHost::Acked { .. }) => "Acked",
             Outcome::Message(FromHost::Full { .. }) => "Full",
             Outcome::Message(_) => "Error",
-            Outcome::Lost(NoAnswer::Reset) => "Reset",
-            Outcome::Lost(NoAnswer::Silent) => "Silent",
-            Outcome::Lost(NoAnswer::NotConnected) => "NotConnected",
+            Outcome::Lost(TransportFailure::Reset) => "Reset",
+            Outcome::Lost(TransportFailure::Unresponsive) => "Silent",
+            Outcome::Lost(TransportFailure::NotConnected) => "NotConnected",
             Outcome::Lost(_) => "NotSent",
         }
     }
@@ -244,7 +244,7 @@
         debug!(id = self.id(), %address, delivery, rested = self.rested, took_us, end = outcome.word(), "delivery ended");
         let broke = match outcome {
             Outcome::Message(_) => Some(false),
-            Outcome::Lost(NoAnswer::Reset) => Some(true),
+            Outcome::Lost(TransportFailure::Reset) => Some(true),
             Outcome::Lost(_) => None,
         };
         let input = match outcome {
@@ -252,10 +252,10 @@
                 host: host.0,
                 message,
             },
-            Outcome::Lost(end) => Input::NotDelivered {
+            Outcome::Lost(end) => Input::DeliveryFailed {
                 host: host.0,
                 delivery,
-                end,
+                failure: end,
             },
         };
         let _ = ways
@@ -274,7 +274,7 @@
     ///
     /// Guards against connections that come up late: what was true of the command when the module called may be so no
     /// longer, so the time left is told as of the writing, and what is past its time or has been recalled never leaves.
-    async fn send(&mut self) -> Result<Connection, NoAnswer> {
+    async fn send(&mut self) -> Result<Connection, TransportFailure> {
         let (unused, place) = (self.unused.take(), self.place.take());
         let (address, within, leave_by) = (self.address, self.ways.connect_timeout, self.leave_by);
         let (request, until, rested) = (&self.request, self.until, &mut self.rested);
@@ -313,13 +313,13 @@
         };
         tokio::select! {
             biased;
-            _ = &mut self.halt => Err(NoAnswer::NotSent),
-            _ = sleep_until(leave_by) => Err(NoAnswer::NotSent),
+            _ = &mut self.halt => Err(TransportFailure::NotSent),
+            _ = sleep_until(leave_by) => Err(TransportFailure::NotSent),
             sent = sending => sent.map_err(|fault| {
                 if let Some(kept_back) = self.ways.clock.allow_log_line() {
                     info!(host = self.host.0, %address, kept_back, fault, "host not connected");
                 }
-                NoAnswer::NotConnected
+                TransportFailure::NotConnected
             }),
         }
     }
@@ -343,14 +343,16 @@
                     Some(connection).filter(|_| clean),
                 )
             }
-            Err(HttpFault::Io(_) | HttpFault::Truncated) => (Outcome::Lost(NoAnswer::Reset), None),
+            Err(HttpFault::Io(_) | HttpFault::Truncated) => {
+                (Outcome::Lost(TransportFailure::Reset), None)
+            }
             Err(fault) => {
                 if let Some(kept_back) = self.ways.clock.allow_log_line() {
                     info!(host = self.host.0, kept_back, %fault, "answer cannot be read");
                 }
                 // It may have run and is waited for no longer. No error: a good answer may have been written, which
                 // binds its key, and any host's may come spoilt, which is no sign of a build that fails.
-                (Outcome::Lost(NoAnswer::Silent), None)
+                (Outcome::Lost(TransportFailure::Unresponsive), None)
             }
         }
     }
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use spokeflow_core::{Micros, ROUTERS_PER_HOST};
-use spokeflow_engine::{Engine, EngineTerms, Input};
-use spokeflow_proto::{FrameFault, FromDesk, FromList, ToClient};
+use spokeflow_engine::{Engine, EngineConfig, Input};
+use spokeflow_proto::{FrameFault, FromController, FromList, ToClient};
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
@@ -74,7 +74,8 @@
 
 impl Core {
     fn give(&mut self, input: Input) {
-        self.engine.take(self.clock.now(), input, &mut self.links);
+        self.engine
+            .on_input(self.clock.now(), input, &mut self.links);
     }
 
     fn take(&mut self, arrival: Arrival) {
@@ -99,7 +100,7 @@
                 if let Some(waiting) = self.links.waiting.remove(&conn) {
                     self.links.open_ids.remove(&waiting.id);
                 }
-                self.give(Input::ClientGone { conn });
+                self.give(Input::ClientDisconnected { conn });
             }
             Arrival::Delivered {
                 host,
@@ -115,10 +116,10 @@
                 self.give(input);
             }
             Arrival::Listed(listing) => self.listed(listing, false),
-            Arrival::News(news) => self.give(Input::FromDesk(FromDesk::News(news))),
+            Arrival::News(news) => self.give(Input::FromController(FromController::News(news))),
             Arrival::Report { unit, ago_us } => {
                 if let Some(host) = self.roster.number(&unit) {
-                    self.give(Input::Reported { host, ago_us });
+                    self.give(Input::WrongAnswerReport { host, ago_us });
                 }
             }
             Arrival::Voted {
@@ -127,11 +128,14 @@
                 news,
             } => {
                 match result {
-                    Some(result) => self.give(Input::FromDesk(FromDesk::Voted { ballot, result })),
-                    None => self.give(Input::DeskGone),
+                    Some(result) => self.give(Input::FromController(FromController::Voted {
+                        ballot,
+                        result,
+                    })),
+                    None => self.give(Input::ControllerUnavailable),
                 }
                 if let Some(news) = news {
-                    self.give(Input::FromDesk(FromDesk::News(news)));
+                    self.give(Input::FromController(FromController::News(news)));
                 }
             }
         }
@@ -141,7 +145,7 @@
         let (list, sizes) = self.roster.read(listing, self.clock.now(), unix_ms());
         self.give(match list {
             FromList::Whole { lines, .. } | FromList::Changes { lines, .. } if remembered => {
-                Input::Remembered(lines)
+                Input::CachedList(lines)
             }
             list => Input::FromList(list),
         });
@@ -160,7 +164,10 @@
             .sum();
         let open = places - self.links.places.available_permits();
         let (left, mean_us, most_us) = self.links.ways.leaving.look();
-        let (held, out) = (self.engine.held(), self.engine.out());
+        let (held, out) = (
+            self.engine.waiting_commands(),
+            self.engine.open_deliveries(),
+        );
         info!(
             held,
             out,
@@ -282,11 +289,11 @@
         vote_wait: span(service.vote_timeout),
     };
     info!(name = told.name, listen = %told.listen, client_places, host_places, "router starts");
-    let terms = EngineTerms {
+    let terms = EngineConfig {
         service,
         answer_margin: micros(program.answer_margin),
         // A connection holds one command at a time.
-        held_at_most: client_places,
+        max_waiting: client_places,
     };
     let engine = Engine::new(terms, told.seed, clock.now(), &mut links);
     let roster = Roster::new(told.told.zones, longest.max(1));
@@ -301,7 +308,7 @@
         here.listed(known, true);
     }
     if let Some(news) = told.news {
-        here.give(Input::FromDesk(FromDesk::News(news)));
+        here.give(Input::FromController(FromController::News(news)));
     }
     let mut helpers = JoinSet::new();
     let backoff = |way| Backoff::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
@@ -346,7 +353,7 @@
         tokio::select! {
             biased;
             _ = term.recv(), if !shutdown.begun() => {
-                info!(held = here.engine.held(), "router ends");
+                info!(held = here.engine.waiting_commands(), "router ends");
                 clock.begin_shutdown();
                 shutdown.begin(Instant::now());
             }
@@ -363,7 +370,7 @@
         }
         batch.drain(..).for_each(|arrival| here.take(arrival));
         if here.engine.next_wake() <= clock.now() {
-            here.engine.woken(clock.now(), &mut here.links);
+            here.engine.on_timer(clock.now(), &mut here.links);
         }
         if let Some(due) = reload.as_mut().filter(|r| r.next <= Instant::now()) {
             let (fresh, done) = due.read(&program);
@@ -389,13 +396,17 @@
             looked = Instant::now();
             here.look(host_places);
         }
-        match shutdown.step(Instant::now(), here.engine.held(), clients.len()) {
+        match shutdown.step(
+            Instant::now(),
+            here.engine.waiting_commands(),
+            clients.len(),
+        ) {
             Step::Wait => {}
             Step::Close => {
                 let _ = leave.send(true);
                 here.give(Input::Close);
             }
-            Step::GiveUp => here.give(Input::GiveUp),
+            Step::GiveUp => here.give(Input::AbortAll),
             Step::End => break,
         }
     }
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -299,7 +299,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToDesk {
+pub enum ToController {
     Hello(Hello),
     Vote {
         ballot: u64,
@@ -310,7 +310,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromDesk {
+pub enum FromController {
     Welcome,
     Refused(Refused),
     News(News),
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -150,8 +150,8 @@
     }
 }
 
-fn vote(verdict: BallotVerdict) -> ToDesk {
-    ToDesk::Vote {
+fn vote(verdict: BallotVerdict) -> ToController {
+    ToController::Vote {
         ballot: 1_001,
         build: 302,
         stage: 3,
@@ -159,8 +159,8 @@
     }
 }
 
-fn voted(result: BallotResult) -> FromDesk {
-    FromDesk::Voted {
+fn voted(result: BallotResult) -> FromController {
+    FromController::Voted {
         ballot: 1_001,
         result,
     }
@@ -371,9 +371,12 @@
     }
 }
 
-fn to_desk() -> Vec<Named<ToDesk>> {
+fn to_controller() -> Vec<Named<ToController>> {
     vec![
-        ("ToDesk::Hello", ToDesk::Hello(hello(Role::Router))),
+        (
+            "ToDesk::Hello",
+            ToController::Hello(hello(Role::Router)),
+        ),
         ("ToDesk::Vote/None", vote(BallotVerdict::None)),
         ("ToDesk::Vote/On", vote(BallotVerdict::On)),
         ("ToDesk::Vote/Hold", vote(BallotVerdict::Hold)),
@@ -381,10 +384,10 @@
     ]
 }
 
-fn name_of_to_desk(message: &ToDesk) -> &'static str {
+fn name_of_to_desk(message: &ToController) -> &'static str {
     match message {
-        ToDesk::Hello(_) => "ToDesk::Hello",
-        ToDesk::Vote { verdict, .. } => match verdict {
+        ToController::Hello(_) => "ToDesk::Hello",
+        ToController::Vote { verdict, .. } => match verdict {
             BallotVerdict::None => "ToDesk::Vote/None",
             BallotVerdict::On => "ToDesk::Vote/On",
             BallotVerdict::Hold => "ToDesk::Vote/Hold",
@@ -393,7 +396,7 @@
     }
 }
 
-fn from_desk() -> Vec<Named<FromDesk>> {
+fn from_desk() -> Vec<Named<FromController>> {
     let count = Count {
         build: 301,
         op: 302,
@@ -403,49 +406,61 @@
         age_us: 1_006,
     };
     vec![
-        ("FromDesk::Welcome", FromDesk::Welcome),
-        ("FromDesk::Refused", FromDesk::Refused(refused())),
+        ("FromDesk::Welcome", FromController::Welcome),
+        (
+            "FromDesk::Refused",
+            FromController::Refused(refused()),
+        ),
         (
             "FromDesk::News/OnTrial",
-            FromDesk::News(news(NewsStanding::OnTrial)),
+            FromController::News(news(NewsStanding::OnTrial)),
         ),
         (
             "FromDesk::News/GoingBack",
-            FromDesk::News(news(NewsStanding::GoingBack)),
+            FromController::News(news(NewsStanding::GoingBack)),
         ),
         (
             "FromDesk::News/Released",
-            FromDesk::News(news(NewsStanding::Released)),
+            FromController::News(news(NewsStanding::Released)),
         ),
         (
             "FromDesk::News/Withdrawn",
-            FromDesk::News(news(NewsStanding::Withdrawn)),
+            FromController::News(news(NewsStanding::Withdrawn)),
+        ),
+        (
+            "FromDesk::Voted/Counted",
+            voted(BallotResult::Counted),
         ),
-        ("FromDesk::Voted/Counted", voted(BallotResult::Counted)),
         ("FromDesk::Voted/Moot", voted(BallotResult::Moot)),
-        ("FromDesk::Voted/TooMany", voted(BallotResult::TooMany)),
-        ("FromDesk::Voted/Refused", voted(BallotResult::Refused)),
-        ("FromDesk::Counted", FromDesk::Counted(count)),
+        (
+            "FromDesk::Voted/TooMany",
+            voted(BallotResult::TooMany),
+        ),
+        (
+            "FromDesk::Voted/Refused",
+            voted(BallotResult::Refused),
+        ),
+        ("FromDesk::Counted", FromController::Counted(count)),
     ]
 }
 
-fn name_of_from_desk(message: &FromDesk) -> &'static str {
+fn name_of_from_desk(message: &FromController) -> &'static str {
     match message {
-        FromDesk::Welcome => "FromDesk::Welcome",
-        FromDesk::Refused(_) => "FromDesk::Refused",
-        FromDesk::News(news) => match news.standing {
+        FromController::Welcome => "FromDesk::Welcome",
+        FromController::Refused(_) => "FromDesk::Refused",
+        FromController::News(news) => match news.standing {
             NewsStanding::OnTrial => "FromDesk::News/OnTrial",
             NewsStanding::GoingBack => "FromDesk::News/GoingBack",
             NewsStanding::Released => "FromDesk::News/Released",
             NewsStanding::Withdrawn => "FromDesk::News/Withdrawn",
         },
-        FromDesk::Voted { result, .. } => match result {
+        FromController::Voted { result, .. } => match result {
             BallotResult::Counted => "FromDesk::Voted/Counted",
             BallotResult::Moot => "FromDesk::Voted/Moot",
             BallotResult::TooMany => "FromDesk::Voted/TooMany",
             BallotResult::Refused => "FromDesk::Voted/Refused",
         },
-        FromDesk::Counted(_) => "FromDesk::Counted",
+        FromController::Counted(_) => "FromDesk::Counted",
     }
 }
 
@@ -475,8 +490,8 @@
 
 #[test]
 fn frames_between_router_and_desk_are_read_and_written_as_before() {
-    check_frames("ToDesk", &to_desk());
-    check_names(&to_desk(), name_of_to_desk);
+    check_frames("ToDesk", &to_controller());
+    check_names(&to_controller(), name_of_to_desk);
     check_frames("FromDesk", &from_desk());
     check_names(&from_desk(), name_of_from_desk);
 }
--- a/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
+++ b/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
@@ -1,11 +1,11 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use spokeflow_router::migrate::{carry, MoveProgram};
+use spokeflow_router::migrate::{carry, MigrateProgram};
 
 /// Exit code 0: carried over, or it would be; 2: nothing written, each fault on a line of standard error.
 fn main() -> ExitCode {
-    let program = MoveProgram::parse();
+    let program = MigrateProgram::parse();
     match carry(&program) {
         Ok((text, notes)) => {
             if program.check {
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -17,7 +17,7 @@
 
 use spokeflow_runtime::Clock;
 
-use crate::arrival::Arrival;
+use crate::event::EngineEvent;
 
 /// A peer that has connected says who it is within this time.
 const HELLO_WAIT: Duration = Duration::from_secs(5);
@@ -29,7 +29,7 @@
 pub struct Client {
     pub conn: u64,
     pub peer: SocketAddr,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<EngineEvent>,
     pub queue: usize,
     pub clock: Arc<Clock>,
     /// Held while the connection stands: so many are allowed.
@@ -60,7 +60,7 @@
                 }
             }
         }
-        let _ = self.core.send(Arrival::ClientGone(self.conn)).await;
+        let _ = self.core.send(EngineEvent::ClientGone(self.conn)).await;
         // What is still on its way in is read and dropped: closing over unread bytes would take back the last
         // frames out as well.
         let stream = link.get_mut();
@@ -94,7 +94,7 @@
         let (answers, mut to_send) = mpsc::channel(self.queue);
         if self
             .core
-            .send(Arrival::ClientOpened(self.conn, answers))
+            .send(EngineEvent::ClientOpened(self.conn, answers))
             .await
             .is_err()
         {
@@ -108,12 +108,12 @@
                         let conn = self.conn;
                         let input = match message? {
                             FromClient::Command(command) => Input::Command { conn, command },
-                            FromClient::Leave { id } => Input::Leave { conn, id },
-                            FromClient::Disputed { receipt } => Input::Disputed { conn, receipt },
+                            FromClient::Leave { id } => Input::Abandon { conn, id },
+                            FromClient::Disputed { receipt } => Input::WrongAnswer { conn, receipt },
                             FromClient::Hello(_) | FromClient::Told { .. } => return Err(FrameFault::OutOfOrder),
                         };
                         // Waits where the engine is behind: that is what the client's socket then does too.
-                        if self.core.send(Arrival::Input(input)).await.is_err() {
+                        if self.core.send(EngineEvent::Input(input)).await.is_err() {
                             return Ok(());
                         }
                     }
--- a/crates/spokeflow-router/src/keepers.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -19,9 +19,9 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::arrival::Arrival;
+use crate::event::EngineEvent;
 use crate::links::KEEPER_WAY;
-use crate::RouterTerms;
+use crate::RouterFlags;
 
 /// A keeper that is not reached, or says nothing, for this long is left for the next.
 const PATIENCE: Duration = Duration::from_millis(500);
@@ -29,12 +29,12 @@
 type Link = Framed<TcpStream, FrameCodec<FromNode, ToNode>>;
 
 /// The control side of one router: its link to the keepers and what it holds of them.
-pub struct KeeperLink {
-    terms: RouterTerms,
+pub struct ControlPlaneLink {
+    terms: RouterFlags,
     process: u64,
     backoff: Backoff,
     clock: Arc<Clock>,
-    core: mpsc::Sender<Arrival>,
+    core: mpsc::Sender<EngineEvent>,
     applied: watch::Receiver<RevisionNumber>,
     lease_holder: Option<LeaseHolder>,
     /// The newest revision that does not fit this router: said once.
@@ -48,13 +48,13 @@
     For(&'static str),
 }
 
-impl KeeperLink {
+impl ControlPlaneLink {
     /// `core` is told what may be acted on; `applied` tells the newest revision that is acted on since.
     pub fn new(
-        terms: &RouterTerms,
+        terms: &RouterFlags,
         seed: u64,
         clock: Arc<Clock>,
-        core: mpsc::Sender<Arrival>,
+        core: mpsc::Sender<EngineEvent>,
         applied: watch::Receiver<RevisionNumber>,
     ) -> Self {
         let backoff = Backoff::new(
@@ -66,7 +66,7 @@
         // Not from the seed: two processes with one seed must not be taken for one.
         let process = rand::rng().random();
         let (terms, lease_holder) = (terms.clone(), None);
-        KeeperLink {
+        ControlPlaneLink {
             terms,
             process,
             backoff,
@@ -215,11 +215,11 @@
         };
         if let Some(part) = lease_holder.take_list_update() {
             let hosts = part.hosts.into_iter().map(line).collect();
-            let list = Input::AgreedList {
-                whole: part.complete,
+            let list = Input::ReplicatedList {
+                complete: part.complete,
                 hosts,
             };
-            if self.core.send(Arrival::Input(list)).await.is_err() {
+            if self.core.send(EngineEvent::Input(list)).await.is_err() {
                 return false;
             }
         }
@@ -234,7 +234,7 @@
             Ok(terms) => {
                 let terms = Box::new(terms);
                 self.core
-                    .send(Arrival::Agreed {
+                    .send(EngineEvent::Agreed {
                         until,
                         terms,
                         revision,
--- a/crates/spokeflow-router/src/arrival.rs
+++ b/crates/spokeflow-router/src/event.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 
 /// What reaches the task that owns the engine.
-pub enum Arrival {
+pub enum EngineEvent {
     Input(Input),
     ClientOpened(u64, mpsc::Sender<ToClient>),
     ClientGone(u64),
--- a/crates/spokeflow-router/src/terms.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -8,7 +8,7 @@
 use spokeflow_config::{parse_duration, ConfigErrors, GateFlag, OperationFlag, ServiceFlags};
 use spokeflow_coordination::{EffectiveConfig, Revision};
 use spokeflow_core::{Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId};
-use spokeflow_engine::EngineTerms;
+use spokeflow_engine::EngineConfig;
 use spokeflow_runtime::LogFormat;
 
 fn micros(span: Duration) -> Micros {
@@ -18,7 +18,7 @@
 /// One router of the deployment.
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "This router")]
-pub struct RouterTerms {
+pub struct RouterFlags {
     /// Where clients connect; port 0 takes a free one, told on standard output
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7400")]
     pub listen: SocketAddr,
@@ -106,7 +106,7 @@
     pub service: ServiceFlags,
 }
 
-impl RouterTerms {
+impl RouterFlags {
     /// Checks all terms. Errors: every fault found.
     pub fn check(&self) -> Result<(), ConfigErrors> {
         let mut errors = ConfigErrors::default();
@@ -175,7 +175,7 @@
         errors.or_value(())
     }
 
-    pub fn engine(&self) -> EngineTerms {
+    pub fn engine(&self) -> EngineConfig {
         let s = &self.service;
         let op = |op: &OperationFlag| OperationConfig {
             repeat: op.repeat,
@@ -227,15 +227,15 @@
             rollback_votes: s.back_votes,
             votes_per_second: s.votes_a_second,
         };
-        EngineTerms {
+        EngineConfig {
             service,
             answer_margin: micros(self.answer_margin),
-            held_at_most: self.held_at_most,
+            max_waiting: self.held_at_most,
         }
     }
 }
 
-impl RouterTerms {
+impl RouterFlags {
     /// What this router may act on while `in_force` is in force and `announced` may be acted on by others.
     ///
     /// Errors: one of both does not fit this router, with every fault.
@@ -246,7 +246,7 @@
     ) -> Result<EffectiveConfig, ConfigErrors> {
         let terms = |revision: &Revision| {
             let service = self.service.revised(&revision.values)?;
-            let revised = RouterTerms {
+            let revised = RouterFlags {
                 service,
                 ..self.clone()
             };
--- a/crates/spokeflow-router/src/hosts.rs
+++ b/crates/spokeflow-router/src/hosts.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use futures_util::StreamExt;
 use spokeflow_core::{HostId, Micros};
-use spokeflow_engine::{Input, NoAnswer, Outgoing};
+use spokeflow_engine::{Input, Outgoing, TransportFailure};
 use spokeflow_proto::{FrameCodec, FromHost, Hello, ToHost, WORK_LIMIT};
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -19,7 +19,7 @@
 
 use spokeflow_runtime::{Backoff, Clock};
 
-use crate::arrival::Arrival;
+use crate::event::EngineEvent;
 
 /// Encoded and not yet taken by the system at most, beside what one message adds.
 const WRITE_AHEAD: usize = 16 << 10;
@@ -65,7 +65,7 @@
     pub host: HostId,
     pub terms: Arc<LinkTerms>,
     pub clock: Arc<Clock>,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<EngineEvent>,
     pub orders: mpsc::Receiver<(ToHost, Micros)>,
     pub listed: watch::Receiver<Listed>,
 }
@@ -103,7 +103,7 @@
                 continue;
             }
             if Instant::now() < not_before {
-                self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+                self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
                     .await;
                 continue;
             }
@@ -133,7 +133,7 @@
                             failures, kept_back, fault, "host not connected"
                         );
                     }
-                    self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+                    self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
                         .await;
                 }
             }
@@ -142,7 +142,7 @@
 
     async fn order(&self, outgoing: &mut Outgoing, (message, leave_by): (ToHost, Micros)) {
         if let Some(delivery) = outgoing.push(message, leave_by) {
-            self.lost(vec![delivery], NoAnswer::NotSent).await;
+            self.lost(vec![delivery], TransportFailure::NotSent).await;
         }
     }
 
@@ -153,19 +153,19 @@
             outgoing.open();
         } else {
             let unsent = outgoing.close();
-            self.lost(unsent, NoAnswer::NotSent).await;
+            self.lost(unsent, TransportFailure::NotSent).await;
         }
         listed.gone && outgoing.idle()
     }
 
-    async fn lost(&self, deliveries: Vec<u64>, end: NoAnswer) {
+    async fn lost(&self, deliveries: Vec<u64>, end: TransportFailure) {
         for delivery in deliveries {
-            let input = Input::NotDelivered {
+            let input = Input::DeliveryFailed {
                 host: self.host.0,
                 delivery,
-                end,
+                failure: end,
             };
-            let _ = self.core.send(Arrival::Input(input)).await;
+            let _ = self.core.send(EngineEvent::Input(input)).await;
         }
     }
 
@@ -194,14 +194,14 @@
         let known = self.listed.borrow().incarnation;
         let _ = self
             .core
-            .send(Arrival::Input(Input::FromHost {
+            .send(EngineEvent::Input(Input::FromHost {
                 host: host.0,
                 message: welcome,
             }))
             .await;
         if incarnation != known {
             // What waits was meant for another process, maybe another build.
-            self.lost(outgoing.broken(0).unsent, NoAnswer::NotConnected)
+            self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
                 .await;
         }
         debug!(host = host.0, incarnation, "host connected");
@@ -236,7 +236,7 @@
                 outgoing.encoded(&message, bytes.len() - before);
             }
             if !late.is_empty() {
-                self.lost(late, NoAnswer::NotSent).await;
+                self.lost(late, TransportFailure::NotSent).await;
             }
             if !outgoing.idle() {
                 idle_at = Instant::now() + self.terms.idle;
@@ -281,7 +281,7 @@
                             _ => {}
                         }
                         let input = Input::FromHost { host: self.host.0, message };
-                        if self.core.send(Arrival::Input(input)).await.is_err() {
+                        if self.core.send(EngineEvent::Input(input)).await.is_err() {
                             break Ended::Done;
                         }
                     }
@@ -316,11 +316,11 @@
         };
         let left = outgoing.broken(bytes.len());
         let end = if matches!(ended, Ended::Silent) {
-            NoAnswer::Silent
+            TransportFailure::Unresponsive
         } else {
-            NoAnswer::Reset
+            TransportFailure::Reset
         };
-        self.lost(left.unsent, NoAnswer::NotSent).await;
+        self.lost(left.unsent, TransportFailure::NotSent).await;
         self.lost(left.sent, end).await;
         ended
     }
@@ -459,7 +459,7 @@
             // What the two systems hold between them is some megabytes at most.
             assert!(matches!(
                 heard.recv().await,
-                Some(Arrival::Input(Input::FromHost { .. }))
+                Some(EngineEvent::Input(Input::FromHost { .. }))
             ));
             assert!(
                 taken < 400 && refused > 600,
--- a/crates/spokeflow-router/src/lib.rs
+++ b/crates/spokeflow-router/src/lib.rs
@@ -3,20 +3,20 @@
 //! One task owns the engine ([`serve`]); connection tasks only move frames over bounded channels. Nothing on the
 //! path of a command takes a lock, writes to disk or waits for a peer.
 
-mod arrival;
 mod clients;
-mod desk;
+mod control_plane;
+mod event;
+mod flags;
 mod hosts;
-mod keepers;
 mod links;
 mod list;
 pub mod migrate;
 mod program;
+mod release_controller;
 mod serve;
-mod terms;
 
-pub use arrival::Arrival;
-pub use keepers::KeeperLink;
+pub use control_plane::ControlPlaneLink;
+pub use event::EngineEvent;
+pub use flags::RouterFlags;
 pub use program::{main_with, RouterProgram};
 pub use serve::{serve, Listening};
-pub use terms::RouterTerms;
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-use crate::arrival::Arrival;
+use crate::event::EngineEvent;
 use crate::hosts::LinkTerms;
 use crate::links::{open, Link, LIST_WAY};
 
@@ -21,7 +21,7 @@
     pub terms: Arc<LinkTerms>,
     pub renew: Duration,
     pub file: Option<PathBuf>,
-    pub core: mpsc::Sender<Arrival>,
+    pub core: mpsc::Sender<EngineEvent>,
     pub asked: mpsc::Receiver<ToList>,
 }
 
@@ -55,7 +55,7 @@
             };
             if self
                 .core
-                .send(Arrival::Input(Input::ListGone))
+                .send(EngineEvent::Input(Input::ListUnavailable))
                 .await
                 .is_err()
             {
@@ -89,7 +89,7 @@
                         if let Some(file) = self.file.as_ref().filter(|_| kept.take(&message)) {
                             kept.write(file.clone());
                         }
-                        if self.core.send(Arrival::Input(Input::FromList(message))).await.is_err() {
+                        if self.core.send(EngineEvent::Input(Input::FromList(message))).await.is_err() {
                             return FrameFault::TooSlow;
                         }
                         continue;
--- a/crates/spokeflow-router/src/migrate.rs
+++ b/crates/spokeflow-router/src/migrate.rs
@@ -10,13 +10,13 @@
 use clap::builder::Resettable;
 use clap::{ArgAction, Command, CommandFactory, FromArgMatches, Parser};
 
-use crate::{RouterProgram, RouterTerms};
+use crate::{RouterFlags, RouterProgram};
 
 /// Reads a router's file of environment variables, writes its counterpart for a deployment where both builds stand
 /// side by side, and lists what it could not carry over.
 #[derive(Debug, Parser)]
 #[command(name = "spokeflow-migrate", version)]
-pub struct MoveProgram {
+pub struct MigrateProgram {
     /// The file for the old shape; it is never touched
     #[arg(long)]
     pub from: PathBuf,
@@ -93,9 +93,9 @@
 
 /// What does not fit, one line each, naming setting and line.
 #[derive(Debug, PartialEq)]
-pub struct CarryFaults(pub Vec<String>);
+pub struct MigrationErrors(pub Vec<String>);
 
-impl fmt::Display for CarryFaults {
+impl fmt::Display for MigrationErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
@@ -103,7 +103,7 @@
 
 /// Reads NAME=VALUE lines; comments, blank lines, a leading `export` and quotes around a value are allowed.
 /// Errors: each line that is none of these, and each setting given twice.
-pub fn read(text: &str) -> Result<Vec<Setting>, CarryFaults> {
+pub fn read(text: &str) -> Result<Vec<Setting>, MigrationErrors> {
     let (mut settings, mut faults): (Vec<Setting>, Vec<String>) = (Vec::new(), Vec::new());
     for (n, line) in text.lines().enumerate() {
         let bare = line.trim();
@@ -126,7 +126,7 @@
     if faults.is_empty() {
         Ok(settings)
     } else {
-        Err(CarryFaults(faults))
+        Err(MigrationErrors(faults))
     }
 }
 
@@ -160,7 +160,7 @@
 }
 
 /// Checks settings by the router's own parser, apart from the environment of this process. Errors: one line each.
-pub fn checked(settings: &[Setting]) -> Result<RouterTerms, CarryFaults> {
+pub fn checked(settings: &[Setting]) -> Result<RouterFlags, MigrationErrors> {
     let bare = RouterProgram::command().mut_args(|arg| arg.env(Resettable::Reset));
     let mut flags = BTreeMap::new();
     for arg in RouterProgram::command().get_arguments() {
@@ -200,12 +200,14 @@
         .filter(|(name, f)| f.2 && !settings.iter().any(|s| s.name == **name));
     faults.extend(missing.map(|(name, _)| format!("{name}: missing")));
     if !faults.is_empty() {
-        return Err(CarryFaults(faults));
+        return Err(MigrationErrors(faults));
     }
     let read = bare
         .try_get_matches_from(line)
         .and_then(|found| RouterProgram::from_arg_matches(&found));
-    let terms = read.map_err(|e| CarryFaults(vec![first_line(&e)]))?.terms;
+    let terms = read
+        .map_err(|e| MigrationErrors(vec![first_line(&e)]))?
+        .terms;
     let named = |fault: &String| {
         let of = |s: &&Setting| {
             flags
@@ -221,7 +223,7 @@
     };
     terms
         .check()
-        .map_err(|f| CarryFaults(f.lines().iter().map(named).collect()))?;
+        .map_err(|f| MigrationErrors(f.lines().iter().map(named).collect()))?;
     Ok(terms)
 }
 
@@ -295,18 +297,22 @@
 }
 
 /// Carries a file over. Gives what was written or would be, and the notes. Errors: nothing has been written.
-pub fn carry(program: &MoveProgram) -> Result<(String, Vec<String>), CarryFaults> {
+pub fn carry(program: &MigrateProgram) -> Result<(String, Vec<String>), MigrationErrors> {
     let fault = |path: &Path, what: &dyn fmt::Display| {
-        CarryFaults(vec![format!("{}: {what}", path.display())])
+        MigrationErrors(vec![format!("{}: {what}", path.display())])
     };
     let text = std::fs::read_to_string(&program.from).map_err(|e| fault(&program.from, &e))?;
     let old = read(&text)?;
     checked(&old)?;
     let mut set: Vec<Setting> = Vec::new();
     for given in &program.set {
-        let new = setting(0, given).map_err(|what| CarryFaults(vec![format!("--set: {what}")]))?;
+        let new =
+            setting(0, given).map_err(|what| MigrationErrors(vec![format!("--set: {what}")]))?;
         if set.iter().any(|s| s.name == new.name) {
-            return Err(CarryFaults(vec![format!("{}: given twice", new.place())]));
+            return Err(MigrationErrors(vec![format!(
+                "{}: given twice",
+                new.place()
+            )]));
         }
         set.push(new);
     }
@@ -320,8 +326,9 @@
 }
 
 /// Whole or not at all: written beside, then moved to its place.
-fn put(from: &Path, to: &Path, text: &str, replace: bool) -> Result<(), CarryFaults> {
-    let fault = |what: &dyn fmt::Display| CarryFaults(vec![format!("{}: {what}", to.display())]);
+fn put(from: &Path, to: &Path, text: &str, replace: bool) -> Result<(), MigrationErrors> {
+    let fault =
+        |what: &dyn fmt::Display| MigrationErrors(vec![format!("{}: {what}", to.display())]);
     let same = std::fs::canonicalize(from)
         .ok()
         .zip(std::fs::canonicalize(to).ok());
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -4,7 +4,7 @@
 
 use spokeflow_runtime::{init_logging, shutdown_signal};
 
-use crate::{serve, Listening, RouterTerms};
+use crate::{serve, Listening, RouterFlags};
 
 /// Sends commands to hosts, keeps every key at one build while a release is rolled out, and votes it on or back.
 #[derive(Debug, Parser)]
@@ -14,7 +14,7 @@
 )]
 pub struct RouterProgram {
     #[command(flatten)]
-    pub terms: RouterTerms,
+    pub terms: RouterFlags,
 }
 
 /// Runs the router until SIGTERM or SIGINT. Exit code 0: ended as asked; 1: could not go on; 2: bad terms.
--- a/crates/spokeflow-router/src/desk.rs
+++ b/crates/spokeflow-router/src/release_controller.rs
@@ -6,31 +6,31 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameFault, FromDesk, ToDesk, WORK_LIMIT};
+use spokeflow_proto::{FrameFault, FromController, ToController, WORK_LIMIT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 use tracing::{info, warn};
 
-use crate::arrival::Arrival;
+use crate::event::EngineEvent;
 use crate::hosts::LinkTerms;
 use crate::links::{open, Link, DESK_WAY};
 
-pub struct DeskLink {
+pub struct ReleaseControllerLink {
     pub address: SocketAddr,
     pub terms: Arc<LinkTerms>,
-    pub core: mpsc::Sender<Arrival>,
-    pub votes: mpsc::Receiver<ToDesk>,
+    pub core: mpsc::Sender<EngineEvent>,
+    pub votes: mpsc::Receiver<ToController>,
 }
 
-impl DeskLink {
+impl ReleaseControllerLink {
     pub async fn run(mut self) {
         let mut failures = 0_u32;
         let mut backoff = self.terms.backoff(DESK_WAY);
         loop {
             let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
-            let hello = ToDesk::Hello(self.terms.hello.clone());
+            let hello = ToController::Hello(self.terms.hello.clone());
             let opened = open(self.address, WORK_LIMIT, wait, hello, |m| {
-                matches!(m, FromDesk::Welcome)
+                matches!(m, FromController::Welcome)
             })
             .await;
             let fault = match opened {
@@ -54,7 +54,7 @@
             while self.votes.try_recv().is_ok() {}
             if self
                 .core
-                .send(Arrival::Input(Input::DeskGone))
+                .send(EngineEvent::Input(Input::ControllerUnavailable))
                 .await
                 .is_err()
             {
@@ -65,12 +65,12 @@
         }
     }
 
-    async fn talk(&mut self, mut link: Link<FromDesk, ToDesk>) -> FrameFault {
+    async fn talk(&mut self, mut link: Link<FromController, ToController>) -> FrameFault {
         loop {
             tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(message)) => {
-                        if self.core.send(Arrival::Input(Input::FromDesk(message))).await.is_err() {
+                        if self.core.send(EngineEvent::Input(Input::FromController(message))).await.is_err() {
                             return FrameFault::TooSlow;
                         }
                     }
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -9,8 +9,8 @@
 use rand::RngExt;
 use spokeflow_coordination::{EffectiveConfig, RevisionNumber};
 use spokeflow_core::{HostId, Micros};
-use spokeflow_engine::{Engine, Input, Links, Recording};
-use spokeflow_proto::{Hello, Role, ToClient, ToDesk, ToHost, ToList};
+use spokeflow_engine::{Engine, Input, Recording, Transport};
+use spokeflow_proto::{Hello, Role, ToClient, ToController, ToHost, ToList};
 use spokeflow_runtime::Clock;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Semaphore};
@@ -19,13 +19,13 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info, warn};
 
-use crate::arrival::Arrival;
 use crate::clients::Client;
-use crate::desk::DeskLink;
+use crate::control_plane::ControlPlaneLink;
+use crate::event::EngineEvent;
 use crate::hosts::{HostLink, LinkTerms, Listed};
-use crate::keepers::KeeperLink;
 use crate::list::{read_list, ListLink};
-use crate::RouterTerms;
+use crate::release_controller::ReleaseControllerLink;
+use crate::RouterFlags;
 
 /// Arrivals that wait for the engine at most; a task whose arrival finds no room waits, and so does its peer.
 const ARRIVALS: usize = 4096;
@@ -44,7 +44,7 @@
 
 impl Listening {
     /// Errors: the address cannot be taken, with the flag that names it.
-    pub async fn open(terms: &RouterTerms) -> Result<Self, String> {
+    pub async fn open(terms: &RouterFlags) -> Result<Self, String> {
         let fault = |e: std::io::Error| format!("--listen {}: {e}", terms.listen);
         let listener = TcpListener::bind(terms.listen).await.map_err(fault)?;
         let address = listener.local_addr().map_err(fault)?;
@@ -64,19 +64,19 @@
 /// The engine's way out. Nothing here waits.
 struct Wires {
     clock: Arc<Clock>,
-    core: mpsc::Sender<Arrival>,
+    core: mpsc::Sender<EngineEvent>,
     clients: HashMap<u64, mpsc::Sender<ToClient>>,
     /// Clients given up because they do not read; the engine hears of them after its call.
     given_up: Vec<u64>,
     hosts: HashMap<HostId, HostHandle>,
     list: mpsc::Sender<ToList>,
-    desk: mpsc::Sender<ToDesk>,
+    desk: mpsc::Sender<ToController>,
     links: Arc<LinkTerms>,
     host_queue: usize,
     drain_grace: Duration,
 }
 
-impl Links for Wires {
+impl Transport for Wires {
     fn to_client(&mut self, conn: u64, message: ToClient) {
         debug!(conn, ?message, "answer");
         let Some(client) = self.clients.get(&conn) else {
@@ -98,7 +98,7 @@
         self.list.try_send(message).is_ok()
     }
 
-    fn to_desk(&mut self, message: ToDesk) -> bool {
+    fn to_controller(&mut self, message: ToController) -> bool {
         info!(?message, "vote");
         self.desk.try_send(message).is_ok()
     }
@@ -168,7 +168,7 @@
 /// Runs a router until `ending` resolves; then takes nothing new, answers all it holds and returns.
 /// Errors: a term that fits no longer, such as a recording that cannot be written.
 pub async fn serve(
-    terms: RouterTerms,
+    terms: RouterFlags,
     listening: Listening,
     ending: impl Future<Output = ()>,
 ) -> Result<(), String> {
@@ -206,7 +206,7 @@
         asked,
     };
     helpers.spawn(list_link.run());
-    let desk_link = DeskLink {
+    let desk_link = ReleaseControllerLink {
         address: terms.desk,
         terms: asking(service.desk_counts),
         core: core.clone(),
@@ -216,7 +216,7 @@
     // Told once the engine goes by a revision: only then may this router say that it acts on it.
     let (acts_on, applied) = watch::channel(RevisionNumber(0));
     if !terms.keepers.is_empty() {
-        let link = KeeperLink::new(&terms, seed, clock.clone(), core.clone(), applied);
+        let link = ControlPlaneLink::new(&terms, seed, clock.clone(), core.clone(), applied);
         helpers.spawn(link.run());
     }
     let mut wires = Wires {
@@ -254,7 +254,7 @@
         if let Some(record) = &mut record {
             record.note(now, &input);
         }
-        engine.take(now, input, wires);
+        engine.on_input(now, input, wires);
     };
     if !terms.keepers.is_empty() {
         // Nothing has been granted yet.
@@ -262,9 +262,9 @@
         give(
             &mut engine,
             &mut wires,
-            Input::Agreed {
+            Input::Lease {
                 until: clock.now(),
-                terms: own,
+                config: own,
             },
         );
     }
@@ -272,15 +272,15 @@
         give(
             &mut engine,
             &mut wires,
-            Input::AgreedList {
-                whole: false,
+            Input::ReplicatedList {
+                complete: false,
                 hosts: Vec::new(),
             },
         );
     }
     if let Some(file) = &terms.list_file {
         match read_list(file) {
-            Ok(lines) => give(&mut engine, &mut wires, Input::Remembered(lines)),
+            Ok(lines) => give(&mut engine, &mut wires, Input::CachedList(lines)),
             Err(what) => info!(file = %file.display(), what, "no kept list"),
         }
     }
@@ -292,11 +292,11 @@
         tokio::select! {
             biased;
             _ = &mut ending, if end_by.is_none() => {
-                info!(held = engine.held(), "router ends: takes nothing new");
+                info!(held = engine.waiting_commands(), "router ends: takes nothing new");
                 clock.begin_shutdown();
                 end_by = Some(Instant::now() + terms.shutdown_within);
                 accepting.abort();
-                batch.push(Arrival::Close);
+                batch.push(EngineEvent::Close);
             }
             _ = sleep_until(wake) => {}
             _ = arrivals.recv_many(&mut batch, AT_ONCE) => {}
@@ -310,26 +310,33 @@
         }
         for arrival in batch.drain(..) {
             match arrival {
-                Arrival::Input(input) => give(&mut engine, &mut wires, input),
-                Arrival::ClientOpened(conn, answers) => {
+                EngineEvent::Input(input) => give(&mut engine, &mut wires, input),
+                EngineEvent::ClientOpened(conn, answers) => {
                     if end_by.is_some() {
                         let _ = answers.try_send(ToClient::Closing);
                     }
                     wires.clients.insert(conn, answers);
                 }
-                Arrival::ClientGone(conn) => {
+                EngineEvent::ClientGone(conn) => {
                     wires.clients.remove(&conn);
-                    give(&mut engine, &mut wires, Input::ClientGone { conn });
+                    give(&mut engine, &mut wires, Input::ClientDisconnected { conn });
                 }
-                Arrival::Agreed {
+                EngineEvent::Agreed {
                     until,
                     terms,
                     revision,
                 } => {
-                    give(&mut engine, &mut wires, Input::Agreed { until, terms });
+                    give(
+                        &mut engine,
+                        &mut wires,
+                        Input::Lease {
+                            until,
+                            config: terms,
+                        },
+                    );
                     acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
                 }
-                Arrival::Close => {
+                EngineEvent::Close => {
                     give(&mut engine, &mut wires, Input::Close);
                     wires.clients.values().for_each(|client| {
                         let _ = client.try_send(ToClient::Closing);
@@ -337,20 +344,20 @@
                 }
             }
             while let Some(conn) = wires.given_up.pop() {
-                give(&mut engine, &mut wires, Input::ClientGone { conn });
+                give(&mut engine, &mut wires, Input::ClientDisconnected { conn });
             }
         }
         if clock.now() >= engine.next_wake() {
-            give(&mut engine, &mut wires, Input::Wake);
+            give(&mut engine, &mut wires, Input::Timer);
             while let Some(conn) = wires.given_up.pop() {
-                give(&mut engine, &mut wires, Input::ClientGone { conn });
+                give(&mut engine, &mut wires, Input::ClientDisconnected { conn });
             }
         }
         if let Some(end_by) = end_by {
             let now = Instant::now();
             idle_since = idle_since
-                .filter(|_| engine.held() == 0)
-                .or((engine.held() == 0).then_some(now));
+                .filter(|_| engine.waiting_commands() == 0)
+                .or((engine.waiting_commands() == 0).then_some(now));
             if now >= end_by || idle_since.is_some_and(|since| now >= since + LINGER) {
                 break;
             }
@@ -358,7 +365,7 @@
     }
     let counts = engine.counts();
     info!(
-        held = engine.held(),
+        held = engine.waiting_commands(),
         ?counts,
         "router has answered what it held"
     );
@@ -374,7 +381,7 @@
 struct Accepting {
     listener: TcpListener,
     places: Arc<Semaphore>,
-    core: mpsc::Sender<Arrival>,
+    core: mpsc::Sender<EngineEvent>,
     queue: usize,
     clock: Arc<Clock>,
     clients: TaskTracker,
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -2,15 +2,15 @@
 
 use clap::Parser;
 use spokeflow_core::Repeat;
-use spokeflow_router::RouterTerms;
+use spokeflow_router::RouterFlags;
 
 #[derive(Parser)]
 struct Line {
     #[command(flatten)]
-    terms: RouterTerms,
+    terms: RouterFlags,
 }
 
-fn read(more: &[&str]) -> Result<RouterTerms, String> {
+fn read(more: &[&str]) -> Result<RouterFlags, String> {
     let base = [
         "router",
         "--list=127.0.0.1:1",
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::*;
-use spokeflow_router::migrate::{carry, checked, read, MoveProgram};
+use spokeflow_router::migrate::{carry, checked, read, MigrateProgram};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -39,7 +39,7 @@
         Folder(path)
     }
 
-    fn program(&self, more: &[&str]) -> MoveProgram {
+    fn program(&self, more: &[&str]) -> MigrateProgram {
         let (from, to) = (self.0.join("old.env"), self.0.join("new.env"));
         let line = [
             "move",
@@ -48,7 +48,7 @@
             "--to",
             to.to_str().unwrap(),
         ];
-        MoveProgram::parse_from(line.iter().chain(more))
+        MigrateProgram::parse_from(line.iter().chain(more))
     }
 
     fn files(&self) -> usize {
@@ -162,7 +162,7 @@
     let again = Folder::new("again", &new);
     assert_eq!(carry(&again.program(&["--check"])).unwrap().0, new);
     let to = to.to_str().unwrap();
-    let same = MoveProgram::parse_from(["move", "--from", to, "--to", to]);
+    let same = MigrateProgram::parse_from(["move", "--from", to, "--to", to]);
     assert!(carry(&same).unwrap_err().0[0].contains("is the file that is read"));
 }
 
@@ -235,8 +235,9 @@
     .unwrap();
     let odd = vec![(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
     list.send(FromList::Sizes { sizes: odd }).await.unwrap();
-    let (mut desk, hello) = called::<ToDesk, FromDesk>(&desk, WORK_LIMIT, FromDesk::Welcome).await;
-    assert!(matches!(hello, ToDesk::Hello(h) if h.takes_more()));
+    let (mut desk, hello) =
+        called::<ToController, FromController>(&desk, WORK_LIMIT, FromController::Welcome).await;
+    assert!(matches!(hello, ToController::Hello(h) if h.takes_more()));
     let news = |build, standing, cap| News {
         build,
         stage: 0,
@@ -244,7 +245,7 @@
         cap,
         age_us: 0,
     };
-    desk.send(FromDesk::News(news(1, NewsStanding::Released, 1.0)))
+    desk.send(FromController::News(news(1, NewsStanding::Released, 1.0)))
         .await
         .unwrap();
 
@@ -296,7 +297,7 @@
             );
         }
         // Build 2 comes on trial; this router sees none of it, the desk counts that it fails.
-        desk.send(FromDesk::News(news(2, NewsStanding::OnTrial, 0.0)))
+        desk.send(FromController::News(news(2, NewsStanding::OnTrial, 0.0)))
             .await
             .unwrap();
         for _ in 0..4 {
@@ -310,7 +311,7 @@
                     mean_us: 90_000,
                     age_us: 600_000,
                 };
-                desk.send(FromDesk::Counted(count)).await.unwrap();
+                desk.send(FromController::Counted(count)).await.unwrap();
             }
             sleep(Duration::from_millis(300)).await;
         }
@@ -321,14 +322,16 @@
                 .unwrap()
                 .unwrap()
             {
-                ToDesk::Vote {
+                ToController::Vote {
                     build: 2,
                     verdict: BallotVerdict::Back,
                     ..
                 } => break,
-                ToDesk::Vote { ballot, .. } => {
+                ToController::Vote { ballot, .. } => {
                     let result = BallotResult::Counted;
-                    desk.send(FromDesk::Voted { ballot, result }).await.unwrap();
+                    desk.send(FromController::Voted { ballot, result })
+                        .await
+                        .unwrap();
                 }
                 other => panic!("{other:?}"),
             }
--- a/crates/spokeflow-simulator/src/brain.rs
+++ b/crates/spokeflow-simulator/src/brain.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use spokeflow_core::{BuildId, HostId, Micros};
-use spokeflow_engine::{Engine, EngineTerms, Input, Links};
+use spokeflow_engine::{Engine, EngineConfig, Input, Transport};
 
 use crate::plain::Plain;
 
@@ -24,7 +24,7 @@
 }
 
 /// The way out of a router, and, for full sight alone, what nobody can see.
-pub trait Wiring: Links {
+pub trait Wiring: Transport {
     fn look(&self, host: HostId) -> Look;
     fn is_bad(&self, build: BuildId) -> bool;
 }
@@ -38,7 +38,7 @@
 
 impl Brain for Engine {
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring) {
-        Engine::take(self, now, input, wiring);
+        Engine::on_input(self, now, input, wiring);
     }
 
     fn next_wake(&self) -> Micros {
@@ -46,7 +46,7 @@
     }
 
     fn held(&self) -> usize {
-        Engine::held(self)
+        Engine::waiting_commands(self)
     }
 }
 
@@ -72,7 +72,7 @@
 
     pub(crate) fn start(
         self,
-        terms: EngineTerms,
+        terms: EngineConfig,
         seed: u64,
         now: Micros,
         wiring: &mut dyn Wiring,
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use spokeflow_core::{BuildId, HostId, Micros, Repeat, Rng};
-use spokeflow_engine::{EngineTerms, Input, NoAnswer};
+use spokeflow_engine::{EngineConfig, Input, TransportFailure};
 use spokeflow_proto::{
-    BallotVerdict, Command, FromDesk, FromHost, FromList, Line, LinePhase, News, NewsStanding,
-    ToClient, ToDesk, ToHost, ToList,
+    BallotVerdict, Command, FromController, FromHost, FromList, Line, LinePhase, News,
+    NewsStanding, ToClient, ToController, ToHost, ToList,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -37,7 +37,7 @@
 
 pub struct Plain {
     who: Who,
-    terms: EngineTerms,
+    terms: EngineConfig,
     now: Micros,
     chance: Rng,
     hosts: BTreeMap<u32, Known>,
@@ -59,7 +59,7 @@
 }
 
 impl Plain {
-    pub fn new(who: Who, terms: EngineTerms, seed: u64, now: Micros) -> Plain {
+    pub fn new(who: Who, terms: EngineConfig, seed: u64, now: Micros) -> Plain {
         Plain {
             who,
             terms,
@@ -324,7 +324,7 @@
         if self.now - self.voted_at > VOTE_AGAIN {
             self.voted_at = self.now;
             let (build, stage) = (news.build, news.stage);
-            wiring.to_desk(ToDesk::Vote {
+            wiring.to_controller(ToController::Vote {
                 ballot: self.next,
                 build,
                 stage,
@@ -365,7 +365,7 @@
                 self.held.insert(id, held);
                 self.route(id, wiring);
             }
-            Input::Leave { id, .. } => {
+            Input::Abandon { id, .. } => {
                 if let Some(held) = self.held.remove(&id) {
                     self.due.remove(&(held.until, id));
                 }
@@ -411,10 +411,17 @@
                 }
                 _ => {}
             },
-            Input::NotDelivered { delivery, end, .. } => {
+            Input::DeliveryFailed {
+                delivery,
+                failure: end,
+                ..
+            } => {
                 self.ended(
                     delivery,
-                    matches!(end, NoAnswer::Reset | NoAnswer::Silent),
+                    matches!(
+                        end,
+                        TransportFailure::Reset | TransportFailure::Unresponsive
+                    ),
                     wiring,
                 );
             }
@@ -426,8 +433,8 @@
                 self.version = Some(version);
                 self.list(false, &lines, wiring);
             }
-            Input::ListGone => drop(wiring.to_list(ToList::Watch { have: self.version })),
-            Input::FromDesk(FromDesk::News(news)) => {
+            Input::ListUnavailable => drop(wiring.to_list(ToList::Watch { have: self.version })),
+            Input::FromController(FromController::News(news)) => {
                 let same = self
                     .news
                     .is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
@@ -444,7 +451,7 @@
                 self.news = Some(news);
             }
             Input::Close => self.closing = true,
-            Input::Wake => {
+            Input::Timer => {
                 while let Some((_, id)) = self.due.first().copied().filter(|d| d.0 <= self.now) {
                     self.give_up(id, wiring);
                 }
--- a/crates/spokeflow-simulator/src/terms.rs
+++ b/crates/spokeflow-simulator/src/terms.rs
@@ -2,12 +2,12 @@
 //! of the lab that compares both.
 
 use spokeflow_core::{DeduplicationScope, Gate, OperationConfig, Repeat, ServiceConfig, ZoneId};
-use spokeflow_engine::EngineTerms;
+use spokeflow_engine::EngineConfig;
 use spokeflow_scenario::scenario::{self, Scenario};
 use spokeflow_scenario::{MS, SECOND};
 
 /// Terms of router `index`.
-pub fn engine_terms(day: &Scenario, index: u32) -> EngineTerms {
+pub fn engine_terms(day: &Scenario, index: u32) -> EngineConfig {
     let op = |op: &scenario::Op| {
         let (repeat, repeat_scope, repeat_memory) = match op.repeat {
             scenario::Repeat::Redeliverable => (Repeat::Idempotent, DeduplicationScope::Unknown, 0),
@@ -66,9 +66,9 @@
         rollback_votes: 0,
         votes_per_second: f64::INFINITY,
     };
-    EngineTerms {
+    EngineConfig {
         service,
         answer_margin: 30 * MS,
-        held_at_most: 20_000,
+        max_waiting: 20_000,
     }
 }
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -18,7 +18,7 @@
 use rand::SeedableRng;
 use slab::Slab;
 use spokeflow_engine::Input;
-use spokeflow_proto::FromDesk;
+use spokeflow_proto::FromController;
 use spokeflow_scenario::board::Board;
 use spokeflow_scenario::desk::Desk;
 use spokeflow_scenario::faults::{Faults, Way, OFFICE_SITE};
@@ -205,14 +205,16 @@
             What::Leaves { tried } => self.leaves(tried),
             What::LeaveAt { tried, by } => {
                 let conn = u64::from(by.router);
-                self.give(by, Input::Leave { conn, id: tried });
+                self.give(by, Input::Abandon { conn, id: tried });
+            }
+            What::DisputedAt { by, receipt } => {
+                self.give(by, Input::WrongAnswer { conn: 0, receipt })
             }
-            What::DisputedAt { by, receipt } => self.give(by, Input::Disputed { conn: 0, receipt }),
             What::Wake { by, at } => {
                 let seat = &mut self.routers[by.router as usize];
                 if seat.process == by && seat.wake_at == at {
                     seat.wake_at = Micros::MAX;
-                    self.give(by, Input::Wake);
+                    self.give(by, Input::Timer);
                 }
             }
             What::Lost {
@@ -223,10 +225,10 @@
             } => {
                 self.give(
                     by,
-                    Input::NotDelivered {
+                    Input::DeliveryFailed {
                         host,
                         delivery,
-                        end,
+                        failure: end,
                     },
                 );
             }
@@ -271,12 +273,15 @@
                 if self.faults.way(OFFICE_SITE, site, Way::Office).is_none() {
                     return self.blocked.push(What::VotedTo { by, ballot, result });
                 }
-                self.give(by, Input::FromDesk(FromDesk::Voted { ballot, result }));
+                self.give(
+                    by,
+                    Input::FromController(FromController::Voted { ballot, result }),
+                );
             }
             What::Told { by, from, text } => {
                 self.give(
                     by,
-                    Input::Told {
+                    Input::Gossip {
                         router: from,
                         text: text.to_vec(),
                     },
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use rand::RngExt;
-use spokeflow_engine::{Input, NoAnswer};
+use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
 use spokeflow_scenario::faults::{Way, RESENT_AFTER};
 use spokeflow_scenario::host::Job;
@@ -83,7 +83,7 @@
         &mut self,
         pair: usize,
         deliveries: impl IntoIterator<Item = u64>,
-        end: NoAnswer,
+        end: TransportFailure,
     ) {
         let (seat, router) = self.ends_of(pair);
         let (host, by) = (self.seats[seat].host, self.routers[router as usize].process);
@@ -142,7 +142,7 @@
             return self.lose(
                 pair,
                 unsent.into_iter().map(|w| w.delivery),
-                NoAnswer::NotConnected,
+                TransportFailure::NotConnected,
             );
         }
         let (host, build) = (self.seats[seat].host, self.seats[seat].build);
@@ -157,7 +157,7 @@
         if known {
             for parcel in waiting {
                 if self.now >= parcel.leave_by {
-                    self.lose(pair, [parcel.delivery], NoAnswer::NotSent);
+                    self.lose(pair, [parcel.delivery], TransportFailure::NotSent);
                 } else {
                     self.deliver(pair, parcel);
                 }
@@ -166,7 +166,7 @@
             self.lose(
                 pair,
                 waiting.into_iter().map(|w| w.delivery),
-                NoAnswer::NotConnected,
+                TransportFailure::NotConnected,
             );
         }
         let message = FromHost::Welcome {
@@ -178,13 +178,13 @@
         self.give(by, Input::FromHost { host, message });
     }
 
-    fn broken(&mut self, pair: usize, end: NoAnswer) {
+    fn broken(&mut self, pair: usize, end: TransportFailure) {
         let drawn = self.rng.random_range(0.5..1.0);
         let (unsent, sent) = self.pairs[pair].broken(self.now, drawn);
         self.lose(
             pair,
             unsent.into_iter().map(|w| w.delivery),
-            NoAnswer::NotSent,
+            TransportFailure::NotSent,
         );
         self.lose(pair, sent, end);
     }
@@ -208,7 +208,7 @@
             return self.plan_at(until, What::Silence { pair, epoch });
         }
         if p.pinged {
-            return self.broken(pair, NoAnswer::Silent);
+            return self.broken(pair, TransportFailure::Unresponsive);
         }
         p.pinged = true;
         p.pings += 1;
@@ -297,7 +297,7 @@
         let p = &mut self.pairs[pair];
         (p.quiet_since, p.pinged) = (self.now, false);
         let (delivery, message) = match word {
-            RouterWord::Broken => return self.broken(pair, NoAnswer::Reset),
+            RouterWord::Broken => return self.broken(pair, TransportFailure::Reset),
             RouterWord::Pong => {
                 p.pong();
                 if p.ask() {
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-use spokeflow_engine::NoAnswer;
+use spokeflow_engine::TransportFailure;
 use spokeflow_proto::{BallotResult, FromList};
 use spokeflow_scenario::desk::{State, Verdict};
 use spokeflow_scenario::seen::Process;
@@ -61,7 +61,7 @@
         by: Process,
         host: u32,
         delivery: u64,
-        end: NoAnswer,
+        end: TransportFailure,
     },
     ToHost {
         pair: usize,
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -177,7 +177,7 @@
         seat.list_failures += 1;
         let (link, after) = (seat.list_link, pause(seat.list_failures - 1, drawn));
         self.plan(after, What::ListOpen { by, link });
-        self.give(by, Input::ListGone);
+        self.give(by, Input::ListUnavailable);
     }
 
     pub(super) fn list_open(&mut self, by: Process, link: u32) {
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use spokeflow_core::{BuildId, HostId};
-use spokeflow_engine::{Links, NoAnswer};
-use spokeflow_proto::{BallotVerdict, ToClient, ToDesk, ToHost, ToList};
+use spokeflow_engine::{Transport, TransportFailure};
+use spokeflow_proto::{BallotVerdict, ToClient, ToController, ToHost, ToList};
 use spokeflow_scenario::desk::Verdict;
 use spokeflow_scenario::faults::Way;
 use spokeflow_scenario::scenario::Flaw;
@@ -35,7 +35,7 @@
     }
 }
 
-impl Links for Wires<'_> {
+impl Transport for Wires<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
         let (tried, end, receipt) = match message {
             ToClient::Acked {
@@ -73,7 +73,7 @@
         let Some(pair) = self.pair(host) else {
             // Gone for long: nothing answers there.
             if let ToHost::Deliver { delivery, .. } = message {
-                let end = NoAnswer::NotConnected;
+                let end = TransportFailure::NotConnected;
                 self.world.plan(
                     0,
                     What::Lost {
@@ -113,7 +113,7 @@
                     return false;
                 }
                 if !p.open {
-                    self.world.lose(pair, [delivery], NoAnswer::NotSent);
+                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
                     return true;
                 }
                 if p.link == Link::Up && p.idle() && now - p.used > IDLE {
@@ -123,7 +123,8 @@
                     Link::Up => self.world.deliver(pair, parcel),
                     Link::Connecting => p.waiting.push(parcel),
                     Link::Closed if now < p.not_before => {
-                        self.world.lose(pair, [delivery], NoAnswer::NotConnected);
+                        self.world
+                            .lose(pair, [delivery], TransportFailure::NotConnected);
                     }
                     Link::Closed => {
                         p.waiting.push(parcel);
@@ -135,7 +136,7 @@
                 let p = &mut self.world.pairs[pair];
                 if let Some(at) = p.waiting.iter().position(|w| w.delivery == delivery) {
                     p.waiting.remove(at);
-                    self.world.lose(pair, [delivery], NoAnswer::NotSent);
+                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
                 } else if let Some(at) = p.out.iter().position(|d| *d == delivery) {
                     p.out.remove(at);
                     p.cancelled.push((delivery, p.pings + 1));
@@ -168,9 +169,9 @@
         true
     }
 
-    fn to_desk(&mut self, message: ToDesk) -> bool {
+    fn to_controller(&mut self, message: ToController) -> bool {
         let by = self.by();
-        if let ToDesk::Vote {
+        if let ToController::Vote {
             ballot,
             build,
             stage,
@@ -234,7 +235,7 @@
         self.world.lose(
             pair,
             unsent.into_iter().map(|w| w.delivery),
-            NoAnswer::NotSent,
+            TransportFailure::NotSent,
         );
     }
 }
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use spokeflow_engine::Input;
-use spokeflow_proto::{BallotResult, FromDesk, News, NewsStanding};
+use spokeflow_proto::{BallotResult, FromController, News, NewsStanding};
 use spokeflow_scenario::desk::{Counted, State, Verdict};
 use spokeflow_scenario::seen::{Process, Seen, Standing};
 
@@ -100,7 +100,7 @@
             cap: cap as f32,
             age_us,
         };
-        self.give(by, Input::FromDesk(FromDesk::News(news)));
+        self.give(by, Input::FromController(FromController::News(news)));
     }
 
     pub(super) fn vote_at(
--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use hdrhistogram::Histogram;
 use rand::RngExt;
-use spokeflow_control_plane::ask::ask;
+use spokeflow_control_plane::client::ask;
 use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
 use spokeflow_proto::FrameCodec;
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -308,12 +308,12 @@
 }
 
 async fn desk_link(stream: TcpStream) {
-    let mut link: Framed<TcpStream, FrameCodec<ToDesk, FromDesk>> =
+    let mut link: Framed<TcpStream, FrameCodec<ToController, FromController>> =
         Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-    let Some(Ok(ToDesk::Hello(_))) = link.next().await else {
+    let Some(Ok(ToController::Hello(_))) = link.next().await else {
         return;
     };
-    if link.send(FromDesk::Welcome).await.is_err() {
+    if link.send(FromController::Welcome).await.is_err() {
         return;
     }
     let start = Instant::now();
@@ -321,8 +321,8 @@
     loop {
         tokio::select! {
             read = link.next() => match read {
-                Some(Ok(ToDesk::Vote { ballot, .. })) => {
-                    let voted = FromDesk::Voted { ballot, result: BallotResult::Counted };
+                Some(Ok(ToController::Vote { ballot, .. })) => {
+                    let voted = FromController::Voted { ballot, result: BallotResult::Counted };
                     if link.send(voted).await.is_err() {
                         return;
                     }
@@ -333,7 +333,7 @@
                 // The desk allows all: what holds routers back is agreed.
                 let age_us = start.elapsed().as_micros() as u64;
                 let news = News { build: NEW, stage: 1, standing: NewsStanding::OnTrial, cap: 1.0, age_us };
-                if link.send(FromDesk::News(news)).await.is_err() {
+                if link.send(FromController::News(news)).await.is_err() {
                     return;
                 }
             }
--- a/crates/spokeflow-testbed/src/fleet/plan.rs
+++ b/crates/spokeflow-testbed/src/fleet/plan.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::RngExt;
-use spokeflow_control_plane::WHERES;
+use spokeflow_control_plane::CRASH_POINTS;
 
 use super::switchboard::{Node, Way};
 
@@ -118,7 +118,7 @@
             disk: Disk::Empty,
         },
         25..33 => {
-            let place = WHERES[rng.random_range(0..WHERES.len())].0;
+            let place = CRASH_POINTS[rng.random_range(0..CRASH_POINTS.len())].0;
             Fault::DieAt {
                 keeper,
                 place: format!("{place}:{}", rng.random_range(1..12)),
--- a/crates/spokeflow-testbed/src/fleet/play.rs
+++ b/crates/spokeflow-testbed/src/fleet/play.rs
@@ -8,7 +8,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_control_plane::ask::{ask, ask_one};
+use spokeflow_control_plane::client::{ask, ask_one};
 use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -217,7 +217,7 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = desk.accept().await {
             tokio::spawn(async move {
-                let mut link: Framed<_, FrameCodec<ToDesk, FromDesk>> =
+                let mut link: Framed<_, FrameCodec<ToController, FromController>> =
                     Framed::new(stream, FrameCodec::new(WORK_LIMIT));
                 let (build, standing, cap) = match trial {
                     true => (2, NewsStanding::OnTrial, 0.35),
@@ -230,7 +230,7 @@
                     cap,
                     age_us: 0,
                 };
-                for message in [FromDesk::Welcome, FromDesk::News(news)] {
+                for message in [FromController::Welcome, FromController::News(news)] {
                     if link.send(message).await.is_err() {
                         return;
                     }
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use spokeflow_control_plane::KeeperProgram;
+use spokeflow_control_plane::ControlPlaneProgram;
 use spokeflow_router::{main_with, RouterProgram};
 use spokeflow_testbed::commits::{commits, CommitFlags};
 use spokeflow_testbed::day::play;
@@ -56,7 +56,7 @@
     Router(Box<RouterProgram>),
     /// The keeper itself, as the rig starts it
     #[command(hide = true)]
-    Keeper(Box<KeeperProgram>),
+    Keeper(Box<ControlPlaneProgram>),
 }
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -8,8 +8,8 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_proto::{
-    BallotResult, BallotVerdict, FrameCodec, FromDesk, FromList, Line, LinePhase, News,
-    NewsStanding, Role, ToDesk, ToList, LIST_LIMIT, WORK_LIMIT,
+    BallotResult, BallotVerdict, FrameCodec, FromController, FromList, Line, LinePhase, News,
+    NewsStanding, Role, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -148,19 +148,23 @@
     }
 
     async fn desk(self: Arc<Self>, stream: TcpStream) {
-        let mut link: Framed<TcpStream, FrameCodec<ToDesk, FromDesk>> =
+        let mut link: Framed<TcpStream, FrameCodec<ToController, FromController>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        let Some(Ok(ToDesk::Hello(hello))) = link.next().await else {
+        let Some(Ok(ToController::Hello(hello))) = link.next().await else {
             return;
         };
-        if hello.check(&[Role::Router]).is_err() || link.send(FromDesk::Welcome).await.is_err() {
+        if hello.check(&[Role::Router]).is_err()
+            || link.send(FromController::Welcome).await.is_err()
+        {
             return;
         }
         let (to, site) = (self.world.process(hello.index), hello.zone);
         let (send, mut ready) =
             self.world
-                .delayed::<(FromDesk, Option<State>)>(OFFICE_SITE, site, Way::Office);
-        let (hear, mut heard) = self.world.delayed::<ToDesk>(site, OFFICE_SITE, Way::Office);
+                .delayed::<(FromController, Option<State>)>(OFFICE_SITE, site, Way::Office);
+        let (hear, mut heard) = self
+            .world
+            .delayed::<ToController>(site, OFFICE_SITE, Way::Office);
         let mut told: Option<State> = None;
         let mut told_at = Micros::MIN / 2;
         let mut coming: VecDeque<(Micros, State)> = VecDeque::new();
@@ -172,7 +176,7 @@
                     _ => return,
                 },
                 Some(message) = heard.recv() => {
-                    if let ToDesk::Vote { ballot, build, stage, verdict } = message {
+                    if let ToController::Vote { ballot, build, stage, verdict } = message {
                         let verdict = match verdict {
                             BallotVerdict::None => Verdict::None,
                             BallotVerdict::On => Verdict::On,
@@ -183,13 +187,13 @@
                             Seen::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
                         self.world.tap.note(seen);
                         if let Some(result) = self.vote(to.router, build, stage, verdict) {
-                            let _ = send.send((FromDesk::Voted { ballot, result }, None));
+                            let _ = send.send((FromController::Voted { ballot, result }, None));
                         }
                     }
                 }
                 Some((message, state)) = ready.recv() => {
                     let message = match state {
-                        Some(state) => FromDesk::News(self.news(to, state)),
+                        Some(state) => FromController::News(self.news(to, state)),
                         None => message,
                     };
                     if link.send(message).await.is_err() {
@@ -211,7 +215,7 @@
                     }
                     while coming.front().is_some_and(|c| c.0 <= now) {
                         if let Some((_, state)) = coming.pop_front() {
-                            let _ = send.send((FromDesk::Welcome, Some(state)));
+                            let _ = send.send((FromController::Welcome, Some(state)));
                         }
                     }
                 }
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 use spokeflow_coordination::RevisionNumber;
 use spokeflow_engine::Input;
 use spokeflow_proto::{Line, LinePhase};
-use spokeflow_router::{Arrival, KeeperLink, RouterTerms};
+use spokeflow_router::{ControlPlaneLink, EngineEvent, RouterFlags};
 use spokeflow_runtime::{init_logging, Clock, LogFormat};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::{mpsc, watch};
@@ -63,7 +63,7 @@
 #[derive(Parser)]
 struct RouterLine {
     #[command(flatten)]
-    terms: RouterTerms,
+    terms: RouterFlags,
 }
 
 /// What an agreed list leaves behind in a router: lines by host.
@@ -85,21 +85,21 @@
 }
 
 struct Hollow {
-    terms: RouterTerms,
+    terms: RouterFlags,
     seed: u64,
     running: BTreeMap<u32, JoinHandle<()>>,
 }
 
 impl Hollow {
     fn start(&mut self, index: u32) {
-        let terms = RouterTerms {
+        let terms = RouterFlags {
             index,
             ..self.terms.clone()
         };
         let seed = self.seed.wrapping_mul(31).wrapping_add(u64::from(index));
         let (core, arrivals) = mpsc::channel(ARRIVALS);
         let (acts_on, applied) = watch::channel(RevisionNumber(0));
-        let link = KeeperLink::new(&terms, seed, Clock::starting_now(), core, applied);
+        let link = ControlPlaneLink::new(&terms, seed, Clock::starting_now(), core, applied);
         // Both end together when the task is dropped.
         let router = async move {
             tokio::join!(link.run(), take(arrivals, acts_on));
@@ -126,12 +126,15 @@
 }
 
 /// Stands in for the task that owns a router's engine.
-async fn take(mut arrivals: mpsc::Receiver<Arrival>, acts_on: watch::Sender<RevisionNumber>) {
+async fn take(mut arrivals: mpsc::Receiver<EngineEvent>, acts_on: watch::Sender<RevisionNumber>) {
     let mut told = ToldHosts::default();
     while let Some(arrival) = arrivals.recv().await {
         match arrival {
-            Arrival::Input(Input::AgreedList { whole, hosts }) => told.hear(whole, hosts),
-            Arrival::Agreed { revision, .. } => {
+            EngineEvent::Input(Input::ReplicatedList {
+                complete: whole,
+                hosts,
+            }) => told.hear(whole, hosts),
+            EngineEvent::Agreed { revision, .. } => {
                 acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
             }
             _ => {}
@@ -140,7 +143,7 @@
 }
 
 /// The settings of a router of this process. Errors: they do not fit.
-fn terms(flags: &HollowFlags) -> Result<RouterTerms, String> {
+fn terms(flags: &HollowFlags) -> Result<RouterFlags, String> {
     let settings = RouterSettings {
         keepers: flags.keepers.clone(),
         fleet_size: flags.fleet_size,
@@ -163,7 +166,7 @@
     Ok(terms)
 }
 
-async fn run(flags: &HollowFlags, terms: RouterTerms) {
+async fn run(flags: &HollowFlags, terms: RouterFlags) {
     let mut hollow = Hollow {
         terms,
         seed: flags.seed,
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_control_plane::ask::ask_one;
+use spokeflow_control_plane::client::ask_one;
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_coordination::{Proposal, ProposalOutcome, RevisionNumber};
 use tokio::time::{sleep, Instant};
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spokeflow_control_plane::WHERES;
+use spokeflow_control_plane::CRASH_POINTS;
 use spokeflow_coordination::wire::ToNode;
 use spokeflow_raft::Message;
 use spokeflow_testbed::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
@@ -197,7 +197,7 @@
 #[test]
 fn a_keeper_that_dies_at_any_of_its_steps_loses_nothing_that_it_promised() {
     let mut script = Vec::new();
-    for (n, (name, _)) in WHERES.iter().enumerate() {
+    for (n, (name, _)) in CRASH_POINTS.iter().enumerate() {
         let keeper = 1 + n as u32 % 3;
         script.push((
             Fault::DieAt {
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -68,10 +68,10 @@
         });
         tokio::spawn(async move {
             let (stream, _) = desk_port.accept().await.unwrap();
-            let mut link: Framed<_, FrameCodec<ToDesk, FromDesk>> =
+            let mut link: Framed<_, FrameCodec<ToController, FromController>> =
                 Framed::new(stream, FrameCodec::new(WORK_LIMIT));
             link.next().await;
-            link.send(FromDesk::Welcome).await.unwrap();
+            link.send(FromController::Welcome).await.unwrap();
             let standing = NewsStanding::Released;
             let news = News {
                 build: 1,
@@ -80,7 +80,7 @@
                 cap: 1.0,
                 age_us: 0,
             };
-            link.send(FromDesk::News(news)).await.unwrap();
+            link.send(FromController::News(news)).await.unwrap();
             while let Some(Ok(_)) = link.next().await {}
         });
         Scene {
