--- a/crates/spokeflow-config/src/lib.rs
+++ b/crates/spokeflow-config/src/lib.rs
@@ -1,17 +1,21 @@
 //! The configuration that all routers of a service share: its flags and environment variables ([`ServiceFlags`]), what
-//! of them a replicated revision may change ([`REVISABLE`]), and one check of both. No I/O.
+//! of them a replicated revision may change ([`REVISABLE`]), and one check of both. No I/O but the environment of the process.
 //!
 //! The router reads the flags at start and applies revisions to them; the control plane checks a proposed revision with
-//! [`check_overrides`] before it is replicated.
+//! [`check_overrides`] before it is replicated. Variables that were renamed are still read ([`adopt_former_variables`]).
 
 mod duration;
 mod error;
+mod former_names;
 mod operation;
 mod revision;
 mod service;
 
 pub use duration::parse_duration;
 pub use error::ConfigErrors;
+pub use former_names::{
+    adopt_former_variables, current_variable_name, RenamedVariable, RENAMED_VARIABLES,
+};
 pub use operation::{OperationFlag, OperationFlagError};
 pub use revision::{check_overrides, REVISABLE};
 pub use service::{GateFlag, ServiceFlags};
--- a/crates/spokeflow-config/src/service.rs
+++ b/crates/spokeflow-config/src/service.rs
@@ -102,26 +102,26 @@
     #[arg(long, env = "SPOKEFLOW_STAGE_BAKE", default_value = "2s", value_parser = parse_duration)]
     pub stage_bake: Duration,
     /// A vote stands this long
-    #[arg(long, env = "SPOKEFLOW_VOTE_LIFE", default_value = "10s", value_parser = parse_duration)]
-    pub vote_life: Duration,
+    #[arg(long, alias = "vote-life", env = "SPOKEFLOW_VOTE_LIFETIME", default_value = "10s", value_parser = parse_duration)]
+    pub vote_lifetime: Duration,
     /// A vote without an answer is given up after this time
     #[arg(long, env = "SPOKEFLOW_VOTE_WAIT", default_value = "2s", value_parser = parse_duration)]
     pub vote_wait: Duration,
     /// Part of the wrong answers that clients report, 0 to 1
     #[arg(long, env = "SPOKEFLOW_COMPLAINT_SHARE", default_value_t = 0.0)]
     pub complaint_share: f64,
-    /// Routers whose votes send a build back; 0 where the desk does not say
+    /// Routers whose votes send a build back; 0 where the release controller does not say
     #[arg(long, env = "SPOKEFLOW_BACK_VOTES", default_value_t = 0)]
     pub back_votes: u32,
-    /// Votes that the desk takes a second from all routers together; inf where it does not say
+    /// Votes that the release controller takes a second from all routers together; inf where it does not say
     #[arg(long, env = "SPOKEFLOW_VOTES_A_SECOND", default_value_t = f64::INFINITY)]
     pub votes_a_second: f64,
     /// Asks hosts for load reports (protocol version 2); an older host refuses the connection
     #[arg(long, env = "SPOKEFLOW_HOST_REPORTS")]
     pub host_reports: bool,
-    /// Asks the desk for its counts of all routers' deliveries (protocol version 2); an older desk refuses
-    #[arg(long, env = "SPOKEFLOW_DESK_COUNTS")]
-    pub desk_counts: bool,
+    /// Asks the release controller for its counts of all routers' deliveries (protocol version 2); an older one refuses
+    #[arg(long, alias = "desk-counts", env = "SPOKEFLOW_CONTROLLER_STATS")]
+    pub controller_stats: bool,
     /// Asks the list for the sizes of hosts (protocol version 2); an older list refuses
     #[arg(long, env = "SPOKEFLOW_HOST_SIZES")]
     pub host_sizes: bool,
@@ -228,7 +228,7 @@
         errors.check(votes > self.fleet_size, "back-votes", beyond);
         let bad_rate = self.votes_a_second.is_nan() || self.votes_a_second <= 0.0;
         errors.check(bad_rate, "votes-a-second", "above 0");
-        let too_long = format!("shorter than --vote-life {:?}", self.vote_life);
-        errors.check(self.vote_wait >= self.vote_life, "vote-wait", too_long);
+        let too_long = format!("shorter than --vote-lifetime {:?}", self.vote_lifetime);
+        errors.check(self.vote_wait >= self.vote_lifetime, "vote-wait", too_long);
     }
 }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -43,43 +43,53 @@
 
 #[derive(Clone, Debug, Args)]
 pub struct ControlPlaneFlags {
-    /// Number of this keeper, never given to another one, not even in its place
-    #[arg(long, env = "SPOKEFLOW_KEEPER_ID")]
+    /// Number of this node, never given to another one, not even in its place
+    #[arg(long, env = "SPOKEFLOW_NODE_ID")]
     pub id: u32,
-    /// CrashPoint routers, people and other keepers connect; port 0 takes a free one, told on standard output
+    /// CrashPoint routers, operators and other nodes connect; port 0 takes a free one, told on standard output
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7500")]
     pub listen: SocketAddr,
-    /// A keeper of the fleet's first set: ID=ADDRESS; three, five or seven, this one among them, told to all alike.
-    /// With --join those that may know more: this one then waits to be taken in
+    /// A node of the fleet's first set: ID=ADDRESS; three, five or seven, this one among them, told to all alike.
+    /// With --join those that may know more: this one then waits to be added
     #[arg(long = "member", env = "SPOKEFLOW_MEMBER", value_delimiter = ',', value_parser = member)]
     pub members: Vec<(u32, SocketAddr)>,
-    /// Starts as one that is yet to be taken in
+    /// Starts as one that is yet to be added
     #[arg(long, env = "SPOKEFLOW_JOIN")]
     pub join: bool,
     /// File of its store, made where it is not there
     #[arg(long, env = "SPOKEFLOW_STORE")]
     pub store: PathBuf,
-    /// The host list that routers with --agreed-list follow: the leading keeper reads it
+    /// The host list that routers with --replicated-list follow: the leader reads it
     #[arg(long, env = "SPOKEFLOW_LIST")]
     pub list: Option<SocketAddr>,
-    /// Number of the fleet: a keeper of another one is refused, and so is its store
+    /// Number of the fleet: a node of another one is refused, and so is its store
     #[arg(long, env = "SPOKEFLOW_FLEET", default_value_t = 0)]
     pub fleet: u64,
-    /// After this silence of the leader another may be elected
-    #[arg(long, env = "SPOKEFLOW_SILENCE", default_value = "500ms", value_parser = span)]
-    pub silence: Duration,
-    /// How often the leader speaks
-    #[arg(long, env = "SPOKEFLOW_BEAT", default_value = "100ms", value_parser = span)]
-    pub beat: Duration,
+    /// After this time without word of the leader another may be elected
+    #[arg(long, alias = "silence", env = "SPOKEFLOW_ELECTION_TIMEOUT", default_value = "500ms", value_parser = span)]
+    pub election_timeout: Duration,
+    /// How often the leader sends a heartbeat
+    #[arg(long, alias = "beat", env = "SPOKEFLOW_HEARTBEAT_INTERVAL", default_value = "100ms", value_parser = span)]
+    pub heartbeat_interval: Duration,
     /// For how long a router may act on what it was told last
     #[arg(long, env = "SPOKEFLOW_LEASE", default_value = "3s", value_parser = span)]
     pub lease: Duration,
     /// How much faster or slower than true any clock of the fleet may run, as a share
-    #[arg(long, env = "SPOKEFLOW_DRIFT", default_value_t = 0.01)]
-    pub drift: f64,
-    /// Routers, people and keepers that are connected at most
-    #[arg(long, env = "SPOKEFLOW_CALLERS_AT_MOST", default_value_t = 4096)]
-    pub callers_at_most: usize,
+    #[arg(
+        long,
+        alias = "drift",
+        env = "SPOKEFLOW_MAX_CLOCK_DRIFT",
+        default_value_t = 0.01
+    )]
+    pub max_clock_drift: f64,
+    /// Routers, operators and other nodes that are connected at most
+    #[arg(
+        long,
+        alias = "callers-at-most",
+        env = "SPOKEFLOW_MAX_CONNECTIONS",
+        default_value_t = 4096
+    )]
+    pub max_connections: usize,
     /// Which lines are logged, in the form of the tracing library, such as info or debug
     #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
     pub log: String,
@@ -87,7 +97,7 @@
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
     pub log_form: LogFormat,
     /// For tests: dies at this place, PLACE:NTH
-    #[arg(long, hide = true, value_parser = place)]
+    #[arg(long, alias = "die-at", hide = true, value_parser = place)]
     pub crash_at: Option<(CrashPoint, u64)>,
     /// For tests: the disk fails from this write on
     #[arg(long, hide = true)]
@@ -131,24 +141,33 @@
                 format!("--member: keeper {} itself is not among them", self.id),
             );
         }
-        when(self.beat.is_zero(), "--beat: above 0s".into());
         when(
-            self.beat * 3 > self.silence,
-            format!("--beat: over a third of --silence {:?}", self.silence),
+            self.heartbeat_interval.is_zero(),
+            "--heartbeat-interval: above 0s".into(),
         );
-        let drift = self.drift;
+        when(
+            self.heartbeat_interval * 3 > self.election_timeout,
+            format!(
+                "--heartbeat-interval: over a third of --election-timeout {:?}",
+                self.election_timeout
+            ),
+        );
+        let drift = self.max_clock_drift;
         when(
             !(0.0..=0.1).contains(&drift),
-            format!("--drift: {drift} is not between 0 and 0.1"),
+            format!("--max-clock-drift: {drift} is not between 0 and 0.1"),
         );
         // An election takes two silences and a round trip; a lease that it outlasts would be lost by all routers.
         when(
-            self.lease < self.silence * 4,
-            format!("--lease: under four times --silence {:?}", self.silence),
+            self.lease < self.election_timeout * 4,
+            format!(
+                "--lease: under four times --election-timeout {:?}",
+                self.election_timeout
+            ),
         );
         when(
-            self.callers_at_most == 0,
-            "--callers-at-most: at least 1".into(),
+            self.max_connections == 0,
+            "--max-connections: at least 1".into(),
         );
         if faults.is_empty() {
             Ok(())
@@ -164,13 +183,13 @@
             id: NodeId(self.id),
             raft: RaftConfig {
                 voters: if self.join { Vec::new() } else { members },
-                election_timeout: micros(self.silence),
-                heartbeat_interval: micros(self.beat),
-                max_clock_drift: self.drift,
+                election_timeout: micros(self.election_timeout),
+                heartbeat_interval: micros(self.heartbeat_interval),
+                max_clock_drift: self.max_clock_drift,
             },
             lease: LeaseConfig {
                 duration: micros(self.lease),
-                max_clock_drift: self.drift,
+                max_clock_drift: self.max_clock_drift,
             },
             addresses: self
                 .members
@@ -184,9 +203,9 @@
     pub fn cluster_parameters(&self) -> ClusterParameters {
         ClusterParameters {
             fleet: self.fleet,
-            election_timeout_us: self.silence.as_micros() as u64,
+            election_timeout_us: self.election_timeout.as_micros() as u64,
             lease_us: self.lease.as_micros() as u64,
-            max_clock_drift: self.drift,
+            max_clock_drift: self.max_clock_drift,
         }
     }
 }
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -283,7 +283,7 @@
         addresses: Vec::new(),
     };
     let keeper = Coordinator::new(terms, seed, saved, clock.now())?;
-    let places = Arc::new(Semaphore::new(flags.callers_at_most));
+    let places = Arc::new(Semaphore::new(flags.max_connections));
     let mut shell = Shell {
         clock: clock.clone(),
         keeper,
--- a/crates/spokeflow-coordination/src/lib.rs
+++ b/crates/spokeflow-coordination/src/lib.rs
@@ -16,13 +16,13 @@
 pub mod wire;
 
 pub use config::{EffectiveConfig, LeaseConfig};
+pub use config_state::{
+    ConfigState, LogCommand, Overrides, Proposal, ProposalOutcome, Revision, RevisionNumber,
+    RevisionRecord,
+};
 pub use coordinator::{Coordinator, CoordinatorConfig, Effects, RequestOrigin};
 pub use endpoint_list::{
     EndpointList, EndpointListUpdate, HostState, ListVersion, ListedHost, Rejection, SourceUpdate,
 };
 pub use lease_granter::{LeaseGrant, LeaseGranter, RevisionRef, VoterAddresses};
 pub use lease_holder::{LeaseHolder, LeaseRequest};
-pub use config_state::{
-    ConfigState, LogCommand, Overrides, Proposal, ProposalOutcome, Revision, RevisionNumber,
-    RevisionRecord,
-};
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! People's view of the keepers.
+//! The operators' command line for the control plane.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -14,8 +14,8 @@
 use spokeflow_coordination::{Overrides, Proposal, ProposalOutcome, RevisionNumber};
 use spokeflow_raft::NodeId;
 
-/// Sees and changes what the fleet's routers agree on. Exit code 0: done; 1: refused, or not so; 2: wrong use, or no
-/// keeper answers
+/// Shows and changes the configuration that all routers of a fleet follow. Exit code 0: done; 1: refused, or not so;
+/// 2: wrong use, or no node answers
 #[derive(Parser)]
 #[command(name = "spokeflowctl", version)]
 struct Program {
@@ -27,10 +27,11 @@
 
 #[derive(Args)]
 struct Common {
-    /// A keeper; repeat the flag for each, any that answers will do
+    /// A control-plane node; repeat the flag for each, any that answers will do
     #[arg(
-        long = "keeper",
-        env = "SPOKEFLOW_KEEPER",
+        long = "control-plane",
+        alias = "keeper",
+        env = "SPOKEFLOW_CONTROL_PLANE",
         value_delimiter = ',',
         global = true
     )]
@@ -49,32 +50,35 @@
     Status,
     /// Revisions, who offered them, when and why
     History,
-    /// Offers a revision: NAME=VALUE for each flag that is to differ from the routers' own. What is not named goes
+    /// Proposes a revision: NAME=VALUE for each flag that is to differ from the routers' own. What is not named goes
     /// back to those, unless --keep is given
-    Offer(OfferFlags),
+    #[command(alias = "offer")]
+    Propose(ProposeFlags),
     /// What a revision would change against the newest
     Diff {
         #[arg(value_name = "NAME=VALUE")]
         values: Vec<String>,
     },
-    /// Checks values as the keepers do; needs none of them
+    /// Checks values as the control plane does; connects to no node
     Check {
         #[arg(value_name = "NAME=VALUE")]
         values: Vec<String>,
     },
     /// Waits until this revision, or a later one, is in force
     Watch { revision: u64 },
-    /// Tells where a keeper is to be found, so that it may be taken in
+    /// Registers the address of a node, so that it may be added
     #[command(alias = "seat")]
     Register { keeper: u32, address: SocketAddr },
-    /// Takes a keeper in, whose address is known
-    TakeIn { keeper: u32 },
-    /// Takes a keeper out, for good: its number is not used again
-    TakeOut { keeper: u32 },
+    /// Adds a node whose address is known
+    #[command(alias = "take-in")]
+    AddNode { keeper: u32 },
+    /// Removes a node, for good: its number is not used again
+    #[command(alias = "take-out")]
+    RemoveNode { keeper: u32 },
 }
 
 #[derive(Args)]
-struct OfferFlags {
+struct ProposeFlags {
     #[arg(value_name = "NAME=VALUE")]
     values: Vec<String>,
     /// Names that are not given stay as the newest revision has them
@@ -151,7 +155,8 @@
     async fn ask(&self, what: Request) -> Result<Response, Fault> {
         if self.keepers.is_empty() {
             return Err(Fault::Wrong(
-                "--keeper: at least one address, or the variable SPOKEFLOW_KEEPER".into(),
+                "--control-plane: at least one address, or the variable SPOKEFLOW_CONTROL_PLANE"
+                    .into(),
             ));
         }
         match ask(&self.keepers, what, self.within).await {
@@ -240,7 +245,7 @@
             let view = common.view().await?;
             common.print(&view.history, || history(&view))
         }
-        What::Offer(flags) => offer(common, flags).await,
+        What::Propose(flags) => offer(common, flags).await,
         What::Diff { values } => {
             let view = common.view().await?;
             let newest = view.pending.as_ref().unwrap_or(&view.in_force);
@@ -282,12 +287,12 @@
                 .await
                 .map(drop)
         }
-        What::TakeIn { keeper } => common.members(keeper, true).await,
-        What::TakeOut { keeper } => common.members(keeper, false).await,
+        What::AddNode { keeper } => common.members(keeper, true).await,
+        What::RemoveNode { keeper } => common.members(keeper, false).await,
     }
 }
 
-async fn offer(common: &Common, flags: OfferFlags) -> Result<(), Fault> {
+async fn offer(common: &Common, flags: ProposeFlags) -> Result<(), Fault> {
     let mut values = read(&flags.values)?;
     let view = common.view().await?;
     let newest = view.pending.as_ref().unwrap_or(&view.in_force);
@@ -394,6 +399,7 @@
 }
 
 fn main() -> ExitCode {
+    spokeflow_config::adopt_former_variables();
     let program = Program::parse();
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/spokeflow-experiments/src/capacity/rows/others.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/others.rs
@@ -166,7 +166,7 @@
             offer,
         )
         .within(frame())
-        .by("`spokeflowctl offer`")
+        .by("`spokeflowctl propose`")
         .mended_by(Remedy::ChangesByTenant),
         Row::steady(
             Role::Tool,
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -218,6 +218,7 @@
 }
 
 fn main() -> ExitCode {
+    spokeflow_config::adopt_former_variables();
     let done = match Program::parse().what {
         What::Router(program) => return main_with(*program),
         What::Keeper(program) => return spokeflow_control_plane::main_with(*program),
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -320,9 +320,9 @@
     let terms = Target::read(&root().join(TARGET)).unwrap().terms;
     let voter = Voter::parse_from(["voter", "--id=1", "--store=unused"]).flags;
     assert_eq!(terms.lease_seconds, voter.lease.as_secs_f64());
-    assert_eq!(terms.silence_seconds, voter.silence.as_secs_f64());
-    assert_eq!(terms.clock_drift, voter.drift);
-    assert_eq!(terms.callers_at_most, voter.callers_at_most as f64);
+    assert_eq!(terms.silence_seconds, voter.election_timeout.as_secs_f64());
+    assert_eq!(terms.clock_drift, voter.max_clock_drift);
+    assert_eq!(terms.callers_at_most, voter.max_connections as f64);
     let router =
         Router::parse_from(["router", "--op=any:redeliverable:target=1s:timeout=60s"]).flags;
     assert_eq!(terms.stage_shares, router.stage_shares);
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -373,10 +373,7 @@
 
 fn to_controller() -> Vec<Named<ToController>> {
     vec![
-        (
-            "ToDesk::Hello",
-            ToController::Hello(hello(Role::Router)),
-        ),
+        ("ToDesk::Hello", ToController::Hello(hello(Role::Router))),
         ("ToDesk::Vote/None", vote(BallotVerdict::None)),
         ("ToDesk::Vote/On", vote(BallotVerdict::On)),
         ("ToDesk::Vote/Hold", vote(BallotVerdict::Hold)),
@@ -407,10 +404,7 @@
     };
     vec![
         ("FromDesk::Welcome", FromController::Welcome),
-        (
-            "FromDesk::Refused",
-            FromController::Refused(refused()),
-        ),
+        ("FromDesk::Refused", FromController::Refused(refused())),
         (
             "FromDesk::News/OnTrial",
             FromController::News(news(NewsStanding::OnTrial)),
@@ -427,19 +421,10 @@
             "FromDesk::News/Withdrawn",
             FromController::News(news(NewsStanding::Withdrawn)),
         ),
-        (
-            "FromDesk::Voted/Counted",
-            voted(BallotResult::Counted),
-        ),
+        ("FromDesk::Voted/Counted", voted(BallotResult::Counted)),
         ("FromDesk::Voted/Moot", voted(BallotResult::Moot)),
-        (
-            "FromDesk::Voted/TooMany",
-            voted(BallotResult::TooMany),
-        ),
-        (
-            "FromDesk::Voted/Refused",
-            voted(BallotResult::Refused),
-        ),
+        ("FromDesk::Voted/TooMany", voted(BallotResult::TooMany)),
+        ("FromDesk::Voted/Refused", voted(BallotResult::Refused)),
         ("FromDesk::Counted", FromController::Counted(count)),
     ]
 }
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -108,14 +108,14 @@
 
     /// Those that the flags name, and those that have been taken in since.
     fn keepers(&self) -> Vec<SocketAddr> {
-        let mut all = self.terms.keepers.clone();
+        let mut all = self.terms.control_plane.clone();
         let told = self
             .lease_holder
             .iter()
             .flat_map(|h| h.voter_addresses())
             .filter_map(|a| a.parse().ok());
         all.extend(
-            told.filter(|a| !self.terms.keepers.contains(a))
+            told.filter(|a| !self.terms.control_plane.contains(a))
                 .collect::<Vec<_>>(),
         );
         all
@@ -146,7 +146,7 @@
                 "follows keepers; longest contradiction is one lease"
             );
             let lease_holder = LeaseHolder::new(terms, self.process, self.terms.index);
-            self.lease_holder = Some(if self.terms.agreed_list {
+            self.lease_holder = Some(if self.terms.replicated_list {
                 lease_holder.with_list()
             } else {
                 lease_holder
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -25,17 +25,22 @@
     /// The host list
     #[arg(long, env = "SPOKEFLOW_LIST")]
     pub list: SocketAddr,
-    /// The release desk
-    #[arg(long, env = "SPOKEFLOW_DESK")]
-    pub desk: SocketAddr,
-    /// A keeper, whose revisions of the service terms this router then follows; repeat the flag for each. Without any
+    /// The release controller
+    #[arg(long, alias = "desk", env = "SPOKEFLOW_RELEASE_CONTROLLER")]
+    pub release_controller: SocketAddr,
+    /// A control-plane node, whose revisions of the service flags this router then follows; repeat the flag for each. Without any
     /// the router goes by its flags alone
-    #[arg(long = "keeper", env = "SPOKEFLOW_KEEPER", value_delimiter = ',')]
-    pub keepers: Vec<SocketAddr>,
-    /// The host list comes from the keepers, on which all routers agree; the list named by --list then only takes hosts
+    #[arg(
+        long = "control-plane",
+        alias = "keeper",
+        env = "SPOKEFLOW_CONTROL_PLANE",
+        value_delimiter = ','
+    )]
+    pub control_plane: Vec<SocketAddr>,
+    /// The host list comes from the control plane, on which all routers agree; the list named by --list then only takes hosts
     /// away
-    #[arg(long, env = "SPOKEFLOW_AGREED_LIST")]
-    pub agreed_list: bool,
+    #[arg(long, alias = "agreed-list", env = "SPOKEFLOW_REPLICATED_LIST")]
+    pub replicated_list: bool,
     /// Has no effect any more: routers tell each other nothing
     #[arg(
         long = "peer",
@@ -56,12 +61,22 @@
     /// Kept back from each client's patience for the way of the answer
     #[arg(long, env = "SPOKEFLOW_ANSWER_MARGIN", default_value = "30ms", value_parser = parse_duration)]
     pub answer_margin: Duration,
-    /// Commands held at most; more are nacked at once
-    #[arg(long, env = "SPOKEFLOW_HELD_AT_MOST", default_value_t = 20_000)]
-    pub held_at_most: usize,
+    /// Commands that wait at most; more are nacked at once
+    #[arg(
+        long,
+        alias = "held-at-most",
+        env = "SPOKEFLOW_MAX_WAITING",
+        default_value_t = 20_000
+    )]
+    pub max_waiting: usize,
     /// Client connections at most; more are closed at once
-    #[arg(long, env = "SPOKEFLOW_CLIENTS_AT_MOST", default_value_t = 12_000)]
-    pub clients_at_most: usize,
+    #[arg(
+        long,
+        alias = "clients-at-most",
+        env = "SPOKEFLOW_MAX_CLIENTS",
+        default_value_t = 12_000
+    )]
+    pub max_clients: usize,
     /// Answers that wait for one client at most; one that does not read them is closed
     #[arg(long, env = "SPOKEFLOW_CLIENT_QUEUE", default_value_t = 1024)]
     pub client_queue: usize,
@@ -82,8 +97,8 @@
     pub connection_idle: Duration,
     /// A connection to a host on which nothing has come for this time, a ping unanswered, is dropped with all
     /// that has not arrived; shorter than every memory= of a deduplicated op type
-    #[arg(long, env = "SPOKEFLOW_WAY_TIMEOUT", default_value = "1s", value_parser = parse_duration)]
-    pub way_timeout: Duration,
+    #[arg(long, alias = "way-timeout", env = "SPOKEFLOW_PING_TIMEOUT", default_value = "1s", value_parser = parse_duration)]
+    pub ping_timeout: Duration,
     /// The watch on the list is renewed where nothing has come for this time, and made anew after three
     #[arg(long, env = "SPOKEFLOW_LIST_RENEW", default_value = "5s", value_parser = parse_duration)]
     pub list_renew: Duration,
@@ -119,9 +134,9 @@
             format!("{} is not below --fleet-size {fleet}", self.index),
         );
         errors.check(
-            self.agreed_list && self.keepers.is_empty(),
-            "agreed-list",
-            "needs --keeper",
+            self.replicated_list && self.control_plane.is_empty(),
+            "replicated-list",
+            "needs --control-plane",
         );
         let shortest = s.ops.iter().map(|op| op.timeout).min().unwrap_or_default();
         let longest = s.ops.iter().map(|op| op.timeout).max().unwrap_or_default();
@@ -142,13 +157,13 @@
             .filter(|op| op.repeat == Repeat::Deduplicated)
             .map(|op| op.memory)
             .min();
-        let (way, least) = (self.way_timeout, memory.unwrap_or(Duration::MAX));
+        let (way, least) = (self.ping_timeout, memory.unwrap_or(Duration::MAX));
         errors.check(
             way >= least,
-            "way-timeout",
+            "ping-timeout",
             format!("not shorter than memory= {least:?}"),
         );
-        errors.check(way.is_zero(), "way-timeout", "above 0s");
+        errors.check(way.is_zero(), "ping-timeout", "above 0s");
         let within = self.shutdown_within;
         errors.check(
             within < longest,
@@ -164,8 +179,8 @@
         );
         errors.check(self.list_renew.is_zero(), "list-renew", "above 0s");
         let bounds = [
-            (self.held_at_most, "held-at-most"),
-            (self.clients_at_most, "clients-at-most"),
+            (self.max_waiting, "max-waiting"),
+            (self.max_clients, "max-clients"),
             (self.client_queue, "client-queue"),
             (self.host_queue, "host-queue"),
         ];
@@ -221,7 +236,7 @@
             forward_only: s.forward_only,
             rolling: !s.beside,
             stage_bake: micros(s.stage_bake),
-            vote_lifetime: micros(s.vote_life),
+            vote_lifetime: micros(s.vote_lifetime),
             vote_timeout: micros(s.vote_wait),
             complaint_share: s.complaint_share,
             rollback_votes: s.back_votes,
@@ -230,7 +245,7 @@
         EngineConfig {
             service,
             answer_margin: micros(self.answer_margin),
-            max_waiting: self.held_at_most,
+            max_waiting: self.max_waiting,
         }
     }
 }
--- a/crates/spokeflow-router/src/migrate.rs
+++ b/crates/spokeflow-router/src/migrate.rs
@@ -9,6 +9,7 @@
 
 use clap::builder::Resettable;
 use clap::{ArgAction, Command, CommandFactory, FromArgMatches, Parser};
+use spokeflow_config::current_variable_name;
 
 use crate::{RouterFlags, RouterProgram};
 
@@ -38,7 +39,7 @@
 const ADDED: [(&str, &str); 4] = [
     ("SPOKEFLOW_BESIDE", "true"),
     ("SPOKEFLOW_HOST_REPORTS", "true"),
-    ("SPOKEFLOW_DESK_COUNTS", "true"),
+    ("SPOKEFLOW_CONTROLLER_STATS", "true"),
     ("SPOKEFLOW_HOST_SIZES", "true"),
 ];
 /// What has no counterpart, and why.
@@ -154,7 +155,7 @@
     }
     Ok(Setting {
         line,
-        name: name.into(),
+        name: current_variable_name(name).into(),
         value: value.into(),
     })
 }
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -183,7 +183,7 @@
         first_pause: terms.reconnect_first,
         longest_pause: terms.reconnect_most,
         idle: terms.connection_idle,
-        way_timeout: terms.way_timeout,
+        way_timeout: terms.ping_timeout,
     });
     let asking = |more: bool| match more {
         true => Arc::new(LinkTerms {
@@ -207,15 +207,15 @@
     };
     helpers.spawn(list_link.run());
     let desk_link = ReleaseControllerLink {
-        address: terms.desk,
-        terms: asking(service.desk_counts),
+        address: terms.release_controller,
+        terms: asking(service.controller_stats),
         core: core.clone(),
         votes,
     };
     helpers.spawn(desk_link.run());
     // Told once the engine goes by a revision: only then may this router say that it acts on it.
     let (acts_on, applied) = watch::channel(RevisionNumber(0));
-    if !terms.keepers.is_empty() {
+    if !terms.control_plane.is_empty() {
         let link = ControlPlaneLink::new(&terms, seed, clock.clone(), core.clone(), applied);
         helpers.spawn(link.run());
     }
@@ -241,7 +241,7 @@
     let clients = TaskTracker::new();
     let accepting = Accepting {
         listener: listening.listener,
-        places: Arc::new(Semaphore::new(terms.clients_at_most)),
+        places: Arc::new(Semaphore::new(terms.max_clients)),
         core,
         queue: terms.client_queue,
         clock: clock.clone(),
@@ -256,7 +256,7 @@
         }
         engine.on_input(now, input, wires);
     };
-    if !terms.keepers.is_empty() {
+    if !terms.control_plane.is_empty() {
         // Nothing has been granted yet.
         let own = Box::new(EffectiveConfig::of(&terms.engine().service));
         give(
@@ -268,7 +268,7 @@
             },
         );
     }
-    if terms.agreed_list {
+    if terms.replicated_list {
         give(
             &mut engine,
             &mut wires,
@@ -403,7 +403,7 @@
             // Without a place the connection is closed unheard: no command has been taken from it.
             let Ok(place) = self.places.clone().try_acquire_owned() else {
                 if let Some(kept_back) = self.clock.allow_log_line() {
-                    warn!(%peer, kept_back, "as many clients as --clients-at-most: closed");
+                    warn!(%peer, kept_back, "as many clients as --max-clients: closed");
                 }
                 continue;
             };
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -14,7 +14,7 @@
     let base = [
         "router",
         "--list=127.0.0.1:1",
-        "--desk=127.0.0.1:2",
+        "--release-controller=127.0.0.1:2",
         "--op=set-threshold:redeliverable:target=1.2s:timeout=4s:importance=2",
         "--op=close-trip:at-most-once:target=2s:timeout=6s:importance=3",
     ];
@@ -71,7 +71,7 @@
         "{faults}"
     );
     assert!(
-        faults.contains("--way-timeout: not shorter than memory="),
+        faults.contains("--ping-timeout: not shorter than memory="),
         "{faults}"
     );
     assert_eq!(lines.len(), 9, "{faults}");
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -111,7 +111,10 @@
     let faults = carry(&missing.program(&[])).unwrap_err();
     assert_eq!(
         faults.0,
-        ["SPOKEFLOW_DESK: missing", "SPOKEFLOW_OP: missing"]
+        [
+            "SPOKEFLOW_OP: missing",
+            "SPOKEFLOW_RELEASE_CONTROLLER: missing"
+        ]
     );
     // What is wrong only in the new shape is found as well, before anything is written.
     let folder = Folder::new("new", OLD);
@@ -155,7 +158,7 @@
     );
     let terms = checked(&read(&new).unwrap()).unwrap();
     let s = &terms.service;
-    assert!(s.beside && s.host_reports && s.desk_counts && s.host_sizes);
+    assert!(s.beside && s.host_reports && s.controller_stats && s.host_sizes);
     assert!(!s.forward_only && !s.may_tell);
     assert_eq!((s.fleet_size, terms.site, s.ops.len()), (4, 1, 2));
     // Carried over again it stays what it is.
--- a/crates/spokeflow-testbed/src/fleet/play.rs
+++ b/crates/spokeflow-testbed/src/fleet/play.rs
@@ -118,8 +118,8 @@
             "--listen=127.0.0.1:0".into(),
             format!("--store={}", seat.store.display()),
             format!("--fleet={}", terms.seed),
-            format!("--silence={}us", terms.silence.as_micros()),
-            format!("--beat={}us", terms.silence.as_micros() / 5),
+            format!("--election-timeout={}us", terms.silence.as_micros()),
+            format!("--heartbeat-interval={}us", terms.silence.as_micros() / 5),
             format!("--lease={}us", terms.lease.as_micros()),
         ];
         flags.extend(
@@ -173,7 +173,7 @@
         let mut flags = vec![
             "--listen=127.0.0.1:0".to_string(),
             format!("--list={list}"),
-            format!("--desk={desk}"),
+            format!("--release-controller={desk}"),
             format!("--index={router}"),
             format!("--fleet-size={}", self.terms.routers),
             "--op=read:redeliverable:target=500ms:timeout=2s".into(),
@@ -187,9 +187,9 @@
                     .wrapping_add(u64::from(router))
             ),
         ];
-        flags.extend(keepers.iter().map(|k| format!("--keeper={k}")));
+        flags.extend(keepers.iter().map(|k| format!("--control-plane={k}")));
         if self.terms.agreed_list {
-            flags.push("--agreed-list".into());
+            flags.push("--replicated-list".into());
         }
         let starting = Starting {
             first: vec!["router".into()],
@@ -265,7 +265,7 @@
                 self.let_go(view.leader.0).await;
             }
             Fault::DieAt { keeper, place } => {
-                self.ends_by_itself(keeper, format!("--die-at={place}"))
+                self.ends_by_itself(keeper, format!("--crash-at={place}"))
                     .await
             }
             Fault::DiskFails { keeper, after } => {
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -295,13 +295,17 @@
         let mut flags = vec![
             "--listen=127.0.0.1:0".into(),
             format!("--list={list}"),
-            format!("--desk={desk}"),
+            format!("--release-controller={desk}"),
             "--op=note:redeliverable:target=1s:timeout=4s".into(),
-            "--held-at-most=200000".into(),
+            "--max-waiting=200000".into(),
             "--seed=1".into(),
         ];
-        flags.extend(keeper.as_ref().map(|k| format!("--keeper={}", k.address)));
-        flags.extend(silent.map(|address| format!("--keeper={address}")));
+        flags.extend(
+            keeper
+                .as_ref()
+                .map(|k| format!("--control-plane={}", k.address)),
+        );
+        flags.extend(silent.map(|address| format!("--control-plane={address}")));
         RouterProcess::start(starting, &flags, "router").await?
     };
     sleep(Duration::from_millis(500)).await;
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -132,6 +132,7 @@
 }
 
 fn main() -> ExitCode {
+    spokeflow_config::adopt_former_variables();
     match Program::parse().what {
         What::Router(program) => main_with(*program),
         What::Keeper(program) => spokeflow_control_plane::main_with(*program),
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -205,7 +205,7 @@
     let mut flags = vec![
         "--listen=127.0.0.1:0".to_string(),
         format!("--list={list}"),
-        format!("--desk={desk}"),
+        format!("--release-controller={desk}"),
         format!("--index={index}"),
         format!("--site={}", index % u32::from(day.sites)),
         format!("--fleet-size={}", day.routers),
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -47,12 +47,12 @@
     /// Customers in their settings
     #[arg(long, default_value_t = 0)]
     pub tenants: u32,
-    /// A keeper; repeat the flag for each
-    #[arg(long = "keeper", required = true)]
-    pub keepers: Vec<SocketAddr>,
-    /// The host list comes from the keepers
-    #[arg(long)]
-    pub agreed_list: bool,
+    /// A control-plane node; repeat the flag for each
+    #[arg(long = "control-plane", alias = "keeper", required = true)]
+    pub control_plane: Vec<SocketAddr>,
+    /// The host list comes from the control plane
+    #[arg(long, alias = "agreed-list")]
+    pub replicated_list: bool,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Which lines are logged
@@ -145,10 +145,10 @@
 /// The settings of a router of this process. Errors: they do not fit.
 fn terms(flags: &HollowFlags) -> Result<RouterFlags, String> {
     let settings = RouterSettings {
-        keepers: flags.keepers.clone(),
+        keepers: flags.control_plane.clone(),
         fleet_size: flags.fleet_size,
         tenants: flags.tenants,
-        agreed_list: flags.agreed_list,
+        agreed_list: flags.replicated_list,
         seed: flags.seed,
     };
     // Required by the flags; a hollow router calls neither.
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -164,8 +164,11 @@
                 "--store={}",
                 self.stores.join(format!("{name}.redb")).display()
             ),
-            format!("--silence={}us", silence.as_micros()),
-            format!("--beat={}us", (silence / BEATS_IN_SILENCE).as_micros()),
+            format!("--election-timeout={}us", silence.as_micros()),
+            format!(
+                "--heartbeat-interval={}us",
+                (silence / BEATS_IN_SILENCE).as_micros()
+            ),
             format!("--lease={}us", self.flags.lease.as_micros()),
         ];
         let members = self.voters_at.iter().zip(1..);
@@ -234,10 +237,10 @@
             settings
                 .keepers
                 .iter()
-                .map(|keeper| format!("--keeper={keeper}")),
+                .map(|keeper| format!("--control-plane={keeper}")),
         );
         if settings.agreed_list {
-            command.arg("--agreed-list");
+            command.arg("--replicated-list");
         }
         let variables = std::env::vars().filter(|(name, _)| name.starts_with("SPOKEFLOW_"));
         variables.for_each(|(name, _)| {
--- a/crates/spokeflow-testbed/src/scale/settings.rs
+++ b/crates/spokeflow-testbed/src/scale/settings.rs
@@ -58,7 +58,7 @@
         let mut flags = vec![
             "--listen=127.0.0.1:0".to_string(),
             format!("--list={}", around.list),
-            format!("--desk={}", around.desk),
+            format!("--release-controller={}", around.desk),
             format!("--index={index}"),
             format!("--site={site}"),
             format!("--fleet-size={}", self.fleet_size),
@@ -72,10 +72,10 @@
         flags.extend(
             self.keepers
                 .iter()
-                .map(|keeper| format!("--keeper={keeper}")),
+                .map(|keeper| format!("--control-plane={keeper}")),
         );
         if self.agreed_list {
-            flags.push("--agreed-list".into());
+            flags.push("--replicated-list".into());
         }
         flags
     }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -38,7 +38,7 @@
             "router".into(),
             "--listen=127.0.0.1:0".into(),
             format!("--list={}", list_port.local_addr().unwrap()),
-            format!("--desk={}", desk_port.local_addr().unwrap()),
+            format!("--release-controller={}", desk_port.local_addr().unwrap()),
             "--op=safe:redeliverable:target=1s:timeout=4s".into(),
             "--op=once:at-most-once:target=1s:timeout=4s".into(),
             "--seed=1".into(),
--- a/crates/spokeflow-testbed/tests/sockets.rs
+++ b/crates/spokeflow-testbed/tests/sockets.rs
@@ -164,7 +164,7 @@
 #[tokio::test]
 async fn a_silent_way_is_dropped_so_that_nothing_held_on_it_arrives_after_marks_are_forgotten() {
     // Seen on a bad day: a delivery held by a cut ran seven seconds later, long after its repeat elsewhere.
-    let mut scene = Scene::open(&["--way-timeout=400ms"]).await;
+    let mut scene = Scene::open(&["--ping-timeout=400ms"]).await;
     let (silent, address) = host_port();
     scene.list(&[(1, address, LinePhase::Ready)]).await;
     let mut client = scene.client().await;
@@ -290,7 +290,7 @@
 
 #[tokio::test]
 async fn clients_beyond_the_bound_are_closed_and_a_place_is_free_again() {
-    let scene = Scene::open(&["--clients-at-most=2"]).await;
+    let scene = Scene::open(&["--max-clients=2"]).await;
     let (first, _second) = (scene.client().await, scene.client().await);
     let mut third = TcpStream::connect(scene.address).await.unwrap();
     assert_eq!(third.read(&mut [0; 8]).await.unwrap_or(0), 0);
