--- a/crates/spokeflow-experiments/src/capacity/slopes.rs
+++ b/crates/spokeflow-experiments/src/capacity/slopes.rs
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
     pub value: f64,
-    /// Beyond [`FAR`] times the largest measured size.
+    /// Beyond `FAR` times the largest measured size.
     pub far: bool,
-    /// Rests on fewer than [`ENOUGH_POINTS`] sizes.
+    /// Rests on fewer than `ENOUGH_POINTS` sizes.
     pub few: bool,
 }
 
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -45,6 +45,7 @@
     pub only: Option<Kind>,
     /// In place of the drawn troubles: KIND:at=TIME[:lasts=TIME][:part=NUMBER][:size=NUMBER], repeated or split
     /// by commas
+    #[allow(rustdoc::broken_intra_doc_links)] // The text of --help, where brackets mean an optional part.
     #[arg(long, env = "SPOKEFLOW_DAY_SCRIPT", value_delimiter = ',')]
     pub script: Vec<Trouble>,
     /// In place of the drawn builds: NUMBER:at=TIME[:flaw=NAME[:size=NUMBER]][:speed=NUMBER], repeated or split
