--- a/crates/spokeflow-engine/src/lib.rs
+++ b/crates/spokeflow-engine/src/lib.rs
@@ -12,5 +12,5 @@
 
 pub use engine::{Counts, Engine, EngineConfig};
 pub use input::{Input, Recording, RecordingError, TransportFailure};
-pub use outgoing::{Left, Outgoing};
+pub use outgoing::{Outgoing, Undelivered};
 pub use transport::Transport;
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -1,7 +1,7 @@
 //! What has left for a host and what has not, whatever happens to the connection.
 
 use spokeflow_core::Micros;
-use spokeflow_engine::{Left, Outgoing};
+use spokeflow_engine::{Outgoing, Undelivered};
 use spokeflow_proto::ToHost;
 
 const LATER: Micros = 1_000_000;
@@ -23,7 +23,7 @@
     for d in deliveries {
         assert_eq!(outgoing.push(deliver(*d), LATER), None);
         let message = outgoing.next(0, &mut Vec::new()).unwrap();
-        outgoing.encoded(&message, 10);
+        outgoing.on_encoded(&message, 10);
     }
 }
 
@@ -33,14 +33,14 @@
         let mut outgoing = Outgoing::default();
         encode(&mut outgoing, &[1, 2, 3]);
         let whole = (30 - remaining as u64) / 10;
-        let left = outgoing.broken(remaining);
+        let undelivered = outgoing.on_disconnected(remaining);
         assert_eq!(
-            left.sent,
+            undelivered.unconfirmed,
             (1..=whole).collect::<Vec<_>>(),
             "{remaining} bytes left behind"
         );
-        assert_eq!(left.unsent, (whole + 1..=3).collect::<Vec<_>>());
-        assert!(outgoing.idle());
+        assert_eq!(undelivered.unsent, (whole + 1..=3).collect::<Vec<_>>());
+        assert!(outgoing.is_idle());
     }
 }
 
@@ -48,14 +48,14 @@
 fn what_was_answered_or_only_queued_is_no_break() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1, 2]);
-    outgoing.remaining(0);
-    outgoing.answered(1);
+    outgoing.on_written(0);
+    outgoing.on_answered(1);
     outgoing.push(deliver(3), LATER);
     assert_eq!(
-        outgoing.broken(0),
-        Left {
+        outgoing.on_disconnected(0),
+        Undelivered {
             unsent: vec![3],
-            sent: vec![2]
+            unconfirmed: vec![2]
         }
     );
 }
@@ -74,7 +74,7 @@
         Some(ToHost::Cancel { delivery: 1 })
     );
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(ToHost::Ping));
-    assert!(outgoing.half_sent());
+    assert!(outgoing.is_mid_frame());
     outgoing.open();
     assert_eq!(outgoing.push(deliver(4), LATER), None);
 }
@@ -110,22 +110,22 @@
 fn what_was_cancelled_is_on_the_way_until_a_later_ping_is_answered() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1]);
-    outgoing.remaining(0);
+    outgoing.on_written(0);
     // A ping from before the cancel shows nothing of it.
     outgoing.push(ToHost::Ping, LATER);
     outgoing.push(ToHost::Cancel { delivery: 1 }, LATER);
     let left: Vec<ToHost> = std::iter::from_fn(|| outgoing.next(0, &mut Vec::new())).collect();
     assert_eq!(left, [ToHost::Ping, ToHost::Cancel { delivery: 1 }]);
-    assert!(!outgoing.idle());
-    outgoing.pong();
-    assert!(!outgoing.idle());
+    assert!(!outgoing.is_idle());
+    outgoing.on_pong();
+    assert!(!outgoing.is_idle());
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(ToHost::Ping));
-    outgoing.pong();
-    assert!(outgoing.idle());
+    outgoing.on_pong();
+    assert!(outgoing.is_idle());
     // One whose frame was leaving when it was cancelled is not waited for as unanswered.
     encode(&mut outgoing, &[2]);
     outgoing.push(ToHost::Cancel { delivery: 2 }, LATER);
-    outgoing.remaining(0);
-    assert_eq!(outgoing.broken(0), Left::default());
-    assert!(outgoing.idle());
+    outgoing.on_written(0);
+    assert_eq!(outgoing.on_disconnected(0), Undelivered::default());
+    assert!(outgoing.is_idle());
 }
--- a/crates/spokeflow-router/src/hosts.rs
+++ b/crates/spokeflow-router/src/hosts.rs
@@ -89,7 +89,7 @@
         let mut failures = 0_u32;
         let mut not_before = Instant::now();
         loop {
-            if !outgoing.waits() {
+            if !outgoing.has_waiting() {
                 tokio::select! {
                     order = self.orders.recv() => match order {
                         Some(order) => self.order(&mut outgoing, order).await,
@@ -103,8 +103,11 @@
                 continue;
             }
             if Instant::now() < not_before {
-                self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
-                    .await;
+                self.lost(
+                    outgoing.on_disconnected(0).unsent,
+                    TransportFailure::NotConnected,
+                )
+                .await;
                 continue;
             }
             match self.connect(&mut outgoing).await {
@@ -133,8 +136,11 @@
                             failures, kept_back, fault, "host not connected"
                         );
                     }
-                    self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
-                        .await;
+                    self.lost(
+                        outgoing.on_disconnected(0).unsent,
+                        TransportFailure::NotConnected,
+                    )
+                    .await;
                 }
             }
         }
@@ -155,7 +161,7 @@
             let unsent = outgoing.close();
             self.lost(unsent, TransportFailure::NotSent).await;
         }
-        listed.gone && outgoing.idle()
+        listed.gone && outgoing.is_idle()
     }
 
     async fn lost(&self, deliveries: Vec<u64>, end: TransportFailure) {
@@ -201,8 +207,11 @@
             .await;
         if incarnation != known {
             // What waits was meant for another process, maybe another build.
-            self.lost(outgoing.broken(0).unsent, TransportFailure::NotConnected)
-                .await;
+            self.lost(
+                outgoing.on_disconnected(0).unsent,
+                TransportFailure::NotConnected,
+            )
+            .await;
         }
         debug!(host = host.0, incarnation, "host connected");
         Ok((reader, writer))
@@ -233,24 +242,24 @@
                     }
                     continue;
                 }
-                outgoing.encoded(&message, bytes.len() - before);
+                outgoing.on_encoded(&message, bytes.len() - before);
             }
             if !late.is_empty() {
                 self.lost(late, TransportFailure::NotSent).await;
             }
-            if !outgoing.idle() {
+            if !outgoing.is_idle() {
                 idle_at = Instant::now() + self.terms.idle;
                 if std::mem::take(&mut was_idle) {
                     (quiet_since, pinged) = (Instant::now(), false);
                 }
             }
-            was_idle = outgoing.idle();
+            was_idle = outgoing.is_idle();
             let listen_until = quiet_since + if pinged { way } else { way / 2 };
             let close_by = self
                 .listed
                 .borrow()
                 .close_by
-                .filter(|_| outgoing.is_closed() && outgoing.half_sent());
+                .filter(|_| outgoing.is_closed() && outgoing.is_mid_frame());
             tokio::select! {
                 biased;
                 changed = self.listed.changed() => match changed {
@@ -264,19 +273,19 @@
                     break Ended::Broken;
                 }
                 taken = writer.write_buf(&mut bytes), if !bytes.is_empty() => match taken {
-                    Ok(n) if n > 0 => outgoing.remaining(bytes.len()),
+                    Ok(n) if n > 0 => outgoing.on_written(bytes.len()),
                     _ => break Ended::Broken,
                 },
                 read = reader.next() => match read {
                     Some(Ok(FromHost::Pong)) => {
-                        outgoing.pong();
+                        outgoing.on_pong();
                         (quiet_since, pinged) = (Instant::now(), false);
                     }
                     Some(Ok(message)) => {
                         (quiet_since, pinged) = (Instant::now(), false);
                         match &message {
                             FromHost::Acked { delivery, .. } | FromHost::Error { delivery }
-                                | FromHost::Full { delivery } => outgoing.answered(*delivery),
+                                | FromHost::Full { delivery } => outgoing.on_answered(*delivery),
                             FromHost::Welcome { .. } => break Ended::Broken,
                             _ => {}
                         }
@@ -297,8 +306,8 @@
                     Some(order) => self.order(outgoing, order).await,
                     None => break Ended::Done,
                 },
-                _ = sleep_until(idle_at), if outgoing.idle() => break Ended::Idle,
-                _ = sleep_until(listen_until), if !outgoing.idle() => {
+                _ = sleep_until(idle_at), if outgoing.is_idle() => break Ended::Idle,
+                _ = sleep_until(listen_until), if !outgoing.is_idle() => {
                     if !pinged {
                         pinged = true;
                         outgoing.push(ToHost::Ping, Micros::MAX);
@@ -314,14 +323,15 @@
                 }
             }
         };
-        let left = outgoing.broken(bytes.len());
+        let undelivered = outgoing.on_disconnected(bytes.len());
         let end = if matches!(ended, Ended::Silent) {
             TransportFailure::Unresponsive
         } else {
             TransportFailure::Reset
         };
-        self.lost(left.unsent, TransportFailure::NotSent).await;
-        self.lost(left.sent, end).await;
+        self.lost(undelivered.unsent, TransportFailure::NotSent)
+            .await;
+        self.lost(undelivered.unconfirmed, end).await;
         ended
     }
 }
