--- /dev/null
+++ b/crates/spokeflow-engine/src/engine/endpoint_list.rs
@@ -0,0 +1,195 @@
+//! The endpoint list: the router's own, the control plane's, and how one corrects the other.
+
+use std::collections::BTreeSet;
+
+use spokeflow_core::{Endpoint, EndpointState, HostId, ListKind};
+use spokeflow_proto::{FromList, Line, LinePhase};
+
+use super::Engine;
+use crate::egress::EgressAdapter;
+use crate::endpoint_entry::{EndpointEntry, Removal};
+use crate::Transport;
+
+impl Engine {
+    pub(super) fn on_list_message(&mut self, message: FromList, transport: &mut dyn Transport) {
+        match message {
+            FromList::Whole { version, lines } => {
+                self.on_own_list(ListKind::Complete, version, &lines, transport);
+            }
+            FromList::Changes { version, lines } => {
+                self.on_own_list(ListKind::Changes, version, &lines, transport);
+            }
+            FromList::Failed => self.on_list_failure(),
+            FromList::Sizes { sizes } => self.on_sizes(&sizes, transport),
+            FromList::Welcome | FromList::Refused(_) => {}
+        }
+    }
+
+    /// The decision module learns of failures only where it has to subscribe.
+    pub(super) fn on_list_failure(&mut self) {
+        if self.config.service.list_requires_subscription {
+            self.router.on_list_failure();
+        }
+    }
+
+    pub(super) fn on_cached_list(&mut self, listed: &[Line], transport: &mut dyn Transport) {
+        self.apply_list(ListKind::Cached, listed, transport);
+    }
+
+    fn on_own_list(
+        &mut self,
+        kind: ListKind,
+        version: u64,
+        listed: &[Line],
+        transport: &mut dyn Transport,
+    ) {
+        self.in_flight.list_version = Some(version);
+        if self.in_flight.replicated.is_none() {
+            return self.apply_list(kind, listed, transport);
+        }
+        let mut changed = self.apply_removals(listed);
+        if kind == ListKind::Complete {
+            changed.extend(self.remove_unlisted(listed));
+        }
+        self.apply_list(ListKind::Changes, &changed, transport);
+    }
+
+    /// What the router's own list changes where the control plane's is followed: endpoints are removed at once, and
+    /// given back to the control plane's list, but none is added.
+    fn apply_removals(&mut self, listed: &[Line]) -> Vec<Line> {
+        let mut changed = Vec::new();
+        let Some(replicated) = &mut self.in_flight.replicated else {
+            return changed;
+        };
+        for own in listed {
+            let Some(entry) = self.in_flight.endpoints.get(&HostId(own.host)) else {
+                continue;
+            };
+            if own.incarnation < entry.incarnation {
+                continue;
+            }
+            if own.phase != LinePhase::Ready {
+                replicated.removed.insert(
+                    own.host,
+                    Removal {
+                        incarnation: entry.incarnation,
+                        phase: own.phase,
+                    },
+                );
+                changed.push(entry.listed_as(own.phase));
+            } else if replicated.removed.remove(&own.host).is_some() {
+                changed.extend(replicated.listed.get(&own.host).cloned());
+            }
+        }
+        changed
+    }
+
+    /// A complete list that lacks an endpoint says that it is gone.
+    fn remove_unlisted(&mut self, listed: &[Line]) -> Vec<Line> {
+        let mut changed = Vec::new();
+        let Some(replicated) = &mut self.in_flight.replicated else {
+            return changed;
+        };
+        let named: BTreeSet<u32> = listed.iter().map(|own| own.host).collect();
+        for (host, entry) in &self.in_flight.endpoints {
+            if entry.is_gone() || named.contains(&host.0) {
+                continue;
+            }
+            let phase = LinePhase::Gone;
+            let incarnation = entry.incarnation;
+            replicated
+                .removed
+                .insert(host.0, Removal { incarnation, phase });
+            changed.push(entry.listed_as(phase));
+        }
+        changed
+    }
+
+    pub(super) fn on_replicated_list(
+        &mut self,
+        complete: bool,
+        mut listed: Vec<Line>,
+        transport: &mut dyn Transport,
+    ) {
+        let replicated = self.in_flight.replicated.get_or_insert_default();
+        if complete {
+            replicated.listed.clear();
+        }
+        for line in &mut listed {
+            replicated.listed.insert(line.host, line.clone());
+            let Some(removal) = replicated.removed.get(&line.host) else {
+                continue;
+            };
+            if line.incarnation <= removal.incarnation {
+                // The router's own list may be ahead: what it removed stays so until another process.
+                line.phase = removal.phase;
+            } else {
+                replicated.removed.remove(&line.host);
+            }
+        }
+        replicated
+            .listed
+            .retain(|_, line| line.phase != LinePhase::Gone);
+        if complete {
+            self.apply_list(ListKind::Complete, &listed, transport);
+        } else if !listed.is_empty() {
+            self.apply_list(ListKind::Changes, &listed, transport);
+        }
+    }
+
+    /// Takes a list over, opens and closes hosts on the transport, and passes the list on to the decision module.
+    fn apply_list(&mut self, kind: ListKind, listed: &[Line], transport: &mut dyn Transport) {
+        let endpoints: Vec<Endpoint> = listed.iter().map(|line| self.update_entry(line)).collect();
+        if kind != ListKind::Changes {
+            self.close_unlisted(&endpoints, transport);
+        }
+        for endpoint in &endpoints {
+            if endpoint.state == EndpointState::Ready {
+                let entry = &self.in_flight.endpoints[&endpoint.host];
+                transport.host_open(endpoint.host, &entry.address, entry.incarnation);
+            } else {
+                transport.host_closed(endpoint.host, endpoint.state == EndpointState::Gone);
+            }
+        }
+        let egress = &mut EgressAdapter::new(&mut self.in_flight, transport);
+        self.router.on_endpoints(kind, &endpoints, egress);
+    }
+
+    fn close_unlisted(&mut self, listed: &[Endpoint], transport: &mut dyn Transport) {
+        let named: BTreeSet<HostId> = listed.iter().map(|endpoint| endpoint.host).collect();
+        for (&host, entry) in &mut self.in_flight.endpoints {
+            if !entry.is_gone() && !named.contains(&host) {
+                entry.endpoint.state = EndpointState::Gone;
+                transport.host_closed(host, true);
+            }
+        }
+    }
+
+    fn update_entry(&mut self, listed: &Line) -> Endpoint {
+        let now = self.in_flight.now;
+        let entry = self
+            .in_flight
+            .endpoints
+            .entry(HostId(listed.host))
+            .or_insert_with(|| EndpointEntry::new(listed, now));
+        entry.update(listed, now);
+        entry.endpoint
+    }
+
+    /// Relative capacities of hosts. What is no capacity, or of a host that has not been listed, is passed over.
+    fn on_sizes(&mut self, sizes: &[(u32, f32)], transport: &mut dyn Transport) {
+        let mut changed = Vec::new();
+        for &(host, size) in sizes {
+            if !size.is_finite() || size <= 0.0 {
+                continue;
+            }
+            if let Some(entry) = self.in_flight.endpoints.get_mut(&HostId(host)) {
+                entry.endpoint.size = f64::from(size);
+                changed.push(entry.endpoint);
+            }
+        }
+        let egress = &mut EgressAdapter::new(&mut self.in_flight, transport);
+        self.router
+            .on_endpoints(ListKind::Changes, &changed, egress);
+    }
+}
--- a/crates/spokeflow-engine/src/lib.rs
+++ b/crates/spokeflow-engine/src/lib.rs
@@ -1,16 +1,27 @@
-//! One router as a state machine around the decision module. Time and decoded messages go in, messages go out
-//! through [`Transport`]; nothing here reads a clock, a socket or a file, so equal inputs give equal outputs.
+//! One router as a state machine around the decision module ([`spokeflow_core::Router`]). Time and decoded messages
+//! go in, messages go out through [`Transport`]; nothing here reads a clock, a socket or a file, so equal inputs give
+//! equal outputs.
 //!
-//! Call [`Engine::take`] with each [`Input`] in order of time, and [`Engine::woken`] when [`Engine::next_wake`]
-//! is reached.
+//! Call [`Engine::on_input`] with each [`Input`] in order of time, and [`Engine::on_timer`] when
+//! [`Engine::next_wake`] is reached. All times are microseconds of one clock that never goes back.
 
+mod config;
+mod counts;
+mod egress;
+mod endpoint_entry;
 mod engine;
 mod in_flight;
 mod input;
 mod outgoing;
+mod receipt;
+mod recording;
+mod time;
 mod transport;
 
-pub use engine::{Counts, Engine, EngineConfig};
-pub use input::{Input, Recording, RecordingError, TransportFailure};
+pub use config::EngineConfig;
+pub use counts::Counts;
+pub use engine::Engine;
+pub use input::{Input, TransportFailure};
 pub use outgoing::{Outgoing, Undelivered};
+pub use recording::{NotARecordingError, RecordedInput, Recording, TornEntryError};
 pub use transport::Transport;
--- a/crates/spokeflow-engine/src/outgoing.rs
+++ b/crates/spokeflow-engine/src/outgoing.rs
@@ -21,7 +21,7 @@
 pub struct Outgoing {
     waiting: VecDeque<QueuedMessage>,
     /// Encoded deliveries that have not left whole, in order.
-    leaving: VecDeque<EncodedDelivery>,
+    unwritten: VecDeque<EncodedDelivery>,
     /// Left, unanswered.
     unconfirmed: BTreeSet<u64>,
     /// Cancelled after they had begun to leave, with the ping whose answer shows that nothing of them is still on
@@ -80,7 +80,12 @@
             return Some(delivery);
         }
         let has_left = self.unconfirmed.remove(&delivery);
-        if has_left || self.leaving.iter().any(|frame| frame.delivery == delivery) {
+        if has_left
+            || self
+                .unwritten
+                .iter()
+                .any(|frame| frame.delivery == delivery)
+        {
             let message = ToHost::Cancel { delivery };
             self.waiting.push_back(QueuedMessage { message, leave_by });
             self.cancelled.insert(delivery, self.pings_sent + 1);
@@ -125,7 +130,7 @@
     pub fn on_encoded(&mut self, message: &ToHost, bytes: usize) {
         self.encoded_bytes += bytes as u64;
         if let ToHost::Deliver { delivery, .. } = message {
-            self.leaving.push_back(EncodedDelivery {
+            self.unwritten.push_back(EncodedDelivery {
                 delivery: *delivery,
                 ends_at: self.encoded_bytes,
             });
@@ -135,7 +140,10 @@
     /// Of all bytes encoded so far, `remaining` have not been taken by the system.
     pub fn on_written(&mut self, remaining: usize) {
         let written = self.encoded_bytes - remaining as u64;
-        while let Some(frame) = self.leaving.pop_front_if(|frame| frame.ends_at <= written) {
+        while let Some(frame) = self
+            .unwritten
+            .pop_front_if(|frame| frame.ends_at <= written)
+        {
             if !self.cancelled.contains_key(&frame.delivery) {
                 self.unconfirmed.insert(frame.delivery);
             }
@@ -172,7 +180,7 @@
 
     /// Whether a frame has begun to leave and has not left whole.
     pub fn is_mid_frame(&self) -> bool {
-        !self.leaving.is_empty()
+        !self.unwritten.is_empty()
     }
 
     /// Whether any message has not begun to leave.
@@ -188,7 +196,7 @@
     /// Whether nothing is to be sent and nothing is awaited.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty()
-            && self.leaving.is_empty()
+            && self.unwritten.is_empty()
             && self.unconfirmed.is_empty()
             && self.cancelled.is_empty()
     }
@@ -197,7 +205,7 @@
     /// the next connection; what was only queued is unsent too.
     pub fn on_disconnected(&mut self, remaining: usize) -> Undelivered {
         self.on_written(remaining);
-        let half_sent = self.leaving.drain(..).map(|frame| frame.delivery);
+        let half_sent = self.unwritten.drain(..).map(|frame| frame.delivery);
         let queued = self
             .waiting
             .drain(..)
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -7,25 +7,25 @@
 use spokeflow_engine::{Engine, EngineConfig, Input, Recording, Transport, TransportFailure};
 use spokeflow_proto::*;
 
-pub const SECOND: Micros = 1_000_000;
-pub const MARGIN: Micros = 20_000;
+pub(crate) const SECOND: Micros = 1_000_000;
+pub(crate) const MARGIN: Micros = 20_000;
 
 #[derive(Default)]
-pub struct Noted {
-    pub now: Micros,
+pub(crate) struct Noted {
+    pub(crate) now: Micros,
     /// Deliveries that the rig's hosts have not ended: host, number, op type.
-    pub sent: Vec<(u32, u64, u16)>,
+    pub(crate) sent: Vec<(u32, u64, u16)>,
     /// Hosts of all deliveries, in order, and by when each has to leave.
-    pub hosts: Vec<u32>,
-    pub leave_by: Vec<(u32, Micros)>,
-    pub answers: Vec<(Micros, u64, ToClient)>,
-    pub votes: Vec<ToController>,
-    pub closed: Vec<(u32, bool)>,
-    pub recalled: Vec<(u32, Option<u64>)>,
+    pub(crate) hosts: Vec<u32>,
+    pub(crate) leave_by: Vec<(u32, Micros)>,
+    pub(crate) answers: Vec<(Micros, u64, ToClient)>,
+    pub(crate) votes: Vec<ToController>,
+    pub(crate) closed: Vec<(u32, bool)>,
+    pub(crate) recalled: Vec<(u32, Option<u64>)>,
     /// A host whose queue has no room.
-    pub stuffed: Option<u32>,
+    pub(crate) stuffed: Option<u32>,
     /// All that was sent, in order.
-    pub text: String,
+    pub(crate) text: String,
 }
 
 impl Noted {
@@ -33,7 +33,7 @@
         writeln!(self.text, "{} {what:?}", self.now).unwrap();
     }
 
-    pub fn one_answer_each(&self, commands: u64) {
+    pub(crate) fn one_answer_each(&self, commands: u64) {
         let mut count = BTreeMap::new();
         self.answers
             .iter()
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn id_of(answer: &ToClient) -> u64 {
+pub(crate) fn id_of(answer: &ToClient) -> u64 {
     match answer {
         ToClient::Acked { id, .. } | ToClient::Nacked { id, .. } | ToClient::Failed { id } => *id,
         other => panic!("{other:?}"),
@@ -93,16 +93,16 @@
     }
 }
 
-pub struct Rig {
-    pub engine: Engine,
-    pub links: Noted,
-    pub now: Micros,
-    pub recording: Vec<u8>,
+pub(crate) struct Rig {
+    pub(crate) engine: Engine,
+    pub(crate) links: Noted,
+    pub(crate) now: Micros,
+    pub(crate) recording: Vec<u8>,
     chance: Rng,
     version: u64,
 }
 
-pub fn terms() -> EngineConfig {
+pub(crate) fn terms() -> EngineConfig {
     let op = |repeat, repeat_scope| OperationConfig {
         repeat,
         deduplication_scope: repeat_scope,
@@ -161,7 +161,7 @@
 }
 
 impl Rig {
-    pub fn new(chance: u64, seed: u64) -> Rig {
+    pub(crate) fn new(chance: u64, seed: u64) -> Rig {
         let (mut links, now) = (Noted::default(), 100 * SECOND);
         let engine = Engine::new(terms(), seed, now, &mut links);
         let recording = Recording::head(seed, now);
@@ -175,23 +175,23 @@
         }
     }
 
-    pub fn replay(seed: u64, start: Micros, inputs: &[(Micros, Input)]) -> String {
+    pub(crate) fn replay(recording: &Recording) -> String {
         let mut links = Noted::default();
-        let mut engine = Engine::new(terms(), seed, start, &mut links);
-        for (now, input) in inputs {
-            links.now = *now;
-            engine.on_input(*now, input.clone(), &mut links);
+        let mut engine = Engine::new(terms(), recording.seed, recording.start, &mut links);
+        for recorded in &recording.inputs {
+            links.now = recorded.at;
+            engine.on_input(recorded.at, recorded.input.clone(), &mut links);
         }
         links.text
     }
 
-    pub fn input(&mut self, input: Input) {
+    pub(crate) fn input(&mut self, input: Input) {
         self.links.now = self.now;
         self.recording.extend(Recording::entry(self.now, &input));
         self.engine.on_input(self.now, input, &mut self.links);
     }
 
-    pub fn draw(&mut self, below: usize) -> u64 {
+    pub(crate) fn draw(&mut self, below: usize) -> u64 {
         self.chance.below(below) as u64
     }
 
@@ -210,7 +210,7 @@
         }
     }
 
-    pub fn list(&mut self, hosts: &[u32], build: u16) {
+    pub(crate) fn list(&mut self, hosts: &[u32], build: u16) {
         let lines = hosts
             .iter()
             .map(|h| Self::line(*h, build, LinePhase::Ready, 1))
@@ -226,7 +226,7 @@
         self.input(Input::FromController(FromController::News(news)));
     }
 
-    pub fn change(&mut self, host: u32, build: u16, phase: LinePhase, incarnation: u64) {
+    pub(crate) fn change(&mut self, host: u32, build: u16, phase: LinePhase, incarnation: u64) {
         self.version += 1;
         let lines = vec![Self::line(host, build, phase, incarnation)];
         self.input(Input::FromList(FromList::Changes {
@@ -235,11 +235,11 @@
         }));
     }
 
-    pub fn command(&mut self, conn: u64, id: u64, op: u16, key: u64) {
+    pub(crate) fn command(&mut self, conn: u64, id: u64, op: u16, key: u64) {
         self.command_within(conn, id, op, key, 2 * SECOND);
     }
 
-    pub fn command_within(&mut self, conn: u64, id: u64, op: u16, key: u64, left: Micros) {
+    pub(crate) fn command_within(&mut self, conn: u64, id: u64, op: u16, key: u64, left: Micros) {
         let body = Default::default();
         let command = Command {
             id,
@@ -253,18 +253,18 @@
         self.input(Input::Command { conn, command });
     }
 
-    pub fn host(&mut self, host: u32, message: FromHost) {
+    pub(crate) fn host(&mut self, host: u32, message: FromHost) {
         self.input(Input::FromHost { host, message });
     }
 
     /// The one delivery that is out.
-    pub fn delivered(&mut self) -> (u32, u64) {
+    pub(crate) fn delivered(&mut self) -> (u32, u64) {
         assert_eq!(self.links.sent.len(), 1);
         let (host, delivery, _) = self.links.sent.pop().unwrap();
         (host, delivery)
     }
 
-    pub fn answers(&self, conn: u64) -> Vec<ToClient> {
+    pub(crate) fn answers(&self, conn: u64) -> Vec<ToClient> {
         self.links
             .answers
             .iter()
@@ -274,7 +274,7 @@
     }
 
     /// Time goes by; the engine is woken when it has asked for it.
-    pub fn pass(&mut self, span: Micros) {
+    pub(crate) fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         while self.engine.next_wake() <= until {
             self.now = self.engine.next_wake().max(self.now);
@@ -283,7 +283,7 @@
         self.now = until;
     }
 
-    pub fn answer_some(&mut self) {
+    pub(crate) fn answer_some(&mut self) {
         while self.links.sent.len() > 4 {
             let (host, delivery, _) = self.links.sent.remove(0);
             self.host(
@@ -297,7 +297,7 @@
     }
 
     /// Steady commands, each answered at once.
-    pub fn answer_all(&mut self, span: Micros) {
+    pub(crate) fn answer_all(&mut self, span: Micros) {
         let until = self.now + span;
         let first = 1_000_000 + self.now as u64;
         for id in first.. {
@@ -318,12 +318,12 @@
         }
     }
 
-    pub fn warm_up(&mut self) {
+    pub(crate) fn warm_up(&mut self) {
         self.answer_all(6 * SECOND);
     }
 
     /// One of the deliveries that are out ends, in any way.
-    pub fn end_one(&mut self) {
+    pub(crate) fn end_one(&mut self) {
         if self.links.sent.is_empty() {
             return;
         }
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -5,7 +5,9 @@
 use common::*;
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
-use spokeflow_engine::{Input, Recording, RecordingError, TransportFailure};
+use spokeflow_engine::{
+    Input, NotARecordingError, RecordedInput, Recording, TornEntryError, TransportFailure,
+};
 use spokeflow_proto::{
     FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding, ToClient,
 };
@@ -303,9 +305,9 @@
         }
         rig.pass(7_000);
     }
-    let (seed, start, inputs, fault) = Recording::read(&rig.recording);
-    assert_eq!((seed, fault), (77, None));
-    let replayed = Rig::replay(seed, start, &inputs);
+    let recording = Recording::read(&rig.recording).unwrap();
+    assert_eq!((recording.seed, &recording.error), (77, &None));
+    let replayed = Rig::replay(&recording);
     assert!(rig.links.text.len() > 10_000);
     assert_eq!(rig.links.text, replayed);
 }
@@ -317,29 +319,25 @@
     bytes.extend(&first);
     bytes.extend(Recording::entry(7, &Input::Close));
     let whole = 24 + first.len();
+    let torn = || TornEntryError {
+        complete: 1,
+        offset: whole,
+    };
     for cut in whole + 1..bytes.len() {
-        let (_, _, inputs, fault) = Recording::read(&bytes[..cut]);
-        assert_eq!(inputs, [(6, Input::Timer)]);
-        assert_eq!(
-            fault,
-            Some(RecordingError::Torn {
-                whole: 1,
-                at: whole
-            })
-        );
+        let recording = Recording::read(&bytes[..cut]).unwrap();
+        let read = RecordedInput {
+            at: 6,
+            input: Input::Timer,
+        };
+        assert_eq!(recording.inputs, [read]);
+        assert_eq!(recording.error, Some(torn()));
     }
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
+    assert_eq!(Recording::read(&bytes).unwrap().error, Some(torn()));
     assert_eq!(
-        Recording::read(&bytes).3,
-        Some(RecordingError::Torn {
-            whole: 1,
-            at: whole
-        })
-    );
-    assert_eq!(
-        Recording::read(b"something else entirely, long enough").3,
-        Some(RecordingError::NotARecording)
+        Recording::read(b"something else entirely, long enough"),
+        Err(NotARecordingError)
     );
 }
 
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
-use spokeflow_engine::{Input, Recording, RecordingError};
+use spokeflow_engine::{Input, Recording, TornEntryError};
 use spokeflow_proto::{
     Command, FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding,
 };
@@ -16,11 +16,14 @@
 
 /// All inputs but those that only let time pass.
 fn inputs() -> Vec<(Micros, Input)> {
-    let (seed, start, inputs, fault) = Recording::read(RECORDING);
-    assert_eq!((seed, start, inputs.len(), fault), (62, 30, 278, None));
-    inputs
+    let recording = Recording::read(RECORDING).unwrap();
+    assert_eq!((recording.seed, recording.start), (62, 30));
+    assert_eq!((recording.inputs.len(), recording.error), (278, None));
+    recording
+        .inputs
         .into_iter()
-        .filter(|(_, input)| *input != Input::Timer)
+        .filter(|recorded| recorded.input != Input::Timer)
+        .map(|recorded| (recorded.at, recorded.input))
         .collect()
 }
 
@@ -215,11 +218,12 @@
 
 #[test]
 fn the_inputs_are_written_as_before() {
-    let (seed, start, inputs, _) = Recording::read(RECORDING);
-    let entries = inputs
+    let recording = Recording::read(RECORDING).unwrap();
+    let entries = recording
+        .inputs
         .iter()
-        .flat_map(|(at, input)| Recording::entry(*at, input));
-    let written: Vec<u8> = Recording::head(seed, start)
+        .flat_map(|recorded| Recording::entry(recorded.at, &recorded.input));
+    let written: Vec<u8> = Recording::head(recording.seed, recording.start)
         .into_iter()
         .chain(entries)
         .collect();
@@ -230,9 +234,6 @@
 fn a_changed_byte_is_found() {
     let mut changed = RECORDING.to_vec();
     changed[4_000] ^= 1;
-    let fault = Recording::read(&changed).3;
-    assert!(
-        matches!(fault, Some(RecordingError::Torn { .. })),
-        "{fault:?}"
-    );
+    let error = Recording::read(&changed).unwrap().error;
+    assert!(matches!(error, Some(TornEntryError { .. })), "{error:?}");
 }
