--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -6,7 +6,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::state::{Command, Delivery, Figures, Hosts, OpRules, Pin, Pool, StartSpans, Window};
+use crate::state::{
+    CandidateSet, Command, Delivery, Hosts, LatencyCount, OperationState, StartSpans,
+    StickyAssignment, Window,
+};
 use crate::*;
 type Out<'a> = &'a mut dyn Egress;
 const SECOND: Micros = 1_000_000;
@@ -67,7 +70,7 @@
 #[derive(Default)]
 pub struct Router {
     now: Micros,
-    ops: Vec<OpRules>,
+    ops: Vec<OperationState>,
     chance: Rng,
     index: BTreeMap<HostId, usize>,
     hosts: Hosts,
@@ -76,7 +79,7 @@
     cmds: BTreeMap<CommandId, Command>,
     /// By customer, the commands that wait for a place.
     held: Vec<VecDeque<CommandId>>,
-    pins: BTreeMap<Key, Pin>,
+    pins: BTreeMap<Key, StickyAssignment>,
     /// The released build that has answered keys whose pins are no longer kept.
     all_bound: Option<BuildId>,
     taken: Window<usize>,
@@ -122,7 +125,7 @@
     ask_list_at: Option<Micros>,
     ask_pause: Micros,
     served: Vec<f64>,
-    fig: Figures,
+    fig: DerivedConfig,
 }
 
 impl Router {
@@ -133,7 +136,7 @@
         }
         Router {
             now,
-            ops: terms.ops.iter().map(OpRules::new).collect(),
+            ops: terms.ops.iter().map(OperationState::new).collect(),
             served: vec![0.0; terms.tenant_quotas.len().max(1)],
             held: vec![VecDeque::new(); terms.tenant_quotas.len().max(1)],
             sums: vec![0.0; terms.ops.len() + 3],
@@ -178,7 +181,7 @@
             (self.ask_list_at, self.ask_pause) = (None, 0);
         }
         if kind != ListKind::Changes {
-            self.hosts.keep_listed(lines);
+            self.hosts.retain_listed(lines);
         }
         for line in lines {
             let h = *self
@@ -205,7 +208,7 @@
         if !same_build {
             self.seen = 0;
             self.sums.fill(0.0);
-            self.hosts.clear_blame();
+            self.hosts.clear_evidence();
         }
         if !same_build || before.is_some_and(|b| b.stage != news.stage || b.state != news.state) {
             self.stage_began = self.now - news.age;
@@ -290,13 +293,13 @@
         let (taken, until, deliveries) = (self.now, self.now + left, Vec::new());
         let share = (share.0 as usize).min(self.fig.shares.len() - 1);
         let command = Command {
-            op,
+            operation: op,
             key,
-            share,
-            place,
-            taken,
-            until,
-            ended: false,
+            tenant: share,
+            key_position: place,
+            received_at: taken,
+            deadline: until,
+            answered: false,
             deliveries,
         };
         self.cmds.insert(cmd, command);
@@ -317,23 +320,23 @@
         let returns: f64 = self
             .ops
             .iter()
-            .map(|o| o.acks * o.target / SECOND as f64)
+            .map(|o| o.acks * o.latency_objective / SECOND as f64)
             .sum();
         let thin = CROWDED_PART * returns < 2.0 && self.detour(1, op) == 0.0;
-        [0.0, self.ops[op].strain - STRAINED_PART.ln()][usize::from(thin)]
+        [0.0, self.ops[op].overload - STRAINED_PART.ln()][usize::from(thin)]
     }
 
     /// Runs the chain for a command that is owed an answer; says whether a delivery went out.
     fn route(&mut self, cmd: CommandId, out: Out) -> bool {
-        let Some(c) = self.cmds.get(&cmd).filter(|c| !c.ended) else {
+        let Some(c) = self.cmds.get(&cmd).filter(|c| !c.answered) else {
             return false;
         };
-        let (key, op) = (c.key, c.op);
+        let (key, op) = (c.key, c.operation);
         let pin = self
             .pins
             .get(&key)
             .filter(|_| self.fig.one_way && key.0 != 0);
-        let last = pin.and_then(|p| p.answered_by.max(p.claimed_by));
+        let last = pin.and_then(|p| p.newest_build());
         let floor = last
             .max(self.all_bound.filter(|_| key.0 != 0))
             .filter(|b| self.binds(*b));
@@ -349,7 +352,7 @@
                         .get(&key)
                         .is_some_and(|p| build < p.build && self.on_trial(p.build));
                     let pin = self.pins.entry(key).or_default();
-                    (pin.build, pin.used) = (if back { pin.build } else { build }, self.now);
+                    (pin.build, pin.used_at) = (if back { pin.build } else { build }, self.now);
                 }
                 self.dispatch(cmd, host, out);
                 return true;
@@ -364,7 +367,7 @@
             self.flow[2] += 1.0;
             self.abort(cmd, out);
         } else {
-            self.held[c.share].push_back(cmd);
+            self.held[c.tenant].push_back(cmd);
         }
         false
     }
@@ -382,8 +385,8 @@
             let mut n = 0;
             while let Some(&cmd) = waiting.get(n) {
                 // An op type that waits everywhere keeps nobody behind it from a place.
-                match self.cmds.get(&cmd).filter(|c| self.crowded(c.op)) {
-                    Some(c) if self.detour(1, c.op) > 0.0 => n += 1,
+                match self.cmds.get(&cmd).filter(|c| self.crowded(c.operation)) {
+                    Some(c) if self.detour(1, c.operation) > 0.0 => n += 1,
                     Some(_) => break,
                     None => drop((waiting.remove(n), self.route(cmd, out))),
                 }
@@ -397,7 +400,7 @@
         let over = |cmd: &CommandId| {
             self.cmds
                 .get(cmd)
-                .filter(|c| !c.ended)
+                .filter(|c| !c.answered)
                 .is_none_or(|c| self.now >= self.waits_until(c))
         };
         let due: Vec<CommandId> = self.held.iter().flatten().copied().filter(over).collect();
@@ -411,7 +414,8 @@
     }
 
     fn waits_until(&self, c: &Command) -> Micros {
-        (c.taken + (self.ops[c.op].target * HOLD_PART) as Micros).min(c.until - 2 * BEAT)
+        (c.received_at + (self.ops[c.operation].latency_objective * HOLD_PART) as Micros)
+            .min(c.deadline - 2 * BEAT)
     }
 
     // ---- Lane ----
@@ -435,14 +439,14 @@
         let pin = self
             .pins
             .get(&c.key)
-            .filter(|p| c.key.0 != 0 && self.now - p.used < PIN_IDLE);
+            .filter(|p| c.key.0 != 0 && self.now - p.used_at < PIN_IDLE);
         let ahead = if pin.is_none() && self.fig.rolling {
             AHEAD
         } else {
             1.0
         };
-        let takes_new =
-            pin.is_some_and(|p| p.build == new) || c.place < self.lane && ahead * bears > exposed;
+        let takes_new = pin.is_some_and(|p| p.build == new)
+            || c.key_position < self.lane && ahead * bears > exposed;
         [
             if takes_new { trial } else { stable },
             stable.filter(|_| takes_new),
@@ -530,17 +534,16 @@
     /// Two random choices among the fit hosts of a build, by fewest own commands in flight.
     fn place(&mut self, cmd: CommandId, build: BuildId) -> Option<usize> {
         let c = &self.cmds[&cmd];
-        if self.crowded(c.op) {
+        if self.crowded(c.operation) {
             return None;
         }
-        let rules = &self.ops[c.op];
-        let repeats_anywhere =
-            rules.repeat == Repeat::Idempotent || rules.scope == DeduplicationScope::All;
+        let rules = &self.ops[c.operation];
+        let repeats_anywhere = rules.repeats_anywhere();
         let ran_at = c
             .deliveries
             .iter()
             .find(|d| d.may_have_run)
-            .map(|d| self.hosts.line(d.host));
+            .map(|d| self.hosts.endpoint(d.host));
         let bound = ran_at.filter(|_| !repeats_anywhere);
         let drops_repeats = |line: &Endpoint| match (bound, rules.scope) {
             (None, _) | (_, DeduplicationScope::All) => true,
@@ -550,33 +553,33 @@
         };
         let tried = |h: usize| c.deliveries.iter().any(|d| d.host == h);
         let check_all = bound.is_some() || self.refused > MOST_REFUSED;
-        let usable = |mut pool: Pool, of_own| {
+        let usable = |mut pool: CandidateSet, of_own| {
             let named = c.deliveries.iter().map(|d| d.host);
             self.hosts
-                .doubt(&mut pool, check_all, self.now - MUTE_FOR, named);
+                .mark_suspects(&mut pool, check_all, self.now - MUTE_FOR, named);
             pool.retain(|h| {
-                drops_repeats(self.hosts.line(h)) && self.may_take(h, of_own) && !tried(h)
+                drops_repeats(self.hosts.endpoint(h)) && self.may_take(h, of_own) && !tried(h)
             });
             pool
         };
         let (near, of_own) = self.near(build);
         let mut untried = usable(near, of_own);
         if untried.is_empty() {
-            untried = usable(self.hosts.pool(build), 0.2);
+            untried = usable(self.hosts.candidates(build), 0.2);
         }
         let mut pool = untried.clone();
-        pool.retain(|h| self.now >= self.hosts.shut_until(h) && !self.mute(h));
+        pool.retain(|h| self.now >= self.hosts.ejected_until(h) && !self.mute(h));
         if pool.len() * 3 < untried.len() {
             // Most hosts seem unfit at once: that is this router's view or its zone's links, not the hosts.
             pool = untried;
         }
         // Hosts that take no new connection go on serving over the ones that stand.
-        let linked = |h: usize| self.now.saturating_sub(self.hosts.linked_at[h]) < LINK_LASTS;
+        let linked = |h: usize| self.now.saturating_sub(self.hosts.connected_at(h)) < LINK_LASTS;
         if self.refused > MOST_REFUSED && pool.any(linked) {
             pool.retain(linked);
         }
         // What runs at most once goes where answers come back; others try a host under suspicion.
-        let proven = |h: usize| self.hosts.strikes(h) == 0;
+        let proven = |h: usize| self.hosts.consecutive_failures(h) == 0;
         if (rules.repeat == Repeat::AtMostOnce || self.spare < 1.0) && pool.any(proven) {
             pool.retain(proven);
         }
@@ -589,10 +592,10 @@
     }
 
     /// One host of a pool, by chance, each as often as its size says.
-    fn draw(&mut self, pool: &Pool, largest: f64) -> usize {
+    fn draw(&mut self, pool: &CandidateSet, largest: f64) -> usize {
         loop {
             let h = pool.nth(self.chance.below(pool.len()));
-            let part = self.hosts.line(h).size / largest;
+            let part = self.hosts.endpoint(h).size / largest;
             if part >= 1.0 || self.chance.fraction() < part {
                 return h;
             }
@@ -602,9 +605,9 @@
     /// Own commands in flight, weighed by how slowly the host answers and, where it reports, by how long
     /// others' commands make one wait. A report says less the older it is.
     fn press(&self, h: usize) -> f64 {
-        let crawl = self.hosts.lag[h].clamp(0.0, 2.0).exp();
-        let age = self.now.saturating_sub(self.hosts.busy_at[h]) as f64 / SECOND as f64;
-        let told = self.hosts.busy[h] - self.busy;
+        let crawl = self.hosts.slowdown(h).clamp(0.0, 2.0).exp();
+        let age = self.now.saturating_sub(self.hosts.utilization_at(h)) as f64 / SECOND as f64;
+        let told = self.hosts.utilization(h) - self.busy;
         let busy = self.busy
             + if told.is_nan() {
                 0.0
@@ -616,11 +619,11 @@
 
     /// Guards against a new connection for nearly every command: of a build's hosts that no detour leads to, a
     /// router with little traffic keeps to a few, its own by hash. Answers how much more traffic those get for that.
-    fn near(&self, build: BuildId) -> (Pool, f64) {
-        let mut near = self.hosts.pool(build);
+    fn near(&self, build: BuildId) -> (CandidateSet, f64) {
+        let mut near = self.hosts.candidates(build);
         if (0..self.ways[0].len()).any(|zone| self.detour(0, zone) > 0.0) {
-            near.doubt_all();
-            near.retain(|h| self.detour(0, self.hosts.line(h).zone.0.into()) == 0.0);
+            near.mark_all_unverified();
+            near.retain(|h| self.detour(0, self.hosts.endpoint(h).zone.0.into()) == 0.0);
         }
         let (met, sent) = (
             ROUTERS_PER_HOST / self.fig.fleet,
@@ -648,16 +651,21 @@
         };
         let (mut out, mut returns) = (0, 0.0);
         for o in (0..self.ops.len()).filter(alike) {
-            out += self.ops[o].out;
-            returns += self.ops[o].acks * self.ops[o].target / SECOND as f64;
+            out += self.ops[o].in_flight;
+            returns += self.ops[o].acks * self.ops[o].latency_objective / SECOND as f64;
         }
         f64::from(out) >= base + 1.1 * CROWDED_PART * returns
     }
 
     /// Guards against hosts that take work and answer nothing, long before their first time-out.
     fn mute(&self, h: usize) -> bool {
-        let quiet = self.now.saturating_sub(self.hosts.mute_since(h));
-        let usual = || self.ops.iter().map(|o| o.usual.exp()).fold(0.0, f64::max) as Micros;
+        let quiet = self.now.saturating_sub(self.hosts.quiet_since(h));
+        let usual = || {
+            self.ops
+                .iter()
+                .map(|o| o.baseline.exp())
+                .fold(0.0, f64::max) as Micros
+        };
         self.hosts.in_flight(h) > 0 && quiet > MUTE_FOR && quiet > 6 * usual()
     }
 
@@ -665,10 +673,10 @@
     /// own part of what the fleet may send it, drawn where under one. What is sent counts, for hosts that err
     /// fast. One that has failed gets one command at a time.
     fn may_take(&self, h: usize, of_own: f64) -> bool {
-        let (host, age) = (self.hosts.line(h).host.0, self.hosts.age(h));
+        let (host, age) = (self.hosts.endpoint(h).host.0, self.hosts.age(h));
         if age < self.fig.warm_within + SECOND {
             let (slot, begun) = (age / self.fig.fall_span, self.now - age);
-            let sent = self.hosts.sent[h] * u32::from(self.hosts.slot[h] == slot);
+            let sent = self.hosts.sent_in_slot(h, slot);
             // The first span is met by no other before it.
             let part = self.fig.cold_part * self.warmth(age) * self.pace * of_own
                 / (1 + slot.min(1)) as f64;
@@ -681,7 +689,7 @@
                 return false;
             }
         }
-        self.hosts.strikes(h) == 0 || self.hosts.in_flight(h) == 0
+        self.hosts.consecutive_failures(h) == 0 || self.hosts.in_flight(h) == 0
     }
 
     fn dispatch(&mut self, cmd: CommandId, host: usize, out: Out) {
@@ -693,26 +701,17 @@
         let Some(c) = self.cmds.get_mut(&cmd) else {
             return;
         };
-        self.exposed
-            .extend(on_trial.then_some((sent, (c.op * usize::from(self.fig.by_op), build))));
-        c.deliveries.push(Delivery {
-            host,
-            build,
-            sent,
-            open: true,
-            may_have_run: true,
-            started: false,
-        });
-        let pin = self.pins.entry(c.key).or_default();
-        pin.claims *= u32::from(pin.claimed_by >= Some(build));
-        pin.claimed_by = pin.claimed_by.max(Some(build));
-        pin.claims += u32::from(pin.claimed_by == Some(build));
+        if on_trial {
+            let slot = c.operation * usize::from(self.fig.by_op);
+            self.exposed.push(sent, (slot, build));
+        }
+        c.deliveries.push(Delivery::new(host, build, sent));
+        self.pins.entry(c.key).or_default().claim(build);
         self.hosts.add_in_flight(host);
-        self.ops[c.op].out += 1;
-        let same = u32::from(std::mem::replace(&mut self.hosts.slot[host], slot) == slot);
-        self.hosts.sent[host] = same * self.hosts.sent[host] + 1;
-        self.served[c.share] += 1.0;
-        out.deliver(cmd, self.hosts.line(host).host, None);
+        self.ops[c.operation].in_flight += 1;
+        self.hosts.count_sent(host, slot);
+        self.served[c.tenant] += 1.0;
+        out.deliver(cmd, self.hosts.endpoint(host).host, None);
     }
 
     /// A second delivery for a command whose first is at a host that looks sick, where the op type allows a
@@ -722,11 +721,12 @@
             let last = c
                 .deliveries
                 .last()
-                .filter(|d| d.open && !d.started && !c.ended);
+                .filter(|d| d.open && !d.response_started && !c.answered);
             let Some(d) = last else { return false };
-            let doubt = self.mute(d.host) || self.hosts.lag[d.host] > 0.7;
-            let slow = (self.now - d.sent) as f64 > self.ops[c.op].target * DOUBT_PART;
-            doubt && slow && self.may_redeliver(c) && c.until - self.now > 4 * BEAT
+            let doubt = self.mute(d.host) || self.hosts.slowdown(d.host) > 0.7;
+            let slow = (self.now - d.sent_at) as f64
+                > self.ops[c.operation].latency_objective * DOUBT_PART;
+            doubt && slow && self.may_redeliver(c) && c.deadline - self.now > 4 * BEAT
         };
         let due: Vec<CommandId> = self
             .cmds
@@ -747,7 +747,7 @@
         let delivery = |c: &mut Command| {
             c.deliveries
                 .get_mut(usize::from(nth))
-                .map(|d| d.started = true)
+                .map(|d| d.response_started = true)
         };
         self.cmds.get_mut(&cmd).and_then(delivery);
     }
@@ -768,20 +768,20 @@
             return;
         };
         (d.open, d.may_have_run) = (false, end.may_have_run());
-        let (h, build, op, key, share) = (d.host, d.build, c.op, c.key, c.share);
+        let (h, build, op, key, share) = (d.host, d.build, c.operation, c.key, c.tenant);
         self.hosts.remove_in_flight(h);
-        self.ops[op].out -= 1;
+        self.ops[op].in_flight -= 1;
         // What errs at once is no load: it must not excuse slowness.
         let at_once = end == AttemptOutcome::Error && nth == 0;
         self.flow[0] = (self.flow[0] - f64::from(u8::from(at_once))).max(0.0);
         if matches!(end, AttemptOutcome::Acked | AttemptOutcome::TimedOut) {
             let rules = &mut self.ops[op];
-            let step = if took as f64 > rules.target * rules.strain.exp() {
+            let step = if took as f64 > rules.latency_objective * rules.overload.exp() {
                 0.2
             } else {
                 -0.2
             };
-            rules.strain = (rules.strain + step).clamp(-2.0, 1.0);
+            rules.overload = (rules.overload + step).clamp(-2.0, 1.0);
         }
         if !matches!(end, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
             self.losses = [0.95 * self.losses[0] + 1.0, 0.95 * self.losses[1]];
@@ -800,12 +800,9 @@
             && end.may_have_run()
             && end != AttemptOutcome::Error;
         let pin = self.pins.entry(key).or_default();
-        pin.claims = pin
-            .claims
-            .saturating_sub(u32::from(pin.claimed_by == Some(build)));
-        pin.claimed_by = pin.claimed_by.filter(|_| pin.claims > 0);
+        pin.release(build);
         pin.answered_by = pin.answered_by.max(Some(newest).filter(|_| binds));
-        if done || self.cmds[&cmd].ended {
+        if done || self.cmds[&cmd].answered {
             self.finish(cmd, out);
         } else {
             self.settle(cmd, end.may_have_run(), out);
@@ -818,7 +815,7 @@
         let Some(c) = self.cmds.get(&cmd) else { return };
         let open = c.deliveries.iter().any(|d| d.open);
         if !open
-            && (c.until - self.now < 2 * BEAT
+            && (c.deadline - self.now < 2 * BEAT
                 || !self.may_redeliver(c)
                 || guess && self.spare < 1.0)
         {
@@ -831,11 +828,13 @@
 
     /// The memory counts from the first delivery, whether or not it ran: it was out when the next was sent.
     fn may_redeliver(&self, c: &Command) -> bool {
-        let rules = &self.ops[c.op];
+        let rules = &self.ops[c.operation];
         let ran = c.deliveries.iter().any(|d| d.may_have_run);
         let allowed = match rules.repeat {
             Repeat::Idempotent => true,
-            Repeat::Deduplicated => !ran || self.now + BEAT < c.deliveries[0].sent + rules.memory,
+            Repeat::Deduplicated => {
+                !ran || self.now + BEAT < c.deliveries[0].sent_at + rules.deduplication_window
+            }
             Repeat::AtMostOnce => !ran,
         };
         allowed && c.deliveries.len() < self.fig.delivery_cap
@@ -844,12 +843,12 @@
     /// The final answer where nothing more can be done: a nack wherever trying again is harmless.
     pub fn abort(&mut self, cmd: CommandId, out: Out) {
         let Some(c) = self.cmds.get(&cmd) else { return };
-        let rules = &self.ops[c.op];
+        let rules = &self.ops[c.operation];
         let any_drops =
             rules.repeat == Repeat::Deduplicated && rules.scope == DeduplicationScope::All;
         let never_ran = c.deliveries.iter().all(|d| !d.may_have_run);
         if never_ran || any_drops || rules.repeat == Repeat::Idempotent {
-            let come_back = rules.target / 4.0 * (1.0 + self.chance.fraction());
+            let come_back = rules.latency_objective / 4.0 * (1.0 + self.chance.fraction());
             out.nack(
                 cmd,
                 self.fig
@@ -867,10 +866,11 @@
         let Some(c) = self.cmds.get_mut(&cmd) else {
             return;
         };
-        let open = |d: &Delivery| self.fig.may_cancel && !c.ended && d.open && !d.started;
+        let open =
+            |d: &Delivery| self.fig.may_cancel && !c.answered && d.open && !d.response_started;
         let open = c.deliveries.iter().enumerate().filter(|(_, d)| open(d));
         open.for_each(|(n, _)| out.cancel(cmd, n as u8));
-        c.ended = true;
+        c.answered = true;
         if c.deliveries.iter().all(|d| !d.open) {
             self.cmds.remove(&cmd);
         }
@@ -882,8 +882,8 @@
         let Some(&h) = self.index.get(&host) else {
             return;
         };
-        (self.hosts.busy[h], self.hosts.busy_at[h]) = (busy.clamp(0.0, 1.0), self.now);
-        self.busy += 0.05 * (self.hosts.busy[h] - self.busy);
+        self.hosts.set_utilization(h, busy.clamp(0.0, 1.0));
+        self.busy += 0.05 * (self.hosts.utilization(h) - self.busy);
     }
 
     fn health(&mut self, h: usize, end: AttemptOutcome) {
@@ -893,13 +893,13 @@
             end,
             AttemptOutcome::Acked | AttemptOutcome::Error | AttemptOutcome::Rejected
         ) {
-            self.hosts.linked_at[h] = self.now;
+            self.hosts.set_connected_at(h, self.now);
         }
         match end {
             AttemptOutcome::Acked => {
                 // It answers: a connection broke, or one command erred, and not the host.
-                if self.hosts.strikes(h) > 0 {
-                    self.hosts.set_trouble(h, 0, self.now);
+                if self.hosts.consecutive_failures(h) > 0 {
+                    self.hosts.set_suspicion(h, 0, self.now);
                 }
                 self.hosts
                     .set_answers(h, self.hosts.answers(h).saturating_add(1));
@@ -912,15 +912,16 @@
                 }
             }
             AttemptOutcome::Rejected => {
-                let until = self.hosts.shut_until(h).max(self.now + 100 * MS);
-                self.hosts.set_trouble(h, self.hosts.strikes(h), until);
+                let until = self.hosts.ejected_until(h).max(self.now + 100 * MS);
+                self.hosts
+                    .set_suspicion(h, self.hosts.consecutive_failures(h), until);
             }
             AttemptOutcome::NotConnected => {
-                self.hosts.linked_at[h] = Micros::MIN;
-                self.learn_way(0, self.hosts.line(h).zone.0.into(), 2.0);
+                self.hosts.set_connected_at(h, Micros::MIN);
+                self.learn_way(0, self.hosts.endpoint(h).zone.0.into(), 2.0);
                 self.strike(h, SECOND / 2);
             }
-            AttemptOutcome::TimedOut if self.mute(h) || self.hosts.strikes(h) > 0 => {
+            AttemptOutcome::TimedOut if self.mute(h) || self.hosts.consecutive_failures(h) > 0 => {
                 self.strike(h, SECOND)
             }
             _ => {}
@@ -929,7 +930,7 @@
             end,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotConnected
         ) {
-            self.hosts.came_back(h);
+            self.hosts.response_received(h);
         }
     }
 
@@ -958,10 +959,10 @@
     }
 
     fn strike(&mut self, h: usize, pause: Micros) {
-        if self.now >= self.hosts.shut_until(h) {
-            let strikes = self.hosts.strikes(h);
+        if self.now >= self.hosts.ejected_until(h) {
+            let strikes = self.hosts.consecutive_failures(h);
             self.hosts
-                .set_trouble(h, strikes + 1, self.now + (pause << strikes.min(3)));
+                .set_suspicion(h, strikes + 1, self.now + (pause << strikes.min(3)));
         }
     }
 
@@ -975,16 +976,20 @@
             // Ways break connections too, and one crash breaks all that was out at the host: that is one
             // failure, of one that does little else; a time-out is none where it answered nobody.
             AttemptOutcome::Reset
-                if self.hosts.answers(h) < 2 && self.now >= self.hosts.shut_until(h) =>
+                if self.hosts.answers(h) < 2 && self.now >= self.hosts.ejected_until(h) =>
             {
                 1.0
             }
-            AttemptOutcome::TimedOut if (took as f64) < self.ops[op].target => return,
+            AttemptOutcome::TimedOut if (took as f64) < self.ops[op].latency_objective => return,
             AttemptOutcome::TimedOut if self.detour(1, op) > 0.0 => {
                 return self.learn_way(1, op, 2.0)
             }
             // A full fleet times out too: that is slowness, which more traffic excuses, and no failure.
-            AttemptOutcome::TimedOut if !self.mute(h) && self.hosts.strikes(h) == 0 => 0.0,
+            AttemptOutcome::TimedOut
+                if !self.mute(h) && self.hosts.consecutive_failures(h) == 0 =>
+            {
+                0.0
+            }
             _ => return,
         };
         let acked = end == AttemptOutcome::Acked;
@@ -997,7 +1002,10 @@
         ];
         let time = (took.max(1) as f64).ln() + self.warmth(self.hosts.age(h)).ln();
         // A mean of few answers may be off by chance; of many, one is very unlucky and speaks for all.
-        let (rests_on, usual) = (f64::from(self.ops[op].usual_seen), self.ops[op].usual);
+        let (rests_on, usual) = (
+            f64::from(self.ops[op].baseline_samples),
+            self.ops[op].baseline,
+        );
         let known = rests_on >= 5.0;
         let luck = if self.fig.fleet > ROUTERS_PER_HOST {
             (2.0 * self.fig.fleet.ln()).sqrt()
@@ -1011,7 +1019,11 @@
             2.0 * (1.0 - failed)
         };
         let late = if known { slower } else { 0.0 };
-        let ways = [(0, self.hosts.line(h).zone.0.into()), (1, op), (2, share)];
+        let ways = [
+            (0, self.hosts.endpoint(h).zone.0.into()),
+            (1, op),
+            (2, share),
+        ];
         ways.iter()
             .filter(|_| known)
             .for_each(|&(kind, n)| self.learn_way(kind, n, late));
@@ -1020,7 +1032,8 @@
                 .map(|(kind, n)| self.detour(kind, n))
                 .into_iter()
                 .fold(0.0, f64::max);
-        self.hosts.lag[h] += 0.15 * (late - self.hosts.lag[h]);
+        let lag = self.hosts.slowdown(h);
+        self.hosts.set_slowdown(h, lag + 0.15 * (late - lag));
         if known {
             self.judge_shared(late);
         }
@@ -1032,7 +1045,7 @@
             self.seen_in_stage += 1;
             let wrong = &mut self.sums[self.ops.len() + 1];
             *wrong = (*wrong - self.fig.wrong_margin).max(0.0);
-            let usual = self.old_fails[op].max(self.ops[op].counted_lost * self.blamed());
+            let usual = self.old_fails[op].max(self.ops[op].controller_loss * self.blamed());
             // Where much fails anyway, a failure more says less.
             let gain = (failed - usual) * NOISE / (NOISE + usual) - FAIL_MARGIN;
             // Of thin traffic each failure says more: chance brings few of them together.
@@ -1051,11 +1064,11 @@
         self.old_fails[op] += 0.02 * (failed - self.old_fails[op]);
         self.old_lag += 0.05 * (late - self.old_lag);
         // Thin traffic goes on learning in the first stages, from the earlier build's hosts.
-        let few = self.ops[op].usual_seen < 20 && self.lane < 0.2;
+        let few = self.ops[op].baseline_samples < 20 && self.lane < 0.2;
         if acked && (few || self.news.is_none_or(|n| n.state != RolloutState::Canary)) {
             let rules = &mut self.ops[op];
-            rules.usual_seen += 1;
-            rules.usual += (time - rules.usual) / f64::from(rules.usual_seen.min(200));
+            rules.baseline_samples += 1;
+            rules.baseline += (time - rules.baseline) / f64::from(rules.baseline_samples.min(200));
         }
     }
 
@@ -1080,7 +1093,7 @@
         let ready = self.hosts.ready_with(self.hosts.build(h));
         let peers = ready.len();
         let heard = if self.fig.fleet > ROUTERS_PER_HOST {
-            ready.heard()
+            ready.observed()
         } else {
             peers
         };
@@ -1093,15 +1106,15 @@
                 voices
             };
         let gain = if gain > 0.0 {
-            gain.min((most - self.hosts.blame(h)).max(0.0))
+            gain.min((most - self.hosts.evidence(h)).max(0.0))
         } else {
             gain
         };
         self.hosts
-            .set_blame(h, (self.hosts.blame(h) + gain).max(0.0));
+            .set_evidence(h, (self.hosts.evidence(h) + gain).max(0.0));
         self.sums[which] = (self.sums[which] + gain).max(0.0);
         if self.sum() <= 0.0 {
-            self.hosts.clear_blame();
+            self.hosts.clear_evidence();
         }
     }
 
@@ -1113,7 +1126,8 @@
 
     /// Commands asked and answered of late, and one alone, for each whole host's worth of fit capacity.
     fn load(&self) -> [f64; 3] {
-        let open = |h| self.hosts.strikes(h) == 0 && self.now >= self.hosts.shut_until(h);
+        let open =
+            |h| self.hosts.consecutive_failures(h) == 0 && self.now >= self.hosts.ejected_until(h);
         let able = self.hosts.sum_ready(|age| self.warmth(age), open);
         let filled = 1.0 - (-(self.now - self.born) as f64 / (4 * SECOND) as f64).exp();
         [
@@ -1133,7 +1147,7 @@
         // that has just turned over was cold, and has the queue of that time to work off.
         let full = self.flow[2] > 0.05 * self.flow[0] && now[1] > 0.95 * usual[1];
         [slower * f64::from(u8::from(usual[1] > 0.0)), 1.5]
-            [usize::from(full || 2 * self.hosts.young_count() > self.hosts.ready_count())]
+            [usize::from(full || 2 * self.hosts.recently_started() > self.hosts.ready_count())]
     }
 
     /// Guards against a build that slows the earlier hosts too: from its trial on every answer counts against
@@ -1170,21 +1184,31 @@
         let (waits, blamed, last) = (self.detour(1, op) > 0.0, self.blamed(), self.sums.len() - 1);
         let fewer = (self.load()[2] / self.usual_load[2].max(1e-9)).min(MOST_FEWER);
         let rules = &mut self.ops[op];
-        let [answered, time] = rules.counted;
+        let LatencyCount {
+            answered,
+            seconds: time,
+        } = rules.controller_count;
         let slower = |usual: f64| (mean.max(1e-6) / usual.max(1e-6)).ln().clamp(-2.0, 2.0);
         // More answers or fewer hosts than before explain slowness; losses may be the build's own doing.
         let more = fewer.max(self.traffic[1].max(self.traffic[0]) / self.usual_traffic.max(1.0));
         let more = 1.5 * more.ln().max(0.0);
-        let (usual, weight) = (rules.counted_usual, COUNT_WEIGHT * acked / (acked + 12.0));
+        let (usual, weight) = (
+            rules.controller_baseline,
+            COUNT_WEIGHT * acked / (acked + 12.0),
+        );
         if count.build < news.build || self.hosts.oldest_build().is_none_or(|b| b >= news.build) {
-            rules.counted = [0.8 * answered + acked, 0.8 * time + mean * acked];
-            rules.counted_lost = (lost / (n + 4.0)).max(0.8 * rules.counted_lost);
+            rules.controller_count = LatencyCount {
+                answered: 0.8 * answered + acked,
+                seconds: 0.8 * time + mean * acked,
+            };
+            rules.controller_loss = (lost / (n + 4.0)).max(0.8 * rules.controller_loss);
             if !on_trial {
-                rules.counted_usual = rules.counted[1] / rules.counted[0].max(1.0);
+                rules.controller_baseline =
+                    rules.controller_count.seconds / rules.controller_count.answered.max(1.0);
             }
         } else if !waits && on_trial {
             self.counted_in_stage += n;
-            let gain = blamed * (lost - n * rules.counted_lost) - n * FAIL_MARGIN;
+            let gain = blamed * (lost - n * rules.controller_loss) - n * FAIL_MARGIN;
             self.sums[op] = (self.sums[op] + gain.min(COUNT_WEIGHT / 2.0)).max(0.0);
             if answered >= 10.0 {
                 let late = &mut self.sums[last - 2];
@@ -1211,7 +1235,7 @@
         let build = self.hosts.build(h);
         let before = self
             .hosts
-            .line(h)
+            .endpoint(h)
             .started_at
             .is_some_and(|at| self.now - since < at);
         if !before && self.news.is_some_and(|n| build >= n.build) && !self.sent_back(build) {
@@ -1326,8 +1350,13 @@
         let whole = self.hosts.sum_ready(|age| self.warmth(age), |_| true);
         self.lived =
             self.lived * fade.powf(0.25) + whole * (self.now - self.beaten) as f64 / SECOND as f64;
-        let once =
-            self.fig.fleet * self.ops.iter().map(|o| o.target).fold(0.0, f64::max) / SECOND as f64;
+        let once = self.fig.fleet
+            * self
+                .ops
+                .iter()
+                .map(|o| o.latency_objective)
+                .fold(0.0, f64::max)
+            / SECOND as f64;
         let young = u8::from(self.now < self.born + 5 * SECOND);
         let pace = self.flow[1].max(young.into()) / self.lived.max(once);
         // A fleet that answers little for a while can still do what it did.
@@ -1345,7 +1374,7 @@
                 .for_each(|(usual, load)| *usual += pace * (load - *usual));
         }
         self.beaten = self.now;
-        self.hosts.forget_trouble();
+        self.hosts.forget_suspects();
         self.place_held(out);
         self.lapse(out);
         self.hurry(out);
@@ -1363,9 +1392,11 @@
                     .saturating_add((n.state == RolloutState::Released).into())
             });
             // A delivery may stay out for longer than a pin without use: its answer binds the key as well.
-            let kept = |p: &Pin| p.claims > 0 || p.answered_by.is_some_and(|b| Some(b.0) >= from);
+            let kept = |p: &StickyAssignment| {
+                p.claims > 0 || p.answered_by.is_some_and(|b| Some(b.0) >= from)
+            };
             self.pins.retain(|_, p| {
-                let stays = self.now - p.used < PIN_IDLE || self.fig.one_way && kept(p);
+                let stays = self.now - p.used_at < PIN_IDLE || self.fig.one_way && kept(p);
                 self.all_bound = self.all_bound.max(p.answered_by.filter(|_| !stays));
                 stays
             });
@@ -1373,8 +1404,43 @@
     }
 }
 
+/// The told terms as decisions use them.
+#[derive(Default)]
+struct DerivedConfig {
+    shares: Vec<f64>,
+    fleet: f64,
+    delivery_cap: usize,
+    side_by_side: bool,
+    may_cancel: bool,
+    longest_return: Option<Micros>,
+    cold_from: f64,
+    warm_within: Micros,
+    starts: StartSpans,
+    fall_span: Micros,
+    cold_part: f64,
+    gate: Gate,
+    first_cap: f64,
+    stage_shares: Vec<f64>,
+    free: f64,
+    span: Micros,
+    by_op: bool,
+    guarded_stages: u8,
+    one_way: bool,
+    rolling: bool,
+    go_wait: Micros,
+    /// Commands a second of a router of mean traffic; how long the desk takes for all votes.
+    even: f64,
+    vote_span: f64,
+    vote_life: Micros,
+    vote_wait: Micros,
+    /// Less than 1 where so few routers send a build back that the hastiest would decide for all.
+    few: f64,
+    complaint_weight: f64,
+    wrong_margin: f64,
+}
+
 /// What decisions use of the told terms.
-fn figures(terms: &ServiceConfig) -> Figures {
+fn figures(terms: &ServiceConfig) -> DerivedConfig {
     let quorum = terms.gate != Gate::Single && terms.rollback_votes > 0;
     let fleet = f64::from(terms.fleet_size.max(1));
     let few = if quorum {
@@ -1390,7 +1456,7 @@
     } else {
         alone
     };
-    Figures {
+    DerivedConfig {
         shares: if terms.tenant_quotas.is_empty() {
             vec![1.0]
         } else {
@@ -1409,7 +1475,7 @@
         starts: StartSpans {
             warming: warm,
             bounded: warm + SECOND,
-            young: 3 * warm,
+            recent: 3 * warm,
         },
         fall_span: terms.overload_window.max(1),
         cold_part: COLD_PART * terms.overload_multiple * terms.overload_window as f64
--- /dev/null
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -0,0 +1,308 @@
+//! What is known of each host, under a dense index, and figures over all of them that are kept as hosts change.
+//! Nothing here decides; `docs/scaling.md` lists the figures.
+
+mod figures;
+mod record;
+mod selection;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{ReadyHost, ReadyHosts, RecentStarts};
+use crate::{unit, BuildId, Endpoint, EndpointState, HostId, Micros};
+use record::HostRecord;
+
+/// The age of a process that started before anyone can say.
+const LONG_AGO: Micros = Micros::MAX / 2;
+
+/// For how long a started process counts as recent, for each of the uses of that.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StartSpans {
+    /// Its capacity still grows.
+    pub warming: Micros,
+    /// What it is sent is bounded.
+    pub bounded: Micros,
+    /// It counts as recently started where the capacity of all hosts is judged.
+    pub recent: Micros,
+}
+
+/// A host with open deliveries, ordered by when something last came back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QuietHost {
+    since: Micros,
+    host: usize,
+}
+
+/// All hosts that have ever been listed.
+#[derive(Debug, Default)]
+pub struct Hosts {
+    own_index: u32,
+    now: Micros,
+    records: Vec<HostRecord>,
+    /// Of each host, its rank from 0 to 1 in the order by hash.
+    ranks: Vec<f64>,
+    /// How many hosts were last said to run each build, ready or not.
+    builds: BTreeMap<BuildId, usize>,
+    ready: BTreeMap<BuildId, ReadyHosts>,
+    /// Returned for a build without ready hosts.
+    none_ready: ReadyHosts,
+    ready_count: usize,
+    spans: StartSpans,
+    warming: RecentStarts,
+    bounded: RecentStarts,
+    recent: RecentStarts,
+    /// Ready hosts that have failed in a row, or are ejected until a time that may be past.
+    suspects: BTreeSet<usize>,
+    quiet: BTreeSet<QuietHost>,
+    /// Hosts with a part in the evidence against their build.
+    with_evidence: BTreeSet<usize>,
+}
+
+impl Hosts {
+    /// No hosts yet. The router's own index decides the order of hosts by hash.
+    pub fn new(own_index: u32, spans: StartSpans, now: Micros) -> Self {
+        let mut hosts = Hosts {
+            own_index,
+            now,
+            ..Hosts::default()
+        };
+        hosts.set_spans(spans);
+        hosts
+    }
+
+    /// Uses other spans from now on, counted anew for all hosts.
+    pub fn set_spans(&mut self, spans: StartSpans) {
+        if spans == self.spans {
+            return;
+        }
+        let ready: Vec<usize> = self
+            .ready
+            .values()
+            .flat_map(|ready| ready.by_index().iter().copied())
+            .collect();
+        for &host in &ready {
+            self.remove_ready(host);
+        }
+        self.spans = spans;
+        self.warming = RecentStarts::new(spans.warming);
+        self.bounded = RecentStarts::new(spans.bounded);
+        self.recent = RecentStarts::new(spans.recent);
+        for &host in &ready {
+            self.insert_ready(host);
+        }
+    }
+
+    /// Sets the time, which does not go backwards.
+    pub fn advance(&mut self, now: Micros) {
+        self.now = now;
+        while let Some(host) = self.warming.pop_expired(now) {
+            let record = &self.records[host];
+            self.ready
+                .entry(record.build)
+                .or_default()
+                .warm_up(record.endpoint.size);
+        }
+        while let Some(host) = self.bounded.pop_expired(now) {
+            self.ready
+                .entry(self.records[host].build)
+                .or_default()
+                .remove_bound(host);
+        }
+        while self.recent.pop_expired(now).is_some() {}
+    }
+
+    /// Adds a host that the list names for the first time and returns its index; [`Hosts::update`] follows.
+    pub fn add(&mut self, endpoint: &Endpoint) -> usize {
+        let host = self.records.len();
+        let record = HostRecord::new(endpoint);
+        *self.builds.entry(record.build).or_default() += 1;
+        self.records.push(record);
+        self.ranks.push(unit(
+            u64::from(endpoint.host.0) << 32 | u64::from(self.own_index),
+        ));
+        host
+    }
+
+    /// Takes over what the list now says of a host.
+    pub fn update(&mut self, host: usize, endpoint: &Endpoint) {
+        let record = &mut self.records[host];
+        let before = record.endpoint;
+        let build = endpoint.build.unwrap_or(record.build);
+        let other_process = before.started_at != endpoint.started_at || record.build != build;
+        if !other_process && before.state == endpoint.state && before.size == endpoint.size {
+            record.endpoint = *endpoint;
+            return;
+        }
+        self.remove_ready(host);
+        if other_process {
+            // Another process, maybe another machine: nothing learned of the one before holds.
+            self.change_build(host, build);
+            self.records[host].forget_process();
+            self.with_evidence.remove(&host);
+        }
+        self.records[host].endpoint = *endpoint;
+        self.insert_ready(host);
+    }
+
+    /// Marks those hosts as gone that are not in a complete list.
+    pub fn retain_listed(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
+        for host in 0..self.records.len() {
+            let endpoint = *self.endpoint(host);
+            if !listed.contains(&endpoint.host) {
+                let gone = Endpoint {
+                    state: EndpointState::Gone,
+                    ..endpoint
+                };
+                self.update(host, &gone);
+            }
+        }
+    }
+
+    fn change_build(&mut self, host: usize, build: BuildId) {
+        let before = std::mem::replace(&mut self.records[host].build, build);
+        *self.builds.entry(build).or_default() += 1;
+        if let Some(count) = self.builds.get_mut(&before) {
+            *count -= 1;
+            if *count == 0 {
+                self.builds.remove(&before);
+            }
+        }
+    }
+
+    fn ready_host(&self, host: usize, warm: bool, bounded: bool) -> ReadyHost {
+        let record = &self.records[host];
+        ReadyHost {
+            host,
+            size: record.endpoint.size,
+            started_at: record.endpoint.started_at.unwrap_or(0),
+            warm,
+            bounded,
+            observed: record.is_observed(),
+        }
+    }
+
+    fn insert_ready(&mut self, host: usize) {
+        if !self.is_ready(host) {
+            return;
+        }
+        let started_at = self.endpoint(host).started_at;
+        let warming = self.warming.insert(started_at, host, self.now);
+        let bounded = self.bounded.insert(started_at, host, self.now);
+        self.recent.insert(started_at, host, self.now);
+        let member = self.ready_host(host, !warming, bounded);
+        self.ready
+            .entry(self.records[host].build)
+            .or_default()
+            .insert(member, &self.ranks);
+        self.ready_count += 1;
+        self.note_suspect(host);
+    }
+
+    fn remove_ready(&mut self, host: usize) {
+        if !self.is_ready(host) {
+            return;
+        }
+        let build = self.build(host);
+        let started_at = self.endpoint(host).started_at;
+        let warming = self.warming.remove(started_at, host);
+        let bounded = self.bounded.remove(started_at, host);
+        self.recent.remove(started_at, host);
+        let member = self.ready_host(host, !warming, bounded);
+        if let Some(ready) = self.ready.get_mut(&build) {
+            ready.remove(member, &self.ranks);
+            if ready.is_empty() {
+                self.ready.remove(&build);
+            }
+        }
+        self.ready_count -= 1;
+        self.suspects.remove(&host);
+    }
+
+    fn note_suspect(&mut self, host: usize) {
+        let record = &self.records[host];
+        if record.is_ready() && record.is_suspect(self.now) {
+            self.suspects.insert(host);
+        }
+    }
+
+    /// Forgets which hosts were ejected until a time that is over.
+    pub fn forget_suspects(&mut self) {
+        let records = &self.records;
+        let now = self.now;
+        self.suspects.retain(|&host| records[host].is_suspect(now));
+    }
+
+    /// The time that was last set.
+    pub fn now(&self) -> Micros {
+        self.now
+    }
+
+    /// For how long a started process counts as recent.
+    pub fn spans(&self) -> StartSpans {
+        self.spans
+    }
+
+    /// How many hosts have ever been listed: their indexes are below it.
+    pub fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// Whether no host has ever been listed.
+    pub fn is_empty(&self) -> bool {
+        self.records.is_empty()
+    }
+
+    /// How many hosts are ready.
+    pub fn ready_count(&self) -> usize {
+        self.ready_count
+    }
+
+    /// The builds that have a ready host, with those hosts' figures, oldest first.
+    pub fn ready_builds(&self) -> impl DoubleEndedIterator<Item = (BuildId, &ReadyHosts)> {
+        self.ready.iter().map(|(build, ready)| (*build, ready))
+    }
+
+    /// The ready hosts of a build; there may be none.
+    pub fn ready_with(&self, build: BuildId) -> &ReadyHosts {
+        self.ready.get(&build).unwrap_or(&self.none_ready)
+    }
+
+    /// The oldest build of any host, ready or not.
+    pub fn oldest_build(&self) -> Option<BuildId> {
+        self.builds.keys().next().copied()
+    }
+
+    /// Ready hosts whose capacity still grows.
+    pub fn warming(&self) -> impl Iterator<Item = usize> + '_ {
+        self.warming.iter()
+    }
+
+    /// Ready hosts for which what they are sent is bounded.
+    pub fn bounded(&self) -> impl Iterator<Item = usize> + '_ {
+        self.bounded.iter()
+    }
+
+    /// How many ready hosts have started recently.
+    pub fn recently_started(&self) -> usize {
+        self.recent.len()
+    }
+
+    /// Ready hosts that have failed in a row or were ejected; the time of some may be over.
+    pub fn suspects(&self) -> impl Iterator<Item = usize> + '_ {
+        self.suspects.iter().copied()
+    }
+
+    /// Hosts with open deliveries from which nothing has come back since before a time.
+    pub fn hosts_quiet_since(&self, before: Micros) -> impl Iterator<Item = usize> + '_ {
+        let end = QuietHost {
+            since: before,
+            host: 0,
+        };
+        self.quiet.range(..end).map(|quiet| quiet.host)
+    }
+
+    /// Hosts with a part in the evidence against their build.
+    pub fn with_evidence(&self) -> impl Iterator<Item = usize> + '_ {
+        self.with_evidence.iter().copied()
+    }
+}
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -1,20 +1,43 @@
-//! Figures about the ready hosts of one build, and queues of hosts that started of late.
+//! Figures about the ready hosts of one build, and queues of recently started hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, OnceLock};
 
 use crate::Micros;
 
-/// What the figures need to know of one host.
+/// What the figures need to know of one ready host.
 #[derive(Clone, Copy, Debug)]
-pub struct Member {
+pub struct ReadyHost {
+    /// Index of the host in [`super::Hosts`].
     pub host: usize,
+    /// Capacity relative to other hosts.
     pub size: f64,
-    pub started: Micros,
+    /// When its process started; 0 for long ago.
+    pub started_at: Micros,
+    /// Its slow start is over.
     pub warm: bool,
     /// What it is sent is bounded.
     pub bounded: bool,
-    pub heard: bool,
+    /// It has answered, or there is evidence against its build from it.
+    pub observed: bool,
+}
+
+/// Hosts whose slow start is over.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct WarmHosts {
+    /// How many there are.
+    pub count: usize,
+    /// The sum of their sizes.
+    pub size: f64,
+}
+
+/// Positions of the hosts whose deliveries are bounded, ascending.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct BoundedPositions {
+    /// In [`ReadyHosts::by_index`].
+    pub by_index: Vec<usize>,
+    /// In [`ReadyHosts::by_rank`].
+    pub by_rank: Vec<usize>,
 }
 
 /// The ready hosts of one build.
@@ -26,24 +49,23 @@
     starts: BTreeMap<Micros, usize>,
     sizes: BTreeMap<u64, usize>,
     bounded: BTreeSet<usize>,
-    /// Where the bounded hosts stand by index and by rank, from the first use after a change.
-    bounded_positions: OnceLock<[Vec<usize>; 2]>,
-    heard: usize,
-    warm: usize,
-    warm_size: f64,
+    /// Computed at the first use after a change.
+    bounded_positions: OnceLock<BoundedPositions>,
+    observed: usize,
+    warm: WarmHosts,
 }
 
 impl ReadyHosts {
-    /// Takes a host in; `ranks` has the place of each host where all are ordered by hash.
-    pub fn join(&mut self, member: Member, ranks: &[f64]) {
+    /// Adds a host; `ranks` has the rank of each host by hash, from 0 to 1.
+    pub fn insert(&mut self, member: ReadyHost, ranks: &[f64]) {
         let by_index = Arc::make_mut(&mut self.by_index);
         let position = by_index.partition_point(|&host| host < member.host);
         by_index.insert(position, member.host);
         let position = self.rank_position(ranks, member.host);
         Arc::make_mut(&mut self.by_rank).insert(position, member.host);
-        *self.starts.entry(member.started).or_default() += 1;
+        *self.starts.entry(member.started_at).or_default() += 1;
         *self.sizes.entry(member.size.to_bits()).or_default() += 1;
-        self.heard += usize::from(member.heard);
+        self.observed += usize::from(member.observed);
         if member.warm {
             self.warm_up(member.size);
         }
@@ -53,68 +75,73 @@
         self.bounded_positions.take();
     }
 
-    /// Undoes [`ReadyHosts::join`] of the same member.
-    pub fn leave(&mut self, member: Member, ranks: &[f64]) {
+    /// Undoes [`ReadyHosts::insert`] of the same host.
+    pub fn remove(&mut self, member: ReadyHost, ranks: &[f64]) {
         let by_index = Arc::make_mut(&mut self.by_index);
         let position = by_index.partition_point(|&host| host < member.host);
         by_index.remove(position);
         let position = self.rank_position(ranks, member.host);
         Arc::make_mut(&mut self.by_rank).remove(position);
-        take_one(&mut self.starts, member.started);
-        take_one(&mut self.sizes, member.size.to_bits());
-        self.heard -= usize::from(member.heard);
-        self.unbound(member.host);
+        decrement(&mut self.starts, member.started_at);
+        decrement(&mut self.sizes, member.size.to_bits());
+        self.observed -= usize::from(member.observed);
+        self.remove_bound(member.host);
         if member.warm {
-            self.warm -= 1;
+            self.warm.count -= 1;
             // Rounding left over by hosts that have gone does not outlive them.
-            self.warm_size = if self.warm == 0 {
+            self.warm.size = if self.warm.count == 0 {
                 0.0
             } else {
-                self.warm_size - member.size
+                self.warm.size - member.size
             };
         }
     }
 
     /// A host of this size has become warm.
     pub fn warm_up(&mut self, size: f64) {
-        self.warm += 1;
-        self.warm_size += size;
+        self.warm.count += 1;
+        self.warm.size += size;
     }
 
     /// What a host is sent is bounded no longer.
-    pub fn unbound(&mut self, host: usize) {
+    pub fn remove_bound(&mut self, host: usize) {
         self.bounded.remove(&host);
         self.bounded_positions.take();
     }
 
-    /// Whether a host counts as heard has changed.
-    pub fn set_heard(&mut self, before: bool, after: bool) {
-        self.heard = self.heard - usize::from(before) + usize::from(after);
+    /// Whether a host counts as observed has changed.
+    pub fn set_observed(&mut self, before: bool, after: bool) {
+        self.observed = self.observed - usize::from(before) + usize::from(after);
     }
 
+    /// How many hosts there are.
     pub fn len(&self) -> usize {
         self.by_index.len()
     }
 
+    /// Whether there is no host.
     pub fn is_empty(&self) -> bool {
         self.by_index.is_empty()
     }
 
+    /// The hosts by ascending index.
     pub fn by_index(&self) -> &Arc<Vec<usize>> {
         &self.by_index
     }
 
+    /// The hosts by ascending rank.
     pub fn by_rank(&self) -> &Arc<Vec<usize>> {
         &self.by_rank
     }
 
-    pub fn heard(&self) -> usize {
-        self.heard
+    /// How many hosts have answered, or have evidence against their build.
+    pub fn observed(&self) -> usize {
+        self.observed
     }
 
-    /// Hosts that are warm, and the sum of their sizes.
-    pub fn warm(&self) -> (usize, f64) {
-        (self.warm, self.warm_size)
+    /// Hosts whose slow start is over.
+    pub fn warm(&self) -> WarmHosts {
+        self.warm
     }
 
     /// The latest start, 0 for one long ago; `None` where there is no host.
@@ -131,34 +158,37 @@
             .map_or(0.0, f64::from_bits)
     }
 
-    /// Where the hosts stand whose deliveries are bounded, ascending: in [`ReadyHosts::by_index`] and in
-    /// [`ReadyHosts::by_rank`].
-    pub fn bounded_positions(&self) -> &[Vec<usize>; 2] {
-        self.bounded_positions.get_or_init(|| {
-            let by_index = self
-                .bounded
-                .iter()
-                .filter_map(|&host| self.index_position(host))
-                .collect();
-            let mut by_rank = Vec::new();
-            if !self.bounded.is_empty() {
-                let hosts = self.by_rank.iter().enumerate();
-                by_rank.extend(
-                    hosts
-                        .filter(|(_, host)| self.bounded.contains(host))
-                        .map(|(p, _)| p),
-                );
-            }
-            [by_index, by_rank]
-        })
-    }
-
-    /// Where a host stands in [`ReadyHosts::by_index`]; `None` for one that is not among them.
+    /// Positions of the hosts whose deliveries are bounded.
+    pub fn bounded_positions(&self) -> &BoundedPositions {
+        self.bounded_positions
+            .get_or_init(|| self.find_bounded_positions())
+    }
+
+    fn find_bounded_positions(&self) -> BoundedPositions {
+        if self.bounded.is_empty() {
+            return BoundedPositions::default();
+        }
+        let by_index = self
+            .bounded
+            .iter()
+            .filter_map(|&host| self.index_position(host))
+            .collect();
+        let by_rank = self
+            .by_rank
+            .iter()
+            .enumerate()
+            .filter(|(_, host)| self.bounded.contains(host))
+            .map(|(position, _)| position)
+            .collect();
+        BoundedPositions { by_index, by_rank }
+    }
+
+    /// Position of a host in [`ReadyHosts::by_index`]; `None` for one that is not among them.
     pub fn index_position(&self, host: usize) -> Option<usize> {
         self.by_index.binary_search(&host).ok()
     }
 
-    /// Where a host stands, or would stand, in [`ReadyHosts::by_rank`].
+    /// Position that a host has, or would have, in [`ReadyHosts::by_rank`].
     pub fn rank_position(&self, ranks: &[f64], host: usize) -> usize {
         let before = |other: &usize| {
             ranks[*other]
@@ -170,7 +200,8 @@
     }
 }
 
-fn take_one<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
+/// Takes one off a count and drops it at zero.
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
     if let Some(count) = counts.get_mut(&key) {
         *count -= 1;
         if *count == 0 {
@@ -179,14 +210,22 @@
     }
 }
 
+/// Ordered by time, then by host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Start {
+    at: Micros,
+    host: usize,
+}
+
 /// Hosts whose process started within a span before now.
 #[derive(Debug, Default)]
 pub struct RecentStarts {
     span: Micros,
-    by_start: BTreeSet<(Micros, usize)>,
+    by_start: BTreeSet<Start>,
 }
 
 impl RecentStarts {
+    /// No hosts yet.
     pub fn new(span: Micros) -> Self {
         RecentStarts {
             span,
@@ -194,42 +233,45 @@
         }
     }
 
-    /// Takes a host in if it started within the span; says whether it did.
+    /// Adds a host if it started within the span; says whether it did.
     pub fn insert(&mut self, started: Option<Micros>, host: usize, now: Micros) -> bool {
         let Some(started) = started.filter(|started| now - started < self.span) else {
             return false;
         };
-        self.by_start.insert((started, host))
+        self.by_start.insert(Start { at: started, host })
     }
 
-    /// Says whether the host was among them.
+    /// Removes a host; says whether it was among them.
     pub fn remove(&mut self, started: Option<Micros>, host: usize) -> bool {
-        started.is_some_and(|started| self.by_start.remove(&(started, host)))
+        started.is_some_and(|started| self.by_start.remove(&Start { at: started, host }))
     }
 
-    /// Takes out one host that started earlier than the span before now.
-    pub fn pop_over(&mut self, now: Micros) -> Option<usize> {
-        let (started, _) = self.by_start.first()?;
-        if now - started < self.span {
+    /// Removes one host that started earlier than the span before now.
+    pub fn pop_expired(&mut self, now: Micros) -> Option<usize> {
+        let earliest = self.by_start.first()?;
+        if now - earliest.at < self.span {
             return None;
         }
-        self.by_start.pop_first().map(|(_, host)| host)
+        self.by_start.pop_first().map(|start| start.host)
     }
 
+    /// Whether a host with this start is among them.
     pub fn contains(&self, started: Option<Micros>, host: usize) -> bool {
-        started.is_some_and(|started| self.by_start.contains(&(started, host)))
+        started.is_some_and(|started| self.by_start.contains(&Start { at: started, host }))
     }
 
+    /// How many hosts there are.
     pub fn len(&self) -> usize {
         self.by_start.len()
     }
 
+    /// Whether there is no host.
     pub fn is_empty(&self) -> bool {
         self.by_start.is_empty()
     }
 
     /// By the time of their start, then by index.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
-        self.by_start.iter().map(|(_, host)| *host)
+        self.by_start.iter().map(|start| start.host)
     }
 }
--- a/crates/spokeflow-core/src/state/window.rs
+++ b/crates/spokeflow-core/src/state/window.rs
@@ -1,13 +1,19 @@
-//! Events of a span of time with their numbers by kind, kept as events come and go.
+//! Events of a sliding window of time with their numbers by kind, kept as events come and go.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
 
+#[derive(Clone, Copy, Debug)]
+struct Event<K> {
+    at: Micros,
+    kind: K,
+}
+
 /// Events in the order of their times, each of a kind.
 #[derive(Debug)]
 pub struct Window<K> {
-    events: VecDeque<(Micros, K)>,
+    events: VecDeque<Event<K>>,
     counts: BTreeMap<K, usize>,
 }
 
@@ -23,17 +29,17 @@
 impl<K: Copy + Ord> Window<K> {
     /// Adds an event; times do not go backwards.
     pub fn push(&mut self, at: Micros, kind: K) {
-        self.events.push_back((at, kind));
+        self.events.push_back(Event { at, kind });
         *self.counts.entry(kind).or_default() += 1;
     }
 
     /// Removes the events before `from`.
     pub fn forget_before(&mut self, from: Micros) {
-        while let Some((_, kind)) = self.events.pop_front_if(|(at, _)| *at < from) {
-            if let Some(count) = self.counts.get_mut(&kind) {
+        while let Some(event) = self.events.pop_front_if(|event| event.at < from) {
+            if let Some(count) = self.counts.get_mut(&event.kind) {
                 *count -= 1;
                 if *count == 0 {
-                    self.counts.remove(&kind);
+                    self.counts.remove(&event.kind);
                 }
             }
         }
@@ -58,11 +64,3 @@
             .sum()
     }
 }
-
-impl<K: Copy + Ord> Extend<(Micros, K)> for Window<K> {
-    fn extend<I: IntoIterator<Item = (Micros, K)>>(&mut self, events: I) {
-        events
-            .into_iter()
-            .for_each(|(at, kind)| self.push(at, kind));
-    }
-}
--- a/crates/spokeflow-core/tests/kept_figures.rs
+++ b/crates/spokeflow-core/tests/kept_figures.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use scenario::*;
-use spokeflow_core::state::{Hosts, Pool, ReadyHosts, StartSpans, Window};
+use spokeflow_core::state::{
+    BoundedPositions, CandidateSet, Hosts, ReadyHosts, StartSpans, WarmHosts, Window,
+};
 use spokeflow_core::*;
 
 const LENGTH: Micros = 15 * SECOND;
@@ -44,7 +46,7 @@
 }
 
 fn ready(hosts: &Hosts) -> impl Iterator<Item = usize> + '_ {
-    all(hosts).filter(|&h| hosts.line(h).state == EndpointState::Ready)
+    all(hosts).filter(|&h| hosts.endpoint(h).state == EndpointState::Ready)
 }
 
 fn ready_of(hosts: &Hosts, build: BuildId) -> Vec<usize> {
@@ -57,7 +59,7 @@
 
 fn age(hosts: &Hosts, h: usize) -> Micros {
     hosts
-        .line(h)
+        .endpoint(h)
         .started_at
         .map_or(Micros::MAX / 2, |started| (hosts.now() - started).max(0))
 }
@@ -126,7 +128,7 @@
     let latest = |hosts: &Hosts, plain: &[usize]| {
         plain
             .iter()
-            .map(|&h| hosts.line(h).started_at.unwrap_or(0))
+            .map(|&h| hosts.endpoint(h).started_at.unwrap_or(0))
             .max()
             .unwrap_or(0)
     };
@@ -138,7 +140,7 @@
     let largest = |hosts: &Hosts, plain: &[usize]| {
         plain
             .iter()
-            .map(|&h| hosts.line(h).size)
+            .map(|&h| hosts.endpoint(h).size)
             .fold(0.0, f64::max)
     };
     for_each_build(ReadyHosts::largest_size, largest);
@@ -149,10 +151,10 @@
     let heard = |hosts: &Hosts, plain: &[usize]| {
         plain
             .iter()
-            .filter(|&&h| hosts.answers(h) > 0 || hosts.blame(h) > 0.0)
+            .filter(|&&h| hosts.answers(h) > 0 || hosts.evidence(h) > 0.0)
             .count()
     };
-    for_each_build(ReadyHosts::heard, heard);
+    for_each_build(ReadyHosts::observed, heard);
 }
 
 #[test]
@@ -161,8 +163,9 @@
         let warm = plain
             .iter()
             .filter(|&&h| age(hosts, h) >= hosts.spans().warming);
-        warm.fold((0, 0.0), |(count, size), &h| {
-            (count + 1, size + hosts.line(h).size)
+        warm.fold(WarmHosts::default(), |sum, &h| WarmHosts {
+            count: sum.count + 1,
+            size: sum.size + hosts.endpoint(h).size,
         })
     };
     for_each_build(ReadyHosts::warm, warm);
@@ -197,7 +200,7 @@
             hosts.bounded().collect::<BTreeSet<_>>(),
             younger(hosts, spans.bounded)
         );
-        assert_eq!(hosts.young_count(), younger(hosts, spans.young).len());
+        assert_eq!(hosts.recently_started(), younger(hosts, spans.recent).len());
     });
 }
 
@@ -215,10 +218,10 @@
     let plain = |hosts: &Hosts, members: &[usize]| {
         let mut by_rank = members.to_vec();
         by_rank.sort_by(|&a, &b| hosts.rank(a).total_cmp(&hosts.rank(b)));
-        [
-            positions(hosts, members.to_vec()),
-            positions(hosts, by_rank),
-        ]
+        BoundedPositions {
+            by_index: positions(hosts, members.to_vec()),
+            by_rank: positions(hosts, by_rank),
+        }
     };
     for_each_build(|ready| ready.bounded_positions().clone(), plain);
 }
@@ -227,8 +230,9 @@
 fn hosts_with_a_strike_or_shut_are_known() {
     let mut most = 0;
     after_each_step(|_, hosts| {
-        let kept: BTreeSet<usize> = hosts.troubled().collect();
-        let troubled = |h: &usize| hosts.strikes(*h) > 0 || hosts.shut_until(*h) > hosts.now();
+        let kept: BTreeSet<usize> = hosts.suspects().collect();
+        let troubled =
+            |h: &usize| hosts.consecutive_failures(*h) > 0 || hosts.ejected_until(*h) > hosts.now();
         let plain: BTreeSet<usize> = ready(hosts).filter(troubled).collect();
         assert!(
             kept.is_superset(&plain),
@@ -236,11 +240,12 @@
         );
         assert!(
             kept.iter()
-                .all(|&h| hosts.line(h).state == EndpointState::Ready),
+                .all(|&h| hosts.endpoint(h).state == EndpointState::Ready),
             "none that is not ready"
         );
         // The shut time of those that are open again ended within the last interval of wake-ups.
-        let over = |h: &&usize| !plain.contains(h) && hosts.now() - hosts.shut_until(**h) > SECOND;
+        let over =
+            |h: &&usize| !plain.contains(h) && hosts.now() - hosts.ejected_until(**h) > SECOND;
         assert_eq!(kept.iter().find(over), None, "forgotten in time");
         most = most.max(plain.len());
     });
@@ -254,16 +259,16 @@
         for h in all(hosts) {
             assert_eq!(
                 hosts.in_flight(h) as usize,
-                world.open_at(hosts.line(h).host),
+                world.open_at(hosts.endpoint(h).host),
                 "at host {h}"
             );
         }
         for span in SILENT_FOR {
             let before = hosts.now() - span;
-            let silent = |h: &usize| hosts.in_flight(*h) > 0 && hosts.mute_since(*h) < before;
+            let silent = |h: &usize| hosts.in_flight(*h) > 0 && hosts.quiet_since(*h) < before;
             let plain: BTreeSet<usize> = all(hosts).filter(silent).collect();
             assert_eq!(
-                hosts.silent_since(before).collect::<BTreeSet<_>>(),
+                hosts.hosts_quiet_since(before).collect::<BTreeSet<_>>(),
                 plain,
                 "for {span} us"
             );
@@ -277,8 +282,8 @@
 fn blamed_hosts_are_known() {
     let mut most = 0;
     after_each_step(|_, hosts| {
-        let plain: BTreeSet<usize> = all(hosts).filter(|&h| hosts.blame(h) != 0.0).collect();
-        assert_eq!(hosts.blamed().collect::<BTreeSet<_>>(), plain);
+        let plain: BTreeSet<usize> = all(hosts).filter(|&h| hosts.evidence(h) != 0.0).collect();
+        assert_eq!(hosts.with_evidence().collect::<BTreeSet<_>>(), plain);
         most = most.max(plain.len());
     });
     assert!(most > 1, "some are blamed at times: {most}");
@@ -289,7 +294,7 @@
     let spans = StartSpans {
         warming: SECOND,
         bounded: 2 * SECOND,
-        young: 3 * SECOND,
+        recent: 3 * SECOND,
     };
     let mut hosts = Hosts::new(0, spans, 0);
     let line = Endpoint {
@@ -303,8 +308,8 @@
     };
     let h = hosts.add(&line);
     hosts.update(h, &line);
-    hosts.set_blame(h, 1.0);
-    assert_eq!(hosts.blamed().collect::<Vec<_>>(), [h]);
+    hosts.set_evidence(h, 1.0);
+    assert_eq!(hosts.with_evidence().collect::<Vec<_>>(), [h]);
     hosts.update(
         h,
         &Endpoint {
@@ -312,7 +317,7 @@
             ..line
         },
     );
-    assert_eq!((hosts.blame(h), hosts.blamed().count()), (0.0, 0));
+    assert_eq!((hosts.evidence(h), hosts.with_evidence().count()), (0.0, 0));
 }
 
 #[test]
@@ -320,7 +325,8 @@
     after_each_step(|_, hosts| {
         let span = hosts.spans().warming;
         let weight = |age: Micros| 0.4 + 0.6 * (age.min(span) as f64 / span as f64);
-        let open = |h: usize| hosts.strikes(h) == 0 && hosts.now() >= hosts.shut_until(h);
+        let open =
+            |h: usize| hosts.consecutive_failures(h) == 0 && hosts.now() >= hosts.ejected_until(h);
         for (kept, plain) in [
             (
                 hosts.sum_ready(weight, |_| true),
@@ -340,7 +346,7 @@
             let members = ready_of(hosts, build);
             let plain: f64 = members
                 .iter()
-                .map(|&h| weight(age(hosts, h)) * hosts.line(h).size)
+                .map(|&h| weight(age(hosts, h)) * hosts.endpoint(h).size)
                 .sum();
             let kept = hosts.sum_sizes(weight, |b| b == build);
             assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
@@ -349,7 +355,7 @@
 }
 
 /// What a pool answers against a list of the hosts that it should hold.
-fn assert_holds(pool: &Pool, plain: &[usize]) {
+fn assert_holds(pool: &CandidateSet, plain: &[usize]) {
     assert_eq!(pool.iter().collect::<Vec<_>>(), plain);
     assert_eq!(
         (pool.len(), pool.is_empty()),
@@ -374,8 +380,9 @@
         for build in ready_builds(hosts) {
             let named = ready_of(hosts, build)[0];
             let doubtful = |h: usize| {
-                let silent = hosts.in_flight(h) > 0 && hosts.mute_since(h) < silent;
-                let troubled = hosts.strikes(h) > 0 || hosts.shut_until(h) > hosts.now();
+                let silent = hosts.in_flight(h) > 0 && hosts.quiet_since(h) < silent;
+                let troubled =
+                    hosts.consecutive_failures(h) > 0 || hosts.ejected_until(h) > hosts.now();
                 troubled || silent || h == named
             };
             let looked_up = doubtful;
@@ -387,12 +394,12 @@
             let mut by_rank = members.clone();
             by_rank.sort_by(|&a, &b| hosts.rank(a).total_cmp(&hosts.rank(b)));
             by_rank.truncate(own);
-            let whole = hosts.pool(build);
+            let whole = hosts.candidates(build);
             for (mut pool, mut plain) in [
                 (whole.clone(), members.clone()),
                 (hosts.first_by_rank(whole, own), by_rank),
             ] {
-                hosts.doubt(&mut pool, false, silent, [named].into_iter());
+                hosts.mark_suspects(&mut pool, false, silent, [named].into_iter());
                 let walks = plain.len() < 8
                     || plain.iter().filter(|&&h| doubtful(h)).count() > plain.len() / 8;
                 *(if walks { &mut walked } else { &mut exact }) += 1;
@@ -406,7 +413,7 @@
                 assert_holds(&pool, &plain);
                 let largest = plain
                     .iter()
-                    .map(|&h| hosts.line(h).size)
+                    .map(|&h| hosts.endpoint(h).size)
                     .fold(0.0, f64::max);
                 assert_eq!(hosts.largest_size(&pool), largest);
             }
@@ -422,15 +429,15 @@
 fn pools_of_hosts_that_no_detour_leads_to_keep_the_order_by_hash() {
     after_each_step(|_, hosts| {
         for build in ready_builds(hosts) {
-            let near = |h: usize| hosts.line(h).zone != ZoneId(1);
-            let mut pool = hosts.pool(build);
-            pool.doubt_all();
+            let near = |h: usize| hosts.endpoint(h).zone != ZoneId(1);
+            let mut pool = hosts.candidates(build);
+            pool.mark_all_unverified();
             pool.retain(near);
             let mut plain = ready_of(hosts, build);
             plain.retain(|&h| near(h));
             assert_holds(&pool, &plain);
             let mut checked = pool.clone();
-            hosts.doubt(&mut checked, false, Micros::MIN, std::iter::empty());
+            hosts.mark_suspects(&mut checked, false, Micros::MIN, std::iter::empty());
             let passes = |h: usize| unit(h as u64) < 0.5;
             checked.retain(passes);
             assert_holds(
@@ -445,7 +452,7 @@
             plain.truncate(plain.len() / 2);
             let mut pool = hosts.first_by_rank(pool, plain.len());
             assert_holds(&pool, &plain);
-            hosts.doubt(&mut pool, false, Micros::MIN, std::iter::empty());
+            hosts.mark_suspects(&mut pool, false, Micros::MIN, std::iter::empty());
             assert_holds(&pool, &plain);
         }
     });
