--- /dev/null
+++ b/crates/spokeflow-control-plane/src/flags.rs
@@ -0,0 +1,232 @@
+//! The flags of a control-plane node and the check of them at start.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use clap::Args;
+use spokeflow_config::{check_overrides, ConfigErrors};
+use spokeflow_coordination::wire::ClusterParameters;
+use spokeflow_coordination::{CoordinatorConfig, LeaseConfig};
+use spokeflow_core::Micros;
+use spokeflow_raft::{NodeId, RaftConfig};
+use spokeflow_runtime::LogFormat;
+
+use crate::CrashTarget;
+
+/// Voters at most: more make each commit slower and survive hardly more failures.
+const MAX_VOTERS: usize = 7;
+
+/// Largest share by which a clock may run fast or slow: far beyond any that works.
+const MAX_CLOCK_DRIFT: f64 = 0.1;
+
+/// Heartbeats within an election timeout at least, so that one lost message starts no election.
+const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
+
+/// Election timeouts within a lease at least. An election takes two of them and a round trip; a lease that is over
+/// before would be lost by all routers.
+const MIN_ELECTIONS_PER_LEASE: u32 = 4;
+
+fn parse_duration(text: &str) -> Result<Duration, String> {
+    humantime::parse_duration(text)
+        .map_err(|error| format!("{error}; a time with its unit, such as 250ms or 2s"))
+}
+
+/// A node of the fleet's first set, as `--member` names it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MemberFlag {
+    /// Its number.
+    pub id: u32,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+impl MemberFlag {
+    /// Reads `ID=ADDRESS`. A value parser for clap.
+    fn parse(text: &str) -> Result<Self, String> {
+        let (id, address) = text.split_once('=').ok_or("not ID=ADDRESS")?;
+        let id = id.parse().map_err(|_| format!("'{id}' is not a number"))?;
+        let address = address
+            .parse()
+            .map_err(|_| format!("'{address}' is not an address with a port"))?;
+        Ok(MemberFlag { id, address })
+    }
+}
+
+/// Everything that a node is configured with.
+#[derive(Clone, Debug, Args)]
+pub struct ControlPlaneFlags {
+    /// Number of this node, never given to another one, not even in its place
+    #[arg(long, env = "SPOKEFLOW_NODE_ID")]
+    pub id: u32,
+    /// Where routers, operators and other nodes connect; port 0 takes a free one, which is printed
+    #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7500")]
+    pub listen: SocketAddr,
+    /// A node of the fleet's first set: ID=ADDRESS; one, three, five or seven, this one among them, the same for all.
+    /// With --join the nodes to ask for the others: this one then waits to be added
+    #[arg(long = "member", env = "SPOKEFLOW_MEMBER", value_delimiter = ',', value_parser = MemberFlag::parse)]
+    pub members: Vec<MemberFlag>,
+    /// Starts as a node that is yet to be added
+    #[arg(long, env = "SPOKEFLOW_JOIN")]
+    pub join: bool,
+    /// File of the durable store, made where there is none
+    #[arg(long, env = "SPOKEFLOW_STORE")]
+    pub store: PathBuf,
+    /// The host list that routers with --replicated-list follow: the leader reads it
+    #[arg(long, env = "SPOKEFLOW_LIST")]
+    pub list: Option<SocketAddr>,
+    /// Number of the fleet; a node of another one is refused, and so is its store
+    #[arg(long, env = "SPOKEFLOW_FLEET", default_value_t = 0)]
+    pub fleet: u64,
+    /// After this time without a message from the leader another may be elected
+    #[arg(long, alias = "silence", env = "SPOKEFLOW_ELECTION_TIMEOUT", default_value = "500ms", value_parser = parse_duration)]
+    pub election_timeout: Duration,
+    /// How often the leader sends a heartbeat
+    #[arg(long, alias = "beat", env = "SPOKEFLOW_HEARTBEAT_INTERVAL", default_value = "100ms", value_parser = parse_duration)]
+    pub heartbeat_interval: Duration,
+    /// How long a router may act on the configuration it received last
+    #[arg(long, env = "SPOKEFLOW_LEASE", default_value = "3s", value_parser = parse_duration)]
+    pub lease: Duration,
+    /// How much faster or slower than true any clock of the fleet may run, as a fraction
+    #[arg(
+        long,
+        alias = "drift",
+        env = "SPOKEFLOW_MAX_CLOCK_DRIFT",
+        default_value_t = 0.01
+    )]
+    pub max_clock_drift: f64,
+    /// Connections of routers, operators and other nodes at most
+    #[arg(
+        long,
+        alias = "callers-at-most",
+        env = "SPOKEFLOW_MAX_CONNECTIONS",
+        default_value_t = 4096
+    )]
+    pub max_connections: usize,
+    /// Which lines are logged, in the form of the tracing library, such as info or debug
+    #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
+    pub log: String,
+    /// Form of the log
+    #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
+    pub log_form: LogFormat,
+    /// For tests: crashes at this point, POINT:NTH
+    #[arg(long, alias = "die-at", hide = true, value_parser = CrashTarget::parse)]
+    pub crash_at: Option<CrashTarget>,
+    /// For tests: the disk fails from this write on
+    #[arg(long, hide = true)]
+    pub fail_writes_from: Option<u64>,
+}
+
+impl ControlPlaneFlags {
+    /// Checks the flags against each other.
+    ///
+    /// # Errors
+    ///
+    /// Every fault, one a line, naming its flag.
+    pub fn check(&self) -> Result<(), ConfigErrors> {
+        let mut errors = ConfigErrors::default();
+        self.check_members(&mut errors);
+        self.check_timing(&mut errors);
+        errors.check(self.max_connections == 0, "max-connections", "at least 1");
+        errors.or_value(())
+    }
+
+    fn check_members(&self, errors: &mut ConfigErrors) {
+        let count = self.members.len();
+        let mut ids: Vec<u32> = self.members.iter().map(|member| member.id).collect();
+        ids.sort_unstable();
+        ids.dedup();
+        let id = self.id;
+        let includes_itself = ids.contains(&id);
+        errors.check(ids.len() != count, "member", "a number is given twice");
+        if self.join {
+            errors.check(
+                includes_itself,
+                "member",
+                format!("{id} is this one, which joins"),
+            );
+        } else {
+            errors.check(
+                count.is_multiple_of(2) || count > MAX_VOTERS,
+                "member",
+                format!("{count} of them, not 1, 3, 5 or 7"),
+            );
+            errors.check(
+                !includes_itself,
+                "member",
+                format!("node {id} itself is not among them"),
+            );
+        }
+    }
+
+    fn check_timing(&self, errors: &mut ConfigErrors) {
+        let election_timeout = self.election_timeout;
+        errors.check(
+            self.heartbeat_interval.is_zero(),
+            "heartbeat-interval",
+            "above 0s",
+        );
+        errors.check(
+            self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION > election_timeout,
+            "heartbeat-interval",
+            format!("over a third of --election-timeout {election_timeout:?}"),
+        );
+        let drift = self.max_clock_drift;
+        errors.check(
+            !(0.0..=MAX_CLOCK_DRIFT).contains(&drift),
+            "max-clock-drift",
+            format!("{drift} is not between 0 and {MAX_CLOCK_DRIFT}"),
+        );
+        errors.check(
+            self.lease < election_timeout * MIN_ELECTIONS_PER_LEASE,
+            "lease",
+            format!("under four times --election-timeout {election_timeout:?}"),
+        );
+    }
+
+    /// The configuration of the coordinator.
+    pub(crate) fn coordinator_config(&self) -> CoordinatorConfig {
+        let voters = match self.join {
+            true => Vec::new(),
+            false => self
+                .members
+                .iter()
+                .map(|member| NodeId(member.id))
+                .collect(),
+        };
+        let addresses = self
+            .members
+            .iter()
+            .map(|member| (NodeId(member.id), member.address.to_string()))
+            .collect();
+        CoordinatorConfig {
+            id: NodeId(self.id),
+            raft: RaftConfig {
+                voters,
+                election_timeout: micros(self.election_timeout),
+                heartbeat_interval: micros(self.heartbeat_interval),
+                max_clock_drift: self.max_clock_drift,
+            },
+            lease: LeaseConfig {
+                duration: micros(self.lease),
+                max_clock_drift: self.max_clock_drift,
+            },
+            addresses,
+            check: |values| check_overrides(values).map_err(|errors| errors.to_string()),
+        }
+    }
+
+    /// What all nodes of the fleet must be configured with alike.
+    pub(crate) fn cluster_parameters(&self) -> ClusterParameters {
+        ClusterParameters {
+            fleet: self.fleet,
+            election_timeout_us: self.election_timeout.as_micros() as u64,
+            lease_us: self.lease.as_micros() as u64,
+            max_clock_drift: self.max_clock_drift,
+        }
+    }
+}
+
+fn micros(duration: Duration) -> Micros {
+    duration.as_micros() as Micros
+}
--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -1,141 +1,172 @@
-//! The link to the host list's source, which the leading keeper reads.
+//! The link to the source of the host list, which the leader reads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::{HostState, ListedHost, SourceUpdate};
-use spokeflow_proto::{FrameCodec, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT};
+use spokeflow_proto::{
+    FrameCodec, FrameFault, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT,
+};
 use spokeflow_runtime::Backoff;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::event::NodeEvent;
+use crate::link::Link;
+use crate::node_event::NodeEvent;
 
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The whole list is asked for this often: news that was not taken in, for whatever reason, comes again.
-const WHOLE_EVERY: Duration = Duration::from_secs(2);
+/// The source is connected, and takes what it is sent, within this time.
+const SOURCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The complete list is requested this often: an update that was not applied, for whatever reason, comes again.
+const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);
+/// Requests without any message from the source, after which the connection is opened anew.
+const MAX_UNANSWERED: u32 = 3;
 
-pub struct ListLink {
-    pub address: SocketAddr,
-    pub backoff: Backoff,
-    pub core: mpsc::Sender<NodeEvent>,
-    /// Whether this keeper is the one to read.
-    pub reads: watch::Receiver<bool>,
+/// The link to the source.
+pub(crate) struct ListLink {
+    pub(crate) address: SocketAddr,
+    pub(crate) backoff: Backoff,
+    pub(crate) events: mpsc::Sender<NodeEvent>,
+    /// Whether this node is the one to read.
+    pub(crate) is_reader: watch::Receiver<bool>,
 }
 
+/// Why the source cannot be read.
+#[derive(Debug, Error)]
+enum SourceError {
+    #[error(transparent)]
+    Frame(#[from] FrameFault),
+    #[error("no answer in time")]
+    OpenTimedOut,
+    #[error("no welcome but {0}")]
+    NoWelcome(String),
+    #[error("{0}")]
+    Refused(String),
+    #[error("the connection ended")]
+    Closed,
+    #[error("the source does not read")]
+    SendTimedOut,
+    #[error("the source sends nothing")]
+    Silent,
+}
+
+type SourceLink = Link<FromList, ToList>;
+
 impl ListLink {
-    pub async fn run(mut self) {
+    /// Reads the source whenever this node is the reader, until the node task is gone.
+    pub(crate) async fn run(mut self) {
         let mut failures = 0;
         loop {
-            if self.reads.wait_for(|reads| *reads).await.is_err() {
+            if self
+                .is_reader
+                .wait_for(|is_reader| *is_reader)
+                .await
+                .is_err()
+            {
                 return;
             }
-            info!("reads the host list");
+            info!("reading the host list");
             match self.read().await {
                 Ok(()) => failures = 0,
-                Err(what) => {
+                Err(error) => {
                     failures += 1;
-                    warn!(failures, what, "host list cannot be read");
+                    warn!(failures, %error, "host list cannot be read");
                     sleep(self.backoff.delay(failures)).await;
                 }
             }
         }
     }
 
-    /// Until another keeper is to read. Errors: the source, in a few words.
-    async fn read(&mut self) -> Result<(), String> {
-        let opening = async {
-            let stream = TcpStream::connect(self.address)
-                .await
-                .map_err(|e| e.to_string())?;
-            let _ = stream.set_nodelay(true);
-            let mut link: Framed<TcpStream, FrameCodec<FromList, ToList>> =
-                Framed::new(stream, FrameCodec::new(LIST_LIMIT));
-            // Of the routers' kind: the list tells its callers apart by nothing else.
-            link.send(ToList::Hello(Hello::new(Role::Router, 0, 0)))
-                .await
-                .map_err(|e| e.to_string())?;
-            match link.next().await {
-                Some(Ok(FromList::Welcome)) => {}
-                other => return Err(format!("no welcome but {other:?}")),
-            }
-            link.send(ToList::Watch { have: None })
-                .await
-                .map_err(|e| e.to_string())?;
-            Ok(link)
-        };
-        let mut link = timeout(PATIENCE, opening)
+    /// Reads until another node is to.
+    async fn read(&mut self) -> Result<(), SourceError> {
+        let mut link = timeout(SOURCE_TIMEOUT, self.open())
             .await
-            .map_err(|_| "no answer in time".to_string())??;
-        let mut unheard = 0;
+            .map_err(|_| SourceError::OpenTimedOut)??;
+        let mut unanswered = 0;
         loop {
             tokio::select! {
                 read = link.next() => {
-                    unheard = 0;
-                    let news = match read {
-                        Some(Ok(FromList::Whole { version, lines })) => news(version, true, lines),
-                        Some(Ok(FromList::Changes { version, lines })) => news(version, false, lines),
-                        Some(Ok(FromList::Sizes { .. } | FromList::Failed | FromList::Welcome)) => continue,
-                        Some(Ok(FromList::Refused(refused))) => return Err(refused.text),
-                        Some(Err(fault)) => return Err(fault.to_string()),
-                        None => return Err("the connection ended".into()),
+                    unanswered = 0;
+                    let message = read.ok_or(SourceError::Closed)??;
+                    let Some(update) = update_of(message)? else {
+                        continue;
                     };
-                    if self.core.send(NodeEvent::List(news)).await.is_err() {
+                    if self.events.send(NodeEvent::HostList(update)).await.is_err() {
                         return Ok(());
                     }
                 }
-                changed = self.reads.changed() => {
-                    if changed.is_err() || !*self.reads.borrow() {
+                changed = self.is_reader.changed() => {
+                    if changed.is_err() || !*self.is_reader.borrow() {
                         return Ok(());
                     }
                 }
-                _ = sleep(WHOLE_EVERY) => {
-                    unheard += 1;
-                    if unheard > 3 {
-                        return Err("it says nothing".into());
+                _ = sleep(FULL_SYNC_INTERVAL) => {
+                    unanswered += 1;
+                    if unanswered > MAX_UNANSWERED {
+                        return Err(SourceError::Silent);
                     }
-                    timeout(PATIENCE, link.send(ToList::Fetch)).await.map_err(|_| "it does not read")?.map_err(|e| e.to_string())?;
+                    timeout(SOURCE_TIMEOUT, link.send(ToList::Fetch))
+                        .await
+                        .map_err(|_| SourceError::SendTimedOut)??;
                 }
             }
         }
     }
-}
 
-fn news(version: u64, whole: bool, lines: Vec<Line>) -> SourceUpdate {
-    let host = |line: Line| {
-        let Line {
-            host,
-            address,
-            build,
-            cell,
-            zone,
-            phase,
-            incarnation,
-            up_us,
-        } = line;
-        let state = match phase {
-            LinePhase::Gone => HostState::Gone,
-            LinePhase::Ready => HostState::Ready,
-            LinePhase::Draining => HostState::Draining,
-        };
-        ListedHost {
-            host,
-            address,
-            build,
-            cell,
-            zone,
-            state,
-            incarnation,
-            up_us,
+    async fn open(&self) -> Result<SourceLink, SourceError> {
+        let stream = TcpStream::connect(self.address)
+            .await
+            .map_err(FrameFault::from)?;
+        let _ = stream.set_nodelay(true);
+        let mut link: SourceLink = Framed::new(stream, FrameCodec::new(LIST_LIMIT));
+        // As a router: the source tells its callers apart by nothing else.
+        let hello = Hello::new(Role::Router, 0, 0);
+        link.send(ToList::Hello(hello)).await?;
+        match link.next().await {
+            Some(Ok(FromList::Welcome)) => {}
+            other => return Err(SourceError::NoWelcome(format!("{other:?}"))),
         }
-    };
+        link.send(ToList::Watch { have: None }).await?;
+        Ok(link)
+    }
+}
+
+/// The update that a message carries; nothing where it carries none.
+fn update_of(message: FromList) -> Result<Option<SourceUpdate>, SourceError> {
+    match message {
+        FromList::Whole { version, lines } => Ok(Some(source_update(version, true, lines))),
+        FromList::Changes { version, lines } => Ok(Some(source_update(version, false, lines))),
+        FromList::Refused(refused) => Err(SourceError::Refused(refused.text)),
+        FromList::Sizes { .. } | FromList::Failed | FromList::Welcome => Ok(None),
+    }
+}
+
+fn source_update(version: u64, complete: bool, lines: Vec<Line>) -> SourceUpdate {
     SourceUpdate {
         version,
-        complete: whole,
-        hosts: lines.into_iter().map(host).collect(),
+        complete,
+        hosts: lines.into_iter().map(listed_host).collect(),
+    }
+}
+
+fn listed_host(line: Line) -> ListedHost {
+    let state = match line.phase {
+        LinePhase::Gone => HostState::Gone,
+        LinePhase::Ready => HostState::Ready,
+        LinePhase::Draining => HostState::Draining,
+    };
+    ListedHost {
+        host: line.host,
+        address: line.address,
+        build: line.build,
+        cell: line.cell,
+        zone: line.zone,
+        state,
+        incarnation: line.incarnation,
+        up_us: line.up_us,
     }
 }
--- a/crates/spokeflow-control-plane/src/main.rs
+++ b/crates/spokeflow-control-plane/src/main.rs
@@ -1,3 +1,5 @@
+//! The control-plane server as a program.
+
 use std::process::ExitCode;
 
 use clap::Parser;
--- /dev/null
+++ b/crates/spokeflow-control-plane/src/node_task.rs
@@ -0,0 +1,249 @@
+//! The task that owns the coordinator: takes events one after the other and carries out their effects.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use spokeflow_coordination::wire::{FromNode, Response, ToNode};
+use spokeflow_coordination::{Coordinator, Effects, RequestOrigin};
+use spokeflow_raft::NodeId;
+use spokeflow_runtime::{shutdown_signal, Clock};
+use tokio::sync::{mpsc, watch};
+use tokio::time::sleep_until;
+use tracing::{info, warn};
+
+use crate::admission::PeerStarts;
+use crate::crash_point::{CrashInjector, CrashPoint};
+use crate::error::NodeError;
+use crate::node_event::{NodeEvent, PeerHello};
+use crate::outbound::Outbound;
+use crate::persistence::Persistence;
+
+/// Events that are handled between two looks at the timer.
+const EVENTS_PER_BATCH: usize = 256;
+
+/// The coordinator and what carries out its effects.
+pub(crate) struct NodeTask {
+    pub(crate) clock: Arc<Clock>,
+    pub(crate) coordinator: Coordinator,
+    pub(crate) event_queue: mpsc::Receiver<NodeEvent>,
+    pub(crate) outbound: Outbound,
+    pub(crate) peer_starts: PeerStarts,
+    pub(crate) persistence: Persistence,
+    pub(crate) crash_injector: Arc<CrashInjector>,
+    /// Whether this node is the one to read the host list.
+    pub(crate) reads_list: watch::Sender<bool>,
+    /// The state that was logged last.
+    pub(crate) logged: Option<LoggedState>,
+}
+
+/// What of the Raft state is logged when it changes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) struct LoggedState {
+    term: u64,
+    has_leader_lease: bool,
+    leader: Option<NodeId>,
+}
+
+impl NodeTask {
+    /// Runs until the process gets a shutdown signal.
+    ///
+    /// # Errors
+    ///
+    /// What the node cannot go on with.
+    pub(crate) async fn run(mut self) -> Result<(), NodeError> {
+        self.connect_voters();
+        let mut shutdown = std::pin::pin!(shutdown_signal());
+        let mut batch = Vec::with_capacity(EVENTS_PER_BATCH);
+        loop {
+            let now = self.clock.now();
+            let wake = self.clock.instant_at(self.coordinator.next_wake(now));
+            tokio::select! {
+                biased;
+                _ = &mut shutdown => return Ok(()),
+                _ = sleep_until(wake) => {}
+                _ = self.event_queue.recv_many(&mut batch, EVENTS_PER_BATCH) => {}
+            }
+            for event in batch.drain(..) {
+                self.on_event(event)?;
+            }
+            self.on_batch_end();
+        }
+    }
+
+    fn on_event(&mut self, event: NodeEvent) -> Result<(), NodeError> {
+        self.coordinator.wall_clock_s = seconds_since_epoch();
+        let now = self.clock.now();
+        let mut effects = Effects::default();
+        match event {
+            NodeEvent::Connected {
+                connection,
+                responses,
+            } => self.outbound.add_connection(connection, responses),
+            NodeEvent::Disconnected { connection } => self.outbound.remove_connection(connection),
+            NodeEvent::Request {
+                connection,
+                number,
+                forwarded,
+                request,
+            } => {
+                let origin = RequestOrigin {
+                    connection,
+                    number,
+                    forwarded,
+                };
+                self.coordinator
+                    .on_request(now, origin, request, &mut effects);
+            }
+            NodeEvent::PeerMessage { from, message } => {
+                self.coordinator
+                    .on_message(now, from, message, &mut effects);
+            }
+            NodeEvent::ForwardResponse { number, response } => {
+                self.coordinator
+                    .on_forward_response(number, response, &mut effects);
+            }
+            NodeEvent::PeerHello(hello) => self.on_peer_hello(hello),
+            NodeEvent::Persisted { sequence } => {
+                self.coordinator.on_persisted(now, sequence, &mut effects);
+            }
+            NodeEvent::HostList(update) => {
+                self.coordinator.on_source_update(now, update, &mut effects);
+            }
+            NodeEvent::StaleStore(text) => return Err(NodeError::StaleStore(text)),
+            NodeEvent::PersistFailed(source) => {
+                let file = self.persistence.file().to_path_buf();
+                return Err(NodeError::Store { file, source });
+            }
+        }
+        if let Some(cause) = effects.fatal {
+            return Err(NodeError::ReplicatedState(cause.to_string()));
+        }
+        self.apply(effects);
+        Ok(())
+    }
+
+    /// Runs the timer where it is due, then tells of what has changed.
+    fn on_batch_end(&mut self) {
+        let now = self.clock.now();
+        if now >= self.coordinator.next_wake(now) {
+            let mut effects = Effects::default();
+            self.coordinator.on_timer(now, &mut effects);
+            self.apply(effects);
+        }
+        self.log_state_change();
+        let leads = self.coordinator.raft().has_leader_lease(now);
+        self.reads_list.send_if_modified(|reads_list| {
+            let changed = *reads_list != leads;
+            *reads_list = leads;
+            changed
+        });
+    }
+
+    /// Admits a node that calls, or refuses it for the store that it calls with.
+    fn on_peer_hello(&mut self, hello: PeerHello) {
+        self.coordinator.learn(&hello.addresses);
+        match self.peer_starts.admit(&hello) {
+            Ok(start) => self
+                .persistence
+                .record_start(hello.id, start, hello.admission),
+            Err(error) => {
+                warn!(%error, "peer refused");
+                // A caller that has left meanwhile needs no answer.
+                let _ = hello.admission.send(Err(error));
+            }
+        }
+        self.connect_voters();
+    }
+
+    fn apply(&mut self, effects: Effects) {
+        if let Some(rejection) = effects.rejection {
+            warn!(?rejection, "update of the host list rejected");
+        }
+        if effects.config_changed {
+            self.crash_injector.pass(CrashPoint::Applied);
+            self.connect_voters();
+        }
+        if !effects.persist_requests.is_empty() {
+            self.persistence.write(effects.persist_requests);
+        }
+        self.send_messages(effects.messages);
+        self.send_responses(effects.responses);
+    }
+
+    fn send_messages(&mut self, messages: Vec<(NodeId, ToNode)>) {
+        if messages.is_empty() {
+            return;
+        }
+        self.crash_injector.pass(CrashPoint::BeforeSending);
+        let half = messages.len().div_ceil(2);
+        for (sent, (to, message)) in messages.into_iter().enumerate() {
+            if sent == half {
+                self.crash_injector.pass(CrashPoint::WithinSending);
+            }
+            if let Some(address) = self.address(to) {
+                self.outbound.send(to, address, message);
+            }
+        }
+    }
+
+    fn send_responses(&mut self, responses: Vec<(u64, u64, Response)>) {
+        if responses.is_empty() {
+            return;
+        }
+        self.crash_injector.pass(CrashPoint::BeforeAnswering);
+        for (connection, number, response) in responses {
+            let response = FromNode::Response { number, response };
+            self.outbound.respond(connection, response);
+        }
+    }
+
+    /// Connects to all voters at once, not when there is something to send: a start that only a few have seen could be
+    /// taken back unnoticed.
+    fn connect_voters(&mut self) {
+        self.outbound
+            .set_known_addresses(self.coordinator.addresses());
+        let raft = self.coordinator.raft();
+        let own = raft.own();
+        let others: Vec<NodeId> = raft
+            .members()
+            .iter()
+            .copied()
+            .filter(|voter| *voter != own)
+            .collect();
+        for id in others {
+            if let Some(address) = self.address(id) {
+                self.outbound.open_link(id, address);
+            }
+        }
+    }
+
+    /// Where a node listens, as far as this one knows.
+    fn address(&self, id: NodeId) -> Option<SocketAddr> {
+        self.coordinator.address(id)?.parse().ok()
+    }
+
+    fn log_state_change(&mut self) {
+        let raft = self.coordinator.raft();
+        let state = LoggedState {
+            term: raft.term().0,
+            has_leader_lease: raft.has_leader_lease(self.clock.now()),
+            leader: raft.leader(),
+        };
+        if self.logged.replace(state) != Some(state) {
+            info!(
+                term = state.term,
+                has_leader_lease = state.has_leader_lease,
+                leader = state.leader.map(|leader| leader.0),
+                applied = self.coordinator.applied().0,
+                "raft state changed"
+            );
+        }
+    }
+}
+
+fn seconds_since_epoch() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs())
+}
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -1,219 +1,324 @@
-//! What a keeper must not forget, in an embedded store (redb). A write is on the disk, whole, when [`Store::write`]
-//! returns: redb commits by two syncs and finds the last whole state by itself after a kill. Each record carries a
-//! checksum of its own besides; one that does not fit is never read as true.
+//! The state that a node must not forget, in an embedded store (redb).
+//!
+//! A write is on the disk, whole, when [`Store::write`] returns: redb commits by two syncs and finds the last complete
+//! state by itself after a crash. Each record carries a checksum of its own besides; one that does not fit is never
+//! used.
 
-use std::fmt;
+use std::io;
 use std::path::{Path, PathBuf};
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
-use serde::Serialize;
+use serde::{Deserialize, Serialize};
 use spokeflow_raft::{Entry, LogIndex, NodeId, PersistRequest, PersistentState, Snapshot, Term};
+use thiserror::Error;
 
+/// Single records, by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta-1");
+/// The log's entries, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log-1");
-/// By keeper, the newest count of starts that it has been met with.
+/// By node, the newest [`ProcessStart`] that it was seen with.
 const STARTS: TableDefinition<u32, &[u8]> = TableDefinition::new("starts-1");
 
-/// A start of a keeper: how many its store had counted, and the number that its process drew.
-pub type Start = (u64, u64);
+/// In [`META`], whose store it is: [`Owner`].
+const OWNER_RECORD: &str = "whose";
+/// In [`META`], [`OwnStarts`].
+const OWN_STARTS_RECORD: &str = "starts";
+/// In [`META`], [`VoteRecord`].
+const VOTE_RECORD: &str = "promised";
+/// In [`META`], the [`Snapshot`], where there is one.
+const SNAPSHOT_RECORD: &str = "snapshot";
 
-/// Processes that a store remembers.
-pub const PROCESSES: usize = 24;
+/// Processes that a store remembers. More starts than these between two contacts of nodes are taken on trust.
+pub(crate) const MAX_PROCESSES: usize = 24;
 
+/// One start of a node.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProcessStart {
+    /// How many starts its store had counted, this one included.
+    pub count: u64,
+    /// The number that its process drew.
+    pub process: u64,
+}
+
+/// Whose store it is. In the records, as in [`ProcessStart`], the order of fields is the stored form.
+#[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+struct Owner {
+    fleet: u64,
+    node: NodeId,
+}
+
+/// The starts that a store has counted.
+#[derive(Default, Serialize, Deserialize)]
+struct OwnStarts {
+    count: u64,
+    /// The latest [`MAX_PROCESSES`], the newest last.
+    processes: Vec<u64>,
+}
+
+impl OwnStarts {
+    fn add(&mut self, process: u64) {
+        self.count += 1;
+        self.processes.push(process);
+        let excess = self.processes.len().saturating_sub(MAX_PROCESSES);
+        self.processes.drain(..excess);
+    }
+}
+
+/// The term and the vote in it.
+#[derive(Default, Serialize, Deserialize)]
+struct VoteRecord {
+    term: Term,
+    voted_for: Option<NodeId>,
+}
+
+/// The durable state of one node.
 pub struct Store {
     db: Database,
     file: PathBuf,
-    /// For tests: fails at the write with this number, and at all after it.
+    /// For tests: the write with this number fails, and every later one.
     fails_from: Option<u64>,
     writes: u64,
 }
 
-#[derive(Debug, PartialEq, Eq)]
+/// A store as it was opened, and what is in it.
+pub struct OpenedStore {
+    /// The store.
+    pub store: Store,
+    /// The Raft state that the node starts from.
+    pub saved: PersistentState,
+    /// How many times the store has been opened, this one included.
+    pub start: u64,
+    /// The numbers of the latest processes, this one last.
+    pub processes: Vec<u64>,
+}
+
+/// Why a store cannot be opened, read or written.
+#[derive(Debug, Error)]
 pub enum StoreError {
-    /// Not one of this version, or not to be opened.
-    NotAStore(String),
-    /// A record's checksum does not fit.
+    /// The file is not a store of this version, or it is in use.
+    #[error("cannot be opened: {0}")]
+    NotAStore(#[source] redb::DatabaseError),
+    /// A record is missing, or its checksum does not fit.
+    #[error("damaged: {0}; remove this node and add one with a new number and an empty store")]
     Damaged(String),
-    /// It belongs to another fleet or another keeper.
-    Foreign(String),
+    /// The store belongs to another fleet or another node.
+    #[error("of another: it is node {node}'s of fleet {fleet}")]
+    Foreign {
+        /// The fleet that it belongs to.
+        fleet: u64,
+        /// The node that it belongs to.
+        node: u32,
+    },
+    /// The folder of the store cannot be made.
+    #[error("the disk fails: {0}")]
+    Folder(#[source] io::Error),
     /// The disk is full or fails.
-    Disk(String),
+    #[error("the disk fails: {0}")]
+    Disk(#[source] Box<redb::Error>),
+    /// A fault of the disk that a test has injected.
+    #[error("the disk fails: injected by --fail-writes-from")]
+    Injected,
 }
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StoreError::NotAStore(what) => write!(f, "cannot be opened: {what}"),
-            StoreError::Damaged(what) => write!(
-                f,
-                "damaged: {what}; take this keeper out and add one with a new number and an empty store"
-            ),
-            StoreError::Foreign(what) => write!(f, "of another: {what}"),
-            StoreError::Disk(what) => write!(f, "the disk fails: {what}"),
-        }
-    }
+/// Errors of redb are a type for each step; all of them mean the disk.
+macro_rules! disk_error_from {
+    ($($step:ident),*) => {
+        $(impl From<redb::$step> for StoreError {
+            fn from(error: redb::$step) -> Self {
+                StoreError::Disk(Box::new(error.into()))
+            }
+        })*
+    };
 }
 
-fn sealed(value: &impl Serialize) -> Vec<u8> {
+disk_error_from!(TransactionError, TableError, StorageError, CommitError);
+
+/// A record: the CRC-32 of its body, big-endian, and the body as postcard.
+fn encode_record(value: &impl Serialize) -> Vec<u8> {
     let body = postcard::to_stdvec(value).expect("plain types always serialize");
     let mut record = crc32fast::hash(&body).to_be_bytes().to_vec();
     record.extend(body);
     record
 }
 
-fn opened<T: DeserializeOwned>(what: &str, record: &[u8]) -> Result<T, StoreError> {
-    let fault = || StoreError::Damaged(what.to_string());
-    let (sum, body) = record.split_at_checked(4).ok_or_else(fault)?;
-    if sum != crc32fast::hash(body).to_be_bytes() {
-        return Err(fault());
+fn decode_record<T: DeserializeOwned>(name: &str, record: &[u8]) -> Result<T, StoreError> {
+    let damaged = || StoreError::Damaged(name.to_string());
+    let (checksum, body) = record.split_at_checked(4).ok_or_else(damaged)?;
+    if checksum != crc32fast::hash(body).to_be_bytes() {
+        return Err(damaged());
     }
-    postcard::from_bytes(body).map_err(|_| fault())
-}
-
-/// Errors of redb are many types; all say what happened.
-macro_rules! disk {
-    ($e:expr) => {
-        $e.map_err(|e| StoreError::Disk(e.to_string()))?
-    };
+    postcard::from_bytes(body).map_err(|_| damaged())
 }
 
 impl Store {
-    /// Opens or makes the store of this keeper of this fleet, counts the start and notes its process. Answers what the
-    /// keeper starts from, the count, and the latest processes, this one last.
+    /// Opens the store of node `own` of this fleet, makes it where there is none, counts the start and records the
+    /// number of its process.
+    ///
+    /// `fails_from` is for tests: the number of the first write that is to fail.
+    ///
+    /// # Errors
+    ///
+    /// The file is no store, is damaged, or belongs to another node; or the disk fails.
     pub fn open(
         file: &Path,
         fleet: u64,
         own: NodeId,
         fails_from: Option<u64>,
         process: u64,
-    ) -> Result<(Store, PersistentState, u64, Vec<u64>), StoreError> {
+    ) -> Result<OpenedStore, StoreError> {
         if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty()) {
-            disk!(std::fs::create_dir_all(folder));
+            std::fs::create_dir_all(folder).map_err(StoreError::Folder)?;
         }
-        let db = Database::create(file).map_err(|e| StoreError::NotAStore(e.to_string()))?;
         let store = Store {
-            db,
+            db: Database::create(file).map_err(StoreError::NotAStore)?,
             file: file.to_path_buf(),
             fails_from,
             writes: 0,
         };
-        let write = disk!(store.db.begin_write());
-        let (start, processes): (u64, Vec<u64>);
+        let owner = Owner { fleet, node: own };
+        let starts = store.count_start(owner, process)?;
+        let saved = store.saved()?;
+        Ok(OpenedStore {
+            store,
+            saved,
+            start: starts.count,
+            processes: starts.processes,
+        })
+    }
+
+    /// The starts of this store, this one included.
+    fn count_start(&self, owner: Owner, process: u64) -> Result<OwnStarts, StoreError> {
+        let transaction = self.db.begin_write()?;
+        let mut starts: OwnStarts;
         {
-            let mut meta = disk!(write.open_table(META));
-            disk!(write.open_table(LOG));
-            disk!(write.open_table(STARTS));
-            let whose: Option<(u64, NodeId)> = read(&meta, "whose")?;
-            if let Some((f, id)) = whose.filter(|w| *w != (fleet, own)) {
-                return Err(StoreError::Foreign(format!(
-                    "it is keeper {}'s of fleet {f}",
-                    id.0
-                )));
+            let mut meta = transaction.open_table(META)?;
+            transaction.open_table(LOG)?;
+            transaction.open_table(STARTS)?;
+            let recorded: Option<Owner> = read_record(&meta, OWNER_RECORD)?;
+            if let Some(other) = recorded.filter(|recorded| *recorded != owner) {
+                return Err(StoreError::Foreign {
+                    fleet: other.fleet,
+                    node: other.node.0,
+                });
             }
-            let (before, mut all) = read::<(u64, Vec<u64>)>(&meta, "starts")?.unwrap_or_default();
-            all.push(process);
-            all.drain(..all.len().saturating_sub(PROCESSES));
-            (start, processes) = (before + 1, all);
-            disk!(meta.insert("whose", sealed(&(fleet, own)).as_slice()));
-            disk!(meta.insert("starts", sealed(&(start, &processes)).as_slice()));
+            starts = read_record(&meta, OWN_STARTS_RECORD)?.unwrap_or_default();
+            starts.add(process);
+            meta.insert(OWNER_RECORD, encode_record(&owner).as_slice())?;
+            meta.insert(OWN_STARTS_RECORD, encode_record(&starts).as_slice())?;
         }
-        disk!(write.commit());
-        let saved = store.saved()?;
-        Ok((store, saved, start, processes))
+        transaction.commit()?;
+        Ok(starts)
     }
 
-    pub fn file(&self) -> &Path {
+    /// The file of the store.
+    pub(crate) fn file(&self) -> &Path {
         &self.file
     }
 
     fn saved(&self) -> Result<PersistentState, StoreError> {
-        let txn = disk!(self.db.begin_read());
-        let meta = disk!(txn.open_table(META));
-        let (term, voted) = read::<(Term, Option<NodeId>)>(&meta, "promised")?.unwrap_or_default();
-        let snapshot = read::<Snapshot>(&meta, "snapshot")?.unwrap_or_default();
-        let mut log = Vec::new();
-        let table = disk!(txn.open_table(LOG));
-        for (expected, row) in (snapshot.last_included_index.0 + 1..).zip(disk!(table.iter())) {
-            let (place, record) = disk!(row);
-            if place.value() != expected {
-                return Err(StoreError::Damaged(format!(
-                    "the log lacks place {expected}"
-                )));
-            }
-            log.push(opened::<Entry>(
-                &format!("the log's place {expected}"),
-                record.value(),
-            )?);
-        }
+        let transaction = self.db.begin_read()?;
+        let meta = transaction.open_table(META)?;
+        let vote: VoteRecord = read_record(&meta, VOTE_RECORD)?.unwrap_or_default();
+        let snapshot: Snapshot = read_record(&meta, SNAPSHOT_RECORD)?.unwrap_or_default();
+        let first = snapshot.last_included_index.0 + 1;
+        let log = read_log(&transaction.open_table(LOG)?, first)?;
         Ok(PersistentState {
-            term,
-            voted_for: voted,
+            term: vote.term,
+            voted_for: vote.voted_for,
             snapshot,
             log,
         })
     }
 
-    /// Starts with which other keepers have been met, by id.
-    pub fn starts(&self) -> Result<Vec<(NodeId, Start)>, StoreError> {
-        let txn = disk!(self.db.begin_read());
-        let table = disk!(txn.open_table(STARTS));
-        let mut all = Vec::new();
-        for row in disk!(table.iter()) {
-            let (id, record) = disk!(row);
-            all.push((
-                NodeId(id.value()),
-                opened("a count of starts", record.value())?,
-            ));
+    /// The newest start that each other node was seen with.
+    ///
+    /// # Errors
+    ///
+    /// The disk fails, or a record is damaged.
+    pub fn starts(&self) -> Result<Vec<(NodeId, ProcessStart)>, StoreError> {
+        let transaction = self.db.begin_read()?;
+        let table = transaction.open_table(STARTS)?;
+        let mut starts = Vec::new();
+        for row in table.iter()? {
+            let (id, record) = row?;
+            let start = decode_record("a count of starts", record.value())?;
+            starts.push((NodeId(id.value()), start));
         }
-        Ok(all)
+        Ok(starts)
     }
 
-    /// All of it in one commit, synced when this returns. Errors: the disk; nothing of it may then be taken for done,
-    /// nor for not done.
-    pub fn write(
+    /// Writes all of it in one commit, which is on the disk when this returns.
+    ///
+    /// # Errors
+    ///
+    /// The disk fails. It is then unknown whether any of it was written.
+    pub(crate) fn write(
         &mut self,
-        writes: &[PersistRequest],
-        met: &[(NodeId, Start)],
+        requests: &[PersistRequest],
+        starts: &[(NodeId, ProcessStart)],
     ) -> Result<(), StoreError> {
         self.writes += 1;
-        if self.fails_from.is_some_and(|n| self.writes >= n) {
-            return Err(StoreError::Disk("told to by --fail-writes-from".into()));
+        if self.fails_from.is_some_and(|first| self.writes >= first) {
+            return Err(StoreError::Injected);
         }
-        let txn = disk!(self.db.begin_write());
+        let transaction = self.db.begin_write()?;
         {
-            let mut meta = disk!(txn.open_table(META));
-            let mut log = disk!(txn.open_table(LOG));
-            let mut starts = disk!(txn.open_table(STARTS));
-            for (id, start) in met {
-                disk!(starts.insert(id.0, sealed(start).as_slice()));
+            let mut meta = transaction.open_table(META)?;
+            let mut log = transaction.open_table(LOG)?;
+            let mut starts_table = transaction.open_table(STARTS)?;
+            for (id, start) in starts {
+                starts_table.insert(id.0, encode_record(start).as_slice())?;
             }
-            if let Some(last) = writes.last() {
-                disk!(meta.insert("promised", sealed(&(last.term, last.voted_for)).as_slice()));
+            if let Some(last) = requests.last() {
+                let vote = VoteRecord {
+                    term: last.term,
+                    voted_for: last.voted_for,
+                };
+                meta.insert(VOTE_RECORD, encode_record(&vote).as_slice())?;
             }
-            for w in writes {
-                if let Some(snapshot) = &w.snapshot {
-                    disk!(meta.insert("snapshot", sealed(snapshot).as_slice()));
-                    disk!(log.retain_in(..=snapshot.last_included_index.0, |_, _| false));
+            for request in requests {
+                if let Some(snapshot) = &request.snapshot {
+                    meta.insert(SNAPSHOT_RECORD, encode_record(snapshot).as_slice())?;
+                    log.retain_in(..=snapshot.last_included_index.0, |_, _| false)?;
                 }
-                let LogIndex(keep) = w.truncate_after;
-                disk!(log.retain_in(keep + 1.., |_, _| false));
-                for (place, entry) in (keep + 1..).zip(&w.entries) {
-                    disk!(log.insert(place, sealed(entry).as_slice()));
+                let LogIndex(last_kept) = request.truncate_after;
+                log.retain_in(last_kept + 1.., |_, _| false)?;
+                for (index, entry) in (last_kept + 1..).zip(&request.entries) {
+                    log.insert(index, encode_record(entry).as_slice())?;
                 }
             }
         }
-        disk!(txn.commit());
+        transaction.commit()?;
         Ok(())
     }
 }
 
-fn read<T: DeserializeOwned>(
+/// The entries of the log, the one at `first` first.
+fn read_log(
+    table: &impl ReadableTable<u64, &'static [u8]>,
+    first: u64,
+) -> Result<Vec<Entry>, StoreError> {
+    let mut log = Vec::new();
+    for (expected, row) in (first..).zip(table.iter()?) {
+        let (index, record) = row?;
+        if index.value() != expected {
+            return Err(StoreError::Damaged(format!(
+                "the log lacks entry {expected}"
+            )));
+        }
+        let name = format!("the log's entry {expected}");
+        log.push(decode_record(&name, record.value())?);
+    }
+    Ok(log)
+}
+
+fn read_record<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
     name: &str,
 ) -> Result<Option<T>, StoreError> {
-    match disk!(table.get(name)) {
-        Some(record) => opened(&format!("the record '{name}'"), record.value()).map(Some),
+    match table.get(name)? {
+        Some(record) => decode_record(&format!("the record '{name}'"), record.value()).map(Some),
         None => Ok(None),
     }
 }
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -1,9 +1,9 @@
-//! Stores of keepers that commit d62ab1d wrote, opened by the present code.
+//! Stores of control-plane nodes that commit d62ab1d wrote, opened by the present code.
 //!
-//! `fixtures/d62ab1d` holds the store files of the three keepers of fleet 62. They had been started
-//! twice, agreed on five revisions and on a list of three hosts, and were ended by SIGTERM.
+//! `fixtures/d62ab1d` holds the store files of the three nodes of fleet 62. They had been started
+//! twice, had committed five revisions and a list of three hosts, and were ended by SIGTERM.
 //! `status.json` and `history.json` are what `spokeflow-fleet status --json` and `history --json` of
-//! that commit printed just before. `keeper-1-with-snapshot.redb` is the store of keeper 1 after 500
+//! that commit printed just before. `keeper-1-with-snapshot.redb` is the store of node 1 after 500
 //! more entries, which made it take a snapshot, and a sixth revision; `status-with-snapshot.json` is
 //! the status just before its end.
 
@@ -12,8 +12,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use spokeflow_control_plane::client::ask;
-use spokeflow_control_plane::Store;
+use spokeflow_control_plane::client::send_request;
+use spokeflow_control_plane::{OpenedStore, ProcessStart, Store};
 use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
 use spokeflow_coordination::{
     ConfigState, ListVersion, LogCommand, Overrides, ProposalOutcome, RevisionNumber,
@@ -27,7 +27,7 @@
 const STATUS_WITH_SNAPSHOT: &str = include_str!("fixtures/d62ab1d/status-with-snapshot.json");
 /// The number that the process of a test gives to the store that it opens.
 const OWN_PROCESS: u64 = 4242;
-/// The stale offer, which was refused, had this token.
+/// The stale proposal, which was refused, had this token.
 const STALE_TOKEN: u64 = 16872578440122145327;
 
 /// A copy of a store file for one test, since opening a store writes to it.
@@ -50,7 +50,7 @@
     serde_json::from_str(STATUS_WITH_SNAPSHOT).unwrap()
 }
 
-fn keepers() -> [NodeId; 3] {
+fn nodes() -> [NodeId; 3] {
     [1, 2, 3].map(NodeId)
 }
 
@@ -62,47 +62,55 @@
 }
 
 /// The state after all that was stored.
-fn ledger_of(saved: &PersistentState) -> ConfigState {
-    let mut ledger = match saved.snapshot.last_included_index {
+fn state_of(saved: &PersistentState) -> ConfigState {
+    let mut state = match saved.snapshot.last_included_index {
         LogIndex(0) => ConfigState::default(),
         _ => ConfigState::decode(&saved.snapshot.state).unwrap(),
     };
     for entry in &saved.log {
         if let Payload::Command(bytes) = &entry.body {
-            ledger.apply(LogCommand::decode(bytes).expect("an act of this version"));
+            state.apply(LogCommand::decode(bytes).expect("a command of this version"));
         }
     }
-    ledger
+    state
 }
 
 /// What the start build printed of its state is what the stored state says.
-fn check_ledger(ledger: &ConfigState, printed: &ClusterStatus) {
-    assert_eq!(ledger.in_force, printed.in_force);
-    assert_eq!(ledger.pending, printed.pending);
-    assert!(ledger.history.iter().eq(&printed.history));
-    assert_eq!(ledger.list.version, ListVersion(printed.list));
-    assert_eq!(ledger.list.source, printed.list_source);
-    assert_eq!(ledger.list.hosts().count() as u64, printed.hosts);
-}
-
-fn check_store_of(keeper: NodeId) {
-    let file = copy_of(&format!("keeper-{}.redb", keeper.0), "each_store");
-    let (store, saved, start, processes) =
-        Store::open(&file, FLEET, keeper, None, OWN_PROCESS).unwrap();
+fn check_state(state: &ConfigState, printed: &ClusterStatus) {
+    assert_eq!(state.in_force, printed.in_force);
+    assert_eq!(state.pending, printed.pending);
+    assert!(state.history.iter().eq(&printed.history));
+    assert_eq!(state.list.version, ListVersion(printed.list));
+    assert_eq!(state.list.source, printed.list_source);
+    assert_eq!(state.list.hosts().count() as u64, printed.hosts);
+}
+
+fn check_store_of(node: NodeId) {
+    let file = copy_of(&format!("keeper-{}.redb", node.0), "each_store");
+    let OpenedStore {
+        store,
+        saved,
+        start,
+        processes,
+    } = Store::open(&file, FLEET, node, None, OWN_PROCESS).unwrap();
     assert_eq!((start, processes.len()), (3, 3));
     assert_eq!(processes[2], OWN_PROCESS);
-    let met = store.starts().unwrap();
-    let met: Vec<(NodeId, u64)> = met.iter().map(|(other, start)| (*other, start.0)).collect();
-    let others = keepers().into_iter().filter(|other| *other != keeper);
-    assert_eq!(met, others.map(|other| (other, 2)).collect::<Vec<_>>());
+    let seen: Vec<(NodeId, u64)> = store
+        .starts()
+        .unwrap()
+        .iter()
+        .map(|(other, start)| (*other, start.count))
+        .collect();
+    let others = nodes().into_iter().filter(|other| *other != node);
+    assert_eq!(seen, others.map(|other| (other, 2)).collect::<Vec<_>>());
     assert_eq!(
         (saved.term, saved.voted_for),
         (status().term, Some(status().leader))
     );
     assert_eq!(saved.log.len() as u64, status().committed.0);
-    check_ledger(&ledger_of(&saved), &status());
+    check_state(&state_of(&saved), &status());
     assert_eq!(
-        ledger_of(&saved).outcome(STALE_TOKEN),
+        state_of(&saved).outcome(STALE_TOKEN),
         Some(ProposalOutcome::Stale {
             newest: RevisionNumber(5)
         })
@@ -111,19 +119,23 @@
 
 #[test]
 fn each_store_holds_what_the_start_build_printed() {
-    keepers().into_iter().for_each(check_store_of);
+    nodes().into_iter().for_each(check_store_of);
 }
 
 #[test]
-fn the_processes_that_keepers_met_are_those_that_the_stores_say() {
-    let newest = keepers().map(|keeper| {
-        let file = copy_of(&format!("keeper-{}.redb", keeper.0), "processes");
-        let opened = Store::open(&file, FLEET, keeper, None, OWN_PROCESS).unwrap();
-        (keeper, (2, opened.3[1]), opened.0.starts().unwrap())
+fn the_processes_that_nodes_saw_are_those_in_the_stores() {
+    let newest = nodes().map(|node| {
+        let file = copy_of(&format!("keeper-{}.redb", node.0), "processes");
+        let opened = Store::open(&file, FLEET, node, None, OWN_PROCESS).unwrap();
+        let newest = ProcessStart {
+            count: 2,
+            process: opened.processes[1],
+        };
+        (node, newest, opened.store.starts().unwrap())
     });
-    for (keeper, _, met) in &newest {
-        let others = newest.iter().filter(|other| other.0 != *keeper);
-        assert!(met
+    for (node, _, seen) in &newest {
+        let others = newest.iter().filter(|other| other.0 != *node);
+        assert!(seen
             .iter()
             .copied()
             .eq(others.map(|other| (other.0, other.1))));
@@ -138,7 +150,7 @@
         (NodeId(2), Term(3), LogIndex(15))
     );
     assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
-    assert_eq!(view.voters, keepers());
+    assert_eq!(view.voters, nodes());
     let history: Vec<RevisionRecord> = serde_json::from_str(HISTORY).unwrap();
     assert_eq!(history, view.history);
     assert!(history.iter().map(|r| r.revision.number.0).eq(1..=5));
@@ -157,29 +169,30 @@
 #[test]
 fn a_store_with_a_snapshot_holds_what_the_start_build_printed() {
     let file = copy_of("keeper-1-with-snapshot.redb", "with_snapshot");
-    let (_, saved, start, _) = Store::open(&file, FLEET, NodeId(1), None, OWN_PROCESS).unwrap();
+    let OpenedStore { saved, start, .. } =
+        Store::open(&file, FLEET, NodeId(1), None, OWN_PROCESS).unwrap();
     let printed = status_with_snapshot();
     assert_eq!((start, saved.term, printed.term), (4, Term(4), Term(4)));
     assert_eq!(
         (saved.snapshot.last_included_index, saved.snapshot.term),
         (LogIndex(500), Term(4))
     );
-    assert_eq!(saved.snapshot.members, keepers());
+    assert_eq!(saved.snapshot.members, nodes());
     assert_eq!(
         saved.snapshot.last_included_index.0 + saved.log.len() as u64,
         printed.committed.0
     );
-    check_ledger(&ledger_of(&saved), &printed);
-    let address = ledger_of(&saved).addresses.get(&NodeId(9)).cloned();
+    check_state(&state_of(&saved), &printed);
+    let address = state_of(&saved).addresses.get(&NodeId(9)).cloned();
     assert_eq!(address.as_deref(), Some("127.0.0.1:30500"));
-    assert_eq!(ledger_of(&saved).in_force.number, RevisionNumber(6));
+    assert_eq!(state_of(&saved).in_force.number, RevisionNumber(6));
 }
 
-/// A keeper's process, ended with the test.
+/// A node's process, ended with the test.
 struct Running(Child);
 
 impl Running {
-    /// A keeper that does not take its store ends at once.
+    /// A node that does not take its store ends at once.
     fn still_runs(&mut self) -> bool {
         self.0.try_wait().unwrap().is_none()
     }
@@ -193,23 +206,23 @@
 }
 
 fn free_addresses() -> Vec<SocketAddr> {
-    let listeners = keepers().map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
+    let listeners = nodes().map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     listeners
         .iter()
         .map(|listener| listener.local_addr().unwrap())
         .collect()
 }
 
-/// Starts the built program on a copy of this keeper's store.
-fn start(keeper: NodeId, addresses: &[SocketAddr]) -> Running {
-    let file = copy_of(&format!("keeper-{}.redb", keeper.0), "started");
+/// Starts the built program on a copy of this node's store.
+fn start(node: NodeId, addresses: &[SocketAddr]) -> Running {
+    let file = copy_of(&format!("keeper-{}.redb", node.0), "started");
     let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflow-control-plane"));
-    command.args(["--id", &keeper.0.to_string(), "--fleet", &FLEET.to_string()]);
+    command.args(["--id", &node.0.to_string(), "--fleet", &FLEET.to_string()]);
     command
         .arg("--listen")
-        .arg(addresses[keeper.0 as usize - 1].to_string());
+        .arg(addresses[node.0 as usize - 1].to_string());
     command.arg("--store").arg(file);
-    for (member, address) in keepers().iter().zip(addresses) {
+    for (member, address) in nodes().iter().zip(addresses) {
         command
             .arg("--member")
             .arg(format!("{}={address}", member.0));
@@ -218,22 +231,26 @@
     Running(command.spawn().unwrap())
 }
 
-/// The state that the started keepers answer with once one of them leads.
+/// The state that the started nodes answer with once one of them leads.
 fn view_from(addresses: &[SocketAddr]) -> ClusterStatus {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    match runtime.block_on(ask(addresses, Request::Status, Duration::from_secs(30))) {
+    match runtime.block_on(send_request(
+        addresses,
+        Request::Status,
+        Duration::from_secs(30),
+    )) {
         Ok(Response::Status(view)) => *view,
         other => panic!("no view but {other:?}"),
     }
 }
 
 #[test]
-fn keepers_started_on_the_stores_answer_as_the_start_build_did() {
+fn nodes_started_on_the_stores_answer_as_the_start_build_did() {
     let addresses = free_addresses();
-    let mut running = keepers().map(|keeper| start(keeper, &addresses));
+    let mut running = nodes().map(|node| start(node, &addresses));
     let (view, printed) = (view_from(&addresses), status());
     assert!(running.iter_mut().all(Running::still_runs));
     assert!(view.term > printed.term);
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use serde::Serialize;
 use spokeflow_config::check_overrides;
-use spokeflow_control_plane::client::ask;
+use spokeflow_control_plane::client::send_request;
 use spokeflow_coordination::wire::{ClusterStatus, Request, Response};
 use spokeflow_coordination::{Overrides, Proposal, ProposalOutcome, RevisionNumber};
 use spokeflow_raft::NodeId;
@@ -159,13 +159,13 @@
                     .into(),
             ));
         }
-        match ask(&self.keepers, what, self.within).await {
+        match send_request(&self.keepers, what, self.within).await {
             Ok(Response::Invalid(what)) => Err(Fault::Refused(what)),
             Ok(Response::Indeterminate) => Err(Fault::Refused(
                 "not clear whether it was done: see status".into(),
             )),
             Ok(answer) => Ok(answer),
-            Err(what) => Err(Fault::Wrong(what)),
+            Err(error) => Err(Fault::Wrong(error.to_string())),
         }
     }
 
--- a/crates/spokeflow-experiments/src/capacity/limits.rs
+++ b/crates/spokeflow-experiments/src/capacity/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of today's programs that other crates keep to themselves; a test holds them against their source.
 
 /// Longest frame between a voter and a router or a person, either way, in bytes
-/// (`crates/spokeflow-control-plane/src/calls.rs`, `ASK_LIMIT`).
+/// (`crates/spokeflow-control-plane/src/inbound.rs`, `REQUEST_LIMIT`).
 pub const CALLER_FRAME: f64 = 65_536.0;
 /// Longest frame between voters, in bytes (`spokeflow_coordination::wire::LIMIT`).
 pub const VOTER_FRAME: f64 = spokeflow_coordination::wire::LIMIT as f64;
@@ -15,7 +15,7 @@
 /// `CHANGES`).
 pub const LIST_CHANGES_KEPT: f64 = 4096.0;
 /// Seconds between two readings of the whole list by the leader (`crates/spokeflow-control-plane/src/list.rs`,
-/// `WHOLE_EVERY`).
+/// `FULL_SYNC_INTERVAL`).
 pub const WHOLE_LIST_EVERY: f64 = 2.0;
 /// Seconds after which a router renews its watch on a list that tells nothing (`--list-renew`).
 pub const WATCH_RENEWED_EVERY: f64 = 5.0;
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -335,8 +335,8 @@
 fn copied_constants_are_those_of_the_source() {
     let says = [
         (
-            "crates/spokeflow-control-plane/src/calls.rs",
-            "const ASK_LIMIT: usize = 64 << 10;",
+            "crates/spokeflow-control-plane/src/inbound.rs",
+            "const REQUEST_LIMIT: usize = 64 << 10;",
             limits::CALLER_FRAME,
             65_536.0,
         ),
@@ -366,7 +366,7 @@
         ),
         (
             "crates/spokeflow-control-plane/src/list.rs",
-            "const WHOLE_EVERY: Duration = Duration::from_secs(2);",
+            "const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);",
             limits::WHOLE_LIST_EVERY,
             2.0,
         ),
--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use hdrhistogram::Histogram;
 use rand::RngExt;
-use spokeflow_control_plane::client::ask;
+use spokeflow_control_plane::client::send_request;
 use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
 use spokeflow_proto::FrameCodec;
@@ -144,7 +144,8 @@
         );
         keepers.push(RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await?);
     }
-    let Ok(Response::Status(view)) = ask(&seats, Request::Status, Duration::from_secs(10)).await
+    let Ok(Response::Status(view)) =
+        send_request(&seats, Request::Status, Duration::from_secs(10)).await
     else {
         return Err("no leader within 10 s".into());
     };
--- a/crates/spokeflow-testbed/src/fleet/plan.rs
+++ b/crates/spokeflow-testbed/src/fleet/plan.rs
@@ -118,7 +118,7 @@
             disk: Disk::Empty,
         },
         25..33 => {
-            let place = CRASH_POINTS[rng.random_range(0..CRASH_POINTS.len())].0;
+            let place = CRASH_POINTS[rng.random_range(0..CRASH_POINTS.len())].name();
             Fault::DieAt {
                 keeper,
                 place: format!("{place}:{}", rng.random_range(1..12)),
--- a/crates/spokeflow-testbed/src/fleet/play.rs
+++ b/crates/spokeflow-testbed/src/fleet/play.rs
@@ -8,7 +8,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_control_plane::client::{ask, ask_one};
+use spokeflow_control_plane::client::{send_request, send_request_to};
 use spokeflow_control_plane::Store;
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
@@ -81,7 +81,7 @@
         copy(store, &look);
         Store::open(&look, fleet, NodeId(keeper), None, 0)
             .ok()
-            .map(|(_, saved, start, _)| (saved, start))
+            .map(|opened| (opened.saved, opened.start))
     };
     read(a).is_some_and(|saved| Some(saved) == read(b))
 }
@@ -247,7 +247,7 @@
             Fault::KillLeader { down } => {
                 let known = self.known().await;
                 let Ok(Response::Status(view)) =
-                    ask(&known, Request::Status, Duration::from_secs(5)).await
+                    send_request(&known, Request::Status, Duration::from_secs(5)).await
                 else {
                     return;
                 };
@@ -463,10 +463,10 @@
             node: NodeId(id),
             address: known.to_string(),
         };
-        let _ = ask(&known_all, seated, Duration::from_secs(10)).await;
+        let _ = send_request(&known_all, seated, Duration::from_secs(10)).await;
         while Instant::now() < until {
             let Ok(Response::Status(view)) =
-                ask(&known_all, Request::Status, Duration::from_secs(5)).await
+                send_request(&known_all, Request::Status, Duration::from_secs(5)).await
             else {
                 continue;
             };
@@ -482,7 +482,7 @@
                 false => members.push(NodeId(id)),
                 true => members.retain(|m| m.0 != old),
             }
-            let _ = ask(
+            let _ = send_request(
                 &known_all,
                 Request::ChangeVoters(members),
                 Duration::from_secs(2),
@@ -490,7 +490,7 @@
             .await;
             sleep(Duration::from_millis(200)).await;
         }
-        let out = match ask(&known_all, Request::Status, Duration::from_secs(5)).await {
+        let out = match send_request(&known_all, Request::Status, Duration::from_secs(5)).await {
             Ok(Response::Status(view)) => !view.voters.contains(&NodeId(old)),
             _ => false,
         };
@@ -520,7 +520,7 @@
             sleep(Duration::from_millis(pause)).await;
             let known = self.known().await;
             let one = known[rng.random_range(0..known.len())];
-            let Ok(Response::Status(view)) = ask_one(one, Request::Status).await else {
+            let Ok(Response::Status(view)) = send_request_to(one, Request::Status).await else {
                 continue;
             };
             if view.pending.is_some() {
@@ -549,7 +549,7 @@
                 at_s: 0,
                 values,
             };
-            let mut answer = ask_one(one, Request::Propose(offer.clone())).await;
+            let mut answer = send_request_to(one, Request::Propose(offer.clone())).await;
             for _ in 0..8 {
                 if matches!(answer, Ok(Response::Proposed(_) | Response::Invalid(_)))
                     && !rng.random_bool(0.2)
@@ -559,13 +559,13 @@
                 // Not clear, or once more for good measure: the same offer, at another keeper.
                 sleep(Duration::from_millis(100)).await;
                 let other = known[rng.random_range(0..known.len())];
-                answer = ask_one(other, Request::Propose(offer.clone())).await;
+                answer = send_request_to(other, Request::Propose(offer.clone())).await;
             }
             if let Ok(Response::Proposed(spokeflow_coordination::ProposalOutcome::Pending(_))) =
                 answer
             {
                 closed = !closed;
-            } else if let Ok(Response::Status(view)) = ask_one(one, Request::Status).await {
+            } else if let Ok(Response::Status(view)) = send_request_to(one, Request::Status).await {
                 closed =
                     super::check::closes(&view.pending.as_ref().unwrap_or(&view.in_force).values);
             }
@@ -743,7 +743,7 @@
             break None;
         }
         let Ok(Response::Status(view)) =
-            ask(&known, Request::Status, Duration::from_secs(10)).await
+            send_request(&known, Request::Status, Duration::from_secs(10)).await
         else {
             continue;
         };
@@ -765,7 +765,7 @@
             at_s: 0,
             values: Overrides::new(),
         };
-        let _ = ask(&known, Request::Propose(offer), Duration::from_secs(10)).await;
+        let _ = send_request(&known, Request::Propose(offer), Duration::from_secs(10)).await;
     };
     if opened.is_none() {
         return stage
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_control_plane::client::ask_one;
+use spokeflow_control_plane::client::send_request_to;
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_coordination::{Proposal, ProposalOutcome, RevisionNumber};
 use tokio::time::{sleep, Instant};
@@ -77,7 +77,7 @@
             if Instant::now() >= until || failures >= failures_at_most {
                 break;
             }
-            let asked = ask_one(voter, Request::Propose(offer.clone())).await;
+            let asked = send_request_to(voter, Request::Propose(offer.clone())).await;
             failures = if asked.is_ok() { 0 } else { failures + 1 };
             match asked {
                 Ok(Response::Proposed(ProposalOutcome::Pending(number))) => return Ok(number),
@@ -93,7 +93,7 @@
                     return Err(format!("an offer of {bytes} bytes is refused: {what}"))
                 }
                 Ok(answer) => last = format!("{answer:?}"),
-                Err(what) => last = what,
+                Err(error) => last = error.to_string(),
             }
             sleep(PAUSE).await;
         }
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -197,12 +197,12 @@
 #[test]
 fn a_keeper_that_dies_at_any_of_its_steps_loses_nothing_that_it_promised() {
     let mut script = Vec::new();
-    for (n, (name, _)) in CRASH_POINTS.iter().enumerate() {
+    for (n, point) in CRASH_POINTS.iter().enumerate() {
         let keeper = 1 + n as u32 % 3;
         script.push((
             Fault::DieAt {
                 keeper,
-                place: format!("{name}:{}", 2 + n),
+                place: format!("{}:{}", point.name(), 2 + n),
             },
             s(1.8),
         ));
