--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -1,43 +1,97 @@
-//! A rig around one engine: it notes what the engine sends, plays hosts and keeps the recording.
+//! A harness around one engine: it logs what the engine sends, plays hosts and keeps the recording.
+
+mod config;
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use spokeflow_core::*;
-use spokeflow_engine::{Engine, EngineConfig, Input, Recording, Transport, TransportFailure};
+use spokeflow_engine::{Engine, Input, Recording, Transport, TransportFailure};
 use spokeflow_proto::*;
 
+pub(crate) use config::config;
+
 pub(crate) const SECOND: Micros = 1_000_000;
+/// The answer margin of [`config`].
 pub(crate) const MARGIN: Micros = 20_000;
 
+/// Operations of [`config`].
+pub(crate) const IDEMPOTENT: u16 = 0;
+pub(crate) const DEDUPLICATED: u16 = 1;
+pub(crate) const AT_MOST_ONCE: u16 = 2;
+
+/// The build that is released, and the one whose rollout is watched.
+pub(crate) const STABLE: u16 = 7;
+pub(crate) const CANARY: u16 = 8;
+
+/// A delivery that the engine has started.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SentDelivery {
+    pub(crate) host: u32,
+    pub(crate) delivery: u64,
+    /// By when it has to leave.
+    pub(crate) leave_by: Micros,
+}
+
+/// An answer to a client.
+pub(crate) struct SentAnswer {
+    pub(crate) at: Micros,
+    pub(crate) conn: u64,
+    pub(crate) message: ToClient,
+}
+
+/// A call of `host_closed`.
+#[derive(Debug, PartialEq)]
+pub(crate) struct ClosedHost {
+    pub(crate) host: u32,
+    pub(crate) gone: bool,
+}
+
+/// A call of `recall`.
+#[derive(Debug, PartialEq)]
+pub(crate) struct Recall {
+    pub(crate) host: u32,
+    pub(crate) delivery: Option<u64>,
+}
+
+/// A transport that keeps what the engine sends.
 #[derive(Default)]
-pub(crate) struct Noted {
+pub(crate) struct TransportLog {
     pub(crate) now: Micros,
-    /// Deliveries that the rig's hosts have not ended: host, number, op type.
-    pub(crate) sent: Vec<(u32, u64, u16)>,
-    /// Hosts of all deliveries, in order, and by when each has to leave.
-    pub(crate) hosts: Vec<u32>,
-    pub(crate) leave_by: Vec<(u32, Micros)>,
-    pub(crate) answers: Vec<(Micros, u64, ToClient)>,
+    /// Deliveries that the harness's hosts have not ended.
+    pub(crate) open: Vec<SentDelivery>,
+    /// All deliveries, in order.
+    pub(crate) deliveries: Vec<SentDelivery>,
+    pub(crate) answers: Vec<SentAnswer>,
     pub(crate) votes: Vec<ToController>,
-    pub(crate) closed: Vec<(u32, bool)>,
-    pub(crate) recalled: Vec<(u32, Option<u64>)>,
-    /// A host whose queue has no room.
-    pub(crate) stuffed: Option<u32>,
-    /// All that was sent, in order.
+    pub(crate) closed: Vec<ClosedHost>,
+    pub(crate) recalled: Vec<Recall>,
+    /// A host whose send queue is full.
+    pub(crate) full_host: Option<u32>,
+    /// All that was sent, in order, one line each.
     pub(crate) text: String,
 }
 
-impl Noted {
-    fn note(&mut self, what: impl std::fmt::Debug) {
-        writeln!(self.text, "{} {what:?}", self.now).unwrap();
+impl TransportLog {
+    fn log(&mut self, message: impl std::fmt::Debug) {
+        writeln!(self.text, "{} {message:?}", self.now).unwrap();
+    }
+
+    /// Whether the engine has recalled this one delivery.
+    pub(crate) fn has_recalled(&self, sent: SentDelivery) -> bool {
+        let expected = Recall {
+            host: sent.host,
+            delivery: Some(sent.delivery),
+        };
+        self.recalled.contains(&expected)
     }
 
-    pub(crate) fn one_answer_each(&self, commands: u64) {
+    /// Checks that each of the commands numbered from 1 was answered exactly once.
+    pub(crate) fn assert_one_answer_each(&self, commands: u64) {
         let mut count = BTreeMap::new();
-        self.answers
-            .iter()
-            .for_each(|a| *count.entry(id_of(&a.2)).or_insert(0) += 1);
+        for answer in &self.answers {
+            *count.entry(id_of(&answer.message)).or_insert(0) += 1;
+        }
         assert!(
             (1..=commands).all(|id| count.get(&id) == Some(&1)),
             "{count:?}"
@@ -52,147 +106,97 @@
     }
 }
 
-impl Transport for Noted {
+impl Transport for TransportLog {
     fn to_client(&mut self, conn: u64, message: ToClient) {
-        self.note((conn, &message));
-        self.answers.push((self.now, conn, message));
+        self.log((conn, &message));
+        let at = self.now;
+        self.answers.push(SentAnswer { at, conn, message });
     }
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
-        self.note((host, &message, leave_by));
-        if let ToHost::Deliver { delivery, op, .. } = message {
-            if self.stuffed == Some(host.0) {
+        self.log((host, &message, leave_by));
+        if let ToHost::Deliver { delivery, .. } = message {
+            if self.full_host == Some(host.0) {
                 return false;
             }
-            self.sent.push((host.0, delivery, op));
-            self.hosts.push(host.0);
-            self.leave_by.push((host.0, leave_by));
+            let sent = SentDelivery {
+                host: host.0,
+                delivery,
+                leave_by,
+            };
+            self.open.push(sent);
+            self.deliveries.push(sent);
         }
         true
     }
     fn to_list(&mut self, message: ToList) -> bool {
-        self.note(message);
+        self.log(message);
         true
     }
     fn to_controller(&mut self, message: ToController) -> bool {
-        self.note(&message);
+        self.log(&message);
         self.votes.push(message);
         true
     }
     fn to_routers(&mut self, router: Option<u32>, text: &[u8]) {
-        self.note((router, text));
+        self.log((router, text));
     }
     fn host_open(&mut self, host: HostId, address: &str, incarnation: u64) {
-        self.note((host, address, incarnation));
+        self.log((host, address, incarnation));
     }
     fn recall(&mut self, host: HostId, delivery: Option<u64>) {
-        self.recalled.push((host.0, delivery));
+        let host = host.0;
+        self.recalled.push(Recall { host, delivery });
     }
     fn host_closed(&mut self, host: HostId, gone: bool) {
-        self.note((host, gone));
-        self.closed.push((host.0, gone));
+        self.log((host, gone));
+        let host = host.0;
+        self.closed.push(ClosedHost { host, gone });
     }
 }
 
-pub(crate) struct Rig {
+pub(crate) struct Harness {
     pub(crate) engine: Engine,
-    pub(crate) links: Noted,
+    pub(crate) transport: TransportLog,
     pub(crate) now: Micros,
     pub(crate) recording: Vec<u8>,
-    chance: Rng,
+    random: Rng,
     version: u64,
 }
 
-pub(crate) fn terms() -> EngineConfig {
-    let op = |repeat, repeat_scope| OperationConfig {
-        repeat,
-        deduplication_scope: repeat_scope,
-        deduplication_window: 800_000,
-        latency_objective: 600_000,
-        command_timeout: 2 * SECOND,
-        priority_weight: 1.0,
-        streaming: false,
-    };
-    let service = ServiceConfig {
-        ops: vec![
-            op(Repeat::Idempotent, DeduplicationScope::Unknown),
-            op(Repeat::Deduplicated, DeduplicationScope::All),
-            op(Repeat::AtMostOnce, DeduplicationScope::Unknown),
-        ],
-        tenant_quotas: vec![20.0, 5.0],
-        own_zone: ZoneId(0),
-        own_index: 0,
-        fleet_size: 1,
-        tick: 5_000,
-        list_requires_subscription: false,
-        list_refresh_within: 10 * SECOND,
-        delivery_cap: 4,
-        may_hedge: true,
-        may_cancel: true,
-        may_probe: false,
-        may_gossip: false,
-        may_name_retry_after: true,
-        longest_retry_after: 2 * SECOND,
-        drain_grace: 250_000,
-        slow_start_from: 0.4,
-        warm_up_time: 4 * SECOND,
-        overload_multiple: 3.0,
-        overload_window: 2 * SECOND,
-        gate: Gate::Single,
-        stage_caps: vec![0.1, 0.4, 1.0],
-        stage_shares: vec![0.1, 0.4, 1.0],
-        exposure_allowance: 2.0,
-        exposure_window: 4 * SECOND,
-        exposure_by_op: false,
-        guarded_stages: 0,
-        forward_only: true,
-        rolling: true,
-        stage_bake: SECOND,
-        vote_lifetime: 6 * SECOND,
-        vote_timeout: SECOND,
-        complaint_share: 0.2,
-        rollback_votes: 0,
-        votes_per_second: f64::INFINITY,
-    };
-    EngineConfig {
-        service,
-        answer_margin: MARGIN,
-        max_waiting: 1000,
-    }
-}
-
-impl Rig {
-    pub(crate) fn new(chance: u64, seed: u64) -> Rig {
-        let (mut links, now) = (Noted::default(), 100 * SECOND);
-        let engine = Engine::new(terms(), seed, now, &mut links);
+impl Harness {
+    pub(crate) fn new(random: u64, seed: u64) -> Harness {
+        let mut transport = TransportLog::default();
+        let now = 100 * SECOND;
+        let engine = Engine::new(config(), seed, now, &mut transport);
         let recording = Recording::head(seed, now);
-        Rig {
+        Harness {
             engine,
-            links,
+            transport,
             now,
             recording,
-            chance: Rng::new(chance),
+            random: Rng::new(random),
             version: 0,
         }
     }
 
     pub(crate) fn replay(recording: &Recording) -> String {
-        let mut links = Noted::default();
-        let mut engine = Engine::new(terms(), recording.seed, recording.start, &mut links);
+        let mut transport = TransportLog::default();
+        let mut engine = Engine::new(config(), recording.seed, recording.start, &mut transport);
         for recorded in &recording.inputs {
-            links.now = recorded.at;
-            engine.on_input(recorded.at, recorded.input.clone(), &mut links);
+            transport.now = recorded.at;
+            engine.on_input(recorded.at, recorded.input.clone(), &mut transport);
         }
-        links.text
+        transport.text
     }
 
     pub(crate) fn input(&mut self, input: Input) {
-        self.links.now = self.now;
+        self.transport.now = self.now;
         self.recording.extend(Recording::entry(self.now, &input));
-        self.engine.on_input(self.now, input, &mut self.links);
+        self.engine.on_input(self.now, input, &mut self.transport);
     }
 
-    pub(crate) fn draw(&mut self, below: usize) -> u64 {
-        self.chance.below(below) as u64
+    pub(crate) fn random_below(&mut self, below: usize) -> u64 {
+        self.random.below(below) as u64
     }
 
     fn line(host: u32, build: u16, phase: LinePhase, incarnation: u64) -> Line {
@@ -210,12 +214,18 @@
         }
     }
 
+    /// A complete list of ready hosts of one build, which is released.
     pub(crate) fn list(&mut self, hosts: &[u32], build: u16) {
         let lines = hosts
             .iter()
-            .map(|h| Self::line(*h, build, LinePhase::Ready, 1))
+            .map(|&host| Self::line(host, build, LinePhase::Ready, 1))
             .collect();
         self.input(Input::FromList(FromList::Whole { version: 1, lines }));
+        self.release(build);
+    }
+
+    /// The release controller says that this build is released.
+    pub(crate) fn release(&mut self, build: u16) {
         let news = News {
             build,
             stage: 2,
@@ -257,24 +267,37 @@
         self.input(Input::FromHost { host, message });
     }
 
-    /// The one delivery that is out.
-    pub(crate) fn delivered(&mut self) -> (u32, u64) {
-        assert_eq!(self.links.sent.len(), 1);
-        let (host, delivery, _) = self.links.sent.pop().unwrap();
-        (host, delivery)
+    /// The only open delivery, which the test ends.
+    pub(crate) fn take_delivery(&mut self) -> SentDelivery {
+        assert_eq!(self.transport.open.len(), 1);
+        self.transport.open.pop().unwrap()
+    }
+
+    pub(crate) fn ack(&mut self, sent: SentDelivery) {
+        let body = Default::default();
+        let delivery = sent.delivery;
+        self.host(sent.host, FromHost::Acked { delivery, body });
+    }
+
+    pub(crate) fn fail(&mut self, sent: SentDelivery, failure: TransportFailure) {
+        self.input(Input::DeliveryFailed {
+            host: sent.host,
+            delivery: sent.delivery,
+            failure,
+        });
     }
 
     pub(crate) fn answers(&self, conn: u64) -> Vec<ToClient> {
-        self.links
+        self.transport
             .answers
             .iter()
-            .filter(|a| a.1 == conn)
-            .map(|a| a.2.clone())
+            .filter(|answer| answer.conn == conn)
+            .map(|answer| answer.message.clone())
             .collect()
     }
 
-    /// Time goes by; the engine is woken when it has asked for it.
-    pub(crate) fn pass(&mut self, span: Micros) {
+    /// Time passes; the engine's timer runs when it is due.
+    pub(crate) fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.engine.next_wake() <= until {
             self.now = self.engine.next_wake().max(self.now);
@@ -283,72 +306,48 @@
         self.now = until;
     }
 
-    pub(crate) fn answer_some(&mut self) {
-        while self.links.sent.len() > 4 {
-            let (host, delivery, _) = self.links.sent.remove(0);
-            self.host(
-                host,
-                FromHost::Acked {
-                    delivery,
-                    body: Default::default(),
-                },
-            );
+    /// Acks the oldest deliveries, until four are open.
+    pub(crate) fn answer_all_but_four(&mut self) {
+        while self.transport.open.len() > 4 {
+            let oldest = self.transport.open.remove(0);
+            self.ack(oldest);
         }
     }
 
-    /// Steady commands, each answered at once.
-    pub(crate) fn answer_all(&mut self, span: Micros) {
+    /// Steady commands, each acked at once.
+    pub(crate) fn serve(&mut self, span: Micros) {
         let until = self.now + span;
         let first = 1_000_000 + self.now as u64;
         for id in first.. {
             if self.now >= until {
                 break;
             }
-            self.command(99, id, 0, 0);
-            self.pass(20_000);
-            for (host, delivery, _) in std::mem::take(&mut self.links.sent) {
-                self.host(
-                    host,
-                    FromHost::Acked {
-                        delivery,
-                        body: Default::default(),
-                    },
-                );
+            self.command(99, id, IDEMPOTENT, 0);
+            self.advance(20_000);
+            for sent in std::mem::take(&mut self.transport.open) {
+                self.ack(sent);
             }
         }
     }
 
     pub(crate) fn warm_up(&mut self) {
-        self.answer_all(6 * SECOND);
+        self.serve(6 * SECOND);
     }
 
-    /// One of the deliveries that are out ends, in any way.
-    pub(crate) fn end_one(&mut self) {
-        if self.links.sent.is_empty() {
+    /// One of the open deliveries ends, in any way.
+    pub(crate) fn end_random_delivery(&mut self) {
+        if self.transport.open.is_empty() {
             return;
         }
-        let pick = self.draw(self.links.sent.len()) as usize;
-        let (host, delivery, _) = self.links.sent.remove(pick);
-        match self.draw(6) {
-            0 | 1 => self.host(
-                host,
-                FromHost::Acked {
-                    delivery,
-                    body: Default::default(),
-                },
-            ),
-            2 => self.host(host, FromHost::Error { delivery }),
-            3 => self.host(host, FromHost::Full { delivery }),
-            4 => self.input(Input::DeliveryFailed {
-                host,
-                delivery,
-                failure: TransportFailure::Reset,
-            }),
-            _ => self.input(Input::DeliveryFailed {
-                host,
-                delivery,
-                failure: TransportFailure::NotConnected,
-            }),
+        let index = self.random_below(self.transport.open.len()) as usize;
+        let sent = self.transport.open.remove(index);
+        let delivery = sent.delivery;
+        match self.random_below(6) {
+            0 | 1 => self.ack(sent),
+            2 => self.host(sent.host, FromHost::Error { delivery }),
+            3 => self.host(sent.host, FromHost::Full { delivery }),
+            4 => self.fail(sent, TransportFailure::Reset),
+            _ => self.fail(sent, TransportFailure::NotConnected),
         }
     }
 }
--- /dev/null
+++ b/crates/spokeflow-engine/tests/engine/deliveries.rs
@@ -0,0 +1,117 @@
+//! Deliveries: what their ends prove, and what is recalled before it has left.
+
+use spokeflow_engine::{Input, TransportFailure};
+use spokeflow_proto::{LinePhase, ToClient};
+
+use crate::common::*;
+
+#[test]
+fn a_reset_after_the_frame_left_may_have_run_and_one_before_has_not() {
+    let mut harness = Harness::new(2, 0);
+    harness.list(&[1, 2], 7);
+    harness.command(10, 1, AT_MOST_ONCE, 1);
+    let sent = harness.take_delivery();
+    harness.fail(sent, TransportFailure::Reset);
+    assert!(
+        matches!(harness.answers(10)[..], [ToClient::Failed { id: 1 }]),
+        "may have run: {:?}",
+        harness.answers(10)
+    );
+    assert_eq!(harness.transport.open.len(), 0);
+
+    // A connection that the router has closed as unresponsive proves as little.
+    harness.command(10, 3, AT_MOST_ONCE, 1);
+    let sent = harness.take_delivery();
+    harness.fail(sent, TransportFailure::Unresponsive);
+    assert!(matches!(
+        harness.answers(10)[1..],
+        [ToClient::Failed { id: 3 }]
+    ));
+    assert_eq!(harness.transport.open.len(), 0);
+
+    harness.command(10, 2, AT_MOST_ONCE, 1);
+    let sent = harness.take_delivery();
+    harness.fail(sent, TransportFailure::NotConnected);
+    let second = harness.take_delivery();
+    assert_ne!(sent.host, second.host);
+    harness.ack(second);
+    assert!(matches!(
+        harness.answers(10)[2..],
+        [ToClient::Acked { id: 2, .. }]
+    ));
+}
+
+#[test]
+fn a_host_with_a_full_send_queue_is_avoided() {
+    let mut harness = Harness::new(7, 0);
+    harness.list(&[1, 2], 7);
+    harness.transport.full_host = Some(1);
+    for id in 0..6 {
+        harness.command(10, id, AT_MOST_ONCE, 0);
+    }
+    assert_eq!(harness.transport.open.len(), 6);
+    assert!(harness.transport.open.iter().all(|sent| sent.host == 2));
+    assert!(harness.answers(10).is_empty());
+}
+
+#[test]
+fn a_draining_host_is_closed_and_unsent_deliveries_are_retried_elsewhere() {
+    let mut harness = Harness::new(8, 0);
+    harness.list(&[1, 2], 7);
+    harness.command(10, 1, AT_MOST_ONCE, 1);
+    let sent = harness.take_delivery();
+    harness.change(sent.host, 7, LinePhase::Draining, 1);
+    let closed = ClosedHost {
+        host: sent.host,
+        gone: false,
+    };
+    assert_eq!(harness.transport.closed, [closed]);
+    harness.fail(sent, TransportFailure::NotSent);
+    let second = harness.take_delivery();
+    assert_ne!(sent.host, second.host);
+}
+
+/// The deduplication window of 0.8 s counts from the first delivery that may have run, wherever the retry is held up.
+#[test]
+fn a_retry_has_to_leave_within_the_deduplication_window() {
+    let mut harness = Harness::new(5, 0);
+    harness.list(&[1, 2, 3], 7);
+    harness.command(10, 1, DEDUPLICATED, 0);
+    let sent = harness.take_delivery();
+    harness.advance(100_000);
+    harness.fail(sent, TransportFailure::NotConnected);
+    let sent = harness.take_delivery();
+    let first = harness.now;
+    harness.advance(300_000);
+    harness.fail(sent, TransportFailure::Reset);
+    harness.take_delivery();
+    let deliveries = &harness.transport.deliveries;
+    assert_eq!(deliveries.len(), 3);
+    assert!(
+        deliveries[1].leave_by > first + SECOND,
+        "one that never ran is no first: {deliveries:?}"
+    );
+    assert_eq!(deliveries[2].leave_by, first + 800_000);
+}
+
+#[test]
+fn unsent_deliveries_are_recalled_once_their_command_is_answered_or_abandoned() {
+    let mut harness = Harness::new(5, 0);
+    harness.list(&[1, 2], 7);
+    harness.command(10, 1, IDEMPOTENT, 0);
+    let sent = harness.take_delivery();
+    harness.input(Input::ClientDisconnected { conn: 10 });
+    assert!(harness.transport.has_recalled(sent));
+    harness.command(11, 2, AT_MOST_ONCE, 0);
+    let sent = harness.take_delivery();
+    harness.input(Input::AbortAll);
+    // It may have run: no nack.
+    assert!(matches!(
+        harness.answers(11)[..],
+        [ToClient::Failed { id: 2 }]
+    ));
+    assert!(harness.transport.has_recalled(sent));
+    assert_eq!(harness.engine.waiting_commands(), 0);
+    harness.input(Input::AbortAll);
+    assert_eq!(harness.answers(11).len(), 1);
+}
--- /dev/null
+++ b/crates/spokeflow-engine/tests/engine/endpoint_list.rs
@@ -0,0 +1,119 @@
+//! Endpoint lists: a host's own word, the router's list and the control plane's.
+
+use std::collections::BTreeSet;
+
+use spokeflow_engine::Input;
+use spokeflow_proto::{FromHost, FromList, Line, LinePhase};
+
+use crate::common::*;
+
+#[test]
+fn a_restarted_host_warms_up_from_its_own_welcome_on() {
+    let mut harness = Harness::new(9, 0);
+    harness.list(&[1], 7);
+    harness.warm_up();
+    harness.host(
+        1,
+        FromHost::Welcome {
+            host: 1,
+            build: 7,
+            incarnation: 99,
+            up_us: 1000,
+        },
+    );
+    for id in 0..40 {
+        harness.command(10, id, IDEMPOTENT, 0);
+    }
+    let cold = harness.transport.open.len();
+    assert!(
+        cold < 10,
+        "{cold} commands at once for a host that started a millisecond ago"
+    );
+    // The list, which is behind, does not make it warm again.
+    harness.change(1, 7, LinePhase::Ready, 1);
+    assert_eq!(harness.transport.open.len(), cold);
+}
+
+/// A host on a list.
+fn listed(host: u32, phase: LinePhase, incarnation: u64) -> Line {
+    Line {
+        host,
+        address: format!("127.0.0.1:{host}"),
+        build: Some(STABLE),
+        cell: 0,
+        zone: 0,
+        phase,
+        incarnation,
+        up_us: None,
+    }
+}
+
+fn ready(host: u32, incarnation: u64) -> Line {
+    listed(host, LinePhase::Ready, incarnation)
+}
+
+fn replicated_list(harness: &mut Harness, complete: bool, hosts: &[Line]) {
+    let hosts = hosts.to_vec();
+    harness.input(Input::ReplicatedList { complete, hosts });
+}
+
+fn own_list(harness: &mut Harness, complete: bool, hosts: &[Line]) {
+    let version = 1;
+    let lines = hosts.to_vec();
+    harness.input(Input::FromList(if complete {
+        FromList::Whole { version, lines }
+    } else {
+        FromList::Changes { version, lines }
+    }));
+}
+
+/// Serves steady commands and names the hosts that got them, in order of their numbers.
+fn hosts_used(harness: &mut Harness) -> Vec<u32> {
+    let before = harness.transport.deliveries.len();
+    harness.serve(2 * SECOND);
+    let served = &harness.transport.deliveries[before..];
+    let used: BTreeSet<u32> = served.iter().map(|sent| sent.host).collect();
+    used.into_iter().collect()
+}
+
+#[test]
+fn beside_a_replicated_list_the_own_one_only_removes_hosts() {
+    let mut harness = Harness::new(6, 0);
+    replicated_list(&mut harness, false, &[]);
+    own_list(&mut harness, true, &[ready(1, 1), ready(9, 1)]);
+    harness.release(STABLE);
+    assert!(
+        hosts_used(&mut harness).is_empty(),
+        "the own list adds none"
+    );
+    let all = [ready(1, 1), ready(2, 1), ready(3, 1)];
+    replicated_list(&mut harness, true, &all);
+    assert_eq!(hosts_used(&mut harness), [1, 2, 3]);
+    let removed = [
+        listed(2, LinePhase::Draining, 1),
+        listed(3, LinePhase::Gone, 1),
+    ];
+    own_list(&mut harness, false, &removed);
+    assert_eq!(
+        hosts_used(&mut harness),
+        [1],
+        "at once, though the replicated list has them still"
+    );
+    // The replicated list is behind: whatever it repeats, the same processes stay removed.
+    replicated_list(&mut harness, false, &[ready(2, 1)]);
+    assert_eq!(hosts_used(&mut harness), [1]);
+    replicated_list(&mut harness, false, &[ready(2, 2)]);
+    assert_eq!(hosts_used(&mut harness), [1, 2], "another process of it");
+    own_list(&mut harness, false, &[ready(3, 1)]);
+    assert_eq!(
+        hosts_used(&mut harness),
+        [1, 2, 3],
+        "given back to the replicated list"
+    );
+    own_list(&mut harness, true, &[ready(1, 1), ready(3, 1)]);
+    assert_eq!(
+        hosts_used(&mut harness),
+        [1, 3],
+        "a complete list that lacks one says that it is gone"
+    );
+}
--- /dev/null
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -0,0 +1,196 @@
+//! The rollout: votes, the release controller's caps, and the lease of the control plane.
+
+use spokeflow_coordination::EffectiveConfig;
+use spokeflow_core::Micros;
+use spokeflow_engine::Input;
+use spokeflow_proto::{FromController, LinePhase, News, NewsStanding};
+
+use crate::common::*;
+
+/// Two hosts of the stable build and two of the canary, whose stage allows a share of 0.4.
+fn start_canary(harness: &mut Harness) {
+    harness.list(&[1, 2], STABLE);
+    harness.warm_up();
+    harness.change(3, CANARY, LinePhase::Ready, 1);
+    harness.change(4, CANARY, LinePhase::Ready, 1);
+    let news = News {
+        build: CANARY,
+        stage: 1,
+        standing: NewsStanding::OnTrial,
+        cap: 0.4,
+        age_us: 0,
+    };
+    harness.input(Input::FromController(FromController::News(news)));
+}
+
+fn base_config() -> EffectiveConfig {
+    EffectiveConfig::of(&config().service)
+}
+
+fn grant_lease(harness: &mut Harness, lasts: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
+    let mut config = base_config();
+    change(&mut config);
+    let until = harness.now + lasts;
+    harness.input(Input::Lease {
+        until,
+        config: Box::new(config),
+    });
+}
+
+/// Deliveries by the build of their host.
+struct Split {
+    stable: usize,
+    canary: usize,
+}
+
+/// Serves steady commands for so long, each acked, and counts their deliveries.
+fn serve(harness: &mut Harness, span: Micros) -> Split {
+    let before = harness.transport.deliveries.len();
+    harness.serve(span);
+    let served = &harness.transport.deliveries[before..];
+    let canary = served.iter().filter(|sent| is_canary(sent)).count();
+    let stable = served.len() - canary;
+    Split { stable, canary }
+}
+
+fn is_canary(sent: &SentDelivery) -> bool {
+    sent.host > 2
+}
+
+#[test]
+fn an_unanswered_vote_is_cast_again() {
+    let mut harness = Harness::new(11, 0);
+    harness.list(&[1, 2], 7);
+    harness.warm_up();
+    harness.change(3, 8, LinePhase::Ready, 2);
+    let news = News {
+        build: 8,
+        stage: 0,
+        standing: NewsStanding::OnTrial,
+        cap: 1.0,
+        age_us: 0,
+    };
+    harness.input(Input::FromController(FromController::News(news)));
+    harness.serve(4 * SECOND);
+    let votes = harness.transport.votes.len();
+    assert!(votes >= 1, "a quiet build gets a vote to promote");
+    harness.serve(4 * SECOND);
+    assert!(harness.transport.votes.len() > votes);
+}
+
+#[test]
+fn without_a_lease_the_canary_gets_nothing_and_commands_are_served() {
+    let mut harness = Harness::new(5, 0);
+    grant_lease(&mut harness, 0, |_| {});
+    start_canary(&mut harness);
+    let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
+    assert!(
+        stable > 150 && canary == 0,
+        "before the first lease: {stable} {canary}"
+    );
+    grant_lease(&mut harness, 8 * SECOND, |_| {});
+    let Split { canary, .. } = serve(&mut harness, 7 * SECOND);
+    assert!(canary > 20, "with one: {canary}");
+    harness.advance(SECOND);
+    harness.transport.open.clear();
+    let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
+    assert!(stable > 150 && canary == 0, "after it: {stable} {canary}");
+    // Renewed, it goes on where it was.
+    grant_lease(&mut harness, 8 * SECOND, |_| {});
+    let Split { canary, .. } = serve(&mut harness, 6 * SECOND);
+    assert!(canary > 20, "with another: {canary}");
+}
+
+/// A process that was stopped acts on what it reads first, before any of its timers.
+#[test]
+fn a_lease_that_expired_during_a_pause_is_noticed_before_the_next_input() {
+    let mut harness = Harness::new(5, 0);
+    grant_lease(&mut harness, 60 * SECOND, |_| {});
+    start_canary(&mut harness);
+    serve(&mut harness, 8 * SECOND);
+    harness.now += 60 * SECOND;
+    for id in 0..200 {
+        harness.command(5, id, IDEMPOTENT, 0);
+        assert!(
+            harness.transport.open.iter().all(|sent| sent.host <= 2),
+            "a command went to the canary on a lease that was over"
+        );
+        harness.answer_all_but_four();
+    }
+}
+
+#[test]
+fn deliveries_queued_for_the_canary_leave_within_the_lease_or_never() {
+    let mut harness = Harness::new(5, 0);
+    grant_lease(&mut harness, 7 * SECOND, |_| {});
+    start_canary(&mut harness);
+    let until = harness.now + 8 * SECOND;
+    grant_lease(&mut harness, 8 * SECOND, |_| {});
+    serve(&mut harness, 7 * SECOND);
+    let sent = &harness.transport.deliveries;
+    let (canary, stable): (Vec<&SentDelivery>, Vec<&SentDelivery>) =
+        sent.iter().partition(|sent| is_canary(sent));
+    assert!(
+        !canary.is_empty() && canary.iter().all(|sent| sent.leave_by <= until),
+        "{canary:?}"
+    );
+    assert!(
+        stable.iter().any(|sent| sent.leave_by > until),
+        "the stable build needs no lease"
+    );
+}
+
+#[test]
+fn a_configured_cap_holds_under_a_higher_one_of_the_release_controller() {
+    let mut harness = Harness::new(5, 0);
+    grant_lease(&mut harness, 60 * SECOND, |_| {});
+    start_canary(&mut harness);
+    serve(&mut harness, 10 * SECOND);
+    grant_lease(&mut harness, 60 * SECOND, |config| {
+        config.stage_caps = vec![0.05; 3];
+        config.exposure_free = 0.0;
+    });
+    let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
+    assert!(
+        canary as f64 <= 0.05 * (stable + canary) as f64 + 1.0,
+        "at once, with what was sent before: {stable} {canary}"
+    );
+    let Split { stable, canary } = serve(&mut harness, 20 * SECOND);
+    assert!(
+        canary > 10 && canary as f64 <= 0.05 * (stable + canary) as f64 + 1.0,
+        "{stable} {canary}"
+    );
+}
+
+/// Recalled: hosts of the build whose cap fell, and no others.
+#[test]
+fn a_lowered_cap_recalls_what_is_queued_for_that_build() {
+    let mut harness = Harness::new(5, 0);
+    start_canary(&mut harness);
+    let news = |build, standing, cap| {
+        Input::FromController(FromController::News(News {
+            build,
+            stage: 0,
+            standing,
+            cap,
+            age_us: 0,
+        }))
+    };
+    harness.input(news(8, NewsStanding::OnTrial, 0.1));
+    harness.input(news(8, NewsStanding::OnTrial, 0.4));
+    harness.transport.recalled.clear();
+    harness.input(news(8, NewsStanding::OnTrial, 0.4));
+    harness.input(news(8, NewsStanding::Released, 1.0));
+    assert!(
+        harness.transport.recalled.is_empty(),
+        "{:?}",
+        harness.transport.recalled
+    );
+    harness.input(news(8, NewsStanding::GoingBack, 0.0));
+    let recalled = &harness.transport.recalled;
+    let is_whole_canary = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
+    assert!(
+        !recalled.is_empty() && recalled.iter().all(is_whole_canary),
+        "{recalled:?}"
+    );
+}
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -20,15 +20,15 @@
 
 /// Queues and encodes, each frame of ten bytes.
 fn encode(outgoing: &mut Outgoing, deliveries: &[u64]) {
-    for d in deliveries {
-        assert_eq!(outgoing.push(deliver(*d), LATER), None);
+    for delivery in deliveries {
+        assert_eq!(outgoing.push(deliver(*delivery), LATER), None);
         let message = outgoing.next(0, &mut Vec::new()).unwrap();
         outgoing.on_encoded(&message, 10);
     }
 }
 
 #[test]
-fn a_frame_that_left_in_part_never_ran() {
+fn a_partly_sent_frame_never_ran() {
     for remaining in 0..=30 {
         let mut outgoing = Outgoing::default();
         encode(&mut outgoing, &[1, 2, 3]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_was_answered_or_only_queued_is_no_break() {
+fn only_sent_unanswered_deliveries_are_unconfirmed() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1, 2]);
     outgoing.on_written(0);
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn a_drain_takes_out_all_that_waits_and_lets_nothing_more_in() {
+fn a_closed_queue_returns_what_waits_and_takes_no_more_deliveries() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1]);
     outgoing.push(deliver(2), LATER);
     outgoing.push(ToHost::Cancel { delivery: 1 }, LATER);
     assert_eq!(outgoing.close(), [2]);
     assert_eq!(outgoing.push(deliver(3), LATER), Some(3));
-    // A cancel of what is out still goes.
+    // A cancel of what has left is still sent.
     assert_eq!(
         outgoing.next(0, &mut Vec::new()),
         Some(ToHost::Cancel { delivery: 1 })
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_cancel_overtakes_its_delivery_while_that_waits() {
+fn a_cancel_removes_a_delivery_that_still_waits() {
     let mut outgoing = Outgoing::default();
     outgoing.push(deliver(1), LATER);
     outgoing.push(deliver(2), LATER);
@@ -89,13 +89,13 @@
         Some(1)
     );
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(deliver(2)));
-    // What is known to neither side is not sent.
+    // A cancel of an unknown delivery is not sent.
     assert_eq!(outgoing.push(ToHost::Cancel { delivery: 9 }, LATER), None);
     assert_eq!(outgoing.next(0, &mut Vec::new()), None);
 }
 
 #[test]
-fn what_is_past_its_time_does_not_leave() {
+fn an_expired_delivery_does_not_leave() {
     let mut outgoing = Outgoing::default();
     outgoing.push(deliver(1), 100);
     outgoing.push(deliver(2), 200);
@@ -104,10 +104,10 @@
     assert_eq!(late, [1]);
 }
 
-/// Found by the emulator: a delivery and its cancel, both held by a cut, arrived when it ended, seconds after
-/// hosts had forgotten the mark of its repeat. While nothing shows that they have arrived the way is watched.
+/// Found by the simulator: a delivery and its cancel, both held back by a network partition, arrived when it ended,
+/// seconds after hosts had forgotten its idempotency key. Until a ping shows that they have arrived, they are awaited.
 #[test]
-fn what_was_cancelled_is_on_the_way_until_a_later_ping_is_answered() {
+fn a_cancelled_delivery_is_awaited_until_a_later_ping_is_answered() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1]);
     outgoing.on_written(0);
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -1,7 +1,7 @@
 //! A router's recording that commit d62ab1d wrote, read by the present code.
 //!
 //! `fixtures/d62ab1d/router.recording` is what `spokeflow-router --record` of that commit wrote in
-//! five seconds: it followed three keepers for its service terms and its host list, took five
+//! five seconds: it followed a control plane of three nodes for its configuration and its list, took five
 //! commands from one client, delivered them to two hosts, and was ended by SIGTERM.
 
 use bytes::Bytes;
@@ -57,8 +57,8 @@
     ]
 }
 
-/// The terms that the router's own flags said.
-fn own_terms() -> EffectiveConfig {
+/// The configuration of the router's own flags.
+fn own_config() -> EffectiveConfig {
     EffectiveConfig {
         shares: vec![50.0],
         fleet_size: 1,
@@ -81,7 +81,7 @@
     EffectiveConfig {
         delivery_cap: 3,
         stage_caps: vec![0.02, 0.1, 0.4, 1.0],
-        ..own_terms()
+        ..own_config()
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_end_of_the_client_is_read() {
+fn the_disconnect_of_the_client_is_read() {
     let all = inputs();
     let leave = all
         .iter()
@@ -139,11 +139,11 @@
 
 #[test]
 fn answers_of_hosts_are_read() {
-    let heard = of_kind(|input| match input {
+    let received = of_kind(|input| match input {
         Input::FromHost { host, message } => Some((host, message)),
         _ => None,
     });
-    let heard: Vec<(u32, FromHost)> = heard.into_iter().map(|message| message.1).collect();
+    let messages: Vec<(u32, FromHost)> = received.into_iter().map(|received| received.1).collect();
     let welcome = |host, incarnation| FromHost::Welcome {
         host,
         build: 7,
@@ -159,11 +159,11 @@
         (302, acked(3, 302)),
         (302, acked(4, 302)),
     ];
-    assert_eq!(heard, expected);
+    assert_eq!(messages, expected);
 }
 
 #[test]
-fn what_list_and_desk_said_is_read() {
+fn messages_of_list_and_release_controller_are_read() {
     let all = inputs();
     let whole = FromList::Whole {
         version: 77,
@@ -182,12 +182,9 @@
 }
 
 #[test]
-fn lists_from_the_keepers_are_read() {
+fn lists_from_the_control_plane_are_read() {
     let lists = of_kind(|input| match input {
-        Input::ReplicatedList {
-            complete: whole,
-            hosts,
-        } => Some((whole, hosts)),
+        Input::ReplicatedList { complete, hosts } => Some((complete, hosts)),
         _ => None,
     });
     let first = (1_140, (false, Vec::new()));
@@ -196,24 +193,21 @@
 }
 
 #[test]
-fn terms_from_the_keepers_are_read() {
-    let agreed = of_kind(|input| match input {
-        Input::Lease {
-            until,
-            config: terms,
-        } => Some((until, *terms)),
+fn leases_from_the_control_plane_are_read() {
+    let leases = of_kind(|input| match input {
+        Input::Lease { until, config } => Some((until, *config)),
         _ => None,
     });
-    assert_eq!(agreed.len(), 9);
-    assert_eq!(agreed[0], (1_129, (1_129, own_terms())));
-    assert_eq!(agreed[1], (7_838, (2_977_496, second_revision())));
-    // Of revisions 3 (in force) and 4 (announced) the stricter value of each.
+    assert_eq!(leases.len(), 9);
+    assert_eq!(leases[0], (1_129, (1_129, own_config())));
+    assert_eq!(leases[1], (7_838, (2_977_496, second_revision())));
+    // Of revisions 3 (in force) and 4 (pending) the stricter value of each.
     let last = EffectiveConfig {
         delivery_cap: 2,
         guarded_stages: 1,
         ..second_revision()
     };
-    assert_eq!(agreed[8], (4_968_011, (7_937_449, last)));
+    assert_eq!(leases[8], (4_968_011, (7_937_449, last)));
 }
 
 #[test]
