--- a/crates/spokeflow-runtime/src/backoff.rs
+++ b/crates/spokeflow-runtime/src/backoff.rs
@@ -10,7 +10,7 @@
 const JITTER: f64 = 0.5;
 
 /// Delays that double with each failure in a row. Jitter from the given seed takes up to half off, so that many
-/// routers do not return together and a start with the same seed waits alike.
+/// routers do not reconnect together; equal seeds give equal delays.
 pub struct Backoff {
     rng: Rng,
     first: Duration,
--- a/crates/spokeflow-runtime/src/lib.rs
+++ b/crates/spokeflow-runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! What all programs share around their state machines: a monotonic [`Clock`], [`Backoff`] between connection
 //! attempts, logging to standard error, a [`LogRateLimiter`] for lines that a peer can cause, and the shutdown signal.
 //!
-//! No decision and no protocol stands here. Of the project's packages it uses `spokeflow-core` only, for its unit of
+//! It holds no decision logic and no protocol. Of the project's packages it uses `spokeflow-core` only, for its unit of
 //! time and its seeded generator.
 
 mod backoff;
--- a/crates/spokeflow-runtime/tests/backoff.rs
+++ b/crates/spokeflow-runtime/tests/backoff.rs
@@ -12,27 +12,30 @@
     (0..20).map(|failures| backoff.delay(failures)).collect()
 }
 
-/// Drawn from the thread's generator, no start could be played again.
+/// A run that is repeated with its seed has to wait alike.
 #[test]
-fn equal_seeds_pause_alike_and_other_seeds_or_ways_do_not() {
+fn equal_seeds_give_equal_delays_and_other_seeds_or_peers_do_not() {
     assert_eq!(delays(7, 1), delays(7, 1));
     assert_ne!(delays(7, 1), delays(8, 1));
     assert_ne!(delays(7, 1), delays(7, 2));
 }
 
 #[test]
-fn they_grow_to_the_longest_and_spread_over_its_upper_half() {
-    for (n, delay) in delays(3, 0).into_iter().enumerate() {
-        let full = FIRST.saturating_mul(1 << n.min(16)).min(LONGEST);
-        assert!(delay >= full / 2 && delay <= full, "{delay:?} after {n}");
+fn delays_grow_to_the_longest_and_spread_over_its_upper_half() {
+    for (failures, delay) in delays(3, 0).into_iter().enumerate() {
+        let full = FIRST.saturating_mul(1 << failures.min(16)).min(LONGEST);
+        assert!(
+            delay >= full / 2 && delay <= full,
+            "{delay:?} after {failures}"
+        );
     }
     // Three hundred routers that lose the same peer: no twentieth of a second sees a fifth of them return.
-    let mut at: Vec<u32> = (0..300)
+    let mut slots: Vec<u32> = (0..300)
         .map(|seed| delays(seed, 1)[8].as_millis() as u32 / 50)
         .collect();
-    at.sort_unstable();
-    let most = at
-        .chunk_by(|a, b| a == b)
+    slots.sort_unstable();
+    let most = slots
+        .chunk_by(|slot, next| slot == next)
         .map(<[u32]>::len)
         .max()
         .unwrap_or(0);
--- a/crates/spokeflow-runtime/tests/log_rate_limiter.rs
+++ b/crates/spokeflow-runtime/tests/log_rate_limiter.rs
@@ -3,7 +3,7 @@
 use spokeflow_runtime::LogRateLimiter;
 
 #[test]
-fn ten_lines_a_second_and_the_rest_counted() {
+fn ten_lines_a_second_are_allowed_and_the_rest_counted() {
     let limiter = LogRateLimiter::new();
     let written = (0..25).filter(|_| limiter.allow(1).is_some()).count();
     assert_eq!(written, 10);
