--- a/crates/spokeflow-config/src/lib.rs
+++ b/crates/spokeflow-config/src/lib.rs
@@ -4,6 +4,8 @@
 //! The router reads the flags at start and applies revisions to them; the control plane checks a proposed revision with
 //! [`check_overrides`] before it is replicated. Variables that were renamed are still read ([`adopt_former_variables`]).
 
+mod check;
+mod customer;
 mod duration;
 mod error;
 mod former_names;
@@ -11,7 +13,8 @@
 mod revision;
 mod service;
 
-pub use duration::parse_duration;
+pub use customer::{CustomerFlag, CustomerFlagError};
+pub use duration::{parse_duration, DurationError};
 pub use error::ConfigErrors;
 pub use former_names::{
     adopt_former_variables, current_variable_name, RenamedVariable, RENAMED_VARIABLES,
--- a/crates/spokeflow-config/src/operation.rs
+++ b/crates/spokeflow-config/src/operation.rs
@@ -6,6 +6,7 @@
 
 use spokeflow_core::{DeduplicationScope, Repeat};
 
+use crate::duration::DurationError;
 use crate::parse_duration;
 
 /// An operation and what the service promises of it:
@@ -31,7 +32,7 @@
 }
 
 /// The text of an operation's flag cannot be parsed.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum OperationFlagError {
     /// The text starts with a colon, or is empty.
     #[error("the name is missing")]
@@ -40,8 +41,8 @@
     #[error("'{0}' is not redeliverable, at-most-once or deduplicated/SCOPE")]
     Repeat(String),
     /// A duration cannot be parsed.
-    #[error("{0}")]
-    Duration(String),
+    #[error(transparent)]
+    Duration(#[from] DurationError),
     /// `importance=` is not a number.
     #[error("'{0}': not a number")]
     Importance(String),
@@ -65,12 +66,11 @@
     }
 
     fn apply(&mut self, part: &str) -> Result<(), OperationFlagError> {
-        let duration = |text| parse_duration(text).map_err(OperationFlagError::Duration);
         let (key, value) = part.split_once('=').unwrap_or((part, ""));
         match key {
-            "target" => self.target = duration(value)?,
-            "timeout" => self.timeout = duration(value)?,
-            "memory" => self.memory = duration(value)?,
+            "target" => self.target = parse_duration(value)?,
+            "timeout" => self.timeout = parse_duration(value)?,
+            "memory" => self.memory = parse_duration(value)?,
             "importance" => {
                 let number = value.parse();
                 self.importance =
--- a/crates/spokeflow-config/src/revision.rs
+++ b/crates/spokeflow-config/src/revision.rs
@@ -5,7 +5,8 @@
 use clap::Parser;
 use spokeflow_coordination::Overrides;
 
-use crate::service::parse_customer;
+use crate::customer::CustomerFlagError;
+use crate::duration::DurationError;
 use crate::{parse_duration, ConfigErrors, ServiceFlags};
 
 /// Flags that a revision may name. The others need new processes: what was counted under them cannot be counted anew.
@@ -35,13 +36,26 @@
 
 const BASE_ARGUMENTS: [&str; 2] = ["check", "--op=any:redeliverable:target=1s:timeout=60s"];
 
-fn parse_number<T: FromStr>(text: &str) -> Result<T, String> {
-    text.trim()
-        .parse()
-        .map_err(|_| format!("'{text}' is not such a number"))
+/// Why the value of a flag cannot be overridden.
+#[derive(Debug, thiserror::Error)]
+enum OverrideError {
+    #[error("cannot be changed while routers run")]
+    NotRevisable,
+    /// Which numbers there are is the flag's to say.
+    #[error("'{0}' is not such a number")]
+    Number(String),
+    #[error(transparent)]
+    Duration(#[from] DurationError),
+    #[error(transparent)]
+    Customer(#[from] CustomerFlagError),
 }
 
-fn parse_list<T>(text: &str, parse: impl Fn(&str) -> Result<T, String>) -> Result<Vec<T>, String> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T, OverrideError> {
+    let number = text.trim().parse();
+    number.map_err(|_| OverrideError::Number(text.to_string()))
+}
+
+fn parse_list<T, E>(text: &str, parse: impl Fn(&str) -> Result<T, E>) -> Result<Vec<T>, E> {
     text.split(',').map(|part| parse(part.trim())).collect()
 }
 
@@ -82,22 +96,22 @@
     }
 
     fn customer_names(&self) -> impl Iterator<Item = &str> {
-        self.customers.iter().map(|(name, _)| name.as_str())
+        self.customers.iter().map(|customer| customer.name.as_str())
     }
 
     fn with_overrides(&self, values: &Overrides, errors: &mut ConfigErrors) -> ServiceFlags {
         let mut flags = self.clone();
         for (name, text) in values {
-            if let Err(fault) = flags.apply_override(name, text) {
-                errors.check(true, name, fault);
+            if let Err(error) = flags.apply_override(name, text) {
+                errors.check(true, name, error);
             }
         }
         flags
     }
 
-    fn apply_override(&mut self, name: &str, text: &str) -> Result<(), String> {
+    fn apply_override(&mut self, name: &str, text: &str) -> Result<(), OverrideError> {
         match name {
-            "customer" => self.customers = parse_list(text, parse_customer)?,
+            "customer" => self.customers = parse_list(text, str::parse)?,
             "fleet-size" => self.fleet_size = parse_number(text)?,
             "delivery-cap" => self.delivery_cap = parse_number(text)?,
             "side-by-side" => self.side_by_side = parse_number(text)?,
@@ -111,7 +125,7 @@
             "complaint-share" => self.complaint_share = parse_number(text)?,
             "back-votes" => self.back_votes = parse_number(text)?,
             "votes-a-second" => self.votes_a_second = parse_number(text)?,
-            _ => return Err("cannot be changed while routers run".into()),
+            _ => return Err(OverrideError::NotRevisable),
         }
         Ok(())
     }
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -203,7 +203,7 @@
         };
         let service = ServiceConfig {
             ops: s.ops.iter().map(op).collect(),
-            tenant_quotas: s.customers.iter().map(|c| c.1).collect(),
+            tenant_quotas: s.customers.iter().map(|customer| customer.quota).collect(),
             own_zone: ZoneId(self.site),
             own_index: self.index,
             fleet_size: s.fleet_size,
--- a/crates/spokeflow-testbed/src/scale/settings.rs
+++ b/crates/spokeflow-testbed/src/scale/settings.rs
@@ -2,6 +2,7 @@
 
 use std::net::SocketAddr;
 
+use spokeflow_config::CustomerFlag;
 use spokeflow_coordination::Overrides;
 
 /// One argument of a program may be no longer than this on Linux, less some room.
@@ -30,10 +31,13 @@
     format!("t{number:05}")
 }
 
-/// Customers of a run, by name, with their shares.
-pub fn customers(tenants: u32) -> Vec<(String, f64)> {
+/// Customers of a run, with their quotas.
+pub fn customers(tenants: u32) -> Vec<CustomerFlag> {
     (0..tenants)
-        .map(|number| (tenant(number), f64::from(SHARE)))
+        .map(|number| CustomerFlag {
+            name: tenant(number),
+            quota: f64::from(SHARE),
+        })
         .collect()
 }
 
@@ -83,8 +87,8 @@
     /// Flags that name the customers, as many to one flag as fit.
     pub fn customer_flags(&self) -> Vec<String> {
         let mut flags: Vec<String> = Vec::new();
-        for (name, share) in customers(self.tenants) {
-            let named = format!("{name}={share}");
+        for customer in customers(self.tenants) {
+            let named = format!("{}={}", customer.name, customer.quota);
             match flags
                 .last_mut()
                 .filter(|flag| flag.len() + named.len() < ARGUMENT_AT_MOST)
