--- a/crates/spokeflow-config/src/service.rs
+++ b/crates/spokeflow-config/src/service.rs
@@ -17,14 +17,17 @@
     Clocked,
 }
 
+/// Not a doc comment: rustdoc would take the optional parts for links.
+const OPERATION_HELP: &str = "An operation: NAME:REPEAT:target=TIME:timeout=TIME:importance=NUMBER[:memory=TIME][:streamed], \
+    in the order of its numbers on the wire. REPEAT is redeliverable, at-most-once, or deduplicated/SCOPE with SCOPE the \
+    hosts that recognize a retry: all, zone, cell or host. Repeat the flag, or split the variable by commas";
+
 /// What a deployment promises and allows: the same for all its routers.
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "Service configuration")]
 pub struct ServiceFlags {
-    /// An operation: NAME:REPEAT:target=TIME:timeout=TIME:importance=NUMBER[:memory=TIME][:streamed], in the order
-    /// of its numbers on the wire. REPEAT is redeliverable, at-most-once, or deduplicated/SCOPE with SCOPE the
-    /// hosts that recognize a retry: all, zone, cell or host. Repeat the flag, or split the variable by commas
-    #[arg(long = "op", env = "SPOKEFLOW_OP", value_delimiter = ',', required = true, value_parser = clap::value_parser!(OperationFlag))]
+    /// The operations, in the order of their numbers on the wire.
+    #[arg(long = "op", env = "SPOKEFLOW_OP", value_delimiter = ',', required = true, help = OPERATION_HELP, value_parser = clap::value_parser!(OperationFlag))]
     pub ops: Vec<OperationFlag>,
     /// A customer and its quota: NAME=COMMANDS_A_SECOND over all routers, in the order of their numbers
     #[arg(long = "customer", env = "SPOKEFLOW_CUSTOMER", value_delimiter = ',', value_parser = clap::value_parser!(CustomerFlag))]
