--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -5,7 +5,9 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::{HostState, ListedHost, SourceUpdate};
-use spokeflow_proto::{FrameCodec, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT};
+use spokeflow_proto::{
+    EndpointPhase, EndpointRecord, FrameCodec, FromList, Hello, Role, ToList, LIST_LIMIT,
+};
 use spokeflow_runtime::Backoff;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -77,8 +79,8 @@
                 read = link.next() => {
                     unheard = 0;
                     let news = match read {
-                        Some(Ok(FromList::Whole { version, lines })) => news(version, true, lines),
-                        Some(Ok(FromList::Changes { version, lines })) => news(version, false, lines),
+                        Some(Ok(FromList::Complete { version, endpoints: lines })) => news(version, true, lines),
+                        Some(Ok(FromList::Changes { version, endpoints: lines })) => news(version, false, lines),
                         Some(Ok(FromList::Sizes { .. } | FromList::Failed | FromList::Welcome)) => continue,
                         Some(Ok(FromList::Refused(refused))) => return Err(refused.text),
                         Some(Err(fault)) => return Err(fault.to_string()),
@@ -105,9 +107,9 @@
     }
 }
 
-fn news(version: u64, whole: bool, lines: Vec<Line>) -> SourceUpdate {
-    let host = |line: Line| {
-        let Line {
+fn news(version: u64, whole: bool, lines: Vec<EndpointRecord>) -> SourceUpdate {
+    let host = |line: EndpointRecord| {
+        let EndpointRecord {
             host,
             address,
             build,
@@ -118,9 +120,9 @@
             up_us,
         } = line;
         let state = match phase {
-            LinePhase::Gone => HostState::Gone,
-            LinePhase::Ready => HostState::Ready,
-            LinePhase::Draining => HostState::Draining,
+            EndpointPhase::Gone => HostState::Gone,
+            EndpointPhase::Ready => HostState::Ready,
+            EndpointPhase::Draining => HostState::Draining,
         };
         ListedHost {
             host,
--- a/crates/spokeflow-engine/src/endpoint_entry.rs
+++ b/crates/spokeflow-engine/src/endpoint_entry.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use spokeflow_core::{BuildId, Endpoint, EndpointState, HostId, Micros, ZoneId};
-use spokeflow_proto::{Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord};
 
 use crate::time::bounded_micros;
 
@@ -19,7 +19,7 @@
 
 impl EndpointEntry {
     /// The entry of an endpoint that is listed for the first time.
-    pub(crate) fn new(listed: &Line, now: Micros) -> Self {
+    pub(crate) fn new(listed: &EndpointRecord, now: Micros) -> Self {
         EndpointEntry {
             address: listed.address.clone(),
             incarnation: listed.incarnation,
@@ -37,7 +37,7 @@
 
     /// Takes over what a list says. Of an earlier process than the host itself has announced only the placement and
     /// the state are taken: these are the list's to say.
-    pub(crate) fn update(&mut self, listed: &Line, now: Micros) {
+    pub(crate) fn update(&mut self, listed: &EndpointRecord, now: Micros) {
         if listed.incarnation > self.incarnation {
             // Computed once for each process: each message would shift it by its own delay.
             self.endpoint.started_at = started_at(listed, now);
@@ -53,8 +53,8 @@
     }
 
     /// The entry as a list would name it in this phase.
-    pub(crate) fn listed_as(&self, phase: LinePhase) -> Line {
-        Line {
+    pub(crate) fn listed_as(&self, phase: EndpointPhase) -> EndpointRecord {
+        EndpointRecord {
             host: self.endpoint.host.0,
             address: self.address.clone(),
             build: self.endpoint.build.map(|build| build.0),
@@ -76,15 +76,15 @@
     }
 }
 
-fn started_at(listed: &Line, now: Micros) -> Option<Micros> {
+fn started_at(listed: &EndpointRecord, now: Micros) -> Option<Micros> {
     listed.up_us.map(|uptime| now - bounded_micros(uptime))
 }
 
-fn endpoint_state(phase: LinePhase) -> EndpointState {
+fn endpoint_state(phase: EndpointPhase) -> EndpointState {
     match phase {
-        LinePhase::Gone => EndpointState::Gone,
-        LinePhase::Ready => EndpointState::Ready,
-        LinePhase::Draining => EndpointState::Draining,
+        EndpointPhase::Gone => EndpointState::Gone,
+        EndpointPhase::Ready => EndpointState::Ready,
+        EndpointPhase::Draining => EndpointState::Draining,
     }
 }
 
@@ -92,7 +92,7 @@
 #[derive(Default)]
 pub(crate) struct ReplicatedEndpoints {
     /// As the control plane listed them last.
-    pub(crate) listed: BTreeMap<u32, Line>,
+    pub(crate) listed: BTreeMap<u32, EndpointRecord>,
     /// Removed by the router's own list, which may be ahead of the control plane's.
     pub(crate) removed: BTreeMap<u32, Removal>,
 }
@@ -100,5 +100,5 @@
 /// Up to which process an endpoint was removed, and into which phase.
 pub(crate) struct Removal {
     pub(crate) incarnation: u64,
-    pub(crate) phase: LinePhase,
+    pub(crate) phase: EndpointPhase,
 }
--- a/crates/spokeflow-engine/src/engine/endpoint_list.rs
+++ b/crates/spokeflow-engine/src/engine/endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use spokeflow_core::{Endpoint, EndpointState, HostId, ListKind};
-use spokeflow_proto::{FromList, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList, HostSize};
 
 use super::Engine;
 use crate::egress::EgressAdapter;
@@ -13,11 +13,11 @@
 impl Engine {
     pub(super) fn on_list_message(&mut self, message: FromList, transport: &mut dyn Transport) {
         match message {
-            FromList::Whole { version, lines } => {
-                self.on_own_list(ListKind::Complete, version, &lines, transport);
+            FromList::Complete { version, endpoints } => {
+                self.on_own_list(ListKind::Complete, version, &endpoints, transport);
             }
-            FromList::Changes { version, lines } => {
-                self.on_own_list(ListKind::Changes, version, &lines, transport);
+            FromList::Changes { version, endpoints } => {
+                self.on_own_list(ListKind::Changes, version, &endpoints, transport);
             }
             FromList::Failed => self.on_list_failure(),
             FromList::Sizes { sizes } => self.on_sizes(&sizes, transport),
@@ -32,7 +32,11 @@
         }
     }
 
-    pub(super) fn on_cached_list(&mut self, listed: &[Line], transport: &mut dyn Transport) {
+    pub(super) fn on_cached_list(
+        &mut self,
+        listed: &[EndpointRecord],
+        transport: &mut dyn Transport,
+    ) {
         self.apply_list(ListKind::Cached, listed, transport);
     }
 
@@ -40,7 +44,7 @@
         &mut self,
         kind: ListKind,
         version: u64,
-        listed: &[Line],
+        listed: &[EndpointRecord],
         transport: &mut dyn Transport,
     ) {
         self.in_flight.list_version = Some(version);
@@ -56,7 +60,7 @@
 
     /// What the router's own list changes where the control plane's is followed: endpoints are removed at once, and
     /// given back to the control plane's list, but none is added.
-    fn apply_removals(&mut self, listed: &[Line]) -> Vec<Line> {
+    fn apply_removals(&mut self, listed: &[EndpointRecord]) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         let Some(replicated) = &mut self.in_flight.replicated else {
             return changed;
@@ -68,7 +72,7 @@
             if own.incarnation < entry.incarnation {
                 continue;
             }
-            if own.phase != LinePhase::Ready {
+            if own.phase != EndpointPhase::Ready {
                 replicated.removed.insert(
                     own.host,
                     Removal {
@@ -85,7 +89,7 @@
     }
 
     /// A complete list that lacks an endpoint says that it is gone.
-    fn remove_unlisted(&mut self, listed: &[Line]) -> Vec<Line> {
+    fn remove_unlisted(&mut self, listed: &[EndpointRecord]) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         let Some(replicated) = &mut self.in_flight.replicated else {
             return changed;
@@ -95,7 +99,7 @@
             if entry.is_gone() || named.contains(&host.0) {
                 continue;
             }
-            let phase = LinePhase::Gone;
+            let phase = EndpointPhase::Gone;
             let incarnation = entry.incarnation;
             replicated
                 .removed
@@ -108,28 +112,28 @@
     pub(super) fn on_replicated_list(
         &mut self,
         complete: bool,
-        mut listed: Vec<Line>,
+        mut listed: Vec<EndpointRecord>,
         transport: &mut dyn Transport,
     ) {
         let replicated = self.in_flight.replicated.get_or_insert_default();
         if complete {
             replicated.listed.clear();
         }
-        for line in &mut listed {
-            replicated.listed.insert(line.host, line.clone());
-            let Some(removal) = replicated.removed.get(&line.host) else {
+        for record in &mut listed {
+            replicated.listed.insert(record.host, record.clone());
+            let Some(removal) = replicated.removed.get(&record.host) else {
                 continue;
             };
-            if line.incarnation <= removal.incarnation {
+            if record.incarnation <= removal.incarnation {
                 // The router's own list may be ahead: what it removed stays so until another process.
-                line.phase = removal.phase;
+                record.phase = removal.phase;
             } else {
-                replicated.removed.remove(&line.host);
+                replicated.removed.remove(&record.host);
             }
         }
         replicated
             .listed
-            .retain(|_, line| line.phase != LinePhase::Gone);
+            .retain(|_, record| record.phase != EndpointPhase::Gone);
         if complete {
             self.apply_list(ListKind::Complete, &listed, transport);
         } else if !listed.is_empty() {
@@ -138,8 +142,16 @@
     }
 
     /// Takes a list over, opens and closes hosts on the transport, and passes the list on to the decision module.
-    fn apply_list(&mut self, kind: ListKind, listed: &[Line], transport: &mut dyn Transport) {
-        let endpoints: Vec<Endpoint> = listed.iter().map(|line| self.update_entry(line)).collect();
+    fn apply_list(
+        &mut self,
+        kind: ListKind,
+        listed: &[EndpointRecord],
+        transport: &mut dyn Transport,
+    ) {
+        let endpoints: Vec<Endpoint> = listed
+            .iter()
+            .map(|record| self.update_entry(record))
+            .collect();
         if kind != ListKind::Changes {
             self.close_unlisted(&endpoints, transport);
         }
@@ -165,7 +177,7 @@
         }
     }
 
-    fn update_entry(&mut self, listed: &Line) -> Endpoint {
+    fn update_entry(&mut self, listed: &EndpointRecord) -> Endpoint {
         let now = self.in_flight.now;
         let entry = self
             .in_flight
@@ -177,9 +189,9 @@
     }
 
     /// Relative capacities of hosts. What is no capacity, or of a host that has not been listed, is passed over.
-    fn on_sizes(&mut self, sizes: &[(u32, f32)], transport: &mut dyn Transport) {
+    fn on_sizes(&mut self, sizes: &[HostSize], transport: &mut dyn Transport) {
         let mut changed = Vec::new();
-        for &(host, size) in sizes {
+        for &HostSize { host, size } in sizes {
             if !size.is_finite() || size <= 0.0 {
                 continue;
             }
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::{AttemptOutcome, Micros};
-use spokeflow_proto::{Command, FromController, FromHost, FromList, Line};
+use spokeflow_proto::{Command, EndpointRecord, FromController, FromHost, FromList};
 
 /// One thing that has happened. Recordings hold it as postcard, by the order of variants and fields: new ones go at
 /// the end.
@@ -54,7 +54,7 @@
     /// A message of the endpoint list.
     FromList(FromList),
     /// The endpoint list as an earlier process of this router knew it last.
-    CachedList(Vec<Line>),
+    CachedList(Vec<EndpointRecord>),
     /// The endpoint list cannot be reached now, or its watch broke.
     ListUnavailable,
     /// A message of the release controller.
@@ -93,7 +93,7 @@
         /// Whether `hosts` are all that there are.
         complete: bool,
         /// The endpoints.
-        hosts: Vec<Line>,
+        hosts: Vec<EndpointRecord>,
     },
     /// This process is about to end: every pending command is answered now.
     AbortAll,
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -199,10 +199,10 @@
         self.random.below(below) as u64
     }
 
-    fn line(host: u32, build: u16, phase: LinePhase, incarnation: u64) -> Line {
+    fn record(host: u32, build: u16, phase: EndpointPhase, incarnation: u64) -> EndpointRecord {
         let up_us = (incarnation > 1).then_some(1000);
         let address = format!("127.0.0.1:{host}");
-        Line {
+        EndpointRecord {
             host,
             address,
             build: Some(build),
@@ -216,11 +216,14 @@
 
     /// A complete list of ready hosts of one build, which is released.
     pub(crate) fn list(&mut self, hosts: &[u32], build: u16) {
-        let lines = hosts
+        let endpoints = hosts
             .iter()
-            .map(|&host| Self::line(host, build, LinePhase::Ready, 1))
+            .map(|&host| Self::record(host, build, EndpointPhase::Ready, 1))
             .collect();
-        self.input(Input::FromList(FromList::Whole { version: 1, lines }));
+        self.input(Input::FromList(FromList::Complete {
+            version: 1,
+            endpoints,
+        }));
         self.release(build);
     }
 
@@ -236,12 +239,12 @@
         self.input(Input::FromController(FromController::News(news)));
     }
 
-    pub(crate) fn change(&mut self, host: u32, build: u16, phase: LinePhase, incarnation: u64) {
+    pub(crate) fn change(&mut self, host: u32, build: u16, phase: EndpointPhase, incarnation: u64) {
         self.version += 1;
-        let lines = vec![Self::line(host, build, phase, incarnation)];
+        let endpoints = vec![Self::record(host, build, phase, incarnation)];
         self.input(Input::FromList(FromList::Changes {
             version: self.version,
-            lines,
+            endpoints,
         }));
     }
 
--- a/crates/spokeflow-engine/tests/engine/commands.rs
+++ b/crates/spokeflow-engine/tests/engine/commands.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_proto::{LinePhase, ToClient};
+use spokeflow_proto::{EndpointPhase, ToClient};
 
 use crate::common::*;
 
@@ -139,9 +139,9 @@
                 6 => {
                     let host = 1 + harness.random_below(4) as u32;
                     let phase = match harness.random_below(3) {
-                        0 => LinePhase::Ready,
-                        1 => LinePhase::Draining,
-                        _ => LinePhase::Gone,
+                        0 => EndpointPhase::Ready,
+                        1 => EndpointPhase::Draining,
+                        _ => EndpointPhase::Gone,
                     };
                     let build = 7 + harness.random_below(2) as u16;
                     let incarnation = harness.random_below(50);
--- a/crates/spokeflow-engine/tests/engine/deliveries.rs
+++ b/crates/spokeflow-engine/tests/engine/deliveries.rs
@@ -1,7 +1,7 @@
 //! Deliveries: what their ends prove, and what is recalled before it has left.
 
 use spokeflow_engine::{Input, TransportFailure};
-use spokeflow_proto::{LinePhase, ToClient};
+use spokeflow_proto::{EndpointPhase, ToClient};
 
 use crate::common::*;
 
@@ -60,7 +60,7 @@
     harness.list(&[1, 2], 7);
     harness.command(10, 1, AT_MOST_ONCE, 1);
     let sent = harness.take_delivery();
-    harness.change(sent.host, 7, LinePhase::Draining, 1);
+    harness.change(sent.host, 7, EndpointPhase::Draining, 1);
     let closed = ClosedHost {
         host: sent.host,
         gone: false,
--- a/crates/spokeflow-engine/tests/engine/endpoint_list.rs
+++ b/crates/spokeflow-engine/tests/engine/endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use spokeflow_engine::Input;
-use spokeflow_proto::{FromHost, FromList, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FromHost, FromList};
 
 use crate::common::*;
 
@@ -30,13 +30,13 @@
         "{cold} commands at once for a host that started a millisecond ago"
     );
     // The list, which is behind, does not make it warm again.
-    harness.change(1, 7, LinePhase::Ready, 1);
+    harness.change(1, 7, EndpointPhase::Ready, 1);
     assert_eq!(harness.transport.open.len(), cold);
 }
 
 /// A host on a list.
-fn listed(host: u32, phase: LinePhase, incarnation: u64) -> Line {
-    Line {
+fn listed(host: u32, phase: EndpointPhase, incarnation: u64) -> EndpointRecord {
+    EndpointRecord {
         host,
         address: format!("127.0.0.1:{host}"),
         build: Some(STABLE),
@@ -48,22 +48,22 @@
     }
 }
 
-fn ready(host: u32, incarnation: u64) -> Line {
-    listed(host, LinePhase::Ready, incarnation)
+fn ready(host: u32, incarnation: u64) -> EndpointRecord {
+    listed(host, EndpointPhase::Ready, incarnation)
 }
 
-fn replicated_list(harness: &mut Harness, complete: bool, hosts: &[Line]) {
+fn replicated_list(harness: &mut Harness, complete: bool, hosts: &[EndpointRecord]) {
     let hosts = hosts.to_vec();
     harness.input(Input::ReplicatedList { complete, hosts });
 }
 
-fn own_list(harness: &mut Harness, complete: bool, hosts: &[Line]) {
+fn own_list(harness: &mut Harness, complete: bool, hosts: &[EndpointRecord]) {
     let version = 1;
-    let lines = hosts.to_vec();
+    let endpoints = hosts.to_vec();
     harness.input(Input::FromList(if complete {
-        FromList::Whole { version, lines }
+        FromList::Complete { version, endpoints }
     } else {
-        FromList::Changes { version, lines }
+        FromList::Changes { version, endpoints }
     }));
 }
 
@@ -90,8 +90,8 @@
     replicated_list(&mut harness, true, &all);
     assert_eq!(hosts_used(&mut harness), [1, 2, 3]);
     let removed = [
-        listed(2, LinePhase::Draining, 1),
-        listed(3, LinePhase::Gone, 1),
+        listed(2, EndpointPhase::Draining, 1),
+        listed(3, EndpointPhase::Gone, 1),
     ];
     own_list(&mut harness, false, &removed);
     assert_eq!(
--- a/crates/spokeflow-engine/tests/engine/recording.rs
+++ b/crates/spokeflow-engine/tests/engine/recording.rs
@@ -1,7 +1,7 @@
 //! Recordings: replayed, and torn.
 
 use spokeflow_engine::{Input, NotARecordingError, RecordedInput, Recording, TornEntryError};
-use spokeflow_proto::LinePhase;
+use spokeflow_proto::EndpointPhase;
 
 use crate::common::*;
 
@@ -13,7 +13,7 @@
         harness.command(10 + id % 3, id, (id % 3) as u16, id % 17);
         harness.answer_all_but_four();
         if id == 100 {
-            harness.change(4, 8, LinePhase::Ready, 5);
+            harness.change(4, 8, EndpointPhase::Ready, 5);
         }
         harness.advance(7_000);
     }
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -3,7 +3,7 @@
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_proto::{FromController, LinePhase, News, NewsStanding};
+use spokeflow_proto::{EndpointPhase, FromController, News, NewsStanding};
 
 use crate::common::*;
 
@@ -11,8 +11,8 @@
 fn start_canary(harness: &mut Harness) {
     harness.list(&[1, 2], STABLE);
     harness.warm_up();
-    harness.change(3, CANARY, LinePhase::Ready, 1);
-    harness.change(4, CANARY, LinePhase::Ready, 1);
+    harness.change(3, CANARY, EndpointPhase::Ready, 1);
+    harness.change(4, CANARY, EndpointPhase::Ready, 1);
     let news = News {
         build: CANARY,
         stage: 1,
@@ -62,7 +62,7 @@
     let mut harness = Harness::new(11, 0);
     harness.list(&[1, 2], 7);
     harness.warm_up();
-    harness.change(3, 8, LinePhase::Ready, 2);
+    harness.change(3, 8, EndpointPhase::Ready, 2);
     let news = News {
         build: 8,
         stage: 0,
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -9,7 +9,7 @@
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, Recording, TornEntryError};
 use spokeflow_proto::{
-    Command, FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding,
+    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, News, NewsStanding,
 };
 
 const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
@@ -35,8 +35,8 @@
     answered.collect()
 }
 
-fn line(host: u32, place: u16, phase: LinePhase, up_us: Option<u64>) -> Line {
-    Line {
+fn record(host: u32, place: u16, phase: EndpointPhase, up_us: Option<u64>) -> EndpointRecord {
+    EndpointRecord {
         host,
         address: format!("127.0.0.1:{}", 27931 + u32::from(place)),
         build: Some(7),
@@ -49,11 +49,11 @@
 }
 
 /// Three hosts, with the times since their starts, of which the second's is long ago.
-fn lines(first_up_us: u64, third_up_us: u64) -> Vec<Line> {
+fn records(first_up_us: u64, third_up_us: u64) -> Vec<EndpointRecord> {
     vec![
-        line(301, 0, LinePhase::Ready, Some(first_up_us)),
-        line(302, 1, LinePhase::Ready, None),
-        line(303, 2, LinePhase::Draining, Some(third_up_us)),
+        record(301, 0, EndpointPhase::Ready, Some(first_up_us)),
+        record(302, 1, EndpointPhase::Ready, None),
+        record(303, 2, EndpointPhase::Draining, Some(third_up_us)),
     ]
 }
 
@@ -165,9 +165,9 @@
 #[test]
 fn messages_of_list_and_release_controller_are_read() {
     let all = inputs();
-    let whole = FromList::Whole {
+    let whole = FromList::Complete {
         version: 77,
-        lines: lines(9_000_000, 5_000_000),
+        endpoints: records(9_000_000, 5_000_000),
     };
     assert!(all.contains(&(6_383, Input::FromList(whole))));
     let standing = NewsStanding::Released;
@@ -188,7 +188,7 @@
         _ => None,
     });
     let first = (1_140, (false, Vec::new()));
-    let second = (7_795, (true, lines(10_920_152, 6_920_152)));
+    let second = (7_795, (true, records(10_920_152, 6_920_152)));
     assert_eq!(lists, [first, second]);
 }
 
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -10,7 +10,7 @@
     ConfigState, HostState, LeaseConfig, LeaseGranter, LeaseRequest, ListVersion, ListedHost,
     LogCommand, Overrides, Proposal, RevisionNumber, SourceUpdate, VoterAddresses,
 };
-use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameCodec, FromList};
 use spokeflow_raft::{Entry, LogIndex, Message, Payload, Term};
 
 use super::records::{Held, Record, Role};
@@ -303,25 +303,31 @@
 }
 
 fn list_frame(news: SourceUpdate) -> usize {
-    let line = |h: ListedHost| Line {
+    let line = |h: ListedHost| EndpointRecord {
         host: h.host,
         address: h.address,
         build: h.build,
         cell: h.cell,
         zone: h.zone,
         phase: if h.state == HostState::Draining {
-            LinePhase::Draining
+            EndpointPhase::Draining
         } else {
-            LinePhase::Ready
+            EndpointPhase::Ready
         },
         incarnation: h.incarnation,
         up_us: h.up_us,
     };
     let (version, lines) = (news.version, news.hosts.into_iter().map(line).collect());
     frame(&if news.complete {
-        FromList::Whole { version, lines }
+        FromList::Complete {
+            version,
+            endpoints: lines,
+        }
     } else {
-        FromList::Changes { version, lines }
+        FromList::Changes {
+            version,
+            endpoints: lines,
+        }
     })
 }
 
--- a/crates/spokeflow-platform/src/roster.rs
+++ b/crates/spokeflow-platform/src/roster.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use spokeflow_core::Micros;
-use spokeflow_proto::{FromList, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList, HostSize};
 
 /// The host list, or what changed in it, in discovery's form.
 #[derive(Clone, Debug, Deserialize)]
@@ -88,7 +88,10 @@
             };
             named.resize(self.slots.len(), false);
             named[line.host as usize] = true;
-            sizes.extend(size.map(|size| (line.host, size)));
+            sizes.extend(size.map(|size| HostSize {
+                host: line.host,
+                size,
+            }));
             lines.push(line);
         }
         for (slot, named) in self.slots.iter_mut().zip(named) {
@@ -98,14 +101,25 @@
         }
         let version = listing.revision;
         let list = if whole {
-            FromList::Whole { version, lines }
+            FromList::Complete {
+                version,
+                endpoints: lines,
+            }
         } else {
-            FromList::Changes { version, lines }
+            FromList::Changes {
+                version,
+                endpoints: lines,
+            }
         };
         (list, FromList::Sizes { sizes })
     }
 
-    fn line(&mut self, member: Member, now: Micros, unix_ms: u64) -> Option<(Line, Option<f32>)> {
+    fn line(
+        &mut self,
+        member: Member,
+        now: Micros,
+        unix_ms: u64,
+    ) -> Option<(EndpointRecord, Option<f32>)> {
         let gone = member.phase == Phase::Gone;
         let host = match self.numbers.get(&member.id) {
             Some(host) => *host,
@@ -127,16 +141,16 @@
             }
         }
         let (address, build, started) = slot.process.clone();
-        let line = Line {
+        let line = EndpointRecord {
             host,
             address,
             build,
             cell: slot.cell,
             zone: slot.zone,
             phase: match member.phase {
-                Phase::Gone => LinePhase::Gone,
-                Phase::Ready => LinePhase::Ready,
-                Phase::Terminating => LinePhase::Draining,
+                Phase::Gone => EndpointPhase::Gone,
+                Phase::Ready => EndpointPhase::Ready,
+                Phase::Terminating => EndpointPhase::Draining,
             },
             incarnation: slot.incarnation,
             up_us: (started != 0).then(|| unix_ms.saturating_sub(started).saturating_mul(1000)),
@@ -183,9 +197,14 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    fn lines(list: FromList) -> Vec<Line> {
+    fn lines(list: FromList) -> Vec<EndpointRecord> {
         match list {
-            FromList::Whole { lines, .. } | FromList::Changes { lines, .. } => lines,
+            FromList::Complete {
+                endpoints: lines, ..
+            }
+            | FromList::Changes {
+                endpoints: lines, ..
+            } => lines,
             _ => unreachable!("a list"),
         }
     }
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -144,9 +144,12 @@
     fn listed(&mut self, listing: Listing, remembered: bool) {
         let (list, sizes) = self.roster.read(listing, self.clock.now(), unix_ms());
         self.give(match list {
-            FromList::Whole { lines, .. } | FromList::Changes { lines, .. } if remembered => {
-                Input::CachedList(lines)
+            FromList::Complete {
+                endpoints: lines, ..
             }
+            | FromList::Changes {
+                endpoints: lines, ..
+            } if remembered => Input::CachedList(lines),
             list => Input::FromList(list),
         });
         self.give(Input::FromList(sizes));
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -198,7 +198,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LinePhase {
+pub enum EndpointPhase {
     Gone,
     Ready,
     Draining,
@@ -206,14 +206,14 @@
 
 /// One host as the list knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct EndpointRecord {
     pub host: u32,
     /// Address and port, as text.
     pub address: String,
     pub build: Option<u16>,
     pub cell: u16,
     pub zone: u16,
-    pub phase: LinePhase,
+    pub phase: EndpointPhase,
     pub incarnation: u64,
     /// Microseconds since the start of its process when this was sent; `None` for long ago.
     pub up_us: Option<u64>,
@@ -234,21 +234,30 @@
 pub enum FromList {
     Welcome,
     Refused(Refused),
-    Whole {
+    Complete {
         version: u64,
-        lines: Vec<Line>,
+        endpoints: Vec<EndpointRecord>,
     },
     Changes {
         version: u64,
-        lines: Vec<Line>,
+        endpoints: Vec<EndpointRecord>,
     },
     Failed,
-    /// Host and its capacity against other hosts', in any unit; for hosts told before, only to a caller of version 2.
+    /// Relative capacities of hosts that have been listed before; only to a caller of version 2.
     Sizes {
-        sizes: Vec<(u32, f32)>,
+        sizes: Vec<HostSize>,
     },
 }
 
+/// The capacity of a host against other hosts'.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HostSize {
+    /// Number of the host.
+    pub host: u32,
+    /// In any unit, the same for all hosts.
+    pub size: f32,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NewsStanding {
     OnTrial,
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -119,8 +119,8 @@
     }
 }
 
-fn whole_line(phase: LinePhase) -> Line {
-    Line {
+fn whole_line(phase: EndpointPhase) -> EndpointRecord {
+    EndpointRecord {
         host: 70_001,
         address: "10.0.0.1:7600".into(),
         build: Some(302),
@@ -132,11 +132,11 @@
     }
 }
 
-fn line_without_options() -> Line {
-    Line {
+fn line_without_options() -> EndpointRecord {
+    EndpointRecord {
         build: None,
         up_us: None,
-        ..whole_line(LinePhase::Draining)
+        ..whole_line(EndpointPhase::Draining)
     }
 }
 
@@ -333,24 +333,36 @@
 }
 
 fn from_list() -> Vec<Named<FromList>> {
-    let whole = FromList::Whole {
+    let whole = FromList::Complete {
         version: 1_001,
-        lines: vec![whole_line(LinePhase::Ready), line_without_options()],
+        endpoints: vec![whole_line(EndpointPhase::Ready), line_without_options()],
     };
     let changes = |phase| FromList::Changes {
         version: 1_002,
-        lines: vec![whole_line(phase)],
+        endpoints: vec![whole_line(phase)],
     };
     let sizes = FromList::Sizes {
-        sizes: vec![(70_001, 0.5), (70_002, 4.0)],
+        sizes: vec![
+            HostSize {
+                host: 70_001,
+                size: 0.5,
+            },
+            HostSize {
+                host: 70_002,
+                size: 4.0,
+            },
+        ],
     };
     vec![
         ("FromList::Welcome", FromList::Welcome),
         ("FromList::Refused", FromList::Refused(refused())),
         ("FromList::Whole", whole),
-        ("FromList::Changes/Gone", changes(LinePhase::Gone)),
-        ("FromList::Changes/Ready", changes(LinePhase::Ready)),
-        ("FromList::Changes/Draining", changes(LinePhase::Draining)),
+        ("FromList::Changes/Gone", changes(EndpointPhase::Gone)),
+        ("FromList::Changes/Ready", changes(EndpointPhase::Ready)),
+        (
+            "FromList::Changes/Draining",
+            changes(EndpointPhase::Draining),
+        ),
         ("FromList::Failed", FromList::Failed),
         ("FromList::Sizes", sizes),
     ]
@@ -360,11 +372,13 @@
     match message {
         FromList::Welcome => "FromList::Welcome",
         FromList::Refused(_) => "FromList::Refused",
-        FromList::Whole { .. } => "FromList::Whole",
-        FromList::Changes { lines, .. } => match lines[0].phase {
-            LinePhase::Gone => "FromList::Changes/Gone",
-            LinePhase::Ready => "FromList::Changes/Ready",
-            LinePhase::Draining => "FromList::Changes/Draining",
+        FromList::Complete { .. } => "FromList::Whole",
+        FromList::Changes {
+            endpoints: lines, ..
+        } => match lines[0].phase {
+            EndpointPhase::Gone => "FromList::Changes/Gone",
+            EndpointPhase::Ready => "FromList::Changes/Ready",
+            EndpointPhase::Draining => "FromList::Changes/Draining",
         },
         FromList::Failed => "FromList::Failed",
         FromList::Sizes { .. } => "FromList::Sizes",
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -11,7 +11,7 @@
 use spokeflow_coordination::{HostState, LeaseConfig, LeaseHolder, ListedHost, RevisionNumber};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameCodec, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameCodec};
 use spokeflow_runtime::{Backoff, Clock};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -258,7 +258,7 @@
     }
 }
 
-fn line(host: ListedHost) -> Line {
+fn line(host: ListedHost) -> EndpointRecord {
     let ListedHost {
         host,
         address,
@@ -270,11 +270,11 @@
         up_us,
     } = host;
     let phase = match state {
-        HostState::Gone => LinePhase::Gone,
-        HostState::Ready => LinePhase::Ready,
-        HostState::Draining => LinePhase::Draining,
+        HostState::Gone => EndpointPhase::Gone,
+        HostState::Ready => EndpointPhase::Ready,
+        HostState::Draining => EndpointPhase::Draining,
     };
-    Line {
+    EndpointRecord {
         host,
         address,
         build,
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -7,7 +7,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameFault, FromList, Line, LinePhase, ToList, LIST_LIMIT};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameFault, FromList, ToList, LIST_LIMIT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 use tracing::warn;
@@ -83,7 +83,7 @@
                 read = link.next() => match read {
                     Some(Ok(message)) => {
                         unheard = 0;
-                        if let FromList::Whole { version: v, .. } | FromList::Changes { version: v, .. } = &message {
+                        if let FromList::Complete { version: v, .. } | FromList::Changes { version: v, .. } = &message {
                             *version = Some(*v);
                         }
                         if let Some(file) = self.file.as_ref().filter(|_| kept.take(&message)) {
@@ -116,7 +116,7 @@
 /// The list as last heard, kept in a file for a start without it.
 #[derive(Default)]
 struct Kept {
-    lines: std::collections::BTreeMap<u32, Line>,
+    lines: std::collections::BTreeMap<u32, EndpointRecord>,
     writing: Arc<std::sync::atomic::AtomicBool>,
 }
 
@@ -126,15 +126,19 @@
     /// Whether something has changed.
     fn take(&mut self, message: &FromList) -> bool {
         let lines = match message {
-            FromList::Whole { lines, .. } => {
+            FromList::Complete {
+                endpoints: lines, ..
+            } => {
                 self.lines.clear();
                 lines
             }
-            FromList::Changes { lines, .. } => lines,
+            FromList::Changes {
+                endpoints: lines, ..
+            } => lines,
             _ => return false,
         };
         for line in lines {
-            if line.phase == LinePhase::Gone {
+            if line.phase == EndpointPhase::Gone {
                 self.lines.remove(&line.host);
             } else {
                 self.lines.insert(line.host, line.clone());
@@ -149,7 +153,7 @@
         if self.writing.swap(true, Ordering::AcqRel) {
             return;
         }
-        let lines: Vec<Line> = self.lines.values().cloned().collect();
+        let lines: Vec<EndpointRecord> = self.lines.values().cloned().collect();
         let writing = self.writing.clone();
         tokio::task::spawn_blocking(move || {
             if let Err(e) = write_list(&file, &lines) {
@@ -160,7 +164,7 @@
     }
 }
 
-fn write_list(file: &std::path::Path, lines: &[Line]) -> std::io::Result<()> {
+fn write_list(file: &std::path::Path, lines: &[EndpointRecord]) -> std::io::Result<()> {
     use std::io::Write;
     let body = postcard::to_stdvec(lines).map_err(std::io::Error::other)?;
     let beside = file.with_extension("new");
@@ -173,12 +177,12 @@
 }
 
 /// The list that an earlier process kept. Errors: why it is not used.
-pub fn read_list(file: &std::path::Path) -> Result<Vec<Line>, String> {
+pub fn read_list(file: &std::path::Path) -> Result<Vec<EndpointRecord>, String> {
     let bytes = std::fs::read(file).map_err(|e| e.to_string())?;
     let body = bytes
         .strip_prefix(LIST_MARK)
         .ok_or("not a kept list of this version")?;
-    match postcard::take_from_bytes::<Vec<Line>>(body) {
+    match postcard::take_from_bytes::<Vec<EndpointRecord>>(body) {
         Ok((lines, [])) => Ok(lines),
         _ => Err("the kept list is damaged".into()),
     }
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -220,24 +220,25 @@
 
     let (mut list, hello) = called::<ToList, FromList>(&list, LIST_LIMIT, FromList::Welcome).await;
     assert!(matches!(hello, ToList::Hello(h) if h.takes_more()));
-    let line = |host: u32, build| Line {
+    let line = |host: u32, build| EndpointRecord {
         host,
         address: hosts[host as usize].local_addr().unwrap().to_string(),
         build: Some(build),
         cell: 0,
         zone: 1,
-        phase: LinePhase::Ready,
+        phase: EndpointPhase::Ready,
         incarnation: 1,
         up_us: None,
     };
-    list.send(FromList::Whole {
+    list.send(FromList::Complete {
         version: 1,
-        lines: vec![line(0, 1), line(1, 2)],
+        endpoints: vec![line(0, 1), line(1, 2)],
     })
     .await
     .unwrap();
-    let odd = vec![(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
-    list.send(FromList::Sizes { sizes: odd }).await.unwrap();
+    let odd = [(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
+    let sizes = odd.map(|(host, size)| HostSize { host, size }).to_vec();
+    list.send(FromList::Sizes { sizes }).await.unwrap();
     let (mut desk, hello) =
         called::<ToController, FromController>(&desk, WORK_LIMIT, FromController::Welcome).await;
     assert!(matches!(hello, ToController::Hello(h) if h.takes_more()));
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -6,8 +6,8 @@
 use spokeflow_core::{BuildId, HostId, Micros, Repeat, Rng};
 use spokeflow_engine::{EngineConfig, Input, TransportFailure};
 use spokeflow_proto::{
-    BallotVerdict, Command, FromController, FromHost, FromList, Line, LinePhase, News,
-    NewsStanding, ToClient, ToController, ToHost, ToList,
+    BallotVerdict, Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList,
+    News, NewsStanding, ToClient, ToController, ToHost, ToList,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -284,7 +284,7 @@
         wiring.to_client(held.conn, message);
     }
 
-    fn list(&mut self, whole: bool, lines: &[Line], wiring: &mut dyn Wiring) {
+    fn list(&mut self, whole: bool, lines: &[EndpointRecord], wiring: &mut dyn Wiring) {
         if whole {
             let named: BTreeSet<u32> = lines.iter().map(|l| l.host).collect();
             for (host, known) in self.hosts.iter_mut().filter(|(h, _)| !named.contains(h)) {
@@ -301,11 +301,11 @@
             });
             known.build = line.build.unwrap_or(known.build);
             known.incarnation = known.incarnation.max(line.incarnation);
-            known.ready = line.phase == LinePhase::Ready;
+            known.ready = line.phase == EndpointPhase::Ready;
             if known.ready {
                 wiring.host_open(HostId(line.host), &line.address, known.incarnation);
             } else {
-                wiring.host_closed(HostId(line.host), line.phase == LinePhase::Gone);
+                wiring.host_closed(HostId(line.host), line.phase == EndpointPhase::Gone);
             }
         }
         self.hosts.retain(|_, h| h.ready || h.in_flight > 0);
@@ -425,11 +425,17 @@
                     wiring,
                 );
             }
-            Input::FromList(FromList::Whole { version, lines }) => {
+            Input::FromList(FromList::Complete {
+                version,
+                endpoints: lines,
+            }) => {
                 self.version = Some(version);
                 self.list(true, &lines, wiring);
             }
-            Input::FromList(FromList::Changes { version, lines }) => {
+            Input::FromList(FromList::Changes {
+                version,
+                endpoints: lines,
+            }) => {
                 self.version = Some(version);
                 self.list(false, &lines, wiring);
             }
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 use spokeflow_engine::Input;
-use spokeflow_proto::{FromList, Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList};
 use spokeflow_scenario::board::Entry;
 use spokeflow_scenario::faults::{Way, OFFICE_SITE};
 use spokeflow_scenario::seen::{Phase, Process, Seen};
@@ -38,25 +38,31 @@
     fn tell_list(&mut self, by: Process, link: u32, have: Option<u64>) {
         let now = self.now;
         let (whole, entries) = self.board.since(have);
-        let line = |e: &&Entry| Line {
+        let line = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: String::new(),
             build: Some(e.build),
             cell: 0,
             zone: e.site,
             phase: match e.phase {
-                Phase::Gone => LinePhase::Gone,
-                Phase::Ready => LinePhase::Ready,
-                Phase::Draining => LinePhase::Draining,
+                Phase::Gone => EndpointPhase::Gone,
+                Phase::Ready => EndpointPhase::Ready,
+                Phase::Draining => EndpointPhase::Draining,
             },
             incarnation: e.incarnation,
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
         let (version, lines) = (self.board.version(), entries.iter().map(line).collect());
         let message = if whole {
-            FromList::Whole { version, lines }
+            FromList::Complete {
+                version,
+                endpoints: lines,
+            }
         } else {
-            FromList::Changes { version, lines }
+            FromList::Changes {
+                version,
+                endpoints: lines,
+            }
         };
         self.routers[by.router as usize].list_held = Some(version);
         self.tell_router(by, |by| What::ListTo {
@@ -124,14 +130,18 @@
             });
         }
         let (whole, lines) = match &**message {
-            FromList::Whole { lines, .. } => (true, lines),
-            FromList::Changes { lines, .. } => (false, lines),
+            FromList::Complete {
+                endpoints: lines, ..
+            } => (true, lines),
+            FromList::Changes {
+                endpoints: lines, ..
+            } => (false, lines),
             _ => return,
         };
-        let phase = |l: &Line| match l.phase {
-            LinePhase::Gone => Phase::Gone,
-            LinePhase::Ready => Phase::Ready,
-            LinePhase::Draining => Phase::Draining,
+        let phase = |l: &EndpointRecord| match l.phase {
+            EndpointPhase::Gone => Phase::Gone,
+            EndpointPhase::Ready => Phase::Ready,
+            EndpointPhase::Draining => Phase::Draining,
         };
         if whole || !lines.is_empty() {
             let lines = lines
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -59,7 +59,7 @@
 pub struct Peers {
     pub start: Instant,
     /// The list's version and lines.
-    pub list: watch::Sender<(u64, Vec<Line>)>,
+    pub list: watch::Sender<(u64, Vec<EndpointRecord>)>,
     pub noted: Mutex<Noted>,
     /// Where each router listens, while it does.
     pub doors: Mutex<Vec<Option<SocketAddr>>>,
@@ -91,8 +91,8 @@
                 return;
             };
             (line.phase, line.incarnation) = match line.phase {
-                LinePhase::Ready => (LinePhase::Draining, line.incarnation),
-                _ => (LinePhase::Ready, line.incarnation + 1),
+                EndpointPhase::Ready => (EndpointPhase::Draining, line.incarnation),
+                _ => (EndpointPhase::Ready, line.incarnation + 1),
             };
         });
     }
@@ -114,8 +114,8 @@
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let build = if host % 2 == 0 { OLD } else { NEW };
             let address = listener.local_addr()?.to_string();
-            let (cell, zone, phase) = (0, 0, LinePhase::Ready);
-            lines.push(Line {
+            let (cell, zone, phase) = (0, 0, EndpointPhase::Ready);
+            lines.push(EndpointRecord {
                 host,
                 address,
                 build: Some(build),
@@ -281,7 +281,7 @@
     }
 }
 
-async fn list_link(stream: TcpStream, mut list: watch::Receiver<(u64, Vec<Line>)>) {
+async fn list_link(stream: TcpStream, mut list: watch::Receiver<(u64, Vec<EndpointRecord>)>) {
     let mut link: Framed<TcpStream, FrameCodec<ToList, FromList>> =
         Framed::new(stream, FrameCodec::new(LIST_LIMIT));
     let mut watched = false;
@@ -292,13 +292,13 @@
                 Some(Ok(asked)) => {
                     watched |= matches!(asked, ToList::Watch { .. });
                     let (version, lines) = list.borrow_and_update().clone();
-                    FromList::Whole { version, lines }
+                    FromList::Complete { version, endpoints: lines }
                 }
                 _ => return,
             },
             Ok(()) = list.changed(), if watched => {
                 let (version, lines) = list.borrow_and_update().clone();
-                FromList::Changes { version, lines }
+                FromList::Changes { version, endpoints: lines }
             }
         };
         if link.send(answer).await.is_err() {
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -178,17 +178,17 @@
         TcpListener::bind("127.0.0.1:0").await?,
     );
     let addresses = (list.local_addr()?, desk.local_addr()?);
-    let line = |(n, address): (usize, &SocketAddr)| Line {
+    let line = |(n, address): (usize, &SocketAddr)| EndpointRecord {
         host: n as u32,
         address: address.to_string(),
         build: Some(if trial && n % 4 == 0 { 2 } else { 1 }),
         cell: 0,
         zone: 0,
-        phase: LinePhase::Ready,
+        phase: EndpointPhase::Ready,
         incarnation: 1,
         up_us: None,
     };
-    let lines: Vec<Line> = hosts.iter().enumerate().map(line).collect();
+    let lines: Vec<EndpointRecord> = hosts.iter().enumerate().map(line).collect();
     tokio::spawn(async move {
         while let Ok((stream, _)) = list.accept().await {
             let lines = lines.clone();
@@ -200,11 +200,11 @@
                         ToList::Hello(_) => FromList::Welcome,
                         ToList::Watch { have: Some(_) } => FromList::Changes {
                             version: 1,
-                            lines: vec![],
+                            endpoints: vec![],
                         },
-                        _ => FromList::Whole {
+                        _ => FromList::Complete {
                             version: 1,
-                            lines: lines.clone(),
+                            endpoints: lines.clone(),
                         },
                     };
                     if link.send(answer).await.is_err() {
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -8,8 +8,8 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_proto::{
-    BallotResult, BallotVerdict, FrameCodec, FromController, FromList, Line, LinePhase, News,
-    NewsStanding, Role, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
+    BallotResult, BallotVerdict, EndpointPhase, EndpointRecord, FrameCodec, FromController,
+    FromList, News, NewsStanding, Role, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -107,38 +107,48 @@
     fn message(&self, board: &Board, have: Option<u64>) -> FromList {
         let now = self.world.tap.now();
         let (whole, entries) = board.since(have);
-        let line = |e: &&Entry| Line {
+        let line = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: e.address.clone(),
             build: Some(e.build),
             cell: 0,
             zone: e.site,
             phase: match e.phase {
-                Phase::Gone => LinePhase::Gone,
-                Phase::Ready => LinePhase::Ready,
-                Phase::Draining => LinePhase::Draining,
+                Phase::Gone => EndpointPhase::Gone,
+                Phase::Ready => EndpointPhase::Ready,
+                Phase::Draining => EndpointPhase::Draining,
             },
             incarnation: e.incarnation,
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
         let (version, lines) = (board.version(), entries.iter().map(line).collect());
         if whole {
-            FromList::Whole { version, lines }
+            FromList::Complete {
+                version,
+                endpoints: lines,
+            }
         } else {
-            FromList::Changes { version, lines }
+            FromList::Changes {
+                version,
+                endpoints: lines,
+            }
         }
     }
 
     fn note(&self, to: Process, message: &FromList) {
         let (whole, lines) = match message {
-            FromList::Whole { lines, .. } => (true, lines),
-            FromList::Changes { lines, .. } if !lines.is_empty() => (false, lines),
+            FromList::Complete {
+                endpoints: lines, ..
+            } => (true, lines),
+            FromList::Changes {
+                endpoints: lines, ..
+            } if !lines.is_empty() => (false, lines),
             _ => return,
         };
-        let phase = |l: &Line| match l.phase {
-            LinePhase::Gone => Phase::Gone,
-            LinePhase::Ready => Phase::Ready,
-            LinePhase::Draining => Phase::Draining,
+        let phase = |l: &EndpointRecord| match l.phase {
+            EndpointPhase::Gone => Phase::Gone,
+            EndpointPhase::Ready => Phase::Ready,
+            EndpointPhase::Draining => Phase::Draining,
         };
         let lines = lines
             .iter()
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use spokeflow_coordination::RevisionNumber;
 use spokeflow_engine::Input;
-use spokeflow_proto::{Line, LinePhase};
+use spokeflow_proto::{EndpointPhase, EndpointRecord};
 use spokeflow_router::{ControlPlaneLink, EngineEvent, RouterFlags};
 use spokeflow_runtime::{init_logging, Clock, LogFormat};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -68,16 +68,16 @@
 
 /// What an agreed list leaves behind in a router: lines by host.
 #[derive(Default)]
-struct ToldHosts(BTreeMap<u32, Line>);
+struct ToldHosts(BTreeMap<u32, EndpointRecord>);
 
 impl ToldHosts {
-    fn hear(&mut self, whole: bool, hosts: Vec<Line>) {
+    fn hear(&mut self, whole: bool, hosts: Vec<EndpointRecord>) {
         if whole {
             self.0.clear();
         }
         for line in hosts {
             match line.phase {
-                LinePhase::Gone => self.0.remove(&line.host),
+                EndpointPhase::Gone => self.0.remove(&line.host),
                 _ => self.0.insert(line.host, line),
             };
         }
--- a/crates/spokeflow-testbed/src/scale/list.rs
+++ b/crates/spokeflow-testbed/src/scale/list.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase, ToList, LIST_LIMIT};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameCodec, FromList, ToList, LIST_LIMIT};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio_util::codec::Framed;
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, Default)]
 struct Lines {
     version: u64,
-    lines: BTreeMap<u32, Line>,
+    lines: BTreeMap<u32, EndpointRecord>,
     /// The version with which each host changed last.
     changed: BTreeMap<u32, u64>,
 }
 
 impl Lines {
-    fn since(&self, version: u64) -> Vec<Line> {
+    fn since(&self, version: u64) -> Vec<EndpointRecord> {
         let changed = self.changed.iter().filter(|(_, at)| **at > version);
         changed
             .filter_map(|(host, _)| self.lines.get(host).cloned())
@@ -43,13 +43,13 @@
 impl ListSource {
     /// A list of `hosts` hosts that are ready, each in the zone that `zone` tells.
     pub fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
-        let line = |host| Line {
+        let line = |host| EndpointRecord {
             host,
             address: address(host),
             build: Some((1 + host % BUILDS) as u16),
             cell: 0,
             zone: zone(host),
-            phase: LinePhase::Ready,
+            phase: EndpointPhase::Ready,
             incarnation: 1,
             up_us: None,
         };
@@ -68,19 +68,19 @@
 
     /// These hosts are gone, all with one version.
     pub fn remove(&self, hosts: &[u32]) {
-        self.change(hosts, |line| line.phase = LinePhase::Gone);
+        self.change(hosts, |line| line.phase = EndpointPhase::Gone);
     }
 
     /// These hosts are back as new processes, all with one version.
     pub fn bring_back(&self, hosts: &[u32]) {
         self.change(hosts, |line| {
-            line.phase = LinePhase::Ready;
+            line.phase = EndpointPhase::Ready;
             line.incarnation += 1;
             line.up_us = Some(0);
         });
     }
 
-    fn change(&self, hosts: &[u32], change: impl Fn(&mut Line)) {
+    fn change(&self, hosts: &[u32], change: impl Fn(&mut EndpointRecord)) {
         let version = {
             let mut lines = self.lines.lock().expect("no holder panics");
             lines.version += 1;
@@ -136,10 +136,10 @@
         let there = lines
             .lines
             .values()
-            .filter(|line| line.phase != LinePhase::Gone);
-        FromList::Whole {
+            .filter(|line| line.phase != EndpointPhase::Gone);
+        FromList::Complete {
             version: lines.version,
-            lines: there.cloned().collect(),
+            endpoints: there.cloned().collect(),
         }
     }
 
@@ -149,7 +149,7 @@
         *told = Some(lines.version);
         FromList::Changes {
             version: lines.version,
-            lines: changed,
+            endpoints: changed,
         }
     }
 }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -93,9 +93,9 @@
     }
 
     /// Tells the router of hosts, and waits until it has heard.
-    pub async fn list(&mut self, hosts: &[(u32, SocketAddr, LinePhase)]) {
+    pub async fn list(&mut self, hosts: &[(u32, SocketAddr, EndpointPhase)]) {
         self.version += 1;
-        let line = |(host, address, phase): &(u32, SocketAddr, LinePhase)| Line {
+        let line = |(host, address, phase): &(u32, SocketAddr, EndpointPhase)| EndpointRecord {
             host: *host,
             address: address.to_string(),
             build: Some(1),
@@ -109,7 +109,7 @@
         self.list
             .send(FromList::Changes {
                 version: self.version,
-                lines,
+                endpoints: lines,
             })
             .unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/spokeflow-testbed/tests/sockets.rs
+++ b/crates/spokeflow-testbed/tests/sockets.rs
@@ -15,7 +15,7 @@
 async fn what_is_wrong_is_named_to_its_sender_and_touches_nobody_else() {
     let mut scene = Scene::open(&[]).await;
     let (port, address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     let mut bystander = scene.client().await;
     bystander.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
@@ -78,7 +78,7 @@
 async fn bytes_taken_and_then_a_reset_may_have_run_and_a_refused_connection_has_not() {
     let mut scene = Scene::open(&[]).await;
     let (port, address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     let mut client = scene.client().await;
     client.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
@@ -93,8 +93,8 @@
     let (good, good_address) = host_port();
     scene
         .list(&[
-            (1, closed_port(), LinePhase::Ready),
-            (2, good_address, LinePhase::Ready),
+            (1, closed_port(), EndpointPhase::Ready),
+            (2, good_address, EndpointPhase::Ready),
         ])
         .await;
     drop(port);
@@ -110,7 +110,9 @@
 async fn nothing_queued_for_a_draining_host_leaves_and_a_half_sent_frame_runs_once_elsewhere() {
     let mut scene = Scene::open(&["--drain-grace=600ms"]).await;
     let (stuck, stuck_address) = host_port();
-    scene.list(&[(1, stuck_address, LinePhase::Ready)]).await;
+    scene
+        .list(&[(1, stuck_address, EndpointPhase::Ready)])
+        .await;
     let mut client = scene.client().await;
     // More than the system takes for a host that reads nothing.
     let commands: Vec<u64> = (1..=4).collect();
@@ -123,8 +125,8 @@
     let mut got = good_host(good, 2);
     scene
         .list(&[
-            (1, stuck_address, LinePhase::Draining),
-            (2, good_address, LinePhase::Ready),
+            (1, stuck_address, EndpointPhase::Draining),
+            (2, good_address, EndpointPhase::Ready),
         ])
         .await;
     // Past the grace it reads all that there is: whole frames count, a cut one was never sent.
@@ -166,7 +168,7 @@
     // Seen on a bad day: a delivery held by a cut ran seven seconds later, long after its repeat elsewhere.
     let mut scene = Scene::open(&["--ping-timeout=400ms"]).await;
     let (silent, address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     let mut client = scene.client().await;
     let sent = Instant::now();
     client.send(command(1, ONCE, 8)).await.unwrap();
@@ -219,7 +221,7 @@
 async fn a_client_that_does_not_read_delays_nobody_and_is_closed() {
     let mut scene = Scene::open(&["--client-queue=8"]).await;
     let (port, address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     tokio::spawn(async move {
         let mut link = welcome(&port, 1).await;
         while let Some(Ok(message)) = link.next().await {
@@ -252,7 +254,7 @@
 async fn an_ending_router_answers_what_it_holds_and_takes_nothing_new() {
     let mut scene = Scene::open(&[]).await;
     let (port, address) = host_port();
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     let mut client = scene.client().await;
     client.send(command(1, ONCE, 8)).await.unwrap();
     let mut host = welcome(&port, 1).await;
@@ -306,8 +308,8 @@
     let (good, good_address) = host_port();
     scene
         .list(&[
-            (1, address, LinePhase::Ready),
-            (2, good_address, LinePhase::Ready),
+            (1, address, EndpointPhase::Ready),
+            (2, good_address, EndpointPhase::Ready),
         ])
         .await;
     let mut got = good_host(good, 2);
@@ -327,7 +329,7 @@
     let (port, address) = host_port();
     let mut got = good_host(port, 1);
     let mut scene = Scene::open(&[&flag]).await;
-    scene.list(&[(1, address, LinePhase::Ready)]).await;
+    scene.list(&[(1, address, EndpointPhase::Ready)]).await;
     sleep(Duration::from_millis(300)).await;
     scene.end();
     let _ = (&mut scene.ended).await;
