--- a/crates/spokeflow-engine/src/engine/release_controller.rs
+++ b/crates/spokeflow-engine/src/engine/release_controller.rs
@@ -3,7 +3,7 @@
 use spokeflow_core::{
     BuildId, ControllerStats, Micros, OpType, RolloutState, RolloutStatus, VoteOutcome,
 };
-use spokeflow_proto::{BallotResult, Count, FromController, News, NewsStanding};
+use spokeflow_proto::{BallotResult, Count, FromController, RolloutPhase, RolloutUpdate};
 
 use super::Engine;
 use crate::egress::EgressAdapter;
@@ -12,7 +12,7 @@
 
 /// A message on the rollout, and when it came.
 pub(super) struct ReceivedStatus {
-    message: News,
+    message: RolloutUpdate,
     at: Micros,
 }
 
@@ -23,14 +23,14 @@
         transport: &mut dyn Transport,
     ) {
         match message {
-            FromController::News(message) => self.on_rollout_message(message, transport),
+            FromController::RolloutUpdate(message) => self.on_rollout_message(message, transport),
             FromController::Voted { ballot, result } => self.on_vote_result(ballot, result),
             FromController::Counted(count) => self.router.on_controller_stats(stats(count)),
             FromController::Welcome | FromController::Refused(_) => {}
         }
     }
 
-    fn on_rollout_message(&mut self, message: News, transport: &mut dyn Transport) {
+    fn on_rollout_message(&mut self, message: RolloutUpdate, transport: &mut dyn Transport) {
         let received = ReceivedStatus {
             message,
             at: self.in_flight.now,
@@ -49,9 +49,9 @@
         let mut message = received.message;
         message.age_us += (self.in_flight.now - received.at) as u64;
         if self.lease.is_some() {
-            let released = message.standing == NewsStanding::Released;
+            let released = message.phase == RolloutPhase::Released;
             if !released {
-                message.cap = message.cap.min(self.stage_cap(message.stage));
+                message.exposure_cap = message.exposure_cap.min(self.stage_cap(message.stage));
             }
             let first_build = BuildId(message.build.saturating_add(released.into()));
             self.limit_canary(first_build);
@@ -69,7 +69,12 @@
 
     /// A lower cap binds what leaves, whenever it was delivered: what has not left for a build whose cap fell is
     /// recalled.
-    fn recall_capped(&self, before: Option<News>, after: News, transport: &mut dyn Transport) {
+    fn recall_capped(
+        &self,
+        before: Option<RolloutUpdate>,
+        after: RolloutUpdate,
+        transport: &mut dyn Transport,
+    ) {
         let unannounced = self.stage_cap(0);
         for (host, entry) in &self.in_flight.endpoints {
             let build = entry.build().0;
@@ -109,28 +114,28 @@
 
 /// The share of traffic that a build may get by a message on the rollout; `unannounced` for a build that it says
 /// nothing of.
-fn exposure_cap(message: Option<News>, build: u16, unannounced: f32) -> f32 {
+fn exposure_cap(message: Option<RolloutUpdate>, build: u16, unannounced: f32) -> f32 {
     match message {
-        Some(news) if build < news.build => f32::INFINITY,
-        Some(news) if build == news.build && news.standing == NewsStanding::Released => {
+        Some(update) if build < update.build => f32::INFINITY,
+        Some(update) if build == update.build && update.phase == RolloutPhase::Released => {
             f32::INFINITY
         }
-        Some(news) if build == news.build => news.cap,
+        Some(update) if build == update.build => update.exposure_cap,
         _ => unannounced,
     }
 }
 
-fn rollout_status(message: News) -> RolloutStatus {
+fn rollout_status(message: RolloutUpdate) -> RolloutStatus {
     RolloutStatus {
         build: BuildId(message.build),
         stage: message.stage,
-        state: match message.standing {
-            NewsStanding::OnTrial => RolloutState::Canary,
-            NewsStanding::GoingBack => RolloutState::RollingBack,
-            NewsStanding::Released => RolloutState::Released,
-            NewsStanding::Withdrawn => RolloutState::Withdrawn,
+        state: match message.phase {
+            RolloutPhase::Canary => RolloutState::Canary,
+            RolloutPhase::RollingBack => RolloutState::RollingBack,
+            RolloutPhase::Released => RolloutState::Released,
+            RolloutPhase::Withdrawn => RolloutState::Withdrawn,
         },
-        exposure_cap: f64::from(message.cap.clamp(0.0, 1.0)),
+        exposure_cap: f64::from(message.exposure_cap.clamp(0.0, 1.0)),
         age: bounded_micros(message.age_us),
     }
 }
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -229,14 +229,14 @@
 
     /// The release controller says that this build is released.
     pub(crate) fn release(&mut self, build: u16) {
-        let news = News {
+        let update = RolloutUpdate {
             build,
             stage: 2,
-            standing: NewsStanding::Released,
-            cap: 1.0,
+            phase: RolloutPhase::Released,
+            exposure_cap: 1.0,
             age_us: 0,
         };
-        self.input(Input::FromController(FromController::News(news)));
+        self.input(Input::FromController(FromController::RolloutUpdate(update)));
     }
 
     pub(crate) fn change(&mut self, host: u32, build: u16, phase: EndpointPhase, incarnation: u64) {
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -3,7 +3,7 @@
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_proto::{EndpointPhase, FromController, News, NewsStanding};
+use spokeflow_proto::{EndpointPhase, FromController, RolloutPhase, RolloutUpdate};
 
 use crate::common::*;
 
@@ -13,14 +13,14 @@
     harness.warm_up();
     harness.change(3, CANARY, EndpointPhase::Ready, 1);
     harness.change(4, CANARY, EndpointPhase::Ready, 1);
-    let news = News {
+    let update = RolloutUpdate {
         build: CANARY,
         stage: 1,
-        standing: NewsStanding::OnTrial,
-        cap: 0.4,
+        phase: RolloutPhase::Canary,
+        exposure_cap: 0.4,
         age_us: 0,
     };
-    harness.input(Input::FromController(FromController::News(news)));
+    harness.input(Input::FromController(FromController::RolloutUpdate(update)));
 }
 
 fn base_config() -> EffectiveConfig {
@@ -63,14 +63,14 @@
     harness.list(&[1, 2], 7);
     harness.warm_up();
     harness.change(3, 8, EndpointPhase::Ready, 2);
-    let news = News {
+    let update = RolloutUpdate {
         build: 8,
         stage: 0,
-        standing: NewsStanding::OnTrial,
-        cap: 1.0,
+        phase: RolloutPhase::Canary,
+        exposure_cap: 1.0,
         age_us: 0,
     };
-    harness.input(Input::FromController(FromController::News(news)));
+    harness.input(Input::FromController(FromController::RolloutUpdate(update)));
     harness.serve(4 * SECOND);
     let votes = harness.transport.votes.len();
     assert!(votes >= 1, "a quiet build gets a vote to promote");
@@ -167,26 +167,26 @@
 fn a_lowered_cap_recalls_what_is_queued_for_that_build() {
     let mut harness = Harness::new(5, 0);
     start_canary(&mut harness);
-    let news = |build, standing, cap| {
-        Input::FromController(FromController::News(News {
+    let update = |build, phase, exposure_cap| {
+        Input::FromController(FromController::RolloutUpdate(RolloutUpdate {
             build,
             stage: 0,
-            standing,
-            cap,
+            phase,
+            exposure_cap,
             age_us: 0,
         }))
     };
-    harness.input(news(8, NewsStanding::OnTrial, 0.1));
-    harness.input(news(8, NewsStanding::OnTrial, 0.4));
+    harness.input(update(8, RolloutPhase::Canary, 0.1));
+    harness.input(update(8, RolloutPhase::Canary, 0.4));
     harness.transport.recalled.clear();
-    harness.input(news(8, NewsStanding::OnTrial, 0.4));
-    harness.input(news(8, NewsStanding::Released, 1.0));
+    harness.input(update(8, RolloutPhase::Canary, 0.4));
+    harness.input(update(8, RolloutPhase::Released, 1.0));
     assert!(
         harness.transport.recalled.is_empty(),
         "{:?}",
         harness.transport.recalled
     );
-    harness.input(news(8, NewsStanding::GoingBack, 0.0));
+    harness.input(update(8, RolloutPhase::RollingBack, 0.0));
     let recalled = &harness.transport.recalled;
     let is_whole_canary = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
     assert!(
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -9,7 +9,8 @@
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, Recording, TornEntryError};
 use spokeflow_proto::{
-    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, News, NewsStanding,
+    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, RolloutPhase,
+    RolloutUpdate,
 };
 
 const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
@@ -165,20 +166,23 @@
 #[test]
 fn messages_of_list_and_release_controller_are_read() {
     let all = inputs();
-    let whole = FromList::Complete {
+    let complete = FromList::Complete {
         version: 77,
         endpoints: records(9_000_000, 5_000_000),
     };
-    assert!(all.contains(&(6_383, Input::FromList(whole))));
-    let standing = NewsStanding::Released;
-    let news = News {
+    assert!(all.contains(&(6_383, Input::FromList(complete))));
+    let phase = RolloutPhase::Released;
+    let update = RolloutUpdate {
         build: 7,
         stage: 0,
-        standing,
-        cap: 1.0,
+        phase,
+        exposure_cap: 1.0,
         age_us: 123_456,
     };
-    assert!(all.contains(&(6_407, Input::FromController(FromController::News(news)))));
+    assert!(all.contains(&(
+        6_407,
+        Input::FromController(FromController::RolloutUpdate(update))
+    )));
 }
 
 #[test]
--- a/crates/spokeflow-platform/src/arrival.rs
+++ b/crates/spokeflow-platform/src/arrival.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use spokeflow_core::HostId;
 use spokeflow_engine::Input;
-use spokeflow_proto::{BallotResult, Command, News, ToClient};
+use spokeflow_proto::{BallotResult, Command, RolloutUpdate, ToClient};
 use tokio::sync::oneshot;
 
 use crate::hosts::Connection;
@@ -35,13 +35,13 @@
     /// Discovery has listed the hosts.
     Listed(Listing),
     /// The deployer says how a release stands.
-    News(News),
+    RolloutUpdate(RolloutUpdate),
     /// The deployer says that an answer of this unit was wrong, to a delivery sent so many microseconds ago.
     Report { unit: String, ago_us: u64 },
     /// What became of a vote; no result where it may count or not.
     Voted {
         ballot: u64,
         result: Option<BallotResult>,
-        news: Option<News>,
+        news: Option<RolloutUpdate>,
     },
 }
--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use spokeflow_proto::{News, NewsStanding};
+use spokeflow_proto::{RolloutPhase, RolloutUpdate};
 use spokeflow_settings::Told;
 
 use crate::roster::Listing;
@@ -75,21 +75,23 @@
     }
 
     /// `None` where a word is not known or a number cannot be one.
-    pub fn news(&self) -> Option<News> {
+    pub fn news(&self) -> Option<RolloutUpdate> {
         let standing = match self.mode.as_str() {
-            "IN_PROGRESS" => NewsStanding::OnTrial,
-            "ROLLING_BACK" => NewsStanding::GoingBack,
-            "COMPLETE" => NewsStanding::Released,
-            "ROLLED_BACK" => NewsStanding::Withdrawn,
+            "IN_PROGRESS" => RolloutPhase::Canary,
+            "ROLLING_BACK" => RolloutPhase::RollingBack,
+            "COMPLETE" => RolloutPhase::Released,
+            "ROLLED_BACK" => RolloutPhase::Withdrawn,
             _ => return None,
         };
-        (0.0..=1.0).contains(&self.exposure).then_some(News {
-            build: self.release,
-            stage: self.tranche,
-            standing,
-            cap: self.exposure as f32,
-            age_us: self.old_ms.saturating_mul(1000),
-        })
+        (0.0..=1.0)
+            .contains(&self.exposure)
+            .then_some(RolloutUpdate {
+                build: self.release,
+                stage: self.tranche,
+                phase: standing,
+                exposure_cap: self.exposure as f32,
+                age_us: self.old_ms.saturating_mul(1000),
+            })
     }
 }
 
@@ -101,7 +103,7 @@
     pub deployer: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub news: Option<News>,
+    pub news: Option<RolloutUpdate>,
     pub known: Option<Listing>,
     pub told: Told,
 }
--- a/crates/spokeflow-platform/src/deployer.rs
+++ b/crates/spokeflow-platform/src/deployer.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_proto::{BallotResult, BallotVerdict, News};
+use spokeflow_proto::{BallotResult, BallotVerdict, RolloutUpdate};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -113,7 +113,7 @@
             let arrival = match words.as_slice() {
                 ["OK"] | ["*"] => None,
                 ["*", "news", state @ ..] => match Stage::of_words(state).and_then(|s| s.news()) {
-                    Some(news) => Some(Arrival::News(news)),
+                    Some(news) => Some(Arrival::RolloutUpdate(news)),
                     None => return format!("news that cannot be read: {line:?}"),
                 },
                 ["*", "report", unit, _, ago_ms] => match ago_ms.parse::<u64>() {
@@ -172,7 +172,7 @@
     }
 
     /// The answer, and the state that came with it; no result where the vote may count or not.
-    async fn ask(&self, line: String) -> (Option<BallotResult>, Option<News>) {
+    async fn ask(&self, line: String) -> (Option<BallotResult>, Option<RolloutUpdate>) {
         let opening = timeout(CONNECTED, TcpStream::connect(self.address)).await;
         let Ok(Ok(mut stream)) = opening else {
             return (Some(BallotResult::Refused), None);
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -116,7 +116,9 @@
                 self.give(input);
             }
             Arrival::Listed(listing) => self.listed(listing, false),
-            Arrival::News(news) => self.give(Input::FromController(FromController::News(news))),
+            Arrival::RolloutUpdate(news) => {
+                self.give(Input::FromController(FromController::RolloutUpdate(news)))
+            }
             Arrival::Report { unit, ago_us } => {
                 if let Some(host) = self.roster.number(&unit) {
                     self.give(Input::WrongAnswerReport { host, ago_us });
@@ -135,7 +137,7 @@
                     None => self.give(Input::ControllerUnavailable),
                 }
                 if let Some(news) = news {
-                    self.give(Input::FromController(FromController::News(news)));
+                    self.give(Input::FromController(FromController::RolloutUpdate(news)));
                 }
             }
         }
@@ -311,7 +313,7 @@
         here.listed(known, true);
     }
     if let Some(news) = told.news {
-        here.give(Input::FromController(FromController::News(news)));
+        here.give(Input::FromController(FromController::RolloutUpdate(news)));
     }
     let mut helpers = JoinSet::new();
     let backoff = |way| Backoff::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -259,20 +259,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NewsStanding {
-    OnTrial,
-    GoingBack,
+pub enum RolloutPhase {
+    Canary,
+    RollingBack,
     Released,
     Withdrawn,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutUpdate {
     pub build: u16,
     pub stage: u8,
-    pub standing: NewsStanding,
+    pub phase: RolloutPhase,
     /// 0 to 1.
-    pub cap: f32,
+    pub exposure_cap: f32,
     /// Microseconds that this had stood when it was sent.
     pub age_us: u64,
 }
@@ -322,7 +322,7 @@
 pub enum FromController {
     Welcome,
     Refused(Refused),
-    News(News),
+    RolloutUpdate(RolloutUpdate),
     Voted {
         ballot: u64,
         result: BallotResult,
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -140,12 +140,12 @@
     }
 }
 
-fn news(standing: NewsStanding) -> News {
-    News {
+fn news(standing: RolloutPhase) -> RolloutUpdate {
+    RolloutUpdate {
         build: 301,
         stage: 2,
-        standing,
-        cap: 0.25,
+        phase: standing,
+        exposure_cap: 0.25,
         age_us: 1_005,
     }
 }
@@ -421,19 +421,19 @@
         ("FromDesk::Refused", FromController::Refused(refused())),
         (
             "FromDesk::News/OnTrial",
-            FromController::News(news(NewsStanding::OnTrial)),
+            FromController::RolloutUpdate(news(RolloutPhase::Canary)),
         ),
         (
             "FromDesk::News/GoingBack",
-            FromController::News(news(NewsStanding::GoingBack)),
+            FromController::RolloutUpdate(news(RolloutPhase::RollingBack)),
         ),
         (
             "FromDesk::News/Released",
-            FromController::News(news(NewsStanding::Released)),
+            FromController::RolloutUpdate(news(RolloutPhase::Released)),
         ),
         (
             "FromDesk::News/Withdrawn",
-            FromController::News(news(NewsStanding::Withdrawn)),
+            FromController::RolloutUpdate(news(RolloutPhase::Withdrawn)),
         ),
         ("FromDesk::Voted/Counted", voted(BallotResult::Counted)),
         ("FromDesk::Voted/Moot", voted(BallotResult::Moot)),
@@ -447,11 +447,11 @@
     match message {
         FromController::Welcome => "FromDesk::Welcome",
         FromController::Refused(_) => "FromDesk::Refused",
-        FromController::News(news) => match news.standing {
-            NewsStanding::OnTrial => "FromDesk::News/OnTrial",
-            NewsStanding::GoingBack => "FromDesk::News/GoingBack",
-            NewsStanding::Released => "FromDesk::News/Released",
-            NewsStanding::Withdrawn => "FromDesk::News/Withdrawn",
+        FromController::RolloutUpdate(news) => match news.phase {
+            RolloutPhase::Canary => "FromDesk::News/OnTrial",
+            RolloutPhase::RollingBack => "FromDesk::News/GoingBack",
+            RolloutPhase::Released => "FromDesk::News/Released",
+            RolloutPhase::Withdrawn => "FromDesk::News/Withdrawn",
         },
         FromController::Voted { result, .. } => match result {
             BallotResult::Counted => "FromDesk::Voted/Counted",
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -242,16 +242,20 @@
     let (mut desk, hello) =
         called::<ToController, FromController>(&desk, WORK_LIMIT, FromController::Welcome).await;
     assert!(matches!(hello, ToController::Hello(h) if h.takes_more()));
-    let news = |build, standing, cap| News {
+    let news = |build, standing, cap| RolloutUpdate {
         build,
         stage: 0,
-        standing,
-        cap,
+        phase: standing,
+        exposure_cap: cap,
         age_us: 0,
     };
-    desk.send(FromController::News(news(1, NewsStanding::Released, 1.0)))
-        .await
-        .unwrap();
+    desk.send(FromController::RolloutUpdate(news(
+        1,
+        RolloutPhase::Released,
+        1.0,
+    )))
+    .await
+    .unwrap();
 
     // The host of the earlier build answers, with a report before each ack.
     let host = async {
@@ -301,9 +305,13 @@
             );
         }
         // Build 2 comes on trial; this router sees none of it, the desk counts that it fails.
-        desk.send(FromController::News(news(2, NewsStanding::OnTrial, 0.0)))
-            .await
-            .unwrap();
+        desk.send(FromController::RolloutUpdate(news(
+            2,
+            RolloutPhase::Canary,
+            0.0,
+        )))
+        .await
+        .unwrap();
         for _ in 0..4 {
             for (build, op) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
                 let lost = 6 * u32::from(build == 2);
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -7,7 +7,7 @@
 use spokeflow_engine::{EngineConfig, Input, TransportFailure};
 use spokeflow_proto::{
     BallotVerdict, Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList,
-    News, NewsStanding, ToClient, ToController, ToHost, ToList,
+    RolloutPhase, RolloutUpdate, ToClient, ToController, ToHost, ToList,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -47,7 +47,7 @@
     due: BTreeSet<(Micros, u64)>,
     next: u64,
     turn: usize,
-    news: Option<News>,
+    news: Option<RolloutUpdate>,
     stage_began: Micros,
     voted_at: Micros,
     taken: VecDeque<Micros>,
@@ -86,16 +86,13 @@
     fn on_trial(&self, build: u16) -> bool {
         match &self.news {
             None => self.hosts.values().any(|h| h.ready && h.build < build),
-            Some(n) => build > n.build || build == n.build && n.standing != NewsStanding::Released,
+            Some(n) => build > n.build || build == n.build && n.phase != RolloutPhase::Released,
         }
     }
 
     fn sent_back(&self, build: u16) -> bool {
-        let back = |n: &News| {
-            matches!(
-                n.standing,
-                NewsStanding::GoingBack | NewsStanding::Withdrawn
-            )
+        let back = |n: &RolloutUpdate| {
+            matches!(n.phase, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
         };
         self.news
             .as_ref()
@@ -117,7 +114,7 @@
             .news
             .as_ref()
             .filter(|n| n.build == build)
-            .map_or(first, |n| f64::from(n.cap));
+            .map_or(first, |n| f64::from(n.exposure_cap));
         let may = self.terms.service.exposure_allowance + cap * self.taken.len() as f64;
         cap > 0.0 && self.exposed.len() as f64 + 1.0 <= may
     }
@@ -314,10 +311,10 @@
     fn vote(&mut self, wiring: &mut dyn Wiring) {
         let Some(news) = self.news else { return };
         let bad = self.who == Who::FullSight && wiring.is_bad(BuildId(news.build));
-        let on = news.standing == NewsStanding::OnTrial;
+        let on = news.phase == RolloutPhase::Canary;
         let baked = self.now - self.stage_began > self.terms.service.stage_bake + 1_000_000;
         let verdict = match (bad, on) {
-            (true, _) if on || news.standing == NewsStanding::Released => BallotVerdict::Back,
+            (true, _) if on || news.phase == RolloutPhase::Released => BallotVerdict::Back,
             (false, true) if baked => BallotVerdict::On,
             _ => return,
         };
@@ -440,7 +437,7 @@
                 self.list(false, &lines, wiring);
             }
             Input::ListUnavailable => drop(wiring.to_list(ToList::Watch { have: self.version })),
-            Input::FromController(FromController::News(news)) => {
+            Input::FromController(FromController::RolloutUpdate(news)) => {
                 let same = self
                     .news
                     .is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
@@ -449,8 +446,8 @@
                         (self.now - news.age_us as Micros, Micros::MIN / 2);
                 }
                 if matches!(
-                    news.standing,
-                    NewsStanding::GoingBack | NewsStanding::Withdrawn
+                    news.phase,
+                    RolloutPhase::RollingBack | RolloutPhase::Withdrawn
                 ) {
                     self.answered_by.retain(|_, b| *b != news.build);
                 }
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use spokeflow_engine::Input;
-use spokeflow_proto::{BallotResult, FromController, News, NewsStanding};
+use spokeflow_proto::{BallotResult, FromController, RolloutPhase, RolloutUpdate};
 use spokeflow_scenario::desk::{Counted, State, Verdict};
 use spokeflow_scenario::seen::{Process, Seen, Standing};
 
@@ -87,20 +87,23 @@
             cap,
         });
         let standing = match standing {
-            Standing::OnTrial => NewsStanding::OnTrial,
-            Standing::GoingBack => NewsStanding::GoingBack,
-            Standing::Released => NewsStanding::Released,
-            Standing::Withdrawn => NewsStanding::Withdrawn,
+            Standing::OnTrial => RolloutPhase::Canary,
+            Standing::GoingBack => RolloutPhase::RollingBack,
+            Standing::Released => RolloutPhase::Released,
+            Standing::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.now - since).max(0) as u64;
-        let news = News {
+        let news = RolloutUpdate {
             build,
             stage,
-            standing,
-            cap: cap as f32,
+            phase: standing,
+            exposure_cap: cap as f32,
             age_us,
         };
-        self.give(by, Input::FromController(FromController::News(news)));
+        self.give(
+            by,
+            Input::FromController(FromController::RolloutUpdate(news)),
+        );
     }
 
     pub(super) fn vote_at(
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -332,8 +332,8 @@
             _ = ticks.tick() => {
                 // The desk allows all: what holds routers back is agreed.
                 let age_us = start.elapsed().as_micros() as u64;
-                let news = News { build: NEW, stage: 1, standing: NewsStanding::OnTrial, cap: 1.0, age_us };
-                if link.send(FromController::News(news)).await.is_err() {
+                let news = RolloutUpdate { build: NEW, stage: 1, phase: RolloutPhase::Canary, exposure_cap: 1.0, age_us };
+                if link.send(FromController::RolloutUpdate(news)).await.is_err() {
                     return;
                 }
             }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -220,17 +220,17 @@
                 let mut link: Framed<_, FrameCodec<ToController, FromController>> =
                     Framed::new(stream, FrameCodec::new(WORK_LIMIT));
                 let (build, standing, cap) = match trial {
-                    true => (2, NewsStanding::OnTrial, 0.35),
-                    false => (1, NewsStanding::Released, 1.0),
+                    true => (2, RolloutPhase::Canary, 0.35),
+                    false => (1, RolloutPhase::Released, 1.0),
                 };
-                let news = News {
+                let news = RolloutUpdate {
                     build,
                     stage: 2,
-                    standing,
-                    cap,
+                    phase: standing,
+                    exposure_cap: cap,
                     age_us: 0,
                 };
-                for message in [FromController::Welcome, FromController::News(news)] {
+                for message in [FromController::Welcome, FromController::RolloutUpdate(news)] {
                     if link.send(message).await.is_err() {
                         return;
                     }
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use spokeflow_proto::{
     BallotResult, BallotVerdict, EndpointPhase, EndpointRecord, FrameCodec, FromController,
-    FromList, News, NewsStanding, Role, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
+    FromList, Role, RolloutPhase, RolloutUpdate, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -203,7 +203,7 @@
                 }
                 Some((message, state)) = ready.recv() => {
                     let message = match state {
-                        Some(state) => FromController::News(self.news(to, state)),
+                        Some(state) => FromController::RolloutUpdate(self.news(to, state)),
                         None => message,
                     };
                     if link.send(message).await.is_err() {
@@ -253,7 +253,7 @@
         }
     }
 
-    fn news(&self, to: Process, state: State) -> News {
+    fn news(&self, to: Process, state: State) -> RolloutUpdate {
         let State {
             build,
             stage,
@@ -269,17 +269,17 @@
             cap,
         });
         let standing = match standing {
-            Standing::OnTrial => NewsStanding::OnTrial,
-            Standing::GoingBack => NewsStanding::GoingBack,
-            Standing::Released => NewsStanding::Released,
-            Standing::Withdrawn => NewsStanding::Withdrawn,
+            Standing::OnTrial => RolloutPhase::Canary,
+            Standing::GoingBack => RolloutPhase::RollingBack,
+            Standing::Released => RolloutPhase::Released,
+            Standing::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.world.tap.now() - since).max(0) as u64;
-        News {
+        RolloutUpdate {
             build,
             stage,
-            standing,
-            cap: cap as f32,
+            phase: standing,
+            exposure_cap: cap as f32,
             age_us,
         }
     }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -72,15 +72,17 @@
                 Framed::new(stream, FrameCodec::new(WORK_LIMIT));
             link.next().await;
             link.send(FromController::Welcome).await.unwrap();
-            let standing = NewsStanding::Released;
-            let news = News {
+            let standing = RolloutPhase::Released;
+            let news = RolloutUpdate {
                 build: 1,
                 stage: 0,
-                standing,
-                cap: 1.0,
+                phase: standing,
+                exposure_cap: 1.0,
                 age_us: 0,
             };
-            link.send(FromController::News(news)).await.unwrap();
+            link.send(FromController::RolloutUpdate(news))
+                .await
+                .unwrap();
             while let Some(Ok(_)) = link.next().await {}
         });
         Scene {
