--- a/crates/spokeflow-engine/src/egress.rs
+++ b/crates/spokeflow-engine/src/egress.rs
@@ -1,7 +1,7 @@
 //! Carries out the decision module's calls as messages on the transport.
 
 use spokeflow_core::{AttemptOutcome, BuildId, CommandId, Egress, HostId, Micros, RolloutVote};
-use spokeflow_proto::{BallotVerdict, ToClient, ToController, ToHost, ToList};
+use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
 
 use crate::in_flight::{Deadline, InFlight, OpenDelivery, OpenVote, PendingOutcome};
 use crate::Transport;
@@ -135,11 +135,11 @@
     }
 
     fn vote(&mut self, build: BuildId, stage: u8, vote: RolloutVote) {
-        let verdict = match vote {
-            RolloutVote::Abstain => BallotVerdict::None,
-            RolloutVote::Promote => BallotVerdict::On,
-            RolloutVote::Hold => BallotVerdict::Hold,
-            RolloutVote::RollBack => BallotVerdict::Back,
+        let choice = match vote {
+            RolloutVote::Abstain => VoteChoice::Abstain,
+            RolloutVote::Promote => VoteChoice::Promote,
+            RolloutVote::Hold => VoteChoice::Hold,
+            RolloutVote::RollBack => VoteChoice::RollBack,
         };
         let in_flight = &mut *self.in_flight;
         let ballot = in_flight.next_ballot;
@@ -149,7 +149,7 @@
             ballot,
             build: build.0,
             stage,
-            verdict,
+            choice,
         };
         if self.transport.to_controller(message) {
             let until = in_flight.now + in_flight.vote_timeout;
--- a/crates/spokeflow-engine/src/engine/release_controller.rs
+++ b/crates/spokeflow-engine/src/engine/release_controller.rs
@@ -3,7 +3,7 @@
 use spokeflow_core::{
     BuildId, ControllerStats, Micros, OpType, RolloutState, RolloutStatus, VoteOutcome,
 };
-use spokeflow_proto::{BallotResult, Count, FromController, RolloutPhase, RolloutUpdate};
+use spokeflow_proto::{Count, FromController, RolloutPhase, RolloutUpdate, VoteResult};
 
 use super::Engine;
 use crate::egress::EgressAdapter;
@@ -85,7 +85,7 @@
         }
     }
 
-    fn on_vote_result(&mut self, ballot: u64, result: BallotResult) {
+    fn on_vote_result(&mut self, ballot: u64, result: VoteResult) {
         // The result of a vote that has been given up says nothing of the present one.
         let vote = self.in_flight.open_vote;
         if vote.is_none_or(|vote| vote.ballot != ballot) {
@@ -93,10 +93,10 @@
         }
         self.in_flight.open_vote = None;
         self.router.on_vote_outcome(match result {
-            BallotResult::Counted => VoteOutcome::Counted,
-            BallotResult::Moot => VoteOutcome::Stale,
-            BallotResult::TooMany => VoteOutcome::RateLimited,
-            BallotResult::Refused => VoteOutcome::Refused,
+            VoteResult::Counted => VoteOutcome::Counted,
+            VoteResult::Stale => VoteOutcome::Stale,
+            VoteResult::RateLimited => VoteOutcome::RateLimited,
+            VoteResult::Refused => VoteOutcome::Refused,
         });
     }
 
--- a/crates/spokeflow-platform/src/arrival.rs
+++ b/crates/spokeflow-platform/src/arrival.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use spokeflow_core::HostId;
 use spokeflow_engine::Input;
-use spokeflow_proto::{BallotResult, Command, RolloutUpdate, ToClient};
+use spokeflow_proto::{Command, RolloutUpdate, ToClient, VoteResult};
 use tokio::sync::oneshot;
 
 use crate::hosts::Connection;
@@ -41,7 +41,7 @@
     /// What became of a vote; no result where it may count or not.
     Voted {
         ballot: u64,
-        result: Option<BallotResult>,
+        result: Option<VoteResult>,
         news: Option<RolloutUpdate>,
     },
 }
--- a/crates/spokeflow-platform/src/deployer.rs
+++ b/crates/spokeflow-platform/src/deployer.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_proto::{BallotResult, BallotVerdict, RolloutUpdate};
+use spokeflow_proto::{RolloutUpdate, VoteChoice, VoteResult};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -144,16 +144,16 @@
     pub ballot: u64,
     pub build: u16,
     pub stage: u8,
-    pub verdict: BallotVerdict,
+    pub verdict: VoteChoice,
 }
 
 impl Vote {
     pub async fn run(self) {
         let verdict = match self.verdict {
-            BallotVerdict::None => "none",
-            BallotVerdict::On => "on",
-            BallotVerdict::Hold => "hold",
-            BallotVerdict::Back => "back",
+            VoteChoice::Abstain => "none",
+            VoteChoice::Promote => "on",
+            VoteChoice::Hold => "hold",
+            VoteChoice::RollBack => "back",
         };
         let line = format!("SAY {} {} {verdict}\r\n", self.build, self.stage);
         let wait = self.wait;
@@ -172,13 +172,13 @@
     }
 
     /// The answer, and the state that came with it; no result where the vote may count or not.
-    async fn ask(&self, line: String) -> (Option<BallotResult>, Option<RolloutUpdate>) {
+    async fn ask(&self, line: String) -> (Option<VoteResult>, Option<RolloutUpdate>) {
         let opening = timeout(CONNECTED, TcpStream::connect(self.address)).await;
         let Ok(Ok(mut stream)) = opening else {
-            return (Some(BallotResult::Refused), None);
+            return (Some(VoteResult::Refused), None);
         };
         if stream.write_all(line.as_bytes()).await.is_err() {
-            return (Some(BallotResult::Refused), None);
+            return (Some(VoteResult::Refused), None);
         }
         let mut lines = Framed::new(stream, WholeLines::new());
         let Some(Ok(answer)) = lines.next().await else {
@@ -187,12 +187,12 @@
         let words: Vec<&str> = answer.split_ascii_whitespace().collect();
         match words.as_slice() {
             ["OK", state @ ..] => match Stage::of_words(state).and_then(|s| s.news()) {
-                Some(news) => (Some(BallotResult::Counted), Some(news)),
+                Some(news) => (Some(VoteResult::Counted), Some(news)),
                 None => (None, None),
             },
-            ["ERR", "throttled"] => (Some(BallotResult::TooMany), None),
-            ["ERR", "conflict" | "invalid"] => (Some(BallotResult::Moot), None),
-            ["ERR", "internal"] => (Some(BallotResult::Refused), None),
+            ["ERR", "throttled"] => (Some(VoteResult::RateLimited), None),
+            ["ERR", "conflict" | "invalid"] => (Some(VoteResult::Stale), None),
+            ["ERR", "internal"] => (Some(VoteResult::Refused), None),
             _ => (None, None),
         }
     }
--- a/crates/spokeflow-platform/src/engine_links.rs
+++ b/crates/spokeflow-platform/src/engine_links.rs
@@ -197,7 +197,7 @@
             ballot,
             build,
             stage,
-            verdict,
+            choice: verdict,
         } = message
         else {
             return true;
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -278,19 +278,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BallotVerdict {
-    None,
-    On,
+pub enum VoteChoice {
+    Abstain,
+    Promote,
     Hold,
-    Back,
+    RollBack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BallotResult {
+pub enum VoteResult {
     Counted,
     /// Not the present build or stage, or no such verdict here.
-    Moot,
-    TooMany,
+    Stale,
+    RateLimited,
     Refused,
 }
 
@@ -314,7 +314,7 @@
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: BallotVerdict,
+        choice: VoteChoice,
     },
 }
 
@@ -325,7 +325,7 @@
     RolloutUpdate(RolloutUpdate),
     Voted {
         ballot: u64,
-        result: BallotResult,
+        result: VoteResult,
     },
     /// One op type at one build, in a sample of all routers' deliveries over a past period; only to a caller of
     /// version 2.
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -150,16 +150,16 @@
     }
 }
 
-fn vote(verdict: BallotVerdict) -> ToController {
+fn vote(choice: VoteChoice) -> ToController {
     ToController::Vote {
         ballot: 1_001,
         build: 302,
         stage: 3,
-        verdict,
+        choice,
     }
 }
 
-fn voted(result: BallotResult) -> FromController {
+fn voted(result: VoteResult) -> FromController {
     FromController::Voted {
         ballot: 1_001,
         result,
@@ -388,21 +388,21 @@
 fn to_controller() -> Vec<Named<ToController>> {
     vec![
         ("ToDesk::Hello", ToController::Hello(hello(Role::Router))),
-        ("ToDesk::Vote/None", vote(BallotVerdict::None)),
-        ("ToDesk::Vote/On", vote(BallotVerdict::On)),
-        ("ToDesk::Vote/Hold", vote(BallotVerdict::Hold)),
-        ("ToDesk::Vote/Back", vote(BallotVerdict::Back)),
+        ("ToDesk::Vote/None", vote(VoteChoice::Abstain)),
+        ("ToDesk::Vote/On", vote(VoteChoice::Promote)),
+        ("ToDesk::Vote/Hold", vote(VoteChoice::Hold)),
+        ("ToDesk::Vote/Back", vote(VoteChoice::RollBack)),
     ]
 }
 
 fn name_of_to_desk(message: &ToController) -> &'static str {
     match message {
         ToController::Hello(_) => "ToDesk::Hello",
-        ToController::Vote { verdict, .. } => match verdict {
-            BallotVerdict::None => "ToDesk::Vote/None",
-            BallotVerdict::On => "ToDesk::Vote/On",
-            BallotVerdict::Hold => "ToDesk::Vote/Hold",
-            BallotVerdict::Back => "ToDesk::Vote/Back",
+        ToController::Vote { choice, .. } => match choice {
+            VoteChoice::Abstain => "ToDesk::Vote/None",
+            VoteChoice::Promote => "ToDesk::Vote/On",
+            VoteChoice::Hold => "ToDesk::Vote/Hold",
+            VoteChoice::RollBack => "ToDesk::Vote/Back",
         },
     }
 }
@@ -435,10 +435,10 @@
             "FromDesk::News/Withdrawn",
             FromController::RolloutUpdate(news(RolloutPhase::Withdrawn)),
         ),
-        ("FromDesk::Voted/Counted", voted(BallotResult::Counted)),
-        ("FromDesk::Voted/Moot", voted(BallotResult::Moot)),
-        ("FromDesk::Voted/TooMany", voted(BallotResult::TooMany)),
-        ("FromDesk::Voted/Refused", voted(BallotResult::Refused)),
+        ("FromDesk::Voted/Counted", voted(VoteResult::Counted)),
+        ("FromDesk::Voted/Moot", voted(VoteResult::Stale)),
+        ("FromDesk::Voted/TooMany", voted(VoteResult::RateLimited)),
+        ("FromDesk::Voted/Refused", voted(VoteResult::Refused)),
         ("FromDesk::Counted", FromController::Counted(count)),
     ]
 }
@@ -454,10 +454,10 @@
             RolloutPhase::Withdrawn => "FromDesk::News/Withdrawn",
         },
         FromController::Voted { result, .. } => match result {
-            BallotResult::Counted => "FromDesk::Voted/Counted",
-            BallotResult::Moot => "FromDesk::Voted/Moot",
-            BallotResult::TooMany => "FromDesk::Voted/TooMany",
-            BallotResult::Refused => "FromDesk::Voted/Refused",
+            VoteResult::Counted => "FromDesk::Voted/Counted",
+            VoteResult::Stale => "FromDesk::Voted/Moot",
+            VoteResult::RateLimited => "FromDesk::Voted/TooMany",
+            VoteResult::Refused => "FromDesk::Voted/Refused",
         },
         FromController::Counted(_) => "FromDesk::Counted",
     }
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -336,11 +336,11 @@
             {
                 ToController::Vote {
                     build: 2,
-                    verdict: BallotVerdict::Back,
+                    choice: VoteChoice::RollBack,
                     ..
                 } => break,
                 ToController::Vote { ballot, .. } => {
-                    let result = BallotResult::Counted;
+                    let result = VoteResult::Counted;
                     desk.send(FromController::Voted { ballot, result })
                         .await
                         .unwrap();
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -6,8 +6,8 @@
 use spokeflow_core::{BuildId, HostId, Micros, Repeat, Rng};
 use spokeflow_engine::{EngineConfig, Input, TransportFailure};
 use spokeflow_proto::{
-    BallotVerdict, Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList,
-    RolloutPhase, RolloutUpdate, ToClient, ToController, ToHost, ToList,
+    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, RolloutPhase,
+    RolloutUpdate, ToClient, ToController, ToHost, ToList, VoteChoice,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -314,8 +314,8 @@
         let on = news.phase == RolloutPhase::Canary;
         let baked = self.now - self.stage_began > self.terms.service.stage_bake + 1_000_000;
         let verdict = match (bad, on) {
-            (true, _) if on || news.phase == RolloutPhase::Released => BallotVerdict::Back,
-            (false, true) if baked => BallotVerdict::On,
+            (true, _) if on || news.phase == RolloutPhase::Released => VoteChoice::RollBack,
+            (false, true) if baked => VoteChoice::Promote,
             _ => return,
         };
         if self.now - self.voted_at > VOTE_AGAIN {
@@ -325,7 +325,7 @@
                 ballot: self.next,
                 build,
                 stage,
-                verdict,
+                choice: verdict,
             });
             self.next += 1;
         }
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use spokeflow_engine::TransportFailure;
-use spokeflow_proto::{BallotResult, FromList};
+use spokeflow_proto::{FromList, VoteResult};
 use spokeflow_scenario::desk::{State, Verdict};
 use spokeflow_scenario::seen::Process;
 use spokeflow_scenario::traffic::{TryEnd, Wanted};
@@ -124,7 +124,7 @@
     VotedTo {
         by: Process,
         ballot: u64,
-        result: BallotResult,
+        result: VoteResult,
     },
     Told {
         by: Process,
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -4,7 +4,7 @@
 
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
-use spokeflow_proto::{BallotVerdict, ToClient, ToController, ToHost, ToList};
+use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
 use spokeflow_scenario::desk::Verdict;
 use spokeflow_scenario::faults::Way;
 use spokeflow_scenario::scenario::Flaw;
@@ -175,14 +175,14 @@
             ballot,
             build,
             stage,
-            verdict,
+            choice: verdict,
         } = message
         {
             let verdict = match verdict {
-                BallotVerdict::None => Verdict::None,
-                BallotVerdict::On => Verdict::On,
-                BallotVerdict::Hold => Verdict::Hold,
-                BallotVerdict::Back => Verdict::Back,
+                VoteChoice::Abstain => Verdict::None,
+                VoteChoice::Promote => Verdict::On,
+                VoteChoice::Hold => Verdict::Hold,
+                VoteChoice::RollBack => Verdict::Back,
             };
             self.world.ask_office(by, |by| What::VoteAt {
                 by,
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use spokeflow_engine::Input;
-use spokeflow_proto::{BallotResult, FromController, RolloutPhase, RolloutUpdate};
+use spokeflow_proto::{FromController, RolloutPhase, RolloutUpdate, VoteResult};
 use spokeflow_scenario::desk::{Counted, State, Verdict};
 use spokeflow_scenario::seen::{Process, Seen, Standing};
 
@@ -130,7 +130,7 @@
             verdict: format!("{verdict:?}"),
         });
         let result = if self.faults.refusing_desk {
-            BallotResult::Refused
+            VoteResult::Refused
         } else {
             // A desk that stands still loses some votes and answers none.
             let counts = !self.faults.stalled_desk || self.rng.random_bool(0.5);
@@ -142,9 +142,9 @@
                 return;
             }
             match counted {
-                Counted::Counted => BallotResult::Counted,
-                Counted::Moot => BallotResult::Moot,
-                Counted::TooMany => BallotResult::TooMany,
+                Counted::Counted => VoteResult::Counted,
+                Counted::Moot => VoteResult::Stale,
+                Counted::TooMany => VoteResult::RateLimited,
             }
         };
         self.tell_router(by, |by| What::VotedTo { by, ballot, result });
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -322,7 +322,7 @@
         tokio::select! {
             read = link.next() => match read {
                 Some(Ok(ToController::Vote { ballot, .. })) => {
-                    let voted = FromController::Voted { ballot, result: BallotResult::Counted };
+                    let voted = FromController::Voted { ballot, result: VoteResult::Counted };
                     if link.send(voted).await.is_err() {
                         return;
                     }
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -8,8 +8,8 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_proto::{
-    BallotResult, BallotVerdict, EndpointPhase, EndpointRecord, FrameCodec, FromController,
-    FromList, Role, RolloutPhase, RolloutUpdate, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
+    EndpointPhase, EndpointRecord, FrameCodec, FromController, FromList, Role, RolloutPhase,
+    RolloutUpdate, ToController, ToList, VoteChoice, VoteResult, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -186,12 +186,12 @@
                     _ => return,
                 },
                 Some(message) = heard.recv() => {
-                    if let ToController::Vote { ballot, build, stage, verdict } = message {
+                    if let ToController::Vote { ballot, build, stage, choice: verdict } = message {
                         let verdict = match verdict {
-                            BallotVerdict::None => Verdict::None,
-                            BallotVerdict::On => Verdict::On,
-                            BallotVerdict::Hold => Verdict::Hold,
-                            BallotVerdict::Back => Verdict::Back,
+                            VoteChoice::Abstain => Verdict::None,
+                            VoteChoice::Promote => Verdict::On,
+                            VoteChoice::Hold => Verdict::Hold,
+                            VoteChoice::RollBack => Verdict::Back,
                         };
                         let seen =
                             Seen::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
@@ -234,10 +234,10 @@
     }
 
     /// `None`: no answer.
-    fn vote(&self, router: u32, build: u16, stage: u8, verdict: Verdict) -> Option<BallotResult> {
+    fn vote(&self, router: u32, build: u16, stage: u8, verdict: Verdict) -> Option<VoteResult> {
         let (now, faults) = (self.world.tap.now(), self.world.faults());
         if faults.refusing_desk {
-            return Some(BallotResult::Refused);
+            return Some(VoteResult::Refused);
         }
         let counts = !faults.stalled_desk || rand::rng().random_bool(0.5);
         let counted = counts.then(|| {
@@ -247,9 +247,9 @@
                 .vote(now, router, build, stage, verdict)
         });
         match counted.filter(|_| !faults.stalled_desk)? {
-            Counted::Counted => Some(BallotResult::Counted),
-            Counted::Moot => Some(BallotResult::Moot),
-            Counted::TooMany => Some(BallotResult::TooMany),
+            Counted::Counted => Some(VoteResult::Counted),
+            Counted::Moot => Some(VoteResult::Stale),
+            Counted::TooMany => Some(VoteResult::RateLimited),
         }
     }
 
