--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -6,7 +6,8 @@
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_coordination::{HostState, ListedHost, SourceUpdate};
 use spokeflow_proto::{
-    FrameCodec, FrameFault, FromList, Hello, Line, LinePhase, Role, ToList, LIST_LIMIT,
+    EndpointPhase, EndpointRecord, FrameCodec, FrameFault, FromList, Hello, Role, ToList,
+    LIST_LIMIT,
 };
 use spokeflow_runtime::Backoff;
 use thiserror::Error;
@@ -138,35 +139,39 @@
 /// The update that a message carries; nothing where it carries none.
 fn update_of(message: FromList) -> Result<Option<SourceUpdate>, SourceError> {
     match message {
-        FromList::Whole { version, lines } => Ok(Some(source_update(version, true, lines))),
-        FromList::Changes { version, lines } => Ok(Some(source_update(version, false, lines))),
+        FromList::Complete { version, endpoints } => {
+            Ok(Some(source_update(version, true, endpoints)))
+        }
+        FromList::Changes { version, endpoints } => {
+            Ok(Some(source_update(version, false, endpoints)))
+        }
         FromList::Refused(refused) => Err(SourceError::Refused(refused.text)),
         FromList::Sizes { .. } | FromList::Failed | FromList::Welcome => Ok(None),
     }
 }
 
-fn source_update(version: u64, complete: bool, lines: Vec<Line>) -> SourceUpdate {
+fn source_update(version: u64, complete: bool, endpoints: Vec<EndpointRecord>) -> SourceUpdate {
     SourceUpdate {
         version,
         complete,
-        hosts: lines.into_iter().map(listed_host).collect(),
+        hosts: endpoints.into_iter().map(listed_host).collect(),
     }
 }
 
-fn listed_host(line: Line) -> ListedHost {
-    let state = match line.phase {
-        LinePhase::Gone => HostState::Gone,
-        LinePhase::Ready => HostState::Ready,
-        LinePhase::Draining => HostState::Draining,
+fn listed_host(record: EndpointRecord) -> ListedHost {
+    let state = match record.phase {
+        EndpointPhase::Gone => HostState::Gone,
+        EndpointPhase::Ready => HostState::Ready,
+        EndpointPhase::Draining => HostState::Draining,
     };
     ListedHost {
-        host: line.host,
-        address: line.address,
-        build: line.build,
-        cell: line.cell,
-        zone: line.zone,
+        host: record.host,
+        address: record.address,
+        build: record.build,
+        cell: record.cell,
+        zone: record.zone,
         state,
-        incarnation: line.incarnation,
-        up_us: line.up_us,
+        incarnation: record.incarnation,
+        up_us: record.up_us,
     }
 }
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -1,7 +1,7 @@
 //! A router's recording that commit d62ab1d wrote, read by the present code.
 //!
 //! `fixtures/d62ab1d/router.recording` is what `spokeflow-router --record` of that commit wrote in
-//! five seconds: it followed three keepers for its service terms and its host list, took five
+//! five seconds: it followed a control plane of three nodes for its configuration and its list, took five
 //! commands from one client, delivered them to two hosts, and was ended by SIGTERM.
 
 use bytes::Bytes;
@@ -9,7 +9,8 @@
 use spokeflow_core::Micros;
 use spokeflow_engine::{Input, Recording, TornEntryError};
 use spokeflow_proto::{
-    Command, FromController, FromHost, FromList, Line, LinePhase, News, NewsStanding,
+    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, RolloutPhase,
+    RolloutUpdate,
 };
 
 const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
@@ -35,8 +36,8 @@
     answered.collect()
 }
 
-fn line(host: u32, place: u16, phase: LinePhase, up_us: Option<u64>) -> Line {
-    Line {
+fn record(host: u32, place: u16, phase: EndpointPhase, up_us: Option<u64>) -> EndpointRecord {
+    EndpointRecord {
         host,
         address: format!("127.0.0.1:{}", 27931 + u32::from(place)),
         build: Some(7),
@@ -49,16 +50,16 @@
 }
 
 /// Three hosts, with the times since their starts, of which the second's is long ago.
-fn lines(first_up_us: u64, third_up_us: u64) -> Vec<Line> {
+fn records(first_up_us: u64, third_up_us: u64) -> Vec<EndpointRecord> {
     vec![
-        line(301, 0, LinePhase::Ready, Some(first_up_us)),
-        line(302, 1, LinePhase::Ready, None),
-        line(303, 2, LinePhase::Draining, Some(third_up_us)),
+        record(301, 0, EndpointPhase::Ready, Some(first_up_us)),
+        record(302, 1, EndpointPhase::Ready, None),
+        record(303, 2, EndpointPhase::Draining, Some(third_up_us)),
     ]
 }
 
-/// The terms that the router's own flags said.
-fn own_terms() -> EffectiveConfig {
+/// The configuration of the router's own flags.
+fn own_config() -> EffectiveConfig {
     EffectiveConfig {
         shares: vec![50.0],
         fleet_size: 1,
@@ -81,7 +82,7 @@
     EffectiveConfig {
         delivery_cap: 3,
         stage_caps: vec![0.02, 0.1, 0.4, 1.0],
-        ..own_terms()
+        ..own_config()
     }
 }
 
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn the_end_of_the_client_is_read() {
+fn the_disconnect_of_the_client_is_read() {
     let all = inputs();
     let leave = all
         .iter()
@@ -139,11 +140,11 @@
 
 #[test]
 fn answers_of_hosts_are_read() {
-    let heard = of_kind(|input| match input {
+    let received = of_kind(|input| match input {
         Input::FromHost { host, message } => Some((host, message)),
         _ => None,
     });
-    let heard: Vec<(u32, FromHost)> = heard.into_iter().map(|message| message.1).collect();
+    let messages: Vec<(u32, FromHost)> = received.into_iter().map(|received| received.1).collect();
     let welcome = |host, incarnation| FromHost::Welcome {
         host,
         build: 7,
@@ -159,61 +160,58 @@
         (302, acked(3, 302)),
         (302, acked(4, 302)),
     ];
-    assert_eq!(heard, expected);
+    assert_eq!(messages, expected);
 }
 
 #[test]
-fn what_list_and_desk_said_is_read() {
+fn messages_of_list_and_release_controller_are_read() {
     let all = inputs();
-    let whole = FromList::Whole {
+    let complete = FromList::Complete {
         version: 77,
-        lines: lines(9_000_000, 5_000_000),
+        endpoints: records(9_000_000, 5_000_000),
     };
-    assert!(all.contains(&(6_383, Input::FromList(whole))));
-    let standing = NewsStanding::Released;
-    let news = News {
+    assert!(all.contains(&(6_383, Input::FromList(complete))));
+    let phase = RolloutPhase::Released;
+    let update = RolloutUpdate {
         build: 7,
         stage: 0,
-        standing,
-        cap: 1.0,
+        phase,
+        exposure_cap: 1.0,
         age_us: 123_456,
     };
-    assert!(all.contains(&(6_407, Input::FromController(FromController::News(news)))));
+    assert!(all.contains(&(
+        6_407,
+        Input::FromController(FromController::RolloutUpdate(update))
+    )));
 }
 
 #[test]
-fn lists_from_the_keepers_are_read() {
+fn lists_from_the_control_plane_are_read() {
     let lists = of_kind(|input| match input {
-        Input::ReplicatedList {
-            complete: whole,
-            hosts,
-        } => Some((whole, hosts)),
+        Input::ReplicatedList { complete, hosts } => Some((complete, hosts)),
         _ => None,
     });
     let first = (1_140, (false, Vec::new()));
-    let second = (7_795, (true, lines(10_920_152, 6_920_152)));
+    let second = (7_795, (true, records(10_920_152, 6_920_152)));
     assert_eq!(lists, [first, second]);
 }
 
 #[test]
-fn terms_from_the_keepers_are_read() {
-    let agreed = of_kind(|input| match input {
-        Input::Lease {
-            until,
-            config: terms,
-        } => Some((until, *terms)),
+fn leases_from_the_control_plane_are_read() {
+    let leases = of_kind(|input| match input {
+        Input::Lease { until, config } => Some((until, *config)),
         _ => None,
     });
-    assert_eq!(agreed.len(), 9);
-    assert_eq!(agreed[0], (1_129, (1_129, own_terms())));
-    assert_eq!(agreed[1], (7_838, (2_977_496, second_revision())));
-    // Of revisions 3 (in force) and 4 (announced) the stricter value of each.
+    assert_eq!(leases.len(), 9);
+    assert_eq!(leases[0], (1_129, (1_129, own_config())));
+    assert_eq!(leases[1], (7_838, (2_977_496, second_revision())));
+    // Of revisions 3 (in force) and 4 (pending) the stricter value of each.
     let last = EffectiveConfig {
         delivery_cap: 2,
         guarded_stages: 1,
         ..second_revision()
     };
-    assert_eq!(agreed[8], (4_968_011, (7_937_449, last)));
+    assert_eq!(leases[8], (4_968_011, (7_937_449, last)));
 }
 
 #[test]
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -198,7 +198,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LinePhase {
+pub enum EndpointPhase {
     Gone,
     Ready,
     Draining,
@@ -206,14 +206,14 @@
 
 /// One host as the list knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct EndpointRecord {
     pub host: u32,
     /// Address and port, as text.
     pub address: String,
     pub build: Option<u16>,
     pub cell: u16,
     pub zone: u16,
-    pub phase: LinePhase,
+    pub phase: EndpointPhase,
     pub incarnation: u64,
     /// Microseconds since the start of its process when this was sent; `None` for long ago.
     pub up_us: Option<u64>,
@@ -234,54 +234,63 @@
 pub enum FromList {
     Welcome,
     Refused(Refused),
-    Whole {
+    Complete {
         version: u64,
-        lines: Vec<Line>,
+        endpoints: Vec<EndpointRecord>,
     },
     Changes {
         version: u64,
-        lines: Vec<Line>,
+        endpoints: Vec<EndpointRecord>,
     },
     Failed,
-    /// Host and its capacity against other hosts', in any unit; for hosts told before, only to a caller of version 2.
+    /// Relative capacities of hosts that have been listed before; only to a caller of version 2.
     Sizes {
-        sizes: Vec<(u32, f32)>,
+        sizes: Vec<HostSize>,
     },
 }
 
+/// The capacity of a host against other hosts'.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HostSize {
+    /// Number of the host.
+    pub host: u32,
+    /// In any unit, the same for all hosts.
+    pub size: f32,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NewsStanding {
-    OnTrial,
-    GoingBack,
+pub enum RolloutPhase {
+    Canary,
+    RollingBack,
     Released,
     Withdrawn,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutUpdate {
     pub build: u16,
     pub stage: u8,
-    pub standing: NewsStanding,
+    pub phase: RolloutPhase,
     /// 0 to 1.
-    pub cap: f32,
+    pub exposure_cap: f32,
     /// Microseconds that this had stood when it was sent.
     pub age_us: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BallotVerdict {
-    None,
-    On,
+pub enum VoteChoice {
+    Abstain,
+    Promote,
     Hold,
-    Back,
+    RollBack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BallotResult {
+pub enum VoteResult {
     Counted,
     /// Not the present build or stage, or no such verdict here.
-    Moot,
-    TooMany,
+    Stale,
+    RateLimited,
     Refused,
 }
 
@@ -305,7 +314,7 @@
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: BallotVerdict,
+        choice: VoteChoice,
     },
 }
 
@@ -313,10 +322,10 @@
 pub enum FromController {
     Welcome,
     Refused(Refused),
-    News(News),
+    RolloutUpdate(RolloutUpdate),
     Voted {
         ballot: u64,
-        result: BallotResult,
+        result: VoteResult,
     },
     /// One op type at one build, in a sample of all routers' deliveries over a past period; only to a caller of
     /// version 2.
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -119,8 +119,8 @@
     }
 }
 
-fn whole_line(phase: LinePhase) -> Line {
-    Line {
+fn whole_line(phase: EndpointPhase) -> EndpointRecord {
+    EndpointRecord {
         host: 70_001,
         address: "10.0.0.1:7600".into(),
         build: Some(302),
@@ -132,34 +132,34 @@
     }
 }
 
-fn line_without_options() -> Line {
-    Line {
+fn line_without_options() -> EndpointRecord {
+    EndpointRecord {
         build: None,
         up_us: None,
-        ..whole_line(LinePhase::Draining)
+        ..whole_line(EndpointPhase::Draining)
     }
 }
 
-fn news(standing: NewsStanding) -> News {
-    News {
+fn news(standing: RolloutPhase) -> RolloutUpdate {
+    RolloutUpdate {
         build: 301,
         stage: 2,
-        standing,
-        cap: 0.25,
+        phase: standing,
+        exposure_cap: 0.25,
         age_us: 1_005,
     }
 }
 
-fn vote(verdict: BallotVerdict) -> ToController {
+fn vote(choice: VoteChoice) -> ToController {
     ToController::Vote {
         ballot: 1_001,
         build: 302,
         stage: 3,
-        verdict,
+        choice,
     }
 }
 
-fn voted(result: BallotResult) -> FromController {
+fn voted(result: VoteResult) -> FromController {
     FromController::Voted {
         ballot: 1_001,
         result,
@@ -333,24 +333,36 @@
 }
 
 fn from_list() -> Vec<Named<FromList>> {
-    let whole = FromList::Whole {
+    let whole = FromList::Complete {
         version: 1_001,
-        lines: vec![whole_line(LinePhase::Ready), line_without_options()],
+        endpoints: vec![whole_line(EndpointPhase::Ready), line_without_options()],
     };
     let changes = |phase| FromList::Changes {
         version: 1_002,
-        lines: vec![whole_line(phase)],
+        endpoints: vec![whole_line(phase)],
     };
     let sizes = FromList::Sizes {
-        sizes: vec![(70_001, 0.5), (70_002, 4.0)],
+        sizes: vec![
+            HostSize {
+                host: 70_001,
+                size: 0.5,
+            },
+            HostSize {
+                host: 70_002,
+                size: 4.0,
+            },
+        ],
     };
     vec![
         ("FromList::Welcome", FromList::Welcome),
         ("FromList::Refused", FromList::Refused(refused())),
         ("FromList::Whole", whole),
-        ("FromList::Changes/Gone", changes(LinePhase::Gone)),
-        ("FromList::Changes/Ready", changes(LinePhase::Ready)),
-        ("FromList::Changes/Draining", changes(LinePhase::Draining)),
+        ("FromList::Changes/Gone", changes(EndpointPhase::Gone)),
+        ("FromList::Changes/Ready", changes(EndpointPhase::Ready)),
+        (
+            "FromList::Changes/Draining",
+            changes(EndpointPhase::Draining),
+        ),
         ("FromList::Failed", FromList::Failed),
         ("FromList::Sizes", sizes),
     ]
@@ -360,11 +372,13 @@
     match message {
         FromList::Welcome => "FromList::Welcome",
         FromList::Refused(_) => "FromList::Refused",
-        FromList::Whole { .. } => "FromList::Whole",
-        FromList::Changes { lines, .. } => match lines[0].phase {
-            LinePhase::Gone => "FromList::Changes/Gone",
-            LinePhase::Ready => "FromList::Changes/Ready",
-            LinePhase::Draining => "FromList::Changes/Draining",
+        FromList::Complete { .. } => "FromList::Whole",
+        FromList::Changes {
+            endpoints: lines, ..
+        } => match lines[0].phase {
+            EndpointPhase::Gone => "FromList::Changes/Gone",
+            EndpointPhase::Ready => "FromList::Changes/Ready",
+            EndpointPhase::Draining => "FromList::Changes/Draining",
         },
         FromList::Failed => "FromList::Failed",
         FromList::Sizes { .. } => "FromList::Sizes",
@@ -374,21 +388,21 @@
 fn to_controller() -> Vec<Named<ToController>> {
     vec![
         ("ToDesk::Hello", ToController::Hello(hello(Role::Router))),
-        ("ToDesk::Vote/None", vote(BallotVerdict::None)),
-        ("ToDesk::Vote/On", vote(BallotVerdict::On)),
-        ("ToDesk::Vote/Hold", vote(BallotVerdict::Hold)),
-        ("ToDesk::Vote/Back", vote(BallotVerdict::Back)),
+        ("ToDesk::Vote/None", vote(VoteChoice::Abstain)),
+        ("ToDesk::Vote/On", vote(VoteChoice::Promote)),
+        ("ToDesk::Vote/Hold", vote(VoteChoice::Hold)),
+        ("ToDesk::Vote/Back", vote(VoteChoice::RollBack)),
     ]
 }
 
 fn name_of_to_desk(message: &ToController) -> &'static str {
     match message {
         ToController::Hello(_) => "ToDesk::Hello",
-        ToController::Vote { verdict, .. } => match verdict {
-            BallotVerdict::None => "ToDesk::Vote/None",
-            BallotVerdict::On => "ToDesk::Vote/On",
-            BallotVerdict::Hold => "ToDesk::Vote/Hold",
-            BallotVerdict::Back => "ToDesk::Vote/Back",
+        ToController::Vote { choice, .. } => match choice {
+            VoteChoice::Abstain => "ToDesk::Vote/None",
+            VoteChoice::Promote => "ToDesk::Vote/On",
+            VoteChoice::Hold => "ToDesk::Vote/Hold",
+            VoteChoice::RollBack => "ToDesk::Vote/Back",
         },
     }
 }
@@ -407,24 +421,24 @@
         ("FromDesk::Refused", FromController::Refused(refused())),
         (
             "FromDesk::News/OnTrial",
-            FromController::News(news(NewsStanding::OnTrial)),
+            FromController::RolloutUpdate(news(RolloutPhase::Canary)),
         ),
         (
             "FromDesk::News/GoingBack",
-            FromController::News(news(NewsStanding::GoingBack)),
+            FromController::RolloutUpdate(news(RolloutPhase::RollingBack)),
         ),
         (
             "FromDesk::News/Released",
-            FromController::News(news(NewsStanding::Released)),
+            FromController::RolloutUpdate(news(RolloutPhase::Released)),
         ),
         (
             "FromDesk::News/Withdrawn",
-            FromController::News(news(NewsStanding::Withdrawn)),
+            FromController::RolloutUpdate(news(RolloutPhase::Withdrawn)),
         ),
-        ("FromDesk::Voted/Counted", voted(BallotResult::Counted)),
-        ("FromDesk::Voted/Moot", voted(BallotResult::Moot)),
-        ("FromDesk::Voted/TooMany", voted(BallotResult::TooMany)),
-        ("FromDesk::Voted/Refused", voted(BallotResult::Refused)),
+        ("FromDesk::Voted/Counted", voted(VoteResult::Counted)),
+        ("FromDesk::Voted/Moot", voted(VoteResult::Stale)),
+        ("FromDesk::Voted/TooMany", voted(VoteResult::RateLimited)),
+        ("FromDesk::Voted/Refused", voted(VoteResult::Refused)),
         ("FromDesk::Counted", FromController::Counted(count)),
     ]
 }
@@ -433,17 +447,17 @@
     match message {
         FromController::Welcome => "FromDesk::Welcome",
         FromController::Refused(_) => "FromDesk::Refused",
-        FromController::News(news) => match news.standing {
-            NewsStanding::OnTrial => "FromDesk::News/OnTrial",
-            NewsStanding::GoingBack => "FromDesk::News/GoingBack",
-            NewsStanding::Released => "FromDesk::News/Released",
-            NewsStanding::Withdrawn => "FromDesk::News/Withdrawn",
+        FromController::RolloutUpdate(news) => match news.phase {
+            RolloutPhase::Canary => "FromDesk::News/OnTrial",
+            RolloutPhase::RollingBack => "FromDesk::News/GoingBack",
+            RolloutPhase::Released => "FromDesk::News/Released",
+            RolloutPhase::Withdrawn => "FromDesk::News/Withdrawn",
         },
         FromController::Voted { result, .. } => match result {
-            BallotResult::Counted => "FromDesk::Voted/Counted",
-            BallotResult::Moot => "FromDesk::Voted/Moot",
-            BallotResult::TooMany => "FromDesk::Voted/TooMany",
-            BallotResult::Refused => "FromDesk::Voted/Refused",
+            VoteResult::Counted => "FromDesk::Voted/Counted",
+            VoteResult::Stale => "FromDesk::Voted/Moot",
+            VoteResult::RateLimited => "FromDesk::Voted/TooMany",
+            VoteResult::Refused => "FromDesk::Voted/Refused",
         },
         FromController::Counted(_) => "FromDesk::Counted",
     }
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -220,37 +220,42 @@
 
     let (mut list, hello) = called::<ToList, FromList>(&list, LIST_LIMIT, FromList::Welcome).await;
     assert!(matches!(hello, ToList::Hello(h) if h.takes_more()));
-    let line = |host: u32, build| Line {
+    let line = |host: u32, build| EndpointRecord {
         host,
         address: hosts[host as usize].local_addr().unwrap().to_string(),
         build: Some(build),
         cell: 0,
         zone: 1,
-        phase: LinePhase::Ready,
+        phase: EndpointPhase::Ready,
         incarnation: 1,
         up_us: None,
     };
-    list.send(FromList::Whole {
+    list.send(FromList::Complete {
         version: 1,
-        lines: vec![line(0, 1), line(1, 2)],
+        endpoints: vec![line(0, 1), line(1, 2)],
     })
     .await
     .unwrap();
-    let odd = vec![(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
-    list.send(FromList::Sizes { sizes: odd }).await.unwrap();
+    let odd = [(0, 3.0), (1, 1.5), (7, 2.0), (1, f32::NAN), (0, -1.0)];
+    let sizes = odd.map(|(host, size)| HostSize { host, size }).to_vec();
+    list.send(FromList::Sizes { sizes }).await.unwrap();
     let (mut desk, hello) =
         called::<ToController, FromController>(&desk, WORK_LIMIT, FromController::Welcome).await;
     assert!(matches!(hello, ToController::Hello(h) if h.takes_more()));
-    let news = |build, standing, cap| News {
+    let news = |build, standing, cap| RolloutUpdate {
         build,
         stage: 0,
-        standing,
-        cap,
+        phase: standing,
+        exposure_cap: cap,
         age_us: 0,
     };
-    desk.send(FromController::News(news(1, NewsStanding::Released, 1.0)))
-        .await
-        .unwrap();
+    desk.send(FromController::RolloutUpdate(news(
+        1,
+        RolloutPhase::Released,
+        1.0,
+    )))
+    .await
+    .unwrap();
 
     // The host of the earlier build answers, with a report before each ack.
     let host = async {
@@ -300,9 +305,13 @@
             );
         }
         // Build 2 comes on trial; this router sees none of it, the desk counts that it fails.
-        desk.send(FromController::News(news(2, NewsStanding::OnTrial, 0.0)))
-            .await
-            .unwrap();
+        desk.send(FromController::RolloutUpdate(news(
+            2,
+            RolloutPhase::Canary,
+            0.0,
+        )))
+        .await
+        .unwrap();
         for _ in 0..4 {
             for (build, op) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
                 let lost = 6 * u32::from(build == 2);
@@ -327,11 +336,11 @@
             {
                 ToController::Vote {
                     build: 2,
-                    verdict: BallotVerdict::Back,
+                    choice: VoteChoice::RollBack,
                     ..
                 } => break,
                 ToController::Vote { ballot, .. } => {
-                    let result = BallotResult::Counted;
+                    let result = VoteResult::Counted;
                     desk.send(FromController::Voted { ballot, result })
                         .await
                         .unwrap();
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -6,8 +6,8 @@
 use spokeflow_core::{BuildId, HostId, Micros, Repeat, Rng};
 use spokeflow_engine::{EngineConfig, Input, TransportFailure};
 use spokeflow_proto::{
-    BallotVerdict, Command, FromController, FromHost, FromList, Line, LinePhase, News,
-    NewsStanding, ToClient, ToController, ToHost, ToList,
+    Command, EndpointPhase, EndpointRecord, FromController, FromHost, FromList, RolloutPhase,
+    RolloutUpdate, ToClient, ToController, ToHost, ToList, VoteChoice,
 };
 
 use crate::brain::{Brain, Who, Wiring};
@@ -47,7 +47,7 @@
     due: BTreeSet<(Micros, u64)>,
     next: u64,
     turn: usize,
-    news: Option<News>,
+    news: Option<RolloutUpdate>,
     stage_began: Micros,
     voted_at: Micros,
     taken: VecDeque<Micros>,
@@ -86,16 +86,13 @@
     fn on_trial(&self, build: u16) -> bool {
         match &self.news {
             None => self.hosts.values().any(|h| h.ready && h.build < build),
-            Some(n) => build > n.build || build == n.build && n.standing != NewsStanding::Released,
+            Some(n) => build > n.build || build == n.build && n.phase != RolloutPhase::Released,
         }
     }
 
     fn sent_back(&self, build: u16) -> bool {
-        let back = |n: &News| {
-            matches!(
-                n.standing,
-                NewsStanding::GoingBack | NewsStanding::Withdrawn
-            )
+        let back = |n: &RolloutUpdate| {
+            matches!(n.phase, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
         };
         self.news
             .as_ref()
@@ -117,7 +114,7 @@
             .news
             .as_ref()
             .filter(|n| n.build == build)
-            .map_or(first, |n| f64::from(n.cap));
+            .map_or(first, |n| f64::from(n.exposure_cap));
         let may = self.terms.service.exposure_allowance + cap * self.taken.len() as f64;
         cap > 0.0 && self.exposed.len() as f64 + 1.0 <= may
     }
@@ -284,7 +281,7 @@
         wiring.to_client(held.conn, message);
     }
 
-    fn list(&mut self, whole: bool, lines: &[Line], wiring: &mut dyn Wiring) {
+    fn list(&mut self, whole: bool, lines: &[EndpointRecord], wiring: &mut dyn Wiring) {
         if whole {
             let named: BTreeSet<u32> = lines.iter().map(|l| l.host).collect();
             for (host, known) in self.hosts.iter_mut().filter(|(h, _)| !named.contains(h)) {
@@ -301,11 +298,11 @@
             });
             known.build = line.build.unwrap_or(known.build);
             known.incarnation = known.incarnation.max(line.incarnation);
-            known.ready = line.phase == LinePhase::Ready;
+            known.ready = line.phase == EndpointPhase::Ready;
             if known.ready {
                 wiring.host_open(HostId(line.host), &line.address, known.incarnation);
             } else {
-                wiring.host_closed(HostId(line.host), line.phase == LinePhase::Gone);
+                wiring.host_closed(HostId(line.host), line.phase == EndpointPhase::Gone);
             }
         }
         self.hosts.retain(|_, h| h.ready || h.in_flight > 0);
@@ -314,11 +311,11 @@
     fn vote(&mut self, wiring: &mut dyn Wiring) {
         let Some(news) = self.news else { return };
         let bad = self.who == Who::FullSight && wiring.is_bad(BuildId(news.build));
-        let on = news.standing == NewsStanding::OnTrial;
+        let on = news.phase == RolloutPhase::Canary;
         let baked = self.now - self.stage_began > self.terms.service.stage_bake + 1_000_000;
         let verdict = match (bad, on) {
-            (true, _) if on || news.standing == NewsStanding::Released => BallotVerdict::Back,
-            (false, true) if baked => BallotVerdict::On,
+            (true, _) if on || news.phase == RolloutPhase::Released => VoteChoice::RollBack,
+            (false, true) if baked => VoteChoice::Promote,
             _ => return,
         };
         if self.now - self.voted_at > VOTE_AGAIN {
@@ -328,7 +325,7 @@
                 ballot: self.next,
                 build,
                 stage,
-                verdict,
+                choice: verdict,
             });
             self.next += 1;
         }
@@ -425,16 +422,22 @@
                     wiring,
                 );
             }
-            Input::FromList(FromList::Whole { version, lines }) => {
+            Input::FromList(FromList::Complete {
+                version,
+                endpoints: lines,
+            }) => {
                 self.version = Some(version);
                 self.list(true, &lines, wiring);
             }
-            Input::FromList(FromList::Changes { version, lines }) => {
+            Input::FromList(FromList::Changes {
+                version,
+                endpoints: lines,
+            }) => {
                 self.version = Some(version);
                 self.list(false, &lines, wiring);
             }
             Input::ListUnavailable => drop(wiring.to_list(ToList::Watch { have: self.version })),
-            Input::FromController(FromController::News(news)) => {
+            Input::FromController(FromController::RolloutUpdate(news)) => {
                 let same = self
                     .news
                     .is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
@@ -443,8 +446,8 @@
                         (self.now - news.age_us as Micros, Micros::MIN / 2);
                 }
                 if matches!(
-                    news.standing,
-                    NewsStanding::GoingBack | NewsStanding::Withdrawn
+                    news.phase,
+                    RolloutPhase::RollingBack | RolloutPhase::Withdrawn
                 ) {
                     self.answered_by.retain(|_, b| *b != news.build);
                 }
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -8,8 +8,8 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_proto::{
-    BallotResult, BallotVerdict, FrameCodec, FromController, FromList, Line, LinePhase, News,
-    NewsStanding, Role, ToController, ToList, LIST_LIMIT, WORK_LIMIT,
+    EndpointPhase, EndpointRecord, FrameCodec, FromController, FromList, Role, RolloutPhase,
+    RolloutUpdate, ToController, ToList, VoteChoice, VoteResult, LIST_LIMIT, WORK_LIMIT,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::interval;
@@ -107,38 +107,48 @@
     fn message(&self, board: &Board, have: Option<u64>) -> FromList {
         let now = self.world.tap.now();
         let (whole, entries) = board.since(have);
-        let line = |e: &&Entry| Line {
+        let line = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: e.address.clone(),
             build: Some(e.build),
             cell: 0,
             zone: e.site,
             phase: match e.phase {
-                Phase::Gone => LinePhase::Gone,
-                Phase::Ready => LinePhase::Ready,
-                Phase::Draining => LinePhase::Draining,
+                Phase::Gone => EndpointPhase::Gone,
+                Phase::Ready => EndpointPhase::Ready,
+                Phase::Draining => EndpointPhase::Draining,
             },
             incarnation: e.incarnation,
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
         let (version, lines) = (board.version(), entries.iter().map(line).collect());
         if whole {
-            FromList::Whole { version, lines }
+            FromList::Complete {
+                version,
+                endpoints: lines,
+            }
         } else {
-            FromList::Changes { version, lines }
+            FromList::Changes {
+                version,
+                endpoints: lines,
+            }
         }
     }
 
     fn note(&self, to: Process, message: &FromList) {
         let (whole, lines) = match message {
-            FromList::Whole { lines, .. } => (true, lines),
-            FromList::Changes { lines, .. } if !lines.is_empty() => (false, lines),
+            FromList::Complete {
+                endpoints: lines, ..
+            } => (true, lines),
+            FromList::Changes {
+                endpoints: lines, ..
+            } if !lines.is_empty() => (false, lines),
             _ => return,
         };
-        let phase = |l: &Line| match l.phase {
-            LinePhase::Gone => Phase::Gone,
-            LinePhase::Ready => Phase::Ready,
-            LinePhase::Draining => Phase::Draining,
+        let phase = |l: &EndpointRecord| match l.phase {
+            EndpointPhase::Gone => Phase::Gone,
+            EndpointPhase::Ready => Phase::Ready,
+            EndpointPhase::Draining => Phase::Draining,
         };
         let lines = lines
             .iter()
@@ -176,12 +186,12 @@
                     _ => return,
                 },
                 Some(message) = heard.recv() => {
-                    if let ToController::Vote { ballot, build, stage, verdict } = message {
+                    if let ToController::Vote { ballot, build, stage, choice: verdict } = message {
                         let verdict = match verdict {
-                            BallotVerdict::None => Verdict::None,
-                            BallotVerdict::On => Verdict::On,
-                            BallotVerdict::Hold => Verdict::Hold,
-                            BallotVerdict::Back => Verdict::Back,
+                            VoteChoice::Abstain => Verdict::None,
+                            VoteChoice::Promote => Verdict::On,
+                            VoteChoice::Hold => Verdict::Hold,
+                            VoteChoice::RollBack => Verdict::Back,
                         };
                         let seen =
                             Seen::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
@@ -193,7 +203,7 @@
                 }
                 Some((message, state)) = ready.recv() => {
                     let message = match state {
-                        Some(state) => FromController::News(self.news(to, state)),
+                        Some(state) => FromController::RolloutUpdate(self.news(to, state)),
                         None => message,
                     };
                     if link.send(message).await.is_err() {
@@ -224,10 +234,10 @@
     }
 
     /// `None`: no answer.
-    fn vote(&self, router: u32, build: u16, stage: u8, verdict: Verdict) -> Option<BallotResult> {
+    fn vote(&self, router: u32, build: u16, stage: u8, verdict: Verdict) -> Option<VoteResult> {
         let (now, faults) = (self.world.tap.now(), self.world.faults());
         if faults.refusing_desk {
-            return Some(BallotResult::Refused);
+            return Some(VoteResult::Refused);
         }
         let counts = !faults.stalled_desk || rand::rng().random_bool(0.5);
         let counted = counts.then(|| {
@@ -237,13 +247,13 @@
                 .vote(now, router, build, stage, verdict)
         });
         match counted.filter(|_| !faults.stalled_desk)? {
-            Counted::Counted => Some(BallotResult::Counted),
-            Counted::Moot => Some(BallotResult::Moot),
-            Counted::TooMany => Some(BallotResult::TooMany),
+            Counted::Counted => Some(VoteResult::Counted),
+            Counted::Moot => Some(VoteResult::Stale),
+            Counted::TooMany => Some(VoteResult::RateLimited),
         }
     }
 
-    fn news(&self, to: Process, state: State) -> News {
+    fn news(&self, to: Process, state: State) -> RolloutUpdate {
         let State {
             build,
             stage,
@@ -259,17 +269,17 @@
             cap,
         });
         let standing = match standing {
-            Standing::OnTrial => NewsStanding::OnTrial,
-            Standing::GoingBack => NewsStanding::GoingBack,
-            Standing::Released => NewsStanding::Released,
-            Standing::Withdrawn => NewsStanding::Withdrawn,
+            Standing::OnTrial => RolloutPhase::Canary,
+            Standing::GoingBack => RolloutPhase::RollingBack,
+            Standing::Released => RolloutPhase::Released,
+            Standing::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.world.tap.now() - since).max(0) as u64;
-        News {
+        RolloutUpdate {
             build,
             stage,
-            standing,
-            cap: cap as f32,
+            phase: standing,
+            exposure_cap: cap as f32,
             age_us,
         }
     }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -72,15 +72,17 @@
                 Framed::new(stream, FrameCodec::new(WORK_LIMIT));
             link.next().await;
             link.send(FromController::Welcome).await.unwrap();
-            let standing = NewsStanding::Released;
-            let news = News {
+            let standing = RolloutPhase::Released;
+            let news = RolloutUpdate {
                 build: 1,
                 stage: 0,
-                standing,
-                cap: 1.0,
+                phase: standing,
+                exposure_cap: 1.0,
                 age_us: 0,
             };
-            link.send(FromController::News(news)).await.unwrap();
+            link.send(FromController::RolloutUpdate(news))
+                .await
+                .unwrap();
             while let Some(Ok(_)) = link.next().await {}
         });
         Scene {
@@ -93,9 +95,9 @@
     }
 
     /// Tells the router of hosts, and waits until it has heard.
-    pub async fn list(&mut self, hosts: &[(u32, SocketAddr, LinePhase)]) {
+    pub async fn list(&mut self, hosts: &[(u32, SocketAddr, EndpointPhase)]) {
         self.version += 1;
-        let line = |(host, address, phase): &(u32, SocketAddr, LinePhase)| Line {
+        let line = |(host, address, phase): &(u32, SocketAddr, EndpointPhase)| EndpointRecord {
             host: *host,
             address: address.to_string(),
             build: Some(1),
@@ -109,7 +111,7 @@
         self.list
             .send(FromList::Changes {
                 version: self.version,
-                lines,
+                endpoints: lines,
             })
             .unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
