--- a/crates/spokeflow-ctl/tests/former_names.rs
+++ b/crates/spokeflow-ctl/tests/former_names.rs
@@ -1,4 +1,4 @@
-//! `spokeflowctl` still takes the names that its verbs, flags and variables had before they were renamed.
+//! `spokeflowctl` still accepts the names that its verbs, flags and variables had before they were renamed.
 
 use std::process::{Command, Output};
 
@@ -11,14 +11,14 @@
     command.args(args).output().unwrap()
 }
 
-fn assert_asks_the_node(output: &Output) {
+fn assert_calls_the_node(output: &Output) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains(NOBODY), "{text}");
 }
 
 #[test]
-fn verbs_and_flags_are_taken_by_their_former_names() {
+fn verbs_and_flags_are_accepted_by_their_former_names() {
     let node = format!("--keeper={NOBODY}");
     for verb in [
         &["offer", "fleet-size=2", "--who=a", "--why=b"][..],
@@ -29,7 +29,7 @@
     ] {
         let mut args = vec![node.as_str(), "--within=200ms"];
         args.extend(verb);
-        assert_asks_the_node(&run(&args, &[]));
+        assert_calls_the_node(&run(&args, &[]));
     }
 }
 
@@ -39,5 +39,5 @@
         &["--within=200ms", "status"],
         &[("SPOKEFLOW_KEEPER", NOBODY)],
     );
-    assert_asks_the_node(&output);
+    assert_calls_the_node(&output);
 }
--- a/crates/spokeflow-ctl/tests/verbs.rs
+++ b/crates/spokeflow-ctl/tests/verbs.rs
@@ -21,5 +21,5 @@
         "{code:?} {text}"
     );
     assert_eq!(help("seat"), (code, text));
-    assert_eq!(help("stool").0, Some(2), "another name is not taken");
+    assert_eq!(help("stool").0, Some(2), "another name is not accepted");
 }
