--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -74,7 +74,9 @@
                 Ok(()) => failures = 0,
                 Err(error) => {
                     failures += 1;
-                    warn!(failures, %error, "host list cannot be read");
+                    // As a string, which the log escapes: part of it may come from the source.
+                    let error = error.to_string();
+                    warn!(failures, error, "host list cannot be read");
                     sleep(self.backoff.delay(failures)).await;
                 }
             }
--- a/crates/spokeflow-experiments/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -189,7 +189,7 @@
                 flags(&day, index, anywhere, anywhere),
             ]
             .concat();
-            let on_sockets = Router::parse_from(words).terms.engine();
+            let on_sockets = Router::parse_from(words).terms.engine_config();
             assert_eq!(
                 format!("{on_sockets:?}"),
                 format!("{:?}", engine_terms(&day, index))
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -60,7 +60,12 @@
                 }
             }
         }
-        let _ = self.core.send(EngineEvent::ClientGone(self.conn)).await;
+        let _ = self
+            .core
+            .send(EngineEvent::ClientDisconnected {
+                connection: self.conn,
+            })
+            .await;
         // What is still on its way in is read and dropped: closing over unread bytes would take back the last
         // frames out as well.
         let stream = link.get_mut();
@@ -94,7 +99,10 @@
         let (answers, mut to_send) = mpsc::channel(self.queue);
         if self
             .core
-            .send(EngineEvent::ClientOpened(self.conn, answers))
+            .send(EngineEvent::ClientConnected {
+                connection: self.conn,
+                messages: answers,
+            })
             .await
             .is_err()
         {
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -1,5 +1,6 @@
-//! The link to the keepers: one at a time, asked for a lease every third of one, left for the next where it does not give
-//! one. Revisions are checked here and reach the engine as terms, together with the lease.
+//! The link to the control plane: one node at a time, which is requested for a lease three times within one and is left
+//! for the next where it grants none. Revisions are checked here and reach the engine as one configuration, together
+//! with the lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,281 +8,343 @@
 
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
-use spokeflow_coordination::{HostState, LeaseConfig, LeaseHolder, ListedHost, RevisionNumber};
+use spokeflow_coordination::wire::{
+    Caller, ClusterParameters, FromNode, Request, Response, ToNode, LIMIT,
+};
+use spokeflow_coordination::{
+    HostState, LeaseConfig, LeaseGrant, LeaseHolder, ListedHost, RevisionNumber,
+};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameCodec, Line, LinePhase};
+use spokeflow_proto::{FrameCodec, FrameFault, Line, LinePhase};
 use spokeflow_runtime::{Backoff, Clock};
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, sleep_until, timeout, Instant};
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
 use crate::event::EngineEvent;
-use crate::links::KEEPER_WAY;
+use crate::links::{Link, CONTROL_PLANE_LINK};
 use crate::RouterFlags;
 
-/// A keeper that is not reached, or says nothing, for this long is left for the next.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// A node that is not reached, or sends nothing, for this long is left for the next.
+const NODE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the next node is tried, doubled with each that gives no lease.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Longest such delay: well within a lease.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// Shortest time between two requests, in microseconds, whatever the lease.
+const MIN_RENEWAL_INTERVAL: Micros = 1000;
 
-type Link = Framed<TcpStream, FrameCodec<FromNode, ToNode>>;
+type NodeLink = Link<FromNode, ToNode>;
 
-/// The control side of one router: its link to the keepers and what it holds of them.
+/// The control side of one router: its link to the control plane.
 pub struct ControlPlaneLink {
-    terms: RouterFlags,
+    flags: RouterFlags,
     process: u64,
     backoff: Backoff,
     clock: Arc<Clock>,
-    core: mpsc::Sender<EngineEvent>,
+    events: mpsc::Sender<EngineEvent>,
     applied: watch::Receiver<RevisionNumber>,
-    lease_holder: Option<LeaseHolder>,
-    /// The newest revision that does not fit this router: said once.
-    misfit: RevisionNumber,
+    /// The newest revision that does not fit this router: logged once.
+    rejected: RevisionNumber,
 }
 
-/// Why a keeper is left.
-enum Left {
-    Ending,
-    /// It does not answer, or knows no leader.
-    For(&'static str),
+/// Why the exchange with a node ended.
+#[derive(Debug, Error)]
+enum LinkError {
+    /// The engine's task is gone.
+    #[error("the router shuts down")]
+    ShuttingDown,
+    #[error("not reached")]
+    NotReached,
+    #[error("does not read")]
+    SendTimedOut,
+    #[error("does not answer")]
+    NoResponse,
+    #[error("knows no leader")]
+    NoLeader,
+    #[error("refuses")]
+    Refused,
+    #[error("connection lost")]
+    ConnectionLost,
+}
+
+/// When requests are sent, and when the node is given up.
+struct RenewalTimer {
+    interval: Duration,
+    next_request: Instant,
+    /// Since when a request has had no response.
+    unanswered_since: Option<Instant>,
+}
+
+impl RenewalTimer {
+    /// The first request is due at once.
+    fn new(interval: Micros) -> Self {
+        RenewalTimer {
+            interval: Duration::from_micros(interval.max(MIN_RENEWAL_INTERVAL) as u64),
+            next_request: Instant::now(),
+            unanswered_since: None,
+        }
+    }
+
+    fn on_request(&mut self) {
+        let now = Instant::now();
+        self.unanswered_since = self.unanswered_since.or(Some(now));
+        self.next_request = now + self.interval;
+    }
+
+    fn on_response(&mut self) {
+        self.unanswered_since = None;
+    }
+
+    fn request_now(&mut self) {
+        self.next_request = Instant::now();
+    }
+
+    fn give_up_at(&self) -> Instant {
+        match self.unanswered_since {
+            Some(since) => since + NODE_TIMEOUT,
+            None => self.next_request + self.interval * 2,
+        }
+    }
 }
 
 impl ControlPlaneLink {
-    /// `core` is told what may be acted on; `applied` tells the newest revision that is acted on since.
+    /// `events` gets what may be acted on; `applied` has the newest revision that the engine acts on since.
     pub fn new(
-        terms: &RouterFlags,
+        flags: &RouterFlags,
         seed: u64,
         clock: Arc<Clock>,
-        core: mpsc::Sender<EngineEvent>,
+        events: mpsc::Sender<EngineEvent>,
         applied: watch::Receiver<RevisionNumber>,
     ) -> Self {
-        let backoff = Backoff::new(
-            seed,
-            KEEPER_WAY,
-            Duration::from_millis(50),
-            Duration::from_millis(500),
-        );
-        // Not from the seed: two processes with one seed must not be taken for one.
-        let process = rand::rng().random();
-        let (terms, lease_holder) = (terms.clone(), None);
         ControlPlaneLink {
-            terms,
-            process,
-            backoff,
+            flags: flags.clone(),
+            // Not from the seed: two processes with one seed must not be taken for one.
+            process: rand::rng().random(),
+            backoff: Backoff::new(
+                seed,
+                CONTROL_PLANE_LINK,
+                MIN_RECONNECT_DELAY,
+                MAX_RECONNECT_DELAY,
+            ),
             clock,
-            core,
+            events,
             applied,
-            lease_holder,
-            misfit: RevisionNumber(0),
+            rejected: RevisionNumber(0),
         }
     }
 
-    /// Goes on until `core` or `applied` is closed.
+    /// Runs until the receiver of events or the sender of `applied` is gone.
     pub async fn run(mut self) {
-        // Spread over the keepers, each router with one of its own to begin with.
-        let mut turn = self.terms.index as usize;
+        // Spread over the nodes: each router begins with another one.
+        let mut turn = self.flags.index as usize;
         let mut failures = 0;
+        let mut lease_holder = None;
         loop {
-            let keepers = self.keepers();
-            let address = keepers[turn % keepers.len()];
-            let before = self.lease_holder.as_ref().and_then(LeaseHolder::until);
-            let left = match timeout(PATIENCE, self.open(address)).await {
-                Ok(Some(link)) => self.talk(link).await,
-                _ => Left::For("not reached"),
-            };
-            let why = match left {
-                Left::Ending => return,
-                Left::For(why) => why,
+            let nodes = self.nodes(lease_holder.as_ref());
+            let node = nodes[turn % nodes.len()];
+            let lease_before = lease_holder.as_ref().and_then(LeaseHolder::until);
+            let error = self.follow(node, &mut lease_holder).await;
+            if matches!(error, LinkError::ShuttingDown) {
+                return;
+            }
+            let lease = lease_holder.as_ref().and_then(LeaseHolder::until);
+            failures = if lease > lease_before {
+                0
+            } else {
+                failures + 1
             };
-            let held = self.lease_holder.as_ref().and_then(LeaseHolder::until);
-            failures = if held > before { 0 } else { failures + 1 };
-            if let Some(kept_back) = self.clock.allow_log_line() {
-                let left_us = held.map_or(0, |until| until - self.clock.now());
-                warn!(keeper = %address, why, failures, left_us, kept_back, "keeper left for the next");
+            if let Some(suppressed) = self.clock.allow_log_line() {
+                let lease_left_us = lease.map_or(0, |until| until - self.clock.now());
+                warn!(%node, %error, failures, lease_left_us, suppressed, "control-plane node left for the next");
             }
             turn += 1;
             sleep(self.backoff.delay(failures)).await;
         }
     }
 
-    /// Those that the flags name, and those that have been taken in since.
-    fn keepers(&self) -> Vec<SocketAddr> {
-        let mut all = self.terms.control_plane.clone();
-        let told = self
-            .lease_holder
-            .iter()
-            .flat_map(|h| h.voter_addresses())
-            .filter_map(|a| a.parse().ok());
-        all.extend(
-            told.filter(|a| !self.terms.control_plane.contains(a))
-                .collect::<Vec<_>>(),
-        );
-        all
+    /// The nodes that the flags name, and those that were added since.
+    fn nodes(&self, lease_holder: Option<&LeaseHolder>) -> Vec<SocketAddr> {
+        let named = &self.flags.control_plane;
+        let added = lease_holder
+            .into_iter()
+            .flat_map(LeaseHolder::voter_addresses)
+            .filter_map(|address| address.parse().ok())
+            .filter(|address| !named.contains(address));
+        named.iter().copied().chain(added).collect()
     }
 
-    async fn open(&mut self, address: SocketAddr) -> Option<Link> {
-        let stream = TcpStream::connect(address).await.ok()?;
-        let _ = stream.set_nodelay(true);
-        let mut link: Link = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 1024);
-        link.send(ToNode::hello(Caller::Router {
-            index: self.terms.index,
-        }))
-        .await
-        .ok()?;
-        let Some(Ok(FromNode::Welcome {
-            parameters: common, ..
-        })) = link.next().await
-        else {
-            return None;
+    /// Connects to a node and takes leases from it; answers why it is left.
+    async fn follow(
+        &mut self,
+        node: SocketAddr,
+        lease_holder: &mut Option<LeaseHolder>,
+    ) -> LinkError {
+        let opened = timeout(NODE_TIMEOUT, self.open(node)).await;
+        let Ok(Ok((link, parameters))) = opened else {
+            return LinkError::NotReached;
         };
-        let terms = LeaseConfig {
-            duration: common.lease_us as Micros,
-            max_clock_drift: common.max_clock_drift,
+        let lease_holder = lease_holder.get_or_insert_with(|| self.new_lease_holder(&parameters));
+        match self.exchange(link, lease_holder).await {
+            Ok(never) => match never {},
+            Err(error) => error,
+        }
+    }
+
+    async fn open(&self, node: SocketAddr) -> Result<(NodeLink, ClusterParameters), FrameFault> {
+        let stream = TcpStream::connect(node).await?;
+        let _ = stream.set_nodelay(true);
+        let mut link: NodeLink = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 1024);
+        let caller = Caller::Router {
+            index: self.flags.index,
         };
-        if self.lease_holder.is_none() {
-            info!(
-                lease_us = common.lease_us,
-                "follows keepers; longest contradiction is one lease"
-            );
-            let lease_holder = LeaseHolder::new(terms, self.process, self.terms.index);
-            self.lease_holder = Some(if self.terms.replicated_list {
-                lease_holder.with_list()
-            } else {
-                lease_holder
-            });
+        link.send(ToNode::hello(caller)).await?;
+        match link.next().await {
+            Some(Ok(FromNode::Welcome { parameters, .. })) => Ok((link, parameters)),
+            _ => Err(FrameFault::OutOfOrder),
         }
-        Some(link)
     }
 
-    /// Asks for leases until the keeper gives none.
-    async fn talk(&mut self, mut link: Link) -> Left {
-        let Some(every) = self
-            .lease_holder
-            .as_ref()
-            .map(LeaseHolder::renewal_interval)
-        else {
-            return Left::For("no lease terms");
+    fn new_lease_holder(&self, parameters: &ClusterParameters) -> LeaseHolder {
+        info!(
+            lease_us = parameters.lease_us,
+            "follows the control plane; longest contradiction is one lease"
+        );
+        let config = LeaseConfig {
+            duration: parameters.lease_us as Micros,
+            max_clock_drift: parameters.max_clock_drift,
         };
-        let every = Duration::from_micros(every.max(1000) as u64);
-        let mut ask_at = Instant::now();
-        let mut unanswered: Option<Instant> = None;
+        let lease_holder = LeaseHolder::new(config, self.process, self.flags.index);
+        if self.flags.replicated_list {
+            lease_holder.with_list()
+        } else {
+            lease_holder
+        }
+    }
+
+    /// Requests leases until the node grants none.
+    async fn exchange(
+        &mut self,
+        mut link: NodeLink,
+        lease_holder: &mut LeaseHolder,
+    ) -> Result<std::convert::Infallible, LinkError> {
+        let mut timer = RenewalTimer::new(lease_holder.renewal_interval());
         loop {
-            let give_up = unanswered.map_or(ask_at + every * 2, |since| since + PATIENCE);
             tokio::select! {
-                _ = tokio::time::sleep_until(ask_at) => {
-                    let Some(lease_holder) = &mut self.lease_holder else { return Left::For("no lease terms") };
-                    let (number, asked) = lease_holder.request(self.clock.now());
-                    let ask = ToNode::Request { number, request: Request::Lease(asked) };
-                    if !matches!(timeout(PATIENCE, link.send(ask)).await, Ok(Ok(()))) {
-                        return Left::For("does not read");
-                    }
-                    unanswered = unanswered.or(Some(Instant::now()));
-                    ask_at = Instant::now() + every;
+                _ = sleep_until(timer.next_request) => {
+                    let (number, request) = lease_holder.request(self.clock.now());
+                    let request = Request::Lease(request);
+                    send_request(&mut link, number, request).await?;
+                    timer.on_request();
                 }
-                _ = tokio::time::sleep_until(give_up) => return Left::For("does not answer"),
-                read = link.next() => match read {
-                    Some(Ok(FromNode::Response { number, response: Response::Granted(grant) })) => {
-                        unanswered = None;
-                        let Some(lease_holder) = &mut self.lease_holder else { return Left::For("no lease terms") };
-                        if lease_holder.on_grant(number, *grant) && !self.act().await {
-                            return Left::Ending;
-                        }
+                _ = sleep_until(timer.give_up_at()) => return Err(LinkError::NoResponse),
+                read = link.next() => {
+                    let (number, grant) = granted(read)?;
+                    timer.on_response();
+                    if lease_holder.on_grant(number, grant) {
+                        self.apply(lease_holder).await?;
                     }
-                    Some(Ok(FromNode::Response { .. })) => return Left::For("knows no leader"),
-                    Some(Ok(FromNode::Refused { .. })) => return Left::For("refuses"),
-                    _ => return Left::For("connection lost"),
-                },
+                }
                 changed = self.applied.changed() => {
-                    if changed.is_err() {
-                        return Left::Ending;
-                    }
+                    changed.map_err(|_| LinkError::ShuttingDown)?;
                     let revision = *self.applied.borrow_and_update();
-                    if let Some(lease_holder) = &mut self.lease_holder {
-                        // Said at once: the revision comes into force the sooner.
-                        ask_at = if lease_holder.pending().is_some() { Instant::now() } else { ask_at };
-                        lease_holder.set_applied_revision(revision);
+                    // Confirmed at once: the revision comes into force the sooner.
+                    if lease_holder.pending().is_some() {
+                        timer.request_now();
                     }
+                    lease_holder.set_applied_revision(revision);
                 }
             }
         }
     }
 
-    /// Hands the engine what may be acted on. `false`: it is no more.
-    async fn act(&mut self) -> bool {
-        let Some(lease_holder) = &mut self.lease_holder else {
-            return true;
-        };
-        if let Some(part) = lease_holder.take_list_update() {
-            let hosts = part.hosts.into_iter().map(line).collect();
+    /// Hands the engine what may be acted on.
+    async fn apply(&mut self, lease_holder: &mut LeaseHolder) -> Result<(), LinkError> {
+        if let Some(update) = lease_holder.take_list_update() {
             let list = Input::ReplicatedList {
-                complete: part.complete,
-                hosts,
+                complete: update.complete,
+                hosts: update.hosts.into_iter().map(line).collect(),
             };
-            if self.core.send(EngineEvent::Input(list)).await.is_err() {
-                return false;
-            }
+            self.send(EngineEvent::Input(list)).await?;
         }
         let Some(until) = lease_holder.until() else {
-            return true;
+            return Ok(());
         };
         let revision = lease_holder.newest();
-        match self
-            .terms
-            .agreed(lease_holder.in_force(), lease_holder.pending())
-        {
-            Ok(terms) => {
-                let terms = Box::new(terms);
-                self.core
-                    .send(EngineEvent::Agreed {
-                        until,
-                        terms,
-                        revision,
-                    })
-                    .await
-                    .is_ok()
+        let config = self
+            .flags
+            .effective_config(lease_holder.in_force(), lease_holder.pending());
+        match config {
+            Ok(config) => {
+                let granted = EngineEvent::LeaseGranted {
+                    until,
+                    config: Box::new(config),
+                    revision,
+                };
+                self.send(granted).await
             }
             Err(errors) => {
                 // The lease binds to a revision that this router cannot act on: it acts on none.
-                if self.misfit != revision {
-                    self.misfit = revision;
+                if self.rejected != revision {
+                    self.rejected = revision;
                     warn!(
                         revision = revision.0,
                         errors = errors.to_string(),
                         "a revision does not fit: no lease is acted on"
                     );
                 }
-                true
+                Ok(())
             }
         }
     }
+
+    async fn send(&self, event: EngineEvent) -> Result<(), LinkError> {
+        self.events
+            .send(event)
+            .await
+            .map_err(|_| LinkError::ShuttingDown)
+    }
+}
+
+async fn send_request(link: &mut NodeLink, number: u64, request: Request) -> Result<(), LinkError> {
+    let message = ToNode::Request { number, request };
+    match timeout(NODE_TIMEOUT, link.send(message)).await {
+        Ok(Ok(())) => Ok(()),
+        _ => Err(LinkError::SendTimedOut),
+    }
+}
+
+/// The number of the request and the lease that it was granted.
+fn granted(read: Option<Result<FromNode, FrameFault>>) -> Result<(u64, LeaseGrant), LinkError> {
+    match read {
+        Some(Ok(FromNode::Response {
+            number,
+            response: Response::Granted(grant),
+        })) => Ok((number, *grant)),
+        Some(Ok(FromNode::Response { .. })) => Err(LinkError::NoLeader),
+        Some(Ok(FromNode::Refused { .. })) => Err(LinkError::Refused),
+        _ => Err(LinkError::ConnectionLost),
+    }
 }
 
-fn line(host: ListedHost) -> Line {
-    let ListedHost {
-        host,
-        address,
-        build,
-        cell,
-        zone,
-        state,
-        incarnation,
-        up_us,
-    } = host;
-    let phase = match state {
+fn line(listed: ListedHost) -> Line {
+    let phase = match listed.state {
         HostState::Gone => LinePhase::Gone,
         HostState::Ready => LinePhase::Ready,
         HostState::Draining => LinePhase::Draining,
     };
     Line {
-        host,
-        address,
-        build,
-        cell,
-        zone,
+        host: listed.host,
+        address: listed.address,
+        build: listed.build,
+        cell: listed.cell,
+        zone: listed.zone,
         phase,
-        incarnation,
-        up_us,
+        incarnation: listed.incarnation,
+        up_us: listed.up_us,
     }
 }
--- a/crates/spokeflow-router/src/event.rs
+++ b/crates/spokeflow-router/src/event.rs
@@ -1,3 +1,5 @@
+//! The events that connection tasks send to the task that owns the engine.
+
 use spokeflow_coordination::{EffectiveConfig, RevisionNumber};
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
@@ -6,14 +8,29 @@
 
 /// What reaches the task that owns the engine.
 pub enum EngineEvent {
+    /// For the engine as it is.
     Input(Input),
-    ClientOpened(u64, mpsc::Sender<ToClient>),
-    ClientGone(u64),
-    /// From the keepers: what may be acted on until then, and the newest revision that it respects.
-    Agreed {
+    /// A client was admitted; its messages go to the sender.
+    ClientConnected {
+        /// Number of the connection.
+        connection: u64,
+        /// Bounded; a client that does not read is closed.
+        messages: mpsc::Sender<ToClient>,
+    },
+    /// The connection of a client was closed.
+    ClientDisconnected {
+        /// Number of the connection.
+        connection: u64,
+    },
+    /// The control plane has granted or renewed a lease.
+    LeaseGranted {
+        /// When the lease ends, in microseconds of the router's clock.
         until: Micros,
-        terms: Box<EffectiveConfig>,
+        /// What may be acted on until then.
+        config: Box<EffectiveConfig>,
+        /// The newest revision that `config` respects.
         revision: RevisionNumber,
     },
+    /// The router shuts down: it takes nothing new.
     Close,
 }
--- a/crates/spokeflow-router/src/lib.rs
+++ b/crates/spokeflow-router/src/lib.rs
@@ -3,6 +3,7 @@
 //! One task owns the engine ([`serve`]); connection tasks only move frames over bounded channels. Nothing on the
 //! path of a command takes a lock, writes to disk or waits for a peer.
 
+mod cached_list;
 mod clients;
 mod control_plane;
 mod event;
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -1,46 +1,182 @@
-//! What the links to list, desk and keepers have in common.
+//! The link to a service that every router has one connection to: opened again whenever it is lost, and one loop that
+//! moves its frames.
 
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use spokeflow_proto::{FrameCodec, FrameFault};
+use spokeflow_engine::Input;
+use spokeflow_proto::{FrameCodec, FrameFault, Hello};
 use tokio::net::TcpStream;
-use tokio::time::timeout;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Framed;
 
-/// Numbers of the ways beside those to hosts, whose ids are below them.
-pub const LIST_WAY: u64 = 1 << 32;
-pub const DESK_WAY: u64 = LIST_WAY + 1;
-pub const KEEPER_WAY: u64 = LIST_WAY + 2;
-
-pub type Link<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
-
-/// Connects, says who calls and waits for the welcome.
-pub async fn open<In, Out>(
-    address: SocketAddr,
-    limit: usize,
-    wait: Duration,
-    hello: Out,
-    welcome: impl Fn(&In) -> bool,
-) -> Result<Link<In, Out>, FrameFault>
-where
-    In: DeserializeOwned,
-    Out: Serialize,
-{
-    let opening = async {
-        let stream = TcpStream::connect(address).await?;
-        let _ = stream.set_nodelay(true);
-        let mut link: Link<In, Out> = Framed::with_capacity(stream, FrameCodec::new(limit), 1024);
-        link.send(hello).await?;
-        match link.next().await {
-            Some(first) if welcome(first.as_ref().map_err(|_| FrameFault::OutOfOrder)?) => Ok(link),
-            _ => Err(FrameFault::OutOfOrder),
+use crate::event::EngineEvent;
+use crate::hosts::LinkTerms;
+
+/// Numbers of the links beside those to hosts, whose ids are below them: each link draws its backoff by its number.
+pub(crate) const LIST_LINK: u64 = 1 << 32;
+pub(crate) const RELEASE_CONTROLLER_LINK: u64 = LIST_LINK + 1;
+pub(crate) const CONTROL_PLANE_LINK: u64 = LIST_LINK + 2;
+
+/// The shortest time that a service is given to answer the opening message: it is called once and has much to send.
+const MIN_OPEN_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A connection on which `In` is read and `Out` is written.
+pub(crate) type Link<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
+
+/// What one service's link does with its messages.
+pub(crate) trait LinkProtocol {
+    /// What the service sends.
+    type Incoming: DeserializeOwned + Send;
+    /// What the router sends.
+    type Outgoing: Serialize + Send;
+
+    /// Number of the link.
+    const LINK: u64;
+    /// Longest frame, in bytes.
+    const FRAME_LIMIT: usize;
+
+    /// The opening message.
+    fn hello(&self, hello: Hello) -> Self::Outgoing;
+
+    /// Whether this is the answer to the opening message.
+    fn is_welcome(message: &Self::Incoming) -> bool;
+
+    /// The connection was opened.
+    fn on_connected(&mut self, queue: &mut mpsc::Receiver<Self::Outgoing>);
+
+    /// What to send after the welcome, before what is queued.
+    fn first_message(&self) -> Option<Self::Outgoing>;
+
+    /// The input that a message is to the engine.
+    fn on_message(&mut self, message: Self::Incoming) -> Input;
+
+    /// After which time without any message [`LinkProtocol::on_silence`] is called; `None`: never.
+    fn silence_timeout(&self) -> Option<Duration>;
+
+    /// What to send after a time without any message.
+    ///
+    /// # Errors
+    ///
+    /// The connection is to be given up.
+    fn on_silence(&mut self) -> Result<Self::Outgoing, FrameFault>;
+
+    /// The connection was lost or could not be opened; the input tells the engine.
+    fn on_lost(&mut self, queue: &mut mpsc::Receiver<Self::Outgoing>) -> Input;
+
+    /// Logs that the connection was lost.
+    fn log_lost(&self, failures: u32, error: &FrameFault);
+}
+
+/// The link to one service.
+pub(crate) struct ServiceLink<P: LinkProtocol> {
+    pub(crate) address: SocketAddr,
+    pub(crate) terms: Arc<LinkTerms>,
+    pub(crate) events: mpsc::Sender<EngineEvent>,
+    pub(crate) queue: mpsc::Receiver<P::Outgoing>,
+    pub(crate) protocol: P,
+}
+
+impl<P: LinkProtocol> ServiceLink<P> {
+    /// Connects again and again until the engine's task is gone.
+    pub(crate) async fn run(mut self) {
+        let mut failures = 0_u32;
+        let mut backoff = self.terms.backoff(P::LINK);
+        loop {
+            let error = match self.open().await {
+                Ok(link) => {
+                    let since = Instant::now();
+                    let error = self.exchange(link).await;
+                    let lasted = since.elapsed() > self.terms.longest_pause;
+                    failures = if lasted { 0 } else { failures + 1 };
+                    error
+                }
+                Err(error) => {
+                    failures += 1;
+                    error
+                }
+            };
+            let lost = self.protocol.on_lost(&mut self.queue);
+            if self.events.send(EngineEvent::Input(lost)).await.is_err() {
+                return;
+            }
+            self.protocol.log_lost(failures, &error);
+            sleep(backoff.delay(failures.saturating_sub(1))).await;
+        }
+    }
+
+    /// Connects, introduces the router and waits for the welcome.
+    async fn open(&self) -> Result<Link<P::Incoming, P::Outgoing>, FrameFault> {
+        let opening = async {
+            let stream = TcpStream::connect(self.address).await?;
+            let _ = stream.set_nodelay(true);
+            let codec = FrameCodec::new(P::FRAME_LIMIT);
+            let mut link: Link<P::Incoming, P::Outgoing> =
+                Framed::with_capacity(stream, codec, 1024);
+            link.send(self.protocol.hello(self.terms.hello.clone()))
+                .await?;
+            match link.next().await {
+                Some(Ok(first)) if P::is_welcome(&first) => Ok(link),
+                _ => Err(FrameFault::OutOfOrder),
+            }
+        };
+        let open_timeout = self.terms.connect_timeout.max(MIN_OPEN_TIMEOUT);
+        timeout(open_timeout, opening)
+            .await
+            .unwrap_or(Err(FrameFault::TooSlow))
+    }
+
+    /// Moves frames both ways until the connection fails; answers why.
+    async fn exchange(&mut self, mut link: Link<P::Incoming, P::Outgoing>) -> FrameFault {
+        self.protocol.on_connected(&mut self.queue);
+        if let Some(first) = self.protocol.first_message() {
+            if let Err(error) = link.send(first).await {
+                return error;
+            }
+        }
+        loop {
+            let outgoing = tokio::select! {
+                read = link.next() => {
+                    match self.forward(read).await {
+                        Ok(()) => continue,
+                        Err(error) => return error,
+                    }
+                }
+                Some(message) = self.queue.recv() => message,
+                () = after(self.protocol.silence_timeout()) => match self.protocol.on_silence() {
+                    Ok(message) => message,
+                    Err(error) => return error,
+                },
+            };
+            if let Err(error) = link.send(outgoing).await {
+                return error;
+            }
         }
-    };
-    timeout(wait, opening)
-        .await
-        .unwrap_or(Err(FrameFault::TooSlow))
+    }
+
+    /// Hands the engine what was read.
+    async fn forward(
+        &mut self,
+        read: Option<Result<P::Incoming, FrameFault>>,
+    ) -> Result<(), FrameFault> {
+        let message = read.unwrap_or(Err(FrameFault::Truncated { have: 0 }))?;
+        let input = self.protocol.on_message(message);
+        self.events
+            .send(EngineEvent::Input(input))
+            .await
+            .map_err(|_| FrameFault::TooSlow)
+    }
+}
+
+/// Ends after `duration`; never without one.
+async fn after(duration: Option<Duration>) {
+    match duration {
+        Some(duration) => sleep(duration).await,
+        None => std::future::pending().await,
+    }
 }
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -1,185 +1,97 @@
-//! The link that the router keeps to the list, and the list as last heard, in a file.
+//! The link to the host list: the router watches it, and renews the watch where nothing comes.
 
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::sync::Arc;
 use std::time::Duration;
 
-use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameFault, FromList, Line, LinePhase, ToList, LIST_LIMIT};
+use spokeflow_proto::{FrameFault, FromList, Hello, ToList, LIST_LIMIT};
 use tokio::sync::mpsc;
-use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-use crate::event::EngineEvent;
-use crate::hosts::LinkTerms;
-use crate::links::{open, Link, LIST_WAY};
-
-pub struct ListLink {
-    pub address: SocketAddr,
-    pub terms: Arc<LinkTerms>,
-    pub renew: Duration,
-    pub file: Option<PathBuf>,
-    pub core: mpsc::Sender<EngineEvent>,
-    pub asked: mpsc::Receiver<ToList>,
+use crate::cached_list::CachedList;
+use crate::links::{LinkProtocol, LIST_LINK};
+
+/// Renewals of the watch without any message, after which the connection is opened anew.
+const MAX_UNANSWERED: u32 = 3;
+
+/// The host list's side of a [`crate::links::ServiceLink`].
+pub(crate) struct ListProtocol {
+    renew: Duration,
+    /// The list as it was received last, where it is kept in a file.
+    cached: Option<CachedList>,
+    /// The version that was received last.
+    version: Option<u64>,
+    unanswered: u32,
 }
 
-impl ListLink {
-    pub async fn run(mut self) {
-        let (mut failures, mut version) = (0_u32, None);
-        let mut backoff = self.terms.backoff(LIST_WAY);
-        let mut kept = Kept::default();
-        loop {
-            let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
-            let hello = ToList::Hello(self.terms.hello.clone());
-            let opened = open(self.address, LIST_LIMIT, wait, hello, |m| {
-                matches!(m, FromList::Welcome)
-            })
-            .await;
-            let fault = match opened {
-                Ok(link) => {
-                    let since = Instant::now();
-                    let fault = self.watch(link, &mut version, &mut kept).await;
-                    failures = if since.elapsed() > self.terms.longest_pause {
-                        0
-                    } else {
-                        failures + 1
-                    };
-                    fault
-                }
-                Err(fault) => {
-                    failures += 1;
-                    fault
-                }
-            };
-            if self
-                .core
-                .send(EngineEvent::Input(Input::ListUnavailable))
-                .await
-                .is_err()
-            {
-                return;
-            }
-            warn!(failures, %fault, "list link lost");
-            sleep(backoff.delay(failures.saturating_sub(1))).await;
+impl ListProtocol {
+    /// `renew`: after how long without a message the watch is renewed.
+    pub(crate) fn new(renew: Duration, cached: Option<CachedList>) -> Self {
+        ListProtocol {
+            renew,
+            cached,
+            version: None,
+            unanswered: 0,
         }
     }
 
-    async fn watch(
-        &mut self,
-        mut link: Link<FromList, ToList>,
-        version: &mut Option<u64>,
-        kept: &mut Kept,
-    ) -> FrameFault {
-        // What was asked of the link before this one is asked anew here.
-        while self.asked.try_recv().is_ok() {}
-        let mut unheard = 0;
-        if let Err(fault) = link.send(ToList::Watch { have: *version }).await {
-            return fault;
-        }
-        loop {
-            let send = tokio::select! {
-                read = link.next() => match read {
-                    Some(Ok(message)) => {
-                        unheard = 0;
-                        if let FromList::Whole { version: v, .. } | FromList::Changes { version: v, .. } = &message {
-                            *version = Some(*v);
-                        }
-                        if let Some(file) = self.file.as_ref().filter(|_| kept.take(&message)) {
-                            kept.write(file.clone());
-                        }
-                        if self.core.send(EngineEvent::Input(Input::FromList(message))).await.is_err() {
-                            return FrameFault::TooSlow;
-                        }
-                        continue;
-                    }
-                    Some(Err(fault)) => return fault,
-                    None => return FrameFault::Truncated { have: 0 },
-                },
-                Some(asked) = self.asked.recv() => asked,
-                _ = sleep(self.renew) => {
-                    unheard += 1;
-                    if unheard > 3 {
-                        return FrameFault::TooSlow;
-                    }
-                    ToList::Watch { have: *version }
-                }
-            };
-            if let Err(fault) = link.send(send).await {
-                return fault;
-            }
-        }
+    fn watch(&self) -> ToList {
+        ToList::Watch { have: self.version }
     }
 }
 
-/// The list as last heard, kept in a file for a start without it.
-#[derive(Default)]
-struct Kept {
-    lines: std::collections::BTreeMap<u32, Line>,
-    writing: Arc<std::sync::atomic::AtomicBool>,
-}
+impl LinkProtocol for ListProtocol {
+    type Incoming = FromList;
+    type Outgoing = ToList;
+
+    const LINK: u64 = LIST_LINK;
+    const FRAME_LIMIT: usize = LIST_LIMIT;
+
+    fn hello(&self, hello: Hello) -> ToList {
+        ToList::Hello(hello)
+    }
+
+    fn is_welcome(message: &FromList) -> bool {
+        matches!(message, FromList::Welcome)
+    }
 
-const LIST_MARK: &[u8; 8] = b"SPKFLST1";
-
-impl Kept {
-    /// Whether something has changed.
-    fn take(&mut self, message: &FromList) -> bool {
-        let lines = match message {
-            FromList::Whole { lines, .. } => {
-                self.lines.clear();
-                lines
-            }
-            FromList::Changes { lines, .. } => lines,
-            _ => return false,
-        };
-        for line in lines {
-            if line.phase == LinePhase::Gone {
-                self.lines.remove(&line.host);
-            } else {
-                self.lines.insert(line.host, line.clone());
-            }
+    fn on_connected(&mut self, queue: &mut mpsc::Receiver<ToList>) {
+        // What was requested of the previous connection is requested anew by the watch.
+        while queue.try_recv().is_ok() {}
+        self.unanswered = 0;
+    }
+
+    fn first_message(&self) -> Option<ToList> {
+        Some(self.watch())
+    }
+
+    fn on_message(&mut self, message: FromList) -> Input {
+        self.unanswered = 0;
+        if let FromList::Whole { version, .. } | FromList::Changes { version, .. } = &message {
+            self.version = Some(*version);
+        }
+        if let Some(cached) = &mut self.cached {
+            cached.update(&message);
         }
-        !lines.is_empty()
+        Input::FromList(message)
     }
 
-    /// Off the path of commands, and one at a time: the next change writes what this one is too late for.
-    fn write(&self, file: PathBuf) {
-        use std::sync::atomic::Ordering;
-        if self.writing.swap(true, Ordering::AcqRel) {
-            return;
+    fn silence_timeout(&self) -> Option<Duration> {
+        Some(self.renew)
+    }
+
+    fn on_silence(&mut self) -> Result<ToList, FrameFault> {
+        self.unanswered += 1;
+        if self.unanswered > MAX_UNANSWERED {
+            return Err(FrameFault::TooSlow);
         }
-        let lines: Vec<Line> = self.lines.values().cloned().collect();
-        let writing = self.writing.clone();
-        tokio::task::spawn_blocking(move || {
-            if let Err(e) = write_list(&file, &lines) {
-                warn!(file = %file.display(), %e, "the last list is not kept");
-            }
-            writing.store(false, Ordering::Release);
-        });
+        Ok(self.watch())
     }
-}
 
-fn write_list(file: &std::path::Path, lines: &[Line]) -> std::io::Result<()> {
-    use std::io::Write;
-    let body = postcard::to_stdvec(lines).map_err(std::io::Error::other)?;
-    let beside = file.with_extension("new");
-    let mut to = std::fs::File::create(&beside)?;
-    to.write_all(LIST_MARK)?;
-    to.write_all(&body)?;
-    to.sync_all()?;
-    // Whole or not at all: a kill in between leaves the old one.
-    std::fs::rename(&beside, file)
-}
+    fn on_lost(&mut self, _queue: &mut mpsc::Receiver<ToList>) -> Input {
+        Input::ListUnavailable
+    }
 
-/// The list that an earlier process kept. Errors: why it is not used.
-pub fn read_list(file: &std::path::Path) -> Result<Vec<Line>, String> {
-    let bytes = std::fs::read(file).map_err(|e| e.to_string())?;
-    let body = bytes
-        .strip_prefix(LIST_MARK)
-        .ok_or("not a kept list of this version")?;
-    match postcard::take_from_bytes::<Vec<Line>>(body) {
-        Ok((lines, [])) => Ok(lines),
-        _ => Err("the kept list is damaged".into()),
+    fn log_lost(&self, failures: u32, error: &FrameFault) {
+        warn!(failures, %error, "list link lost");
     }
 }
--- a/crates/spokeflow-router/src/release_controller.rs
+++ b/crates/spokeflow-router/src/release_controller.rs
@@ -1,86 +1,60 @@
-//! The link that the router keeps to the desk.
+//! The link to the release controller: rollout status and statistics come in, votes go out.
 
-use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 
-use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameFault, FromController, ToController, WORK_LIMIT};
+use spokeflow_proto::{FrameFault, FromController, Hello, ToController, WORK_LIMIT};
 use tokio::sync::mpsc;
-use tokio::time::{sleep, Instant};
 use tracing::{info, warn};
 
-use crate::event::EngineEvent;
-use crate::hosts::LinkTerms;
-use crate::links::{open, Link, DESK_WAY};
+use crate::links::{LinkProtocol, RELEASE_CONTROLLER_LINK};
 
-pub struct ReleaseControllerLink {
-    pub address: SocketAddr,
-    pub terms: Arc<LinkTerms>,
-    pub core: mpsc::Sender<EngineEvent>,
-    pub votes: mpsc::Receiver<ToController>,
-}
+/// The release controller's side of a [`crate::links::ServiceLink`].
+pub(crate) struct ReleaseControllerProtocol;
+
+impl LinkProtocol for ReleaseControllerProtocol {
+    type Incoming = FromController;
+    type Outgoing = ToController;
+
+    const LINK: u64 = RELEASE_CONTROLLER_LINK;
+    const FRAME_LIMIT: usize = WORK_LIMIT;
+
+    fn hello(&self, hello: Hello) -> ToController {
+        ToController::Hello(hello)
+    }
+
+    fn is_welcome(message: &FromController) -> bool {
+        matches!(message, FromController::Welcome)
+    }
+
+    fn on_connected(&mut self, _queue: &mut mpsc::Receiver<ToController>) {
+        info!("release controller connected");
+    }
+
+    fn first_message(&self) -> Option<ToController> {
+        None
+    }
+
+    fn on_message(&mut self, message: FromController) -> Input {
+        Input::FromController(message)
+    }
+
+    /// The release controller sends only when something changes.
+    fn silence_timeout(&self) -> Option<Duration> {
+        None
+    }
+
+    fn on_silence(&mut self) -> Result<ToController, FrameFault> {
+        Err(FrameFault::TooSlow)
+    }
 
-impl ReleaseControllerLink {
-    pub async fn run(mut self) {
-        let mut failures = 0_u32;
-        let mut backoff = self.terms.backoff(DESK_WAY);
-        loop {
-            let wait = self.terms.connect_timeout.max(Duration::from_secs(1));
-            let hello = ToController::Hello(self.terms.hello.clone());
-            let opened = open(self.address, WORK_LIMIT, wait, hello, |m| {
-                matches!(m, FromController::Welcome)
-            })
-            .await;
-            let fault = match opened {
-                Ok(link) => {
-                    let since = Instant::now();
-                    info!("desk connected");
-                    let fault = self.talk(link).await;
-                    failures = if since.elapsed() > self.terms.longest_pause {
-                        0
-                    } else {
-                        failures + 1
-                    };
-                    fault
-                }
-                Err(fault) => {
-                    failures += 1;
-                    fault
-                }
-            };
-            // A vote that is out when the link breaks may count.
-            while self.votes.try_recv().is_ok() {}
-            if self
-                .core
-                .send(EngineEvent::Input(Input::ControllerUnavailable))
-                .await
-                .is_err()
-            {
-                return;
-            }
-            warn!(failures, %fault, "desk link lost");
-            sleep(backoff.delay(failures.saturating_sub(1))).await;
-        }
+    fn on_lost(&mut self, queue: &mut mpsc::Receiver<ToController>) -> Input {
+        // A vote that was sent when the link broke may count: none of them is sent a second time.
+        while queue.try_recv().is_ok() {}
+        Input::ControllerUnavailable
     }
 
-    async fn talk(&mut self, mut link: Link<FromController, ToController>) -> FrameFault {
-        loop {
-            tokio::select! {
-                read = link.next() => match read {
-                    Some(Ok(message)) => {
-                        if self.core.send(EngineEvent::Input(Input::FromController(message))).await.is_err() {
-                            return FrameFault::TooSlow;
-                        }
-                    }
-                    Some(Err(fault)) => return fault,
-                    None => return FrameFault::Truncated { have: 0 },
-                },
-                Some(vote) = self.votes.recv() => if let Err(fault) = link.send(vote).await {
-                    return fault;
-                },
-            }
-        }
+    fn log_lost(&self, failures: u32, error: &FrameFault) {
+        warn!(failures, %error, "release controller link lost");
     }
 }
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -19,12 +19,14 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info, warn};
 
+use crate::cached_list::{read_cached_list, CachedList};
 use crate::clients::Client;
 use crate::control_plane::ControlPlaneLink;
 use crate::event::EngineEvent;
 use crate::hosts::{HostLink, LinkTerms, Listed};
-use crate::list::{read_list, ListLink};
-use crate::release_controller::ReleaseControllerLink;
+use crate::links::ServiceLink;
+use crate::list::ListProtocol;
+use crate::release_controller::ReleaseControllerProtocol;
 use crate::RouterFlags;
 
 /// Arrivals that wait for the engine at most; a task whose arrival finds no room waits, and so does its peer.
@@ -197,22 +199,23 @@
     let mut helpers = JoinSet::new();
     let (list, asked) = mpsc::channel(FEW);
     let (desk, votes) = mpsc::channel(FEW);
-    let list_link = ListLink {
+    let cached = terms.list_file.clone().map(CachedList::new);
+    let list_link = ServiceLink {
         address: terms.list,
         terms: asking(service.host_sizes),
-        renew: terms.list_renew,
-        file: terms.list_file.clone(),
-        core: core.clone(),
-        asked,
+        events: core.clone(),
+        queue: asked,
+        protocol: ListProtocol::new(terms.list_renew, cached),
     };
     helpers.spawn(list_link.run());
-    let desk_link = ReleaseControllerLink {
+    let controller_link = ServiceLink {
         address: terms.release_controller,
         terms: asking(service.controller_stats),
-        core: core.clone(),
-        votes,
+        events: core.clone(),
+        queue: votes,
+        protocol: ReleaseControllerProtocol,
     };
-    helpers.spawn(desk_link.run());
+    helpers.spawn(controller_link.run());
     // Told once the engine goes by a revision: only then may this router say that it acts on it.
     let (acts_on, applied) = watch::channel(RevisionNumber(0));
     if !terms.control_plane.is_empty() {
@@ -237,7 +240,7 @@
         .map(|file| Recorder::open(file, seed, clock.now()))
         .transpose()?;
     info!(index = terms.index, site = terms.site, address = %listening.address, seed, "router starts");
-    let mut engine = Engine::new(terms.engine(), seed, clock.now(), &mut wires);
+    let mut engine = Engine::new(terms.engine_config(), seed, clock.now(), &mut wires);
     let clients = TaskTracker::new();
     let accepting = Accepting {
         listener: listening.listener,
@@ -258,7 +261,7 @@
     };
     if !terms.control_plane.is_empty() {
         // Nothing has been granted yet.
-        let own = Box::new(EffectiveConfig::of(&terms.engine().service));
+        let own = Box::new(EffectiveConfig::of(&terms.engine_config().service));
         give(
             &mut engine,
             &mut wires,
@@ -279,9 +282,9 @@
         );
     }
     if let Some(file) = &terms.list_file {
-        match read_list(file) {
+        match read_cached_list(file) {
             Ok(lines) => give(&mut engine, &mut wires, Input::CachedList(lines)),
-            Err(what) => info!(file = %file.display(), what, "no kept list"),
+            Err(error) => info!(file = %file.display(), %error, "no cached list"),
         }
     }
     tokio::pin!(ending);
@@ -311,29 +314,25 @@
         for arrival in batch.drain(..) {
             match arrival {
                 EngineEvent::Input(input) => give(&mut engine, &mut wires, input),
-                EngineEvent::ClientOpened(conn, answers) => {
+                EngineEvent::ClientConnected {
+                    connection: conn,
+                    messages: answers,
+                } => {
                     if end_by.is_some() {
                         let _ = answers.try_send(ToClient::Closing);
                     }
                     wires.clients.insert(conn, answers);
                 }
-                EngineEvent::ClientGone(conn) => {
+                EngineEvent::ClientDisconnected { connection: conn } => {
                     wires.clients.remove(&conn);
                     give(&mut engine, &mut wires, Input::ClientDisconnected { conn });
                 }
-                EngineEvent::Agreed {
+                EngineEvent::LeaseGranted {
                     until,
-                    terms,
+                    config,
                     revision,
                 } => {
-                    give(
-                        &mut engine,
-                        &mut wires,
-                        Input::Lease {
-                            until,
-                            config: terms,
-                        },
-                    );
+                    give(&mut engine, &mut wires, Input::Lease { until, config });
                     acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
                 }
                 EngineEvent::Close => {
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The router's flags: what they become, and how faults in them are told.
+//! The router's flags: what they become, and how faults in them are reported.
 
 use clap::Parser;
 use spokeflow_core::Repeat;
@@ -7,7 +7,7 @@
 #[derive(Parser)]
 struct Line {
     #[command(flatten)]
-    terms: RouterFlags,
+    flags: RouterFlags,
 }
 
 fn read(more: &[&str]) -> Result<RouterFlags, String> {
@@ -18,27 +18,27 @@
         "--op=set-threshold:redeliverable:target=1.2s:timeout=4s:importance=2",
         "--op=close-trip:at-most-once:target=2s:timeout=6s:importance=3",
     ];
-    let line = Line::try_parse_from(base.iter().chain(more)).map_err(|e| e.to_string())?;
-    line.terms
+    let line = Line::try_parse_from(base.iter().chain(more)).map_err(|error| error.to_string())?;
+    line.flags
         .check()
-        .map(|()| line.terms)
-        .map_err(|f| f.to_string())
+        .map(|()| line.flags)
+        .map_err(|errors| errors.to_string())
 }
 
 #[test]
-fn good_terms_become_the_modules() {
-    let terms = read(&[
+fn valid_flags_become_the_engine_configuration() {
+    let config = read(&[
         "--customer=a=25,b=3.5",
         "--forward-only",
         "--answer-margin=20ms",
     ])
     .unwrap()
-    .engine();
-    assert_eq!(terms.service.ops[1].repeat, Repeat::AtMostOnce);
-    assert_eq!(terms.service.ops[0].latency_objective, 1_200_000);
-    assert_eq!(terms.service.tenant_quotas, [25.0, 3.5]);
-    assert_eq!(terms.answer_margin, 20_000);
-    assert!(terms.service.forward_only && terms.service.rolling);
+    .engine_config();
+    assert_eq!(config.service.ops[1].repeat, Repeat::AtMostOnce);
+    assert_eq!(config.service.ops[0].latency_objective, 1_200_000);
+    assert_eq!(config.service.tenant_quotas, [25.0, 3.5]);
+    assert_eq!(config.answer_margin, 20_000);
+    assert!(config.service.forward_only && config.service.rolling);
 }
 
 #[test]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_said_at_once() {
+fn what_cannot_be_parsed_is_refused_at_once() {
     assert!(read(&["--drain-grace=soon"])
         .unwrap_err()
         .contains("--drain-grace"));
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -134,7 +134,7 @@
                 complete: whole,
                 hosts,
             }) => told.hear(whole, hosts),
-            EngineEvent::Agreed { revision, .. } => {
+            EngineEvent::LeaseGranted { revision, .. } => {
                 acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
             }
             _ => {}
