--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -1,149 +1,164 @@
 //! Which build a command goes to while one is on trial.
 
-use super::SECOND;
-use super::{Out, Router};
+use super::sticky::STICKY_IDLE_TIMEOUT;
+use super::{Router, SECOND};
 use crate::state::Command;
-use crate::{BuildId, Micros, RolloutState, RolloutStatus};
+use crate::{BuildId, Micros};
 
-/// Part of the cap that the lane takes, and how far keys follow the machines above it: others need room too.
-const LANE_OF_CAP: f64 = 0.7;
-const REPIN_OF_CAP: f64 = 0.9;
-/// How far the lane runs ahead of its machines' part where the earlier ones are on their way out.
-const AHEAD: f64 = 1.25;
-const LANE_GROWS: Micros = 2 * SECOND;
-pub(super) const PIN_IDLE: Micros = 10 * SECOND;
+/// Part of the exposure cap that the canary fraction takes, and how far keys follow the hosts above it: keys that
+/// carry more than the mean traffic need room too.
+const CANARY_FRACTION_OF_CAP: f64 = 0.7;
+const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
+/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are on their way out.
+const CANARY_LEAD: f64 = 1.25;
+/// Time in which the canary fraction grows from nothing to what it aims at: its hosts see load rise, not jump.
+const CANARY_GROWTH_TIME: Micros = 2 * SECOND;
+/// Least aim that the growth goes by, so that a small one is reached as well.
+const MIN_GROWTH_AIM: f64 = 0.02;
 
-impl Router {
-    pub fn on_rollout_status(&mut self, news: RolloutStatus, out: Out) {
-        let before = self.news.replace(news);
-        let same_build = before.is_some_and(|b| b.build == news.build);
-        if !same_build {
-            self.seen = 0;
-            self.sums.fill(0.0);
-            self.hosts.clear_evidence();
-        }
-        if !same_build || before.is_some_and(|b| b.stage != news.stage || b.state != news.state) {
-            self.stage_began = self.now - news.age;
-            (self.seen_in_stage, self.counted_in_stage) = (0, 0.0);
-            (self.vote, self.vote_again_at) = (None, self.now);
-            self.own_turn = (self.chance.fraction() * self.fig.vote_span) as Micros;
-        }
-        if self.sent_back(news.build) {
-            // A send-back returns keys to the earlier build and opens the way that one-way rules closed.
-            self.pins.retain(|_, pin| {
-                pin.answered_by = pin.answered_by.filter(|b| *b != news.build);
-                pin.build != news.build || pin.answered_by.is_some()
-            });
-        }
-        self.beat(out);
-    }
+/// The part of the keys that goes to the build on trial.
+#[derive(Debug, Default)]
+pub(super) struct CanaryFraction {
+    build: BuildId,
+    /// Keys whose position is below it go to the build on trial.
+    pub(super) fraction: f64,
+}
 
-    pub(super) fn on_trial(&self, build: BuildId) -> bool {
-        match &self.news {
-            None => self.hosts.oldest_build().is_some_and(|b| b < build),
-            Some(n) => build > n.build || (build == n.build && n.state != RolloutState::Released),
+impl CanaryFraction {
+    /// Begins anew where another build is on trial.
+    fn follow(&mut self, build: BuildId) {
+        if self.build != build {
+            self.fraction = 0.0;
         }
+        self.build = build;
     }
 
-    pub(super) fn cap(&self, build: BuildId) -> f64 {
-        self.news
-            .filter(|n| n.build == build)
-            .map_or(self.fig.first_cap, |n| n.exposure_cap)
+    /// Grows towards an aim over a part of the growth time, up to the cap; never shrinks but for the cap.
+    fn grow(&mut self, aim: f64, part: f64, cap: f64) {
+        let step = self.fraction + part * aim.max(MIN_GROWTH_AIM);
+        self.fraction = self.fraction.max(aim.min(step)).min(cap);
     }
+}
 
-    pub(super) fn sent_back(&self, build: BuildId) -> bool {
-        let back = |s| matches!(s, RolloutState::RollingBack | RolloutState::Withdrawn);
-        self.news.is_some_and(|n| n.build == build && back(n.state))
-    }
+/// The newest build that is free for all, and the newest on trial, each with a ready host.
+#[derive(Clone, Copy, Debug)]
+struct ServingBuilds {
+    stable: Option<BuildId>,
+    trial: Option<BuildId>,
+}
+
+/// The builds to try, in this order.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct BuildChoice {
+    first: Option<BuildId>,
+    second: Option<BuildId>,
+}
 
-    /// Whether one-way rules hold keys at this build: the newest that was told, or one after it.
-    pub(super) fn binds(&self, build: BuildId) -> bool {
-        self.fig.one_way && self.news.is_none_or(|n| build >= n.build) && !self.sent_back(build)
+impl BuildChoice {
+    pub(super) fn builds(self) -> impl Iterator<Item = BuildId> {
+        [self.first, self.second].into_iter().flatten()
     }
+}
 
-    /// The builds to try, best first. Pins keep a key at its build; the lane takes keys to the one on trial.
-    pub(super) fn choose_builds(
-        &self,
-        c: &Command,
-        floor: Option<BuildId>,
-    ) -> [Option<BuildId>; 2] {
-        let (stable, trial) = self.candidates();
-        let open = |b: &BuildId| floor.is_none_or(|f| *b >= f);
-        let (stable, trial) = (stable.filter(open), trial.filter(open));
+impl Router {
+    /// The builds to try for a command, best first. Assignments keep a key at its build; the canary fraction takes
+    /// keys to the one on trial.
+    pub(super) fn choose_builds(&self, command: &Command, floor: Option<BuildId>) -> BuildChoice {
+        let serving = self.serving_builds();
+        let allowed = |build: &BuildId| floor.is_none_or(|floor| *build >= floor);
+        let stable = serving.stable.filter(allowed);
+        let trial = serving.trial.filter(allowed);
+        let stable_first = BuildChoice {
+            first: stable,
+            second: trial,
+        };
         let (Some(new), Some(old)) = (trial, stable) else {
-            return [stable, trial];
+            return stable_first;
         };
         // What a build on trial has failed gets its further delivery where it is known to work.
-        if self.sent_back(new) || c.deliveries.iter().any(|d| self.on_trial(d.build)) {
-            return [stable, trial];
+        let tried_trial = || {
+            let mut deliveries = command.deliveries.iter();
+            deliveries.any(|delivery| self.is_on_trial(delivery.build))
+        };
+        if self.rollout.is_rolled_back(new) || tried_trial() {
+            return stable_first;
         }
-        // A few keys may carry much of the traffic: the lane's come no faster than its machines bear, and no
-        // more follow than the earlier build's machines have become fewer.
-        let exposed = self.exposed.count(|(_, build)| build == new) as f64;
-        let bears = self.trial_share(new, old) * self.taken.len().max(1) as f64;
-        let pin = self
-            .pins
-            .get(&c.key)
-            .filter(|p| c.key.0 != 0 && self.now - p.used_at < PIN_IDLE);
-        let ahead = if pin.is_none() && self.fig.rolling {
-            AHEAD
+        if self.goes_to_trial(command, new, old) {
+            BuildChoice {
+                first: trial,
+                second: stable,
+            }
+        } else {
+            BuildChoice {
+                first: stable,
+                second: None,
+            }
+        }
+    }
+
+    /// Whether a command belongs to the canary fraction. A few keys may carry much of the traffic: the fraction's
+    /// come no faster than its hosts bear, and no more follow than the earlier build's hosts have become fewer.
+    fn goes_to_trial(&self, command: &Command, new: BuildId, old: BuildId) -> bool {
+        let exposed = self.exposure.exposed_to(new) as f64;
+        let bearable =
+            self.trial_capacity_fraction(new, old) * self.exposure.received().max(1) as f64;
+        let assignment = self.sticky.get(command.key).filter(|assignment| {
+            command.key.0 != 0 && self.now - assignment.used_at < STICKY_IDLE_TIMEOUT
+        });
+        let lead = if assignment.is_none() && self.config.rolling {
+            CANARY_LEAD
         } else {
             1.0
         };
-        let takes_new = pin.is_some_and(|p| p.build == new)
-            || c.key_position < self.lane && ahead * bears > exposed;
-        [
-            if takes_new { trial } else { stable },
-            stable.filter(|_| takes_new),
-        ]
+        assignment.is_some_and(|assignment| assignment.build == new)
+            || command.key_position < self.canary.fraction && lead * bearable > exposed
     }
 
-    /// The newest build that is free for all, and the newest on trial, each with a ready host.
-    fn candidates(&self) -> (Option<BuildId>, Option<BuildId>) {
-        let builds = || self.hosts.ready_builds().map(|(build, _)| build).rev();
-        (
-            builds().find(|b| !self.on_trial(*b)),
-            builds().find(|b| self.on_trial(*b)),
-        )
+    fn serving_builds(&self) -> ServingBuilds {
+        let newest_first = || self.hosts.ready_builds().map(|(build, _)| build).rev();
+        ServingBuilds {
+            stable: newest_first().find(|build| !self.is_on_trial(*build)),
+            trial: newest_first().find(|build| self.is_on_trial(*build)),
+        }
     }
 
     /// What part of the present capacity runs the build on trial, cold hosts counted by what they can do.
-    fn trial_share(&self, new: BuildId, old: BuildId) -> f64 {
+    fn trial_capacity_fraction(&self, new: BuildId, old: BuildId) -> f64 {
         // Side by side, each trial host bears what each earlier one did before the trial.
-        let warmth = |age| self.warmth(age);
-        let all = self.hosts.sum_sizes(warmth, |build| {
-            build == old || self.fig.rolling && build > old
+        let warm_up = |age| self.warm_up_fraction(age);
+        let all = self.hosts.sum_sizes(warm_up, |build| {
+            build == old || self.config.rolling && build > old
         });
-        (self.hosts.sum_sizes(warmth, |build| build == new) / all.max(1e-9)).min(1.0)
+        let trial = self.hosts.sum_sizes(warm_up, |build| build == new);
+        (trial / all.max(1e-9)).min(1.0)
     }
 
-    /// The least part of its capacity that a host of an age can have.
-    pub(super) fn warmth(&self, age: Micros) -> f64 {
-        let part = age.min(self.fig.warm_within) as f64 / self.fig.warm_within as f64;
-        self.fig.cold_from + (1.0 - self.fig.cold_from) * part
-    }
-
-    /// The lane grows towards its part of the cap, as far as the trial machines listed ready bear it, and
-    /// follows the machines where the earlier build is left with fewer than its keys need. It never shrinks.
-    pub(super) fn grow_lane(&mut self) {
-        let spent = (self.now - self.beaten) as f64 / LANE_GROWS as f64;
-        let (stable, Some(new)) = self.candidates() else {
+    /// The canary fraction grows towards its part of the cap, as far as the trial hosts listed ready bear it, and
+    /// follows the hosts where the earlier build is left with fewer than its keys need.
+    pub(super) fn grow_canary(&mut self) {
+        let part = (self.now - self.ticks.ticked_at) as f64 / CANARY_GROWTH_TIME as f64;
+        let serving = self.serving_builds();
+        let Some(new) = serving.trial else {
             return;
         };
-        self.lane = if self.lane_build == new {
-            self.lane
+        self.canary.follow(new);
+        let cap = self.exposure_cap(new).max(0.0);
+        let capacity = serving
+            .stable
+            .map_or(1.0, |old| self.trial_capacity_fraction(new, old));
+        let follow = capacity.min(if cap < 1.0 {
+            REASSIGN_FRACTION_OF_CAP * cap
+        } else {
+            1.0
+        });
+        let lead = if self.config.rolling {
+            CANARY_LEAD
         } else {
-            0.0
+            1.0
         };
-        self.lane_build = new;
-        let cap = self.cap(new).max(0.0);
-        let share = stable.map_or(1.0, |old| self.trial_share(new, old));
-        let follow = share.min(if cap < 1.0 { REPIN_OF_CAP * cap } else { 1.0 });
-        let ahead = if self.fig.rolling { AHEAD } else { 1.0 };
-        let aim = (LANE_OF_CAP * cap).min(ahead * share).max(follow);
-        self.lane = self
-            .lane
-            .max(aim.min(self.lane + spent * aim.max(0.02)))
-            .min(cap);
+        let aim = (CANARY_FRACTION_OF_CAP * cap)
+            .min(lead * capacity)
+            .max(follow);
+        self.canary.grow(aim, part, cap);
     }
 }
--- a/crates/spokeflow-core/src/router/exposure.rs
+++ b/crates/spokeflow-core/src/router/exposure.rs
@@ -1,33 +1,72 @@
 //! The cap on what a build on trial is sent.
 
 use super::Router;
-use crate::{BuildId, Repeat};
+use crate::state::Window;
+use crate::{BuildId, Micros, Repeat};
+
+/// A delivery to a build on trial.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Exposed {
+    /// See [`super::DerivedConfig::exposure_slot`].
+    pub(super) slot: usize,
+    pub(super) build: BuildId,
+}
+
+/// What came and what went to builds on trial within the exposure window.
+#[derive(Debug, Default)]
+pub(super) struct ExposureWindows {
+    /// Commands received, by slot.
+    received: Window<usize>,
+    exposed: Window<Exposed>,
+}
+
+impl ExposureWindows {
+    pub(super) fn count_received(&mut self, now: Micros, slot: usize) {
+        self.received.push(now, slot);
+    }
+
+    pub(super) fn count_exposed(&mut self, now: Micros, exposed: Exposed) {
+        self.exposed.push(now, exposed);
+    }
+
+    /// All commands received.
+    pub(super) fn received(&self) -> usize {
+        self.received.len()
+    }
+
+    /// Deliveries to a build on trial.
+    pub(super) fn exposed_to(&self, build: BuildId) -> usize {
+        self.exposed.count(|exposed| exposed.build == build)
+    }
+
+    fn forget(&mut self, from: Micros) {
+        self.received.forget_before(from + 1);
+        self.exposed.forget_before(from);
+    }
+}
 
 impl Router {
-    pub(super) fn room(&mut self, build: BuildId, op: usize) -> bool {
-        if !self.on_trial(build) {
+    /// Whether the cap allows one more command of an operation at a build.
+    pub(super) fn has_exposure(&mut self, build: BuildId, operation: usize) -> bool {
+        if !self.is_on_trial(build) {
             return true;
         }
-        let cap = self.cap(build);
-        let stage = self
-            .news
-            .filter(|n| n.build == build)
-            .map_or(0, |n| n.stage);
-        if cap <= 0.0
-            || (stage < self.fig.guarded_stages && self.ops[op].repeat != Repeat::Idempotent)
-        {
+        let cap = self.exposure_cap(build);
+        let guarded = self.rollout.stage_of(build) < self.config.guarded_stages;
+        let idempotent = self.operations[operation].repeat == Repeat::Idempotent;
+        if cap <= 0.0 || (guarded && !idempotent) {
             return false;
         }
-        self.forget_window();
-        let slot = op * usize::from(self.fig.by_op);
-        let taken = self.taken.count(|s| s == slot) as f64;
-        let sent = self.exposed.count(|kind| kind == (slot, build)) as f64;
-        sent + 1.0 <= self.fig.free + cap * taken
+        self.forget_exposure();
+        let slot = self.config.exposure_slot(operation);
+        let received = self.exposure.received.count(|other| other == slot) as f64;
+        let wanted = Exposed { slot, build };
+        let sent = self.exposure.exposed.count(|other| other == wanted) as f64;
+        sent + 1.0 <= self.config.exposure_allowance + cap * received
     }
 
-    pub(super) fn forget_window(&mut self) {
-        let from = self.now - self.fig.span;
-        self.taken.forget_before(from + 1);
-        self.exposed.forget_before(from);
+    /// Drops what lies before the exposure window.
+    pub(super) fn forget_exposure(&mut self) {
+        self.exposure.forget(self.now - self.config.exposure_window);
     }
 }
--- a/crates/spokeflow-core/src/router/hedging.rs
+++ b/crates/spokeflow-core/src/router/hedging.rs
@@ -1,48 +1,61 @@
-//! A second delivery beside or in place of a slow first one.
+//! A second delivery beside, or in place of, a first one at a host that looks sick.
 
-use super::timers::BEAT;
+use super::timers::TICK;
 use super::{Out, Router};
 use crate::state::Command;
-use crate::CommandId;
+use crate::{CommandId, Micros};
 
-const DOUBT_PART: f64 = 0.35;
+/// Part of the latency objective after which a second delivery may go out: it has the rest to answer in time.
+const HEDGE_OBJECTIVE_FRACTION: f64 = 0.35;
+/// Slowdown of a host, as a logarithm, from which it looks sick: about twice as slow as usual.
+const HEDGE_SLOWDOWN: f64 = 0.7;
+/// Time left before the deadline below which none goes out.
+const HEDGE_MARGIN: Micros = 4 * TICK;
 
 impl Router {
-    /// A second delivery for a command whose first is at a host that looks sick, where the op type allows a
-    /// repeat: beside the first where copies may run together, else in its place.
-    pub(super) fn hurry(&mut self, out: Out) {
-        let due = |c: &Command| {
-            let last = c
-                .deliveries
-                .last()
-                .filter(|d| d.open && !d.response_started && !c.answered);
-            let Some(d) = last else { return false };
-            let doubt = self.mute(d.host) || self.hosts.slowdown(d.host) > 0.7;
-            let slow = (self.now - d.sent_at) as f64
-                > self.ops[c.operation].latency_objective * DOUBT_PART;
-            doubt && slow && self.may_redeliver(c) && c.deadline - self.now > 4 * BEAT
-        };
+    /// Sends a second delivery of commands whose first is late at a host that looks sick, where the operation allows a
+    /// repeat: beside the first where both may run together, else in its place.
+    pub(super) fn hedge(&mut self, out: Out) {
         let due: Vec<CommandId> = self
-            .cmds
+            .commands
             .iter()
-            .filter(|(_, c)| due(c))
+            .filter(|(_, command)| self.wants_hedge(command))
             .map(|(id, _)| *id)
             .collect();
-        for cmd in due.into_iter().take(self.spare as usize) {
-            if self.fig.side_by_side {
-                self.spare -= f64::from(u8::from(self.route(cmd, out)));
-            } else if self.fig.may_cancel {
-                out.cancel(cmd, self.cmds[&cmd].deliveries.len() as u8 - 1);
+        for id in due.into_iter().take(self.retry_budget.allowed()) {
+            if self.config.may_hedge {
+                if self.route(id, out) {
+                    self.retry_budget.spend();
+                }
+            } else if self.config.may_cancel {
+                let last = self.commands[&id].deliveries.len() - 1;
+                out.cancel(id, last as u8);
             }
         }
     }
 
-    pub fn on_response_started(&mut self, cmd: CommandId, nth: u8) {
-        let delivery = |c: &mut Command| {
-            c.deliveries
-                .get_mut(usize::from(nth))
-                .map(|d| d.response_started = true)
+    fn wants_hedge(&self, command: &Command) -> bool {
+        let Some(last) = command.deliveries.last() else {
+            return false;
         };
-        self.cmds.get_mut(&cmd).and_then(delivery);
+        if command.answered || !last.open || last.response_started {
+            return false;
+        }
+        let objective = self.operations[command.operation].latency_objective;
+        let suspect =
+            self.is_unresponsive(last.host) || self.hosts.slowdown(last.host) > HEDGE_SLOWDOWN;
+        let late = (self.now - last.sent_at) as f64 > objective * HEDGE_OBJECTIVE_FRACTION;
+        suspect && late && self.may_redeliver(command) && command.deadline - self.now > HEDGE_MARGIN
+    }
+
+    /// The response to a delivery has begun to arrive: it is neither cancelled nor hedged any more.
+    pub fn on_response_started(&mut self, id: CommandId, delivery: u8) {
+        let delivery = self
+            .commands
+            .get_mut(&id)
+            .and_then(|command| command.deliveries.get_mut(usize::from(delivery)));
+        if let Some(delivery) = delivery {
+            delivery.response_started = true;
+        }
     }
 }
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -1,112 +1,112 @@
-//! What is learned of single hosts from how their deliveries end.
+//! What is learned of single hosts from how their deliveries end, and when they are ejected.
 
-use super::Router;
-use super::{MS, SECOND};
-use crate::{AttemptOutcome, HostId, Micros};
+use super::{Router, MILLISECOND, SECOND};
+use crate::{AttemptOutcome, Micros};
 
-/// Slowness of a zone, op type or customer against the best one from which it is theirs alone.
-const FAR: f64 = 1.2;
-/// How long nothing comes back from a host before it may count as mute.
-pub(super) const MUTE_FOR: Micros = 600 * MS;
+/// How long nothing comes back from a host before it may count as unresponsive: above common pauses, far below
+/// time-outs.
+pub(super) const UNRESPONSIVE_AFTER: Micros = 600 * MILLISECOND;
+/// The same in multiples of the slowest operation's usual latency.
+const UNRESPONSIVE_BASELINES: Micros = 6;
+/// First ejection after an error, a reset or a refused connection, and after a time-out.
+const EJECTION: Micros = SECOND / 2;
+const EJECTION_AFTER_TIMEOUT: Micros = SECOND;
+/// Ejections double with each failure in a row up to this many times.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+/// How long a host that rejects is left alone: it is full, not sick.
+const REJECTION_PAUSE: Micros = 100 * MILLISECOND;
+/// Weight of the newest delivery in the share without a connection.
+const REFUSED_LEARN_RATE: f64 = 0.05;
+/// Slowdown, as a logarithm, that a refused connection or a time-out counts as.
+pub(super) const FAILURE_SLOWDOWN: f64 = 2.0;
 
 impl Router {
-    pub fn on_load_report(&mut self, host: HostId, busy: f64) {
-        let Some(&h) = self.index.get(&host) else {
-            return;
-        };
-        self.hosts.set_utilization(h, busy.clamp(0.0, 1.0));
-        self.busy += 0.05 * (self.hosts.utilization(h) - self.busy);
-    }
-
-    pub(super) fn health(&mut self, h: usize, end: AttemptOutcome) {
-        let refused = f64::from(u8::from(end == AttemptOutcome::NotConnected));
-        self.refused += 0.05 * (refused - self.refused);
-        if matches!(
-            end,
-            AttemptOutcome::Acked | AttemptOutcome::Error | AttemptOutcome::Rejected
-        ) {
-            self.hosts.set_connected_at(h, self.now);
-        }
-        match end {
-            AttemptOutcome::Acked => {
-                // It answers: a connection broke, or one command erred, and not the host.
-                if self.hosts.consecutive_failures(h) > 0 {
-                    self.hosts.set_suspicion(h, 0, self.now);
-                }
-                self.hosts
-                    .set_answers(h, self.hosts.answers(h).saturating_add(1));
-            }
-            // Fast errors draw traffic by fewest in flight: who errs or breaks loses what its answers earned.
+    /// Learns from the end of a delivery at a host's present build.
+    pub(super) fn note_host_outcome(&mut self, host: usize, outcome: AttemptOutcome) {
+        self.note_connection(host, outcome);
+        match outcome {
+            AttemptOutcome::Acked => self.note_ack(host),
+            // Fast errors draw traffic by least load: a host that errs or breaks loses what its answers earned.
             AttemptOutcome::Error | AttemptOutcome::Reset => {
-                self.hosts.set_answers(h, self.hosts.answers(h) / 2);
-                if self.hosts.answers(h) == 0 {
-                    self.strike(h, SECOND / 2);
+                self.hosts.set_answers(host, self.hosts.answers(host) / 2);
+                if self.hosts.answers(host) == 0 {
+                    self.eject(host, EJECTION);
                 }
             }
             AttemptOutcome::Rejected => {
-                let until = self.hosts.ejected_until(h).max(self.now + 100 * MS);
-                self.hosts
-                    .set_suspicion(h, self.hosts.consecutive_failures(h), until);
+                let failures = self.hosts.consecutive_failures(host);
+                let until = self.now + REJECTION_PAUSE;
+                let until = self.hosts.ejected_until(host).max(until);
+                self.hosts.set_suspicion(host, failures, until);
             }
             AttemptOutcome::NotConnected => {
-                self.hosts.set_connected_at(h, Micros::MIN);
-                self.learn_way(0, self.hosts.endpoint(h).zone.0.into(), 2.0);
-                self.strike(h, SECOND / 2);
+                self.hosts.set_connected_at(host, Micros::MIN);
+                let zone = self.zone_index(host);
+                self.slowdowns.zones.learn(zone, FAILURE_SLOWDOWN);
+                self.eject(host, EJECTION);
             }
-            AttemptOutcome::TimedOut if self.mute(h) || self.hosts.consecutive_failures(h) > 0 => {
-                self.strike(h, SECOND)
+            AttemptOutcome::TimedOut if self.is_suspect(host) => {
+                self.eject(host, EJECTION_AFTER_TIMEOUT);
             }
-            _ => {}
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
-        if !matches!(
-            end,
+        let nothing_came_back = matches!(
+            outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotConnected
-        ) {
-            self.hosts.response_received(h);
+        );
+        if !nothing_came_back {
+            self.hosts.response_received(host);
         }
     }
 
-    fn strike(&mut self, h: usize, pause: Micros) {
-        if self.now >= self.hosts.ejected_until(h) {
-            let strikes = self.hosts.consecutive_failures(h);
-            self.hosts
-                .set_suspicion(h, strikes + 1, self.now + (pause << strikes.min(3)));
+    fn note_connection(&mut self, host: usize, outcome: AttemptOutcome) {
+        let refused = f64::from(u8::from(outcome == AttemptOutcome::NotConnected));
+        self.refused_fraction += REFUSED_LEARN_RATE * (refused - self.refused_fraction);
+        let answered = matches!(
+            outcome,
+            AttemptOutcome::Acked | AttemptOutcome::Error | AttemptOutcome::Rejected
+        );
+        if answered {
+            self.hosts.set_connected_at(host, self.now);
+        }
+    }
+
+    fn note_ack(&mut self, host: usize) {
+        // It answers: a connection broke, or one command erred, and not the host.
+        if self.hosts.consecutive_failures(host) > 0 {
+            self.hosts.set_suspicion(host, 0, self.now);
         }
+        let answers = self.hosts.answers(host).saturating_add(1);
+        self.hosts.set_answers(host, answers);
     }
 
     /// Guards against hosts that take work and answer nothing, long before their first time-out.
-    pub(super) fn mute(&self, h: usize) -> bool {
-        let quiet = self.now.saturating_sub(self.hosts.quiet_since(h));
+    pub(super) fn is_unresponsive(&self, host: usize) -> bool {
+        let quiet = self.now.saturating_sub(self.hosts.quiet_since(host));
         let usual = || {
-            self.ops
+            self.operations
                 .iter()
-                .map(|o| o.baseline.exp())
+                .map(|operation| operation.baseline.exp())
                 .fold(0.0, f64::max) as Micros
         };
-        self.hosts.in_flight(h) > 0 && quiet > MUTE_FOR && quiet > 6 * usual()
+        self.hosts.in_flight(host) > 0
+            && quiet > UNRESPONSIVE_AFTER
+            && quiet > UNRESPONSIVE_BASELINES * usual()
     }
 
-    pub(super) fn learn_way(&mut self, kind: usize, n: usize, late: f64) {
-        let ways = &mut self.ways[kind];
-        ways.resize(ways.len().max(n + 1), f64::NAN);
-        ways[n] = if ways[n].is_nan() {
-            0.15 * late
-        } else {
-            ways[n] + 0.15 * (late - ways[n])
-        };
+    /// Whether a time-out is likely the host's own doing.
+    pub(super) fn is_suspect(&self, host: usize) -> bool {
+        self.is_unresponsive(host) || self.hosts.consecutive_failures(host) > 0
     }
 
-    /// By how much one zone, op type or customer is slower than the best, where that is far: a slow way, or
-    /// what waits at every host alike, is neither the host's doing nor the build's.
-    pub(super) fn detour(&self, kind: usize, n: usize) -> f64 {
-        let best = self.ways[kind]
-            .iter()
-            .copied()
-            .fold(f64::INFINITY, f64::min);
-        self.ways[kind]
-            .get(n)
-            .map(|way| way - best)
-            .filter(|&more| more > FAR)
-            .unwrap_or(0.0)
+    /// Counts a failure in a row, unless the host is ejected already, and ejects it for longer with each.
+    fn eject(&mut self, host: usize, pause: Micros) {
+        if self.now < self.hosts.ejected_until(host) {
+            return;
+        }
+        let failures = self.hosts.consecutive_failures(host);
+        let pause = pause << failures.min(MAX_EJECTION_DOUBLINGS);
+        self.hosts
+            .set_suspicion(host, failures + 1, self.now + pause);
     }
 }
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -1,191 +1,280 @@
 //! Which host of a build a command is sent to.
 
-use super::outliers::MUTE_FOR;
-use super::{Out, Router};
-use super::{ROUTERS_PER_HOST, SECOND};
-use crate::state::{CandidateSet, Delivery};
+use super::exposure::Exposed;
+use super::outliers::UNRESPONSIVE_AFTER;
+use super::{Out, Router, SECOND};
+use crate::state::{CandidateSet, Command, Delivery, OperationState};
 use crate::{unit, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat};
 
-/// Part of what the told multiple allows a cold host that is sent to it.
-pub(super) const COLD_PART: f64 = 0.9;
-/// Parts of the service target: at hosts before they are crowded, median time before some are refused,
-/// waiting for a place, and before a second delivery where the host looks sick.
-pub(super) const CROWDED_PART: f64 = 0.4;
-/// Share of deliveries without a connection from which a router keeps to hosts that it has one to, how long
-/// one is taken to stand after an answer, and seconds in which a load report loses most of its worth.
-const MOST_REFUSED: f64 = 0.15;
-const LINK_LASTS: Micros = 10 * SECOND;
-const REPORT_FADES: f64 = 6.0;
+/// Routers that each host is met by at least: uneven traffic evens out.
+pub const ROUTERS_PER_HOST: f64 = 60.0;
+/// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is for chance.
+pub(super) const COLD_FRACTION: f64 = 0.9;
+/// Part of the latency objective that deliveries spend at hosts before these count as full.
+pub(super) const CONCURRENCY_OBJECTIVE_FRACTION: f64 = 0.4;
+/// How far above what lately came back the deliveries in flight may be, so that the limit can rise.
+const CONCURRENCY_HEADROOM: f64 = 1.1;
+/// Deliveries in flight that are allowed without any answer, and as many again for each host the router has to itself.
+const BASE_CONCURRENCY: f64 = 2.0;
+/// Share of deliveries without a connection from which a router keeps to hosts that it has one to.
+const MAX_REFUSED_FRACTION: f64 = 0.15;
+/// How long a connection is taken to last after an answer.
+const CONNECTION_LIFETIME: Micros = 10 * SECOND;
+/// Seconds in which a load report loses most of its worth.
+const LOAD_REPORT_FADE_SECONDS: f64 = 6.0;
+/// Utilization at which a host's score would be infinite: a little above what can be reported.
+const UTILIZATION_LIMIT: f64 = 1.05;
+/// Largest slowdown, as a logarithm, that the score of a host goes by.
+const MAX_SCORED_SLOWDOWN: f64 = 2.0;
+/// Part of the received commands, one host each, that the own subset is made for.
+const SUBSET_PER_COMMAND: f64 = 0.75;
+/// Least hosts of the own subset: a choice of two needs two.
+const MIN_SUBSET: usize = 2;
+/// Part of what cold hosts may be sent that applies when the subset is left for want of hosts in it.
+const OUTSIDE_SUBSET_TRAFFIC: f64 = 0.2;
+/// One over the part of the hosts that have to be fit; where fewer are, the router's own view is at fault.
+const FIT_DIVISOR: usize = 3;
+
+/// The hosts of a build that this router keeps to.
+#[derive(Debug)]
+struct Subset {
+    candidates: CandidateSet,
+    /// How much more traffic from this router they get than without a subset.
+    traffic_multiple: f64,
+}
 
 impl Router {
-    /// Two random choices among the fit hosts of a build, by fewest own commands in flight.
-    pub(super) fn place(&mut self, cmd: CommandId, build: BuildId) -> Option<usize> {
-        let c = &self.cmds[&cmd];
-        if self.crowded(c.operation) {
+    /// Two random choices among the fit hosts of a build, by least load score.
+    pub(super) fn place(&mut self, id: CommandId, build: BuildId) -> Option<usize> {
+        let command = &self.commands[&id];
+        if self.at_concurrency_limit(command.operation) {
             return None;
         }
-        let rules = &self.ops[c.operation];
-        let repeats_anywhere = rules.repeats_anywhere();
-        let ran_at = c
-            .deliveries
-            .iter()
-            .find(|d| d.may_have_run)
-            .map(|d| self.hosts.endpoint(d.host));
-        let bound = ran_at.filter(|_| !repeats_anywhere);
-        let drops_repeats = |line: &Endpoint| match (bound, rules.scope) {
-            (None, _) | (_, DeduplicationScope::All) => true,
-            (Some(b), DeduplicationScope::Zone) => b.zone == line.zone,
-            (Some(b), DeduplicationScope::Cell) => b.cell == line.cell,
-            (Some(b), DeduplicationScope::Unknown) => b.host == line.host,
-        };
-        let tried = |h: usize| c.deliveries.iter().any(|d| d.host == h);
-        let check_all = bound.is_some() || self.refused > MOST_REFUSED;
-        let usable = |mut pool: CandidateSet, of_own| {
-            let named = c.deliveries.iter().map(|d| d.host);
-            self.hosts
-                .mark_suspects(&mut pool, check_all, self.now - MUTE_FOR, named);
-            pool.retain(|h| {
-                drops_repeats(self.hosts.endpoint(h)) && self.may_take(h, of_own) && !tried(h)
-            });
-            pool
-        };
-        let (near, of_own) = self.near(build);
-        let mut untried = usable(near, of_own);
+        let candidates = self.fit_hosts(command, build);
+        if candidates.is_empty() {
+            return None;
+        }
+        let largest = self.hosts.largest_size(&candidates);
+        let first = self.draw(&candidates, largest);
+        let second = self.draw(&candidates, largest);
+        if self.load_score(second) < self.load_score(first) {
+            Some(second)
+        } else {
+            Some(first)
+        }
+    }
+
+    /// The hosts of a build that a command may be sent to, less the suspects where there are others.
+    fn fit_hosts(&self, command: &Command, build: BuildId) -> CandidateSet {
+        let operation = &self.operations[command.operation];
+        let subset = self.subset(build);
+        let mut untried = self.usable_hosts(command, subset.candidates, subset.traffic_multiple);
         if untried.is_empty() {
-            untried = usable(self.hosts.candidates(build), 0.2);
+            let all = self.hosts.candidates(build);
+            untried = self.usable_hosts(command, all, OUTSIDE_SUBSET_TRAFFIC);
         }
-        let mut pool = untried.clone();
-        pool.retain(|h| self.now >= self.hosts.ejected_until(h) && !self.mute(h));
-        if pool.len() * 3 < untried.len() {
+        let mut fit = untried.clone();
+        fit.retain(|host| {
+            self.now >= self.hosts.ejected_until(host) && !self.is_unresponsive(host)
+        });
+        if fit.len() * FIT_DIVISOR < untried.len() {
             // Most hosts seem unfit at once: that is this router's view or its zone's links, not the hosts.
-            pool = untried;
-        }
-        // Hosts that take no new connection go on serving over the ones that stand.
-        let linked = |h: usize| self.now.saturating_sub(self.hosts.connected_at(h)) < LINK_LASTS;
-        if self.refused > MOST_REFUSED && pool.any(linked) {
-            pool.retain(linked);
+            fit = untried;
         }
-        // What runs at most once goes where answers come back; others try a host under suspicion.
-        let proven = |h: usize| self.hosts.consecutive_failures(h) == 0;
-        if (rules.repeat == Repeat::AtMostOnce || self.spare < 1.0) && pool.any(proven) {
-            pool.retain(proven);
+        // Hosts that take no new connection go on serving over the existing ones.
+        let connected = |host: usize| {
+            self.now.saturating_sub(self.hosts.connected_at(host)) < CONNECTION_LIFETIME
+        };
+        if self.refused_fraction > MAX_REFUSED_FRACTION && fit.any(connected) {
+            fit.retain(connected);
         }
-        if pool.is_empty() {
-            return None;
+        // What runs at most once goes where answers come back; others try a suspect host.
+        let proven = |host: usize| self.hosts.consecutive_failures(host) == 0;
+        let needs_proof = operation.repeat == Repeat::AtMostOnce || !self.retry_budget.allows_one();
+        if needs_proof && fit.any(proven) {
+            fit.retain(proven);
         }
-        let largest = self.hosts.largest_size(&pool);
-        let (a, b) = (self.draw(&pool, largest), self.draw(&pool, largest));
-        Some(if self.press(b) < self.press(a) { b } else { a })
+        fit
     }
 
-    /// One host of a pool, by chance, each as often as its size says.
-    fn draw(&mut self, pool: &CandidateSet, largest: f64) -> usize {
+    /// Those candidates that have not had the command, would drop its repeat and may take one more delivery.
+    fn usable_hosts(
+        &self,
+        command: &Command,
+        mut candidates: CandidateSet,
+        traffic_multiple: f64,
+    ) -> CandidateSet {
+        let operation = &self.operations[command.operation];
+        let bound_to = command
+            .deliveries
+            .iter()
+            .find(|delivery| delivery.may_have_run)
+            .map(|delivery| self.hosts.endpoint(delivery.host))
+            .filter(|_| !repeats_anywhere(operation));
+        let check_all = bound_to.is_some() || self.refused_fraction > MAX_REFUSED_FRACTION;
+        let tried = command.deliveries.iter().map(|delivery| delivery.host);
+        let quiet_since = self.now - UNRESPONSIVE_AFTER;
+        self.hosts
+            .mark_suspects(&mut candidates, check_all, quiet_since, tried);
+        candidates.retain(|host| {
+            drops_repeat(operation, bound_to, self.hosts.endpoint(host))
+                && self.may_take(host, traffic_multiple)
+                && !command.tried(host)
+        });
+        candidates
+    }
+
+    /// One host of a set, by chance, each as often as its size says.
+    fn draw(&mut self, candidates: &CandidateSet, largest: f64) -> usize {
         loop {
-            let h = pool.nth(self.chance.below(pool.len()));
-            let part = self.hosts.endpoint(h).size / largest;
-            if part >= 1.0 || self.chance.fraction() < part {
-                return h;
+            let host = candidates.nth(self.rng.below(candidates.len()));
+            let part = self.hosts.endpoint(host).size / largest;
+            if part >= 1.0 || self.rng.fraction() < part {
+                return host;
             }
         }
     }
 
-    /// Own commands in flight, weighed by how slowly the host answers and, where it reports, by how long
-    /// others' commands make one wait. A report says less the older it is.
-    fn press(&self, h: usize) -> f64 {
-        let crawl = self.hosts.slowdown(h).clamp(0.0, 2.0).exp();
-        let age = self.now.saturating_sub(self.hosts.utilization_at(h)) as f64 / SECOND as f64;
-        let told = self.hosts.utilization(h) - self.busy;
-        let busy = self.busy
-            + if told.is_nan() {
+    /// Own deliveries in flight, weighed by how slowly the host answers and, where it reports, by how long others'
+    /// commands make one wait. A report says less the older it is.
+    fn load_score(&self, host: usize) -> f64 {
+        let slowness = self
+            .hosts
+            .slowdown(host)
+            .clamp(0.0, MAX_SCORED_SLOWDOWN)
+            .exp();
+        let report_age = self.now.saturating_sub(self.hosts.utilization_at(host)) as f64;
+        let mean = self.load.mean_utilization;
+        let above_mean = self.hosts.utilization(host) - mean;
+        let utilization = mean
+            + if above_mean.is_nan() {
                 0.0
             } else {
-                told * (-age / REPORT_FADES).exp()
+                above_mean * (-(report_age / SECOND as f64) / LOAD_REPORT_FADE_SECONDS).exp()
             };
-        f64::from(self.hosts.in_flight(h) + 1) * crawl / (1.05 - busy)
+        f64::from(self.hosts.in_flight(host) + 1) * slowness / (UTILIZATION_LIMIT - utilization)
     }
 
-    /// Guards against a new connection for nearly every command: of a build's hosts that no detour leads to, a
-    /// router with little traffic keeps to a few, its own by hash. Answers how much more traffic those get for that.
-    fn near(&self, build: BuildId) -> (CandidateSet, f64) {
-        let mut near = self.hosts.candidates(build);
-        if (0..self.ways[0].len()).any(|zone| self.detour(0, zone) > 0.0) {
-            near.mark_all_unverified();
-            near.retain(|h| self.detour(0, self.hosts.endpoint(h).zone.0.into()) == 0.0);
+    /// Guards against a new connection for nearly every command: of a build's hosts in zones that are not slow, a
+    /// router with little traffic keeps to a few, its own by hash.
+    fn subset(&self, build: BuildId) -> Subset {
+        let zones = &self.slowdowns.zones;
+        let mut candidates = self.hosts.candidates(build);
+        if zones.any_excess() {
+            candidates.mark_all_unverified();
+            candidates.retain(|host| zones.excess(self.zone_index(host)) == 0.0);
+        }
+        let by_fleet = ROUTERS_PER_HOST / self.config.fleet_size;
+        let by_traffic =
+            SUBSET_PER_COMMAND * self.load.flow.received / self.hosts.ready_count() as f64;
+        let wanted = (candidates.len() as f64 * by_fleet.max(by_traffic)).ceil() as usize;
+        let own = wanted.max(MIN_SUBSET);
+        let others = candidates.len().saturating_sub(own);
+        Subset {
+            candidates: self.hosts.first_by_rank(candidates, own),
+            traffic_multiple: 1.0 + others as f64 / own as f64,
         }
-        let (met, sent) = (
-            ROUTERS_PER_HOST / self.fig.fleet,
-            0.75 * self.flow[0] / self.hosts.ready_count() as f64,
-        );
-        let own = ((near.len() as f64 * met.max(sent)).ceil() as usize).max(2);
-        let others = near.len().saturating_sub(own);
-        (
-            self.hosts.first_by_rank(near, own),
-            1.0 + others as f64 / own as f64,
-        )
     }
 
-    /// Guards against piling up: no more is out than lately came back within a part of the service target. It
-    /// could harm where answers return after a gap. An op type that waits everywhere is counted by itself.
-    pub(super) fn crowded(&self, op: usize) -> bool {
-        let base = 2.0 + 2.0 * self.hosts.ready_count() as f64 / self.fig.fleet;
-        let wait = self.detour(1, op);
-        let alike = |o: &usize| {
-            if wait > 0.0 {
-                *o == op
+    /// Guards against queues at the hosts: no more is in flight than lately came back within a part of the latency
+    /// objective. It could harm where answers return after a gap. An operation that waits everywhere is counted by
+    /// itself.
+    pub(super) fn at_concurrency_limit(&self, operation: usize) -> bool {
+        let excess = |index: usize| self.slowdowns.operations.excess(index);
+        let hosts = self.hosts.ready_count() as f64;
+        let base = BASE_CONCURRENCY + BASE_CONCURRENCY * hosts / self.config.fleet_size;
+        let alone = excess(operation) > 0.0;
+        let mut in_flight = 0;
+        let mut returns = 0.0;
+        for (index, other) in self.operations.iter().enumerate() {
+            let counts = if alone {
+                index == operation
             } else {
-                self.detour(1, *o) == 0.0
+                excess(index) == 0.0
+            };
+            if counts {
+                in_flight += other.in_flight;
+                returns += other.acks * other.latency_objective / SECOND as f64;
             }
-        };
-        let (mut out, mut returns) = (0, 0.0);
-        for o in (0..self.ops.len()).filter(alike) {
-            out += self.ops[o].in_flight;
-            returns += self.ops[o].acks * self.ops[o].latency_objective / SECOND as f64;
         }
-        f64::from(out) >= base + 1.1 * CROWDED_PART * returns
+        f64::from(in_flight)
+            >= base + CONCURRENCY_HEADROOM * CONCURRENCY_OBJECTIVE_FRACTION * returns
     }
 
-    /// A fresh host gets no more in flight than its answers have earned, and over each told span a router's
-    /// own part of what the fleet may send it, drawn where under one. What is sent counts, for hosts that err
-    /// fast. One that has failed gets one command at a time.
-    fn may_take(&self, h: usize, of_own: f64) -> bool {
-        let (host, age) = (self.hosts.endpoint(h).host.0, self.hosts.age(h));
-        if age < self.fig.warm_within + SECOND {
-            let (slot, begun) = (age / self.fig.fall_span, self.now - age);
-            let sent = self.hosts.sent_in_slot(h, slot);
-            // The first span is met by no other before it.
-            let part = self.fig.cold_part * self.warmth(age) * self.pace * of_own
-                / (1 + slot.min(1)) as f64;
-            let drawn = unit(
-                u64::from(host) << 32 ^ u64::from(self.own_index) << 12 ^ (begun + slot) as u64,
-            );
-            if f64::from(sent + 1) > part + drawn
-                || self.hosts.in_flight(h) > 1 + self.hosts.answers(h)
-            {
-                return false;
-            }
+    /// Whether a host may be sent one more. A fresh one gets no more in flight than its answers have earned, and in
+    /// each slot of its age this router's own part of what the fleet may send it, drawn by hash where that is below
+    /// one. What is sent counts, for hosts that err fast. One that has failed gets one command at a time.
+    fn may_take(&self, host: usize, traffic_multiple: f64) -> bool {
+        let age = self.hosts.age(host);
+        if age < self.config.start_spans.bounded
+            && !self.cold_host_may_take(host, age, traffic_multiple)
+        {
+            return false;
         }
-        self.hosts.consecutive_failures(h) == 0 || self.hosts.in_flight(h) == 0
+        self.hosts.consecutive_failures(host) == 0 || self.hosts.in_flight(host) == 0
     }
 
-    pub(super) fn dispatch(&mut self, cmd: CommandId, host: usize, out: Out) {
-        let (build, sent) = (self.hosts.build(host), self.now);
-        let (on_trial, slot) = (
-            self.on_trial(build),
-            self.hosts.age(host) / self.fig.fall_span,
+    fn cold_host_may_take(&self, host: usize, age: Micros, traffic_multiple: f64) -> bool {
+        let slot = age / self.config.overload_window;
+        let started_at = self.now - age;
+        let sent = self.hosts.sent_in_slot(host, slot);
+        // The first slot follows no other.
+        let part = self.config.cold_allowance
+            * self.warm_up_fraction(age)
+            * self.load.answers_per_host
+            * traffic_multiple
+            / (1 + slot.min(1)) as f64;
+        let id = self.hosts.endpoint(host).host.0;
+        let drawn = unit(
+            u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + slot) as u64,
         );
-        let Some(c) = self.cmds.get_mut(&cmd) else {
+        let in_slot = f64::from(sent + 1) <= part + drawn;
+        in_slot && self.hosts.in_flight(host) <= 1 + self.hosts.answers(host)
+    }
+
+    /// Sends a command to a host and counts it everywhere.
+    pub(super) fn dispatch(&mut self, id: CommandId, host: usize, out: Out) {
+        let build = self.hosts.build(host);
+        let on_trial = self.is_on_trial(build);
+        let age_slot = self.hosts.age(host) / self.config.overload_window;
+        let Some(command) = self.commands.get_mut(&id) else {
             return;
         };
         if on_trial {
-            let slot = c.operation * usize::from(self.fig.by_op);
-            self.exposed.push(sent, (slot, build));
+            let slot = self.config.exposure_slot(command.operation);
+            self.exposure
+                .count_exposed(self.now, Exposed { slot, build });
         }
-        c.deliveries.push(Delivery::new(host, build, sent));
-        self.pins.entry(c.key).or_default().claim(build);
+        command
+            .deliveries
+            .push(Delivery::new(host, build, self.now));
+        self.sticky.entry(command.key).claim(build);
         self.hosts.add_in_flight(host);
-        self.ops[c.operation].in_flight += 1;
-        self.hosts.count_sent(host, slot);
-        self.served[c.tenant] += 1.0;
-        out.deliver(cmd, self.hosts.endpoint(host).host, None);
+        self.operations[command.operation].in_flight += 1;
+        self.hosts.count_sent(host, age_slot);
+        self.waiting.count_served(command.tenant);
+        out.deliver(id, self.hosts.endpoint(host).host, None);
+    }
+}
+
+/// Whether a repeat is harmless at any host.
+fn repeats_anywhere(operation: &OperationState) -> bool {
+    operation.repeat == Repeat::Idempotent || operation.scope == DeduplicationScope::All
+}
+
+/// Whether a host would drop the repeat of a command that may have run at `bound_to`.
+fn drops_repeat(
+    operation: &OperationState,
+    bound_to: Option<&Endpoint>,
+    endpoint: &Endpoint,
+) -> bool {
+    let Some(bound_to) = bound_to else {
+        return true;
+    };
+    match operation.scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => bound_to.zone == endpoint.zone,
+        DeduplicationScope::Cell => bound_to.cell == endpoint.cell,
+        DeduplicationScope::Unknown => bound_to.host == endpoint.host,
     }
 }
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -1,136 +1,221 @@
-//! What follows the end of a delivery.
+//! What follows the end of a delivery: another one, or the final answer.
 
-use super::timers::BEAT;
+use super::timers::TICK;
 use super::{Out, Router};
 use crate::state::{Command, Delivery};
 use crate::{AttemptOutcome, CommandId, DeduplicationScope, Micros, Repeat};
 
-/// Share of the commands that may be delivered again at a guess, and the most saved up.
-pub(super) const SPARE_PER_COMMAND: f64 = 0.1;
-pub(super) const SPARE_AT_MOST: f64 = 10.0;
+/// Deliveries again, at a guess, that each command earns: enough for single failures, too few to double a load.
+const RETRIES_PER_COMMAND: f64 = 0.1;
+/// Most of them that are saved up.
+const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Time left before the deadline below which nothing is sent again: no answer would come in time.
+const RETRY_MARGIN: Micros = 2 * TICK;
+/// Part of the latency objective after which a refused client does best to come again, and as much again by chance.
+const RETRY_AFTER_DIVISOR: f64 = 4.0;
+/// How far the estimate of the median latency moves with each answer, and its bounds, as logarithms.
+const OVERLOAD_STEP: f64 = 0.2;
+const MIN_OVERLOAD: f64 = -2.0;
+const MAX_OVERLOAD: f64 = 1.0;
+
+/// Deliveries again that the router may still make where it does not know whether the one before ran.
+#[derive(Debug)]
+pub(super) struct RetryBudget {
+    available: f64,
+}
+
+impl RetryBudget {
+    /// Half full.
+    pub(super) fn new() -> Self {
+        RetryBudget {
+            available: MAX_RETRY_BUDGET / 2.0,
+        }
+    }
+
+    /// A command has come.
+    pub(super) fn earn(&mut self) {
+        self.available = (self.available + RETRIES_PER_COMMAND).min(MAX_RETRY_BUDGET);
+    }
+
+    /// A command is delivered again.
+    pub(super) fn spend(&mut self) {
+        self.available -= 1.0;
+    }
+
+    pub(super) fn allows_one(&self) -> bool {
+        self.available >= 1.0
+    }
+
+    /// How many deliveries it allows.
+    pub(super) fn allowed(&self) -> usize {
+        self.available as usize
+    }
+}
 
 impl Router {
+    /// A delivery, numbered from 0 in the order of the command's deliveries, has ended after `took`; `answered` where
+    /// the client has its final answer by that.
     pub fn on_attempt_outcome(
         &mut self,
-        cmd: CommandId,
-        nth: u8,
-        end: AttemptOutcome,
+        id: CommandId,
+        delivery: u8,
+        outcome: AttemptOutcome,
         took: Micros,
-        done: bool,
+        answered: bool,
         out: Out,
     ) {
-        let Some(c) = self.cmds.get_mut(&cmd) else {
-            return;
-        };
-        let Some(d) = c.deliveries.get_mut(usize::from(nth)).filter(|d| d.open) else {
+        let index = usize::from(delivery);
+        let Some(delivery) = self.close_delivery(id, index, outcome) else {
             return;
         };
-        (d.open, d.may_have_run) = (false, end.may_have_run());
-        let (h, build, op, key, share) = (d.host, d.build, c.operation, c.key, c.tenant);
-        self.hosts.remove_in_flight(h);
-        self.ops[op].in_flight -= 1;
-        // What errs at once is no load: it must not excuse slowness.
-        let at_once = end == AttemptOutcome::Error && nth == 0;
-        self.flow[0] = (self.flow[0] - f64::from(u8::from(at_once))).max(0.0);
-        if matches!(end, AttemptOutcome::Acked | AttemptOutcome::TimedOut) {
-            let rules = &mut self.ops[op];
-            let step = if took as f64 > rules.latency_objective * rules.overload.exp() {
-                0.2
-            } else {
-                -0.2
-            };
-            rules.overload = (rules.overload + step).clamp(-2.0, 1.0);
+        let operation = self.commands[&id].operation;
+        if outcome == AttemptOutcome::Error && index == 0 {
+            // What errs at once is no load: it must not excuse slowness.
+            let received = &mut self.load.flow.received;
+            *received = (*received - 1.0).max(0.0);
         }
-        if !matches!(end, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
-            self.losses = [0.95 * self.losses[0] + 1.0, 0.95 * self.losses[1]];
+        self.note_latency(operation, outcome, took);
+        if !matches!(outcome, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
+            self.losses.count_lost();
         }
-        if self.hosts.build(h) == build {
-            self.judge(h, op, share, end, took);
-            self.health(h, end);
+        if self.hosts.build(delivery.host) == delivery.build {
+            let tenant = self.commands[&id].tenant;
+            self.analyze(delivery.host, operation, tenant, outcome, took);
+            self.note_host_outcome(delivery.host, outcome);
         }
-        let acked = f64::from(u8::from(end == AttemptOutcome::Acked));
-        self.ops[op].acks += acked;
-        self.flow[1] += acked;
-        let newest = build.max(self.hosts.build(h));
-        // An answer may have been written that nobody could read: it binds the key as well.
-        let binds = key.0 != 0
-            && !self.sent_back(newest)
-            && end.may_have_run()
-            && end != AttemptOutcome::Error;
-        let pin = self.pins.entry(key).or_default();
-        pin.release(build);
-        pin.answered_by = pin.answered_by.max(Some(newest).filter(|_| binds));
-        if done || self.cmds[&cmd].answered {
-            self.finish(cmd, out);
+        if outcome == AttemptOutcome::Acked {
+            self.operations[operation].acks += 1.0;
+            self.load.flow.answered += 1.0;
+        }
+        self.release_key(id, &delivery, outcome);
+        if answered || self.commands[&id].answered {
+            self.finish(id, out);
         } else {
-            self.settle(cmd, end.may_have_run(), out);
+            self.retry_or_abort(id, outcome.may_have_run(), out);
         }
-        self.place_held(out);
+        self.place_waiting(out);
     }
 
-    /// After a delivery without an ack: another one where the op type allows it, else the final answer.
-    fn settle(&mut self, cmd: CommandId, guess: bool, out: Out) {
-        let Some(c) = self.cmds.get(&cmd) else { return };
-        let open = c.deliveries.iter().any(|d| d.open);
-        if !open
-            && (c.deadline - self.now < 2 * BEAT
-                || !self.may_redeliver(c)
-                || guess && self.spare < 1.0)
-        {
-            self.abort(cmd, out);
-        } else if !open {
-            self.spare -= f64::from(u8::from(guess));
-            self.route(cmd, out);
+    /// Ends an open delivery and returns it; `None` where there is none of this number.
+    fn close_delivery(
+        &mut self,
+        id: CommandId,
+        index: usize,
+        outcome: AttemptOutcome,
+    ) -> Option<Delivery> {
+        let command = self.commands.get_mut(&id)?;
+        let delivery = command
+            .deliveries
+            .get_mut(index)
+            .filter(|delivery| delivery.open)?;
+        delivery.open = false;
+        delivery.may_have_run = outcome.may_have_run();
+        self.hosts.remove_in_flight(delivery.host);
+        self.operations[command.operation].in_flight -= 1;
+        Some(*delivery)
+    }
+
+    /// Moves the estimate of an operation's median latency over its objective.
+    fn note_latency(&mut self, operation: usize, outcome: AttemptOutcome, took: Micros) {
+        if !matches!(outcome, AttemptOutcome::Acked | AttemptOutcome::TimedOut) {
+            return;
+        }
+        let state = &mut self.operations[operation];
+        let above = took as f64 > state.latency_objective * state.overload.exp();
+        let step = if above { OVERLOAD_STEP } else { -OVERLOAD_STEP };
+        state.overload = (state.overload + step).clamp(MIN_OVERLOAD, MAX_OVERLOAD);
+    }
+
+    /// Ends a delivery's claim on its key. An answer may have been written that nobody could read: it binds the key as
+    /// well.
+    fn release_key(&mut self, id: CommandId, delivery: &Delivery, outcome: AttemptOutcome) {
+        let key = self.commands[&id].key;
+        let newest = delivery.build.max(self.hosts.build(delivery.host));
+        let binds = key.0 != 0
+            && !self.rollout.is_rolled_back(newest)
+            && outcome.may_have_run()
+            && outcome != AttemptOutcome::Error;
+        let assignment = self.sticky.entry(key);
+        assignment.release(delivery.build);
+        if binds {
+            assignment.answered_by = assignment.answered_by.max(Some(newest));
         }
     }
 
-    /// The memory counts from the first delivery, whether or not it ran: it was out when the next was sent.
-    pub(super) fn may_redeliver(&self, c: &Command) -> bool {
-        let rules = &self.ops[c.operation];
-        let ran = c.deliveries.iter().any(|d| d.may_have_run);
-        let allowed = match rules.repeat {
+    /// After a delivery without an ack: another one where the operation allows it, else the final answer. `guess`
+    /// says that it may have run.
+    fn retry_or_abort(&mut self, id: CommandId, guess: bool, out: Out) {
+        let Some(command) = self.commands.get(&id) else {
+            return;
+        };
+        if command.has_open_delivery() {
+            return;
+        }
+        let too_late = command.deadline - self.now < RETRY_MARGIN;
+        let over_budget = guess && !self.retry_budget.allows_one();
+        if too_late || over_budget || !self.may_redeliver(command) {
+            self.abort(id, out);
+            return;
+        }
+        if guess {
+            self.retry_budget.spend();
+        }
+        self.route(id, out);
+    }
+
+    /// Whether a command may be delivered once more. The deduplication window counts from the first delivery, whether
+    /// or not it ran: it was open when the next was sent.
+    pub(super) fn may_redeliver(&self, command: &Command) -> bool {
+        let operation = &self.operations[command.operation];
+        let allowed = match operation.repeat {
             Repeat::Idempotent => true,
             Repeat::Deduplicated => {
-                !ran || self.now + BEAT < c.deliveries[0].sent_at + rules.deduplication_window
+                let window_end = || command.deliveries[0].sent_at + operation.deduplication_window;
+                !command.may_have_run() || self.now + TICK < window_end()
             }
-            Repeat::AtMostOnce => !ran,
+            Repeat::AtMostOnce => !command.may_have_run(),
         };
-        allowed && c.deliveries.len() < self.fig.delivery_cap
+        allowed && command.deliveries.len() < self.config.delivery_cap
     }
 
     /// The final answer where nothing more can be done: a nack wherever trying again is harmless.
-    pub fn abort(&mut self, cmd: CommandId, out: Out) {
-        let Some(c) = self.cmds.get(&cmd) else { return };
-        let rules = &self.ops[c.operation];
-        let any_drops =
-            rules.repeat == Repeat::Deduplicated && rules.scope == DeduplicationScope::All;
-        let never_ran = c.deliveries.iter().all(|d| !d.may_have_run);
-        if never_ran || any_drops || rules.repeat == Repeat::Idempotent {
-            let come_back = rules.latency_objective / 4.0 * (1.0 + self.chance.fraction());
-            out.nack(
-                cmd,
-                self.fig
-                    .longest_return
-                    .map(|most| most.min(come_back as Micros)),
-            );
+    pub fn abort(&mut self, id: CommandId, out: Out) {
+        let Some(command) = self.commands.get(&id) else {
+            return;
+        };
+        let operation = &self.operations[command.operation];
+        let any_host_drops =
+            operation.repeat == Repeat::Deduplicated && operation.scope == DeduplicationScope::All;
+        let harmless =
+            !command.may_have_run() || any_host_drops || operation.repeat == Repeat::Idempotent;
+        if harmless {
+            let spread = 1.0 + self.rng.fraction();
+            let retry_after = operation.latency_objective / RETRY_AFTER_DIVISOR * spread;
+            let hint = self
+                .config
+                .longest_retry_after
+                .map(|longest| longest.min(retry_after as Micros));
+            out.nack(id, hint);
         } else {
-            out.fail(cmd);
+            out.fail(id);
         }
-        self.finish(cmd, out);
+        self.finish(id, out);
     }
 
     /// Ends a command that is answered, or that its client has left.
-    pub fn finish(&mut self, cmd: CommandId, out: Out) {
-        let Some(c) = self.cmds.get_mut(&cmd) else {
+    pub fn finish(&mut self, id: CommandId, out: Out) {
+        let Some(command) = self.commands.get_mut(&id) else {
             return;
         };
-        let open =
-            |d: &Delivery| self.fig.may_cancel && !c.answered && d.open && !d.response_started;
-        let open = c.deliveries.iter().enumerate().filter(|(_, d)| open(d));
-        open.for_each(|(n, _)| out.cancel(cmd, n as u8));
-        c.answered = true;
-        if c.deliveries.iter().all(|d| !d.open) {
-            self.cmds.remove(&cmd);
+        let cancels = self.config.may_cancel && !command.answered;
+        for (index, delivery) in command.deliveries.iter().enumerate() {
+            if cancels && delivery.open && !delivery.response_started {
+                out.cancel(id, index as u8);
+            }
+        }
+        command.answered = true;
+        if !command.has_open_delivery() {
+            self.commands.remove(&id);
         }
     }
 }
--- /dev/null
+++ b/crates/spokeflow-core/src/router/rollout.rs
@@ -0,0 +1,89 @@
+//! What the release controller says of the newest build.
+
+use super::{Out, Router};
+use crate::{BuildId, Micros, RolloutState, RolloutStatus};
+
+/// The release controller's last word.
+#[derive(Debug, Default)]
+pub(super) struct RolloutView {
+    pub(super) status: Option<RolloutStatus>,
+    /// When the present stage or state began.
+    pub(super) stage_began: Micros,
+}
+
+impl RolloutView {
+    /// The status where the newest build is a canary.
+    pub(super) fn canary(&self) -> Option<RolloutStatus> {
+        self.status
+            .filter(|status| status.state == RolloutState::Canary)
+    }
+
+    pub(super) fn is_canary(&self) -> bool {
+        self.canary().is_some()
+    }
+
+    /// Whether a build is, or has been, taken back.
+    pub(super) fn is_rolled_back(&self, build: BuildId) -> bool {
+        self.status.is_some_and(|status| {
+            let back = matches!(
+                status.state,
+                RolloutState::RollingBack | RolloutState::Withdrawn
+            );
+            status.build == build && back
+        })
+    }
+
+    /// The stage of a build, 0 for one that the controller has not named.
+    pub(super) fn stage_of(&self, build: BuildId) -> u8 {
+        self.status
+            .filter(|status| status.build == build)
+            .map_or(0, |status| status.stage)
+    }
+}
+
+impl Router {
+    /// The release controller has said how the newest build's rollout goes.
+    pub fn on_rollout_status(&mut self, status: RolloutStatus, out: Out) {
+        let before = self.rollout.status.replace(status);
+        let same_build = before.is_some_and(|before| before.build == status.build);
+        let same_stage = before
+            .is_some_and(|before| before.stage == status.stage && before.state == status.state);
+        if !same_build {
+            self.evidence.clear();
+            self.hosts.clear_evidence();
+        }
+        if !same_build || !same_stage {
+            self.rollout.stage_began = self.now - status.age;
+            self.evidence.start_stage();
+            self.voting.start_stage(self.now);
+            self.voting.own_turn = (self.rng.fraction() * self.config.vote_spread) as Micros;
+        }
+        if self.rollout.is_rolled_back(status.build) {
+            // A rollback returns keys to the earlier build and lifts what forward-only rules forbade.
+            self.sticky.forget_build(status.build);
+        }
+        self.tick(out);
+    }
+
+    /// Whether a build is newer than what is released for all.
+    pub(super) fn is_on_trial(&self, build: BuildId) -> bool {
+        match &self.rollout.status {
+            None => self
+                .hosts
+                .oldest_build()
+                .is_some_and(|oldest| oldest < build),
+            Some(status) => {
+                build > status.build
+                    || (build == status.build && status.state != RolloutState::Released)
+            }
+        }
+    }
+
+    /// Part of the commands that a build on trial may be sent.
+    pub(super) fn exposure_cap(&self, build: BuildId) -> f64 {
+        self.rollout
+            .status
+            .filter(|status| status.build == build)
+            .map_or(self.config.first_stage_cap, |status| status.exposure_cap)
+    }
+}
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -1,86 +1,70 @@
 //! What is done at each tick.
 
-use super::canary::PIN_IDLE;
-use super::{Out, Router};
-use super::{MS, SECOND};
-use crate::state::StickyAssignment;
-use crate::{Micros, RolloutState};
+use super::{Out, Router, MILLISECOND, SECOND};
+use crate::Micros;
 
-pub(super) const BEAT: Micros = 20 * MS;
+/// Time from one tick to the next: short against any latency objective, long against the work of one tick.
+pub(super) const TICK: Micros = 20 * MILLISECOND;
+/// Time from one sweep of the sticky assignments, which walks over all, to the next.
+const SWEEP_INTERVAL: Micros = SECOND / 2;
+
+/// When the periodic work was last done.
+#[derive(Debug)]
+pub(super) struct TickTimes {
+    pub(super) ticked_at: Micros,
+    swept_at: Micros,
+}
+
+impl TickTimes {
+    pub(super) fn new(now: Micros) -> Self {
+        TickTimes {
+            ticked_at: now,
+            swept_at: 0,
+        }
+    }
+}
+
+/// The time since the last tick.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Elapsed {
+    pub(super) time: Micros,
+    /// What remains of a figure that fades within about a second.
+    pub(super) fade: f64,
+}
 
 impl Router {
+    /// The time that [`crate::Egress::wake`] asked for has come.
     pub fn on_timer(&mut self, out: Out) {
-        self.beat(out);
-        out.wake(self.now + BEAT);
+        self.tick(out);
+        out.wake(self.now + TICK);
     }
 
-    pub(super) fn beat(&mut self, out: Out) {
-        let fade = (-(self.now - self.beaten) as f64 / SECOND as f64).exp();
-        self.ops.iter_mut().for_each(|o| o.acks *= fade);
-        // Forgotten in time, so that a way that has been mended is tried again.
-        self.ways
-            .iter_mut()
-            .flatten()
-            .for_each(|way| *way *= fade.powf(0.1));
-        self.served.iter_mut().for_each(|s| *s *= fade);
-        self.flow = self.flow.map(|f| f * fade.powf(0.25));
-        self.grow_lane();
-        self.forget_window();
-        // Guards against a storm, a fleet most of which has died, a start beside few cold hosts: only answers
-        // count, the dead's while they lived, over the time in which a whole host may answer one router once.
-        let whole = self.hosts.sum_ready(|age| self.warmth(age), |_| true);
-        self.lived =
-            self.lived * fade.powf(0.25) + whole * (self.now - self.beaten) as f64 / SECOND as f64;
-        let once = self.fig.fleet
-            * self
-                .ops
-                .iter()
-                .map(|o| o.latency_objective)
-                .fold(0.0, f64::max)
-            / SECOND as f64;
-        let young = u8::from(self.now < self.born + 5 * SECOND);
-        let pace = self.flow[1].max(young.into()) / self.lived.max(once);
-        // A fleet that answers little for a while can still do what it did.
-        self.pace += (pace - self.pace) * if pace > self.pace { 0.02 } else { 0.001 };
-        if self.news.is_none_or(|n| n.state != RolloutState::Canary)
-            && self.now > self.born + 2 * SECOND
-        {
-            let (load, pace) = (
-                self.load(),
-                if self.usual_load[1] > 0.0 { 0.01 } else { 1.0 },
-            );
-            self.usual_load
-                .iter_mut()
-                .zip(load)
-                .for_each(|(usual, load)| *usual += pace * (load - *usual));
+    pub(super) fn tick(&mut self, out: Out) {
+        let time = self.now - self.ticks.ticked_at;
+        let fade = (-time as f64 / SECOND as f64).exp();
+        let elapsed = Elapsed { time, fade };
+        for operation in &mut self.operations {
+            operation.acks *= fade;
         }
-        self.beaten = self.now;
+        self.slowdowns.fade(fade);
+        self.waiting.fade(fade);
+        self.load.fade_flow(fade);
+        self.grow_canary();
+        self.forget_exposure();
+        self.learn_answer_rate(elapsed);
+        self.learn_baseline_load();
+        self.ticks.ticked_at = self.now;
         self.hosts.forget_suspects();
-        self.place_held(out);
-        self.lapse(out);
-        self.hurry(out);
-        self.cast(out);
-        if self.ask_list_at.is_some_and(|at| self.now >= at) {
-            self.ask_list_at = Some(self.now + 5 * SECOND);
+        self.place_waiting(out);
+        self.expire_waiting(out);
+        self.hedge(out);
+        self.cast_vote(out);
+        if self.subscription.take_due(self.now) {
             out.watch_list();
         }
-        if self.now - self.swept >= SECOND / 2 {
-            self.swept = self.now;
-            // Earlier builds bind no key, and once one is released all keys are taken for answered by it.
-            let from = self.news.map(|n| {
-                n.build
-                    .0
-                    .saturating_add((n.state == RolloutState::Released).into())
-            });
-            // A delivery may stay out for longer than a pin without use: its answer binds the key as well.
-            let kept = |p: &StickyAssignment| {
-                p.claims > 0 || p.answered_by.is_some_and(|b| Some(b.0) >= from)
-            };
-            self.pins.retain(|_, p| {
-                let stays = self.now - p.used_at < PIN_IDLE || self.fig.one_way && kept(p);
-                self.all_bound = self.all_bound.max(p.answered_by.filter(|_| !stays));
-                stays
-            });
+        if self.now - self.ticks.swept_at >= SWEEP_INTERVAL {
+            self.ticks.swept_at = self.now;
+            self.sweep_sticky();
         }
     }
 }
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -1,116 +1,245 @@
 //! The votes on the newest build.
 
-use super::analysis::{LATE_MARGIN, LATE_WEIGHT, SEND_BACK_AT};
-use super::{Out, Router};
-use super::{MS, ROUTERS_PER_HOST, SECOND};
-use crate::{BuildId, Gate, Micros, RolloutState, RolloutVote, VoteOutcome};
+use super::analysis::{MAX_SLOWNESS, SLOWNESS_MARGIN, SLOWNESS_WEIGHT};
+use super::evidence::ROLLBACK_EVIDENCE;
+use super::{Out, Router, MILLISECOND, ROUTERS_PER_HOST, SECOND};
+use crate::{BuildId, Gate, Micros, RolloutState, RolloutStatus, RolloutVote, VoteOutcome};
 
-const HOLD_AT: f64 = 2.0;
-const QUIET_BELOW: f64 = 1.0;
-/// Answers that a router needs from a build before it votes on it.
-const ENOUGH_ANSWERS: u32 = 3;
-/// Answers that convict at the least, of which a router of mean traffic gets so many before all follow.
-const CONVICTS: f64 = SEND_BACK_AT / (LATE_WEIGHT * (2.0 - LATE_MARGIN));
+/// Evidence above which a router votes to hold, where stages go on by the clock.
+const HOLD_EVIDENCE: f64 = 2.0;
+/// Evidence below which a router votes to promote.
+const PROMOTE_BELOW_EVIDENCE: f64 = 1.0;
+/// How many times the proof rolls back a released build: that means a cold start of the whole fleet.
+const RELEASED_PROOF: f64 = 2.0;
+/// Answers that a router needs from a build before it votes on it: fewer may all be chance.
+const MIN_ANSWERS_TO_VOTE: u32 = 3;
+/// How many answers that the release controller counted stand for one of the router's own.
+const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
+/// Answers that convict a slow build at the least, of which a router of mean traffic gets so many before all follow.
+const MIN_ANSWERS_TO_CONVICT: f64 =
+    ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
+/// How many times the usual wait a router takes where it knows too little.
+const UNKNOWN_WAIT_MULTIPLE: Micros = 3;
+/// How many times the usual wait a release side by side takes: its vote waits for all traffic.
+const RELEASE_WAIT_MULTIPLE: Micros = 4;
+/// What is taken off the wait while a stage's hosts are not listed.
+const UNLISTED_PENALTY: Micros = 8 * SECOND;
+/// Pause after a vote that is stale, and after one that was not taken for another reason; chance is added to both.
+const STALE_PAUSE: Micros = SECOND;
+const REFUSED_PAUSE: Micros = 200 * MILLISECOND;
+const PAUSE_JITTER: usize = 200_000;
+/// What is allowed beyond the time in which the release controller should answer a vote.
+const OUTCOME_SLACK: Micros = SECOND / 2;
+
+/// A vote of this router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Vote {
+    build: BuildId,
+    stage: u8,
+    vote: RolloutVote,
+}
+
+/// The last vote and when to cast another.
+#[derive(Debug, Default)]
+pub(super) struct VoteState {
+    last: Option<Vote>,
+    valid_until: Micros,
+    again_at: Micros,
+    awaits_outcome: bool,
+    /// Wait before this router's promote vote, so that the fleet's do not come at once.
+    pub(super) own_turn: Micros,
+}
+
+impl VoteState {
+    /// The votes cast so far no longer count.
+    pub(super) fn start_stage(&mut self, now: Micros) {
+        self.last = None;
+        self.again_at = now;
+    }
+
+    /// Forgets a vote that the release controller never answered: it may count or not, so it is cast anew.
+    fn expire(&mut self, now: Micros) {
+        if self.awaits_outcome && now >= self.again_at {
+            self.awaits_outcome = false;
+            self.last = None;
+        }
+    }
+}
+
+/// How far the hosts of a stage are.
+#[derive(Clone, Copy, Debug)]
+struct StageProgress {
+    /// Share of the hosts that run the build in this stage.
+    share: f64,
+    is_last: bool,
+    /// All hosts of the stage are ready.
+    is_complete: bool,
+    /// Since the stage began and its last host started.
+    waited: Micros,
+}
 
 impl Router {
-    pub fn on_vote_outcome(&mut self, answer: VoteOutcome) {
-        self.vote_out = false;
-        if answer == VoteOutcome::Counted {
-            (self.vote_again_at, self.vote_stands_until) =
-                (self.now, self.now + self.fig.vote_life * 7 / 10);
+    /// The release controller has answered the last vote.
+    pub fn on_vote_outcome(&mut self, outcome: VoteOutcome) {
+        self.voting.awaits_outcome = false;
+        if outcome == VoteOutcome::Counted {
+            self.voting.again_at = self.now;
+            self.voting.valid_until = self.now + self.config.vote_lifetime * 7 / 10;
+            return;
+        }
+        let pause = if outcome == VoteOutcome::Stale {
+            STALE_PAUSE
+        } else {
+            REFUSED_PAUSE
+        };
+        let jitter = self.rng.below(PAUSE_JITTER) as Micros;
+        self.voting.again_at = self.now + pause + jitter;
+        self.voting.last = None;
+    }
+
+    /// Casts the vote that the evidence calls for, where it is not the one that counts already.
+    pub(super) fn cast_vote(&mut self, out: Out) {
+        self.voting.expire(self.now);
+        let wanted = self.wanted_vote();
+        let valid = self.now < self.voting.valid_until;
+        let repeats = wanted == self.voting.last && valid;
+        if self.voting.awaits_outcome || self.now < self.voting.again_at || repeats {
+            return;
+        }
+        // A vote to promote must not count while there is evidence.
+        let taken_back = self
+            .voting
+            .last
+            .filter(|last| last.vote != RolloutVote::RollBack && valid)
+            .map(|last| Vote {
+                vote: RolloutVote::Abstain,
+                ..last
+            });
+        let Some(vote) = wanted.or(taken_back) else {
+            return;
+        };
+        out.vote(vote.build, vote.stage, vote.vote);
+        self.voting.last = wanted;
+        self.voting.awaits_outcome = true;
+        self.voting.again_at = self.now + self.config.vote_timeout + OUTCOME_SLACK;
+        self.voting.valid_until = self.now + self.config.vote_timeout;
+    }
+
+    /// The vote that the evidence calls for.
+    fn wanted_vote(&self) -> Option<Vote> {
+        let status = self.rollout.status?;
+        let canary = match status.state {
+            RolloutState::Canary => true,
+            RolloutState::Released => false,
+            RolloutState::RollingBack | RolloutState::Withdrawn => return None,
+        };
+        let vote = if self.is_convicted(canary) {
+            RolloutVote::RollBack
+        } else if !canary {
+            return None;
+        } else if self.config.gate == Gate::Clocked {
+            if self.evidence.total() <= HOLD_EVIDENCE {
+                return None;
+            }
+            RolloutVote::Hold
+        } else if self.may_promote(&status) {
+            RolloutVote::Promote
+        } else {
+            return None;
+        };
+        Some(Vote {
+            build: status.build,
+            stage: status.stage,
+            vote,
+        })
+    }
+
+    fn is_convicted(&self, canary: bool) -> bool {
+        let answers = f64::from(self.evidence.answers) + self.evidence.controller_answers_in_stage;
+        let proof = if canary {
+            ROLLBACK_EVIDENCE
         } else {
-            let pause = if answer == VoteOutcome::Stale {
-                SECOND
+            ROLLBACK_EVIDENCE * RELEASED_PROOF
+        };
+        answers >= f64::from(MIN_ANSWERS_TO_VOTE) && self.evidence.total() >= proof
+    }
+
+    /// Whether the stage has been watched for long enough without evidence.
+    fn may_promote(&self, status: &RolloutStatus) -> bool {
+        let progress = self.stage_progress(status);
+        let promote_after = self.config.promote_after;
+        let due = if self.config.rolling {
+            let multiple = if self.knows_enough(status, &progress) {
+                1
             } else {
-                200 * MS
+                UNKNOWN_WAIT_MULTIPLE
             };
-            (self.vote_again_at, self.vote) = (
-                self.now + pause + self.chance.below(200_000) as Micros,
-                None,
-            );
-        }
+            progress.waited >= multiple * promote_after + self.voting.own_turn
+        } else {
+            // Side by side a stage is cheaply taken back and a release is not: its vote waits for all traffic.
+            let settled = progress.waited >= RELEASE_WAIT_MULTIPLE * promote_after;
+            !progress.is_last || progress.is_complete && settled
+        };
+        due && self.evidence.total() < PROMOTE_BELOW_EVIDENCE
     }
 
-    fn verdict(&self) -> Option<(BuildId, u8, RolloutVote)> {
-        let news = self
-            .news
-            .filter(|n| matches!(n.state, RolloutState::Canary | RolloutState::Released))?;
-        let on_trial = news.state == RolloutState::Canary;
-        // Once released, going back means a cold start of the whole fleet: it wants twice the proof.
-        let proof = SEND_BACK_AT * if on_trial { 1.0 } else { 2.0 };
-        if f64::from(self.seen) + self.counted_in_stage >= f64::from(ENOUGH_ANSWERS)
-            && self.sum() >= proof
-        {
-            return Some((news.build, news.stage, RolloutVote::RollBack));
-        }
-        if !on_trial || self.fig.gate == Gate::Clocked {
-            return (on_trial && self.sum() > HOLD_AT).then_some((
-                news.build,
-                news.stage,
-                RolloutVote::Hold,
-            ));
-        }
-        let ready = self.hosts.ready_with(news.build);
-        let (count, latest) = (ready.len(), ready.latest_start().unwrap_or(0));
-        let share = self
-            .fig
-            .stage_shares
-            .get(usize::from(news.stage))
-            .copied()
-            .unwrap_or(1.0);
-        let earlier = self
+    fn stage_progress(&self, status: &RolloutStatus) -> StageProgress {
+        let stage = usize::from(status.stage);
+        let shares = &self.config.stage_shares;
+        let share = shares.get(stage).copied().unwrap_or(1.0);
+        let ready = self.hosts.ready_with(status.build);
+        let latest_start = ready.latest_start().unwrap_or(0);
+        let earlier: usize = self
             .hosts
             .ready_builds()
-            .filter(|(build, _)| self.fig.rolling || *build < news.build);
-        let earlier: usize = earlier.map(|(_, ready)| ready.len()).sum();
-        let all = count > 0 && count as f64 >= (share * earlier as f64).floor();
-        let unlisted = Micros::from(!all && latest <= self.stage_began);
-        let waited = self.now - latest.max(self.stage_began) - unlisted * 8 * SECOND;
-        // Where one vote is enough, the fleet has seen many times what a quiet router has; but the one that
-        // speaks against a build has to see enough of it alone, the more so the more hosts follow.
-        let more = self
-            .fig
-            .stage_shares
-            .get(usize::from(news.stage) + 1)
-            .map_or(0.0, |next| next - share);
-        let (alike, more) = if self.fig.gate == Gate::Majority {
-            (1, 0.0)
+            .filter(|(build, _)| self.config.rolling || *build < status.build)
+            .map(|(_, ready)| ready.len())
+            .sum();
+        let is_complete =
+            !ready.is_empty() && ready.len() as f64 >= (share * earlier as f64).floor();
+        let stage_began = self.rollout.stage_began;
+        let penalty = if !is_complete && latest_start <= stage_began {
+            UNLISTED_PENALTY
         } else {
-            (self.fig.fleet as u32, more)
+            0
         };
-        let enough = (ENOUGH_ANSWERS * ENOUGH_ANSWERS / alike).clamp(1, ENOUGH_ANSWERS);
-        let known = self.seen_in_stage >= enough || self.counted_in_stage >= f64::from(3 * enough);
-        let met = self.fig.even * share * waited as f64 / SECOND as f64;
-        // A release takes twice the proof to undo and may wait: all hosts run the build by then.
-        let last = usize::from(news.stage) + 1 >= self.fig.stage_shares.len();
-        let waits = last && self.fig.gate == Gate::Single && self.fig.fleet > ROUTERS_PER_HOST
-            || met < CONVICTS * more;
-        let pauses = if known && !waits { 1 } else { 3 };
-        // Side by side a stage is cheaply taken back and a release is not: its vote waits for all traffic.
-        let beside = !self.fig.rolling && (!last || all && waited >= 4 * self.fig.go_wait);
-        let due = beside || self.fig.rolling && waited >= pauses * self.fig.go_wait + self.own_turn;
-        let go = self.sum() < QUIET_BELOW && due;
-        go.then_some((news.build, news.stage, RolloutVote::Promote))
+        StageProgress {
+            share,
+            is_last: stage + 1 >= shares.len(),
+            is_complete,
+            waited: self.now - latest_start.max(stage_began) - penalty,
+        }
     }
 
-    pub(super) fn cast(&mut self, out: Out) {
-        if self.vote_out && self.now >= self.vote_again_at {
-            // The desk never answered: the vote may count or not, so it is cast anew.
-            (self.vote_out, self.vote) = (false, None);
-        }
-        let (want, stands) = (self.verdict(), self.now < self.vote_stands_until);
-        if self.vote_out || self.now < self.vote_again_at || (want == self.vote && stands) {
-            return;
-        }
-        // A vote for going on must not stand while doubts have come up.
-        let doubted = self.vote.filter(|v| v.2 != RolloutVote::RollBack && stands);
-        if let Some((build, stage, verdict)) =
-            want.or(doubted.map(|v| (v.0, v.1, RolloutVote::Abstain)))
-        {
-            out.vote(build, stage, verdict);
-            (self.vote, self.vote_out) = (want, true);
-            self.vote_again_at = self.now + self.fig.vote_wait + SECOND / 2;
-            self.vote_stands_until = self.now + self.fig.vote_wait;
-        }
+    /// Whether the router has seen enough of the stage to vote after the usual wait. Where one vote is enough, the
+    /// fleet has seen many times what a quiet router has; but the one that votes against a build has to see enough of
+    /// it alone, the more so the more hosts follow.
+    fn knows_enough(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
+        let majority = self.config.gate == Gate::Majority;
+        let routers_alike = if majority {
+            1
+        } else {
+            self.config.fleet_size as u32
+        };
+        let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_alike)
+            .clamp(1, MIN_ANSWERS_TO_VOTE);
+        let counted = self.evidence.controller_answers_in_stage;
+        let answered = self.evidence.answers_in_stage >= enough
+            || counted >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
+        // A release takes twice the proof to undo and may wait: all hosts run the build by then.
+        let waits_for_release = progress.is_last
+            && self.config.gate == Gate::Single
+            && self.config.fleet_size > ROUTERS_PER_HOST;
+        let following = if majority {
+            0.0
+        } else {
+            let next = self.config.stage_shares.get(usize::from(status.stage) + 1);
+            next.map_or(0.0, |next| next - progress.share)
+        };
+        let met =
+            self.config.mean_command_rate * progress.share * progress.waited as f64 / SECOND as f64;
+        // Without quotas the rate is infinite, and its product with no wait is no number: that is not too few.
+        let too_few = met < MIN_ANSWERS_TO_CONVICT * following;
+        answered && !waits_for_release && !too_few
     }
 }
--- a/crates/spokeflow-core/src/state/operation.rs
+++ b/crates/spokeflow-core/src/state/operation.rs
@@ -58,9 +58,4 @@
             controller_baseline: 0.0,
         }
     }
-
-    /// Whether a repeat is harmless at any host.
-    pub fn repeats_anywhere(&self) -> bool {
-        self.repeat == Repeat::Idempotent || self.scope == DeduplicationScope::All
-    }
 }
