--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -128,7 +128,7 @@
             self.route(id, out);
         } else {
             self.waiting.push(tenant, id);
-            self.place_waiting(out);
+            self.route_waiting(out);
         }
     }
 
@@ -161,7 +161,7 @@
         for build in self.choose_builds(command, rule.floor).builds() {
             if !self.has_exposure(build, operation) {
                 at_cap = true;
-            } else if let Some(host) = self.place(id, build) {
+            } else if let Some(host) = self.choose_host(id, build) {
                 self.assign_key(key, build);
                 self.dispatch(id, host, out);
                 return true;
@@ -191,7 +191,7 @@
 
     /// Routes waiting commands by what their tenant was served of its quota: those of one far beyond it wait in vain.
     /// Ends where the hosts are full, so that many which wait cost no more with each that comes or goes.
-    pub(super) fn place_waiting(&mut self, out: Out) {
+    pub(super) fn route_waiting(&mut self, out: Out) {
         for tenant in self.waiting.by_service(&self.config.tenant_quotas) {
             let mut queue = self.waiting.take(tenant);
             let mut next = 0;
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -115,7 +115,7 @@
     }
 
     /// Of what the release controller calls lost, the part that would count as a failure if it were this router's own.
-    pub(super) fn failure_share(&self) -> f64 {
+    pub(super) fn failure_fraction(&self) -> f64 {
         (self.failed + 1.0) / (self.lost + 1.0)
     }
 }
@@ -273,11 +273,12 @@
         );
         let operation = answer.operation;
         let controller_loss = self.operations[operation].controller_loss;
-        let usual =
-            self.baseline.failures[operation].max(controller_loss * self.losses.failure_share());
+        let baseline_rate =
+            self.baseline.failures[operation].max(controller_loss * self.losses.failure_fraction());
         // Where much fails anyway, a failure more says less.
-        let gain =
-            (answer.failed - usual) * FAILURE_NOISE / (FAILURE_NOISE + usual) - FAILURE_MARGIN;
+        let gain = (answer.failed - baseline_rate) * FAILURE_NOISE
+            / (FAILURE_NOISE + baseline_rate)
+            - FAILURE_MARGIN;
         let thin_traffic =
             (self.config.fleet_size / ROUTERS_PER_HOST).clamp(1.0, MAX_THIN_TRAFFIC_WEIGHT);
         let gain = gain * self.tenant_errors.proof(answer.tenant) * thin_traffic;
--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -80,9 +80,9 @@
 }
 
 impl PeriodCount {
-    /// Slowness against a usual latency in seconds, as a logarithm.
-    fn slowness(&self, usual: f64) -> f64 {
-        (self.mean_latency.max(MIN_LATENCY) / usual.max(MIN_LATENCY))
+    /// Slowness against a baseline latency in seconds, as a logarithm.
+    fn slowness(&self, baseline: f64) -> f64 {
+        (self.mean_latency.max(MIN_LATENCY) / baseline.max(MIN_LATENCY))
             .ln()
             .clamp(-MAX_SLOWNESS, MAX_SLOWNESS)
     }
@@ -125,14 +125,14 @@
             .follow_period(self.now - stats.age, canary);
         let count = self.weigh_period(&stats);
         let waits = self.slowdowns.operations.excess(operation) > 0.0;
-        let usual = self.operations[operation].controller_baseline;
+        let baseline = self.operations[operation].controller_baseline;
         if self.is_earlier(stats.build, status.build) {
             self.operations[operation].learn_controller_count(&count, canary);
         } else if canary && !waits {
             self.count_trial_period(operation, &count);
         }
-        if canary && !waits && usual > 0.0 && self.evidence.controller_answers_in_stage > 0.0 {
-            let slowness = count.slowness(usual).min(MAX_SHARED_SLOWNESS);
+        if canary && !waits && baseline > 0.0 && self.evidence.controller_answers_in_stage > 0.0 {
+            let slowness = count.slowness(baseline).min(MAX_SHARED_SLOWNESS);
             let gain =
                 count.slowness_weight() * (slowness - count.explained - CONTROLLER_SLOWNESS_MARGIN);
             add_to(&mut self.evidence.shared_slowness, gain);
@@ -174,7 +174,7 @@
         let earlier = state.controller_count;
         self.evidence.controller_answers_in_stage += count.sampled;
         let unusual = count.lost - count.sampled * state.controller_loss;
-        let gain = self.losses.failure_share() * unusual - count.sampled * FAILURE_MARGIN;
+        let gain = self.losses.failure_fraction() * unusual - count.sampled * FAILURE_MARGIN;
         add_to(
             &mut self.evidence.failures[operation],
             gain.min(MAX_FAILURE_EVIDENCE),
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -2,7 +2,7 @@
 
 use super::analysis::WRONG_ANSWER_MARGIN;
 use super::evidence::ROLLBACK_EVIDENCE;
-use super::placement::COLD_FRACTION;
+use super::placement::SLOW_START_FRACTION;
 use super::SECOND;
 use crate::state::StartSpans;
 use crate::{Gate, Micros, ServiceConfig};
@@ -10,7 +10,7 @@
 /// Most deliveries of one command, whatever the deployment allows: more only add load to a service in trouble.
 const MAX_DELIVERIES: u32 = 4;
 /// Share of a fleet's routers whose rollback votes decide that counts as many.
-const FULL_QUORUM_SHARE: f64 = 0.2;
+const FULL_QUORUM_FRACTION: f64 = 0.2;
 /// The release controller starts its clock about this long after the hosts run; a vote before has no effect.
 const PROMOTE_DELAY: Micros = SECOND;
 /// Warm-up times for which a host counts as recently started.
@@ -39,7 +39,7 @@
     /// Length of the slots in which what a cold host is sent is bounded.
     pub(super) overload_window: Micros,
     /// Multiple of a host's mean traffic that it takes in one slot while cold, in seconds of its rate.
-    pub(super) cold_allowance: f64,
+    pub(super) slow_start_allowance: f64,
     pub(super) gate: Gate,
     /// Exposure cap before the release controller has said one.
     pub(super) first_stage_cap: f64,
@@ -75,7 +75,7 @@
         let quorum = config.gate != Gate::Single && config.rollback_votes > 0;
         let fleet_size = f64::from(config.fleet_size.max(1));
         let quorum_scale = if quorum {
-            (f64::from(config.rollback_votes) / fleet_size / FULL_QUORUM_SHARE).min(1.0)
+            (f64::from(config.rollback_votes) / fleet_size / FULL_QUORUM_FRACTION).min(1.0)
         } else {
             1.0
         };
@@ -93,7 +93,7 @@
             warm_up_time: config.warm_up_time.max(1),
             start_spans: start_spans(config),
             overload_window: config.overload_window.max(1),
-            cold_allowance: COLD_FRACTION
+            slow_start_allowance: SLOW_START_FRACTION
                 * config.overload_multiple
                 * config.overload_window as f64
                 / SECOND as f64,
--- a/crates/spokeflow-core/src/router/discovery.rs
+++ b/crates/spokeflow-core/src/router/discovery.rs
@@ -32,9 +32,9 @@
 
     fn failed(&mut self, now: Micros, rng: &mut Rng) {
         self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
-        let pause = self.backoff as usize;
-        let jitter = rng.below(pause / 2);
-        self.subscribe_at = Some(now + (pause + jitter) as Micros);
+        let backoff = self.backoff as usize;
+        let jitter = rng.below(backoff / 2);
+        self.subscribe_at = Some(now + (backoff + jitter) as Micros);
     }
 
     /// Whether to subscribe now; counts as done where it is.
@@ -63,7 +63,7 @@
                 .or_insert_with(|| self.hosts.add(endpoint));
             self.hosts.update(host, endpoint);
         }
-        self.place_waiting(out);
+        self.route_waiting(out);
     }
 
     /// The host list could not be had, or a subscription has ended.
--- a/crates/spokeflow-core/src/router/evidence.rs
+++ b/crates/spokeflow-core/src/router/evidence.rs
@@ -112,7 +112,7 @@
     fn hosts_to_convict(&self, host: usize, kind: EvidenceKind) -> f64 {
         let ready = self.hosts.ready_with(self.hosts.build(host));
         let peers = ready.len();
-        let met = if self.config.fleet_size > ROUTERS_PER_HOST {
+        let observed = if self.config.fleet_size > ROUTERS_PER_HOST {
             ready.observed()
         } else {
             peers
@@ -121,7 +121,8 @@
             .get(peers)
             .copied()
             .unwrap_or_else(|| {
-                (CONVICTING_FRACTION * met as f64).clamp(MIN_HOSTS_TO_CONVICT, MAX_HOSTS_TO_CONVICT)
+                (CONVICTING_FRACTION * observed as f64)
+                    .clamp(MIN_HOSTS_TO_CONVICT, MAX_HOSTS_TO_CONVICT)
             });
         match kind {
             EvidenceKind::Slowness => hosts.max(MIN_HOSTS_TO_CONVICT_OF_SLOWNESS),
--- a/crates/spokeflow-core/src/router/exposure.rs
+++ b/crates/spokeflow-core/src/router/exposure.rs
@@ -60,8 +60,8 @@
         self.forget_exposure();
         let slot = self.config.exposure_slot(operation);
         let received = self.exposure.received.count(|other| other == slot) as f64;
-        let wanted = Exposed { slot, build };
-        let sent = self.exposure.exposed.count(|other| other == wanted) as f64;
+        let exposed = Exposed { slot, build };
+        let sent = self.exposure.exposed.count(|other| other == exposed) as f64;
         sent + 1.0 <= self.config.exposure_allowance + cap * received
     }
 
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -14,7 +14,7 @@
 /// Ejections double with each failure in a row up to this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// How long a host that rejects is left alone: it is full, not sick.
-const REJECTION_PAUSE: Micros = 100 * MILLISECOND;
+const REJECTION_BACKOFF: Micros = 100 * MILLISECOND;
 /// Weight of the newest delivery in the share without a connection.
 const REFUSED_LEARN_RATE: f64 = 0.05;
 /// Slowdown, as a logarithm, that a refused connection or a time-out counts as.
@@ -35,7 +35,7 @@
             }
             AttemptOutcome::Rejected => {
                 let failures = self.hosts.consecutive_failures(host);
-                let until = self.now + REJECTION_PAUSE;
+                let until = self.now + REJECTION_BACKOFF;
                 let until = self.hosts.ejected_until(host).max(until);
                 self.hosts.set_suspicion(host, failures, until);
             }
@@ -50,11 +50,11 @@
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
-        let nothing_came_back = matches!(
+        let no_response = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotConnected
         );
-        if !nothing_came_back {
+        if !no_response {
             self.hosts.response_received(host);
         }
     }
@@ -83,7 +83,7 @@
     /// Guards against hosts that take work and answer nothing, long before their first time-out.
     pub(super) fn is_unresponsive(&self, host: usize) -> bool {
         let quiet = self.now.saturating_sub(self.hosts.quiet_since(host));
-        let usual = || {
+        let baseline = || {
             self.operations
                 .iter()
                 .map(|operation| operation.baseline.exp())
@@ -91,7 +91,7 @@
         };
         self.hosts.in_flight(host) > 0
             && quiet > UNRESPONSIVE_AFTER
-            && quiet > UNRESPONSIVE_BASELINES * usual()
+            && quiet > UNRESPONSIVE_BASELINES * baseline()
     }
 
     /// Whether a time-out is likely the host's own doing.
@@ -100,13 +100,13 @@
     }
 
     /// Counts a failure in a row, unless the host is ejected already, and ejects it for longer with each.
-    fn eject(&mut self, host: usize, pause: Micros) {
+    fn eject(&mut self, host: usize, duration: Micros) {
         if self.now < self.hosts.ejected_until(host) {
             return;
         }
         let failures = self.hosts.consecutive_failures(host);
-        let pause = pause << failures.min(MAX_EJECTION_DOUBLINGS);
+        let duration = duration << failures.min(MAX_EJECTION_DOUBLINGS);
         self.hosts
-            .set_suspicion(host, failures + 1, self.now + pause);
+            .set_suspicion(host, failures + 1, self.now + duration);
     }
 }
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -9,7 +9,7 @@
 /// Routers that each host is met by at least: uneven traffic evens out.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
 /// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is for chance.
-pub(super) const COLD_FRACTION: f64 = 0.9;
+pub(super) const SLOW_START_FRACTION: f64 = 0.9;
 /// Part of the latency objective that deliveries spend at hosts before these count as full.
 pub(super) const CONCURRENCY_OBJECTIVE_FRACTION: f64 = 0.4;
 /// How far above what lately came back the deliveries in flight may be, so that the limit can rise.
@@ -45,7 +45,7 @@
 
 impl Router {
     /// Two random choices among the fit hosts of a build, by least load score.
-    pub(super) fn place(&mut self, id: CommandId, build: BuildId) -> Option<usize> {
+    pub(super) fn choose_host(&mut self, id: CommandId, build: BuildId) -> Option<usize> {
         let command = &self.commands[&id];
         if self.at_concurrency_limit(command.operation) {
             return None;
@@ -167,8 +167,8 @@
         let by_fleet = ROUTERS_PER_HOST / self.config.fleet_size;
         let by_traffic =
             SUBSET_PER_COMMAND * self.load.flow.received / self.hosts.ready_count() as f64;
-        let wanted = (candidates.len() as f64 * by_fleet.max(by_traffic)).ceil() as usize;
-        let own = wanted.max(MIN_SUBSET);
+        let target = (candidates.len() as f64 * by_fleet.max(by_traffic)).ceil() as usize;
+        let own = target.max(MIN_SUBSET);
         let others = candidates.len().saturating_sub(own);
         Subset {
             candidates: self.hosts.first_by_rank(candidates, own),
@@ -207,19 +207,19 @@
     fn may_take(&self, host: usize, traffic_multiple: f64) -> bool {
         let age = self.hosts.age(host);
         if age < self.config.start_spans.bounded
-            && !self.cold_host_may_take(host, age, traffic_multiple)
+            && !self.slow_start_allows(host, age, traffic_multiple)
         {
             return false;
         }
         self.hosts.consecutive_failures(host) == 0 || self.hosts.in_flight(host) == 0
     }
 
-    fn cold_host_may_take(&self, host: usize, age: Micros, traffic_multiple: f64) -> bool {
+    fn slow_start_allows(&self, host: usize, age: Micros, traffic_multiple: f64) -> bool {
         let slot = age / self.config.overload_window;
         let started_at = self.now - age;
         let sent = self.hosts.sent_in_slot(host, slot);
         // The first slot follows no other.
-        let part = self.config.cold_allowance
+        let part = self.config.slow_start_allowance
             * self.warm_up_fraction(age)
             * self.load.answers_per_host
             * traffic_multiple
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -93,7 +93,7 @@
         } else {
             self.retry_or_abort(id, outcome.may_have_run(), out);
         }
-        self.place_waiting(out);
+        self.route_waiting(out);
     }
 
     /// Ends an open delivery and returns it; `None` where there is none of this number.
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -55,10 +55,10 @@
         self.learn_baseline_load();
         self.ticks.ticked_at = self.now;
         self.hosts.forget_suspects();
-        self.place_waiting(out);
+        self.route_waiting(out);
         self.expire_waiting(out);
         self.hedge(out);
-        self.cast_vote(out);
+        self.send_vote(out);
         if self.subscription.take_due(self.now) {
             out.watch_list();
         }
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -25,9 +25,9 @@
 /// What is taken off the wait while a stage's hosts are not listed.
 const UNLISTED_PENALTY: Micros = 8 * SECOND;
 /// Pause after a vote that is stale, and after one that was not taken for another reason; chance is added to both.
-const STALE_PAUSE: Micros = SECOND;
-const REFUSED_PAUSE: Micros = 200 * MILLISECOND;
-const PAUSE_JITTER: usize = 200_000;
+const STALE_VOTE_BACKOFF: Micros = SECOND;
+const REFUSED_VOTE_BACKOFF: Micros = 200 * MILLISECOND;
+const VOTE_BACKOFF_JITTER: usize = 200_000;
 /// What is allowed beyond the time in which the release controller should answer a vote.
 const OUTCOME_SLACK: Micros = SECOND / 2;
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 struct StageProgress {
     /// Share of the hosts that run the build in this stage.
-    share: f64,
+    hosts_fraction: f64,
     is_last: bool,
     /// All hosts of the stage are ready.
     is_complete: bool,
@@ -87,22 +87,22 @@
             self.voting.valid_until = self.now + self.config.vote_lifetime * 7 / 10;
             return;
         }
-        let pause = if outcome == VoteOutcome::Stale {
-            STALE_PAUSE
+        let backoff = if outcome == VoteOutcome::Stale {
+            STALE_VOTE_BACKOFF
         } else {
-            REFUSED_PAUSE
+            REFUSED_VOTE_BACKOFF
         };
-        let jitter = self.rng.below(PAUSE_JITTER) as Micros;
-        self.voting.again_at = self.now + pause + jitter;
+        let jitter = self.rng.below(VOTE_BACKOFF_JITTER) as Micros;
+        self.voting.again_at = self.now + backoff + jitter;
         self.voting.last = None;
     }
 
     /// Casts the vote that the evidence calls for, where it is not the one that counts already.
-    pub(super) fn cast_vote(&mut self, out: Out) {
+    pub(super) fn send_vote(&mut self, out: Out) {
         self.voting.expire(self.now);
-        let wanted = self.wanted_vote();
+        let next = self.next_vote();
         let valid = self.now < self.voting.valid_until;
-        let repeats = wanted == self.voting.last && valid;
+        let repeats = next == self.voting.last && valid;
         if self.voting.awaits_outcome || self.now < self.voting.again_at || repeats {
             return;
         }
@@ -115,18 +115,18 @@
                 vote: RolloutVote::Abstain,
                 ..last
             });
-        let Some(vote) = wanted.or(taken_back) else {
+        let Some(vote) = next.or(taken_back) else {
             return;
         };
         out.vote(vote.build, vote.stage, vote.vote);
-        self.voting.last = wanted;
+        self.voting.last = next;
         self.voting.awaits_outcome = true;
         self.voting.again_at = self.now + self.config.vote_timeout + OUTCOME_SLACK;
         self.voting.valid_until = self.now + self.config.vote_timeout;
     }
 
     /// The vote that the evidence calls for.
-    fn wanted_vote(&self) -> Option<Vote> {
+    fn next_vote(&self) -> Option<Vote> {
         let status = self.rollout.status?;
         let canary = match status.state {
             RolloutState::Canary => true,
@@ -185,8 +185,8 @@
 
     fn stage_progress(&self, status: &RolloutStatus) -> StageProgress {
         let stage = usize::from(status.stage);
-        let shares = &self.config.stage_shares;
-        let share = shares.get(stage).copied().unwrap_or(1.0);
+        let fractions = &self.config.stage_shares;
+        let hosts_fraction = fractions.get(stage).copied().unwrap_or(1.0);
         let ready = self.hosts.ready_with(status.build);
         let latest_start = ready.latest_start().unwrap_or(0);
         let earlier: usize = self
@@ -196,7 +196,7 @@
             .map(|(_, ready)| ready.len())
             .sum();
         let is_complete =
-            !ready.is_empty() && ready.len() as f64 >= (share * earlier as f64).floor();
+            !ready.is_empty() && ready.len() as f64 >= (hosts_fraction * earlier as f64).floor();
         let stage_began = self.rollout.stage_began;
         let penalty = if !is_complete && latest_start <= stage_began {
             UNLISTED_PENALTY
@@ -204,8 +204,8 @@
             0
         };
         StageProgress {
-            share,
-            is_last: stage + 1 >= shares.len(),
+            hosts_fraction,
+            is_last: stage + 1 >= fractions.len(),
             is_complete,
             waited: self.now - latest_start.max(stage_began) - penalty,
         }
@@ -223,9 +223,9 @@
         };
         let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_alike)
             .clamp(1, MIN_ANSWERS_TO_VOTE);
-        let counted = self.evidence.controller_answers_in_stage;
+        let controller_answers = self.evidence.controller_answers_in_stage;
         let answered = self.evidence.answers_in_stage >= enough
-            || counted >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
+            || controller_answers >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
         // A release takes twice the proof to undo and may wait: all hosts run the build by then.
         let waits_for_release = progress.is_last
             && self.config.gate == Gate::Single
@@ -234,12 +234,13 @@
             0.0
         } else {
             let next = self.config.stage_shares.get(usize::from(status.stage) + 1);
-            next.map_or(0.0, |next| next - progress.share)
+            next.map_or(0.0, |next| next - progress.hosts_fraction)
         };
-        let met =
-            self.config.mean_command_rate * progress.share * progress.waited as f64 / SECOND as f64;
+        let expected_answers =
+            self.config.mean_command_rate * progress.hosts_fraction * progress.waited as f64
+                / SECOND as f64;
         // Without quotas the rate is infinite, and its product with no wait is no number: that is not too few.
-        let too_few = met < MIN_ANSWERS_TO_CONVICT * following;
+        let too_few = expected_answers < MIN_ANSWERS_TO_CONVICT * following;
         answered && !waits_for_release && !too_few
     }
 }
