--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -148,7 +148,7 @@
             start.saturating_sub(known.0) >= PROCESSES as u64 || processes.contains(&known.1);
         let (process, own) = (
             processes.last().copied().unwrap_or(0),
-            id == self.keeper.raft().own(),
+            id == self.keeper.raft().id(),
         );
         if own || known != (0, 0) && (start < known.0 || !remembers) {
             let text = format!(
@@ -180,8 +180,8 @@
             }
         });
         let (members, own) = (
-            self.keeper.raft().members().to_vec(),
-            self.keeper.raft().own(),
+            self.keeper.raft().voters().to_vec(),
+            self.keeper.raft().id(),
         );
         for member in members.into_iter().filter(|m| *m != own) {
             self.link(member);
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -68,7 +68,7 @@
         _ => ConfigState::decode(&saved.snapshot.state).unwrap(),
     };
     for entry in &saved.log {
-        if let Payload::Command(bytes) = &entry.body {
+        if let Payload::Command(bytes) = &entry.payload {
             ledger.apply(LogCommand::decode(bytes).expect("an act of this version"));
         }
     }
@@ -164,7 +164,7 @@
         (saved.snapshot.last_included_index, saved.snapshot.term),
         (LogIndex(500), Term(4))
     );
-    assert_eq!(saved.snapshot.members, keepers());
+    assert_eq!(saved.snapshot.voters, keepers());
     assert_eq!(
         saved.snapshot.last_included_index.0 + saved.log.len() as u64,
         printed.committed.0
--- a/crates/spokeflow-coordination/src/coordinator.rs
+++ b/crates/spokeflow-coordination/src/coordinator.rs
@@ -5,8 +5,8 @@
 
 use spokeflow_core::Micros;
 use spokeflow_raft::{
-    LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
-    RaftNode, Term,
+    CommittedEntry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState,
+    RaftConfig, RaftNode, Term,
 };
 
 use crate::wire::{ClusterStatus, Request, Response, ToNode};
@@ -175,7 +175,7 @@
 
     /// Told to routers: those whose first keepers have all been replaced would else find none.
     fn seat(&mut self) {
-        let members = self.raft.members().iter();
+        let members = self.raft.voters().iter();
         let addresses: Vec<String> = members
             .filter_map(|m| self.address(*m))
             .map(str::to_string)
@@ -450,11 +450,11 @@
         ClusterStatus {
             leader: self.terms.id,
             term: self.raft.term(),
-            committed: self.raft.committed(),
+            committed: self.raft.commit_index(),
             in_force: self.config.in_force.clone(),
             pending: self.config.pending.clone(),
             history: self.config.history.iter().cloned().collect(),
-            voters: self.raft.members().to_vec(),
+            voters: self.raft.voters().to_vec(),
             addresses: self
                 .config
                 .addresses
@@ -487,10 +487,10 @@
                 (self.applied, step.config_changed) = (snapshot.last_included_index, true);
                 self.note_hosts(now);
             }
-            for (place, entry) in std::mem::take(&mut out.committed) {
-                self.applied = place;
+            for CommittedEntry { index, entry } in std::mem::take(&mut out.committed) {
+                self.applied = index;
                 step.config_changed = true;
-                if let Payload::Command(bytes) = entry.body {
+                if let Payload::Command(bytes) = entry.payload {
                     if let Some(act) = LogCommand::decode(&bytes) {
                         let listed =
                             matches!(act, LogCommand::UpdateList(_) | LogCommand::TrustList);
@@ -505,7 +505,7 @@
             step.persist_requests.append(&mut out.persist_requests);
             let messages = out.messages.drain(..);
             step.messages
-                .extend(messages.map(|(to, m)| (to, ToNode::Raft(m))));
+                .extend(messages.map(|sent| (sent.to, ToNode::Raft(sent.message))));
             if !self.rule(now, &mut out) {
                 break;
             }
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -22,7 +22,7 @@
     LogCommand, Overrides, Proposal, ProposalOutcome, Rejection, Revision, RevisionNumber,
     RevisionRecord, RevisionRef, SourceUpdate, VoterAddresses,
 };
-use spokeflow_raft::{Entry, LogIndex, Message, NodeId, Payload, Snapshot, Term};
+use spokeflow_raft::{AppendOutcome, Entry, LogIndex, Message, NodeId, Payload, Snapshot, Term};
 
 const FRAMES: &str = include_str!("fixtures/d62ab1d/frames.txt");
 const RECORDS: &str = include_str!("fixtures/d62ab1d/records.txt");
@@ -210,15 +210,15 @@
     vec![
         Entry {
             term: Term(1_011),
-            body: Payload::Noop,
+            payload: Payload::Noop,
         },
         Entry {
             term: Term(1_012),
-            body: Payload::Command(vec![7, 8, 9]),
+            payload: Payload::Command(vec![7, 8, 9]),
         },
         Entry {
             term: Term(1_013),
-            body: Payload::Membership(vec![NodeId(5), NodeId(6)]),
+            payload: Payload::Membership(vec![NodeId(5), NodeId(6)]),
         },
     ]
 }
@@ -248,7 +248,7 @@
     let snapshot = Snapshot {
         last_included_index: LogIndex(1_002),
         term: Term(1_003),
-        members: vec![NodeId(5), NodeId(6)],
+        voters: vec![NodeId(5), NodeId(6)],
         state: vec![1, 2, 3],
     };
     Message::InstallSnapshot {
@@ -258,11 +258,11 @@
     }
 }
 
-fn appended(upto: Result<LogIndex, LogIndex>) -> ToNode {
+fn appended(outcome: AppendOutcome) -> ToNode {
     ToNode::Raft(Message::AppendEntriesResponse {
         term: Term(1_001),
         round: 1_002,
-        match_index: upto,
+        outcome,
     })
 }
 
@@ -326,11 +326,11 @@
         ("ToKeeper::Quorum/Append", ToNode::Raft(append())),
         (
             "ToKeeper::Quorum/Appended/agrees",
-            appended(Ok(LogIndex(1_003))),
+            appended(AppendOutcome::Matched(LogIndex(1_003))),
         ),
         (
             "ToKeeper::Quorum/Appended/differs",
-            appended(Err(LogIndex(1_004))),
+            appended(AppendOutcome::Mismatched(LogIndex(1_004))),
         ),
         ("ToKeeper::Quorum/Install", ToNode::Raft(install())),
     ]
@@ -702,7 +702,7 @@
     check_every_kind::<ToNode>(&bodies, &[2, 5]);
     let names = entries_of_each_body()
         .iter()
-        .map(|e| name_of_body(&e.body))
+        .map(|e| name_of_body(&e.payload))
         .collect::<Vec<_>>();
     assert_eq!(names, ["Begin", "Act", "Members"]);
 }
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -289,7 +289,7 @@
     let (term, before) = (Term(12), LogIndex(REQUEST));
     let entries = vec![Entry {
         term,
-        body: Payload::Command(act.encode()),
+        payload: Payload::Command(act.encode()),
     }];
     let append = Message::AppendEntries {
         term,
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -371,7 +371,7 @@
             2.0,
         ),
         (
-            "crates/spokeflow-raft/src/node.rs",
+            "crates/spokeflow-raft/src/node/replication.rs",
             "const MAX_ENTRIES_PER_MESSAGE: usize = 64;",
             limits::ENTRIES_PER_MESSAGE,
             64.0,
--- a/crates/spokeflow-raft/src/lib.rs
+++ b/crates/spokeflow-raft/src/lib.rs
@@ -1,14 +1,24 @@
-//! The keepers' replicated log, without I/O: messages, time and chance are handed in; messages, writes to be synced,
-//! what is committed and the next wake-up come out. The algorithm is Raft's (Ongaro and Ousterhout, "In Search of an
-//! Understandable Consensus Algorithm", and Ongaro's dissertation for pre-votes, the check of quorum and leases).
+//! The Raft consensus algorithm as a state machine, without I/O.
 //!
-//! `docs/agreement.md` tells what is built and what is not yet.
+//! A [`RaftNode`] is handed messages, the time and the confirmations of its writes. It hands out messages to send,
+//! writes to sync, committed entries to apply and the time of its next wake-up. The algorithm is that of Ongaro and
+//! Ousterhout, "In Search of an Understandable Consensus Algorithm"; pre-vote, the leader's check of its quorum, leader
+//! leases and membership changes of one node at a time are those of Ongaro's dissertation.
+//!
+//! `docs/agreement.md` says what is built and what is not yet.
 
+mod config;
+mod error;
+mod log;
+mod message;
 mod node;
-mod types;
+mod output;
+mod persistent_state;
 
+pub use config::RaftConfig;
+pub use error::ProposeError;
+pub use log::{Entry, LogIndex, NodeId, Payload, Snapshot, Term};
+pub use message::{AppendOutcome, Message};
 pub use node::RaftNode;
-pub use types::{
-    Entry, LogIndex, Message, NodeId, Output, Payload, PersistRequest, PersistentState, RaftConfig,
-    Snapshot, Term,
-};
+pub use output::{CommittedEntry, OutgoingMessage, Output};
+pub use persistent_state::{PersistRequest, PersistentState};
--- a/crates/spokeflow-raft/tests/node.rs
+++ b/crates/spokeflow-raft/tests/node.rs
@@ -1,55 +1,50 @@
-//! One member among scripted others: what drawn days and the search meet too seldom.
+//! One node among scripted peers: cases that random faults and the exhaustive search meet too rarely.
 
+mod common;
+
+use common::{config, ELECTION_TIMEOUT};
 use spokeflow_core::Micros;
 use spokeflow_raft::{
-    Entry, LogIndex, Message, NodeId, Output, Payload, PersistentState, RaftConfig, RaftNode,
-    Snapshot, Term,
+    AppendOutcome, CommittedEntry, Entry, LogIndex, Message, NodeId, OutgoingMessage, Output,
+    Payload, PersistentState, RaftNode, Snapshot, Term,
 };
 
-const SILENCE: Micros = 300_000;
-const A: NodeId = NodeId(1);
-const B: NodeId = NodeId(2);
+const PEER_A: NodeId = NodeId(1);
+const PEER_B: NodeId = NodeId(2);
 
+/// Node 0 of three, started from this state at time 0.
 fn started(saved: PersistentState) -> RaftNode {
-    let members = (0..3).map(NodeId).collect();
-    let terms = RaftConfig {
-        voters: members,
-        election_timeout: SILENCE,
-        heartbeat_interval: 60_000,
-        max_clock_drift: 0.01,
-    };
-    RaftNode::new(NodeId(0), terms, 7, saved, 0)
+    RaftNode::new(NodeId(0), config(0..3), 7, saved, 0)
 }
 
-fn hear(member: &mut RaftNode, now: Micros, from: NodeId, message: Message) -> Output {
+fn deliver(node: &mut RaftNode, now: Micros, from: NodeId, message: Message) -> Output {
     let mut out = Output::default();
-    member.on_message(now, from, message, &mut out);
+    node.on_message(now, from, message, &mut out);
     out
 }
 
-/// Syncs all that was written.
-fn sync(member: &mut RaftNode, now: Micros, written: &Output) -> Output {
+/// Confirms all writes of an output.
+fn sync(node: &mut RaftNode, now: Micros, written: &Output) -> Output {
     let mut out = Output::default();
-    written
-        .persist_requests
-        .iter()
-        .for_each(|w| member.on_persisted(now, w.sequence, &mut out));
+    for write in &written.persist_requests {
+        node.on_persisted(now, write.sequence, &mut out);
+    }
     out
 }
 
-fn append(term: u64) -> Message {
-    let (before, prev_log_term, committed) = (LogIndex(0), Term(0), LogIndex(0));
+fn heartbeat(term: u64) -> Message {
     Message::AppendEntries {
         term: Term(term),
-        prev_log_index: before,
-        prev_log_term,
+        prev_log_index: LogIndex(0),
+        prev_log_term: Term(0),
         entries: vec![],
-        leader_commit: committed,
+        leader_commit: LogIndex(0),
         round: 1,
     }
 }
 
-fn stand(term: u64) -> Message {
+/// From a candidate whose log is ahead of any other.
+fn request_vote(term: u64) -> Message {
     Message::RequestVote {
         term: Term(term),
         last_log_index: LogIndex(99),
@@ -57,226 +52,245 @@
     }
 }
 
-/// Elects it for the next term; answers when, and what it then says, its first entry not synced.
-fn elected(member: &mut RaftNode) -> (Micros, Output) {
-    let (now, mut out) = (member.next_wake(), Output::default());
-    member.on_timer(now, &mut out);
-    let term = Term(member.term().0 + 1);
-    let out = hear(
-        member,
-        now,
-        A,
-        Message::VoteResponse {
-            term,
-            pre_vote: true,
-            granted: true,
-        },
-    );
-    let asked = sync(member, now, &out);
+fn vote(term: Term, pre_vote: bool) -> Message {
+    Message::VoteResponse {
+        term,
+        pre_vote,
+        granted: true,
+    }
+}
+
+fn matched(term: Term, index: u64) -> Message {
+    Message::AppendEntriesResponse {
+        term,
+        round: 1,
+        outcome: AppendOutcome::Matched(LogIndex(index)),
+    }
+}
+
+fn mismatched(term: Term, round: u64, index: u64) -> Message {
+    Message::AppendEntriesResponse {
+        term,
+        round,
+        outcome: AppendOutcome::Mismatched(LogIndex(index)),
+    }
+}
+
+fn command(value: u8) -> Entry {
+    Entry {
+        term: Term(1),
+        payload: Payload::Command(vec![value]),
+    }
+}
+
+/// Elects the node for the next term. Returns when, and its output then; its first entry is not synced.
+fn elect(node: &mut RaftNode) -> (Micros, Output) {
+    let now = node.next_wake();
+    let mut out = Output::default();
+    node.on_timer(now, &mut out);
+    let term = Term(node.term().0 + 1);
+    let out = deliver(node, now, PEER_A, vote(term, true));
+    let requests = sync(node, now, &out);
     assert!(
-        matches!(asked.messages[0].1, Message::RequestVote { .. }),
-        "{asked:?}"
+        matches!(requests.messages[0].message, Message::RequestVote { .. }),
+        "{requests:?}"
     );
-    let out = hear(
-        member,
-        now,
-        A,
-        Message::VoteResponse {
-            term,
-            pre_vote: false,
-            granted: true,
-        },
-    );
-    assert!(member.is_leader());
+    let out = deliver(node, now, PEER_A, vote(term, false));
+    assert!(node.is_leader());
     (now, out)
 }
 
 #[test]
-fn while_a_leader_may_hold_its_lease_no_vote_is_given_and_no_later_term_heard() {
-    let mut member = started(PersistentState::default());
-    let out = hear(&mut member, SILENCE, A, append(3));
-    sync(&mut member, SILENCE, &out);
-    hear(&mut member, 2 * SILENCE - 1, B, stand(9));
+fn while_a_leader_may_hold_its_lease_no_vote_is_given_and_no_later_term_adopted() {
+    let mut node = started(PersistentState::default());
+    let out = deliver(&mut node, ELECTION_TIMEOUT, PEER_A, heartbeat(3));
+    sync(&mut node, ELECTION_TIMEOUT, &out);
+    deliver(&mut node, 2 * ELECTION_TIMEOUT - 1, PEER_B, request_vote(9));
     assert_eq!(
-        member.term(),
+        node.term(),
         Term(3),
         "an old message would end a lease early"
     );
-    let out = hear(&mut member, 2 * SILENCE, B, stand(9));
-    let out = sync(&mut member, 2 * SILENCE, &out);
+    let out = deliver(&mut node, 2 * ELECTION_TIMEOUT, PEER_B, request_vote(9));
+    let out = sync(&mut node, 2 * ELECTION_TIMEOUT, &out);
     assert!(
         matches!(
             out.messages[..],
-            [(B, Message::VoteResponse { granted: true, .. })]
+            [OutgoingMessage {
+                to: PEER_B,
+                message: Message::VoteResponse { granted: true, .. }
+            }]
         ),
         "{out:?}"
     );
 }
 
 #[test]
-fn a_member_that_has_just_started_may_have_heard_a_leader_and_votes_for_nobody() {
-    let mut member = started(PersistentState::default());
-    let out = hear(&mut member, SILENCE - 1, B, stand(9));
+fn a_node_that_has_just_started_may_have_heard_from_a_leader_and_votes_for_nobody() {
+    let mut node = started(PersistentState::default());
+    let out = deliver(&mut node, ELECTION_TIMEOUT - 1, PEER_B, request_vote(9));
     assert!(
         matches!(
             out.messages[..],
-            [(B, Message::VoteResponse { granted: false, .. })]
+            [OutgoingMessage {
+                to: PEER_B,
+                message: Message::VoteResponse { granted: false, .. }
+            }]
         ),
         "{out:?}"
     );
 }
 
 #[test]
-fn a_lease_runs_from_the_sending_of_the_round_and_is_shorter_than_the_silence_by_the_drift() {
-    let mut member = started(PersistentState::default());
-    let (at, out) = elected(&mut member);
-    assert!(!member.has_recent_quorum(at), "nobody has answered yet");
-    let round = out.messages.iter().find_map(|m| match m.1 {
+fn a_lease_runs_from_the_sending_of_the_round_and_is_shorter_than_the_timeout_by_the_drift() {
+    let mut node = started(PersistentState::default());
+    let (elected_at, out) = elect(&mut node);
+    assert!(
+        !node.has_recent_quorum(elected_at),
+        "nobody has answered yet"
+    );
+    let round = out.messages.iter().find_map(|sent| match sent.message {
         Message::AppendEntries { round, .. } => Some(round),
         _ => None,
     });
-    let term = member.term();
-    let answer = Message::AppendEntriesResponse {
-        term,
-        round: round.unwrap(),
-        match_index: Err(LogIndex(0)),
-    };
-    hear(&mut member, at + 200_000, B, answer);
+    let answer = mismatched(node.term(), round.unwrap(), 0);
+    deliver(&mut node, elected_at + 200_000, PEER_B, answer);
     // The voter's clock runs 1% fast, this one 1% slow.
-    let lease = (SILENCE as f64 * 0.99 / 1.01) as Micros;
-    assert!(member.has_recent_quorum(at + lease - 1) && !member.has_recent_quorum(at + lease + 1));
+    let lease = (ELECTION_TIMEOUT as f64 * 0.99 / 1.01) as Micros;
+    assert!(
+        node.has_recent_quorum(elected_at + lease - 1)
+            && !node.has_recent_quorum(elected_at + lease + 1)
+    );
 }
 
 #[test]
 fn an_own_entry_counts_once_it_is_synced_and_one_of_an_earlier_term_not_by_itself() {
     let old = Entry {
         term: Term(1),
-        body: Payload::Command(b"old".to_vec()),
+        payload: Payload::Command(b"old".to_vec()),
     };
-    let mut member = started(PersistentState {
+    let mut node = started(PersistentState {
         term: Term(1),
         log: vec![old.clone()],
         ..PersistentState::default()
     });
-    let (at, written) = elected(&mut member);
-    let term = member.term();
-    let answer = |upto| Message::AppendEntriesResponse {
-        term,
-        round: 1,
-        match_index: Ok(LogIndex(upto)),
-    };
-    // Most hold the entry of term 1, and yet a later leader without it may be elected.
-    assert!(hear(&mut member, at, A, answer(1)).committed.is_empty());
+    let (now, written) = elect(&mut node);
+    let term = node.term();
+    // A majority has the entry of term 1, and yet a later leader without it may be elected.
+    assert!(deliver(&mut node, now, PEER_A, matched(term, 1))
+        .committed
+        .is_empty());
     assert!(
-        hear(&mut member, at, A, answer(2)).committed.is_empty(),
+        deliver(&mut node, now, PEER_A, matched(term, 2))
+            .committed
+            .is_empty(),
         "the own one is not synced"
     );
-    let committed = sync(&mut member, at, &written).committed;
+    let committed = sync(&mut node, now, &written).committed;
     assert_eq!(
-        committed.iter().map(|c| c.0).collect::<Vec<_>>(),
+        committed
+            .iter()
+            .map(|committed| committed.index)
+            .collect::<Vec<_>>(),
         [LogIndex(1), LogIndex(2)]
     );
-    assert_eq!(committed[0].1, old);
-}
-
-fn appended(term: Term, round: u64, upto: u64) -> Message {
-    Message::AppendEntriesResponse {
-        term,
-        round,
-        match_index: Ok(LogIndex(upto)),
-    }
+    let CommittedEntry { entry, .. } = &committed[0];
+    assert_eq!(*entry, old);
 }
 
 #[test]
-fn members_change_one_at_a_time_and_not_before_an_own_entry_is_committed() {
-    let mut member = started(PersistentState::default());
-    let (at, written) = elected(&mut member);
-    let (term, mut out) = (member.term(), Output::default());
+fn voters_change_one_at_a_time_and_not_before_an_own_entry_is_committed() {
+    let mut node = started(PersistentState::default());
+    let (now, written) = elect(&mut node);
+    let term = node.term();
+    let mut out = Output::default();
     let four: Vec<NodeId> = (0..4).map(NodeId).collect();
-    hear(
-        &mut member,
-        at,
-        A,
-        Message::AppendEntriesResponse {
-            term,
-            round: 1,
-            match_index: Err(LogIndex(0)),
-        },
-    );
+    deliver(&mut node, now, PEER_A, mismatched(term, 1, 0));
     assert!(
-        member.has_recent_quorum(at)
-            && member
-                .propose_membership(at, four.clone(), &mut out)
+        node.has_recent_quorum(now)
+            && node
+                .propose_membership(now, four.clone(), &mut out)
                 .is_none(),
-        "nothing of its own stands"
+        "no entry of its own is committed"
     );
-    sync(&mut member, at, &written);
-    hear(&mut member, at, A, appended(term, 1, 1));
+    sync(&mut node, now, &written);
+    deliver(&mut node, now, PEER_A, matched(term, 1));
     assert!(
-        member
-            .propose_membership(at, (0..5).map(NodeId).collect(), &mut out)
+        node.propose_membership(now, (0..5).map(NodeId).collect(), &mut out)
             .is_none(),
         "two at once"
     );
     let mut out = Output::default();
     assert_eq!(
-        member.propose_membership(at, four, &mut out),
+        node.propose_membership(now, four, &mut out),
         Some(LogIndex(2))
     );
     assert!(
-        member
-            .propose_membership(at, vec![NodeId(0), A, B], &mut out)
+        node.propose_membership(now, vec![NodeId(0), PEER_A, PEER_B], &mut out)
             .is_none(),
         "one is under way"
     );
     // Three of four are needed at once: the change counts from its entry on.
-    sync(&mut member, at, &out);
-    assert!(hear(&mut member, at, A, appended(term, 1, 2))
+    sync(&mut node, now, &out);
+    assert!(deliver(&mut node, now, PEER_A, matched(term, 2))
         .committed
         .is_empty());
     assert_eq!(
-        hear(&mut member, at, NodeId(3), appended(term, 1, 2))
+        deliver(&mut node, now, NodeId(3), matched(term, 2))
             .committed
             .len(),
         1
     );
 }
 
-#[test]
-fn a_follower_behind_the_snapshot_gets_it_and_an_old_append_into_it_cuts_nothing() {
-    let act = |n: u8| Entry {
-        term: Term(1),
-        body: Payload::Command(vec![n]),
-    };
-    let mut member = started(PersistentState {
+/// Whether the only message tells `PEER_A` that the log matches up to index 4.
+fn answers_matched_4(out: &Output) -> bool {
+    matches!(
+        out.messages[..],
+        [OutgoingMessage {
+            to: PEER_A,
+            message: Message::AppendEntriesResponse {
+                outcome: AppendOutcome::Matched(LogIndex(4)),
+                ..
+            }
+        }]
+    )
+}
+
+/// A leader whose log up to index 4 is a snapshot, when it was elected, and what it sends to a peer that lacks
+/// entry 2.
+fn compacted_leader() -> (RaftNode, Micros, Output) {
+    let mut node = started(PersistentState {
         term: Term(1),
-        log: (1..5).map(act).collect(),
+        log: (1..5).map(command).collect(),
         ..PersistentState::default()
     });
-    let (at, written) = elected(&mut member);
-    let term = member.term();
-    hear(&mut member, at, A, appended(term, 1, 5));
-    sync(&mut member, at, &written);
+    let (now, written) = elect(&mut node);
+    let term = node.term();
+    deliver(&mut node, now, PEER_A, matched(term, 5));
+    sync(&mut node, now, &written);
     let mut out = Output::default();
-    member.compact(LogIndex(4), b"four".to_vec(), &mut out);
-    assert_eq!((member.log_len(), out.persist_requests.len()), (1, 1));
-    sync(&mut member, at, &out);
-    let asks = Message::AppendEntriesResponse {
-        term,
-        round: 1,
-        match_index: Err(LogIndex(1)),
-    };
-    let out = hear(&mut member, at, B, asks);
-    let Message::InstallSnapshot { snapshot, .. } = &out.messages[0].1 else {
+    node.compact(LogIndex(4), b"four".to_vec(), &mut out);
+    assert_eq!((node.log_len(), out.persist_requests.len()), (1, 1));
+    sync(&mut node, now, &out);
+    let out = deliver(&mut node, now, PEER_B, mismatched(term, 1, 1));
+    (node, now, out)
+}
+
+#[test]
+fn a_follower_behind_the_snapshot_gets_it_and_an_old_append_into_it_cuts_nothing() {
+    let (leader, now, out) = compacted_leader();
+    let term = leader.term();
+    let Message::InstallSnapshot { snapshot, .. } = &out.messages[0].message else {
         panic!("{out:?}")
     };
-    let mut other = started(PersistentState::default());
+    let mut follower = started(PersistentState::default());
     let install = Message::InstallSnapshot {
         term,
         snapshot: snapshot.clone(),
         round: 2,
     };
-    let written = hear(&mut other, at, A, install);
+    let written = deliver(&mut follower, now, PEER_A, install);
     assert!(
         written.messages.is_empty(),
         "no promise before the snapshot is on the disk"
@@ -285,86 +299,58 @@
         written
             .restored
             .as_ref()
-            .map(|s: &Snapshot| s.state.as_slice()),
+            .map(|snapshot: &Snapshot| snapshot.state.as_slice()),
         Some(&b"four"[..])
     );
-    assert!(matches!(
-        sync(&mut other, at, &written).messages[..],
-        [(
-            A,
-            Message::AppendEntriesResponse {
-                match_index: Ok(LogIndex(4)),
-                ..
-            }
-        )]
-    ));
-    // Held by the network from before: places 2 to 4, of which the last two are held as state.
+    assert!(answers_matched_4(&sync(&mut follower, now, &written)));
+    // Delayed from before: entries 2 and 3, which the snapshot includes.
     let old = Message::AppendEntries {
         term,
         prev_log_index: LogIndex(1),
         prev_log_term: Term(1),
-        entries: vec![act(2), act(3)],
+        entries: vec![command(2), command(3)],
         leader_commit: LogIndex(2),
         round: 1,
     };
-    let out = hear(&mut other, at, A, old);
+    let out = deliver(&mut follower, now, PEER_A, old);
     assert!(
         out.persist_requests.is_empty() && out.committed.is_empty(),
         "{out:?}"
     );
-    // Refused, its leader would begin ever further back, at places that this one no longer has.
-    assert!(
-        matches!(
-            out.messages[..],
-            [(
-                A,
-                Message::AppendEntriesResponse {
-                    match_index: Ok(LogIndex(4)),
-                    ..
-                }
-            )]
-        ),
-        "{out:?}"
-    );
+    // If it were refused, its leader would go ever further back, to entries that this node no longer has.
+    assert!(answers_matched_4(&out), "{out:?}");
 }
 
 #[test]
 fn what_waits_for_a_disk_that_hangs_is_bounded() {
-    let mut member = started(PersistentState::default());
-    let mut waits = 0;
-    for n in 0..5000 {
-        let (before, prev_log_term) = (LogIndex(n), Term(u64::from(n > 0)));
-        let entries = vec![Entry {
+    let mut node = started(PersistentState::default());
+    let mut waiting = 0;
+    for index in 0..5000 {
+        let append = Message::AppendEntries {
             term: Term(1),
-            body: Payload::Noop,
-        }];
-        let message = Message::AppendEntries {
-            term: Term(1),
-            prev_log_index: before,
-            prev_log_term,
-            entries,
+            prev_log_index: LogIndex(index),
+            prev_log_term: Term(u64::from(index > 0)),
+            entries: vec![Entry {
+                term: Term(1),
+                payload: Payload::Noop,
+            }],
             leader_commit: LogIndex(0),
-            round: n,
+            round: index,
         };
-        waits += hear(&mut member, SILENCE, A, message)
+        waiting += deliver(&mut node, ELECTION_TIMEOUT, PEER_A, append)
             .persist_requests
             .len();
     }
-    assert!(waits <= 1025, "{waits}");
+    assert!(waiting <= 1025, "{waiting}");
 }
 
 #[test]
-fn one_that_is_not_among_those_who_vote_never_stands() {
-    let terms = RaftConfig {
-        voters: vec![],
-        election_timeout: SILENCE,
-        heartbeat_interval: 60_000,
-        max_clock_drift: 0.01,
-    };
-    let mut spare = RaftNode::new(NodeId(9), terms, 7, PersistentState::default(), 0);
+fn a_node_that_is_not_a_voter_never_stands_for_election() {
+    let mut spare = RaftNode::new(NodeId(9), config([]), 7, PersistentState::default(), 0);
     for _ in 0..10 {
-        let (at, mut out) = (spare.next_wake(), Output::default());
-        spare.on_timer(at, &mut out);
+        let now = spare.next_wake();
+        let mut out = Output::default();
+        spare.on_timer(now, &mut out);
         assert!(out.messages.is_empty() && !spare.is_leader());
     }
 }
--- a/crates/spokeflow-simulator/src/agreement/people.rs
+++ b/crates/spokeflow-simulator/src/agreement/people.rs
@@ -59,7 +59,7 @@
             else {
                 continue;
             };
-            let mut members = core.raft().members().to_vec();
+            let mut members = core.raft().voters().to_vec();
             if !members.contains(&drawn) && members.len() < self.day.keepers as usize + 1 {
                 members.push(drawn);
             } else if members.len() > self.day.keepers as usize {
--- a/crates/spokeflow-testbed/src/fleet/check.rs
+++ b/crates/spokeflow-testbed/src/fleet/check.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{HostState, LeaseGrant, Overrides, ProposalOutcome, Revision};
-use spokeflow_raft::Message;
+use spokeflow_raft::{AppendOutcome, Message};
 
 use super::peers::{Asked, Delivered, Ended, NEW, ONCE, PATIENCE};
 use super::switchboard::{Crossed, Frame, Node};
@@ -261,9 +261,9 @@
                         pre_vote: sounded,
                         ..
                     } => *granted && !sounded,
-                    Message::AppendEntriesResponse {
-                        match_index: upto, ..
-                    } => upto.is_ok(),
+                    Message::AppendEntriesResponse { outcome, .. } => {
+                        matches!(outcome, AppendOutcome::Matched(_))
+                    }
                     _ => false,
                 };
                 // By when its connection began: what an earlier process said may still be on its way.
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -5,7 +5,7 @@
     EndpointListUpdate, HostState, LeaseGrant, LeaseRequest, ListVersion, ListedHost, Overrides,
     Proposal, ProposalOutcome, Revision, RevisionNumber, RevisionRef, VoterAddresses,
 };
-use spokeflow_raft::{LogIndex, Message, Snapshot, Term};
+use spokeflow_raft::{AppendOutcome, LogIndex, Message, Snapshot, Term};
 use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
 
 fn up(message: &ToNode) -> ToKeeperHead {
@@ -80,7 +80,7 @@
         Message::AppendEntriesResponse {
             term,
             round: 1,
-            match_index: Ok(before),
+            outcome: AppendOutcome::Matched(before),
         },
     ];
     for message in others {
