--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -229,7 +229,7 @@
                 term = state.0,
                 leads = state.1,
                 leader,
-                applied = self.keeper.applied().0,
+                applied = self.keeper.last_applied().0,
                 "keeper"
             );
         }
@@ -394,7 +394,7 @@
                     addresses,
                     answer,
                 } => {
-                    shell.keeper.learn(&addresses);
+                    shell.keeper.learn_addresses(&addresses);
                     shell.meet(id, start, &processes, answer);
                     shell.reach();
                 }
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -81,7 +81,7 @@
     assert_eq!(ledger.pending, printed.pending);
     assert!(ledger.history.iter().eq(&printed.history));
     assert_eq!(ledger.list.version, ListVersion(printed.list));
-    assert_eq!(ledger.list.source, printed.list_source);
+    assert_eq!(ledger.list.source_version, printed.list_source);
     assert_eq!(ledger.list.hosts().count() as u64, printed.hosts);
 }
 
--- a/crates/spokeflow-coordination/src/config.rs
+++ b/crates/spokeflow-coordination/src/config.rs
@@ -34,58 +34,58 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveConfig {
     /// Each customer's commands a second, all routers together.
-    pub shares: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     pub fleet_size: u32,
     pub delivery_cap: u32,
-    pub side_by_side: bool,
-    pub longest_return: Micros,
+    pub may_hedge: bool,
+    pub longest_retry_after: Micros,
     pub drain_grace: Micros,
-    pub cold_from: f64,
-    pub fall_multiple: f64,
+    pub slow_start_from: f64,
+    pub overload_multiple: f64,
     /// A ceiling on the cap that the desk tells, by stage, beside its old use.
     pub stage_caps: Vec<f64>,
-    pub exposure_free: f64,
+    pub exposure_allowance: f64,
     pub guarded_stages: u8,
     pub complaint_share: f64,
-    pub back_votes: u32,
-    pub votes_a_second: f64,
+    pub rollback_votes: u32,
+    pub votes_per_second: f64,
 }
 
 impl EffectiveConfig {
     pub fn of(terms: &ServiceConfig) -> Self {
         EffectiveConfig {
-            shares: terms.tenant_quotas.clone(),
+            tenant_quotas: terms.tenant_quotas.clone(),
             fleet_size: terms.fleet_size,
             delivery_cap: terms.delivery_cap,
-            side_by_side: terms.may_hedge,
-            longest_return: terms.longest_retry_after,
+            may_hedge: terms.may_hedge,
+            longest_retry_after: terms.longest_retry_after,
             drain_grace: terms.drain_grace,
-            cold_from: terms.slow_start_from,
-            fall_multiple: terms.overload_multiple,
+            slow_start_from: terms.slow_start_from,
+            overload_multiple: terms.overload_multiple,
             stage_caps: terms.stage_caps.clone(),
-            exposure_free: terms.exposure_allowance,
+            exposure_allowance: terms.exposure_allowance,
             guarded_stages: terms.guarded_stages,
             complaint_share: terms.complaint_share,
-            back_votes: terms.rollback_votes,
-            votes_a_second: terms.votes_per_second,
+            rollback_votes: terms.rollback_votes,
+            votes_per_second: terms.votes_per_second,
         }
     }
 
     pub fn apply_to(&self, terms: &mut ServiceConfig) {
-        terms.tenant_quotas.clone_from(&self.shares);
+        terms.tenant_quotas.clone_from(&self.tenant_quotas);
         terms.fleet_size = self.fleet_size;
         terms.delivery_cap = self.delivery_cap;
-        terms.may_hedge = self.side_by_side;
-        terms.longest_retry_after = self.longest_return;
+        terms.may_hedge = self.may_hedge;
+        terms.longest_retry_after = self.longest_retry_after;
         terms.drain_grace = self.drain_grace;
-        terms.slow_start_from = self.cold_from;
-        terms.overload_multiple = self.fall_multiple;
+        terms.slow_start_from = self.slow_start_from;
+        terms.overload_multiple = self.overload_multiple;
         terms.stage_caps.clone_from(&self.stage_caps);
-        terms.exposure_allowance = self.exposure_free;
+        terms.exposure_allowance = self.exposure_allowance;
         terms.guarded_stages = self.guarded_stages;
         terms.complaint_share = self.complaint_share;
-        terms.rollback_votes = self.back_votes;
-        terms.votes_per_second = self.votes_a_second;
+        terms.rollback_votes = self.rollback_votes;
+        terms.votes_per_second = self.votes_per_second;
     }
 
     /// What can be acted on where `announced` may already be acted on by others and this one still is: the stricter
@@ -102,14 +102,14 @@
         EffectiveConfig {
             fleet_size: a.fleet_size.max(b.fleet_size),
             delivery_cap: a.delivery_cap.min(b.delivery_cap),
-            side_by_side: a.side_by_side && b.side_by_side,
+            may_hedge: a.may_hedge && b.may_hedge,
             drain_grace: a.drain_grace.min(b.drain_grace),
-            cold_from: a.cold_from.min(b.cold_from),
-            fall_multiple: a.fall_multiple.min(b.fall_multiple),
+            slow_start_from: a.slow_start_from.min(b.slow_start_from),
+            overload_multiple: a.overload_multiple.min(b.overload_multiple),
             stage_caps: (0..stages)
                 .map(|n| cap(&a.stage_caps, n).min(cap(&b.stage_caps, n)))
                 .collect(),
-            exposure_free: a.exposure_free.min(b.exposure_free),
+            exposure_allowance: a.exposure_allowance.min(b.exposure_allowance),
             guarded_stages: a.guarded_stages.max(b.guarded_stages),
             ..a.clone()
         }
@@ -118,16 +118,16 @@
     /// What contradicts no later revision, however strict that is: nothing goes to a build on trial, one delivery for
     /// each command, hosts that drain get nothing more at once, and cold ones next to nothing. Of customers' shares and
     /// the counting of votes none is the stricter: they stay.
-    pub fn standing_build_only(&self) -> EffectiveConfig {
+    pub fn released_build_only(&self) -> EffectiveConfig {
         EffectiveConfig {
             stage_caps: vec![0.0; self.stage_caps.len()],
-            exposure_free: 0.0,
+            exposure_allowance: 0.0,
             guarded_stages: u8::MAX,
             delivery_cap: 1,
-            side_by_side: false,
+            may_hedge: false,
             drain_grace: 0,
-            cold_from: f64::MIN_POSITIVE,
-            fall_multiple: 1.0,
+            slow_start_from: f64::MIN_POSITIVE,
+            overload_multiple: 1.0,
             ..self.clone()
         }
     }
--- a/crates/spokeflow-coordination/src/config_state.rs
+++ b/crates/spokeflow-coordination/src/config_state.rs
@@ -78,7 +78,9 @@
     pub revision: Revision,
     pub who: String,
     pub why: String,
-    pub offered_s: u64,
+    /// Under its earlier name in JSON, which scripts read.
+    #[serde(rename = "offered_s")]
+    pub proposed_s: u64,
     pub in_force_s: Option<u64>,
 }
 
@@ -161,7 +163,7 @@
                     revision,
                     who,
                     why,
-                    offered_s,
+                    proposed_s: offered_s,
                     in_force_s: None,
                 });
                 ProposalOutcome::Pending(RevisionNumber(newest.0 + 1))
--- a/crates/spokeflow-coordination/src/coordinator.rs
+++ b/crates/spokeflow-coordination/src/coordinator.rs
@@ -166,7 +166,7 @@
     }
 
     /// Another keeper said where some are to be found.
-    pub fn learn(&mut self, addresses: &[(NodeId, String)]) {
+    pub fn learn_addresses(&mut self, addresses: &[(NodeId, String)]) {
         self.learned.extend(addresses.iter().take(LEARNED).cloned());
         while self.learned.len() > LEARNED {
             self.learned.pop_first();
@@ -189,7 +189,7 @@
         }
     }
 
-    pub fn applied(&self) -> LogIndex {
+    pub fn last_applied(&self) -> LogIndex {
         self.applied
     }
 
@@ -463,7 +463,7 @@
                 .collect(),
             leases: leases as u64,
             list: self.config.list.version.0,
-            list_source: self.config.list.source,
+            list_source: self.config.list.source_version,
             hosts: self
                 .config
                 .list
--- a/crates/spokeflow-coordination/src/endpoint_list.rs
+++ b/crates/spokeflow-coordination/src/endpoint_list.rs
@@ -59,7 +59,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
     /// Its version is lower than one that was told before.
-    Backwards { told: u64, before: u64 },
+    Backwards {
+        /// Under its earlier name in JSON, which scripts read.
+        #[serde(rename = "told")]
+        received: u64,
+        before: u64,
+    },
     /// One version was told twice, and not alike.
     Forked { version: u64 },
     /// More than half of the hosts are missing from a whole list; accepted where a second reading says the same.
@@ -78,7 +83,7 @@
 pub struct EndpointList {
     pub version: ListVersion,
     /// The source's version that was taken in last.
-    pub source: u64,
+    pub source_version: u64,
     hosts: BTreeMap<u32, ListedHost>,
     changes: VecDeque<(ListVersion, u32)>,
 }
@@ -98,10 +103,10 @@
         news: &SourceUpdate,
         twice: bool,
     ) -> Result<Option<SourceUpdate>, Rejection> {
-        if news.version < self.source {
+        if news.version < self.source_version {
             return Err(Rejection::Backwards {
-                told: news.version,
-                before: self.source,
+                received: news.version,
+                before: self.source_version,
             });
         }
         let named: BTreeSet<u32> = news.hosts.iter().map(|h| h.host).collect();
@@ -128,7 +133,7 @@
         if differ.is_empty() {
             return Ok(None);
         }
-        if news.version == self.source && self.version.0 > 0 {
+        if news.version == self.source_version && self.version.0 > 0 {
             return Err(Rejection::Forked {
                 version: news.version,
             });
@@ -143,7 +148,7 @@
     /// Takes in what was weighed.
     pub fn apply(&mut self, news: SourceUpdate) {
         self.version.0 += 1;
-        self.source = news.version;
+        self.source_version = news.version;
         for host in news.hosts {
             self.changes.push_back((self.version, host.host));
             self.hosts.insert(host.host, host);
@@ -167,7 +172,7 @@
 
     /// The source may begin anew, from any version: said by a person.
     pub fn trust_source(&mut self) {
-        self.source = 0;
+        self.source_version = 0;
     }
 
     /// What one lacks who has the list up to `have`; `None`: nothing.
--- a/crates/spokeflow-coordination/src/lease_holder.rs
+++ b/crates/spokeflow-coordination/src/lease_holder.rs
@@ -80,7 +80,7 @@
     }
 
     /// Until when the lease holds; `None` where it never had one.
-    pub fn until(&self) -> Option<Micros> {
+    pub fn expires_at(&self) -> Option<Micros> {
         self.until
     }
 
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -434,7 +434,7 @@
         revision: revision(number),
         who: "ann".into(),
         why: "slower stages".into(),
-        offered_s: 1_101,
+        proposed_s: 1_101,
         in_force_s,
     };
     vec![record(1_004, Some(1_102)), record(1_005, None)]
@@ -523,7 +523,7 @@
 fn views() -> Vec<Named<FromNode>> {
     let rejected = |rejection| answer(Response::Status(Box::new(view(Some(rejection)))));
     let backwards = Rejection::Backwards {
-        told: 1_021,
+        received: 1_021,
         before: 1_022,
     };
     let forked = Rejection::Forked { version: 1_023 };
--- a/crates/spokeflow-coordination/tests/leases.rs
+++ b/crates/spokeflow-coordination/tests/leases.rs
@@ -177,7 +177,7 @@
     fn check(&mut self) {
         for r in self.routers.iter().filter(|r| self.now >= r.stopped_until) {
             let now = (self.now as f64 * r.rate) as Micros;
-            if r.holder.until().is_none_or(|until| now >= until) {
+            if r.holder.expires_at().is_none_or(|until| now >= until) {
                 continue;
             }
             let (in_force, newest) = (r.holder.in_force().number.0, r.holder.newest().0);
@@ -296,7 +296,7 @@
     let (second, asked) = holder.request(SECOND);
     let late = granter.grant(SECOND, &asked, &ledger, &VoterAddresses::default());
     assert!(holder.on_grant(second, late.clone()));
-    assert_eq!(holder.until(), Some(SECOND + TERMS.holder_duration()));
+    assert_eq!(holder.expires_at(), Some(SECOND + TERMS.holder_duration()));
     assert!(!holder.on_grant(first, early), "overtaken");
     assert!(!holder.on_grant(second, late), "an answer counts once");
     assert_eq!(holder.newest(), RevisionNumber(1));
--- a/crates/spokeflow-coordination/tests/list.rs
+++ b/crates/spokeflow-coordination/tests/list.rs
@@ -50,7 +50,10 @@
     );
     assert_eq!(
         list.evaluate(&whole(6, 0..9), false),
-        Err(Rejection::Backwards { told: 6, before: 7 })
+        Err(Rejection::Backwards {
+            received: 6,
+            before: 7
+        })
     );
     assert_eq!(
         list.evaluate(&whole(7, 0..9), false),
--- a/crates/spokeflow-coordination/tests/search.rs
+++ b/crates/spokeflow-coordination/tests/search.rs
@@ -133,7 +133,7 @@
     /// Every router may act at every instant.
     fn check(&self) -> Outcome {
         for (n, holder) in self.holders.iter().enumerate() {
-            if holder.until().is_none_or(|until| self.now >= until) {
+            if holder.expires_at().is_none_or(|until| self.now >= until) {
                 continue;
             }
             let (in_force, newest) = (holder.in_force().number.0, holder.newest().0);
@@ -380,7 +380,7 @@
     let leader = world.leader().unwrap();
     (0..ROUTERS).for_each(|r| world.ask(r, leader));
     world.peace(&[0, 1, 2], |w| {
-        w.holders.iter().all(|h| h.until().is_some()) && w.wire.is_empty()
+        w.holders.iter().all(|h| h.expires_at().is_some()) && w.wire.is_empty()
     });
     world
 }
--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What people's programs read of the keepers' messages.
 
 use spokeflow_coordination::wire::ClusterStatus;
-use spokeflow_coordination::{Rejection, Revision};
+use spokeflow_coordination::{Rejection, Revision, RevisionRecord};
 use spokeflow_raft::{LogIndex, NodeId, Term};
 
 fn view() -> ClusterStatus {
@@ -55,3 +55,29 @@
         view()
     );
 }
+
+/// `spokeflowctl history --json` prints records, and `status --json` why the list's source was rejected.
+#[test]
+fn json_keys_of_records_and_rejections_stay() {
+    let record = RevisionRecord {
+        revision: Revision::default(),
+        who: "operator".into(),
+        why: "test".into(),
+        proposed_s: 1,
+        in_force_s: Some(2),
+    };
+    let expected = serde_json::json!({
+        "revision": { "number": 0, "values": {} },
+        "who": "operator",
+        "why": "test",
+        "offered_s": 1,
+        "in_force_s": 2,
+    });
+    assert_eq!(serde_json::to_value(record).unwrap(), expected);
+    let backwards = Rejection::Backwards {
+        received: 3,
+        before: 4,
+    };
+    let expected = serde_json::json!({ "Backwards": { "told": 3, "before": 4 } });
+    assert_eq!(serde_json::to_value(backwards).unwrap(), expected);
+}
--- a/crates/spokeflow-ctl/src/main.rs
+++ b/crates/spokeflow-ctl/src/main.rs
@@ -382,9 +382,9 @@
         "in force after",
     ]);
     for r in &view.history {
-        let at = std::time::UNIX_EPOCH + Duration::from_secs(r.offered_s);
+        let at = std::time::UNIX_EPOCH + Duration::from_secs(r.proposed_s);
         let after = r.in_force_s.map_or("not yet".into(), |s| {
-            format!("{} s", s.saturating_sub(r.offered_s))
+            format!("{} s", s.saturating_sub(r.proposed_s))
         });
         table.add_row([
             r.revision.number.0.to_string(),
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -285,7 +285,7 @@
         agreed.leased = self.book.now < agreed.until;
         let terms = match agreed.leased {
             true => agreed.terms.clone(),
-            false => agreed.terms.standing_build_only(),
+            false => agreed.terms.released_build_only(),
         };
         links.drain_grace(terms.drain_grace);
         terms.apply_to(&mut self.terms.service);
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -494,7 +494,7 @@
     on_trial(&mut rig);
     shares(&mut rig, 10 * SECOND);
     grant(&mut rig, 60 * SECOND, |t| {
-        (t.stage_caps, t.exposure_free) = (vec![0.05; 3], 0.0)
+        (t.stage_caps, t.exposure_allowance) = (vec![0.05; 3], 0.0)
     });
     let [old, new] = shares(&mut rig, 4 * SECOND);
     assert!(
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -57,20 +57,20 @@
 /// The terms that the router's own flags said.
 fn own_terms() -> EffectiveConfig {
     EffectiveConfig {
-        shares: vec![50.0],
+        tenant_quotas: vec![50.0],
         fleet_size: 1,
         delivery_cap: 4,
-        side_by_side: false,
-        longest_return: 2_000_000,
+        may_hedge: false,
+        longest_retry_after: 2_000_000,
         drain_grace: 1_000_000,
-        cold_from: 0.3,
-        fall_multiple: 3.0,
+        slow_start_from: 0.3,
+        overload_multiple: 3.0,
         stage_caps: vec![0.07, 0.28, 0.7, 1.0],
-        exposure_free: 1.0,
+        exposure_allowance: 1.0,
         guarded_stages: 0,
         complaint_share: 0.0,
-        back_votes: 0,
-        votes_a_second: f64::INFINITY,
+        rollback_votes: 0,
+        votes_per_second: f64::INFINITY,
     }
 }
 
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -86,7 +86,7 @@
         loop {
             let keepers = self.keepers();
             let address = keepers[turn % keepers.len()];
-            let before = self.lease_holder.as_ref().and_then(LeaseHolder::until);
+            let before = self.lease_holder.as_ref().and_then(LeaseHolder::expires_at);
             let left = match timeout(PATIENCE, self.open(address)).await {
                 Ok(Some(link)) => self.talk(link).await,
                 _ => Left::For("not reached"),
@@ -95,7 +95,7 @@
                 Left::Ending => return,
                 Left::For(why) => why,
             };
-            let held = self.lease_holder.as_ref().and_then(LeaseHolder::until);
+            let held = self.lease_holder.as_ref().and_then(LeaseHolder::expires_at);
             failures = if held > before { 0 } else { failures + 1 };
             if let Some(kept_back) = self.clock.allow_log_line() {
                 let left_us = held.map_or(0, |until| until - self.clock.now());
@@ -223,7 +223,7 @@
                 return false;
             }
         }
-        let Some(until) = lease_holder.until() else {
+        let Some(until) = lease_holder.expires_at() else {
             return true;
         };
         let revision = lease_holder.newest();
--- a/crates/spokeflow-simulator/src/agreement/routers.rs
+++ b/crates/spokeflow-simulator/src/agreement/routers.rs
@@ -68,7 +68,7 @@
     pub(super) fn acts(&mut self, router: usize) {
         let r = &self.routers[router];
         let now = self.clock(r.rate);
-        if r.lease_holder.until().is_none_or(|until| now >= until) {
+        if r.lease_holder.expires_at().is_none_or(|until| now >= until) {
             self.played.unleased += 1;
             return;
         }
