--- a/crates/spokeflow-control-plane/src/node_task.rs
+++ b/crates/spokeflow-control-plane/src/node_task.rs
@@ -142,7 +142,7 @@
 
     /// Admits a node that calls, or refuses it for the store that it calls with.
     fn on_peer_hello(&mut self, hello: PeerHello) {
-        self.coordinator.learn(&hello.addresses);
+        self.coordinator.learn_addresses(&hello.addresses);
         match self.peer_starts.admit(&hello) {
             Ok(start) => self
                 .persistence
@@ -204,9 +204,9 @@
         self.outbound
             .set_known_addresses(self.coordinator.addresses());
         let raft = self.coordinator.raft();
-        let own = raft.own();
+        let own = raft.id();
         let others: Vec<NodeId> = raft
-            .members()
+            .voters()
             .iter()
             .copied()
             .filter(|voter| *voter != own)
@@ -235,7 +235,7 @@
                 term = state.term,
                 has_leader_lease = state.has_leader_lease,
                 leader = state.leader.map(|leader| leader.0),
-                applied = self.coordinator.applied().0,
+                applied = self.coordinator.last_applied().0,
                 "raft state changed"
             );
         }
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -68,7 +68,7 @@
         _ => ConfigState::decode(&saved.snapshot.state).unwrap(),
     };
     for entry in &saved.log {
-        if let Payload::Command(bytes) = &entry.body {
+        if let Payload::Command(bytes) = &entry.payload {
             state.apply(LogCommand::decode(bytes).expect("a command of this version"));
         }
     }
@@ -81,7 +81,7 @@
     assert_eq!(state.pending, printed.pending);
     assert!(state.history.iter().eq(&printed.history));
     assert_eq!(state.list.version, ListVersion(printed.list));
-    assert_eq!(state.list.source, printed.list_source);
+    assert_eq!(state.list.source_version, printed.list_source);
     assert_eq!(state.list.hosts().count() as u64, printed.hosts);
 }
 
@@ -177,7 +177,7 @@
         (saved.snapshot.last_included_index, saved.snapshot.term),
         (LogIndex(500), Term(4))
     );
-    assert_eq!(saved.snapshot.members, nodes());
+    assert_eq!(saved.snapshot.voters, nodes());
     assert_eq!(
         saved.snapshot.last_included_index.0 + saved.log.len() as u64,
         printed.committed.0
--- a/crates/spokeflow-ctl/src/output.rs
+++ b/crates/spokeflow-ctl/src/output.rs
@@ -92,9 +92,9 @@
         "in force after",
     ]);
     for record in history {
-        let proposed_at = UNIX_EPOCH + Duration::from_secs(record.offered_s);
+        let proposed_at = UNIX_EPOCH + Duration::from_secs(record.proposed_s);
         let in_force_after = record.in_force_s.map_or("not yet".into(), |in_force_s| {
-            format!("{} s", in_force_s.saturating_sub(record.offered_s))
+            format!("{} s", in_force_s.saturating_sub(record.proposed_s))
         });
         table.add_row([
             record.revision.number.0.to_string(),
--- a/crates/spokeflow-engine/src/engine/lease.rs
+++ b/crates/spokeflow-engine/src/engine/lease.rs
@@ -73,7 +73,7 @@
         let config = if lease.in_force {
             lease.config.clone()
         } else {
-            lease.config.standing_build_only()
+            lease.config.released_build_only()
         };
         transport.drain_grace(config.drain_grace);
         config.apply_to(&mut self.config.service);
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -148,7 +148,7 @@
     serve(&mut harness, 10 * SECOND);
     grant_lease(&mut harness, 60 * SECOND, |config| {
         config.stage_caps = vec![0.05; 3];
-        config.exposure_free = 0.0;
+        config.exposure_allowance = 0.0;
     });
     let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
     assert!(
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -147,12 +147,12 @@
         loop {
             let nodes = self.nodes(lease_holder.as_ref());
             let node = nodes[turn % nodes.len()];
-            let lease_before = lease_holder.as_ref().and_then(LeaseHolder::until);
+            let lease_before = lease_holder.as_ref().and_then(LeaseHolder::expires_at);
             let error = self.follow(node, &mut lease_holder).await;
             if matches!(error, LinkError::ShuttingDown) {
                 return;
             }
-            let lease = lease_holder.as_ref().and_then(LeaseHolder::until);
+            let lease = lease_holder.as_ref().and_then(LeaseHolder::expires_at);
             failures = if lease > lease_before {
                 0
             } else {
@@ -271,7 +271,7 @@
             };
             self.send(EngineEvent::Input(list)).await?;
         }
-        let Some(until) = lease_holder.until() else {
+        let Some(until) = lease_holder.expires_at() else {
             return Ok(());
         };
         let revision = lease_holder.newest();
