--- a/crates/spokeflow-control-plane/src/client.rs
+++ b/crates/spokeflow-control-plane/src/client.rs
@@ -14,6 +14,8 @@
 
 /// How long one node is given to answer.
 const NODE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// First size of the buffer for the response, in bytes.
+const READ_BUFFER: usize = 1024;
 /// Pause after no node has answered.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -90,7 +92,7 @@
         .map_err(|source| RequestError::Connect { node, source })?;
     let frame_error = |source| RequestError::Frame { node, source };
     let codec = FrameCodec::<FromNode, ToNode>::new(LIMIT);
-    let mut link = Framed::with_capacity(stream, codec, 1024);
+    let mut link = Framed::with_capacity(stream, codec, READ_BUFFER);
     link.send(ToNode::hello(Caller::Operator))
         .await
         .map_err(frame_error)?;
--- a/crates/spokeflow-control-plane/src/inbound.rs
+++ b/crates/spokeflow-control-plane/src/inbound.rs
@@ -25,6 +25,8 @@
 const HELLO_LIMIT: usize = 4096;
 /// Longest frame of a router or an operator, in bytes: a proposal.
 const REQUEST_LIMIT: usize = 64 << 10;
+/// First size of the buffer for what a caller sends, in bytes: small, since there are thousands of routers.
+const READ_BUFFER: usize = 512;
 /// Responses that wait for one caller at most; one that does not read them is closed.
 const RESPONSE_QUEUE: usize = 256;
 /// Pause after a connection could not be accepted, such as for want of file descriptors.
@@ -85,7 +87,8 @@
 impl InboundConnection {
     async fn run(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut link: CallerLink = Framed::with_capacity(stream, FrameCodec::new(HELLO_LIMIT), 512);
+        let mut link: CallerLink =
+            Framed::with_capacity(stream, FrameCodec::new(HELLO_LIMIT), READ_BUFFER);
         let Ok(Some(Ok(first))) = timeout(CALLER_TIMEOUT, link.next()).await else {
             return;
         };
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -20,6 +20,8 @@
 
 /// A node that is not reached, or takes no byte, for this long is tried on a new connection.
 const LINK_TIMEOUT: Duration = Duration::from_secs(1);
+/// First size of the buffer for what the other node sends, in bytes.
+const READ_BUFFER: usize = 4096;
 /// Delay before the second connection, doubled with each failure.
 pub(crate) const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// Longest delay between two connections: a node that comes back is reached within about an election timeout.
@@ -80,7 +82,7 @@
             .map_err(FrameFault::from)?;
         let _ = stream.set_nodelay(true);
         let mut link: Link<FromNode, ToNode> =
-            Framed::with_capacity(stream, FrameCodec::new(LIMIT), 4096);
+            Framed::with_capacity(stream, FrameCodec::new(LIMIT), READ_BUFFER);
         let mut caller = self.caller.clone();
         if let Caller::Node { addresses, .. } = &mut caller {
             addresses.clone_from(&self.addresses.borrow());
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -167,7 +167,8 @@
         fails_from: Option<u64>,
         process: u64,
     ) -> Result<OpenedStore, StoreError> {
-        if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty()) {
+        let folder = file.parent().filter(|path| !path.as_os_str().is_empty());
+        if let Some(folder) = folder {
             std::fs::create_dir_all(folder).map_err(StoreError::Folder)?;
         }
         let store = Store {
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -153,8 +153,11 @@
     assert_eq!(view.voters, nodes());
     let history: Vec<RevisionRecord> = serde_json::from_str(HISTORY).unwrap();
     assert_eq!(history, view.history);
-    assert!(history.iter().map(|r| r.revision.number.0).eq(1..=5));
-    let who: Vec<&str> = history.iter().map(|r| r.who.as_str()).collect();
+    assert!(history
+        .iter()
+        .map(|record| record.revision.number.0)
+        .eq(1..=5));
+    let who: Vec<&str> = history.iter().map(|record| record.who.as_str()).collect();
     assert_eq!(who, ["ann", "bert", "cora", "dina", "emil o'hara"]);
     assert_eq!(history[4].why, "names with signs: é, \" and ,");
     let newest = [
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -26,7 +26,7 @@
 use tracing::{info, warn};
 
 use crate::event::EngineEvent;
-use crate::links::{Link, CONTROL_PLANE_LINK};
+use crate::links::{Link, CONTROL_PLANE_LINK, READ_BUFFER};
 use crate::RouterFlags;
 
 /// A node that is not reached, or sends nothing, for this long is left for the next.
@@ -198,7 +198,7 @@
     async fn open(&self, node: SocketAddr) -> Result<(NodeLink, ClusterParameters), FrameFault> {
         let stream = TcpStream::connect(node).await?;
         let _ = stream.set_nodelay(true);
-        let mut link: NodeLink = Framed::with_capacity(stream, FrameCodec::new(LIMIT), 1024);
+        let mut link: NodeLink = Framed::with_capacity(stream, FrameCodec::new(LIMIT), READ_BUFFER);
         let caller = Caller::Router {
             index: self.flags.index,
         };
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -26,6 +26,9 @@
 /// The shortest time that a service is given to answer the opening message: it is called once and has much to send.
 const MIN_OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// First size of the buffer for what a service sends, in bytes.
+pub(crate) const READ_BUFFER: usize = 1024;
+
 /// A connection on which `In` is read and `Out` is written.
 pub(crate) type Link<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
 
@@ -117,7 +120,7 @@
             let _ = stream.set_nodelay(true);
             let codec = FrameCodec::new(P::FRAME_LIMIT);
             let mut link: Link<P::Incoming, P::Outgoing> =
-                Framed::with_capacity(stream, codec, 1024);
+                Framed::with_capacity(stream, codec, READ_BUFFER);
             link.send(self.protocol.hello(self.terms.hello.clone()))
                 .await?;
             match link.next().await {
