--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -196,7 +196,7 @@
                 .iter()
                 .map(|m| (NodeId(m.0), m.1.to_string()))
                 .collect(),
-            check: |values| check_overrides(values).map_err(|errors| errors.to_string()),
+            check: |values| Ok(check_overrides(values)?),
         }
     }
 
--- a/crates/spokeflow-control-plane/src/serve.rs
+++ b/crates/spokeflow-control-plane/src/serve.rs
@@ -7,7 +7,7 @@
 
 use rand::RngExt;
 use spokeflow_coordination::wire::{Caller, Response, ToNode};
-use spokeflow_coordination::{Coordinator, Effects, RequestOrigin};
+use spokeflow_coordination::{ClientResponse, Coordinator, Effects, NodeMessage, RequestOrigin};
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 use spokeflow_runtime::{shutdown_signal, Backoff, Clock};
 use tokio::net::TcpListener;
@@ -112,7 +112,7 @@
             self.steps.pass(CrashPoint::BeforeSending);
         }
         let half = step.messages.len().div_ceil(2);
-        for (n, (to, message)) in step.messages.into_iter().enumerate() {
+        for (n, NodeMessage { to, message }) in step.messages.into_iter().enumerate() {
             if n == half {
                 self.steps.pass(CrashPoint::WithinSending);
             }
@@ -121,7 +121,12 @@
         if !step.responses.is_empty() {
             self.steps.pass(CrashPoint::BeforeAnswering);
         }
-        for (conn, number, answer) in step.responses {
+        for answered in step.responses {
+            let ClientResponse {
+                connection: conn,
+                number,
+                response: answer,
+            } = answered;
             let full = self
                 .callers
                 .get(&conn)
@@ -282,7 +287,8 @@
         parameters: common,
         addresses: Vec::new(),
     };
-    let keeper = Coordinator::new(terms, seed, saved, clock.now())?;
+    let keeper =
+        Coordinator::new(terms, seed, saved, clock.now()).map_err(|error| error.to_string())?;
     let places = Arc::new(Semaphore::new(flags.max_connections));
     let mut shell = Shell {
         clock: clock.clone(),
@@ -405,8 +411,8 @@
                 NodeEvent::List(news) => shell.keeper.on_source_update(now, news, &mut step),
             }
             // An empty ledger in its place would be granted on.
-            if let Some(what) = step.fatal {
-                break 'run Err(what);
+            if let Some(error) = step.fatal {
+                break 'run Err(error.to_string());
             }
             shell.carry_out(step);
         }
--- a/crates/spokeflow-coordination/src/config_state.rs
+++ b/crates/spokeflow-coordination/src/config_state.rs
@@ -1,201 +1,139 @@
-//! The state that the keepers' log makes. Every keeper that applies the same entries holds the same ledger.
+//! The state machine that the log drives: every control-plane node that applies the same commands has the same state.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 use spokeflow_raft::NodeId;
 
-use crate::{EndpointList, SourceUpdate};
+use crate::{
+    EndpointList, LogCommand, Proposal, ProposalOutcome, Revision, RevisionNumber, RevisionRecord,
+    SnapshotError,
+};
 
-/// Records and verdicts that are kept.
-const KEPT: usize = 500;
-
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct RevisionNumber(pub u64);
-
-/// Names of flags without their dashes, and their values as one would write them. What is not named is as each
-/// router's own flags say.
-pub type Overrides = BTreeMap<String, String>;
-
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Revision {
-    pub number: RevisionNumber,
-    pub values: Overrides,
-}
-
-/// A change that somebody wants.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Proposal {
-    /// Drawn by whoever offers: the same offer sent again has the same one, and is one offer.
-    pub token: u64,
-    /// The newest revision that the author knew of, whether in force or announced.
-    pub base: RevisionNumber,
-    pub who: String,
-    pub why: String,
-    /// Seconds since 1970 by the clock of the keeper that took it: for people, nothing is decided by it.
-    pub at_s: u64,
-    pub values: Overrides,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum LogCommand {
-    Propose(Proposal),
-    /// By the leading keeper, once no router can act on an earlier revision in a way that contradicts this one.
-    PutInForce {
-        revision: RevisionNumber,
-        at_s: u64,
-    },
-    /// What the list's source said, as far as it differs.
-    UpdateList(SourceUpdate),
-    /// The list's source may begin anew.
-    TrustList,
-    /// Where a keeper is to be found, before it is taken in.
-    SetAddress {
-        node: NodeId,
-        address: String,
-    },
-}
-
-/// What became of an offer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum ProposalOutcome {
-    Pending(RevisionNumber),
-    /// It was made against another revision than the newest.
-    Stale {
-        newest: RevisionNumber,
-    },
-    /// Another one is announced and not in force yet.
-    Busy {
-        pending: RevisionNumber,
-    },
-}
-
-/// For people: who, when, why.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RevisionRecord {
-    pub revision: Revision,
-    pub who: String,
-    pub why: String,
-    /// Under its earlier name in JSON, which scripts read.
-    #[serde(rename = "offered_s")]
-    pub proposed_s: u64,
-    pub in_force_s: Option<u64>,
-}
+/// Records of revisions, and outcomes of proposals, that are kept: the state goes whole into each snapshot.
+const MAX_RETAINED_RECORDS: usize = 500;
 
+/// The replicated configuration. The order of fields is the encoding of snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigState {
+    /// The revision that all routers respect.
     pub in_force: Revision,
+    /// The revision that is to come into force.
     pub pending: Option<Revision>,
     /// The newest last.
     pub history: VecDeque<RevisionRecord>,
-    /// Where keepers are to be found, also those that do not vote yet.
+    /// Addresses of control-plane nodes, also of those that do not vote yet.
     pub addresses: BTreeMap<NodeId, String>,
+    /// The endpoint list.
     pub list: EndpointList,
-    verdicts: VecDeque<(u64, ProposalOutcome)>,
+    /// The newest last.
+    outcomes: VecDeque<DecidedProposal>,
+}
+
+/// What became of the proposal with this token.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+struct DecidedProposal {
+    token: u64,
+    outcome: ProposalOutcome,
 }
 
 impl ConfigState {
-    /// The newest number, in force or announced.
+    /// The number of the newest revision, in force or pending.
     pub fn newest(&self) -> RevisionNumber {
         self.pending
             .as_ref()
-            .map_or(self.in_force.number, |a| a.number)
+            .map_or(self.in_force.number, |pending| pending.number)
     }
 
-    /// What became of the offer with this token; `None` where none is known.
+    /// What became of the proposal with this token; `None` where none is known.
     pub fn outcome(&self, token: u64) -> Option<ProposalOutcome> {
-        self.verdicts
+        self.outcomes
             .iter()
             .rev()
-            .find(|v| v.0 == token)
-            .map(|v| v.1)
+            .find(|decided| decided.token == token)
+            .map(|decided| decided.outcome)
     }
 
-    /// Applies one committed entry.
-    pub fn apply(&mut self, act: LogCommand) {
-        match act {
-            LogCommand::Propose(offer) => self.offered(offer),
-            LogCommand::PutInForce { revision, at_s } => {
-                // A second one, from a leader that had not seen the first committed, changes nothing.
-                let Some(announced) = self.pending.take_if(|a| a.number == revision) else {
-                    return;
-                };
-                self.in_force = announced;
-                if let Some(record) = self
-                    .history
-                    .iter_mut()
-                    .find(|r| r.revision.number == revision)
-                {
-                    record.in_force_s = Some(at_s);
-                }
-            }
-            LogCommand::UpdateList(news) => self.list.apply(news),
+    /// Applies one committed command.
+    pub fn apply(&mut self, command: LogCommand) {
+        match command {
+            LogCommand::Propose(proposal) => self.decide(proposal),
+            LogCommand::PutInForce { revision, at_s } => self.put_in_force(revision, at_s),
+            LogCommand::UpdateList(update) => self.list.apply(update),
             LogCommand::TrustList => self.list.trust_source(),
-            LogCommand::SetAddress {
-                node: keeper,
-                address,
-            } => {
-                self.addresses.insert(keeper, address);
+            LogCommand::SetAddress { node, address } => {
+                self.addresses.insert(node, address);
             }
         }
     }
 
-    fn offered(&mut self, offer: Proposal) {
-        if self.outcome(offer.token).is_some() {
+    fn put_in_force(&mut self, revision: RevisionNumber, at_s: u64) {
+        // A second command, from a leader that had not seen the first committed, changes nothing.
+        let Some(pending) = self.pending.take_if(|pending| pending.number == revision) else {
             return;
-        }
-        let newest = self.newest();
-        let verdict = match &self.pending {
-            _ if offer.base != newest => ProposalOutcome::Stale { newest },
-            Some(announced) => ProposalOutcome::Busy {
-                pending: announced.number,
-            },
-            None => {
-                let revision = Revision {
-                    number: RevisionNumber(newest.0 + 1),
-                    values: offer.values,
-                };
-                self.pending = Some(revision.clone());
-                let (who, why, offered_s) = (offer.who, offer.why, offer.at_s);
-                self.history.push_back(RevisionRecord {
-                    revision,
-                    who,
-                    why,
-                    proposed_s: offered_s,
-                    in_force_s: None,
-                });
-                ProposalOutcome::Pending(RevisionNumber(newest.0 + 1))
-            }
         };
-        self.verdicts.push_back((offer.token, verdict));
-        while self.history.len() > KEPT {
-            self.history.pop_front();
-        }
-        while self.verdicts.len() > KEPT {
-            self.verdicts.pop_front();
+        self.in_force = pending;
+        let record = self
+            .history
+            .iter_mut()
+            .find(|record| record.revision.number == revision);
+        if let Some(record) = record {
+            record.in_force_s = Some(at_s);
         }
     }
 
-    /// As bytes, for a snapshot.
-    pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default()
+    fn decide(&mut self, proposal: Proposal) {
+        if self.outcome(proposal.token).is_some() {
+            return;
+        }
+        let token = proposal.token;
+        let outcome = self.accept_or_refuse(proposal);
+        self.outcomes.push_back(DecidedProposal { token, outcome });
+        while self.history.len() > MAX_RETAINED_RECORDS {
+            self.history.pop_front();
+        }
+        while self.outcomes.len() > MAX_RETAINED_RECORDS {
+            self.outcomes.pop_front();
+        }
     }
 
-    /// Errors: not a state of this version.
-    pub fn decode(state: &[u8]) -> Result<ConfigState, String> {
-        postcard::from_bytes(state).map_err(|e| format!("the snapshot cannot be read: {e}"))
+    /// Makes the proposal the pending revision, where it is made against the newest and none is pending.
+    fn accept_or_refuse(&mut self, proposal: Proposal) -> ProposalOutcome {
+        let newest = self.newest();
+        if proposal.base != newest {
+            return ProposalOutcome::Stale { newest };
+        }
+        if let Some(pending) = &self.pending {
+            let pending = pending.number;
+            return ProposalOutcome::Busy { pending };
+        }
+        let number = RevisionNumber(newest.0 + 1);
+        let revision = Revision {
+            number,
+            values: proposal.values,
+        };
+        self.pending = Some(revision.clone());
+        self.history.push_back(RevisionRecord {
+            revision,
+            who: proposal.who,
+            why: proposal.why,
+            proposed_s: proposal.at_s,
+            in_force_s: None,
+        });
+        ProposalOutcome::Pending(number)
     }
-}
 
-impl LogCommand {
+    /// The encoded state, for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// `None`: not an act of this version; it changes nothing.
-    pub fn decode(bytes: &[u8]) -> Option<LogCommand> {
-        postcard::from_bytes(bytes).ok()
+    /// Decodes the state of a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// It is not a state of this version.
+    pub fn decode(state: &[u8]) -> Result<ConfigState, SnapshotError> {
+        Ok(postcard::from_bytes(state)?)
     }
 }
--- /dev/null
+++ b/crates/spokeflow-coordination/src/coordinator/requests.rs
@@ -0,0 +1,205 @@
+//! Requests of routers and operators, as the leader answers them.
+
+use std::net::SocketAddr;
+
+use spokeflow_core::Micros;
+use spokeflow_raft::{NodeId, Output};
+
+use super::leadership::Leadership;
+use super::{Coordinator, Effects, RequestOrigin};
+use crate::wire::{ClusterStatus, Request, Response};
+use crate::{LeaseRequest, LogCommand, Proposal};
+
+/// Forwarded requests that wait at a time, and requests for one proposal. Beyond that, a request is told that there is
+/// no leader, and one more for the same proposal gets no response.
+pub(super) const MAX_WAITING_REQUESTS: usize = 4096;
+/// How long a request waits, in microseconds: longer than an election takes. After that a proposal's outcome is not
+/// known to its author, and a forwarded request is given up.
+const REQUEST_TIMEOUT: Micros = 2_000_000;
+
+/// A request that has no response yet.
+#[derive(Clone, Debug)]
+pub(super) struct WaitingRequest {
+    pub(super) origin: RequestOrigin,
+    pub(super) times_out_at: Micros,
+}
+
+impl WaitingRequest {
+    pub(super) fn new(origin: RequestOrigin, now: Micros) -> Self {
+        WaitingRequest {
+            origin,
+            times_out_at: now + REQUEST_TIMEOUT,
+        }
+    }
+}
+
+impl Coordinator {
+    /// Handles a request. The response is among these effects, or among those of a call within two seconds.
+    pub fn on_request(
+        &mut self,
+        now: Micros,
+        origin: RequestOrigin,
+        request: Request,
+        effects: &mut Effects,
+    ) {
+        let mut out = Output::default();
+        // Asked before each act: this process may have been stopped since the last.
+        let response = if self.raft.has_leader_lease(now) {
+            self.answer(now, origin, request, &mut out)
+        } else {
+            self.forward(now, origin, request, effects)
+        };
+        if let Some(response) = response {
+            effects.respond(origin, response);
+        }
+        self.apply_output(now, out, effects);
+    }
+
+    /// The leader's response; `None` where it follows later.
+    fn answer(
+        &mut self,
+        now: Micros,
+        origin: RequestOrigin,
+        request: Request,
+        out: &mut Output,
+    ) -> Option<Response> {
+        match request {
+            Request::Lease(request) => Some(self.grant_lease(now, &request)),
+            Request::Propose(proposal) => self.propose(now, origin, proposal, out),
+            Request::Status => Some(Response::Status(Box::new(self.status(now)))),
+            Request::TrustList => Some(self.log_command(now, &LogCommand::TrustList, out)),
+            Request::SetAddress { node, address } => {
+                Some(self.set_address(now, node, address, out))
+            }
+            Request::ChangeVoters(voters) => Some(self.change_voters(now, voters, out)),
+        }
+    }
+
+    fn grant_lease(&mut self, now: Micros, request: &LeaseRequest) -> Response {
+        let term = self.raft.term();
+        let lease = self.settings.lease;
+        let granter = Leadership::granter_of(&mut self.leadership, term, lease, now);
+        let mut grant = granter.grant(now, request, &self.config, &self.voter_addresses);
+        if let Some(update) = &mut grant.list {
+            self.add_elapsed_uptime(now, update);
+        }
+        Response::Granted(Box::new(grant))
+    }
+
+    /// Puts a proposal into the log, where it is not there already; the response follows once it is committed.
+    fn propose(
+        &mut self,
+        now: Micros,
+        origin: RequestOrigin,
+        proposal: Proposal,
+        out: &mut Output,
+    ) -> Option<Response> {
+        if let Some(outcome) = self.config.outcome(proposal.token) {
+            return Some(Response::Proposed(outcome));
+        }
+        if let Err(errors) = (self.settings.check)(&proposal.values) {
+            return Some(Response::Invalid(errors.to_string()));
+        }
+        let token = proposal.token;
+        if !self.pending_proposals.contains_key(&token) {
+            let command = LogCommand::Propose(Proposal {
+                at_s: self.wall_clock_s,
+                ..proposal
+            });
+            if self.raft.propose(now, command.encode(), out).is_err() {
+                return Some(Response::NoLeader);
+            }
+        }
+        let waiting = self.pending_proposals.entry(token).or_default();
+        if waiting.len() < MAX_WAITING_REQUESTS {
+            waiting.push(WaitingRequest::new(origin, now));
+        }
+        None
+    }
+
+    /// Answers the requests for proposals of which the outcome is known by now.
+    pub(super) fn answer_decided_proposals(&mut self, effects: &mut Effects) {
+        let config = &self.config;
+        self.pending_proposals.retain(|token, waiting| {
+            let Some(outcome) = config.outcome(*token) else {
+                return true;
+            };
+            for request in waiting.drain(..) {
+                effects.respond(request.origin, Response::Proposed(outcome));
+            }
+            false
+        });
+    }
+
+    pub(super) fn time_out_proposals(&mut self, now: Micros, effects: &mut Effects) {
+        self.pending_proposals.retain(|_, waiting| {
+            for timed_out in waiting.extract_if(.., |request| request.times_out_at <= now) {
+                effects.respond(timed_out.origin, Response::Indeterminate);
+            }
+            !waiting.is_empty()
+        });
+    }
+
+    fn set_address(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        address: String,
+        out: &mut Output,
+    ) -> Response {
+        if address.parse::<SocketAddr>().is_err() {
+            return Response::Invalid(format!("'{address}' is not an address with a port"));
+        }
+        self.log_command(now, &LogCommand::SetAddress { node, address }, out)
+    }
+
+    fn change_voters(&mut self, now: Micros, voters: Vec<NodeId>, out: &mut Output) -> Response {
+        if let Some(unknown) = voters.iter().find(|id| self.address(**id).is_none()) {
+            return Response::Invalid(format!(
+                "no address of node {} is known yet: register it first",
+                unknown.0
+            ));
+        }
+        match self.raft.propose_membership(now, voters, out) {
+            Some(_) => Response::Accepted,
+            None => Response::Invalid(
+                "another change is under way, or it is not one node's difference".into(),
+            ),
+        }
+    }
+
+    /// Puts a command into the log whose effect is seen in the status.
+    fn log_command(&mut self, now: Micros, command: &LogCommand, out: &mut Output) -> Response {
+        match self.raft.propose(now, command.encode(), out) {
+            Ok(_) => Response::Accepted,
+            Err(_) => Response::NoLeader,
+        }
+    }
+
+    fn status(&self, now: Micros) -> ClusterStatus {
+        let leases = self
+            .leadership
+            .as_ref()
+            .map(|leadership| leadership.granter.lease_counts(now, &self.config))
+            .unwrap_or_default();
+        let addresses = self.config.addresses.iter();
+        ClusterStatus {
+            leader: self.settings.id,
+            term: self.raft.term(),
+            committed: self.raft.commit_index(),
+            in_force: self.config.in_force.clone(),
+            pending: self.config.pending.clone(),
+            history: self.config.history.iter().cloned().collect(),
+            voters: self.raft.voters().to_vec(),
+            addresses: addresses
+                .map(|(id, address)| (*id, address.clone()))
+                .collect(),
+            leases: leases.live as u64,
+            list: self.config.list.version.0,
+            list_source: self.config.list.source_version,
+            hosts: self.config.list.present_hosts().count() as u64,
+            list_rejection: self.rejection,
+            up_to_date_leases: leases.up_to_date as u64,
+        }
+    }
+}
--- a/crates/spokeflow-coordination/src/endpoint_list.rs
+++ b/crates/spokeflow-coordination/src/endpoint_list.rs
@@ -1,210 +1,179 @@
-//! The list of hosts as the log has it, and which news of its source is accepted.
+//! The endpoint list as the log has it: which updates of its source are accepted, and what its followers lack.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// Changes that are kept for those who lag; one who has missed more is told the whole list.
-const CHANGES: usize = 4096;
+use crate::{EndpointListUpdate, HostState, ListVersion, ListedHost, Rejection, SourceUpdate};
 
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct ListVersion(pub u64);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum HostState {
-    Gone,
-    Ready,
-    Draining,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ListedHost {
-    pub host: u32,
-    pub address: String,
-    pub build: Option<u16>,
-    pub cell: u16,
-    pub zone: u16,
-    pub state: HostState,
-    /// Grows with each start of the host's process.
-    pub incarnation: u64,
-    /// Microseconds since that start, at least; `None` for long ago.
-    pub up_us: Option<u64>,
-}
-
-impl ListedHost {
-    /// Whether both say the same, however long ago.
-    fn same(&self, other: &ListedHost) -> bool {
-        ListedHost {
-            up_us: None,
-            ..self.clone()
-        } == ListedHost {
-            up_us: None,
-            ..other.clone()
-        }
-    }
-}
-
-/// What the list's source said.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SourceUpdate {
-    pub version: u64,
-    /// Hosts that are not named are gone.
-    pub complete: bool,
-    pub hosts: Vec<ListedHost>,
-}
-
-/// Why news of the source is rejected.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Rejection {
-    /// Its version is lower than one that was told before.
-    Backwards {
-        /// Under its earlier name in JSON, which scripts read.
-        #[serde(rename = "told")]
-        received: u64,
-        before: u64,
-    },
-    /// One version was told twice, and not alike.
-    Forked { version: u64 },
-    /// More than half of the hosts are missing from a whole list; accepted where a second reading says the same.
-    Halved { before: usize, missing: usize },
-}
-
-/// A part of the list, for one who has it up to some version.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointListUpdate {
-    pub version: ListVersion,
-    pub complete: bool,
-    pub hosts: Vec<ListedHost>,
-}
+/// Changes that are kept for followers that lag; one that lacks more is sent the whole list.
+const MAX_RETAINED_CHANGES: usize = 4096;
 
+/// The endpoint list. The order of fields is the encoding of snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointList {
+    /// Version of the list.
     pub version: ListVersion,
-    /// The source's version that was taken in last.
+    /// The source's version of the last accepted update.
     pub source_version: u64,
+    /// By id; those that are gone stay until no kept change names them.
     hosts: BTreeMap<u32, ListedHost>,
-    changes: VecDeque<(ListVersion, u32)>,
+    /// The newest last.
+    changes: VecDeque<ListChange>,
+}
+
+/// The version that changed a host.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+struct ListChange {
+    version: ListVersion,
+    host: u32,
 }
 
 impl EndpointList {
+    /// All hosts that the list knows, also some that are gone.
     pub fn hosts(&self) -> impl Iterator<Item = &ListedHost> {
         self.hosts.values()
     }
 
-    fn there(&self) -> impl Iterator<Item = &ListedHost> {
-        self.hosts.values().filter(|h| h.state != HostState::Gone)
+    /// The hosts that are not gone.
+    pub(crate) fn present_hosts(&self) -> impl Iterator<Item = &ListedHost> {
+        self.hosts().filter(|host| host.state != HostState::Gone)
     }
 
-    /// What of the news differs from the list. `Ok(None)`: nothing. `twice`: a second reading said the same.
+    /// What of an update differs from the list; `Ok(None)` where nothing does. `confirmed`: a second reading said the
+    /// same.
+    ///
+    /// # Errors
+    ///
+    /// The update is rejected.
     pub fn evaluate(
         &self,
-        news: &SourceUpdate,
-        twice: bool,
+        update: &SourceUpdate,
+        confirmed: bool,
     ) -> Result<Option<SourceUpdate>, Rejection> {
-        if news.version < self.source_version {
+        if update.version < self.source_version {
             return Err(Rejection::Backwards {
-                received: news.version,
+                received: update.version,
                 before: self.source_version,
             });
         }
-        let named: BTreeSet<u32> = news.hosts.iter().map(|h| h.host).collect();
-        let mut differ: Vec<ListedHost> = news.hosts.to_vec();
-        differ.retain(|h| !self.hosts.get(&h.host).is_some_and(|known| known.same(h)));
-        // One that was never there need not be told to be gone.
-        differ.retain(|h| h.state != HostState::Gone || self.hosts.contains_key(&h.host));
-        if news.complete {
-            let missing: Vec<&ListedHost> =
-                self.there().filter(|h| !named.contains(&h.host)).collect();
-            let before = self.there().count();
-            if missing.len() * 2 > before && before > 1 && !twice {
-                return Err(Rejection::Halved {
-                    before,
-                    missing: missing.len(),
-                });
-            }
-            let gone = |h: &ListedHost| ListedHost {
-                state: HostState::Gone,
-                ..h.clone()
-            };
-            differ.extend(missing.into_iter().map(gone));
+        let mut hosts = self.changed_hosts(update);
+        if update.complete {
+            hosts.extend(self.missing_hosts(update, confirmed)?);
         }
-        if differ.is_empty() {
+        if hosts.is_empty() {
             return Ok(None);
         }
-        if news.version == self.source_version && self.version.0 > 0 {
+        if update.version == self.source_version && self.version.0 > 0 {
             return Err(Rejection::Forked {
-                version: news.version,
+                version: update.version,
             });
         }
         Ok(Some(SourceUpdate {
-            version: news.version,
+            version: update.version,
             complete: false,
-            hosts: differ,
+            hosts,
         }))
     }
 
-    /// Takes in what was weighed.
-    pub fn apply(&mut self, news: SourceUpdate) {
+    /// The hosts of the update that the list has otherwise or not at all.
+    fn changed_hosts(&self, update: &SourceUpdate) -> Vec<ListedHost> {
+        let is_changed = |host: &&ListedHost| match self.hosts.get(&host.host) {
+            Some(known) => !known.says_the_same(host),
+            // One that was never there need not be listed as gone.
+            None => host.state != HostState::Gone,
+        };
+        update.hosts.iter().filter(is_changed).cloned().collect()
+    }
+
+    /// The hosts that a complete update does not name, as gone.
+    fn missing_hosts(
+        &self,
+        update: &SourceUpdate,
+        confirmed: bool,
+    ) -> Result<Vec<ListedHost>, Rejection> {
+        let named: BTreeSet<u32> = update.hosts.iter().map(|host| host.host).collect();
+        let missing: Vec<ListedHost> = self
+            .present_hosts()
+            .filter(|host| !named.contains(&host.host))
+            .map(|host| ListedHost {
+                state: HostState::Gone,
+                ..host.clone()
+            })
+            .collect();
+        let before = self.present_hosts().count();
+        if missing.len() * 2 > before && before > 1 && !confirmed {
+            return Err(Rejection::Halved {
+                before,
+                missing: missing.len(),
+            });
+        }
+        Ok(missing)
+    }
+
+    /// Applies an update that [`EndpointList::evaluate`] has returned.
+    pub fn apply(&mut self, update: SourceUpdate) {
         self.version.0 += 1;
-        self.source_version = news.version;
-        for host in news.hosts {
-            self.changes.push_back((self.version, host.host));
+        self.source_version = update.version;
+        for host in update.hosts {
+            self.changes.push_back(ListChange {
+                version: self.version,
+                host: host.host,
+            });
             self.hosts.insert(host.host, host);
         }
-        while self.changes.len() > CHANGES {
-            let Some((_, host)) = self.changes.pop_front() else {
-                break;
-            };
-            // Who is told the whole list needs no word of hosts that are gone.
-            let last = !self.changes.iter().any(|c| c.1 == host);
-            if last
-                && self
-                    .hosts
-                    .get(&host)
-                    .is_some_and(|h| h.state == HostState::Gone)
-            {
-                self.hosts.remove(&host);
+        while self.changes.len() > MAX_RETAINED_CHANGES {
+            if let Some(dropped) = self.changes.pop_front() {
+                self.forget_if_gone(dropped.host);
             }
         }
     }
 
-    /// The source may begin anew, from any version: said by a person.
+    /// Forgets a host that is gone and that no kept change names: whoever is sent the whole list needs no word of it.
+    fn forget_if_gone(&mut self, host: u32) {
+        if self.changes.iter().any(|change| change.host == host) {
+            return;
+        }
+        let is_gone = |known: &ListedHost| known.state == HostState::Gone;
+        if self.hosts.get(&host).is_some_and(is_gone) {
+            self.hosts.remove(&host);
+        }
+    }
+
+    /// Lets the source begin again from any version; decided by an operator.
     pub fn trust_source(&mut self) {
         self.source_version = 0;
     }
 
-    /// What one lacks who has the list up to `have`; `None`: nothing.
-    pub fn update_since(&self, have: ListVersion) -> Option<EndpointListUpdate> {
-        if have == self.version {
+    /// What a follower lacks that has this version of the list; `None` where it lacks nothing.
+    pub fn update_since(&self, version: ListVersion) -> Option<EndpointListUpdate> {
+        if version == self.version {
             return None;
         }
-        let first = self.changes.front().map_or(ListVersion(u64::MAX), |c| c.0);
-        let version = self.version;
-        // One version may have been cut in the middle: what comes right after it is not known whole.
-        if have.0 == 0 || have >= self.version || have.0 < first.0 {
-            let hosts = self.there().cloned().collect();
-            return Some(EndpointListUpdate {
-                version,
-                complete: true,
-                hosts,
-            });
-        }
-        let named: BTreeSet<u32> = self
-            .changes
-            .iter()
-            .filter(|c| c.0 > have)
-            .map(|c| c.1)
-            .collect();
-        let hosts = named
-            .iter()
-            .filter_map(|h| self.hosts.get(h).cloned())
-            .collect();
+        let oldest = self.changes.front();
+        let oldest = oldest.map_or(ListVersion(u64::MAX), |change| change.version);
+        // The oldest kept version may lack some of its changes, so a follower needs to have at least that one.
+        let is_complete = version.0 == 0 || version >= self.version || version < oldest;
+        let hosts = if is_complete {
+            self.present_hosts().cloned().collect()
+        } else {
+            self.hosts_changed_since(version)
+        };
         Some(EndpointListUpdate {
-            version,
-            complete: false,
+            version: self.version,
+            complete: is_complete,
             hosts,
         })
     }
+
+    fn hosts_changed_since(&self, version: ListVersion) -> Vec<ListedHost> {
+        let changed: BTreeSet<u32> = self
+            .changes
+            .iter()
+            .filter(|change| change.version > version)
+            .map(|change| change.host)
+            .collect();
+        let hosts = changed.iter().filter_map(|host| self.hosts.get(host));
+        hosts.cloned().collect()
+    }
 }
--- a/crates/spokeflow-coordination/src/lease_granter.rs
+++ b/crates/spokeflow-coordination/src/lease_granter.rs
@@ -1,132 +1,129 @@
-//! The leading keeper's side: who holds a lease, and when the announced revision may come into force.
+//! The leader's side of leases: who holds one, and when the pending revision may come into force.
 
-use serde::{Deserialize, Serialize};
 use spokeflow_core::Micros;
 
 use crate::lease_table::{Lease, LeaseTable};
-use crate::{ConfigState, EndpointListUpdate, LeaseConfig, LeaseRequest, Revision, RevisionNumber};
+use crate::{
+    ConfigState, LeaseConfig, LeaseCounts, LeaseGrant, LeaseRequest, Revision, RevisionNumber,
+    RevisionRef, VoterAddresses,
+};
 
-/// Routers whose leases are kept in mind; beyond, an announced revision waits for time alone.
-const LEASES_AT_MOST: usize = 8192;
+/// Routers whose leases are tracked, to bound the memory; with more, a pending revision waits for time alone.
+const MAX_TRACKED_LEASES: usize = 8192;
 
-/// A revision, whole where the router does not have it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RevisionRef {
-    pub number: RevisionNumber,
-    pub revision: Option<Revision>,
-}
-
-/// A lease, from the moment at which it was asked for: on the revision in force, and, where another is announced,
-/// on the stricter of both.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseGrant {
-    pub in_force: RevisionRef,
-    pub pending: Option<RevisionRef>,
-    /// Where the keepers that vote are to be found, where the router has it otherwise.
-    pub voters: Option<VoterAddresses>,
-    /// What the router lacks of the list, where it wants it.
-    pub list: Option<EndpointListUpdate>,
-}
-
-/// Addresses of keepers, and a number by which two such lists are told apart.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VoterAddresses {
-    pub fingerprint: u64,
-    pub addresses: Vec<String>,
-}
-
-/// All figures are of the present leadership: a keeper that is elected anew begins with none. Times are of the keeper's
-/// clock, which never goes back from one call to the next.
+/// Grants leases for one leadership: a node that is elected again begins with a new one.
+///
+/// Times are microseconds of the leader's clock, which never goes back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct LeaseGranter {
-    terms: LeaseConfig,
-    /// From when on nobody else can have given leases.
-    led_since: Micros,
-    announced: Option<(RevisionNumber, Micros)>,
+    config: LeaseConfig,
+    /// From when on nobody else can have granted leases.
+    leader_since: Micros,
+    pending: Option<SeenPending>,
     leases: LeaseTable,
-    over: bool,
+    /// Whether there are leases that are not tracked.
+    has_untracked: bool,
+}
+
+/// The pending revision, and when it was first seen.
+#[derive(Clone, Copy, Debug)]
+struct SeenPending {
+    number: RevisionNumber,
+    since: Micros,
 }
 
 impl LeaseGranter {
-    pub fn new(terms: LeaseConfig, now: Micros) -> Self {
+    /// A granter of a node that leads from `now` on.
+    pub fn new(config: LeaseConfig, now: Micros) -> Self {
         LeaseGranter {
-            terms,
-            led_since: now,
-            announced: None,
+            config,
+            leader_since: now,
+            pending: None,
             leases: LeaseTable::default(),
-            over: false,
+            has_untracked: false,
         }
     }
 
-    /// To be called by a leader that speaks at this moment, only.
+    /// Grants a lease. Only to be called by a leader that has its own lease at this moment.
     pub fn grant(
         &mut self,
         now: Micros,
-        asked: &LeaseRequest,
-        ledger: &ConfigState,
-        seats: &VoterAddresses,
+        request: &LeaseRequest,
+        state: &ConfigState,
+        voters: &VoterAddresses,
     ) -> LeaseGrant {
-        self.leases.remove_expired(now);
-        let until = now + self.terms.granter_duration();
-        let known = self
-            .leases
-            .applied_revision(asked.process)
-            .unwrap_or(RevisionNumber(0));
-        if known == RevisionNumber(0) && self.leases.len() >= LEASES_AT_MOST {
-            self.over = true;
-        } else {
-            // Messages overtake each other: what a router has once said it acts on stays said.
-            let lease = Lease {
-                until,
-                applied_revision: asked.applied_revision.max(known),
-            };
-            self.leases.insert(asked.process, lease);
-        }
-        let tell = |revision: &Revision| RevisionRef {
-            number: revision.number,
-            revision: (!asked.known_revisions.contains(&revision.number)).then(|| revision.clone()),
+        self.track(now, request);
+        let reference = |revision: &Revision| {
+            let is_known = request.known_revisions.contains(revision.number);
+            RevisionRef {
+                number: revision.number,
+                revision: (!is_known).then(|| revision.clone()),
+            }
         };
-        let (in_force, announced) = (tell(&ledger.in_force), ledger.pending.as_ref().map(tell));
-        let list = asked.list.and_then(|have| ledger.list.update_since(have));
+        let knows_voters = request.voters_fingerprint == voters.fingerprint;
         LeaseGrant {
-            in_force,
-            pending: announced,
-            voters: (asked.voters_fingerprint != seats.fingerprint).then(|| seats.clone()),
-            list,
+            in_force: reference(&state.in_force),
+            pending: state.pending.as_ref().map(reference),
+            voters: (!knows_voters).then(|| voters.clone()),
+            list: request
+                .list
+                .and_then(|version| state.list.update_since(version)),
         }
     }
 
-    /// The announced revision, where every lease that was given without it is over, or its router has since said
-    /// that it acts on it.
-    pub fn ready_revision(&mut self, now: Micros, ledger: &ConfigState) -> Option<RevisionNumber> {
-        let number = ledger.pending.as_ref()?.number;
-        let since = match self.announced {
-            Some((n, since)) if n == number => since,
-            _ => {
-                self.announced = Some((number, now));
-                now
-            }
+    /// Notes the lease that is about to be granted.
+    fn track(&mut self, now: Micros, request: &LeaseRequest) {
+        self.leases.remove_expired(now);
+        let known = self.leases.applied_revision(request.process);
+        let known = known.unwrap_or_default();
+        if known == RevisionNumber(0) && self.leases.len() >= MAX_TRACKED_LEASES {
+            self.has_untracked = true;
+            return;
+        }
+        let lease = Lease {
+            expires_at: now + self.config.granter_duration(),
+            // Requests overtake each other: a revision that a router has applied once stays applied.
+            applied_revision: request.applied_revision.max(known),
         };
-        let waits = self.terms.granter_duration();
-        // Leases of an earlier leader are not known here: they have to run out.
-        let all_known = now - self.led_since >= waits && !self.over;
+        self.leases.insert(request.process, lease);
+    }
+
+    /// The pending revision, where every lease that was granted without it has expired or its router has applied it
+    /// since.
+    pub fn ready_revision(&mut self, now: Micros, state: &ConfigState) -> Option<RevisionNumber> {
+        let number = state.pending.as_ref()?.number;
+        let since = self.pending_since(number, now);
+        let lease = self.config.granter_duration();
+        // Leases of an earlier leader are not known here: they have to expire.
+        let all_known = now - self.leader_since >= lease && !self.has_untracked;
         self.leases.remove_expired(now);
-        let all_act = self.leases.all_applied(number);
-        (now - since >= waits || all_known && all_act).then_some(number)
+        let all_applied = self.leases.all_applied(number);
+        let is_ready = now - since >= lease || all_known && all_applied;
+        is_ready.then_some(number)
+    }
+
+    /// When this pending revision was first seen, which is now where it is a new one.
+    fn pending_since(&mut self, number: RevisionNumber, now: Micros) -> Micros {
+        let seen = self.pending.filter(|pending| pending.number == number);
+        let pending = seen.unwrap_or(SeenPending { number, since: now });
+        self.pending = Some(pending);
+        pending.since
     }
 
-    /// When [`LeaseGranter::ready_revision`] may change next by time alone; `None`: not any more, or nothing is announced.
+    /// When [`LeaseGranter::ready_revision`] may change next by time alone; `None` where it will not any more, or
+    /// nothing is pending.
     pub fn next_check(&self, now: Micros) -> Option<Micros> {
-        let since = self.announced?.1;
-        let waits = self.terms.granter_duration();
-        [since + waits, self.led_since + waits]
+        let lease = self.config.granter_duration();
+        let pending_lease_end = self.pending?.since + lease;
+        let first_lease_end = self.leader_since + lease;
+        [pending_lease_end, first_lease_end]
             .into_iter()
-            .filter(|t| *t > now)
+            .filter(|end| *end > now)
             .min()
     }
 
-    /// Live leases, and how many of them are of routers that act on the newest revision.
-    pub fn lease_counts(&self, now: Micros, ledger: &ConfigState) -> (usize, usize) {
-        self.leases.live(now, ledger.newest())
+    /// Leases that are live at `now`.
+    pub fn lease_counts(&self, now: Micros, state: &ConfigState) -> LeaseCounts {
+        self.leases.live(now, state.newest())
     }
 }
--- a/crates/spokeflow-coordination/src/lease_holder.rs
+++ b/crates/spokeflow-coordination/src/lease_holder.rs
@@ -1,186 +1,212 @@
-//! A router's side: the revisions that it holds a lease on, and until when by its own clock.
+//! A router's side of leases: the revisions that it holds a lease on, and until when by its own clock.
 
 use std::collections::VecDeque;
 
-use serde::{Deserialize, Serialize};
 use spokeflow_core::Micros;
 
 use crate::{
-    EndpointListUpdate, LeaseConfig, LeaseGrant, ListVersion, Revision, RevisionNumber,
-    RevisionRef, VoterAddresses,
+    EndpointListUpdate, KnownRevisions, LeaseConfig, LeaseGrant, LeaseRequest, ListVersion,
+    Revision, RevisionNumber, RevisionRef, VoterAddresses,
 };
 
-/// Requests that are out at most; an answer to one that is forgotten gives nothing.
-const OUT: usize = 32;
-
-/// What a router asks with.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseRequest {
-    /// Drawn at the start of the router's process.
-    pub process: u64,
-    /// Index of the router in its fleet.
-    pub router: u32,
-    /// Revisions that it has whole: in force, announced.
-    pub known_revisions: [RevisionNumber; 2],
-    /// The newest revision that every one of its acts now respects.
-    pub applied_revision: RevisionNumber,
-    /// Mark of the keepers' addresses that it has.
-    pub voters_fingerprint: u64,
-    /// The list that it has, where it wants it from the keepers.
-    pub list: Option<ListVersion>,
-}
+/// Requests whose time of sending is remembered; an answer to an older one gives nothing.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Renewals in the time of one lease: two in a row may fail before it expires.
+const RENEWALS_PER_LEASE: Micros = 3;
 
+/// The lease of a router.
+///
+/// Times are microseconds of the router's clock, which never goes back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     process: u64,
     router: u32,
-    asked: VecDeque<(u64, Micros)>,
-    next: u64,
-    until: Option<Micros>,
+    /// The oldest first.
+    open_requests: VecDeque<OpenRequest>,
+    last_request: u64,
+    expires_at: Option<Micros>,
     in_force: Revision,
     pending: Option<Revision>,
     applied_revision: RevisionNumber,
     voters: VoterAddresses,
-    list: Option<ListVersion>,
-    news: Option<EndpointListUpdate>,
+    /// The version of the endpoint list that the router has, where it wants the list.
+    list_version: Option<ListVersion>,
+    list_update: Option<EndpointListUpdate>,
+}
+
+/// A request that is not answered yet.
+#[derive(Clone, Debug)]
+struct OpenRequest {
+    number: u64,
+    sent_at: Micros,
 }
 
 impl LeaseHolder {
-    pub fn new(terms: LeaseConfig, process: u64, router: u32) -> Self {
-        let (asked, in_force) = (VecDeque::new(), Revision::default());
-        let (next, until, announced, acts_on) = (0, None, None, RevisionNumber(0));
-        let seats = VoterAddresses::default();
-        let (list, news) = (None, None);
+    /// A router that has no lease yet. `process` is a random number of its process, `router` its index in the fleet.
+    pub fn new(config: LeaseConfig, process: u64, router: u32) -> Self {
         LeaseHolder {
-            terms,
+            config,
             process,
             router,
-            asked,
-            next,
-            until,
-            in_force,
-            pending: announced,
-            applied_revision: acts_on,
-            voters: seats,
-            list,
-            news,
+            open_requests: VecDeque::new(),
+            last_request: 0,
+            expires_at: None,
+            in_force: Revision::default(),
+            pending: None,
+            applied_revision: RevisionNumber(0),
+            voters: VoterAddresses::default(),
+            list_version: None,
+            list_update: None,
         }
     }
 
-    /// Wants the list as well, from now on.
+    /// Asks for the endpoint list as well, from now on.
     pub fn with_list(mut self) -> Self {
-        self.list = Some(ListVersion(0));
+        self.list_version = Some(ListVersion(0));
         self
     }
 
-    /// How often to ask: twice more may fail before the lease is over.
+    /// How often to ask for a renewal.
     pub fn renewal_interval(&self) -> Micros {
-        self.terms.holder_duration() / 3
+        self.config.holder_duration() / RENEWALS_PER_LEASE
     }
 
-    /// Until when the lease holds; `None` where it never had one.
+    /// When the lease expires; `None` where there never was one.
     pub fn expires_at(&self) -> Option<Micros> {
-        self.until
+        self.expires_at
     }
 
-    /// What the last grant that was taken in said of the list, once.
+    /// What the last accepted grant said of the endpoint list, once.
     pub fn take_list_update(&mut self) -> Option<EndpointListUpdate> {
-        self.news.take()
+        self.list_update.take()
     }
 
+    /// The revision in force.
     pub fn in_force(&self) -> &Revision {
         &self.in_force
     }
 
-    /// Beside the one in force, where both have to be respected.
+    /// The pending revision, which has to be respected beside the one in force.
     pub fn pending(&self) -> Option<&Revision> {
         self.pending.as_ref()
     }
 
-    /// Where keepers are to be found, as the leader said last.
+    /// Addresses of the voters, as the leader named them last.
     pub fn voter_addresses(&self) -> &[String] {
         &self.voters.addresses
     }
 
+    /// The number of the newest revision, in force or pending.
     pub fn newest(&self) -> RevisionNumber {
         self.pending
             .as_ref()
-            .map_or(self.in_force.number, |a| a.number)
+            .map_or(self.in_force.number, |pending| pending.number)
+    }
+
+    fn known_revisions(&self) -> KnownRevisions {
+        KnownRevisions {
+            in_force: self.in_force.number,
+            newest: self.newest(),
+        }
     }
 
-    /// All acts from now on respect this revision.
+    /// Notes that all acts from now on respect this revision.
     pub fn set_applied_revision(&mut self, revision: RevisionNumber) {
         self.applied_revision = self.applied_revision.max(revision);
     }
 
-    /// Number and content of a request that leaves now.
+    /// Number and content of a request that is sent now.
     pub fn request(&mut self, now: Micros) -> (u64, LeaseRequest) {
-        self.next += 1;
-        self.asked.push_back((self.next, now));
-        if self.asked.len() > OUT {
-            self.asked.pop_front();
+        self.last_request += 1;
+        self.open_requests.push_back(OpenRequest {
+            number: self.last_request,
+            sent_at: now,
+        });
+        if self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_front();
         }
-        let knows = [self.in_force.number, self.newest()];
-        let (process, router, acts_on) = (self.process, self.router, self.applied_revision);
-        (
-            self.next,
-            LeaseRequest {
-                process,
-                router,
-                known_revisions: knows,
-                applied_revision: acts_on,
-                voters_fingerprint: self.voters.fingerprint,
-                list: self.list,
-            },
-        )
-    }
-
-    /// Takes in the answer to a request. Whether lease or revisions are other than before; the caller acts on them
-    /// in one step, or, where it cannot act on a revision, not on the lease either.
+        let request = LeaseRequest {
+            process: self.process,
+            router: self.router,
+            known_revisions: self.known_revisions(),
+            applied_revision: self.applied_revision,
+            voters_fingerprint: self.voters.fingerprint,
+            list: self.list_version,
+        };
+        (self.last_request, request)
+    }
+
+    /// Accepts the answer to a request. Returns whether lease or revisions have changed: the caller then acts on them
+    /// in one step or, where it cannot act on a revision, not on the lease either.
     pub fn on_grant(&mut self, number: u64, grant: LeaseGrant) -> bool {
-        let Some(at) = self.asked.iter().find(|a| a.0 == number).map(|a| a.1) else {
+        let Some(sent_at) = self.close_request(number) else {
             return false;
         };
-        self.asked.retain(|a| a.0 != number);
-        // The lease counts from the sending: how long the answer took is not known to whoever gave it.
-        let until = at + self.terms.holder_duration();
-        let newest = grant
-            .pending
-            .as_ref()
-            .map_or(grant.in_force.number, |a| a.number);
-        // An answer that was overtaken gives nothing back.
-        let (told, has) = (
-            (grant.in_force.number, newest),
-            (self.in_force.number, self.newest()),
-        );
-        if told < has || Some(until) < self.until || told == has && Some(until) == self.until {
+        // The lease counts from the sending: how long the answer took is not known to the granter.
+        let expires_at = sent_at + self.config.holder_duration();
+        if !self.is_newer(&grant, expires_at) {
             return false;
         }
-        let whole = |known: &RevisionRef| match &known.revision {
-            Some(revision) => Some(revision.clone()),
-            None if known.number == self.in_force.number => Some(self.in_force.clone()),
-            None => self.pending.clone().filter(|a| a.number == known.number),
-        };
-        let Some(in_force) = whole(&grant.in_force) else {
+        let Some(in_force) = self.resolve(&grant.in_force) else {
             return false;
         };
-        let announced = match &grant.pending {
+        let pending = match grant.pending.as_ref().map(|known| self.resolve(known)) {
+            Some(None) => return false,
+            Some(resolved) => resolved,
             None => None,
-            Some(known) => match whole(known) {
-                Some(revision) => Some(revision),
-                None => return false,
-            },
         };
-        (self.in_force, self.pending, self.until) = (in_force, announced, Some(until));
-        self.voters = grant.voters.unwrap_or(std::mem::take(&mut self.voters));
-        // Versions only grow: what an overtaken answer says of the list is known already.
-        self.news = grant
-            .list
-            .filter(|part| self.list.is_some_and(|have| part.version > have));
-        self.list = self
-            .list
-            .map(|have| self.news.as_ref().map_or(have, |part| part.version));
+        self.in_force = in_force;
+        self.pending = pending;
+        self.expires_at = Some(expires_at);
+        if let Some(voters) = grant.voters {
+            self.voters = voters;
+        }
+        self.accept_list(grant.list);
         true
     }
+
+    /// When the open request with this number was sent; it is open no longer.
+    fn close_request(&mut self, number: u64) -> Option<Micros> {
+        let position = self
+            .open_requests
+            .iter()
+            .position(|request| request.number == number)?;
+        let request = self.open_requests.remove(position)?;
+        Some(request.sent_at)
+    }
+
+    /// Whether a grant gives later revisions, or the same for longer. An answer that was overtaken takes nothing back.
+    fn is_newer(&self, grant: &LeaseGrant, expires_at: Micros) -> bool {
+        let granted = grant.revisions();
+        let known = self.known_revisions();
+        let expires_at = Some(expires_at);
+        if granted < known || expires_at < self.expires_at {
+            return false;
+        }
+        granted != known || expires_at != self.expires_at
+    }
+
+    /// The whole revision, from the grant or from those that the router has.
+    fn resolve(&self, reference: &RevisionRef) -> Option<Revision> {
+        let known = [Some(&self.in_force), self.pending.as_ref()];
+        let known = known
+            .into_iter()
+            .flatten()
+            .find(|revision| revision.number == reference.number);
+        reference.revision.as_ref().or(known).cloned()
+    }
+
+    /// Keeps what a grant says of the list, where that is newer: versions only grow, so what an overtaken answer says
+    /// is known already.
+    fn accept_list(&mut self, update: Option<EndpointListUpdate>) {
+        let has_older = |update: &EndpointListUpdate| {
+            self.list_version
+                .is_some_and(|version| update.version > version)
+        };
+        self.list_update = update.filter(has_older);
+        if let Some(update) = &self.list_update {
+            self.list_version = Some(update.version);
+        }
+    }
 }
--- a/crates/spokeflow-coordination/src/lease_table.rs
+++ b/crates/spokeflow-coordination/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! The leases that a leader has given, kept in each order in which they are looked at: by the router's process, by
+//! The leases that a leader has granted, in each order in which they are looked at: by the router's process, by
 //! expiry, and counted by revision. Every call but [`LeaseTable::live`] takes O(log n) for n leases, amortised: a
 //! lease that expires is taken out once.
 
@@ -8,50 +8,60 @@
 
 use crate::RevisionNumber;
 
-/// A router's permission to act, by the leader's clock.
+/// A router's permission to act.
 #[derive(Clone, Copy, Debug)]
-pub struct Lease {
-    pub until: Micros,
-    /// The newest revision that the router has said it acts on.
-    pub applied_revision: RevisionNumber,
+pub(crate) struct Lease {
+    pub(crate) expires_at: Micros,
+    /// The newest revision that the router has applied.
+    pub(crate) applied_revision: RevisionNumber,
 }
 
+/// How many leases are live.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LeaseCounts {
+    /// All of them.
+    pub live: usize,
+    /// Those of routers that have applied the newest revision.
+    pub up_to_date: usize,
+}
+
+/// The leases that a leader has granted.
 #[derive(Clone, Debug, Default)]
-pub struct LeaseTable {
+pub(crate) struct LeaseTable {
     /// By router's process.
     leases: BTreeMap<u64, Lease>,
-    /// Expiry and process of each lease.
+    /// Expiry and router's process of each lease.
     by_expiry: BTreeSet<(Micros, u64)>,
-    /// How many leases are of routers that act on a revision; a revision without one is not kept.
+    /// By revision, how many leases are of routers that have applied it; a revision without any is not kept.
     by_revision: BTreeMap<RevisionNumber, usize>,
 }
 
 impl LeaseTable {
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// What the router of this process has said it acts on; `None` where it holds no lease.
-    pub fn applied_revision(&self, process: u64) -> Option<RevisionNumber> {
+    /// The newest revision that the router of this process has applied; `None` where it holds no lease.
+    pub(crate) fn applied_revision(&self, process: u64) -> Option<RevisionNumber> {
         self.leases
             .get(&process)
             .map(|lease| lease.applied_revision)
     }
 
     /// Gives the process this lease in place of the one it holds, if any.
-    pub fn insert(&mut self, process: u64, lease: Lease) {
+    pub(crate) fn insert(&mut self, process: u64, lease: Lease) {
         if let Some(earlier) = self.leases.insert(process, lease) {
-            self.by_expiry.remove(&(earlier.until, process));
+            self.by_expiry.remove(&(earlier.expires_at, process));
             self.uncount(earlier.applied_revision);
         }
-        self.by_expiry.insert((lease.until, process));
+        self.by_expiry.insert((lease.expires_at, process));
         *self.by_revision.entry(lease.applied_revision).or_default() += 1;
     }
 
-    /// Takes out every lease that is over by `now`.
-    pub fn remove_expired(&mut self, now: Micros) {
-        while let Some((until, process)) = self.by_expiry.first().copied() {
-            if until > now {
+    /// Removes every lease that has expired by `now`.
+    pub(crate) fn remove_expired(&mut self, now: Micros) {
+        while let Some((expires_at, process)) = self.by_expiry.first().copied() {
+            if expires_at > now {
                 return;
             }
             self.by_expiry.pop_first();
@@ -61,27 +71,32 @@
         }
     }
 
-    /// Whether every router that holds a lease acts on `revision` or a later one.
-    pub fn all_applied(&self, revision: RevisionNumber) -> bool {
+    /// Whether every router that holds a lease has applied `revision` or a later one.
+    pub(crate) fn all_applied(&self, revision: RevisionNumber) -> bool {
         self.by_revision
             .first_key_value()
             .is_none_or(|(oldest, _)| *oldest >= revision)
     }
 
-    /// How many leases hold at `now`, and how many of these are of routers that act on `revision` or a later one.
-    /// Walks the leases that are over and not taken out yet.
-    pub fn live(&self, now: Micros, revision: RevisionNumber) -> (usize, usize) {
-        let mut live = self.leases.len();
-        let mut acting: usize = self
-            .by_revision
-            .range(revision..)
-            .map(|(_, leases)| leases)
-            .sum();
-        for (_, process) in self.by_expiry.iter().take_while(|(until, _)| *until <= now) {
-            live -= 1;
-            acting -= usize::from(self.applied_revision(*process) >= Some(revision));
+    /// How many leases are live at `now`, and how many of these are of routers that have applied `revision` or a later
+    /// one. Walks the leases that have expired and are not removed yet.
+    pub(crate) fn live(&self, now: Micros, revision: RevisionNumber) -> LeaseCounts {
+        let mut counts = LeaseCounts {
+            live: self.leases.len(),
+            up_to_date: self
+                .by_revision
+                .range(revision..)
+                .map(|(_, leases)| leases)
+                .sum(),
+        };
+        let expired = self.by_expiry.iter();
+        let expired = expired.take_while(|(expires_at, _)| *expires_at <= now);
+        for (_, process) in expired {
+            counts.live -= 1;
+            let is_up_to_date = self.applied_revision(*process) >= Some(revision);
+            counts.up_to_date -= usize::from(is_up_to_date);
         }
-        (live, acting)
+        counts
     }
 
     fn uncount(&mut self, revision: RevisionNumber) {
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -18,9 +18,9 @@
     Caller, ClusterParameters, ClusterStatus, FromNode, Refusal, Request, Response, ToNode,
 };
 use spokeflow_coordination::{
-    ConfigState, EndpointListUpdate, HostState, LeaseGrant, LeaseRequest, ListVersion, ListedHost,
-    LogCommand, Overrides, Proposal, ProposalOutcome, Rejection, Revision, RevisionNumber,
-    RevisionRecord, RevisionRef, SourceUpdate, VoterAddresses,
+    ConfigState, EndpointListUpdate, HostState, KnownRevisions, LeaseGrant, LeaseRequest,
+    ListVersion, ListedHost, LogCommand, Overrides, Proposal, ProposalOutcome, Rejection, Revision,
+    RevisionNumber, RevisionRecord, RevisionRef, SourceUpdate, VoterAddresses,
 };
 use spokeflow_raft::{AppendOutcome, Entry, LogIndex, Message, NodeId, Payload, Snapshot, Term};
 
@@ -270,7 +270,10 @@
     LeaseRequest {
         process: 1_001,
         router: 70_002,
-        known_revisions: [RevisionNumber(1_003), RevisionNumber(1_004)],
+        known_revisions: KnownRevisions {
+            in_force: RevisionNumber(1_003),
+            newest: RevisionNumber(1_004),
+        },
         applied_revision: RevisionNumber(1_005),
         voters_fingerprint: 1_006,
         list,
--- a/crates/spokeflow-coordination/tests/lease_granter.rs
+++ b/crates/spokeflow-coordination/tests/lease_granter.rs
@@ -119,7 +119,10 @@
     }
 
     fn ask(&mut self, process: u64, acts_on: RevisionNumber) {
-        let knows = [self.ledger.in_force.number, self.ledger.newest()];
+        let knows = KnownRevisions {
+            in_force: self.ledger.in_force.number,
+            newest: self.ledger.newest(),
+        };
         let asked = LeaseRequest {
             process,
             router: 0,
@@ -220,7 +223,7 @@
         for now in [self.now, self.now + self.chance.random_range(0..3 * SECOND)] {
             let counts = self.granter.lease_counts(now, &self.ledger);
             assert_eq!(
-                counts,
+                (counts.live, counts.up_to_date),
                 self.plain.counts(now, &self.ledger),
                 "step {}, at {now}",
                 self.met.steps
--- a/crates/spokeflow-coordination/tests/search.rs
+++ b/crates/spokeflow-coordination/tests/search.rs
@@ -112,12 +112,19 @@
         let mut step = Effects::default();
         act(&mut self.keepers[n], self.now, &mut step);
         self.unsynced[n].extend(step.persist_requests);
-        for (to, message) in step.messages {
+        for NodeMessage { to, message } in step.messages {
             self.wire.push(Message::ToNode(n, to.0 as usize, message));
         }
-        for (conn, number, answer) in step.responses.into_iter().filter(|a| a.0 != PERSON) {
-            self.wire
-                .push(Message::Answers(conn as usize, number, answer));
+        for answer in step
+            .responses
+            .into_iter()
+            .filter(|a| a.connection != PERSON)
+        {
+            self.wire.push(Message::Answers(
+                answer.connection as usize,
+                answer.number,
+                answer.response,
+            ));
         }
         let ledger = self.keepers[n].config();
         let known = (ledger.newest().0, ledger.in_force.number.0);
--- a/crates/spokeflow-engine/tests/engine.rs
+++ b/crates/spokeflow-engine/tests/engine.rs
@@ -402,7 +402,7 @@
 }
 
 fn agreed() -> EffectiveConfig {
-    EffectiveConfig::of(&terms().service)
+    EffectiveConfig::from(&terms().service)
 }
 
 fn grant(rig: &mut Rig, lasts: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{
-    ConfigState, HostState, LeaseConfig, LeaseGranter, LeaseRequest, ListVersion, ListedHost,
-    LogCommand, Overrides, Proposal, RevisionNumber, SourceUpdate, VoterAddresses,
+    ConfigState, HostState, KnownRevisions, LeaseConfig, LeaseGranter, LeaseRequest, ListVersion,
+    ListedHost, LogCommand, Overrides, Proposal, RevisionNumber, SourceUpdate, VoterAddresses,
 };
 use spokeflow_proto::{FrameCodec, FromList, Line, LinePhase};
 use spokeflow_raft::{Entry, LogIndex, Message, Payload, Term};
@@ -263,7 +263,10 @@
     LeaseRequest {
         process: PROCESS,
         router: 1299,
-        known_revisions: [known, known],
+        known_revisions: KnownRevisions {
+            in_force: known,
+            newest: known,
+        },
         applied_revision: known,
         voters_fingerprint: SEATS_MARK,
         list,
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -266,7 +266,7 @@
                 ..self.clone()
             };
             revised.check()?;
-            Ok::<_, ConfigErrors>(EffectiveConfig::of(&revised.engine().service))
+            Ok::<_, ConfigErrors>(EffectiveConfig::from(&revised.engine().service))
         };
         let now = terms(in_force)?;
         Ok(match announced {
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -258,7 +258,7 @@
     };
     if !terms.control_plane.is_empty() {
         // Nothing has been granted yet.
-        let own = Box::new(EffectiveConfig::of(&terms.engine().service));
+        let own = Box::new(EffectiveConfig::from(&terms.engine().service));
         give(
             &mut engine,
             &mut wires,
--- a/crates/spokeflow-simulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-simulator/src/agreement/keepers.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use spokeflow_coordination::wire::{Response, ToNode};
-use spokeflow_coordination::{Coordinator, CoordinatorConfig, Effects};
+use spokeflow_coordination::{Coordinator, CoordinatorConfig, Effects, NodeMessage};
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 
@@ -95,7 +95,7 @@
                 },
             );
         }
-        for (to, message) in step.messages {
+        for NodeMessage { to, message } in step.messages {
             let to = to.0 as usize;
             match message {
                 ToNode::Request {
@@ -120,8 +120,8 @@
                 }
             }
         }
-        for (conn, number, answer) in step.responses {
-            self.answer(n, conn, number, answer);
+        for answer in step.responses {
+            self.answer(n, answer.connection, answer.number, answer.response);
         }
         self.wake(n);
     }
--- a/crates/spokeflow-testbed/src/scale/wire.rs
+++ b/crates/spokeflow-testbed/src/scale/wire.rs
@@ -67,7 +67,7 @@
     let (asked, _) = take::<LeaseRequest>(rest)?;
     Some(ToKeeperHead::Lease {
         number,
-        in_force: asked.known_revisions[0].0,
+        in_force: asked.known_revisions.in_force.0,
     })
 }
 
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -2,8 +2,9 @@
 
 use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{
-    EndpointListUpdate, HostState, LeaseGrant, LeaseRequest, ListVersion, ListedHost, Overrides,
-    Proposal, ProposalOutcome, Revision, RevisionNumber, RevisionRef, VoterAddresses,
+    EndpointListUpdate, HostState, KnownRevisions, LeaseGrant, LeaseRequest, ListVersion,
+    ListedHost, Overrides, Proposal, ProposalOutcome, Revision, RevisionNumber, RevisionRef,
+    VoterAddresses,
 };
 use spokeflow_raft::{AppendOutcome, LogIndex, Message, Snapshot, Term};
 use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
@@ -17,11 +18,13 @@
 }
 
 fn asked(in_force: u64) -> LeaseRequest {
-    let knows = [RevisionNumber(in_force), RevisionNumber(in_force + 1)];
     LeaseRequest {
         process: u64::MAX,
         router: 70_000,
-        known_revisions: knows,
+        known_revisions: KnownRevisions {
+            in_force: RevisionNumber(in_force),
+            newest: RevisionNumber(in_force + 1),
+        },
         applied_revision: RevisionNumber(9),
         voters_fingerprint: 5,
         list: Some(ListVersion(4)),
