--- a/crates/spokeflow-coordination/src/lease_granter.rs
+++ b/crates/spokeflow-coordination/src/lease_granter.rs
@@ -19,7 +19,7 @@
     config: LeaseConfig,
     /// From when on nobody else can have granted leases.
     leader_since: Micros,
-    pending: Option<SeenPending>,
+    pending: Option<PendingSince>,
     leases: LeaseTable,
     /// Whether there are leases that are not tracked.
     has_untracked: bool,
@@ -27,7 +27,7 @@
 
 /// The pending revision, and when it was first seen.
 #[derive(Clone, Copy, Debug)]
-struct SeenPending {
+struct PendingSince {
     number: RevisionNumber,
     since: Micros,
 }
@@ -104,8 +104,8 @@
 
     /// When this pending revision was first seen, which is now where it is a new one.
     fn pending_since(&mut self, number: RevisionNumber, now: Micros) -> Micros {
-        let seen = self.pending.filter(|pending| pending.number == number);
-        let pending = seen.unwrap_or(SeenPending { number, since: now });
+        let known = self.pending.filter(|pending| pending.number == number);
+        let pending = known.unwrap_or(PendingSince { number, since: now });
         self.pending = Some(pending);
         pending.since
     }
--- /dev/null
+++ b/crates/spokeflow-coordination/tests/common/mod.rs
@@ -0,0 +1,15 @@
+//! What the tests of leases and proposals share.
+
+use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
+
+/// A proposal without values.
+pub(crate) fn proposal(token: u64, base: RevisionNumber) -> Proposal {
+    Proposal {
+        token,
+        base,
+        who: "operator".into(),
+        why: "test".into(),
+        at_s: 0,
+        values: Overrides::new(),
+    }
+}
--- /dev/null
+++ b/crates/spokeflow-coordination/tests/common/model/mod.rs
@@ -0,0 +1,331 @@
+//! A small model of a deployment: control-plane nodes, routers and an operator, whose events happen in any order.
+//!
+//! Messages are delivered in any order, late or never; writes are synced late or lost in a kill; time may jump over
+//! every timer, as where all processes are stopped.
+
+mod search;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use spokeflow_coordination::wire::{Request, Response, ToNode};
+use spokeflow_coordination::{
+    ClientResponse, Coordinator, CoordinatorConfig, Effects, LeaseConfig, LeaseHolder,
+    RequestOrigin,
+};
+use spokeflow_core::Micros;
+use spokeflow_raft::{NodeId, PersistRequest, PersistentState, RaftConfig};
+
+use super::common::proposal;
+pub(crate) use search::{search, Counts};
+
+pub(crate) const NODES: usize = 3;
+pub(crate) const ROUTERS: usize = 2;
+pub(crate) const ELECTION_TIMEOUT: Micros = 300_000;
+pub(crate) const LEASE: Micros = 1_200_000;
+/// The operator's connection; what it is answered decides nothing.
+const OPERATOR: u64 = 99;
+
+/// A message on its way.
+#[derive(Clone, Debug)]
+pub(crate) enum Message {
+    BetweenNodes {
+        from: usize,
+        to: usize,
+        message: ToNode,
+    },
+    Request {
+        router: usize,
+        to: usize,
+        number: u64,
+        request: Request,
+    },
+    Response {
+        router: usize,
+        number: u64,
+        response: Response,
+    },
+}
+
+impl Message {
+    /// Whether it only concerns these nodes, and routers.
+    fn is_among(&self, nodes: &[usize]) -> bool {
+        match self {
+            Message::BetweenNodes { from, to, .. } => nodes.contains(from) && nodes.contains(to),
+            Message::Request { to, .. } => nodes.contains(to),
+            Message::Response { .. } => true,
+        }
+    }
+}
+
+/// How often each event may still happen.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Budget {
+    pub(crate) losses: u8,
+    pub(crate) kills: u8,
+    pub(crate) jumps: u8,
+    pub(crate) proposals: u8,
+    pub(crate) lease_requests: u8,
+    pub(crate) wakes: u8,
+}
+
+/// What the model has broken, in words.
+pub(crate) type Outcome = Result<(), String>;
+
+/// The state of the whole deployment, and what was seen of it so far.
+#[derive(Clone, Debug)]
+pub(crate) struct World {
+    pub(crate) now: Micros,
+    pub(crate) nodes: Vec<Coordinator>,
+    disks: Vec<PersistentState>,
+    pub(crate) unsynced: Vec<VecDeque<PersistRequest>>,
+    pub(crate) holders: Vec<LeaseHolder>,
+    pub(crate) in_flight: Vec<Message>,
+    pub(crate) budget: Budget,
+    /// By revision, when any node first had it as pending.
+    pub(crate) proposed_at: BTreeMap<u64, Micros>,
+    /// By revision, when any node first had it in force.
+    pub(crate) in_force_at: BTreeMap<u64, Micros>,
+}
+
+const LEASE_CONFIG: LeaseConfig = LeaseConfig {
+    duration: LEASE,
+    max_clock_drift: 0.0,
+};
+
+fn settings(id: usize) -> CoordinatorConfig {
+    CoordinatorConfig {
+        id: NodeId(id as u32),
+        raft: RaftConfig {
+            voters: (0..NODES as u32).map(NodeId).collect(),
+            election_timeout: ELECTION_TIMEOUT,
+            heartbeat_interval: ELECTION_TIMEOUT / 3,
+            max_clock_drift: 0.0,
+        },
+        lease: LEASE_CONFIG,
+        addresses: BTreeMap::new(),
+        check: |_| Ok(()),
+    }
+}
+
+fn start(id: usize, saved: PersistentState, now: Micros) -> Coordinator {
+    Coordinator::new(settings(id), id as u64, saved, now).unwrap()
+}
+
+impl World {
+    pub(crate) fn new() -> World {
+        let node = |id| start(id, PersistentState::default(), 0);
+        let holder = |index| LeaseHolder::new(LEASE_CONFIG, index as u64 + 1, index as u32);
+        World {
+            now: 0,
+            nodes: (0..NODES).map(node).collect(),
+            disks: vec![PersistentState::default(); NODES],
+            unsynced: vec![VecDeque::new(); NODES],
+            holders: (0..ROUTERS).map(holder).collect(),
+            in_flight: Vec::new(),
+            budget: Budget {
+                losses: 0,
+                kills: 0,
+                jumps: 0,
+                proposals: 0,
+                lease_requests: 0,
+                wakes: 0,
+            },
+            proposed_at: BTreeMap::new(),
+            in_force_at: BTreeMap::new(),
+        }
+    }
+
+    /// Calls a node, takes what it asks for, and checks all routers.
+    fn call(
+        &mut self,
+        node: usize,
+        call: impl FnOnce(&mut Coordinator, Micros, &mut Effects),
+    ) -> Outcome {
+        let mut effects = Effects::default();
+        call(&mut self.nodes[node], self.now, &mut effects);
+        self.unsynced[node].extend(effects.persist_requests);
+        let messages = effects.messages.into_iter();
+        self.in_flight
+            .extend(messages.map(|sent| Message::BetweenNodes {
+                from: node,
+                to: sent.to.0 as usize,
+                message: sent.message,
+            }));
+        let is_for_router = |answered: &ClientResponse| answered.connection != OPERATOR;
+        let responses = effects.responses.into_iter().filter(is_for_router);
+        self.in_flight
+            .extend(responses.map(|answered| Message::Response {
+                router: answered.connection as usize,
+                number: answered.number,
+                response: answered.response,
+            }));
+        self.note_revisions(node);
+        self.check()
+    }
+
+    fn note_revisions(&mut self, node: usize) {
+        let config = self.nodes[node].config();
+        for revision in 1..=config.newest().0 {
+            self.proposed_at.entry(revision).or_insert(self.now);
+        }
+        for revision in 1..=config.in_force.number.0 {
+            self.in_force_at.entry(revision).or_insert(self.now);
+        }
+    }
+
+    /// Every router that holds a lease may act at every instant.
+    fn check(&self) -> Outcome {
+        for (router, holder) in self.holders.iter().enumerate() {
+            if holder
+                .expires_at()
+                .is_none_or(|expires_at| self.now >= expires_at)
+            {
+                continue;
+            }
+            let in_force = holder.in_force().number.0;
+            let newest = holder.newest().0;
+            let is_late = |at: &Micros| self.now - at > LEASE;
+            let unknown = self.proposed_at.range(newest + 1..);
+            if unknown.map(|(_, at)| at).any(is_late) {
+                return Err(format!(
+                    "router {router} acts on {newest}, {:?} are known for longer than a lease",
+                    self.proposed_at
+                ));
+            }
+            let later = self.in_force_at.range(in_force + 1..);
+            if later.map(|(_, at)| at).any(is_late) {
+                return Err(format!(
+                    "router {router} acts on {in_force}, a later one is in force for longer than a lease"
+                ));
+            }
+            if self.in_force_at.range(newest + 1..).next().is_some() {
+                return Err(format!(
+                    "router {router} acts on {newest} and does not know one that is in force"
+                ));
+            }
+        }
+        Ok(())
+    }
+
+    pub(crate) fn deliver(&mut self, position: usize) -> Outcome {
+        match self.in_flight.remove(position) {
+            Message::BetweenNodes { from, to, message } => {
+                let ToNode::Raft(message) = message else {
+                    return Ok(());
+                };
+                let from = NodeId(from as u32);
+                self.call(to, |node, now, effects| {
+                    node.on_message(now, from, message, effects)
+                })
+            }
+            Message::Request {
+                router,
+                to,
+                number,
+                request,
+            } => {
+                let origin = RequestOrigin {
+                    connection: router as u64,
+                    number,
+                    forwarded: true,
+                };
+                self.call(to, |node, now, effects| {
+                    node.on_request(now, origin, request, effects)
+                })
+            }
+            Message::Response {
+                router,
+                number,
+                response,
+            } => {
+                self.answer_router(router, number, response);
+                self.check()
+            }
+        }
+    }
+
+    fn answer_router(&mut self, router: usize, number: u64, response: Response) {
+        let Response::Granted(grant) = response else {
+            return;
+        };
+        let holder = &mut self.holders[router];
+        if holder.on_grant(number, *grant) {
+            let newest = holder.newest();
+            holder.set_applied_revision(newest);
+        }
+    }
+
+    /// Syncs the oldest write of a node.
+    pub(crate) fn sync(&mut self, node: usize) -> Outcome {
+        let Some(write) = self.unsynced[node].pop_front() else {
+            return Ok(());
+        };
+        self.disks[node].apply(&write);
+        self.call(node, |node, now, effects| {
+            node.on_persisted(now, write.sequence, effects)
+        })
+    }
+
+    fn wake(&mut self, node: usize) -> Outcome {
+        self.call(node, |node, now, effects| node.on_timer(now, effects))
+    }
+
+    pub(crate) fn request_lease(&mut self, router: usize, to: usize) {
+        let (number, request) = self.holders[router].request(self.now);
+        self.in_flight.push(Message::Request {
+            router,
+            to,
+            number,
+            request: Request::Lease(request),
+        });
+    }
+
+    /// The operator proposes the next revision to a node.
+    pub(crate) fn propose(&mut self, to: usize) -> Outcome {
+        let newest = self.nodes[to].config().newest();
+        let request = Request::Propose(proposal(newest.0 + 50, newest));
+        let origin = RequestOrigin {
+            connection: OPERATOR,
+            number: 0,
+            forwarded: true,
+        };
+        self.call(to, |node, now, effects| {
+            node.on_request(now, origin, request, effects)
+        })
+    }
+
+    fn kill(&mut self, node: usize) {
+        self.unsynced[node].clear();
+        self.nodes[node] = start(node, self.disks[node].clone(), self.now);
+    }
+
+    /// Runs these nodes without faults until `done`: all is delivered and synced at once, timers fire when due.
+    pub(crate) fn run_without_faults(&mut self, nodes: &[usize], done: impl Fn(&World) -> bool) {
+        for _ in 0..10_000 {
+            if done(self) {
+                return;
+            }
+            self.in_flight.retain(|message| message.is_among(nodes));
+            let unsynced = nodes.iter().find(|node| !self.unsynced[**node].is_empty());
+            if !self.in_flight.is_empty() {
+                self.deliver(0).unwrap();
+            } else if let Some(node) = unsynced.copied() {
+                self.sync(node).unwrap();
+            } else {
+                let now = self.now;
+                let wakes = nodes
+                    .iter()
+                    .map(|node| (self.nodes[*node].next_wake(now), *node));
+                let (at, node) = wakes.min().unwrap();
+                self.now = now.max(at);
+                self.wake(node).unwrap();
+            }
+        }
+        panic!("the state that was waited for never came");
+    }
+
+    /// The node that may act as leader.
+    pub(crate) fn leader(&self) -> Option<usize> {
+        (0..NODES).find(|node| self.nodes[*node].raft().has_leader_lease(self.now))
+    }
+}
--- /dev/null
+++ b/crates/spokeflow-coordination/tests/endpoint_list.rs
@@ -0,0 +1,172 @@
+//! The endpoint list: which updates of its source are accepted, and what a follower that lags is sent.
+
+use std::collections::BTreeMap;
+
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use spokeflow_coordination::{
+    EndpointList, HostState, ListVersion, ListedHost, Rejection, SourceUpdate,
+};
+
+fn host(host: u32, state: HostState, incarnation: u64) -> ListedHost {
+    ListedHost {
+        host,
+        address: format!("127.0.0.1:{host}"),
+        build: Some(1),
+        cell: 0,
+        zone: 0,
+        state,
+        incarnation,
+        up_us: Some(5),
+    }
+}
+
+/// A complete list of ready hosts.
+fn complete(version: u64, hosts: impl IntoIterator<Item = u32>) -> SourceUpdate {
+    let hosts = hosts.into_iter();
+    SourceUpdate {
+        version,
+        complete: true,
+        hosts: hosts.map(|id| host(id, HostState::Ready, 1)).collect(),
+    }
+}
+
+fn present(list: &EndpointList) -> Vec<&ListedHost> {
+    list.hosts()
+        .filter(|host| host.state != HostState::Gone)
+        .collect()
+}
+
+#[test]
+fn a_source_that_goes_backwards_forks_or_sends_half_of_the_hosts_is_rejected() {
+    let mut list = EndpointList::default();
+    let first = list.evaluate(&complete(7, 0..10), false).unwrap().unwrap();
+    list.apply(first);
+    assert_eq!(
+        list.evaluate(&complete(7, 0..10), false),
+        Ok(None),
+        "the same again is nothing new"
+    );
+    assert_eq!(
+        list.evaluate(&complete(6, 0..9), false),
+        Err(Rejection::Backwards {
+            received: 6,
+            before: 7
+        })
+    );
+    assert_eq!(
+        list.evaluate(&complete(7, 0..9), false),
+        Err(Rejection::Forked { version: 7 })
+    );
+    let half = complete(8, 0..4);
+    assert_eq!(
+        list.evaluate(&half, false),
+        Err(Rejection::Halved {
+            before: 10,
+            missing: 6
+        })
+    );
+    let confirmed = list.evaluate(&half, true).unwrap().unwrap();
+    let is_gone = |host: &&ListedHost| host.state == HostState::Gone;
+    assert_eq!(
+        confirmed.hosts.iter().filter(is_gone).count(),
+        6,
+        "a second reading is accepted"
+    );
+    // Six that are said to be gone one by one are no half list.
+    let six_gone = SourceUpdate {
+        version: 8,
+        complete: false,
+        hosts: (4..10).map(|id| host(id, HostState::Gone, 1)).collect(),
+    };
+    assert!(list.evaluate(&six_gone, false).unwrap().is_some());
+    list.trust_source();
+    assert!(
+        list.evaluate(&complete(1, 0..9), false).unwrap().is_some(),
+        "an operator said that it begins again"
+    );
+}
+
+/// One that asks for what it lacks at every so many versions.
+struct Follower {
+    interval: u64,
+    version: ListVersion,
+    hosts: BTreeMap<u32, ListedHost>,
+}
+
+impl Follower {
+    fn new(interval: u64) -> Follower {
+        Follower {
+            interval,
+            version: ListVersion::default(),
+            hosts: BTreeMap::new(),
+        }
+    }
+
+    fn catch_up(&mut self, list: &EndpointList, seed: u64) {
+        let Some(update) = list.update_since(self.version) else {
+            return;
+        };
+        if update.complete {
+            self.hosts.clear();
+        }
+        let hosts = update.hosts.into_iter();
+        self.hosts.extend(hosts.map(|host| (host.host, host)));
+        self.hosts.retain(|_, host| host.state != HostState::Gone);
+        self.version = update.version;
+        assert_eq!(
+            self.hosts.values().collect::<Vec<_>>(),
+            present(list),
+            "seed {seed}, every {} versions",
+            self.interval
+        );
+        assert_eq!(list.update_since(self.version), None);
+    }
+}
+
+/// Many more hosts than are kept as changes: a follower that lags for long cannot be served by those alone.
+fn random_update(
+    version: u64,
+    rng: &mut StdRng,
+    incarnations: &mut BTreeMap<u32, u64>,
+) -> SourceUpdate {
+    let count = rng.random_range(1..80);
+    let hosts = (0..count).map(|_| {
+        let id = rng.random_range(0..6000);
+        let incarnation = incarnations.entry(id).or_insert(1);
+        *incarnation += u64::from(rng.random_bool(0.2));
+        let state = match rng.random_range(0..3_usize) {
+            0 => HostState::Ready,
+            1 => HostState::Draining,
+            _ => HostState::Gone,
+        };
+        host(id, state, *incarnation)
+    });
+    SourceUpdate {
+        version,
+        complete: false,
+        hosts: hosts.collect(),
+    }
+}
+
+/// Whoever has any version and applies what it is sent has the list.
+#[test]
+fn what_a_lagging_follower_is_sent_makes_the_same_list() {
+    for seed in 0..20 {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut list = EndpointList::default();
+        let mut followers = [1, 7, 150].map(Follower::new);
+        let mut incarnations = BTreeMap::new();
+        for version in 1..400 {
+            let update = random_update(version, &mut rng, &mut incarnations);
+            if let Some(changes) = list.evaluate(&update, false).unwrap() {
+                list.apply(changes);
+            }
+            for follower in &mut followers {
+                if version.is_multiple_of(follower.interval) {
+                    follower.catch_up(&list, seed);
+                }
+            }
+        }
+    }
+}
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -3,11 +3,13 @@
 //!
 //! `fixtures/d62ab1d/frames.txt` holds one message a line: the name that it had at that commit,
 //! then the whole frame (length and body) in hexadecimal digits. `fixtures/d62ab1d/records.txt`
-//! holds in the same way what the log and its snapshots store: acts, and the state that a sequence
-//! of acts makes; these have no length in front. Each line is decoded and compared with a value that
+//! holds in the same way what the log and its snapshots store: commands, and the state that a
+//! sequence of commands makes; these have no length in front. Each line is decoded and compared with a value that
 //! is written out here, in which no two fields hold the same number, so that fields which changed
 //! places are noticed; encoding that value has to give the same bytes. The names are those of
 //! d62ab1d and stay as they are when a type is renamed.
+//!
+//! The file is long because every message and record is written out with all its fields.
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -113,7 +115,7 @@
     );
 }
 
-fn common() -> ClusterParameters {
+fn parameters() -> ClusterParameters {
     ClusterParameters {
         fleet: 1_001,
         election_timeout_us: 1_002,
@@ -122,8 +124,8 @@
     }
 }
 
-fn address(keeper: u32) -> (NodeId, String) {
-    (NodeId(keeper), format!("10.0.0.{keeper}:7500"))
+fn address(node: u32) -> (NodeId, String) {
+    (NodeId(node), format!("10.0.0.{node}:7500"))
 }
 
 fn values(name: &str, value: &str) -> Overrides {
@@ -137,7 +139,7 @@
     }
 }
 
-fn offer() -> Proposal {
+fn proposal() -> Proposal {
     Proposal {
         token: 1_001,
         base: RevisionNumber(1_002),
@@ -193,7 +195,7 @@
         id: NodeId(301),
         start: 1_002,
         processes: vec![1_003, 1_004],
-        parameters: common(),
+        parameters: parameters(),
         addresses: vec![address(5), address(6)],
     }
 }
@@ -206,7 +208,7 @@
     }
 }
 
-fn entries_of_each_body() -> Vec<Entry> {
+fn entries_of_each_payload() -> Vec<Entry> {
     vec![
         Entry {
             term: Term(1_011),
@@ -223,10 +225,10 @@
     ]
 }
 
-/// The bodies that [`entries_of_each_body`] has are all that there are: another one does not
+/// The payloads that [`entries_of_each_payload`] has are all that there are: another one does not
 /// compile here.
-fn name_of_body(body: &Payload) -> &'static str {
-    match body {
+fn name_of_payload(payload: &Payload) -> &'static str {
+    match payload {
         Payload::Noop => "Begin",
         Payload::Command(_) => "Act",
         Payload::Membership(_) => "Members",
@@ -238,7 +240,7 @@
         term: Term(1_001),
         prev_log_index: LogIndex(1_002),
         prev_log_term: Term(1_003),
-        entries: entries_of_each_body(),
+        entries: entries_of_each_payload(),
         leader_commit: LogIndex(1_004),
         round: 1_005,
     }
@@ -258,7 +260,7 @@
     }
 }
 
-fn appended(outcome: AppendOutcome) -> ToNode {
+fn append_response(outcome: AppendOutcome) -> ToNode {
     ToNode::Raft(Message::AppendEntriesResponse {
         term: Term(1_001),
         round: 1_002,
@@ -266,7 +268,7 @@
     })
 }
 
-fn asked(list: Option<ListVersion>) -> LeaseRequest {
+fn lease_request(list: Option<ListVersion>) -> LeaseRequest {
     LeaseRequest {
         process: 1_001,
         router: 70_002,
@@ -280,11 +282,8 @@
     }
 }
 
-fn ask(ask: Request) -> ToNode {
-    ToNode::Request {
-        number: 5,
-        request: ask,
-    }
+fn request(request: Request) -> ToNode {
+    ToNode::Request { number: 5, request }
 }
 
 fn hellos() -> Vec<Named<ToNode>> {
@@ -298,12 +297,12 @@
     ]
 }
 
-fn quorum_messages() -> Vec<Named<ToNode>> {
+fn raft_messages() -> Vec<Named<ToNode>> {
     let (term, last, last_log_term) = (Term(1_001), LogIndex(1_002), Term(1_003));
-    let vote = |sounded, granted| {
+    let vote = |pre_vote, granted| {
         ToNode::Raft(Message::VoteResponse {
             term,
-            pre_vote: sounded,
+            pre_vote,
             granted,
         })
     };
@@ -329,49 +328,46 @@
         ("ToKeeper::Quorum/Append", ToNode::Raft(append())),
         (
             "ToKeeper::Quorum/Appended/agrees",
-            appended(AppendOutcome::Matched(LogIndex(1_003))),
+            append_response(AppendOutcome::Matched(LogIndex(1_003))),
         ),
         (
             "ToKeeper::Quorum/Appended/differs",
-            appended(AppendOutcome::Mismatched(LogIndex(1_004))),
+            append_response(AppendOutcome::Mismatched(LogIndex(1_004))),
         ),
         ("ToKeeper::Quorum/Install", ToNode::Raft(install())),
     ]
 }
 
-fn asks() -> Vec<Named<ToNode>> {
-    let (keeper, address) = address(5);
+fn requests() -> Vec<Named<ToNode>> {
+    let (node, address) = address(5);
     vec![
         (
             "ToKeeper::Ask/Lease/with-list",
-            ask(Request::Lease(asked(Some(ListVersion(1_007))))),
+            request(Request::Lease(lease_request(Some(ListVersion(1_007))))),
         ),
         (
             "ToKeeper::Ask/Lease/without-list",
-            ask(Request::Lease(asked(None))),
+            request(Request::Lease(lease_request(None))),
         ),
-        ("ToKeeper::Ask/Offer", ask(Request::Propose(offer()))),
-        ("ToKeeper::Ask/View", ask(Request::Status)),
+        ("ToKeeper::Ask/Offer", request(Request::Propose(proposal()))),
+        ("ToKeeper::Ask/View", request(Request::Status)),
         (
             "ToKeeper::Ask/SetAddress",
-            ask(Request::SetAddress {
-                node: keeper,
-                address,
-            }),
+            request(Request::SetAddress { node, address }),
         ),
-        ("ToKeeper::Ask/TrustList", ask(Request::TrustList)),
+        ("ToKeeper::Ask/TrustList", request(Request::TrustList)),
         (
             "ToKeeper::Ask/Members",
-            ask(Request::ChangeVoters(vec![NodeId(6), NodeId(7)])),
+            request(Request::ChangeVoters(vec![NodeId(6), NodeId(7)])),
         ),
     ]
 }
 
-fn to_keeper() -> Vec<Named<ToNode>> {
-    [hellos(), quorum_messages(), asks()].concat()
+fn to_node() -> Vec<Named<ToNode>> {
+    [hellos(), raft_messages(), requests()].concat()
 }
 
-fn name_of_to_keeper(message: &ToNode) -> &'static str {
+fn name_of_to_node(message: &ToNode) -> &'static str {
     match message {
         ToNode::Hello { caller, .. } => match caller {
             Caller::Node { .. } => "ToKeeper::Hello/Keeper",
@@ -386,7 +382,7 @@
             Message::AppendEntriesResponse { .. } => "ToKeeper::Quorum/Appended",
             Message::InstallSnapshot { .. } => "ToKeeper::Quorum/Install",
         },
-        ToNode::Request { request: ask, .. } => match ask {
+        ToNode::Request { request, .. } => match request {
             Request::Lease(_) => "ToKeeper::Ask/Lease",
             Request::Propose(_) => "ToKeeper::Ask/Offer",
             Request::Status => "ToKeeper::Ask/View",
@@ -397,7 +393,7 @@
     }
 }
 
-fn whole_grant() -> LeaseGrant {
+fn complete_grant() -> LeaseGrant {
     LeaseGrant {
         in_force: RevisionRef {
             number: RevisionNumber(1_001),
@@ -443,7 +439,7 @@
     vec![record(1_004, Some(1_102)), record(1_005, None)]
 }
 
-fn view(list_rejection: Option<Rejection>) -> ClusterStatus {
+fn status(list_rejection: Option<Rejection>) -> ClusterStatus {
     ClusterStatus {
         leader: NodeId(301),
         term: Term(1_002),
@@ -462,17 +458,17 @@
     }
 }
 
-fn view_without_options() -> ClusterStatus {
+fn status_without_options() -> ClusterStatus {
     ClusterStatus {
         pending: None,
-        ..view(None)
+        ..status(None)
     }
 }
 
-fn answer(answer: Response) -> FromNode {
+fn response(response: Response) -> FromNode {
     FromNode::Response {
         number: 5,
-        response: answer,
+        response,
     }
 }
 
@@ -486,7 +482,7 @@
 fn openings() -> Vec<Named<FromNode>> {
     let welcome = FromNode::Welcome {
         node: NodeId(301),
-        parameters: common(),
+        parameters: parameters(),
     };
     vec![
         ("FromKeeper::Welcome", welcome),
@@ -507,9 +503,9 @@
     ]
 }
 
-fn answers_to_offers() -> Vec<Named<FromNode>> {
-    let offered = |verdict| answer(Response::Proposed(verdict));
-    let announced = ProposalOutcome::Pending(RevisionNumber(1_001));
+fn responses_to_proposals() -> Vec<Named<FromNode>> {
+    let proposed = |outcome| response(Response::Proposed(outcome));
+    let pending = ProposalOutcome::Pending(RevisionNumber(1_001));
     let stale = ProposalOutcome::Stale {
         newest: RevisionNumber(1_002),
     };
@@ -517,14 +513,14 @@
         pending: RevisionNumber(1_003),
     };
     vec![
-        ("FromKeeper::Answer/Offered/Announced", offered(announced)),
-        ("FromKeeper::Answer/Offered/Stale", offered(stale)),
-        ("FromKeeper::Answer/Offered/Busy", offered(busy)),
+        ("FromKeeper::Answer/Offered/Announced", proposed(pending)),
+        ("FromKeeper::Answer/Offered/Stale", proposed(stale)),
+        ("FromKeeper::Answer/Offered/Busy", proposed(busy)),
     ]
 }
 
-fn views() -> Vec<Named<FromNode>> {
-    let rejected = |rejection| answer(Response::Status(Box::new(view(Some(rejection)))));
+fn statuses() -> Vec<Named<FromNode>> {
+    let rejected = |rejection| response(Response::Status(Box::new(status(Some(rejection)))));
     let backwards = Rejection::Backwards {
         received: 1_021,
         before: 1_022,
@@ -534,7 +530,7 @@
         before: 1_024,
         missing: 1_025,
     };
-    let least = answer(Response::Status(Box::new(view_without_options())));
+    let least = response(Response::Status(Box::new(status_without_options())));
     vec![
         ("FromKeeper::Answer/View/no-rejection", least),
         ("FromKeeper::Answer/View/Backwards", rejected(backwards)),
@@ -543,38 +539,45 @@
     ]
 }
 
-fn other_answers() -> Vec<Named<FromNode>> {
-    let granted = |grant| answer(Response::Granted(Box::new(grant)));
+fn other_responses() -> Vec<Named<FromNode>> {
+    let granted = |grant| response(Response::Granted(Box::new(grant)));
     vec![
-        ("FromKeeper::Answer/Granted/whole", granted(whole_grant())),
+        (
+            "FromKeeper::Answer/Granted/whole",
+            granted(complete_grant()),
+        ),
         (
             "FromKeeper::Answer/Granted/without-options",
             granted(grant_without_options()),
         ),
-        ("FromKeeper::Answer/NoLeader", answer(Response::NoLeader)),
+        ("FromKeeper::Answer/NoLeader", response(Response::NoLeader)),
         (
             "FromKeeper::Answer/Unclear",
-            answer(Response::Indeterminate),
+            response(Response::Indeterminate),
         ),
         (
             "FromKeeper::Answer/Bad",
-            answer(Response::Invalid("not a flag".into())),
+            response(Response::Invalid("not a flag".into())),
         ),
-        ("FromKeeper::Answer/Begun", answer(Response::Accepted)),
+        ("FromKeeper::Answer/Begun", response(Response::Accepted)),
     ]
 }
 
-fn from_keeper() -> Vec<Named<FromNode>> {
-    [openings(), answers_to_offers(), views(), other_answers()].concat()
+fn from_node() -> Vec<Named<FromNode>> {
+    [
+        openings(),
+        responses_to_proposals(),
+        statuses(),
+        other_responses(),
+    ]
+    .concat()
 }
 
-fn name_of_from_keeper(message: &FromNode) -> &'static str {
+fn name_of_from_node(message: &FromNode) -> &'static str {
     match message {
         FromNode::Welcome { .. } => "FromKeeper::Welcome",
         FromNode::Refused { why, .. } => name_of_refusal(*why),
-        FromNode::Response {
-            response: answer, ..
-        } => name_of_answer(answer),
+        FromNode::Response { response, .. } => name_of_response(response),
     }
 }
 
@@ -588,18 +591,18 @@
     }
 }
 
-fn name_of_answer(answer: &Response) -> &'static str {
-    match answer {
+fn name_of_response(response: &Response) -> &'static str {
+    match response {
         Response::Granted(_) => "FromKeeper::Answer/Granted",
         Response::NoLeader => "FromKeeper::Answer/NoLeader",
-        Response::Proposed(verdict) => match verdict {
+        Response::Proposed(outcome) => match outcome {
             ProposalOutcome::Pending(_) => "FromKeeper::Answer/Offered/Announced",
             ProposalOutcome::Stale { .. } => "FromKeeper::Answer/Offered/Stale",
             ProposalOutcome::Busy { .. } => "FromKeeper::Answer/Offered/Busy",
         },
         Response::Indeterminate => "FromKeeper::Answer/Unclear",
         Response::Invalid(_) => "FromKeeper::Answer/Bad",
-        Response::Status(view) => match view.list_rejection {
+        Response::Status(status) => match status.list_rejection {
             None => "FromKeeper::Answer/View/no-rejection",
             Some(Rejection::Backwards { .. }) => "FromKeeper::Answer/View/Backwards",
             Some(Rejection::Forked { .. }) => "FromKeeper::Answer/View/Forked",
@@ -609,15 +612,15 @@
     }
 }
 
-fn acts() -> Vec<Named<LogCommand>> {
-    let (keeper, address) = address(5);
-    let news = SourceUpdate {
+fn commands() -> Vec<Named<LogCommand>> {
+    let (node, address) = address(5);
+    let update = SourceUpdate {
         version: 1_001,
         complete: true,
         hosts: hosts_in_each_state(),
     };
     vec![
-        ("Act::Offer", LogCommand::Propose(offer())),
+        ("Act::Offer", LogCommand::Propose(proposal())),
         (
             "Act::InForce",
             LogCommand::PutInForce {
@@ -625,20 +628,14 @@
                 at_s: 1_002,
             },
         ),
-        ("Act::List", LogCommand::UpdateList(news)),
+        ("Act::List", LogCommand::UpdateList(update)),
         ("Act::TrustList", LogCommand::TrustList),
-        (
-            "Act::SetAddress",
-            LogCommand::SetAddress {
-                node: keeper,
-                address,
-            },
-        ),
+        ("Act::SetAddress", LogCommand::SetAddress { node, address }),
     ]
 }
 
-fn name_of_act(act: &LogCommand) -> &'static str {
-    match act {
+fn name_of_command(command: &LogCommand) -> &'static str {
+    match command {
         LogCommand::Propose(_) => "Act::Offer",
         LogCommand::PutInForce { .. } => "Act::InForce",
         LogCommand::UpdateList(_) => "Act::List",
@@ -647,109 +644,106 @@
     }
 }
 
-/// One revision in force, another announced, offers with each verdict, three hosts, an address.
-fn ledger() -> ConfigState {
-    let (keeper, address) = address(5);
+/// One revision in force, another pending, proposals with each outcome, hosts in each state, an address.
+fn state() -> ConfigState {
+    let (node, address) = address(5);
     let first = Proposal {
         base: RevisionNumber(0),
-        ..offer()
+        ..proposal()
     };
     let second = Proposal {
         token: 1_002,
         base: RevisionNumber(1),
-        ..offer()
+        ..proposal()
     };
     let busy = Proposal {
         token: 1_003,
         base: RevisionNumber(2),
-        ..offer()
+        ..proposal()
     };
-    let news = SourceUpdate {
+    let update = SourceUpdate {
         version: 1_001,
         complete: true,
         hosts: hosts_in_each_state(),
     };
-    let mut ledger = ConfigState::default();
-    ledger.apply(LogCommand::Propose(first));
-    ledger.apply(LogCommand::PutInForce {
+    let mut state = ConfigState::default();
+    state.apply(LogCommand::Propose(first));
+    state.apply(LogCommand::PutInForce {
         revision: RevisionNumber(1),
         at_s: 1_004,
     });
-    ledger.apply(LogCommand::Propose(second));
-    ledger.apply(LogCommand::Propose(busy));
-    ledger.apply(LogCommand::Propose(Proposal {
+    state.apply(LogCommand::Propose(second));
+    state.apply(LogCommand::Propose(busy));
+    state.apply(LogCommand::Propose(Proposal {
         token: 1_005,
-        ..offer()
+        ..proposal()
     }));
-    ledger.apply(LogCommand::UpdateList(news));
-    ledger.apply(LogCommand::SetAddress {
-        node: keeper,
-        address,
-    });
-    ledger
+    state.apply(LogCommand::UpdateList(update));
+    state.apply(LogCommand::SetAddress { node, address });
+    state
 }
 
 #[test]
-fn messages_to_a_keeper_are_read_and_written_as_before() {
+fn messages_to_a_node_are_read_and_written_as_before() {
     let bodies = bodies_of("ToKeeper");
-    check_values(&bodies, &to_keeper());
-    check_names(&to_keeper(), name_of_to_keeper);
+    check_values(&bodies, &to_node());
+    check_names(&to_node(), name_of_to_node);
     check_every_kind::<ToNode>(&bodies, &[]);
 }
 
 #[test]
-fn no_kind_of_caller_quorum_message_or_ask_is_left_out() {
+fn no_kind_of_caller_raft_message_or_request_is_left_out() {
     let bodies = bodies_of("ToKeeper");
     check_every_kind::<ToNode>(&bodies, &[0, b'S', b'P', b'K', b'K', 1]);
     check_every_kind::<ToNode>(&bodies, &[1]);
     check_every_kind::<ToNode>(&bodies, &[2, 5]);
-    let names = entries_of_each_body()
+    let names = entries_of_each_payload()
         .iter()
-        .map(|e| name_of_body(&e.payload))
+        .map(|entry| name_of_payload(&entry.payload))
         .collect::<Vec<_>>();
     assert_eq!(names, ["Begin", "Act", "Members"]);
 }
 
 #[test]
-fn messages_from_a_keeper_are_read_and_written_as_before() {
+fn messages_from_a_node_are_read_and_written_as_before() {
     let bodies = bodies_of("FromKeeper");
-    check_values(&bodies, &from_keeper());
-    check_names(&from_keeper(), name_of_from_keeper);
+    check_values(&bodies, &from_node());
+    check_names(&from_node(), name_of_from_node);
     check_every_kind::<FromNode>(&bodies, &[]);
 }
 
 #[test]
-fn no_kind_of_refusal_answer_or_verdict_is_left_out() {
+fn no_kind_of_refusal_response_or_outcome_is_left_out() {
     let bodies = bodies_of("FromKeeper");
     check_every_kind::<FromNode>(&bodies, &[1]);
     check_every_kind::<FromNode>(&bodies, &[2, 5]);
     check_every_kind::<FromNode>(&bodies, &[2, 5, 2]);
     let names = hosts_in_each_state()
         .iter()
-        .map(|h| name_of_state(h.state))
+        .map(|host| name_of_state(host.state))
         .collect::<Vec<_>>();
     assert_eq!(names, ["Gone", "Ready", "Draining", "Ready"]);
 }
 
 #[test]
-fn acts_in_the_log_are_read_and_written_as_before() {
+fn commands_in_the_log_are_read_and_written_as_before() {
     let stored = lines_of(RECORDS, "Act");
-    check_values(&stored, &acts());
-    check_names(&acts(), name_of_act);
+    check_values(&stored, &commands());
+    check_names(&commands(), name_of_command);
     check_every_kind::<LogCommand>(&stored, &[]);
-    for ((_, bytes), (_, act)) in stored.iter().zip(acts()) {
-        assert_eq!(LogCommand::decode(bytes).as_ref(), Some(&act));
-        assert_eq!(&act.encode(), bytes);
+    for ((_, bytes), (_, command)) in stored.iter().zip(commands()) {
+        assert_eq!(LogCommand::decode(bytes).as_ref(), Some(&command));
+        assert_eq!(&command.encode(), bytes);
     }
 }
 
 #[test]
 fn the_state_in_a_snapshot_is_read_and_written_as_before() {
     let stored = lines_of(RECORDS, "Ledger");
-    check_values(&stored, &[("Ledger", ledger())]);
-    assert_eq!(ConfigState::decode(&stored[0].1).unwrap(), ledger());
-    assert_eq!(ledger().encode(), stored[0].1);
-    let verdicts = [1_001, 1_002, 1_003, 1_005].map(|token| ledger().outcome(token).unwrap());
+    check_values(&stored, &[("Ledger", state())]);
+    assert_eq!(ConfigState::decode(&stored[0].1).unwrap(), state());
+    assert_eq!(state().encode(), stored[0].1);
+    let outcomes = [1_001, 1_002, 1_003, 1_005].map(|token| state().outcome(token).unwrap());
     let expected = [
         ProposalOutcome::Pending(RevisionNumber(1)),
         ProposalOutcome::Pending(RevisionNumber(2)),
@@ -760,5 +754,5 @@
             newest: RevisionNumber(2),
         },
     ];
-    assert_eq!(verdicts, expected);
+    assert_eq!(outcomes, expected);
 }
--- a/crates/spokeflow-coordination/tests/lease_granter.rs
+++ b/crates/spokeflow-coordination/tests/lease_granter.rs
@@ -1,106 +1,114 @@
-//! The granter keeps its leases ordered by expiry and counted by revision. A plain one, which keeps nothing but the
-//! leases and looks at all of them each time, gives the same answers after every step of drawn runs.
+//! The granter keeps its leases ordered by expiry and counted by revision. A reference, which keeps nothing but the
+//! leases and looks at all of them each time, gives the same answers after every step of random runs.
+
+mod common;
 
 use std::collections::BTreeMap;
 
+use common::proposal;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use spokeflow_coordination::*;
+use spokeflow_coordination::{
+    ConfigState, KnownRevisions, LeaseConfig, LeaseCounts, LeaseGranter, LeaseRequest, LogCommand,
+    RevisionNumber, VoterAddresses,
+};
 use spokeflow_core::Micros;
 
 const SECOND: Micros = 1_000_000;
-const TERMS: LeaseConfig = LeaseConfig {
+const CONFIG: LeaseConfig = LeaseConfig {
     duration: 2 * SECOND,
     max_clock_drift: 0.01,
 };
-/// Leases that a granter keeps at most.
-const LEASES_AT_MOST: usize = 8192;
+/// Leases that a granter tracks.
+const MAX_TRACKED_LEASES: usize = 8192;
 
 #[derive(Clone, Copy)]
 struct Lease {
-    until: Micros,
-    acts_on: RevisionNumber,
+    expires_at: Micros,
+    applied_revision: RevisionNumber,
 }
 
-/// By definition: who holds a lease, and when the announced revision may come into force.
-struct PlainGranter {
-    led_since: Micros,
-    announced: Option<(RevisionNumber, Micros)>,
+/// By definition: who holds a lease, and when the pending revision may come into force.
+struct ReferenceGranter {
+    leader_since: Micros,
+    pending: Option<(RevisionNumber, Micros)>,
     leases: BTreeMap<u64, Lease>,
-    over: bool,
+    has_untracked: bool,
 }
 
-impl PlainGranter {
+impl ReferenceGranter {
     fn new(now: Micros) -> Self {
-        PlainGranter {
-            led_since: now,
-            announced: None,
+        ReferenceGranter {
+            leader_since: now,
+            pending: None,
             leases: BTreeMap::new(),
-            over: false,
+            has_untracked: false,
         }
     }
 
-    fn ask(&mut self, now: Micros, asked: &LeaseRequest) {
-        self.leases.retain(|_, lease| lease.until > now);
+    fn grant(&mut self, now: Micros, request: &LeaseRequest) {
+        self.leases.retain(|_, lease| lease.expires_at > now);
         let known = self
             .leases
-            .get(&asked.process)
-            .map_or(RevisionNumber(0), |lease| lease.acts_on);
-        if known == RevisionNumber(0) && self.leases.len() >= LEASES_AT_MOST {
-            self.over = true;
+            .get(&request.process)
+            .map_or(RevisionNumber(0), |lease| lease.applied_revision);
+        if known == RevisionNumber(0) && self.leases.len() >= MAX_TRACKED_LEASES {
+            self.has_untracked = true;
             return;
         }
         let lease = Lease {
-            until: now + TERMS.granter_duration(),
-            acts_on: asked.applied_revision.max(known),
+            expires_at: now + CONFIG.granter_duration(),
+            applied_revision: request.applied_revision.max(known),
         };
-        self.leases.insert(asked.process, lease);
+        self.leases.insert(request.process, lease);
     }
 
-    fn ready(&mut self, now: Micros, ledger: &ConfigState) -> Option<RevisionNumber> {
-        let number = ledger.pending.as_ref()?.number;
-        let since = match self.announced {
-            Some((announced, since)) if announced == number => since,
+    fn ready_revision(&mut self, now: Micros, state: &ConfigState) -> Option<RevisionNumber> {
+        let number = state.pending.as_ref()?.number;
+        let since = match self.pending {
+            Some((pending, since)) if pending == number => since,
             _ => now,
         };
-        self.announced = Some((number, since));
-        let all_known = now - self.led_since >= TERMS.granter_duration() && !self.over;
-        let all_act = self
+        self.pending = Some((number, since));
+        let lease = CONFIG.granter_duration();
+        let all_known = now - self.leader_since >= lease && !self.has_untracked;
+        let all_applied = self
             .leases
             .values()
-            .all(|lease| lease.until <= now || lease.acts_on >= number);
-        (now - since >= TERMS.granter_duration() || all_known && all_act).then_some(number)
+            .all(|lease| lease.expires_at <= now || lease.applied_revision >= number);
+        (now - since >= lease || all_known && all_applied).then_some(number)
     }
 
-    fn counts(&self, now: Micros, ledger: &ConfigState) -> (usize, usize) {
-        let live = || self.leases.values().filter(|lease| lease.until > now);
-        (
-            live().count(),
-            live()
-                .filter(|lease| lease.acts_on >= ledger.newest())
+    fn counts(&self, now: Micros, state: &ConfigState) -> LeaseCounts {
+        let live = || self.leases.values().filter(|lease| lease.expires_at > now);
+        LeaseCounts {
+            live: live().count(),
+            up_to_date: live()
+                .filter(|lease| lease.applied_revision >= state.newest())
                 .count(),
-        )
+        }
     }
 }
 
-/// What the drawn runs have come by, so that none is compared over nothing.
-#[derive(Default)]
+/// What the random runs have met, so that none compares nothing.
+#[derive(Debug, Default)]
 struct Met {
     steps: usize,
-    /// Revisions found ready before a lease had passed, and found not ready.
-    early: usize,
-    waiting: usize,
-    /// Steps at which some leases acted on the newest revision and others did not.
+    /// Revisions found ready before a lease had passed.
+    ready_early: usize,
+    /// Revisions found not ready.
+    not_ready: usize,
+    /// Steps at which some leases were up to date and others were not.
     mixed: usize,
 }
 
 struct Run {
-    chance: StdRng,
+    rng: StdRng,
     now: Micros,
-    ledger: ConfigState,
+    state: ConfigState,
     granter: LeaseGranter,
-    plain: PlainGranter,
-    announced_at: Micros,
+    reference: ReferenceGranter,
+    proposed_at: Micros,
     met: Met,
 }
 
@@ -108,123 +116,117 @@
     fn new(seed: u64) -> Run {
         let now = 100 * SECOND;
         Run {
-            chance: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             now,
-            ledger: ConfigState::default(),
-            granter: LeaseGranter::new(TERMS, now),
-            plain: PlainGranter::new(now),
-            announced_at: now,
+            state: ConfigState::default(),
+            granter: LeaseGranter::new(CONFIG, now),
+            reference: ReferenceGranter::new(now),
+            proposed_at: now,
             met: Met::default(),
         }
     }
 
-    fn ask(&mut self, process: u64, acts_on: RevisionNumber) {
-        let knows = KnownRevisions {
-            in_force: self.ledger.in_force.number,
-            newest: self.ledger.newest(),
-        };
-        let asked = LeaseRequest {
+    fn request(&mut self, process: u64, applied_revision: RevisionNumber) {
+        let request = LeaseRequest {
             process,
             router: 0,
-            known_revisions: knows,
-            applied_revision: acts_on,
+            known_revisions: KnownRevisions {
+                in_force: self.state.in_force.number,
+                newest: self.state.newest(),
+            },
+            applied_revision,
             voters_fingerprint: 0,
             list: None,
         };
-        let grant = self
-            .granter
-            .grant(self.now, &asked, &self.ledger, &VoterAddresses::default());
-        self.plain.ask(self.now, &asked);
-        assert_eq!(grant.in_force.number, self.ledger.in_force.number);
+        let voters = VoterAddresses::default();
+        let grant = self.granter.grant(self.now, &request, &self.state, &voters);
+        self.reference.grant(self.now, &request);
+        assert_eq!(grant.in_force.number, self.state.in_force.number);
         assert_eq!(
-            grant.pending.map(|known| known.number),
-            self.ledger.pending.as_ref().map(|a| a.number)
+            grant.pending.map(|pending| pending.number),
+            self.state.pending.as_ref().map(|pending| pending.number)
         );
     }
 
     /// By a router that has just started, is up to date, or whose request was overtaken.
-    fn ask_drawn(&mut self, processes: u64) {
-        let process = self.chance.random_range(0..processes);
-        let newest = self.ledger.newest().0;
-        let behind = [0, 0, 0, 1, 2, newest][self.chance.random_range(0..6)];
-        self.ask(process, RevisionNumber(newest.saturating_sub(behind)));
+    fn request_at_random(&mut self, processes: u64) {
+        let process = self.rng.random_range(0..processes);
+        let newest = self.state.newest().0;
+        let behind = match self.rng.random_range(0..6_usize) {
+            0..=2 => 0,
+            3 => 1,
+            4 => 2,
+            _ => newest,
+        };
+        self.request(process, RevisionNumber(newest.saturating_sub(behind)));
     }
 
-    fn announce(&mut self) {
-        let against = self.ledger.newest();
-        let (who, why, values) = (String::new(), String::new(), Overrides::new());
-        self.ledger.apply(LogCommand::Propose(Proposal {
-            token: against.0,
-            base: against,
-            who,
-            why,
-            at_s: 0,
-            values,
-        }));
-        self.announced_at = self.now;
+    fn propose(&mut self) {
+        let newest = self.state.newest();
+        let command = LogCommand::Propose(proposal(newest.0, newest));
+        self.state.apply(command);
+        self.proposed_at = self.now;
     }
 
-    fn look(&mut self) {
-        let ready = self.granter.ready_revision(self.now, &self.ledger);
-        assert_eq!(
-            ready,
-            self.plain.ready(self.now, &self.ledger),
-            "at {}",
-            self.now
-        );
-        match ready {
-            Some(_) if self.now - self.announced_at < TERMS.granter_duration() => {
-                self.met.early += 1
-            }
-            Some(_) => {}
-            None => self.met.waiting += usize::from(self.ledger.pending.is_some()),
-        }
-        if let Some(revision) = ready.filter(|_| self.chance.random_bool(0.3)) {
-            self.ledger
+    fn check_ready(&mut self) {
+        let ready = self.granter.ready_revision(self.now, &self.state);
+        let expected = self.reference.ready_revision(self.now, &self.state);
+        assert_eq!(ready, expected, "at {}", self.now);
+        let is_early = self.now - self.proposed_at < CONFIG.granter_duration();
+        let has_pending = self.state.pending.is_some();
+        self.met.ready_early += usize::from(ready.is_some() && is_early);
+        self.met.not_ready += usize::from(ready.is_none() && has_pending);
+        if let Some(revision) = ready.filter(|_| self.rng.random_bool(0.3)) {
+            self.state
                 .apply(LogCommand::PutInForce { revision, at_s: 0 });
         }
     }
 
     /// To the end of a lease, to one microsecond before it, or anywhere.
-    fn pass(&mut self) {
-        let ends: Vec<Micros> = self
-            .plain
+    fn advance_time(&mut self) {
+        let lease_ends: Vec<Micros> = self
+            .reference
             .leases
             .values()
-            .map(|lease| lease.until - self.now)
+            .map(|lease| lease.expires_at - self.now)
             .collect();
-        let end = *ends
-            .get(self.chance.random_range(0..ends.len().max(1)))
-            .unwrap_or(&0);
-        let longest = if self.chance.random_bool(0.02) {
+        let drawn_lease = self.rng.random_range(0..lease_ends.len().max(1));
+        let lease_end = lease_ends.get(drawn_lease).copied().unwrap_or(0);
+        let longest = if self.rng.random_bool(0.02) {
             5 * SECOND
         } else {
             SECOND / 10
         };
-        let drawn = self.chance.random_range(0..longest);
-        self.now += [drawn, drawn, end, end - 1][self.chance.random_range(0..4)].max(0);
+        let anywhere = self.rng.random_range(0..longest);
+        let step = match self.rng.random_range(0..4_usize) {
+            0 | 1 => anywhere,
+            2 => lease_end,
+            _ => lease_end - 1,
+        };
+        self.now += step.max(0);
     }
 
     fn step(&mut self, processes: u64) {
-        match self.chance.random_range(0..20) {
-            0..=12 => self.ask_drawn(processes),
-            13..=15 => self.pass(),
-            16..=18 => self.look(),
-            _ => self.announce(),
+        match self.rng.random_range(0..20) {
+            0..=12 => self.request_at_random(processes),
+            13..=15 => self.advance_time(),
+            16..=18 => self.check_ready(),
+            _ => self.propose(),
         }
         self.compare();
     }
 
-    /// Also at a later time, when some of the leases are over and have not been taken out.
+    /// Also at a later time, when some of the leases have expired and are not removed.
     fn compare(&mut self) {
         self.met.steps += 1;
-        let (live, acting) = self.plain.counts(self.now, &self.ledger);
-        self.met.mixed += usize::from(0 < acting && acting < live);
-        for now in [self.now, self.now + self.chance.random_range(0..3 * SECOND)] {
-            let counts = self.granter.lease_counts(now, &self.ledger);
+        let counts = self.reference.counts(self.now, &self.state);
+        let is_mixed = 0 < counts.up_to_date && counts.up_to_date < counts.live;
+        self.met.mixed += usize::from(is_mixed);
+        let later = self.now + self.rng.random_range(0..3 * SECOND);
+        for now in [self.now, later] {
             assert_eq!(
-                (counts.live, counts.up_to_date),
-                self.plain.counts(now, &self.ledger),
+                self.granter.lease_counts(now, &self.state),
+                self.reference.counts(now, &self.state),
                 "step {}, at {now}",
                 self.met.steps
             );
@@ -233,50 +235,50 @@
 }
 
 #[test]
-fn kept_orders_give_what_a_look_at_all_leases_gives() {
+fn ordered_leases_give_what_a_look_at_all_of_them_gives() {
     let mut met = Met::default();
     for seed in 0..600 {
         let mut run = Run::new(seed);
-        let processes = [1, 2, 5, 40][seed as usize % 4];
+        let processes = match seed % 4 {
+            0 => 1,
+            1 => 2,
+            2 => 5,
+            _ => 40,
+        };
         (0..500).for_each(|_| run.step(processes));
         met.steps += run.met.steps;
-        met.early += run.met.early;
-        met.waiting += run.met.waiting;
+        met.ready_early += run.met.ready_early;
+        met.not_ready += run.met.not_ready;
         met.mixed += run.met.mixed;
     }
-    let Met {
-        steps,
-        early,
-        waiting,
-        mixed,
-    } = met;
-    println!("{steps} steps, ready early {early}, not ready {waiting}, of both kinds {mixed}");
+    println!("{met:?}");
     assert!(
-        early > 500 && waiting > 500 && mixed > 5_000,
-        "{early} {waiting} {mixed}"
+        met.ready_early > 500 && met.not_ready > 500 && met.mixed > 5_000,
+        "{met:?}"
     );
 }
 
-/// One whose lease is not kept may act on anything: no acknowledgement counts from then on.
+/// A router whose lease is not tracked may act on any revision: no applied revision counts from then on.
 #[test]
-fn more_routers_than_are_kept_leave_time_alone() {
+fn with_more_routers_than_are_tracked_only_time_makes_a_revision_ready() {
     let mut run = Run::new(1);
-    (0..LEASES_AT_MOST as u64).for_each(|process| run.ask(process, RevisionNumber(0)));
+    let one_more = MAX_TRACKED_LEASES as u64;
+    (0..one_more).for_each(|process| run.request(process, RevisionNumber(0)));
     run.compare();
-    run.now += TERMS.granter_duration() - 1;
-    // One that is known has its place, and so has nobody else, not even by asking again.
-    run.ask(0, RevisionNumber(0));
-    run.ask(LEASES_AT_MOST as u64, RevisionNumber(0));
+    run.now += CONFIG.granter_duration() - 1;
+    // One that is known keeps its place, and nobody else gets one, not even by asking again.
+    run.request(0, RevisionNumber(0));
+    run.request(one_more, RevisionNumber(0));
     run.compare();
-    // The place of one whose lease is over is free.
+    // The place of one whose lease has expired is free.
     run.now += 1;
-    run.ask(LEASES_AT_MOST as u64, RevisionNumber(0));
+    run.request(one_more, RevisionNumber(0));
     run.compare();
-    run.announce();
-    run.ask(LEASES_AT_MOST as u64, RevisionNumber(1));
+    run.propose();
+    run.request(one_more, RevisionNumber(1));
     run.compare();
-    run.look();
-    run.now += TERMS.granter_duration();
-    run.look();
-    assert_eq!((run.met.early, run.met.waiting), (0, 1));
+    run.check_ready();
+    run.now += CONFIG.granter_duration();
+    run.check_ready();
+    assert_eq!((run.met.ready_early, run.met.not_ready), (0, 1));
 }
--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -1,10 +1,10 @@
-//! What people's programs read of the keepers' messages.
+//! JSON that operators' programs read: its keys stay, whatever the fields are called here.
 
 use spokeflow_coordination::wire::ClusterStatus;
 use spokeflow_coordination::{Rejection, Revision, RevisionRecord};
 use spokeflow_raft::{LogIndex, NodeId, Term};
 
-fn view() -> ClusterStatus {
+fn status() -> ClusterStatus {
     ClusterStatus {
         leader: NodeId(1),
         term: Term(2),
@@ -23,10 +23,10 @@
     }
 }
 
-/// `spokeflowctl status --json` prints them, whatever the fields are called here.
+/// `spokeflowctl status --json` prints them.
 #[test]
-fn json_keys_of_a_view_stay() {
-    let json = serde_json::to_value(view()).unwrap();
+fn json_keys_of_a_status_stay() {
+    let json = serde_json::to_value(status()).unwrap();
     let keys: Vec<&str> = json
         .as_object()
         .unwrap()
@@ -52,7 +52,7 @@
     assert_eq!(keys, expected);
     assert_eq!(
         serde_json::from_value::<ClusterStatus>(json).unwrap(),
-        view()
+        status()
     );
 }
 
