--- a/crates/spokeflow-control-plane/src/flags.rs
+++ b/crates/spokeflow-control-plane/src/flags.rs
@@ -212,7 +212,7 @@
                 max_clock_drift: self.max_clock_drift,
             },
             addresses,
-            check: |values| check_overrides(values).map_err(|errors| errors.to_string()),
+            check: |overrides| Ok(check_overrides(overrides)?),
         }
     }
 
--- a/crates/spokeflow-control-plane/src/node_task.rs
+++ b/crates/spokeflow-control-plane/src/node_task.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use spokeflow_coordination::wire::{FromNode, Response, ToNode};
-use spokeflow_coordination::{Coordinator, Effects, RequestOrigin};
+use spokeflow_coordination::wire::FromNode;
+use spokeflow_coordination::{ClientResponse, Coordinator, Effects, NodeMessage, RequestOrigin};
 use spokeflow_raft::NodeId;
 use spokeflow_runtime::{shutdown_signal, Clock};
 use tokio::sync::{mpsc, watch};
@@ -171,30 +171,33 @@
         self.send_responses(effects.responses);
     }
 
-    fn send_messages(&mut self, messages: Vec<(NodeId, ToNode)>) {
+    fn send_messages(&mut self, messages: Vec<NodeMessage>) {
         if messages.is_empty() {
             return;
         }
         self.crash_injector.pass(CrashPoint::BeforeSending);
         let half = messages.len().div_ceil(2);
-        for (sent, (to, message)) in messages.into_iter().enumerate() {
+        for (sent, outgoing) in messages.into_iter().enumerate() {
             if sent == half {
                 self.crash_injector.pass(CrashPoint::WithinSending);
             }
-            if let Some(address) = self.address(to) {
-                self.outbound.send(to, address, message);
+            if let Some(address) = self.address(outgoing.to) {
+                self.outbound.send(outgoing.to, address, outgoing.message);
             }
         }
     }
 
-    fn send_responses(&mut self, responses: Vec<(u64, u64, Response)>) {
+    fn send_responses(&mut self, responses: Vec<ClientResponse>) {
         if responses.is_empty() {
             return;
         }
         self.crash_injector.pass(CrashPoint::BeforeAnswering);
-        for (connection, number, response) in responses {
-            let response = FromNode::Response { number, response };
-            self.outbound.respond(connection, response);
+        for answered in responses {
+            let response = FromNode::Response {
+                number: answered.number,
+                response: answered.response,
+            };
+            self.outbound.respond(answered.connection, response);
         }
     }
 
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -24,7 +24,7 @@
 }
 
 fn base_config() -> EffectiveConfig {
-    EffectiveConfig::of(&config().service)
+    EffectiveConfig::from(&config().service)
 }
 
 fn grant_lease(harness: &mut Harness, lasts: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -289,7 +289,7 @@
             ..self.clone()
         };
         revised.check()?;
-        Ok(EffectiveConfig::of(&revised.service_config()))
+        Ok(EffectiveConfig::from(&revised.service_config()))
     }
 }
 
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -261,7 +261,7 @@
     };
     if !terms.control_plane.is_empty() {
         // Nothing has been granted yet.
-        let own = Box::new(EffectiveConfig::of(&terms.engine_config().service));
+        let own = Box::new(EffectiveConfig::from(&terms.engine_config().service));
         give(
             &mut engine,
             &mut wires,
