--- a/crates/spokeflow-engine/src/egress.rs
+++ b/crates/spokeflow-engine/src/egress.rs
@@ -88,9 +88,9 @@
         let message = ToHost::Deliver {
             delivery,
             op: command.op,
-            share: command.tenant,
+            tenant: command.tenant,
             key: command.key,
-            mark: command.idempotency_key,
+            idempotency_key: command.idempotency_key,
             left_us: (until - now) as u64,
             body: command.body.clone(),
         };
@@ -102,11 +102,11 @@
     }
 
     fn nack(&mut self, cmd: CommandId, retry_after: Option<Micros>) {
-        let come_back_us = retry_after.map(|after| after.max(0) as u64);
+        let retry_after_us = retry_after.map(|after| after.max(0) as u64);
         self.in_flight
             .answer(cmd, self.transport, |id| ToClient::Nacked {
                 id,
-                come_back_us,
+                retry_after_us,
             });
     }
 
--- a/crates/spokeflow-engine/src/engine/commands.rs
+++ b/crates/spokeflow-engine/src/engine/commands.rs
@@ -30,7 +30,7 @@
         }
         let cmd = self.in_flight.fresh_id();
         let op = OpType(command.op);
-        let tenant = TenantId(command.share);
+        let tenant = TenantId(command.tenant);
         let key = Key(command.key);
         let pending = self.pending_command(conn, command, time_left);
         self.in_flight.insert_command(cmd, pending);
@@ -59,7 +59,7 @@
         let may_name_time = service.may_name_retry_after && self.is_known_op(command.op);
         let message = ToClient::Nacked {
             id: command.id,
-            come_back_us: may_name_time.then_some(service.longest_retry_after as u64),
+            retry_after_us: may_name_time.then_some(service.longest_retry_after as u64),
         };
         transport.to_client(conn, message);
     }
@@ -71,9 +71,9 @@
             conn,
             id: command.id,
             op: command.op,
-            tenant: command.share,
+            tenant: command.tenant,
             key: command.key,
-            idempotency_key: command.mark,
+            idempotency_key: command.idempotency_key,
             until: self.in_flight.now + time_left,
             answered: false,
             body: command.body,
--- a/crates/spokeflow-engine/src/engine/deliveries.rs
+++ b/crates/spokeflow-engine/src/engine/deliveries.rs
@@ -31,9 +31,11 @@
             FromHost::Full { delivery } => {
                 self.on_answer(host, delivery, AttemptOutcome::Rejected, transport);
             }
-            FromHost::Answering { delivery } => self.on_response_started(host, delivery),
+            FromHost::ResponseStarted { delivery } => self.on_response_started(host, delivery),
             // Thousandths of the host's cores.
-            FromHost::Report { busy } => self.router.on_load_report(host, f64::from(busy) / 1000.0),
+            FromHost::LoadReport { busy } => {
+                self.router.on_load_report(host, f64::from(busy) / 1000.0)
+            }
             FromHost::Refused(_) | FromHost::Probed { .. } | FromHost::Pong => {}
         }
     }
--- a/crates/spokeflow-engine/src/engine/release_controller.rs
+++ b/crates/spokeflow-engine/src/engine/release_controller.rs
@@ -3,7 +3,7 @@
 use spokeflow_core::{
     BuildId, ControllerStats, Micros, OpType, RolloutState, RolloutStatus, VoteOutcome,
 };
-use spokeflow_proto::{Count, FromController, RolloutPhase, RolloutUpdate, VoteResult};
+use spokeflow_proto::{DeliveryStats, FromController, RolloutPhase, RolloutUpdate, VoteResult};
 
 use super::Engine;
 use crate::egress::EgressAdapter;
@@ -25,7 +25,9 @@
         match message {
             FromController::RolloutUpdate(message) => self.on_rollout_message(message, transport),
             FromController::Voted { ballot, result } => self.on_vote_result(ballot, result),
-            FromController::Counted(count) => self.router.on_controller_stats(stats(count)),
+            FromController::Stats(stats) => {
+                self.router.on_controller_stats(controller_stats(stats))
+            }
             FromController::Welcome | FromController::Refused(_) => {}
         }
     }
@@ -140,13 +142,13 @@
     }
 }
 
-fn stats(count: Count) -> ControllerStats {
+fn controller_stats(stats: DeliveryStats) -> ControllerStats {
     ControllerStats {
-        build: BuildId(count.build),
-        op: OpType(count.op),
-        sampled: count.sampled,
-        failed: count.lost,
-        mean_latency: bounded_micros(count.mean_us),
-        age: bounded_micros(count.age_us),
+        build: BuildId(stats.build),
+        op: OpType(stats.op),
+        sampled: stats.sampled,
+        failed: stats.failed,
+        mean_latency: bounded_micros(stats.mean_us),
+        age: bounded_micros(stats.age_us),
     }
 }
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -257,9 +257,9 @@
         let command = Command {
             id,
             op,
-            share: 0,
+            tenant: 0,
             key,
-            mark: id,
+            idempotency_key: id,
             left_us: left as u64,
             body,
         };
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -10,9 +10,9 @@
     ToHost::Deliver {
         delivery,
         op: 0,
-        share: 0,
+        tenant: 0,
         key: 0,
-        mark: 0,
+        idempotency_key: 0,
         left_us: 1,
         body: Default::default(),
     }
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -107,9 +107,9 @@
             Command {
                 id: 100 + n,
                 op,
-                share: 0,
+                tenant: 0,
                 key,
-                mark,
+                idempotency_key: mark,
                 left_us: 1_500_000,
                 body,
             },
--- a/crates/spokeflow-platform/src/clients.rs
+++ b/crates/spokeflow-platform/src/clients.rs
@@ -430,9 +430,9 @@
         let command = Command {
             id: 0,
             op: op_type,
-            share,
+            tenant: share,
             key: if key.is_empty() { 0 } else { key_of(key) },
-            mark: 0,
+            idempotency_key: 0,
             left_us,
             body: forwarded(
                 &request,
@@ -471,7 +471,10 @@
             body,
             ..Answer::default()
         },
-        ToClient::Nacked { come_back_us, .. } => Answer {
+        ToClient::Nacked {
+            retry_after_us: come_back_us,
+            ..
+        } => Answer {
             status: 503,
             retry_after: come_back_us.map(|us| us as f64 / 1e6),
             ..Answer::default()
--- a/crates/spokeflow-platform/src/engine_links.rs
+++ b/crates/spokeflow-platform/src/engine_links.rs
@@ -156,7 +156,10 @@
         if let Some(waiting) = self.waiting.remove(&conn) {
             let (build, come_back_us) = match &message {
                 ToClient::Acked { build, .. } => (Some(*build), None),
-                ToClient::Nacked { come_back_us, .. } => (None, *come_back_us),
+                ToClient::Nacked {
+                    retry_after_us: come_back_us,
+                    ..
+                } => (None, *come_back_us),
                 _ => (None, None),
             };
             let id = String::from_utf8_lossy(&waiting.id);
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -84,11 +84,11 @@
     pub id: u64,
     pub op: u16,
     /// Index of the customer.
-    pub share: u32,
+    pub tenant: u32,
     /// What the command is about; 0 for none.
     pub key: u64,
     /// By which hosts know a repeat of a deduplicated command, the same for each try of it; 0 for none.
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// Microseconds that the client still waits.
     pub left_us: u64,
     pub body: Bytes,
@@ -99,15 +99,15 @@
     Hello(Hello),
     Command(Command),
     /// The client no longer waits for this command; no answer is owed.
-    Leave {
+    Abandon {
         id: u64,
     },
     /// An answer turned out wrong; the receipt came with it, on this connection.
-    Disputed {
+    WrongAnswer {
         receipt: u64,
     },
     /// From another router of the fleet only.
-    Told {
+    Gossip {
         text: Bytes,
     },
 }
@@ -125,7 +125,7 @@
     /// Trying again is harmless, best after so many microseconds where they are given.
     Nacked {
         id: u64,
-        come_back_us: Option<u64>,
+        retry_after_us: Option<u64>,
     },
     /// Promises nothing on whether the command had its effect.
     Failed {
@@ -142,9 +142,9 @@
         /// The router's number of this delivery, never used twice on a connection.
         delivery: u64,
         op: u16,
-        share: u32,
+        tenant: u32,
         key: u64,
-        mark: u64,
+        idempotency_key: u64,
         /// After so many microseconds nobody waits for the answer.
         left_us: u64,
         body: Bytes,
@@ -184,7 +184,7 @@
         delivery: u64,
     },
     /// The answer has begun.
-    Answering {
+    ResponseStarted {
         delivery: u64,
     },
     Probed {
@@ -192,7 +192,7 @@
     },
     Pong,
     /// How busy the host's cores are, in thousandths; only to a caller of version 2.
-    Report {
+    LoadReport {
         busy: u16,
     },
 }
@@ -295,12 +295,12 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct DeliveryStats {
     pub build: u16,
     pub op: u16,
     pub sampled: u32,
     /// Those that did not end with an ack.
-    pub lost: u32,
+    pub failed: u32,
     /// Mean microseconds of the others.
     pub mean_us: u64,
     /// Microseconds since the period ended.
@@ -329,5 +329,5 @@
     },
     /// One op type at one build, in a sample of all routers' deliveries over a past period; only to a caller of
     /// version 2.
-    Counted(Count),
+    Stats(DeliveryStats),
 }
--- a/crates/spokeflow-proto/tests/frames.rs
+++ b/crates/spokeflow-proto/tests/frames.rs
@@ -11,9 +11,9 @@
     FromClient::Command(Command {
         id: u64::MAX,
         op: 3,
-        share: 1,
+        tenant: 1,
         key: 99,
-        mark: 7,
+        idempotency_key: 7,
         left_us: 1_000_000,
         body: Bytes::from(body),
     })
@@ -33,7 +33,7 @@
         &hello[..],
         &[0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 1, 0, 5, 2]
     );
-    let leave = bytes_of(&FromClient::Leave { id: 300 });
+    let leave = bytes_of(&FromClient::Abandon { id: 300 });
     assert_eq!(&leave[..], &[0, 0, 0, 3, 2, 0xac, 0x02]);
 }
 
@@ -133,7 +133,7 @@
     #[test]
     fn what_is_written_is_read(body in prop::collection::vec(any::<u8>(), 0..300), id: u64, key: u64) {
         let sent = FromClient::Command(Command {
-            id, op: 1, share: 2, key, mark: id ^ key, left_us: 5, body: Bytes::from(body),
+            id, op: 1, tenant: 2, key, idempotency_key: id ^ key, left_us: 5, body: Bytes::from(body),
         });
         let mut from = bytes_of(&sent);
         prop_assert_eq!(Codec::new(WORK_LIMIT).decode(&mut from).unwrap(), Some(sent));
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -111,9 +111,9 @@
     Command {
         id: 1_001,
         op: 302,
-        share: 70_003,
+        tenant: 70_003,
         key: 1_004,
-        mark: 1_005,
+        idempotency_key: 1_005,
         left_us: 1_006,
         body: Bytes::from_static(b"body"),
     }
@@ -177,14 +177,14 @@
             FromClient::Hello(hello(Role::Router)),
         ),
         ("FromClient::Command", FromClient::Command(command())),
-        ("FromClient::Leave", FromClient::Leave { id: 1_001 }),
+        ("FromClient::Leave", FromClient::Abandon { id: 1_001 }),
         (
             "FromClient::Disputed",
-            FromClient::Disputed { receipt: 1_002 },
+            FromClient::WrongAnswer { receipt: 1_002 },
         ),
         (
             "FromClient::Told",
-            FromClient::Told {
+            FromClient::Gossip {
                 text: Bytes::from_static(b"told"),
             },
         ),
@@ -198,9 +198,9 @@
             Role::Router => "FromClient::Hello/Router",
         },
         FromClient::Command(_) => "FromClient::Command",
-        FromClient::Leave { .. } => "FromClient::Leave",
-        FromClient::Disputed { .. } => "FromClient::Disputed",
-        FromClient::Told { .. } => "FromClient::Told",
+        FromClient::Abandon { .. } => "FromClient::Leave",
+        FromClient::WrongAnswer { .. } => "FromClient::Disputed",
+        FromClient::Gossip { .. } => "FromClient::Told",
     }
 }
 
@@ -219,14 +219,14 @@
             "ToClient::Nacked/in-time",
             ToClient::Nacked {
                 id: 1_001,
-                come_back_us: Some(1_002),
+                retry_after_us: Some(1_002),
             },
         ),
         (
             "ToClient::Nacked/no-time",
             ToClient::Nacked {
                 id: 1_001,
-                come_back_us: None,
+                retry_after_us: None,
             },
         ),
         ("ToClient::Failed", ToClient::Failed { id: 1_001 }),
@@ -249,9 +249,9 @@
     let deliver = ToHost::Deliver {
         delivery: 1_001,
         op: 302,
-        share: 70_003,
+        tenant: 70_003,
         key: 1_004,
-        mark: 1_005,
+        idempotency_key: 1_005,
         left_us: 1_006,
         body: Bytes::from_static(b"body"),
     };
@@ -293,11 +293,11 @@
         ("FromHost::Full", FromHost::Full { delivery: 1_003 }),
         (
             "FromHost::Answering",
-            FromHost::Answering { delivery: 1_004 },
+            FromHost::ResponseStarted { delivery: 1_004 },
         ),
         ("FromHost::Probed", FromHost::Probed { probe: 1_005 }),
         ("FromHost::Pong", FromHost::Pong),
-        ("FromHost::Report", FromHost::Report { busy: 301 }),
+        ("FromHost::Report", FromHost::LoadReport { busy: 301 }),
     ]
 }
 
@@ -308,10 +308,10 @@
         FromHost::Acked { .. } => "FromHost::Acked",
         FromHost::Error { .. } => "FromHost::Error",
         FromHost::Full { .. } => "FromHost::Full",
-        FromHost::Answering { .. } => "FromHost::Answering",
+        FromHost::ResponseStarted { .. } => "FromHost::Answering",
         FromHost::Probed { .. } => "FromHost::Probed",
         FromHost::Pong => "FromHost::Pong",
-        FromHost::Report { .. } => "FromHost::Report",
+        FromHost::LoadReport { .. } => "FromHost::Report",
     }
 }
 
@@ -408,11 +408,11 @@
 }
 
 fn from_desk() -> Vec<Named<FromController>> {
-    let count = Count {
+    let count = DeliveryStats {
         build: 301,
         op: 302,
         sampled: 70_003,
-        lost: 70_004,
+        failed: 70_004,
         mean_us: 1_005,
         age_us: 1_006,
     };
@@ -439,7 +439,7 @@
         ("FromDesk::Voted/Moot", voted(VoteResult::Stale)),
         ("FromDesk::Voted/TooMany", voted(VoteResult::RateLimited)),
         ("FromDesk::Voted/Refused", voted(VoteResult::Refused)),
-        ("FromDesk::Counted", FromController::Counted(count)),
+        ("FromDesk::Counted", FromController::Stats(count)),
     ]
 }
 
@@ -459,7 +459,7 @@
             VoteResult::RateLimited => "FromDesk::Voted/TooMany",
             VoteResult::Refused => "FromDesk::Voted/Refused",
         },
-        FromController::Counted(_) => "FromDesk::Counted",
+        FromController::Stats(_) => "FromDesk::Counted",
     }
 }
 
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -108,9 +108,9 @@
                         let conn = self.conn;
                         let input = match message? {
                             FromClient::Command(command) => Input::Command { conn, command },
-                            FromClient::Leave { id } => Input::Abandon { conn, id },
-                            FromClient::Disputed { receipt } => Input::WrongAnswer { conn, receipt },
-                            FromClient::Hello(_) | FromClient::Told { .. } => return Err(FrameFault::OutOfOrder),
+                            FromClient::Abandon { id } => Input::Abandon { conn, id },
+                            FromClient::WrongAnswer { receipt } => Input::WrongAnswer { conn, receipt },
+                            FromClient::Hello(_) | FromClient::Gossip { .. } => return Err(FrameFault::OutOfOrder),
                         };
                         // Waits where the engine is behind: that is what the client's socket then does too.
                         if self.core.send(EngineEvent::Input(input)).await.is_err() {
--- a/crates/spokeflow-router/src/hosts.rs
+++ b/crates/spokeflow-router/src/hosts.rs
@@ -451,9 +451,9 @@
                 ToHost::Deliver {
                     delivery,
                     op: 0,
-                    share: 0,
+                    tenant: 0,
                     key: 0,
-                    mark: 0,
+                    idempotency_key: 0,
                     left_us,
                     body,
                 }
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -269,7 +269,7 @@
         assert!(matches!(hello, ToHost::Hello(h) if h.takes_more()));
         while let Some(Ok(message)) = host.next().await {
             if let ToHost::Deliver { delivery, body, .. } = message {
-                host.send(FromHost::Report { busy: 400 }).await.unwrap();
+                host.send(FromHost::LoadReport { busy: 400 }).await.unwrap();
                 host.send(FromHost::Acked { delivery, body }).await.unwrap();
             }
         }
@@ -287,9 +287,9 @@
             let command = Command {
                 id,
                 op: 0,
-                share: 0,
+                tenant: 0,
                 key: id,
-                mark: 0,
+                idempotency_key: 0,
                 left_us: 3_000_000,
                 body: "x".into(),
             };
@@ -315,15 +315,15 @@
         for _ in 0..4 {
             for (build, op) in [(1, 0), (1, 1), (2, 0), (2, 1)] {
                 let lost = 6 * u32::from(build == 2);
-                let count = Count {
+                let count = DeliveryStats {
                     build,
                     op,
                     sampled: 12,
-                    lost,
+                    failed: lost,
                     mean_us: 90_000,
                     age_us: 600_000,
                 };
-                desk.send(FromController::Counted(count)).await.unwrap();
+                desk.send(FromController::Stats(count)).await.unwrap();
             }
             sleep(Duration::from_millis(300)).await;
         }
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -211,9 +211,9 @@
         let message = ToHost::Deliver {
             delivery,
             op: c.op,
-            share: c.share,
+            tenant: c.tenant,
             key: c.key,
-            mark: c.mark,
+            idempotency_key: c.idempotency_key,
             left_us: (held.until - self.now).max(0) as u64,
             body: c.body.clone(),
         };
@@ -266,7 +266,10 @@
         let out = self.out.values().any(|o| o.0 == id);
         let (id, come_back_us) = (held.command.id, Some(200_000));
         let message = if harmless || !held.may_have_run && !out {
-            ToClient::Nacked { id, come_back_us }
+            ToClient::Nacked {
+                id,
+                retry_after_us: come_back_us,
+            }
         } else {
             ToClient::Failed { id }
         };
@@ -344,7 +347,7 @@
                         conn,
                         ToClient::Nacked {
                             id,
-                            come_back_us: Some(1_000_000),
+                            retry_after_us: Some(1_000_000),
                         },
                     );
                 }
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -122,9 +122,9 @@
         let command = Command {
             id: tried,
             op: wanted.op as u16,
-            share: wanted.customer as u32,
+            tenant: wanted.customer as u32,
             key: wanted.key,
-            mark: if dropped { number } else { 0 },
+            idempotency_key: if dropped { number } else { 0 },
             left_us: left as u64,
             body: body(tried, number),
         };
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -51,9 +51,10 @@
                 },
                 receipt,
             ),
-            ToClient::Nacked { id, come_back_us } => {
-                (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0)
-            }
+            ToClient::Nacked {
+                id,
+                retry_after_us: come_back_us,
+            } => (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
             ToClient::Failed { id } => (id, TryEnd::Failed, 0),
             _ => return,
         };
@@ -91,7 +92,7 @@
                 delivery,
                 op,
                 key,
-                mark,
+                idempotency_key: mark,
                 left_us,
                 body,
                 ..
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -119,11 +119,11 @@
                             let wrong = &body[..] == b"wrong";
                             let reports = wrong && rand::rng().random_bool(self.world.day.reported);
                             if reports {
-                                let _ = link.send(FromClient::Disputed { receipt }).await;
+                                let _ = link.send(FromClient::WrongAnswer { receipt }).await;
                             }
                             (id, AnswerKind::Acked, build, TryEnd::Acked { build, wrong })
                         }
-                        ToClient::Nacked { id, come_back_us } => {
+                        ToClient::Nacked { id, retry_after_us: come_back_us } => {
                             (id, AnswerKind::Nacked, 0, TryEnd::Nacked(come_back_us.map(|t| t as Micros)))
                         }
                         ToClient::Failed { id } => (id, AnswerKind::Failed, 0, TryEnd::Failed),
@@ -154,7 +154,7 @@
                     Some(Order::Leave(id)) => {
                         if let Some((tried, _)) = open.get(&id) {
                             self.world.tap.note(Seen::Left { tried: *tried });
-                            let _ = link.send(FromClient::Leave { id }).await;
+                            let _ = link.send(FromClient::Abandon { id }).await;
                         }
                     }
                     None => return,
@@ -253,9 +253,9 @@
             let command = Command {
                 id: tried,
                 op: wanted.op as u16,
-                share: wanted.customer as u32,
+                tenant: wanted.customer as u32,
                 key: wanted.key,
-                mark: if dropped { number } else { 0 },
+                idempotency_key: if dropped { number } else { 0 },
                 left_us: patience as u64,
                 body: body(tried, number),
             };
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -273,7 +273,7 @@
                     self.noted.lock().expect("no holder panics").asked.insert(id, asked);
                     // Without a key: each may go to either build.
                     let (body, left_us) = (Bytes::copy_from_slice(&id.to_be_bytes()), PATIENCE as u64);
-                    let command = Command { id, op, share: 0, key: 0, mark: id, left_us, body };
+                    let command = Command { id, op, tenant: 0, key: 0, idempotency_key: id, left_us, body };
                     link.send(FromClient::Command(command)).await?;
                 }
             }
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -358,7 +358,7 @@
                 delivery,
                 op,
                 key,
-                mark,
+                idempotency_key: mark,
                 left_us,
                 body,
                 ..
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -412,9 +412,9 @@
     FromClient::Command(Command {
         id,
         op: 0,
-        share: 0,
+        tenant: 0,
         key: 1 + id % 5000,
-        mark: 0,
+        idempotency_key: 0,
         left_us: 4_000_000,
         body,
     })
@@ -549,8 +549,8 @@
                             if let Ok(mut waiting) = waiting.lock() {
                                 waiting.insert(delivery, (answer.clone(), c.id));
                             }
-                            let Command { op, share, key, mark, left_us, body, .. } = c;
-                            let message = ToHost::Deliver { delivery, op, share, key, mark, left_us, body };
+                            let Command { op, tenant, key, idempotency_key, left_us, body, .. } = c;
+                            let message = ToHost::Deliver { delivery, op, tenant, key, idempotency_key, left_us, body };
                             let host = delivery as usize % to_hosts.len();
                             if to_hosts[host].send(message).await.is_err() { return }
                         }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -145,9 +145,9 @@
     FromClient::Command(Command {
         id,
         op,
-        share: 0,
+        tenant: 0,
         key: 0,
-        mark: 0,
+        idempotency_key: 0,
         left_us: 3_000_000,
         body,
     })
