--- a/crates/spokeflow-control-plane/src/client.rs
+++ b/crates/spokeflow-control-plane/src/client.rs
@@ -22,7 +22,7 @@
             .map_err(|e| format!("{keeper}: {e}"))?;
         let codec = FrameCodec::<FromNode, ToNode>::new(LIMIT);
         let mut link = Framed::with_capacity(stream, codec, 1024);
-        let fault = |e: spokeflow_proto::FrameFault| format!("{keeper}: {e}");
+        let fault = |e: spokeflow_proto::FrameError| format!("{keeper}: {e}");
         link.send(ToNode::hello(Caller::Operator))
             .await
             .map_err(fault)?;
--- a/crates/spokeflow-engine/src/engine/commands.rs
+++ b/crates/spokeflow-engine/src/engine/commands.rs
@@ -1,7 +1,7 @@
 //! Clients: their commands, and what becomes of those that nobody waits for.
 
 use spokeflow_core::{CommandId, Key, Micros, OpType, Repeat, TenantId};
-use spokeflow_proto::{Command, FrameFault, ToClient};
+use spokeflow_proto::{Command, FrameError, ToClient};
 
 use super::Engine;
 use crate::egress::EgressAdapter;
@@ -20,7 +20,7 @@
         if self.in_flight.is_id_in_use(conn, command.id) {
             // Two answers under one number could not be told apart. The transport closes the connection, which ends
             // the first command.
-            let refused = FrameFault::IdInUse(command.id).refused();
+            let refused = FrameError::IdInUse(command.id).refused();
             return transport.to_client(conn, ToClient::Refused(refused));
         }
         self.in_flight.counts.accepted += 1;
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use spokeflow_core::{Micros, ROUTERS_PER_HOST};
 use spokeflow_engine::{Engine, EngineConfig, Input};
-use spokeflow_proto::{FrameFault, FromController, FromList, ToClient};
+use spokeflow_proto::{FrameError, FromController, FromList, ToClient};
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
@@ -87,7 +87,7 @@
                 answer,
             } => {
                 if !self.links.open_ids.insert(id.clone()) {
-                    let refused = FrameFault::IdInUse(command.id).refused();
+                    let refused = FrameError::IdInUse(command.id).refused();
                     let _ = answer.send(ToClient::Refused(refused));
                     return;
                 }
--- a/crates/spokeflow-proto/src/codec.rs
+++ b/crates/spokeflow-proto/src/codec.rs
@@ -20,7 +20,7 @@
 
 /// What is wrong with what a peer sent. Each ends that one connection.
 #[derive(Debug)]
-pub enum FrameFault {
+pub enum FrameError {
     /// The connection ended within a frame: what there is of it counts as never sent.
     Truncated {
         have: usize,
@@ -43,21 +43,21 @@
     Io(io::Error),
 }
 
-impl FrameFault {
+impl FrameError {
     /// The number told to the peer.
     pub fn code(&self) -> u8 {
         match self {
-            FrameFault::Truncated { .. } => 1,
-            FrameFault::Oversized { .. } => 2,
-            FrameFault::UnknownKind(_) => 3,
-            FrameFault::Malformed(_) => 4,
-            FrameFault::NotSpokeflow => 5,
-            FrameFault::WrongVersion(_) => 6,
-            FrameFault::WrongRole => 7,
-            FrameFault::OutOfOrder => 8,
-            FrameFault::IdInUse(_) => 9,
-            FrameFault::TooSlow => 10,
-            FrameFault::Io(_) => 11,
+            FrameError::Truncated { .. } => 1,
+            FrameError::Oversized { .. } => 2,
+            FrameError::UnknownKind(_) => 3,
+            FrameError::Malformed(_) => 4,
+            FrameError::NotSpokeflow => 5,
+            FrameError::WrongVersion(_) => 6,
+            FrameError::WrongRole => 7,
+            FrameError::OutOfOrder => 8,
+            FrameError::IdInUse(_) => 9,
+            FrameError::TooSlow => 10,
+            FrameError::Io(_) => 11,
         }
     }
 
@@ -69,44 +69,44 @@
     }
 }
 
-impl fmt::Display for FrameFault {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FrameFault::Truncated { have } => {
+            FrameError::Truncated { have } => {
                 write!(
                     f,
                     "truncated: the connection ended {have} bytes into a frame"
                 )
             }
-            FrameFault::Oversized { length, limit } => {
+            FrameError::Oversized { length, limit } => {
                 write!(f, "oversized: a frame of {length} bytes, {limit} at most")
             }
-            FrameFault::UnknownKind(kind) => write!(f, "unknown kind {kind}"),
-            FrameFault::Malformed(what) => write!(f, "malformed: {what}"),
-            FrameFault::NotSpokeflow => {
+            FrameError::UnknownKind(kind) => write!(f, "unknown kind {kind}"),
+            FrameError::Malformed(what) => write!(f, "malformed: {what}"),
+            FrameError::NotSpokeflow => {
                 write!(f, "not spokeflow: the opening message lacks its mark")
             }
-            FrameFault::WrongVersion(v) => {
+            FrameError::WrongVersion(v) => {
                 write!(f, "wrong version {v}: this end speaks {}", crate::VERSION)
             }
-            FrameFault::WrongRole => write!(f, "wrong role for this port"),
-            FrameFault::OutOfOrder => {
+            FrameError::WrongRole => write!(f, "wrong role for this port"),
+            FrameError::OutOfOrder => {
                 write!(f, "out of order: one opening message comes first, and once")
             }
-            FrameFault::IdInUse(id) => {
+            FrameError::IdInUse(id) => {
                 write!(f, "id in use: command {id} has not been answered yet")
             }
-            FrameFault::TooSlow => write!(f, "too slow: what is sent is not read"),
-            FrameFault::Io(e) => write!(f, "i/o: {e}"),
+            FrameError::TooSlow => write!(f, "too slow: what is sent is not read"),
+            FrameError::Io(e) => write!(f, "i/o: {e}"),
         }
     }
 }
 
-impl std::error::Error for FrameFault {}
+impl std::error::Error for FrameError {}
 
-impl From<io::Error> for FrameFault {
+impl From<io::Error> for FrameError {
     fn from(e: io::Error) -> Self {
-        FrameFault::Io(e)
+        FrameError::Io(e)
     }
 }
 
@@ -133,15 +133,15 @@
 
 impl<In: DeserializeOwned, Out> Decoder for FrameCodec<In, Out> {
     type Item = In;
-    type Error = FrameFault;
+    type Error = FrameError;
 
-    fn decode(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameFault> {
+    fn decode(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameError> {
         let Some(head) = from.first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
         if length > self.limit {
-            return Err(FrameFault::Oversized {
+            return Err(FrameError::Oversized {
                 length,
                 limit: self.limit,
             });
@@ -155,22 +155,22 @@
         let body = from.split_to(length);
         match postcard::take_from_bytes::<In>(&body) {
             Ok((message, [])) => Ok(Some(message)),
-            Ok(_) => Err(FrameFault::Malformed("bytes follow the message")),
+            Ok(_) => Err(FrameError::Malformed("bytes follow the message")),
             Err(postcard::Error::DeserializeUnexpectedEnd) => {
-                Err(FrameFault::Malformed("the message ends early"))
+                Err(FrameError::Malformed("the message ends early"))
             }
             Err(_) if body.first().is_some_and(|kind| !known_kind::<In>(*kind)) => {
-                Err(FrameFault::UnknownKind(body[0]))
+                Err(FrameError::UnknownKind(body[0]))
             }
-            Err(_) => Err(FrameFault::Malformed("a field cannot be read")),
+            Err(_) => Err(FrameError::Malformed("a field cannot be read")),
         }
     }
 
-    fn decode_eof(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameFault> {
+    fn decode_eof(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameError> {
         match self.decode(from)? {
             Some(message) => Ok(Some(message)),
             None if from.is_empty() => Ok(None),
-            None => Err(FrameFault::Truncated { have: from.len() }),
+            None => Err(FrameError::Truncated { have: from.len() }),
         }
     }
 }
@@ -187,18 +187,18 @@
     /// Appends one frame.
     ///
     /// Errors: `Oversized`, with nothing written.
-    pub fn write(&self, message: &Out, to: &mut BytesMut) -> Result<(), FrameFault> {
+    pub fn write(&self, message: &Out, to: &mut BytesMut) -> Result<(), FrameError> {
         let start = to.len();
         to.put_u32(0);
         let fill = std::mem::take(to).writer();
         *to = match postcard::to_io(message, fill) {
             Ok(filled) => filled.into_inner(),
-            Err(_) => return Err(FrameFault::Malformed("a message that cannot be written")),
+            Err(_) => return Err(FrameError::Malformed("a message that cannot be written")),
         };
         let length = to.len() - start - 4;
         if length > self.limit {
             to.truncate(start);
-            return Err(FrameFault::Oversized {
+            return Err(FrameError::Oversized {
                 length,
                 limit: self.limit,
             });
@@ -209,9 +209,9 @@
 }
 
 impl<In, Out: Serialize> Encoder<Out> for FrameCodec<In, Out> {
-    type Error = FrameFault;
+    type Error = FrameError;
 
-    fn encode(&mut self, message: Out, to: &mut BytesMut) -> Result<(), FrameFault> {
+    fn encode(&mut self, message: Out, to: &mut BytesMut) -> Result<(), FrameError> {
         self.write(&message, to)
     }
 }
--- a/crates/spokeflow-proto/src/lib.rs
+++ b/crates/spokeflow-proto/src/lib.rs
@@ -4,5 +4,5 @@
 mod codec;
 mod message;
 
-pub use codec::{FrameCodec, FrameFault, HELLO_LIMIT, LIST_LIMIT, WORK_LIMIT};
+pub use codec::{FrameCodec, FrameError, HELLO_LIMIT, LIST_LIMIT, WORK_LIMIT};
 pub use message::*;
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::FrameFault;
+use crate::FrameError;
 
 /// The newest version that a `Hello` may name, and the oldest; a peer with another is refused. A router names the
 /// newest only where it wants what came with it: load reports, the desk's counts, sizes of hosts.
@@ -36,7 +36,7 @@
     }
 
     /// The same, asking for what came with the newest version.
-    pub fn wants_more(self) -> Self {
+    pub fn with_newest_version(self) -> Self {
         Hello {
             version: VERSION,
             ..self
@@ -44,20 +44,20 @@
     }
 
     /// Whether the caller takes what came with the newest version; any other it does not know.
-    pub fn takes_more(&self) -> bool {
+    pub fn has_newest_version(&self) -> bool {
         self.version >= VERSION
     }
 
     /// Whether this end can speak with the caller. Errors name what does not fit.
-    pub fn check(&self, role: &[Role]) -> Result<(), FrameFault> {
+    pub fn check(&self, role: &[Role]) -> Result<(), FrameError> {
         if self.magic != MAGIC {
-            return Err(FrameFault::NotSpokeflow);
+            return Err(FrameError::NotSpokeflow);
         }
         if !(OLDEST..=VERSION).contains(&self.version) {
-            return Err(FrameFault::WrongVersion(self.version));
+            return Err(FrameError::WrongVersion(self.version));
         }
         if !role.contains(&self.role) {
-            return Err(FrameFault::WrongRole);
+            return Err(FrameError::WrongRole);
         }
         Ok(())
     }
@@ -73,7 +73,7 @@
 /// Why a connection is closed, said in the last frame on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Number of the fault, see `FrameFault::code`.
+    /// Number of the fault, see `FrameError::code`.
     pub code: u8,
     pub text: String,
 }
--- a/crates/spokeflow-proto/tests/frames.rs
+++ b/crates/spokeflow-proto/tests/frames.rs
@@ -57,7 +57,7 @@
         let mut part = BytesMut::from(&whole[..cut]);
         assert!(codec.decode(&mut part).unwrap().is_none());
         assert!(
-            matches!(codec.decode_eof(&mut part), Err(FrameFault::Truncated { have }) if have == cut)
+            matches!(codec.decode_eof(&mut part), Err(FrameError::Truncated { have }) if have == cut)
         );
     }
 }
@@ -66,7 +66,7 @@
 fn too_long_is_refused_by_its_length_alone_and_never_written() {
     let mut from = BytesMut::from(&((WORK_LIMIT as u32 + 1).to_be_bytes())[..]);
     let fault = Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err();
-    assert!(matches!(fault, FrameFault::Oversized { .. }), "{fault}");
+    assert!(matches!(fault, FrameError::Oversized { .. }), "{fault}");
     let mut to = BytesMut::from(&b"before"[..]);
     assert!(Codec::new(WORK_LIMIT)
         .write(&command(vec![0; WORK_LIMIT]), &mut to)
@@ -81,13 +81,13 @@
         from.extend_from_slice(bytes);
         Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err()
     };
-    assert!(matches!(decode(&[77]), FrameFault::UnknownKind(77)));
-    assert!(matches!(decode(&[2]), FrameFault::Malformed(_)));
+    assert!(matches!(decode(&[77]), FrameError::UnknownKind(77)));
+    assert!(matches!(decode(&[2]), FrameError::Malformed(_)));
     assert!(matches!(
         decode(&[2, 1, 1]),
-        FrameFault::Malformed("bytes follow the message")
+        FrameError::Malformed("bytes follow the message")
     ));
-    assert!(matches!(decode(&[]), FrameFault::Malformed(_)));
+    assert!(matches!(decode(&[]), FrameError::Malformed(_)));
 }
 
 #[test]
@@ -96,16 +96,22 @@
     assert!(good.check(&[Role::Client]).is_ok());
     assert!(matches!(
         good.check(&[Role::Router]),
-        Err(FrameFault::WrongRole)
+        Err(FrameError::WrongRole)
     ));
     let newer = Hello {
         version: VERSION + 1,
         ..good.clone()
     };
-    assert!(good.clone().wants_more().check(&[Role::Client]).is_ok() && !good.takes_more());
+    assert!(
+        good.clone()
+            .with_newest_version()
+            .check(&[Role::Client])
+            .is_ok()
+            && !good.has_newest_version()
+    );
     assert!(matches!(
         newer.check(&[Role::Client]),
-        Err(FrameFault::WrongVersion(3))
+        Err(FrameError::WrongVersion(3))
     ));
     let other = Hello {
         magic: *b"HTTP",
@@ -113,7 +119,7 @@
     };
     assert!(matches!(
         other.check(&[Role::Client]),
-        Err(FrameFault::NotSpokeflow)
+        Err(FrameError::NotSpokeflow)
     ));
 }
 
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -38,7 +38,7 @@
     FrameCodec::new(LIST_LIMIT)
 }
 
-fn decoded<Message: DeserializeOwned>(frame: &[u8]) -> Result<Option<Message>, FrameFault> {
+fn decoded<Message: DeserializeOwned>(frame: &[u8]) -> Result<Option<Message>, FrameError> {
     codec().decode(&mut BytesMut::from(frame))
 }
 
@@ -73,7 +73,7 @@
     assert_eq!(kinds, (0..count).collect::<Vec<u8>>());
     let next = decoded::<Message>(&[0, 0, 0, 1, count]);
     assert!(
-        matches!(next, Err(FrameFault::UnknownKind(kind)) if kind == count),
+        matches!(next, Err(FrameError::UnknownKind(kind)) if kind == count),
         "{next:?}"
     );
 }
--- a/crates/spokeflow-router/src/clients.rs
+++ b/crates/spokeflow-router/src/clients.rs
@@ -7,7 +7,7 @@
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
 use spokeflow_proto::{
-    FrameCodec, FrameFault, FromClient, Role, ToClient, HELLO_LIMIT, WORK_LIMIT,
+    FrameCodec, FrameError, FromClient, Role, ToClient, HELLO_LIMIT, WORK_LIMIT,
 };
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
@@ -54,7 +54,7 @@
                     info!(conn = self.conn, peer = %self.peer, kept_back, %fault, "client refused");
                 }
                 // A peer that reads nothing would not read this either.
-                if !matches!(fault, FrameFault::TooSlow) {
+                if !matches!(fault, FrameError::TooSlow) {
                     let refused = ToClient::Refused(fault.refused());
                     let _ = timeout(STALL, link.send(refused)).await;
                 }
@@ -74,15 +74,15 @@
         .await;
     }
 
-    async fn opening(&self, link: &mut Link) -> Result<(), FrameFault> {
+    async fn opening(&self, link: &mut Link) -> Result<(), FrameError> {
         let first = timeout(HELLO_WAIT, link.next())
             .await
-            .map_err(|_| FrameFault::OutOfOrder)?;
+            .map_err(|_| FrameError::OutOfOrder)?;
         let Some(first) = first else {
-            return Err(FrameFault::Truncated { have: 0 });
+            return Err(FrameError::Truncated { have: 0 });
         };
         let FromClient::Hello(hello) = first? else {
-            return Err(FrameFault::OutOfOrder);
+            return Err(FrameError::OutOfOrder);
         };
         hello.check(&[Role::Client])?;
         link.codec_mut().set_limit(WORK_LIMIT);
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    async fn client(&self, link: &mut Link) -> Result<(), FrameFault> {
+    async fn client(&self, link: &mut Link) -> Result<(), FrameError> {
         let (answers, mut to_send) = mpsc::channel(self.queue);
         if self
             .core
@@ -110,7 +110,7 @@
                             FromClient::Command(command) => Input::Command { conn, command },
                             FromClient::Abandon { id } => Input::Abandon { conn, id },
                             FromClient::WrongAnswer { receipt } => Input::WrongAnswer { conn, receipt },
-                            FromClient::Hello(_) | FromClient::Gossip { .. } => return Err(FrameFault::OutOfOrder),
+                            FromClient::Hello(_) | FromClient::Gossip { .. } => return Err(FrameError::OutOfOrder),
                         };
                         // Waits where the engine is behind: that is what the client's socket then does too.
                         if self.core.send(EngineEvent::Input(input)).await.is_err() {
@@ -126,7 +126,7 @@
                     while let Ok(answer) = to_send.try_recv() {
                         link.feed(answer).await?;
                     }
-                    timeout(STALL, link.flush()).await.map_err(|_| FrameFault::TooSlow)??;
+                    timeout(STALL, link.flush()).await.map_err(|_| FrameError::TooSlow)??;
                     if last {
                         return Ok(());
                     }
@@ -135,14 +135,14 @@
         }
     }
 
-    async fn last_words(&self, link: &mut Link) -> Result<(), FrameFault> {
+    async fn last_words(&self, link: &mut Link) -> Result<(), FrameError> {
         timeout(STALL, link.flush())
             .await
-            .map_err(|_| FrameFault::TooSlow)??;
+            .map_err(|_| FrameError::TooSlow)??;
         if self.clock.is_shutting_down() {
             Ok(())
         } else {
-            Err(FrameFault::TooSlow)
+            Err(FrameError::TooSlow)
         }
     }
 }
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -6,7 +6,7 @@
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use spokeflow_proto::{FrameCodec, FrameFault};
+use spokeflow_proto::{FrameCodec, FrameError};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -25,7 +25,7 @@
     wait: Duration,
     hello: Out,
     welcome: impl Fn(&In) -> bool,
-) -> Result<Link<In, Out>, FrameFault>
+) -> Result<Link<In, Out>, FrameError>
 where
     In: DeserializeOwned,
     Out: Serialize,
@@ -36,11 +36,11 @@
         let mut link: Link<In, Out> = Framed::with_capacity(stream, FrameCodec::new(limit), 1024);
         link.send(hello).await?;
         match link.next().await {
-            Some(first) if welcome(first.as_ref().map_err(|_| FrameFault::OutOfOrder)?) => Ok(link),
-            _ => Err(FrameFault::OutOfOrder),
+            Some(first) if welcome(first.as_ref().map_err(|_| FrameError::OutOfOrder)?) => Ok(link),
+            _ => Err(FrameError::OutOfOrder),
         }
     };
     timeout(wait, opening)
         .await
-        .unwrap_or(Err(FrameFault::TooSlow))
+        .unwrap_or(Err(FrameError::TooSlow))
 }
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -7,7 +7,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameFault, FromList, ToList, LIST_LIMIT};
+use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameError, FromList, ToList, LIST_LIMIT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 use tracing::warn;
@@ -71,7 +71,7 @@
         mut link: Link<FromList, ToList>,
         version: &mut Option<u64>,
         kept: &mut Kept,
-    ) -> FrameFault {
+    ) -> FrameError {
         // What was asked of the link before this one is asked anew here.
         while self.asked.try_recv().is_ok() {}
         let mut unheard = 0;
@@ -90,18 +90,18 @@
                             kept.write(file.clone());
                         }
                         if self.core.send(EngineEvent::Input(Input::FromList(message))).await.is_err() {
-                            return FrameFault::TooSlow;
+                            return FrameError::TooSlow;
                         }
                         continue;
                     }
                     Some(Err(fault)) => return fault,
-                    None => return FrameFault::Truncated { have: 0 },
+                    None => return FrameError::Truncated { have: 0 },
                 },
                 Some(asked) = self.asked.recv() => asked,
                 _ = sleep(self.renew) => {
                     unheard += 1;
                     if unheard > 3 {
-                        return FrameFault::TooSlow;
+                        return FrameError::TooSlow;
                     }
                     ToList::Watch { have: *version }
                 }
--- a/crates/spokeflow-router/src/release_controller.rs
+++ b/crates/spokeflow-router/src/release_controller.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_engine::Input;
-use spokeflow_proto::{FrameFault, FromController, ToController, WORK_LIMIT};
+use spokeflow_proto::{FrameError, FromController, ToController, WORK_LIMIT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 use tracing::{info, warn};
@@ -65,17 +65,17 @@
         }
     }
 
-    async fn talk(&mut self, mut link: Link<FromController, ToController>) -> FrameFault {
+    async fn talk(&mut self, mut link: Link<FromController, ToController>) -> FrameError {
         loop {
             tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(message)) => {
                         if self.core.send(EngineEvent::Input(Input::FromController(message))).await.is_err() {
-                            return FrameFault::TooSlow;
+                            return FrameError::TooSlow;
                         }
                     }
                     Some(Err(fault)) => return fault,
-                    None => return FrameFault::Truncated { have: 0 },
+                    None => return FrameError::Truncated { have: 0 },
                 },
                 Some(vote) = self.votes.recv() => if let Err(fault) = link.send(vote).await {
                     return fault;
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -187,7 +187,7 @@
     });
     let asking = |more: bool| match more {
         true => Arc::new(LinkTerms {
-            hello: links.hello.clone().wants_more(),
+            hello: links.hello.clone().with_newest_version(),
             ..(*links).clone()
         }),
         false => links.clone(),
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -219,7 +219,7 @@
     let address = said.strip_prefix("listening on ").unwrap().to_string();
 
     let (mut list, hello) = called::<ToList, FromList>(&list, LIST_LIMIT, FromList::Welcome).await;
-    assert!(matches!(hello, ToList::Hello(h) if h.takes_more()));
+    assert!(matches!(hello, ToList::Hello(h) if h.has_newest_version()));
     let line = |host: u32, build| EndpointRecord {
         host,
         address: hosts[host as usize].local_addr().unwrap().to_string(),
@@ -241,7 +241,7 @@
     list.send(FromList::Sizes { sizes }).await.unwrap();
     let (mut desk, hello) =
         called::<ToController, FromController>(&desk, WORK_LIMIT, FromController::Welcome).await;
-    assert!(matches!(hello, ToController::Hello(h) if h.takes_more()));
+    assert!(matches!(hello, ToController::Hello(h) if h.has_newest_version()));
     let news = |build, standing, cap| RolloutUpdate {
         build,
         stage: 0,
@@ -266,7 +266,7 @@
             up_us: 60_000_000,
         };
         let (mut host, hello) = called::<ToHost, FromHost>(&hosts[0], WORK_LIMIT, welcome).await;
-        assert!(matches!(hello, ToHost::Hello(h) if h.takes_more()));
+        assert!(matches!(hello, ToHost::Hello(h) if h.has_newest_version()));
         while let Some(Ok(message)) = host.next().await {
             if let ToHost::Deliver { delivery, body, .. } = message {
                 host.send(FromHost::LoadReport { busy: 400 }).await.unwrap();
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -240,9 +240,9 @@
         door: SocketAddr,
         every: Duration,
         number: &mut u64,
-    ) -> Result<(), FrameFault> {
+    ) -> Result<(), FrameError> {
         let connect = timeout(Duration::from_secs(1), TcpStream::connect(door)).await;
-        let stream = connect.map_err(|_| FrameFault::TooSlow)??;
+        let stream = connect.map_err(|_| FrameError::TooSlow)??;
         let _ = stream.set_nodelay(true);
         let mut link: Framed<TcpStream, FrameCodec<ToClient, FromClient>> =
             Framed::new(stream, FrameCodec::new(WORK_LIMIT));
