--- a/crates/spokeflow-proto/tests/frames.rs
+++ b/crates/spokeflow-proto/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames as a peer could send them: whole, in pieces, cut, too long, unknown, and any bytes at all.
+//! Frames as a peer could send them: complete, in pieces, truncated, oversized, unknown, and any bytes at all.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -33,19 +33,21 @@
         &hello[..],
         &[0, 0, 0, 9, 0, b'S', b'P', b'K', b'F', 1, 0, 5, 2]
     );
-    let leave = bytes_of(&FromClient::Abandon { id: 300 });
-    assert_eq!(&leave[..], &[0, 0, 0, 3, 2, 0xac, 0x02]);
+    let abandon = bytes_of(&FromClient::Abandon { id: 300 });
+    assert_eq!(&abandon[..], &[0, 0, 0, 3, 2, 0xac, 0x02]);
 }
 
 #[test]
 fn a_frame_may_come_byte_by_byte() {
     let sent = command(vec![1, 2, 3]);
-    let (mut codec, mut got, mut arrived) = (Codec::new(WORK_LIMIT), Vec::new(), BytesMut::new());
+    let mut codec = Codec::new(WORK_LIMIT);
+    let mut decoded = Vec::new();
+    let mut arrived = BytesMut::new();
     for byte in bytes_of(&sent).iter().chain(bytes_of(&sent).iter()) {
         arrived.extend_from_slice(&[*byte]);
-        got.extend(codec.decode(&mut arrived).unwrap());
+        decoded.extend(codec.decode(&mut arrived).unwrap());
     }
-    assert_eq!(got, vec![sent.clone(), sent]);
+    assert_eq!(decoded, vec![sent.clone(), sent]);
     assert!(codec.decode_eof(&mut arrived).unwrap().is_none());
 }
 
@@ -63,10 +65,10 @@
 }
 
 #[test]
-fn too_long_is_refused_by_its_length_alone_and_never_written() {
+fn an_oversized_frame_is_refused_by_its_length_alone_and_never_written() {
     let mut from = BytesMut::from(&((WORK_LIMIT as u32 + 1).to_be_bytes())[..]);
-    let fault = Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err();
-    assert!(matches!(fault, FrameError::Oversized { .. }), "{fault}");
+    let error = Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err();
+    assert!(matches!(error, FrameError::Oversized { .. }), "{error}");
     let mut to = BytesMut::from(&b"before"[..]);
     assert!(Codec::new(WORK_LIMIT)
         .write(&command(vec![0; WORK_LIMIT]), &mut to)
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn unknown_kinds_and_bad_bodies_are_told_apart() {
+fn unknown_kinds_and_malformed_bodies_are_distinguished() {
     let decode = |bytes: &[u8]| {
         let mut from = BytesMut::from(&(bytes.len() as u32).to_be_bytes()[..]);
         from.extend_from_slice(bytes);
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn an_opening_message_is_checked_whole() {
+fn a_hello_is_checked_field_by_field() {
     let good = Hello::new(Role::Client, 0, 0);
     assert!(good.check(&[Role::Client]).is_ok());
     assert!(matches!(
@@ -127,7 +129,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_yield_messages_or_a_fault_and_never_more_room_than_a_frame(
+    fn any_bytes_give_messages_or_an_error_and_never_more_memory_than_a_frame(
         bytes in prop::collection::vec(any::<u8>(), 0..200)
     ) {
         let mut from = BytesMut::from(&bytes[..]);
@@ -137,7 +139,7 @@
     }
 
     #[test]
-    fn what_is_written_is_read(body in prop::collection::vec(any::<u8>(), 0..300), id: u64, key: u64) {
+    fn a_written_message_is_read_back(body in prop::collection::vec(any::<u8>(), 0..300), id: u64, key: u64) {
         let sent = FromClient::Command(Command {
             id, op: 1, tenant: 2, key, idempotency_key: id ^ key, left_us: 5, body: Bytes::from(body),
         });
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -4,7 +4,8 @@
 //! commit, then the whole frame (length and body) in hexadecimal digits. Each line is decoded and
 //! compared with a value that is written out here, in which no two fields hold the same number, so
 //! that fields which changed places are noticed; encoding that value has to give the same bytes.
-//! The names are those of d62ab1d and stay as they are when a type is renamed.
+//! The names are those of d62ab1d and stay as they are when a type is renamed. The values of all links are one file,
+//! longer than others, so that each kind of frame in the fixture has its place in one list.
 
 use std::fmt::Debug;
 
@@ -119,7 +120,7 @@
     }
 }
 
-fn whole_line(phase: EndpointPhase) -> EndpointRecord {
+fn full_record(phase: EndpointPhase) -> EndpointRecord {
     EndpointRecord {
         host: 70_001,
         address: "10.0.0.1:7600".into(),
@@ -132,19 +133,19 @@
     }
 }
 
-fn line_without_options() -> EndpointRecord {
+fn record_without_options() -> EndpointRecord {
     EndpointRecord {
         build: None,
         up_us: None,
-        ..whole_line(EndpointPhase::Draining)
+        ..full_record(EndpointPhase::Draining)
     }
 }
 
-fn news(standing: RolloutPhase) -> RolloutUpdate {
+fn update(phase: RolloutPhase) -> RolloutUpdate {
     RolloutUpdate {
         build: 301,
         stage: 2,
-        phase: standing,
+        phase,
         exposure_cap: 0.25,
         age_us: 1_005,
     }
@@ -335,11 +336,11 @@
 fn from_list() -> Vec<Named<FromList>> {
     let whole = FromList::Complete {
         version: 1_001,
-        endpoints: vec![whole_line(EndpointPhase::Ready), line_without_options()],
+        endpoints: vec![full_record(EndpointPhase::Ready), record_without_options()],
     };
     let changes = |phase| FromList::Changes {
         version: 1_002,
-        endpoints: vec![whole_line(phase)],
+        endpoints: vec![full_record(phase)],
     };
     let sizes = FromList::Sizes {
         sizes: vec![
@@ -395,7 +396,7 @@
     ]
 }
 
-fn name_of_to_desk(message: &ToController) -> &'static str {
+fn name_of_to_controller(message: &ToController) -> &'static str {
     match message {
         ToController::Hello(_) => "ToDesk::Hello",
         ToController::Vote { choice, .. } => match choice {
@@ -407,7 +408,7 @@
     }
 }
 
-fn from_desk() -> Vec<Named<FromController>> {
+fn from_controller() -> Vec<Named<FromController>> {
     let count = DeliveryStats {
         build: 301,
         op: 302,
@@ -421,19 +422,19 @@
         ("FromDesk::Refused", FromController::Refused(refused())),
         (
             "FromDesk::News/OnTrial",
-            FromController::RolloutUpdate(news(RolloutPhase::Canary)),
+            FromController::RolloutUpdate(update(RolloutPhase::Canary)),
         ),
         (
             "FromDesk::News/GoingBack",
-            FromController::RolloutUpdate(news(RolloutPhase::RollingBack)),
+            FromController::RolloutUpdate(update(RolloutPhase::RollingBack)),
         ),
         (
             "FromDesk::News/Released",
-            FromController::RolloutUpdate(news(RolloutPhase::Released)),
+            FromController::RolloutUpdate(update(RolloutPhase::Released)),
         ),
         (
             "FromDesk::News/Withdrawn",
-            FromController::RolloutUpdate(news(RolloutPhase::Withdrawn)),
+            FromController::RolloutUpdate(update(RolloutPhase::Withdrawn)),
         ),
         ("FromDesk::Voted/Counted", voted(VoteResult::Counted)),
         ("FromDesk::Voted/Moot", voted(VoteResult::Stale)),
@@ -443,11 +444,11 @@
     ]
 }
 
-fn name_of_from_desk(message: &FromController) -> &'static str {
+fn name_of_from_controller(message: &FromController) -> &'static str {
     match message {
         FromController::Welcome => "FromDesk::Welcome",
         FromController::Refused(_) => "FromDesk::Refused",
-        FromController::RolloutUpdate(news) => match news.phase {
+        FromController::RolloutUpdate(update) => match update.phase {
             RolloutPhase::Canary => "FromDesk::News/OnTrial",
             RolloutPhase::RollingBack => "FromDesk::News/GoingBack",
             RolloutPhase::Released => "FromDesk::News/Released",
@@ -488,9 +489,9 @@
 }
 
 #[test]
-fn frames_between_router_and_desk_are_read_and_written_as_before() {
+fn frames_between_router_and_release_controller_are_read_and_written_as_before() {
     check_frames("ToDesk", &to_controller());
-    check_names(&to_controller(), name_of_to_desk);
-    check_frames("FromDesk", &from_desk());
-    check_names(&from_desk(), name_of_from_desk);
+    check_names(&to_controller(), name_of_to_controller);
+    check_frames("FromDesk", &from_controller());
+    check_names(&from_controller(), name_of_from_controller);
 }
