--- a/crates/spokeflow-http/src/head.rs
+++ b/crates/spokeflow-http/src/head.rs
@@ -1,81 +1,110 @@
+//! Heads of messages: where they end, and their fields.
+
 use bytes::{Bytes, BytesMut};
 
-use crate::{HttpFault, HEAD_LIMIT};
+use crate::HttpError;
 
+/// Bytes of a head, or of the trailer of a chunked body, at most.
+pub const HEAD_LIMIT: usize = 8 << 10;
 /// Fields of one head at most.
-pub const FIELDS_AT_MOST: usize = 64;
+pub(crate) const MAX_FIELDS: usize = 64;
+/// The empty line that ends a head, with the end of the line before.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// The fields of a head, by name in any case.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fields(Vec<(Bytes, Bytes)>);
+pub struct Fields(Vec<Field>);
+
+#[derive(Clone, Debug, PartialEq)]
+struct Field {
+    name: Bytes,
+    value: Bytes,
+}
 
 impl Fields {
+    /// The fields that the parser has found in `head`, without a copy.
+    pub(crate) fn of(head: &Bytes, parsed: &[httparse::Header]) -> Fields {
+        let field = |header: &httparse::Header| Field {
+            name: head.slice_ref(header.name.as_bytes()),
+            value: head.slice_ref(header.value),
+        };
+        Fields(parsed.iter().map(field).collect())
+    }
+
     /// Every value under this name, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Bytes> {
         self.0
             .iter()
-            .filter(move |(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
-            .map(|(_, value)| value)
+            .filter(move |field| field.name.eq_ignore_ascii_case(name.as_bytes()))
+            .map(|field| &field.value)
     }
 
-    /// The value where the name stands exactly once.
-    pub fn only<'a>(&'a self, name: &'a str) -> Option<&'a Bytes> {
+    /// The value of a field that is there exactly once.
+    pub fn single<'a>(&'a self, name: &'a str) -> Option<&'a Bytes> {
         let mut values = self.all(name);
         let first = values.next();
         first.filter(|_| values.next().is_none())
     }
 
-    pub fn has(&self, name: &str, word: &str) -> bool {
-        let words = |value: &Bytes| {
-            value
-                .split(|b| *b == b',')
-                .any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
-        };
-        self.all(name).any(words)
+    /// Whether a field of this name lists this token, in any case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+        self.all(name)
+            .any(|value| value.split(|byte| *byte == b',').any(is_token))
     }
 }
 
-/// Cuts a head off once it is whole. `early` looks at parts of one: what cannot become a head is a fault before
-/// its end has come.
-pub fn take_head(
-    buf: &mut BytesMut,
-    looked: &mut usize,
-    early: fn(&[u8]) -> Result<(), HttpFault>,
-) -> Result<Option<Bytes>, HttpFault> {
-    let from = looked.saturating_sub(3).min(buf.len());
-    let end = buf[from..]
-        .windows(4)
-        .position(|w| w == b"\r\n\r\n")
-        .map(|at| from + at + 4);
-    if end.unwrap_or(buf.len()) > HEAD_LIMIT {
-        return Err(HttpFault::HeadTooLong);
+/// Finds the end of each head on one connection.
+#[derive(Debug, Default)]
+pub(crate) struct HeadReader {
+    /// Bytes of the buffer in which no head ends.
+    searched: usize,
+}
+
+impl HeadReader {
+    /// Has the next head begin anew, after bytes in front of it were dropped.
+    pub(crate) fn restart(&mut self) {
+        self.searched = 0;
     }
-    let Some(end) = end else {
-        if *looked < buf.len() {
-            early(buf)?;
+
+    /// Cuts a head off once it is complete. `check_part` is given parts of one: what cannot become a head is an error
+    /// before its end has come.
+    pub(crate) fn take(
+        &mut self,
+        buffer: &mut BytesMut,
+        check_part: fn(&[u8]) -> Result<(), HttpError>,
+    ) -> Result<Option<Bytes>, HttpError> {
+        // The end may have come in part.
+        let overlap = HEAD_END.len() - 1;
+        let from = self.searched.saturating_sub(overlap).min(buffer.len());
+        let end = buffer[from..]
+            .windows(HEAD_END.len())
+            .position(|window| window == HEAD_END)
+            .map(|index| from + index + HEAD_END.len());
+        if end.unwrap_or(buffer.len()) > HEAD_LIMIT {
+            return Err(HttpError::HeadTooLong);
+        }
+        let Some(end) = end else {
+            if self.searched < buffer.len() {
+                check_part(buffer)?;
+            }
+            self.searched = buffer.len();
+            return Ok(None);
+        };
+        self.restart();
+        let head = buffer.split_to(end).freeze();
+        if has_bare_line_feed(&head) {
+            return Err(HttpError::Unreadable(
+                "a line ends without a carriage return",
+            ));
         }
-        *looked = buf.len();
-        return Ok(None);
-    };
-    *looked = 0;
-    let head = buf.split_to(end).freeze();
-    // A line that ends without a carriage return ends a head for some readers only.
-    match head
-        .iter()
-        .enumerate()
-        .any(|(n, b)| *b == b'\n' && (n == 0 || head[n - 1] != b'\r'))
-    {
-        true => Err(HttpFault::Unreadable(
-            "a line ends without a carriage return",
-        )),
-        false => Ok(Some(head)),
+        Ok(Some(head))
     }
 }
 
-impl Fields {
-    pub(crate) fn of(head: &Bytes, parsed: &[httparse::Header]) -> Fields {
-        let field =
-            |h: &httparse::Header| (head.slice_ref(h.name.as_bytes()), head.slice_ref(h.value));
-        Fields(parsed.iter().map(field).collect())
-    }
+/// A line that ends without a carriage return ends a head for some readers only.
+fn has_bare_line_feed(head: &[u8]) -> bool {
+    let starts_with_one = head.starts_with(b"\n");
+    let contains_one = |pair: &[u8]| pair[1] == b'\n' && pair[0] != b'\r';
+    starts_with_one || head.windows(2).any(contains_one)
 }
--- a/crates/spokeflow-http/src/request.rs
+++ b/crates/spokeflow-http/src/request.rs
@@ -1,181 +1,160 @@
-use bytes::{Buf, BufMut, Bytes, BytesMut};
+//! Requests: a server's codec that reads them.
+
+use bytes::{Buf, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
 use crate::body::{Body, Piece};
-use crate::head::{take_head, FIELDS_AT_MOST};
-use crate::{Fields, HttpFault};
+use crate::head::{HeadReader, MAX_FIELDS};
+use crate::{write_response, Fields, HttpError, Response};
 
-/// One request, read whole.
+/// One request with its whole body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
+    /// Such as `POST`.
     pub method: Bytes,
+    /// Path and query, as sent.
     pub target: Bytes,
+    /// The fields.
     pub fields: Fields,
+    /// The whole body.
     pub body: Bytes,
-    /// Whether the client keeps the connection after the answer.
-    pub stays: bool,
-}
-
-/// What a server sends back.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
-    pub status: u16,
-    pub body: Bytes,
-    /// Seconds after which to come back.
-    pub retry_after: Option<f64>,
-    pub close: bool,
+    /// Whether the client keeps the connection after the response.
+    pub keep_alive: bool,
 }
 
 /// A server's side of a connection.
 #[derive(Debug)]
 pub struct ServerCodec {
     body_limit: usize,
-    looked: usize,
+    heads: HeadReader,
     /// The request whose body is coming.
-    coming: Option<(Request, Body, BytesMut)>,
+    current: Option<PartialRequest>,
+}
+
+#[derive(Debug)]
+struct PartialRequest {
+    /// Without its body.
+    request: Request,
+    body: Body,
+    received: BytesMut,
 }
 
 impl ServerCodec {
-    /// `body_limit` in bytes; a longer body is a fault as soon as its length is known.
+    /// `body_limit` in bytes; a longer body is an error as soon as its length is known.
     pub fn new(body_limit: usize) -> Self {
         ServerCodec {
             body_limit,
-            looked: 0,
-            coming: None,
+            heads: HeadReader::default(),
+            current: None,
         }
     }
 
     /// Whether a head has come whose body has not.
-    pub fn within(&self) -> bool {
-        self.coming.is_some()
-    }
-}
-
-fn fault(e: httparse::Error) -> HttpFault {
-    match e {
-        httparse::Error::TooManyHeaders => HttpFault::HeadTooLong,
-        _ => HttpFault::Unreadable("the head of a request"),
+    pub fn is_mid_message(&self) -> bool {
+        self.current.is_some()
     }
-}
-
-fn early(part: &[u8]) -> Result<(), HttpFault> {
-    let mut room = [httparse::EMPTY_HEADER; FIELDS_AT_MOST];
-    httparse::Request::new(&mut room)
-        .parse(part)
-        .map(drop)
-        .map_err(fault)
-}
 
-fn read_head(head: &Bytes) -> Result<(Request, Body), HttpFault> {
-    let mut room = [httparse::EMPTY_HEADER; FIELDS_AT_MOST];
-    let mut parsed = httparse::Request::new(&mut room);
-    if parsed.parse(head).map_err(fault)? != httparse::Status::Complete(head.len()) {
-        return Err(HttpFault::Unreadable("the head ends too soon"));
+    /// The next head, or `None` until more has come.
+    fn take_head(&mut self, buffer: &mut BytesMut) -> Result<Option<PartialRequest>, HttpError> {
+        const EMPTY_LINE: &[u8] = b"\r\n";
+        // An empty line or two before a request are left over from the one before (RFC 9112, 2.2).
+        while buffer.starts_with(EMPTY_LINE) {
+            buffer.advance(EMPTY_LINE.len());
+            self.heads.restart();
+        }
+        let head = self.heads.take(buffer, check_part)?;
+        head.map(|head| read_head(&head)).transpose()
     }
-    let text = |t: Option<&str>| head.slice_ref(t.unwrap_or("").as_bytes());
-    let (method, target) = (text(parsed.method), text(parsed.path));
-    let newest = parsed.version == Some(1);
-    let fields = Fields::of(head, parsed.headers);
-    let stays = newest && !fields.has("connection", "close");
-    let body = Body::of(&fields, Body::Length(0))?;
-    Ok((
-        Request {
-            method,
-            target,
-            fields,
-            body: Bytes::new(),
-            stays,
-        },
-        body,
-    ))
 }
 
 impl Decoder for ServerCodec {
     type Item = Request;
-    type Error = HttpFault;
-
-    fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Request>, HttpFault> {
-        if self.coming.is_none() {
-            // An empty line or two before a request are left over from the one before (RFC 9112, 2.2).
-            while buf.starts_with(b"\r\n") {
-                buf.advance(2);
-                self.looked = 0;
-            }
-            let Some(head) = take_head(buf, &mut self.looked, early)? else {
-                return Ok(None);
-            };
-            let (request, body) = read_head(&head)?;
-            self.coming = Some((request, body, BytesMut::new()));
+    type Error = HttpError;
+
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Request>, HttpError> {
+        if self.current.is_none() {
+            self.current = self.take_head(buffer)?;
         }
-        let (_, body, got) = self.coming.as_mut().expect("set above");
-        if matches!(body, Body::Length(n) if *n > self.body_limit as u64) {
-            return Err(HttpFault::BodyTooLong);
+        let Some(current) = &mut self.current else {
+            return Ok(None);
+        };
+        if matches!(current.body, Body::Length(left) if left > self.body_limit as u64) {
+            return Err(HttpError::BodyTooLong);
         }
-        loop {
-            match body.take(buf)? {
-                None => return Ok(None),
-                Some(Piece::Data(data)) if got.len() + data.len() > self.body_limit => {
-                    return Err(HttpFault::BodyTooLong)
-                }
-                Some(Piece::Data(data)) => got.extend_from_slice(&data),
-                Some(Piece::End) => {
-                    let (request, _, body) = self.coming.take().expect("set above");
-                    return Ok(Some(Request {
-                        body: body.freeze(),
-                        ..request
-                    }));
+        while let Some(piece) = current.body.take(buffer)? {
+            match piece {
+                Piece::Data(data) if current.received.len() + data.len() > self.body_limit => {
+                    return Err(HttpError::BodyTooLong);
                 }
+                Piece::Data(data) => current.received.extend_from_slice(&data),
+                Piece::End => return Ok(self.current.take().map(PartialRequest::complete)),
             }
         }
+        Ok(None)
     }
 
-    fn decode_eof(&mut self, buf: &mut BytesMut) -> Result<Option<Request>, HttpFault> {
-        match self.decode(buf)? {
-            None if self.coming.is_some() || !buf.is_empty() => Err(HttpFault::Truncated),
+    fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<Request>, HttpError> {
+        match self.decode(buffer)? {
+            None if self.current.is_some() || !buffer.is_empty() => Err(HttpError::Truncated),
             request => Ok(request),
         }
     }
 }
 
-impl Encoder<Answer> for ServerCodec {
-    type Error = HttpFault;
+impl Encoder<Response> for ServerCodec {
+    type Error = HttpError;
 
-    fn encode(&mut self, answer: Answer, buf: &mut BytesMut) -> Result<(), HttpFault> {
-        write_answer(&answer, buf);
+    fn encode(&mut self, response: Response, buffer: &mut BytesMut) -> Result<(), HttpError> {
+        write_response(&response, buffer);
         Ok(())
     }
 }
 
-pub fn write_answer(answer: &Answer, buf: &mut BytesMut) {
-    let reason = match answer.status {
-        200 => "OK",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        413 => "Content Too Large",
-        431 => "Request Header Fields Too Large",
-        503 => "Service Unavailable",
-        500 => "Internal Server Error",
-        502 => "Bad Gateway",
-        _ => "Failed",
-    };
-    buf.reserve(160 + answer.body.len());
-    buf.put_slice(
-        format!(
-            "HTTP/1.1 {} {reason}\r\nContent-Length: {}\r\n",
-            answer.status,
-            answer.body.len()
-        )
-        .as_bytes(),
-    );
-    if let Some(seconds) = answer.retry_after {
-        buf.put_slice(format!("Retry-After: {seconds:.3}\r\n").as_bytes());
+impl PartialRequest {
+    fn complete(self) -> Request {
+        Request {
+            body: self.received.freeze(),
+            ..self.request
+        }
     }
-    if answer.close {
-        buf.put_slice(b"Connection: close\r\n");
+}
+
+fn head_error(error: httparse::Error) -> HttpError {
+    match error {
+        httparse::Error::TooManyHeaders => HttpError::HeadTooLong,
+        _ => HttpError::Unreadable("the head of a request"),
     }
-    buf.put_slice(b"\r\n");
-    buf.put_slice(&answer.body);
+}
+
+fn check_part(part: &[u8]) -> Result<(), HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    httparse::Request::new(&mut headers)
+        .parse(part)
+        .map(drop)
+        .map_err(head_error)
+}
+
+fn read_head(head: &Bytes) -> Result<PartialRequest, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let end = parsed.parse(head).map_err(head_error)?;
+    if end != httparse::Status::Complete(head.len()) {
+        return Err(HttpError::Unreadable("the head ends too soon"));
+    }
+    let slice = |text: Option<&str>| head.slice_ref(text.unwrap_or_default().as_bytes());
+    let is_http_1_1 = parsed.version == Some(1);
+    let fields = Fields::of(head, parsed.headers);
+    let body = Body::of(&fields, Body::Length(0))?;
+    let request = Request {
+        method: slice(parsed.method),
+        target: slice(parsed.path),
+        keep_alive: is_http_1_1 && !fields.has_token("connection", "close"),
+        fields,
+        body: Bytes::new(),
+    };
+    Ok(PartialRequest {
+        request,
+        body,
+        received: BytesMut::new(),
+    })
 }
--- a/crates/spokeflow-http/tests/codecs.rs
+++ b/crates/spokeflow-http/tests/codecs.rs
@@ -1,72 +1,79 @@
-//! What is read is the same however the bytes are cut, nothing panics, and what two readers could take in two ways
-//! is a fault.
+//! What is read is the same however the bytes are split, nothing panics, and what two readers could take in two ways
+//! is an error.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
-use spokeflow_http::{write_answer, Answer, AnswerCodec, HttpFault, Part, Request, ServerCodec};
+use spokeflow_http::{
+    write_response, HttpError, Request, Response, ResponseCodec, ResponsePart, ServerCodec,
+};
 use tokio_util::codec::Decoder;
 
-/// Everything that comes of the bytes, cut at the given places and then ended.
-fn all<C: Decoder<Error = HttpFault>>(
-    mut codec: C,
+/// Everything decoded from the bytes, split at the given places and then ended, and the error at the end, if any.
+fn decode_all<Codec: Decoder<Error = HttpError>>(
+    mut codec: Codec,
     bytes: &[u8],
     cuts: &[usize],
-) -> (Vec<C::Item>, String) {
-    let (mut buf, mut items, mut from) = (BytesMut::new(), Vec::new(), 0);
-    let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
+) -> (Vec<Codec::Item>, String) {
+    let mut buffer = BytesMut::new();
+    let mut items = Vec::new();
+    let mut from = 0;
+    let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     cuts.sort_unstable();
     cuts.push(bytes.len());
     for cut in cuts {
-        buf.extend_from_slice(&bytes[from..cut]);
+        buffer.extend_from_slice(&bytes[from..cut]);
         from = cut;
         loop {
-            match codec.decode(&mut buf) {
+            match codec.decode(&mut buffer) {
                 Ok(Some(item)) => items.push(item),
                 Ok(None) => break,
-                Err(fault) => return (items, fault.to_string()),
+                Err(error) => return (items, error.to_string()),
             }
         }
     }
     loop {
-        match codec.decode_eof(&mut buf) {
+        match codec.decode_eof(&mut buffer) {
             Ok(Some(item)) => items.push(item),
             Ok(None) => return (items, String::new()),
-            Err(fault) => return (items, fault.to_string()),
+            Err(error) => return (items, error.to_string()),
         }
     }
 }
 
 fn requests(bytes: &[u8]) -> (Vec<Request>, String) {
-    all(ServerCodec::new(1024), bytes, &[])
+    decode_all(ServerCodec::new(1024), bytes, &[])
 }
 
-/// Status, body and whether it ended, of each answer.
-fn answers(parts: &[Part]) -> Vec<(u16, Vec<u8>, bool)> {
-    let mut answers: Vec<(u16, Vec<u8>, bool)> = Vec::new();
+/// Status, body and whether it ended, of each response.
+fn responses(parts: &[ResponsePart]) -> Vec<(u16, Vec<u8>, bool)> {
+    let mut responses: Vec<(u16, Vec<u8>, bool)> = Vec::new();
     for part in parts {
         match part {
-            Part::Head { status, .. } => answers.push((*status, Vec::new(), false)),
-            Part::Data(data) => answers.last_mut().unwrap().1.extend_from_slice(data),
-            Part::End => answers.last_mut().unwrap().2 = true,
+            ResponsePart::Head { status, .. } => responses.push((*status, Vec::new(), false)),
+            ResponsePart::Data(data) => responses.last_mut().unwrap().1.extend_from_slice(data),
+            ResponsePart::End => responses.last_mut().unwrap().2 = true,
         }
     }
-    answers
+    responses
 }
 
 const TWO: &[u8] = b"POST /a/k HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc\
 \r\nPOST /b HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: v\r\n\r\n";
 
 #[test]
-fn two_requests_behind_one_another() {
+fn pipelined_requests_are_read_one_by_one() {
     let (read, end) = requests(TWO);
-    let bodies: Vec<&[u8]> = read.iter().map(|r| r.body.as_ref()).collect();
+    let bodies: Vec<&[u8]> = read.iter().map(|request| request.body.as_ref()).collect();
     assert_eq!((bodies, end.as_str()), (vec![&b"abc"[..], b"def"], ""));
-    assert_eq!(read[0].fields.only("host"), Some(&Bytes::from_static(b"h")));
+    assert_eq!(
+        read[0].fields.single("host"),
+        Some(&Bytes::from_static(b"h"))
+    );
 }
 
 /// Each of these could be read in two ways, or never ends: none may become a request.
 #[test]
-fn doubtful_requests_are_faults() {
+fn ambiguous_requests_are_errors() {
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(9000));
     let fields = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(65));
     let endless = format!("GET / HTTP/1.1\r\na: {}", "x".repeat(9000));
@@ -104,33 +111,33 @@
 }
 
 #[test]
-fn a_chunked_body_that_grows_too_long_is_a_fault() {
+fn a_chunked_body_that_grows_too_long_is_an_error() {
     let chunk = format!("200\r\n{}\r\n", "x".repeat(512));
     let bad = format!(
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\nx\r\n0\r\n\r\n"
     );
     assert!(matches!(
         ServerCodec::new(1024).decode(&mut bad.as_bytes().into()),
-        Err(HttpFault::BodyTooLong)
+        Err(HttpError::BodyTooLong)
     ));
 }
 
 #[test]
-fn answers_of_every_framing_and_those_ahead_of_one() {
+fn responses_of_every_framing_and_interim_ones_are_read() {
     let bytes = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
 HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 204 None\r\n\r\n\
 HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\nHTTP/1.1 500 No\r\n\r\nrest";
-    let (parts, end) = all(AnswerCodec::new(64), bytes, &[]);
+    let (parts, end) = decode_all(ResponseCodec::new(64), bytes, &[]);
     let expected: [(u16, &[u8]); 4] = [(200, b"ab"), (204, b""), (200, b"c"), (500, b"rest")];
     let expected: Vec<_> = expected
         .iter()
         .map(|(status, body)| (*status, body.to_vec(), true))
         .collect();
-    assert_eq!((answers(&parts), end.as_str()), (expected, ""));
+    assert_eq!((responses(&parts), end.as_str()), (expected, ""));
 }
 
 #[test]
-fn spoilt_answers_are_faults() {
+fn malformed_responses_are_errors() {
     for bad in [
         "noise that is no answer",
         "\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -142,9 +149,9 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nab",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na",
     ] {
-        let (parts, end) = all(AnswerCodec::new(64), bad.as_bytes(), &[]);
+        let (parts, end) = decode_all(ResponseCodec::new(64), bad.as_bytes(), &[]);
         assert!(
-            !parts.contains(&Part::End) && !end.is_empty(),
+            !parts.contains(&ResponsePart::End) && !end.is_empty(),
             "{bad:?}: {parts:?}"
         );
     }
@@ -152,26 +159,26 @@
 
 proptest! {
     #[test]
-    fn any_cut_of_the_bytes_gives_the_same_requests(cuts in prop::collection::vec(0usize..400, 0..8)) {
-        prop_assert_eq!(all(ServerCodec::new(1024), TWO, &cuts), requests(TWO));
+    fn any_split_of_the_bytes_gives_the_same_requests(cuts in prop::collection::vec(0usize..400, 0..8)) {
+        prop_assert_eq!(decode_all(ServerCodec::new(1024), TWO, &cuts), requests(TWO));
     }
 
     #[test]
-    fn what_is_written_is_read_whatever_the_cut(
+    fn a_written_response_is_read_back_whatever_the_split(
         status in 200u16..600,
         body in prop::collection::vec(any::<u8>(), 0..200),
         cuts in prop::collection::vec(0usize..400, 0..8),
     ) {
         prop_assume!(status != 204 && status != 304);
-        let mut buf = BytesMut::new();
-        let answer = Answer { status, body: body.clone().into(), retry_after: Some(0.25), close: true };
-        write_answer(&answer, &mut buf);
-        let (parts, end) = all(AnswerCodec::new(1024), &buf, &cuts);
-        prop_assert_eq!((answers(&parts), end.as_str()), (vec![(status, body, true)], ""));
+        let mut buffer = BytesMut::new();
+        let response = Response { status, body: body.clone().into(), retry_after: Some(0.25), close: true };
+        write_response(&response, &mut buffer);
+        let (parts, end) = decode_all(ResponseCodec::new(1024), &buffer, &cuts);
+        prop_assert_eq!((responses(&parts), end.as_str()), (vec![(status, body, true)], ""));
     }
 
     #[test]
-    fn no_bytes_bring_a_reader_down(
+    fn no_bytes_make_a_reader_panic(
         noise in prop::collection::vec(any::<u8>(), 0..300),
         at in 0usize..200,
         cuts in prop::collection::vec(0usize..400, 0..4),
@@ -179,7 +186,7 @@
         let mut bytes = TWO.to_vec();
         let at = at % bytes.len();
         bytes.splice(at..(at + noise.len() / 8).min(TWO.len()), noise);
-        all(ServerCodec::new(1024), &bytes, &cuts);
-        all(AnswerCodec::new(1024), &bytes, &cuts);
+        decode_all(ServerCodec::new(1024), &bytes, &cuts);
+        decode_all(ResponseCodec::new(1024), &bytes, &cuts);
     }
 }
--- a/crates/spokeflow-platform/src/clients.rs
+++ b/crates/spokeflow-platform/src/clients.rs
@@ -8,7 +8,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use spokeflow_core::Repeat;
-use spokeflow_http::{write_answer, Answer, HttpFault, Request, ServerCodec, HEAD_LIMIT};
+use spokeflow_http::{write_response, HttpError, Request, Response, ServerCodec, HEAD_LIMIT};
 use spokeflow_proto::{Command, ToClient};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -164,11 +164,11 @@
 impl Link {
     /// Whether a request has begun and is not whole. Empty lines between two begin none (RFC 9112, 2.2).
     fn begun(&self) -> bool {
-        self.codec.within() || self.buf.iter().any(|b| !b"\r\n".contains(b))
+        self.codec.is_mid_message() || self.buf.iter().any(|b| !b"\r\n".contains(b))
     }
 
     /// One more reading. Dropped half way it has read nothing.
-    async fn come(&mut self) -> Result<Came, HttpFault> {
+    async fn come(&mut self) -> Result<Came, HttpError> {
         if let Some(request) = self.codec.decode(&mut self.buf)? {
             return Ok(Came::Request(request));
         }
@@ -197,12 +197,12 @@
         std::future::pending().await
     }
 
-    async fn send(&mut self, answer: &Answer) -> Result<(), HttpFault> {
+    async fn send(&mut self, answer: &Response) -> Result<(), HttpError> {
         let mut bytes = BytesMut::new();
-        write_answer(answer, &mut bytes);
+        write_response(answer, &mut bytes);
         Ok(timeout(STALL, self.stream.write_all(&bytes))
             .await
-            .map_err(|_| HttpFault::Truncated)??)
+            .map_err(|_| HttpError::Truncated)??)
     }
 
     /// Ends a connection whose client has had its answer. What comes now has crossed it and is not read: its client
@@ -219,7 +219,7 @@
 /// What one request comes to before the engine.
 enum Checked {
     Command { id: Bytes, command: Command },
-    Answer(Answer),
+    Answer(Response),
 }
 
 impl Client {
@@ -238,10 +238,10 @@
             }
             if let Some(status) = fault.status() {
                 self.seat.stands(FRESH, &self.house.clock);
-                let refusal = Answer {
+                let refusal = Response {
                     status,
                     close: true,
-                    ..Answer::default()
+                    ..Response::default()
                 };
                 let _ = timeout(LINGER, link.send(&refusal)).await;
                 linger(&mut link.stream).await;
@@ -254,7 +254,7 @@
 
     /// The next request; `None` where the connection is to be closed between two, which it is only when nothing of
     /// the next one has come: that would be a request taken and never answered.
-    async fn request(&self, link: &mut Link, spoke: bool) -> Result<Option<Request>, HttpFault> {
+    async fn request(&self, link: &mut Link, spoke: bool) -> Result<Option<Request>, HttpError> {
         let clock = &self.house.clock;
         let mut leaving = self.house.leaving.clone();
         let mut until = Instant::now() + if spoke { UNUSED } else { SILENT };
@@ -280,7 +280,7 @@
                 },
                 _ = self.seat.asked_to_leave.notified() => {
                     if link.begun() {
-                        return Err(HttpFault::NoRoom);
+                        return Err(HttpError::Overloaded);
                     }
                 }
                 _ = async { leaving.wait_for(|l| *l).await.is_ok() }, if !begun && !told => {
@@ -293,7 +293,7 @@
                 }
                 _ = sleep_until(until) => {
                     if link.begun() {
-                        return Err(HttpFault::Unreadable("it does not go on"));
+                        return Err(HttpError::Unreadable("it does not go on"));
                     }
                 }
             }
@@ -307,10 +307,10 @@
     }
 
     /// `asked`: whether the engine knows this connection.
-    async fn serve(&self, link: &mut Link, asked: &mut bool) -> Result<(), HttpFault> {
+    async fn serve(&self, link: &mut Link, asked: &mut bool) -> Result<(), HttpError> {
         let mut n = 0;
         while let Some(request) = self.request(link, n > 0).await? {
-            let stays = request.stays;
+            let stays = request.keep_alive;
             let mut answer = match self.check(request) {
                 Checked::Answer(answer) => answer,
                 Checked::Command { id, mut command } => {
@@ -336,9 +336,9 @@
                     };
                     match message {
                         Ok(message) => worded(message),
-                        Err(_) => Answer {
+                        Err(_) => Response {
                             status: 500,
-                            ..Answer::default()
+                            ..Response::default()
                         },
                     }
                 }
@@ -358,20 +358,20 @@
     /// What is no command of this deployment is told so, and its connection ends with that.
     fn check(&self, request: Request) -> Checked {
         let no = |status| {
-            Checked::Answer(Answer {
+            Checked::Answer(Response {
                 status,
                 close: true,
-                ..Answer::default()
+                ..Response::default()
             })
         };
         if request.target.as_ref() == b"/up" {
             let up = self.house.up.load(Ordering::Relaxed) && !self.house.clock.is_shutting_down();
-            return Checked::Answer(Answer {
+            return Checked::Answer(Response {
                 status: if up { 200 } else { 503 },
-                ..Answer::default()
+                ..Response::default()
             });
         }
-        let word = |name| request.fields.only(name).filter(|v| !v.is_empty());
+        let word = |name| request.fields.single(name).filter(|v| !v.is_empty());
         let (Some(id), Some(op), Some(customer), Some(left)) = (
             word("request-id"),
             word("request-class"),
@@ -464,32 +464,32 @@
     .await;
 }
 
-fn worded(message: ToClient) -> Answer {
+fn worded(message: ToClient) -> Response {
     match message {
-        ToClient::Acked { body, .. } => Answer {
+        ToClient::Acked { body, .. } => Response {
             status: 200,
             body,
-            ..Answer::default()
+            ..Response::default()
         },
         ToClient::Nacked {
             retry_after_us: come_back_us,
             ..
-        } => Answer {
+        } => Response {
             status: 503,
             retry_after: come_back_us.map(|us| us as f64 / 1e6),
-            ..Answer::default()
+            ..Response::default()
         },
         ToClient::Refused(refused) => {
             debug!(refused.text, "command refused");
-            Answer {
+            Response {
                 status: 409,
                 close: true,
-                ..Answer::default()
+                ..Response::default()
             }
         }
-        _ => Answer {
+        _ => Response {
             status: 502,
-            ..Answer::default()
+            ..Response::default()
         },
     }
 }
@@ -533,7 +533,7 @@
     put(&[&request.method, b" ", &request.target, b" HTTP/1.1\r\n"]);
     let host = request
         .fields
-        .only("host")
+        .single("host")
         .map_or(&b"origin.svc"[..], |h| h);
     put(&[
         b"Host: ",
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use spokeflow_http::{AnswerCodec, Part};
+use spokeflow_http::{ResponseCodec, ResponsePart};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -94,17 +94,19 @@
         if let Err(e) = stream.write_all(ask.as_bytes()).await {
             return e.to_string();
         }
-        let mut codec = AnswerCodec::new(u64::MAX);
+        let mut codec = ResponseCodec::new(u64::MAX);
         let (mut begun, mut half_since) = (false, None);
         let (mut buf, mut objects) = (BytesMut::with_capacity(4 << 10), Objects::default());
         loop {
             loop {
                 match codec.decode(&mut buf) {
                     Ok(None) => break,
-                    Ok(Some(Part::Head { status: 200, .. })) => begun = true,
-                    Ok(Some(Part::Head { status, .. })) => return format!("answered {status}"),
-                    Ok(Some(Part::Data(data))) => objects.push(&data),
-                    Ok(Some(Part::End)) => return "the watch has ended".into(),
+                    Ok(Some(ResponsePart::Head { status: 200, .. })) => begun = true,
+                    Ok(Some(ResponsePart::Head { status, .. })) => {
+                        return format!("answered {status}")
+                    }
+                    Ok(Some(ResponsePart::Data(data))) => objects.push(&data),
+                    Ok(Some(ResponsePart::End)) => return "the watch has ended".into(),
                     Err(fault) => return fault.to_string(),
                 }
             }
--- a/crates/spokeflow-platform/src/hosts.rs
+++ b/crates/spokeflow-platform/src/hosts.rs
@@ -12,7 +12,7 @@
 use socket2::SockRef;
 use spokeflow_core::HostId;
 use spokeflow_engine::{Input, TransportFailure};
-use spokeflow_http::{AnswerCodec, HttpFault, Part};
+use spokeflow_http::{HttpError, ResponseCodec, ResponsePart};
 use spokeflow_proto::FromHost;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -343,7 +343,7 @@
                     Some(connection).filter(|_| clean),
                 )
             }
-            Err(HttpFault::Io(_) | HttpFault::Truncated) => {
+            Err(HttpError::Io(_) | HttpError::Truncated) => {
                 (Outcome::Lost(TransportFailure::Reset), None)
             }
             Err(fault) => {
@@ -361,41 +361,43 @@
         &self,
         stream: &mut TcpStream,
         buf: &mut BytesMut,
-    ) -> Result<(FromHost, bool), HttpFault> {
-        let mut codec = AnswerCodec::new(BODY_LIMIT as u64);
+    ) -> Result<(FromHost, bool), HttpError> {
+        let mut codec = ResponseCodec::new(BODY_LIMIT as u64);
         let (mut status, mut not_started, mut stays) = (0, false, true);
         let mut body = BytesMut::new();
         loop {
             while let Some(part) = codec.decode(buf)? {
                 match part {
-                    Part::Head {
+                    ResponsePart::Head {
                         status: code,
                         fields,
                     } => {
                         status = code;
                         not_started = fields
-                            .only("not-started")
+                            .single("not-started")
                             .is_some_and(|v| v.as_ref() == b"1");
-                        stays = !fields.has("connection", "close");
+                        stays = !fields.has_token("connection", "close");
+                    }
+                    ResponsePart::Data(data) => body.extend_from_slice(&data),
+                    ResponsePart::End => {
+                        return Ok((self.message(status, not_started, body), stays))
                     }
-                    Part::Data(data) => body.extend_from_slice(&data),
-                    Part::End => return Ok((self.message(status, not_started, body), stays)),
                 }
             }
             buf.reserve(ROOM);
-            let begun = codec.within() || !buf.is_empty();
+            let begun = codec.is_mid_message() || !buf.is_empty();
             let reading = stream.read_buf(buf);
             let read = match begun {
                 false => reading.await?,
                 // An answer that stops half way would hold its command until nobody waits for it.
                 true => timeout(self.ways.connect_timeout, reading)
                     .await
-                    .map_err(|_| HttpFault::Unreadable("an answer that does not go on"))??,
+                    .map_err(|_| HttpError::Unreadable("an answer that does not go on"))??,
             };
             if read == 0 {
                 return match codec.decode_eof(buf)? {
-                    Some(Part::End) => Ok((self.message(status, not_started, body), false)),
-                    _ => Err(HttpFault::Truncated),
+                    Some(ResponsePart::End) => Ok((self.message(status, not_started, body), false)),
+                    _ => Err(HttpError::Truncated),
                 };
             }
         }
