--- a/crates/spokeflow-http/src/body.rs
+++ b/crates/spokeflow-http/src/body.rs
@@ -101,10 +101,10 @@
 fn content_length(fields: &Fields) -> Option<Body> {
     let text = fields.single("content-length")?;
     // The parser of numbers would take a sign as well.
-    let is_plain =
+    let is_decimal =
         !text.is_empty() && text.len() <= MAX_LENGTH_DIGITS && text.iter().all(u8::is_ascii_digit);
     let number = std::str::from_utf8(text).ok()?.parse().ok()?;
-    is_plain.then_some(Body::Length(number))
+    is_decimal.then_some(Body::Length(number))
 }
 
 fn is_chunked(fields: &Fields) -> bool {
@@ -116,12 +116,12 @@
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.split(|byte| *byte == b';').next()?.trim_ascii_end();
     // The parser of numbers would take a sign as well.
-    let is_plain = !digits.is_empty()
+    let is_hexadecimal = !digits.is_empty()
         && digits.len() <= MAX_CHUNK_SIZE_DIGITS
         && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok()?;
     let size = u64::from_str_radix(text, 16).ok()?;
-    is_plain.then_some(size)
+    is_hexadecimal.then_some(size)
 }
 
 /// What the buffer has of the `left` bytes; `None` where it is empty.
--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use spokeflow_proto::{RolloutPhase, RolloutUpdate};
-use spokeflow_settings::Told;
+use spokeflow_settings::Settings;
 
 use crate::roster::Listing;
 use crate::serve::OTHERS;
@@ -105,7 +105,7 @@
     pub limits: Limits,
     pub news: Option<RolloutUpdate>,
     pub known: Option<Listing>,
-    pub told: Told,
+    pub told: Settings,
 }
 
 /// Why a file is no configuration, in one line.
@@ -134,8 +134,9 @@
             .map_err(|e| torn(e.to_string(), e.kind() == std::io::ErrorKind::NotFound))?;
         let file: File = serde_json::from_slice(&text)
             .map_err(|e| torn(e.to_string(), e.is_eof() || e.is_syntax()))?;
-        let told = spokeflow_settings::read(file.settings.to_string().as_bytes()).map_err(fault)?;
-        if told.terms.ops.is_empty() {
+        let told = Settings::parse(file.settings.to_string().as_bytes())
+            .map_err(|error| fault(error.to_string()))?;
+        if told.config.ops.is_empty() {
             return Err(fault("settings name no op type".into()).into());
         }
         let twice = |names: &[String]| (1..names.len()).any(|n| names[..n].contains(&names[n]));
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -236,7 +236,7 @@
     let (leave, leaving) = watch::channel(false);
     let (discovery, discovery_at) = watch::channel(told.discovery);
     let (deployer, deployer_at) = watch::channel(told.deployer);
-    let service = told.told.terms.clone();
+    let service = told.told.config.clone();
     let target = service
         .ops
         .iter()
--- /dev/null
+++ b/crates/spokeflow-settings/src/object.rs
@@ -0,0 +1,140 @@
+//! The settings object as it is written: the names are the simulator's and the platform's. Times are in seconds.
+
+use serde::Deserialize;
+
+/// The settings object.
+#[derive(Deserialize)]
+pub(crate) struct SettingsObject {
+    pub(crate) categories: Vec<Category>,
+    #[serde(default)]
+    pub(crate) tenants: Vec<Tenant>,
+    #[serde(default)]
+    pub(crate) dcs: Vec<String>,
+    #[serde(default)]
+    pub(crate) zone: u16,
+    #[serde(default)]
+    pub(crate) me: u32,
+    #[serde(default)]
+    pub(crate) fleet_size: u32,
+    #[serde(default)]
+    pub(crate) resolution_s: f64,
+    #[serde(default)]
+    pub(crate) membership_mode: String,
+    pub(crate) caps: Caps,
+    #[serde(default)]
+    pub(crate) feedback: Feedback,
+    pub(crate) guarantees: Guarantees,
+    pub(crate) family_info: Rollout,
+}
+
+/// An operation.
+#[derive(Deserialize)]
+pub(crate) struct Category {
+    #[serde(default)]
+    pub(crate) name: String,
+    pub(crate) aim_s: f64,
+    pub(crate) deadline_s: f64,
+    #[serde(default)]
+    pub(crate) dedup_scope: Option<String>,
+    #[serde(default)]
+    pub(crate) dedup_window_s: f64,
+    #[serde(default)]
+    pub(crate) effect: String,
+    #[serde(default)]
+    pub(crate) stream: bool,
+    #[serde(default)]
+    pub(crate) worth: f64,
+}
+
+/// A customer.
+#[derive(Deserialize)]
+pub(crate) struct Tenant {
+    #[serde(default)]
+    pub(crate) name: String,
+    #[serde(default)]
+    pub(crate) allowance_per_s: f64,
+}
+
+/// What a router may do, and its limits.
+#[derive(Deserialize)]
+#[serde(default)]
+pub(crate) struct Caps {
+    pub(crate) conn_idle_s: f64,
+    pub(crate) connect_timeout_s: f64,
+    pub(crate) max_retry_after_s: f64,
+    pub(crate) may_cancel: bool,
+    pub(crate) parallel_tries: bool,
+    pub(crate) peers: bool,
+    pub(crate) probes: bool,
+    pub(crate) retry_after: bool,
+    pub(crate) send_cap: u32,
+}
+
+impl Default for Caps {
+    fn default() -> Self {
+        Caps {
+            conn_idle_s: 0.0,
+            connect_timeout_s: 0.0,
+            max_retry_after_s: 0.0,
+            may_cancel: false,
+            parallel_tries: false,
+            peers: false,
+            probes: false,
+            retry_after: false,
+            send_cap: 1,
+        }
+    }
+}
+
+/// What hosts report.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct Feedback {
+    pub(crate) columns: Vec<String>,
+}
+
+/// What hosts and the endpoint list promise.
+#[derive(Deserialize)]
+pub(crate) struct Guarantees {
+    #[serde(default)]
+    pub(crate) ask_within_s: f64,
+    pub(crate) cold_from: f64,
+    pub(crate) drain_grace_s: f64,
+    pub(crate) fall_multiple: f64,
+    pub(crate) fall_s: f64,
+    pub(crate) warm_within_s: f64,
+}
+
+/// How builds are rolled out.
+#[derive(Deserialize)]
+pub(crate) struct Rollout {
+    #[serde(default)]
+    pub(crate) gate_mode: String,
+    #[serde(default)]
+    pub(crate) stage_cap: Vec<f64>,
+    #[serde(default)]
+    pub(crate) waves: Vec<f64>,
+    #[serde(default)]
+    pub(crate) free: f64,
+    pub(crate) span_s: f64,
+    #[serde(default)]
+    pub(crate) counts: String,
+    #[serde(default)]
+    pub(crate) guarded_stages: u8,
+    #[serde(default)]
+    pub(crate) forward_only: bool,
+    #[serde(default)]
+    pub(crate) style: String,
+    #[serde(default)]
+    pub(crate) bake_s: f64,
+    #[serde(default)]
+    pub(crate) vote_ttl_s: f64,
+    #[serde(default)]
+    pub(crate) answer_wait_s: f64,
+    #[serde(default)]
+    pub(crate) complaint_share: f64,
+    #[serde(default)]
+    pub(crate) back_votes: u32,
+    #[serde(default)]
+    pub(crate) vote_allowance: f64,
+}
--- /dev/null
+++ b/crates/spokeflow-settings/src/settings.rs
@@ -0,0 +1,151 @@
+//! The decision module's configuration from the settings object.
+
+use spokeflow_core::{
+    DeduplicationScope, Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId,
+};
+
+use crate::object::{Category, SettingsObject, Tenant};
+use crate::SettingsError;
+
+/// The least quota, in commands a second, so that shares of it can be computed.
+const LEAST_QUOTA: f64 = 1e-3;
+
+/// What the settings object says.
+pub struct Settings {
+    /// For the decision module.
+    pub config: ServiceConfig,
+    /// Which value of a load report says how busy a host's cores are.
+    pub busy_column: Option<usize>,
+    /// Names of the operations, in the order of their numbers in `config`.
+    pub ops: Vec<String>,
+    /// Names of the customers, in the order of their numbers in `config`.
+    pub customers: Vec<String>,
+    /// Names of the zones, in the order of their numbers in `config`.
+    pub zones: Vec<String>,
+    /// A connection to a host has to be open within this time; 0 where that is not said.
+    pub connect_timeout: Micros,
+    /// Hosts close a connection that has been idle for so long, at the latest; 0 where that is not said.
+    pub connection_idle: Micros,
+}
+
+/// Seconds, as the object has them, in whole microseconds.
+pub fn micros_from_seconds(seconds: f64) -> Micros {
+    (seconds * 1e6).round() as Micros
+}
+
+impl Settings {
+    /// Reads the object's JSON text.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`]: the text is no such object, or has a word that is not known.
+    pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
+        let object: SettingsObject = serde_json::from_slice(text)?;
+        let config = service_config(&object)?;
+        let columns = &object.feedback.columns;
+        Ok(Settings {
+            config,
+            busy_column: columns.iter().position(|name| name == "cpu"),
+            connect_timeout: micros_from_seconds(object.caps.connect_timeout_s),
+            connection_idle: micros_from_seconds(object.caps.conn_idle_s),
+            ops: object
+                .categories
+                .into_iter()
+                .map(|category| category.name)
+                .collect(),
+            customers: object
+                .tenants
+                .into_iter()
+                .map(|tenant| tenant.name)
+                .collect(),
+            zones: object.dcs,
+        })
+    }
+}
+
+fn service_config(object: &SettingsObject) -> Result<ServiceConfig, SettingsError> {
+    let caps = &object.caps;
+    let guarantees = &object.guarantees;
+    let rollout = &object.family_info;
+    Ok(ServiceConfig {
+        ops: object.categories.iter().map(operation_config).collect(),
+        tenant_quotas: object.tenants.iter().map(quota).collect(),
+        own_zone: ZoneId(object.zone),
+        own_index: object.me,
+        fleet_size: object.fleet_size.max(1),
+        tick: micros_from_seconds(object.resolution_s),
+        list_requires_subscription: object.membership_mode == "ask",
+        list_refresh_within: micros_from_seconds(guarantees.ask_within_s),
+        delivery_cap: caps.send_cap,
+        may_hedge: caps.parallel_tries,
+        may_cancel: caps.may_cancel,
+        may_probe: caps.probes,
+        may_gossip: caps.peers,
+        may_name_retry_after: caps.retry_after,
+        longest_retry_after: micros_from_seconds(caps.max_retry_after_s),
+        drain_grace: micros_from_seconds(guarantees.drain_grace_s),
+        slow_start_from: guarantees.cold_from,
+        warm_up_time: micros_from_seconds(guarantees.warm_within_s),
+        overload_multiple: guarantees.fall_multiple,
+        overload_window: micros_from_seconds(guarantees.fall_s),
+        gate: gate(&rollout.gate_mode)?,
+        stage_caps: rollout.stage_cap.clone(),
+        stage_shares: rollout.waves.clone(),
+        exposure_allowance: rollout.free,
+        exposure_window: micros_from_seconds(rollout.span_s),
+        exposure_by_op: rollout.counts == "per_lane",
+        guarded_stages: rollout.guarded_stages,
+        forward_only: rollout.forward_only,
+        rolling: rollout.style == "rolling",
+        stage_bake: micros_from_seconds(rollout.bake_s),
+        vote_lifetime: micros_from_seconds(rollout.vote_ttl_s),
+        vote_timeout: micros_from_seconds(rollout.answer_wait_s),
+        complaint_share: rollout.complaint_share,
+        rollback_votes: rollout.back_votes,
+        votes_per_second: votes_per_second(rollout.vote_allowance),
+    })
+}
+
+fn quota(tenant: &Tenant) -> f64 {
+    tenant.allowance_per_s.max(LEAST_QUOTA)
+}
+
+fn gate(mode: &str) -> Result<Gate, SettingsError> {
+    match mode {
+        "single" => Ok(Gate::Single),
+        "majority" => Ok(Gate::Majority),
+        "clocked" => Ok(Gate::Clocked),
+        other => Err(SettingsError::UnknownGateMode(other.to_string())),
+    }
+}
+
+/// The allowance, which is above 0 or not said.
+fn votes_per_second(allowance: f64) -> f64 {
+    if allowance > 0.0 {
+        allowance
+    } else {
+        f64::INFINITY
+    }
+}
+
+fn operation_config(category: &Category) -> OperationConfig {
+    OperationConfig {
+        repeat: match category.effect.as_str() {
+            "idempotent" => Repeat::Idempotent,
+            "deduplicated" => Repeat::Deduplicated,
+            // What is not understood is never run twice.
+            _ => Repeat::AtMostOnce,
+        },
+        deduplication_scope: match category.dedup_scope.as_deref() {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            Some("cell") => DeduplicationScope::Cell,
+            _ => DeduplicationScope::Unknown,
+        },
+        deduplication_window: micros_from_seconds(category.dedup_window_s),
+        latency_objective: micros_from_seconds(category.aim_s),
+        command_timeout: micros_from_seconds(category.deadline_s),
+        priority_weight: category.worth,
+        streaming: category.stream,
+    }
+}
--- a/crates/spokeflow-wirehost/src/frame.rs
+++ b/crates/spokeflow-wirehost/src/frame.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io::{self, Read};
 
-use spokeflow_settings::micros;
+use spokeflow_settings::micros_from_seconds;
 
 /// What is wrong with the input, and where.
 #[derive(Debug)]
@@ -107,7 +107,7 @@
 
     /// Seconds on the wire, whole microseconds inside.
     pub fn time(&mut self) -> Result<i64, Malformed> {
-        Ok(micros(self.f64()?))
+        Ok(micros_from_seconds(self.f64()?))
     }
 
     /// The values of a load report, in the order of the settings' columns; none where no report came along.
@@ -154,7 +154,7 @@
             16 + n,
             format!("input ends after {n} of {wanted} bytes of records"),
         )),
-        Ok(_) => Ok(Some((word(4), micros(clock)))),
+        Ok(_) => Ok(Some((word(4), micros_from_seconds(clock)))),
         Err(e) => Err(bad(16, format!("cannot read: {e}"))),
     }
 }
--- a/crates/spokeflow-wirehost/src/main.rs
+++ b/crates/spokeflow-wirehost/src/main.rs
@@ -115,13 +115,14 @@
             let seed = f.u64()?;
             let len = f.u32()? as usize;
             let text = f.bytes(len)?;
-            let told = spokeflow_settings::read(text).map_err(|what| f.malformed(what))?;
+            let told = spokeflow_settings::Settings::parse(text)
+                .map_err(|error| f.malformed(error.to_string()))?;
             self.busy_column.remove(&instance);
             if let Some(column) = told.busy_column {
                 self.busy_column.insert(instance, column);
             }
             self.routers
-                .insert(instance, Router::new(&told.terms, seed, now, out));
+                .insert(instance, Router::new(&told.config, seed, now, out));
             return Ok(());
         }
         // What arrives for a router that was killed is nobody's.
