--- /dev/null
+++ b/crates/spokeflow-wirehost/src/event.rs
@@ -0,0 +1,284 @@
+//! What happens to one router, by the wire's codes.
+
+use spokeflow_core::{
+    AttemptOutcome, BuildId, CommandId, ControllerStats, Endpoint, EndpointState, HostId, Key,
+    ListKind, Micros, OpType, RolloutState, RolloutStatus, TenantId, VoteOutcome, ZoneId,
+};
+use spokeflow_settings::Settings;
+
+use crate::error::{Problem, WireError};
+use crate::field_reader::FieldReader;
+
+/// Codes of records.
+pub(crate) mod code {
+    pub(crate) const START: u8 = 0;
+    pub(crate) const LIST: u8 = 1;
+    pub(crate) const COMMAND: u8 = 2;
+    pub(crate) const RESPONSE_STARTED: u8 = 3;
+    pub(crate) const OUTCOME: u8 = 4;
+    pub(crate) const FINISH: u8 = 5;
+    pub(crate) const TIMER: u8 = 6;
+    pub(crate) const STOP: u8 = 9;
+    pub(crate) const ROLLOUT: u8 = 10;
+    pub(crate) const STATS: u8 = 11;
+    pub(crate) const WRONG_ANSWER: u8 = 12;
+    /// Defines a list that later records of the batch name by its number.
+    pub(crate) const DEFINE_LIST: u8 = 13;
+    /// Names the router that the next records are for.
+    pub(crate) const FOR: u8 = 14;
+}
+
+/// Lists that can be defined, numbered from 0.
+pub(crate) const LISTS: usize = 16;
+
+/// The result of a request that went well.
+const OK: u16 = 100;
+
+/// Sizes of fields that are passed over.
+const U8_SIZE: usize = 1;
+const U16_SIZE: usize = 2;
+const U32_SIZE: usize = 4;
+
+/// The start of a router.
+pub(crate) struct Start {
+    pub(crate) seed: u64,
+    pub(crate) settings: Settings,
+}
+
+/// What happens to a router that has been started.
+pub(crate) enum Event {
+    /// The list of this number came.
+    List {
+        kind: ListKind,
+        number: u8,
+    },
+    ListFailure,
+    Command {
+        cmd: CommandId,
+        op: OpType,
+        tenant: TenantId,
+        key: Key,
+        time_left: Micros,
+    },
+    ResponseStarted {
+        cmd: CommandId,
+        attempt: u8,
+    },
+    Outcome {
+        cmd: CommandId,
+        attempt: u8,
+        host: HostId,
+        outcome: AttemptOutcome,
+        latency: Micros,
+        is_answered: bool,
+        load_report: Vec<f64>,
+    },
+    Finish(CommandId),
+    Timer,
+    Stop,
+    Rollout {
+        /// Where it answers a vote.
+        vote: Option<VoteOutcome>,
+        /// Where the request for it went well.
+        status: Option<RolloutStatus>,
+    },
+    WrongAnswer {
+        host: HostId,
+        age: Micros,
+    },
+    Stats(ControllerStats),
+    /// Messages between routers, results of probes and codes of a later wire: not used.
+    Unused,
+}
+
+impl Start {
+    pub(crate) fn read(fields: &mut FieldReader) -> Result<Start, WireError> {
+        let seed = fields.u64()?;
+        let length = fields.u32()? as usize;
+        let text = fields.bytes(length)?;
+        let settings = Settings::parse(text).map_err(|error| fields.error(error))?;
+        Ok(Start { seed, settings })
+    }
+}
+
+impl Event {
+    pub(crate) fn read(code: u8, fields: &mut FieldReader) -> Result<Event, WireError> {
+        match code {
+            code::LIST => read_list(fields),
+            code::COMMAND => read_command(fields),
+            code::RESPONSE_STARTED => {
+                let cmd = CommandId(fields.u32()?);
+                fields.f64()?;
+                let attempt = fields.u8()?;
+                Ok(Event::ResponseStarted { cmd, attempt })
+            }
+            code::OUTCOME => read_outcome(fields),
+            code::FINISH => Ok(Event::Finish(CommandId(fields.u32()?))),
+            code::TIMER => {
+                fields.skip(U32_SIZE)?;
+                Ok(Event::Timer)
+            }
+            code::STOP => Ok(Event::Stop),
+            code::ROLLOUT => read_rollout(fields),
+            code::WRONG_ANSWER => {
+                let host = HostId(fields.u32()?);
+                let age = fields.time()?;
+                fields.skip(U16_SIZE)?;
+                Ok(Event::WrongAnswer { host, age })
+            }
+            code::STATS => read_stats(fields),
+            _ => Ok(Event::Unused),
+        }
+    }
+}
+
+fn read_list(fields: &mut FieldReader) -> Result<Event, WireError> {
+    fields.skip(U32_SIZE)?;
+    let number = fields.u8()?;
+    let kind = match fields.u8()? {
+        0 => ListKind::Changes,
+        1 => ListKind::Complete,
+        2 => return Ok(Event::ListFailure),
+        3 => ListKind::Cached,
+        other => return Err(fields.error(Problem::UnknownListMode(other))),
+    };
+    if usize::from(number) >= LISTS {
+        return Err(fields.error(Problem::ListNumber(number)));
+    }
+    Ok(Event::List { kind, number })
+}
+
+fn read_command(fields: &mut FieldReader) -> Result<Event, WireError> {
+    let cmd = CommandId(fields.u32()?);
+    fields.skip(U8_SIZE)?;
+    let tenant = TenantId(fields.u32()?);
+    let op = OpType(fields.u16()?);
+    fields.f64()?;
+    let key = Key(fields.u64()?);
+    let time_left = fields.time()?;
+    Ok(Event::Command {
+        cmd,
+        op,
+        tenant,
+        key,
+        time_left,
+    })
+}
+
+fn read_outcome(fields: &mut FieldReader) -> Result<Event, WireError> {
+    let cmd = CommandId(fields.u32()?);
+    let attempt = fields.u8()?;
+    let host = HostId(fields.u32()?);
+    let outcome = read_attempt_outcome(fields)?;
+    let latency = fields.time()?;
+    let is_answered = fields.u8()? != 0;
+    let load_report = fields.load_report()?;
+    Ok(Event::Outcome {
+        cmd,
+        attempt,
+        host,
+        outcome,
+        latency,
+        is_answered,
+        load_report,
+    })
+}
+
+fn read_attempt_outcome(fields: &mut FieldReader) -> Result<AttemptOutcome, WireError> {
+    Ok(match fields.u16()? {
+        OK => AttemptOutcome::Acked,
+        301 => AttemptOutcome::Error,
+        302 => AttemptOutcome::Rejected,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::NotConnected,
+        305 => AttemptOutcome::Reset,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
+        other => return Err(fields.error(Problem::UnknownResult(other))),
+    })
+}
+
+fn read_rollout(fields: &mut FieldReader) -> Result<Event, WireError> {
+    let build = BuildId(fields.u16()?);
+    let stage = fields.u8()?;
+    let state = match fields.u8()? {
+        0 => RolloutState::Canary,
+        1 => RolloutState::RollingBack,
+        2 => RolloutState::Released,
+        3 => RolloutState::Withdrawn,
+        other => return Err(fields.error(Problem::UnknownRolloutState(other))),
+    };
+    let answers_vote = fields.u8()? == 1;
+    let result = fields.u16()?;
+    let status = RolloutStatus {
+        build,
+        stage,
+        state,
+        exposure_cap: fields.f32()?,
+        age: fields.time()?,
+    };
+    Ok(Event::Rollout {
+        vote: answers_vote.then(|| vote_outcome(result)),
+        status: (result == OK).then_some(status),
+    })
+}
+
+fn vote_outcome(result: u16) -> VoteOutcome {
+    match result {
+        OK => VoteOutcome::Counted,
+        302 => VoteOutcome::RateLimited,
+        303 => VoteOutcome::NoResponse,
+        307 => VoteOutcome::Stale,
+        _ => VoteOutcome::Refused,
+    }
+}
+
+fn read_stats(fields: &mut FieldReader) -> Result<Event, WireError> {
+    let sampled = fields.u32()?;
+    let age = fields.time()?;
+    let op = OpType(fields.u16()?);
+    let build = BuildId(fields.u16()?);
+    let mean_latency = fields.time()?;
+    let failed = fields.u32()?;
+    Ok(Event::Stats(ControllerStats {
+        build,
+        op,
+        sampled,
+        failed,
+        mean_latency,
+        age,
+    }))
+}
+
+/// One endpoint of a list that is being defined.
+pub(crate) fn read_endpoint(fields: &mut FieldReader) -> Result<Endpoint, WireError> {
+    let release = fields.f32()?;
+    let cell = fields.u16()?;
+    let zone = ZoneId(fields.u16()?);
+    fields.skip(U8_SIZE)?;
+    let state = match fields.u8()? {
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        other => return Err(fields.error(Problem::UnknownEndpointState(other))),
+    };
+    let size = fields.f32()?;
+    let started_at = fields.time()?;
+    Ok(Endpoint {
+        host: HostId(fields.u32()?),
+        build: build_of(release),
+        cell,
+        zone,
+        state,
+        // What is no size counts as the usual one.
+        size: if size > 0.0 { size } else { 1.0 },
+        // 0 where it is not known.
+        started_at: (started_at != 0).then_some(started_at),
+    })
+}
+
+/// The build that a release number names, unless it is out of range: it is not known then.
+fn build_of(release: f64) -> Option<BuildId> {
+    let builds = 0.0..65536.0;
+    builds.contains(&release).then_some(BuildId(release as u16))
+}
--- a/crates/spokeflow-wirehost/src/reply.rs
+++ b/crates/spokeflow-wirehost/src/reply.rs
@@ -1,59 +1,85 @@
-//! Writes the module's answers as records of the wire.
+//! Writes the calls of the decision modules as records of the wire.
 
 use spokeflow_core::{BuildId, CommandId, Egress, HostId, Micros, RolloutVote};
 
-/// One reply in the making: four bytes for its length, then the records.
-pub struct Reply {
+/// Bytes of the length in front of the records.
+const LENGTH_SIZE: usize = 4;
+
+/// Codes of records in a reply.
+mod code {
+    pub(super) const DELIVER: u8 = 0;
+    pub(super) const NACK: u8 = 1;
+    pub(super) const FAIL: u8 = 2;
+    pub(super) const CANCEL: u8 = 3;
+    pub(super) const WAKE: u8 = 4;
+    pub(super) const PROBE: u8 = 5;
+    pub(super) const GOSSIP: u8 = 7;
+    pub(super) const WATCH_LIST: u8 = 10;
+    pub(super) const FETCH_LIST: u8 = 11;
+    pub(super) const VOTE: u8 = 12;
+    /// Names the router that the next records are from.
+    pub(super) const FOR: u8 = 13;
+}
+
+/// One reply in the making: its length, then the records.
+pub(crate) struct Reply {
     bytes: Vec<u8>,
-    speaker: Option<u32>,
+    /// The router that the last `FOR` record names.
+    named: Option<u32>,
+    /// The router whose calls come next.
     current: u32,
 }
 
-impl Reply {
-    pub fn new() -> Self {
+impl Default for Reply {
+    fn default() -> Self {
         Reply {
-            bytes: vec![0; 4],
-            speaker: None,
+            bytes: vec![0; LENGTH_SIZE],
+            named: None,
             current: 0,
         }
     }
+}
 
-    /// Whose answers come next.
-    pub fn speak_for(&mut self, instance: u32) {
-        self.current = instance;
+impl Reply {
+    /// Whose calls come next.
+    pub(crate) fn set_router(&mut self, number: u32) {
+        self.current = number;
     }
 
-    /// The finished frame; the reply is empty again after `clear`.
-    pub fn frame(&mut self) -> &[u8] {
-        let len = (self.bytes.len() - 4) as u32;
-        self.bytes[..4].copy_from_slice(&len.to_be_bytes());
+    /// The finished frame.
+    pub(crate) fn frame(&mut self) -> &[u8] {
+        let length = (self.bytes.len() - LENGTH_SIZE) as u32;
+        self.bytes[..LENGTH_SIZE].copy_from_slice(&length.to_be_bytes());
         &self.bytes
     }
 
-    pub fn clear(&mut self) {
-        self.bytes.truncate(4);
-        self.speaker = None;
+    /// Begins the next reply.
+    pub(crate) fn clear(&mut self) {
+        self.bytes.truncate(LENGTH_SIZE);
+        self.named = None;
     }
 
+    /// A record of the current router.
     fn record(&mut self, code: u8, fields: &[&[u8]]) {
-        if self.speaker != Some(self.current) {
-            self.speaker = Some(self.current);
-            let current = self.current;
-            self.raw(13, &[&current.to_be_bytes()]);
+        if self.named != Some(self.current) {
+            self.named = Some(self.current);
+            let number = self.current.to_be_bytes();
+            self.write(code::FOR, &[&number]);
         }
-        self.raw(code, fields);
+        self.write(code, fields);
     }
 
-    fn raw(&mut self, code: u8, fields: &[&[u8]]) {
-        let len: usize = fields.iter().map(|f| f.len()).sum();
+    fn write(&mut self, code: u8, fields: &[&[u8]]) {
+        let length: usize = fields.iter().map(|field| field.len()).sum();
         self.bytes.push(code);
-        self.bytes.extend_from_slice(&(len as u32).to_be_bytes());
+        self.bytes.extend_from_slice(&(length as u32).to_be_bytes());
         for field in fields {
             self.bytes.extend_from_slice(field);
         }
     }
 }
 
+/// A time in seconds, as the wire has it.
 fn seconds(at: Micros) -> [u8; 8] {
     (at as f64 / 1e6).to_be_bytes()
 }
@@ -61,52 +87,59 @@
 impl Egress for Reply {
     fn deliver(&mut self, cmd: CommandId, host: HostId, until: Option<Micros>) {
         let until = seconds(until.unwrap_or(0));
-        self.record(0, &[&cmd.0.to_be_bytes(), &host.0.to_be_bytes(), &until]);
+        let fields: [&[u8]; 3] = [&cmd.0.to_be_bytes(), &host.0.to_be_bytes(), &until];
+        self.record(code::DELIVER, &fields);
     }
 
-    fn nack(&mut self, cmd: CommandId, come_back: Option<Micros>) {
-        self.record(1, &[&cmd.0.to_be_bytes(), &seconds(come_back.unwrap_or(0))]);
+    fn nack(&mut self, cmd: CommandId, retry_after: Option<Micros>) {
+        let retry_after = seconds(retry_after.unwrap_or(0));
+        self.record(code::NACK, &[&cmd.0.to_be_bytes(), &retry_after]);
     }
 
     fn fail(&mut self, cmd: CommandId) {
-        self.record(2, &[&cmd.0.to_be_bytes()]);
+        self.record(code::FAIL, &[&cmd.0.to_be_bytes()]);
     }
 
-    fn cancel(&mut self, cmd: CommandId, delivery: u8) {
-        self.record(3, &[&cmd.0.to_be_bytes(), &[delivery]]);
+    fn cancel(&mut self, cmd: CommandId, attempt: u8) {
+        self.record(code::CANCEL, &[&cmd.0.to_be_bytes(), &[attempt]]);
     }
 
     fn wake(&mut self, at: Micros) {
-        self.record(4, &[&seconds(at), &0u32.to_be_bytes()]);
+        // The wire returns it with the timer; not used.
+        let token = 0u32;
+        self.record(code::WAKE, &[&seconds(at), &token.to_be_bytes()]);
     }
 
-    fn vote(&mut self, build: BuildId, stage: u8, verdict: RolloutVote) {
-        let code = match verdict {
+    fn vote(&mut self, build: BuildId, stage: u8, vote: RolloutVote) {
+        let choice = match vote {
             RolloutVote::Abstain => 0,
             RolloutVote::Promote => 1,
             RolloutVote::Hold => 2,
             RolloutVote::RollBack => 3,
         };
-        self.record(12, &[&build.0.to_be_bytes(), &[stage, code]]);
+        self.record(code::VOTE, &[&build.0.to_be_bytes(), &[stage, choice]]);
     }
 
     fn probe(&mut self, host: HostId) {
-        self.record(5, &[&host.0.to_be_bytes()]);
+        self.record(code::PROBE, &[&host.0.to_be_bytes()]);
     }
 
     fn watch_list(&mut self) {
-        self.record(10, &[&[1]]);
+        /// Asks for changes from now on.
+        const SUBSCRIBE: u8 = 1;
+        self.record(code::WATCH_LIST, &[&[SUBSCRIBE]]);
     }
 
     fn fetch_list(&mut self) {
-        self.record(11, &[]);
+        self.record(code::FETCH_LIST, &[]);
     }
 
     fn gossip(&mut self, router: Option<u32>, text: &[u8]) {
-        let to = router.map_or(u16::MAX, |r| r as u16);
-        self.record(
-            7,
-            &[&to.to_be_bytes(), &(text.len() as u16).to_be_bytes(), text],
-        );
+        /// Names all other routers.
+        const ALL: u16 = u16::MAX;
+        let to = router.map_or(ALL, |router| router as u16);
+        let length = text.len() as u16;
+        let fields: [&[u8]; 3] = [&to.to_be_bytes(), &length.to_be_bytes(), text];
+        self.record(code::GOSSIP, &fields);
     }
 }
