--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -4,14 +4,12 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use spokeflow_proto::{News, NewsStanding};
+use spokeflow_proto::News;
 use spokeflow_settings::Told;
 
-use crate::roster::Listing;
-use crate::serve::OTHERS;
-
-/// Descriptors without which nothing can be served: two clients' and one host's beside all others.
-const FEWEST: u64 = OTHERS + 3;
+use crate::endpoint_table::Listing;
+use crate::limits::{Limits, MIN_DESCRIPTORS};
+use crate::rollout_line::RolloutLine;
 
 #[derive(Clone, Debug, Deserialize)]
 struct File {
@@ -27,70 +25,11 @@
     settings: serde_json::Value,
 }
 
-/// What the platform grants this router.
-#[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
-    /// Parts of a core.
-    #[serde(default = "one")]
-    pub cores: f64,
-    pub memory_mb: u64,
-    /// File descriptors.
-    pub sockets: u64,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
 #[derive(Clone, Debug, Deserialize)]
 struct Deployer {
     address: SocketAddr,
     #[serde(default)]
-    news: Option<Stage>,
-}
-
-/// The newest build's state, as the platform words it.
-#[derive(Clone, Debug, Deserialize)]
-pub struct Stage {
-    release: u16,
-    tranche: u8,
-    mode: String,
-    exposure: f64,
-    old_ms: u64,
-}
-
-impl Stage {
-    /// From the words of a line, in the order in which the platform says them.
-    pub fn of_words(words: &[&str]) -> Option<Stage> {
-        let [release, tranche, mode, exposure, old_ms] = words else {
-            return None;
-        };
-        Some(Stage {
-            release: release.parse().ok()?,
-            tranche: tranche.parse().ok()?,
-            mode: mode.to_string(),
-            exposure: exposure.parse().ok()?,
-            old_ms: old_ms.parse().ok()?,
-        })
-    }
-
-    /// `None` where a word is not known or a number cannot be one.
-    pub fn news(&self) -> Option<News> {
-        let standing = match self.mode.as_str() {
-            "IN_PROGRESS" => NewsStanding::OnTrial,
-            "ROLLING_BACK" => NewsStanding::GoingBack,
-            "COMPLETE" => NewsStanding::Released,
-            "ROLLED_BACK" => NewsStanding::Withdrawn,
-            _ => return None,
-        };
-        (0.0..=1.0).contains(&self.exposure).then_some(News {
-            build: self.release,
-            stage: self.tranche,
-            standing,
-            cap: self.exposure as f32,
-            age_us: self.old_ms.saturating_mul(1000),
-        })
-    }
+    news: Option<RolloutLine>,
 }
 
 /// All that a router is told at its start.
@@ -142,10 +81,10 @@
                 fault("settings name an op type, a customer or a zone twice".into()).into(),
             );
         }
-        if file.limits.sockets < FEWEST {
+        if file.limits.sockets < MIN_DESCRIPTORS {
             let sockets = file.limits.sockets;
             return Err(fault(format!(
-                "limits.sockets {sockets}: {FEWEST} at least are needed"
+                "limits.sockets {sockets}: {MIN_DESCRIPTORS} at least are needed"
             ))
             .into());
         }
@@ -153,7 +92,7 @@
             None => None,
             Some(stage) => Some(
                 stage
-                    .news()
+                    .to_news()
                     .ok_or_else(|| fault("deployer.news is no state of a build".into()))?,
             ),
         };
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -13,10 +13,11 @@
 use tokio_util::codec::Decoder;
 use tracing::info;
 
-use crate::arrival::Arrival;
-use crate::roster::Listing;
 use spokeflow_runtime::{Backoff, Clock};
 
+use crate::endpoint_table::Listing;
+use crate::event::EngineEvent;
+
 /// "An empty line comes every 2 s while nothing changes" (protocol page): silence for longer than two of them is a dead way.
 const SILENCE: Duration = Duration::from_secs(5);
 pub const FIRST_PAUSE: Duration = Duration::from_millis(50);
@@ -29,10 +30,10 @@
 /// One object of the watch at most.
 const OBJECT_LIMIT: usize = 4 << 20;
 
-pub struct Watching {
+pub struct DiscoveryWatch {
     pub address: watch::Receiver<SocketAddr>,
     pub clock: Arc<Clock>,
-    pub core: mpsc::Sender<Arrival>,
+    pub events: mpsc::Sender<EngineEvent>,
     /// The newest revision handed over.
     pub after: u64,
     pub backoff: Backoff,
@@ -50,7 +51,7 @@
     }
 }
 
-impl Watching {
+impl DiscoveryWatch {
     pub async fn run(mut self) {
         let mut failures = 0;
         loop {
@@ -117,7 +118,12 @@
                 let revision = listing.revision;
                 // After a move the new address may lag behind the old one: what was heard there is not taken back.
                 if listing.complete || revision >= self.after {
-                    if self.core.send(Arrival::Listed(listing)).await.is_err() {
+                    if self
+                        .events
+                        .send(EngineEvent::EndpointsListed(listing))
+                        .await
+                        .is_err()
+                    {
                         return "the router ends".into();
                     }
                     self.after = revision;
--- /dev/null
+++ b/crates/spokeflow-platform/src/engine_state.rs
@@ -0,0 +1,147 @@
+//! The engine with the transport and the endpoint table around it, and what each event of a connection task is to it.
+
+use std::sync::Arc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use spokeflow_engine::{Engine, Input};
+use spokeflow_proto::{FrameFault, FromController, FromList, News, ToClient};
+use spokeflow_runtime::Clock;
+use tracing::{debug, info};
+
+use crate::endpoint_table::{EndpointTable, Listing};
+use crate::event::EngineEvent;
+use crate::transport::{PendingCommand, PlatformTransport};
+
+/// What the engine's task owns.
+pub(crate) struct EngineState {
+    pub(crate) engine: Engine,
+    pub(crate) transport: PlatformTransport,
+    pub(crate) endpoints: EndpointTable,
+    pub(crate) clock: Arc<Clock>,
+}
+
+fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
+}
+
+impl EngineState {
+    pub(crate) fn input(&mut self, input: Input) {
+        let now = self.clock.now();
+        self.engine.on_input(now, input, &mut self.transport);
+    }
+
+    /// Runs the engine's timers where one is due.
+    pub(crate) fn run_timers(&mut self) {
+        let now = self.clock.now();
+        if self.engine.next_wake() <= now {
+            self.engine.on_timer(now, &mut self.transport);
+        }
+    }
+
+    pub(crate) fn on_event(&mut self, event: EngineEvent) {
+        match event {
+            EngineEvent::Command {
+                connection,
+                id,
+                command,
+                answer,
+            } => self.on_command(connection, PendingCommand { id, answer }, command),
+            EngineEvent::ClientDisconnected(connection) => {
+                if let Some(pending) = self.transport.pending.remove(&connection) {
+                    self.transport.pending_ids.remove(&pending.id);
+                }
+                self.input(Input::ClientDisconnected { conn: connection });
+            }
+            EngineEvent::DeliveryEnded {
+                host,
+                delivery,
+                input,
+                connection,
+                connection_use,
+            } => {
+                if let Some(connection_use) = connection_use {
+                    self.transport.idle_lifetime.learn(connection_use);
+                }
+                self.transport.on_delivery_ended(host, delivery, connection);
+                self.input(input);
+            }
+            EngineEvent::EndpointsListed(listing) => self.on_listing(listing, false),
+            EngineEvent::RolloutStatus(status) => self.on_rollout_status(status),
+            EngineEvent::WrongAnswerReport { host_name, ago_us } => {
+                if let Some(host) = self.endpoints.number(&host_name) {
+                    self.input(Input::WrongAnswerReport { host, ago_us });
+                }
+            }
+            EngineEvent::VoteAnswered {
+                ballot,
+                result,
+                status,
+            } => {
+                self.input(match result {
+                    Some(result) => Input::FromController(FromController::Voted { ballot, result }),
+                    None => Input::ControllerUnavailable,
+                });
+                if let Some(status) = status {
+                    self.on_rollout_status(status);
+                }
+            }
+        }
+    }
+
+    fn on_command(
+        &mut self,
+        connection: u64,
+        pending: PendingCommand,
+        command: spokeflow_proto::Command,
+    ) {
+        if !self.transport.pending_ids.insert(pending.id.clone()) {
+            let refused = FrameFault::IdInUse(command.id).refused();
+            let _ = pending.answer.send(ToClient::Refused(refused));
+            return;
+        }
+        let id = String::from_utf8_lossy(&pending.id);
+        debug!(%id, conn = connection, op = command.op, left_us = command.left_us, "command");
+        self.transport.pending.insert(connection, pending);
+        self.input(Input::Command {
+            conn: connection,
+            command,
+        });
+    }
+
+    pub(crate) fn on_rollout_status(&mut self, status: News) {
+        self.input(Input::FromController(FromController::News(status)));
+    }
+
+    /// Takes in a listing. `cached`: it is of an earlier process and may be old.
+    pub(crate) fn on_listing(&mut self, listing: Listing, cached: bool) {
+        let messages = self.endpoints.apply(listing, self.clock.now(), unix_ms());
+        self.input(match messages.list {
+            FromList::Whole { lines, .. } | FromList::Changes { lines, .. } if cached => {
+                Input::CachedList(lines)
+            }
+            list => Input::FromList(list),
+        });
+        self.input(Input::FromList(messages.sizes));
+    }
+
+    /// Logs what the engine counts as out beside what is open, so that on-call sees the two part. `max_connections`: to
+    /// hosts.
+    pub(crate) fn log_status(&self, max_connections: usize) {
+        let hosts = self.transport.hosts.values();
+        let unused: usize = hosts.map(|host| host.idle.count()).sum();
+        let open = max_connections - self.transport.permits.available_permits();
+        let latency = self.transport.upstream.send_latency.take_summary();
+        info!(
+            held = self.engine.waiting_commands(),
+            out = self.engine.open_deliveries(),
+            in_use = open - unused,
+            unused,
+            left = latency.count,
+            mean_us = latency.mean_us,
+            most_us = latency.longest_us,
+            "on the sockets"
+        );
+    }
+}
--- a/crates/spokeflow-platform/src/arrival.rs
+++ b/crates/spokeflow-platform/src/event.rs
@@ -6,42 +6,42 @@
 use spokeflow_proto::{BallotResult, Command, News, ToClient};
 use tokio::sync::oneshot;
 
-use crate::hosts::Connection;
-use crate::roster::Listing;
+use crate::endpoint_table::Listing;
+use crate::idle_connections::Connection;
+use crate::idle_lifetime::ConnectionUse;
 
 /// What reaches the task that owns the engine.
-pub enum Arrival {
+pub(crate) enum EngineEvent {
     /// A client's request, checked and whole. It gets one message on `answer`, none if the client goes first.
     Command {
-        conn: u64,
+        connection: u64,
         /// The id as the client wrote it, for the log and to find a second use of it.
         id: Bytes,
         command: Command,
         answer: oneshot::Sender<ToClient>,
     },
     /// The connection of a client is closed.
-    ClientGone(u64),
+    ClientDisconnected(u64),
     /// A delivery to a host has ended, as `input` tells the engine.
-    Delivered {
+    DeliveryEnded {
         host: HostId,
         delivery: u64,
         input: Input,
         /// The connection, where it may carry another delivery.
         connection: Option<Connection>,
-        /// Of a connection that was used again: for how many microseconds it had rested, where that is known, and
-        /// whether it broke.
-        broke: Option<(Option<u64>, bool)>,
+        /// What became of the connection, where that says something of how long one may rest.
+        connection_use: Option<ConnectionUse>,
     },
     /// Discovery has listed the hosts.
-    Listed(Listing),
-    /// The deployer says how a release stands.
-    News(News),
-    /// The deployer says that an answer of this unit was wrong, to a delivery sent so many microseconds ago.
-    Report { unit: String, ago_us: u64 },
+    EndpointsListed(Listing),
+    /// The release controller says how a rollout stands.
+    RolloutStatus(News),
+    /// The release controller says that an answer of this host was wrong, to a delivery sent so many microseconds ago.
+    WrongAnswerReport { host_name: String, ago_us: u64 },
     /// What became of a vote; no result where it may count or not.
-    Voted {
+    VoteAnswered {
         ballot: u64,
         result: Option<BallotResult>,
-        news: Option<News>,
+        status: Option<News>,
     },
 }
--- a/crates/spokeflow-platform/src/lib.rs
+++ b/crates/spokeflow-platform/src/lib.rs
@@ -4,18 +4,28 @@
 //! One task owns the engine ([`serve`]); tasks of connections only read and write. All that is decided on commands
 //! and deliveries is decided by the module inside the engine.
 
-mod arrival;
-mod clients;
+mod acceptor;
+mod client_connection;
 mod configuration;
-mod deployer;
+mod connection_state;
 mod discovery;
-mod engine_links;
-mod hosts;
+mod endpoint_table;
+mod engine_state;
+mod event;
+mod idle_connections;
+mod idle_lifetime;
+mod limits;
+mod listener_context;
 mod program;
-mod reuse;
-mod roster;
+mod release_controller;
+mod reload;
+mod request_schema;
+mod rollout_line;
 mod serve;
 mod shutdown;
+mod transport;
+mod unread;
+mod upstream;
 
 pub use configuration::Configuration;
 pub use program::{main_with, PlatformProgram, Signals};
--- a/crates/spokeflow-platform/src/program.rs
+++ b/crates/spokeflow-platform/src/program.rs
@@ -8,13 +8,10 @@
 use tokio::time::{sleep, Instant};
 
 use crate::configuration::ConfigurationFault;
+use crate::reload::{RETRY_INTERVAL, WRITE_TIMEOUT};
 use crate::{serve, Configuration};
 use spokeflow_runtime::{init_logging, LogFormat};
 
-/// A file that is no whole text is looked at again so often and for so long: whoever writes it is at it.
-pub const LOOKED_AGAIN: Duration = Duration::from_millis(20);
-pub const WRITTEN_WITHIN: Duration = Duration::from_secs(1);
-
 /// What the platform asks by signals; what comes before it is looked at is kept.
 pub struct Signals {
     pub reload: Signal,
@@ -80,8 +77,8 @@
         let begun = Instant::now();
         loop {
             match self.configuration() {
-                Err(fault) if fault.torn && begun.elapsed() < WRITTEN_WITHIN => {
-                    sleep(LOOKED_AGAIN).await
+                Err(fault) if fault.torn && begun.elapsed() < WRITE_TIMEOUT => {
+                    sleep(RETRY_INTERVAL).await
                 }
                 told => return told,
             }
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -1,419 +1,392 @@
-//! The task that owns the engine.
+//! Runs a router on the platform: puts its parts together, and the loop of the task that owns the engine.
 
 use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use bytes::Bytes;
-use spokeflow_core::{Micros, ROUTERS_PER_HOST};
+use spokeflow_core::{Micros, ServiceConfig};
 use spokeflow_engine::{Engine, EngineConfig, Input};
-use spokeflow_proto::{FrameFault, FromController, FromList, ToClient};
+use spokeflow_runtime::{Backoff, Clock};
+use spokeflow_settings::Told;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 use tokio_util::task::TaskTracker;
-use tracing::{debug, info, warn};
+use tracing::info;
 
-use crate::arrival::Arrival;
-use crate::clients::{listen, Accepting, Desk, House};
-use crate::configuration::Limits;
-use crate::deployer::Subscription;
-use crate::discovery::{Watching, FIRST_PAUSE, LONGEST_PAUSE};
-use crate::engine_links::{EngineLinks, Waiting};
-use crate::hosts::{Leaving, Ways};
-use crate::program::{PlatformProgram, Signals, LOOKED_AGAIN, WRITTEN_WITHIN};
-use crate::reuse::Reuse;
-use crate::roster::{Listing, Roster};
+use crate::acceptor::{listen, Acceptor};
+use crate::configuration::Configuration;
+use crate::discovery::{DiscoveryWatch, FIRST_PAUSE, LONGEST_PAUSE};
+use crate::endpoint_table::EndpointTable;
+use crate::engine_state::EngineState;
+use crate::event::EngineEvent;
+use crate::idle_lifetime::IdleLifetime;
+use crate::limits::ConnectionLimits;
+use crate::listener_context::ListenerContext;
+use crate::program::{PlatformProgram, Signals};
+use crate::release_controller::Subscription;
+use crate::reload::Reload;
+use crate::request_schema::{Operation, RequestSchema};
 use crate::shutdown::{Shutdown, Step};
-use crate::Configuration;
-use spokeflow_runtime::{Backoff, Clock};
+use crate::transport::PlatformTransport;
+use crate::upstream::{SendLatency, UpstreamConfig};
 
-/// Arrivals that wait for the engine at most; a task whose arrival finds no room waits, and so does its peer.
-const ARRIVALS: usize = 4096;
-/// Taken in at one go, so that time is looked at often enough.
-const AT_ONCE: usize = 256;
+/// Events that wait for the engine at most; a task whose event finds no room waits, and so does its peer.
+const EVENT_QUEUE: usize = 4096;
+/// Events taken in at one go, so that time is looked at often enough.
+const EVENTS_PER_BATCH: usize = 256;
 /// What the engine believes is compared with the sockets in the log this often.
-const LOOKED_EVERY: Duration = Duration::from_secs(10);
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
+/// Idle connections are expired this often at least.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Where the settings name no time for a connection to a host: "some connections to hosts come up late (up to 1 s)"
 /// (standing test).
-const CONNECTED: Duration = Duration::from_secs(1);
-/// Descriptors for all but clients and hosts: standard streams, signals, the listener, discovery, the deployer.
-pub const OTHERS: u64 = 24;
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Numbers of the connections that back off, each with a generator of its own.
+const DISCOVERY_PEER: u64 = 0;
+const CONTROLLER_PEER: u64 = 1;
 
-/// Connections of clients and to hosts at most, of what the others leave. A command holds one of each, and those to
-/// the hosts that this router meets stand unused between: what the told fleet, `hosts` and commands in flight come to, a third at
-/// least and half at most, goes to hosts.
-fn shares(limits: &Limits, fleet: u32, hosts: usize, in_flight: f64) -> (usize, usize) {
-    let free = limits.sockets.saturating_sub(OTHERS) as usize;
-    let met = hosts as f64 * (ROUTERS_PER_HOST / f64::from(fleet.max(1))).min(1.0);
-    let to_hosts = ((met + in_flight).ceil() as usize).clamp(free / 3, free / 2);
-    (free - to_hosts, to_hosts)
+fn to_micros(duration: Duration) -> Micros {
+    duration.as_micros().min(Micros::MAX as u128 / 4) as Micros
 }
 
-fn micros(span: Duration) -> Micros {
-    span.as_micros().min(Micros::MAX as u128 / 4) as Micros
+fn to_duration(time: Micros) -> Duration {
+    Duration::from_micros(time.max(0) as u64)
 }
 
-fn span(time: Micros) -> Duration {
-    Duration::from_micros(time.max(0) as u64)
+/// Times and loads that follow from the settings.
+struct Derived {
+    longest_timeout: Duration,
+    connect_timeout: Duration,
+    /// Connections to hosts that rested for longer are closed.
+    idle_timeout: Duration,
+    limits: ConnectionLimits,
 }
 
-fn unix_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_millis() as u64)
+impl Derived {
+    fn new(configuration: &Configuration) -> Self {
+        let told = &configuration.told;
+        let operations = &told.terms.ops;
+        let longest = operations.iter().map(|operation| operation.command_timeout);
+        let longest_timeout = to_duration(longest.max().unwrap_or(0));
+        let connect_timeout = match told.connect_timeout {
+            0 => DEFAULT_CONNECT_TIMEOUT.min(longest_timeout),
+            limit => to_duration(limit),
+        };
+        // Hosts close at the latest after their own time: well before it, nothing can cross their closing. Where none is
+        // told, what breaks tells (`idle_lifetime.rs`).
+        let idle_timeout = match told.connection_idle {
+            0 => Duration::MAX,
+            limit => to_duration(limit) / 2,
+        };
+        let known = configuration.known.as_ref();
+        let hosts = known.map_or(0, |known| known.members.len());
+        let fleet = told.terms.fleet_size;
+        let in_flight = mean_in_flight(&told.terms);
+        Derived {
+            longest_timeout,
+            connect_timeout,
+            idle_timeout,
+            limits: ConnectionLimits::new(&configuration.limits, fleet, hosts, in_flight),
+        }
+    }
 }
 
-struct Core {
-    engine: Engine,
-    links: EngineLinks,
-    roster: Roster,
-    clock: Arc<Clock>,
+/// Commands that a router of mean traffic has in flight where each takes the longest objective.
+fn mean_in_flight(service: &ServiceConfig) -> f64 {
+    let objectives = service.ops.iter().map(|op| op.latency_objective);
+    let objective = to_duration(objectives.max().unwrap_or(0));
+    let fleet = f64::from(service.fleet_size.max(1));
+    let mean_rate = service.tenant_quotas.iter().sum::<f64>() / fleet;
+    mean_rate * objective.as_secs_f64()
 }
 
-impl Core {
-    fn give(&mut self, input: Input) {
-        self.engine
-            .on_input(self.clock.now(), input, &mut self.links);
+fn request_schema(told: &Told) -> RequestSchema {
+    let numbered = |names: &[String]| -> Vec<(Bytes, u32)> {
+        let names = names.iter().map(|name| Bytes::from(name.clone()));
+        names.zip(0..).collect()
+    };
+    let operation = |(name, number): (Bytes, u32)| {
+        let operation = Operation {
+            number: number as u16,
+            repeat: told.terms.ops[number as usize].repeat,
+        };
+        (name, operation)
+    };
+    RequestSchema {
+        operations: numbered(&told.ops).into_iter().map(operation).collect(),
+        tenants: numbered(&told.customers).into_iter().collect(),
     }
+}
 
-    fn take(&mut self, arrival: Arrival) {
-        match arrival {
-            Arrival::Command {
-                conn,
-                id,
-                command,
-                answer,
-            } => {
-                if !self.links.open_ids.insert(id.clone()) {
-                    let refused = FrameFault::IdInUse(command.id).refused();
-                    let _ = answer.send(ToClient::Refused(refused));
-                    return;
-                }
-                let (op, left_us) = (command.op, command.left_us);
-                debug!(id = %String::from_utf8_lossy(&id), conn, op, left_us, "command");
-                self.links.waiting.insert(conn, Waiting { id, answer });
-                self.give(Input::Command { conn, command });
-            }
-            Arrival::ClientGone(conn) => {
-                if let Some(waiting) = self.links.waiting.remove(&conn) {
-                    self.links.open_ids.remove(&waiting.id);
-                }
-                self.give(Input::ClientDisconnected { conn });
-            }
-            Arrival::Delivered {
-                host,
-                delivery,
-                input,
-                connection,
-                broke,
-            } => {
-                if let Some((rested, broke)) = broke {
-                    self.links.reuse.learn(rested, broke);
-                }
-                self.links.delivered(host, delivery, connection);
-                self.give(input);
+/// The task that owns the engine.
+struct EngineTask {
+    program: PlatformProgram,
+    state: EngineState,
+    events: mpsc::Receiver<EngineEvent>,
+    signals: Signals,
+    /// Addresses of discovery, handed to its watch.
+    discovery_address: watch::Sender<SocketAddr>,
+    /// Set once idle connections of clients are to be closed.
+    closing: watch::Sender<bool>,
+    clients: TaskTracker,
+    shutdown: Shutdown,
+    reload: Option<Reload>,
+    idle_timeout: Duration,
+    max_host_connections: usize,
+    expired_at: Instant,
+    logged_at: Instant,
+}
+
+impl EngineTask {
+    async fn run(mut self) {
+        let mut batch = Vec::with_capacity(EVENTS_PER_BATCH);
+        loop {
+            self.wait(&mut batch).await;
+            // Whatever woke this task, what has come meanwhile is taken in as well: neither starves the other.
+            while batch.len() < EVENTS_PER_BATCH {
+                let Ok(event) = self.events.try_recv() else {
+                    break;
+                };
+                batch.push(event);
             }
-            Arrival::Listed(listing) => self.listed(listing, false),
-            Arrival::News(news) => self.give(Input::FromController(FromController::News(news))),
-            Arrival::Report { unit, ago_us } => {
-                if let Some(host) = self.roster.number(&unit) {
-                    self.give(Input::WrongAnswerReport { host, ago_us });
-                }
+            for event in batch.drain(..) {
+                self.state.on_event(event);
             }
-            Arrival::Voted {
-                ballot,
-                result,
-                news,
-            } => {
-                match result {
-                    Some(result) => self.give(Input::FromController(FromController::Voted {
-                        ballot,
-                        result,
-                    })),
-                    None => self.give(Input::ControllerUnavailable),
-                }
-                if let Some(news) = news {
-                    self.give(Input::FromController(FromController::News(news)));
-                }
+            self.state.run_timers();
+            self.reload_if_due();
+            self.expire_idle_connections();
+            self.log_status();
+            if self.step_shutdown() {
+                return;
             }
         }
     }
 
-    fn listed(&mut self, listing: Listing, remembered: bool) {
-        let (list, sizes) = self.roster.read(listing, self.clock.now(), unix_ms());
-        self.give(match list {
-            FromList::Whole { lines, .. } | FromList::Changes { lines, .. } if remembered => {
-                Input::CachedList(lines)
+    /// Waits for the next event, signal or timer.
+    async fn wait(&mut self, batch: &mut Vec<EngineEvent>) {
+        let wake = self.next_wake();
+        tokio::select! {
+            biased;
+            _ = self.signals.terminate.recv(), if !self.shutdown.has_begun() => {
+                info!(held = self.state.engine.waiting_commands(), "router ends");
+                self.state.clock.begin_shutdown();
+                self.shutdown.begin(Instant::now());
             }
-            list => Input::FromList(list),
-        });
-        self.give(Input::FromList(sizes));
+            _ = self.signals.reload.recv() => self.reload = Some(Reload::new(Instant::now())),
+            _ = sleep_until(wake) => {}
+            _ = self.events.recv_many(batch, EVENTS_PER_BATCH) => {}
+        }
     }
-}
 
-impl Core {
-    /// What the engine counts as out beside what is open, so that on-call sees the two part.
-    fn look(&self, places: usize) {
-        let unused: usize = self
-            .links
-            .hosts
-            .values()
-            .map(|host| host.unused.count())
-            .sum();
-        let open = places - self.links.places.available_permits();
-        let (left, mean_us, most_us) = self.links.ways.leaving.look();
-        let (held, out) = (
-            self.engine.waiting_commands(),
-            self.engine.open_deliveries(),
-        );
-        info!(
-            held,
-            out,
-            in_use = open - unused,
-            unused,
-            left,
-            mean_us,
-            most_us,
-            "on the sockets"
-        );
+    fn next_wake(&self) -> Instant {
+        let engine = self.state.engine.next_wake();
+        let engine = self.state.clock.instant_at(engine);
+        let shutdown = self.shutdown.next_check(Instant::now());
+        let reload = self.reload.as_ref().map(Reload::next);
+        let others = shutdown.into_iter().chain(reload);
+        others.fold(engine, Instant::min)
     }
-}
 
-/// A configuration that is to be read, since SIGHUP, and again while it is no whole text.
-struct Reload {
-    next: Instant,
-    until: Instant,
-}
+    fn reload_if_due(&mut self) {
+        let due = self.reload.as_mut();
+        let Some(due) = due.filter(|reload| reload.next() <= Instant::now()) else {
+            return;
+        };
+        let Some(read) = due.read(&self.program) else {
+            return;
+        };
+        self.reload = None;
+        let Some(fresh) = read else {
+            return;
+        };
+        info!(discovery = %fresh.discovery, deployer = %fresh.deployer, "configuration read again");
+        move_to(&self.discovery_address, fresh.discovery);
+        move_to(&self.state.transport.controller_address, fresh.deployer);
+    }
 
-impl Reload {
-    fn asked(now: Instant) -> Self {
-        Reload {
-            next: now,
-            until: now + WRITTEN_WITHIN,
+    fn expire_idle_connections(&mut self) {
+        if self.expired_at.elapsed() <= self.idle_timeout.min(EXPIRY_INTERVAL) {
+            return;
+        }
+        self.expired_at = Instant::now();
+        for host in self.state.transport.hosts.values_mut() {
+            host.idle.expire(self.idle_timeout);
         }
     }
 
-    /// What the file says now; `None` where it is to be looked at again, or the one before stands.
-    fn read(&mut self, program: &PlatformProgram) -> (Option<Configuration>, bool) {
-        match program.configuration() {
-            Ok(fresh) => (Some(fresh), true),
-            Err(fault) if fault.torn && self.next < self.until => {
-                self.next = Instant::now() + LOOKED_AGAIN;
-                (None, false)
-            }
-            Err(fault) => {
-                warn!(
-                    what = fault.what,
-                    "configuration cannot be read: the one before stands"
-                );
-                (None, true)
+    fn log_status(&mut self) {
+        if self.logged_at.elapsed() > STATUS_INTERVAL {
+            self.logged_at = Instant::now();
+            self.state.log_status(self.max_host_connections);
+        }
+    }
+
+    /// Whether the router has ended.
+    fn step_shutdown(&mut self) -> bool {
+        let waiting = self.state.engine.waiting_commands();
+        match self
+            .shutdown
+            .step(Instant::now(), waiting, self.clients.len())
+        {
+            Step::Wait => {}
+            Step::Close => {
+                let _ = self.closing.send(true);
+                self.state.input(Input::Close);
             }
+            Step::AbortAll => self.state.input(Input::AbortAll),
+            Step::End => return true,
         }
+        false
     }
 }
 
+/// Tells the receivers of an address where it differs.
+fn move_to(sender: &watch::Sender<SocketAddr>, address: SocketAddr) {
+    sender.send_if_modified(|present| std::mem::replace(present, address) != address);
+}
+
 /// Runs a router on the platform until SIGTERM; then answers all that it has taken and returns.
-/// Errors: the address cannot be listened on.
+///
+/// # Errors
+///
+/// The address cannot be listened on, in one line that names the flag.
 pub async fn serve(
     program: PlatformProgram,
-    told: Configuration,
+    configuration: Configuration,
     signals: Signals,
 ) -> Result<(), String> {
-    let Signals {
-        reload: mut hup,
-        terminate: mut term,
-    } = signals;
     let clock = Clock::starting_now();
-    let listener = listen(told.listen).map_err(|e| format!("--listen {}: {e}", told.listen))?;
-    let (core, mut arrivals) = mpsc::channel(ARRIVALS);
-    let (leave, leaving) = watch::channel(false);
-    let (discovery, discovery_at) = watch::channel(told.discovery);
-    let (deployer, deployer_at) = watch::channel(told.deployer);
-    let service = told.told.terms.clone();
-    let target = service
-        .ops
-        .iter()
-        .map(|op| op.latency_objective)
-        .max()
-        .unwrap_or(0);
-    let even = service.tenant_quotas.iter().sum::<f64>() / f64::from(service.fleet_size.max(1));
-    let in_flight = even * span(target).as_secs_f64();
-    let hosts = told.known.as_ref().map_or(0, |known| known.members.len());
-    let (client_places, host_places) = shares(&told.limits, service.fleet_size, hosts, in_flight);
-    let longest = service
-        .ops
-        .iter()
-        .map(|op| op.command_timeout)
-        .max()
-        .unwrap_or(0);
-    let connect_timeout = match told.told.connect_timeout {
-        0 => CONNECTED.min(span(longest)),
-        most => span(most),
-    };
-    // Hosts close at the latest after their own time: well before it, nothing can cross their closing. Where none is
-    // told, what breaks tells (`reuse.rs`).
-    let unused_most = match told.told.connection_idle {
-        0 => Duration::MAX,
-        most => span(most) / 2,
-    };
-    let named = |names: Vec<String>| names.into_iter().map(Bytes::from).zip(0..);
-    let ops =
-        named(told.told.ops).map(|(name, n)| (name, (n as u16, service.ops[n as usize].repeat)));
-    let house = Arc::new(House {
-        desk: Desk {
-            ops: ops.collect(),
-            customers: named(told.told.customers).collect(),
-        },
+    let listener = listen(configuration.listen)
+        .map_err(|e| format!("--listen {}: {e}", configuration.listen))?;
+    let derived = Derived::new(&configuration);
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE);
+    let (closing, is_closing) = watch::channel(false);
+    let (discovery_address, discovery_at) = watch::channel(configuration.discovery);
+    let (controller_address, controller_at) = watch::channel(configuration.deployer);
+    let context = Arc::new(ListenerContext {
+        schema: request_schema(&configuration.told),
         clock: clock.clone(),
-        core: core.clone(),
-        up: AtomicBool::new(false),
-        leaving,
+        events: events.clone(),
+        ready: AtomicBool::new(false),
+        closing: is_closing,
     });
-    let mut links = EngineLinks {
-        house: house.clone(),
-        ways: Arc::new(Ways {
-            clock: clock.clone(),
-            core: core.clone(),
-            connect_timeout,
-            leaving: Leaving::default(),
-        }),
-        waiting: HashMap::new(),
-        open_ids: HashSet::new(),
-        hosts: HashMap::new(),
-        out: HashMap::new(),
-        places: Arc::new(Semaphore::new(host_places)),
-        reuse: Reuse::default(),
-        deployer,
-        vote_wait: span(service.vote_timeout),
-    };
-    info!(name = told.name, listen = %told.listen, client_places, host_places, "router starts");
-    let terms = EngineConfig {
-        service,
-        answer_margin: micros(program.answer_margin),
-        // A connection holds one command at a time.
-        max_waiting: client_places,
-    };
-    let engine = Engine::new(terms, told.seed, clock.now(), &mut links);
-    let roster = Roster::new(told.told.zones, longest.max(1));
-    let mut here = Core {
-        engine,
-        links,
-        roster,
+    let ConnectionLimits {
+        clients: client_places,
+        hosts: host_places,
+    } = derived.limits;
+    let transport = transport(
+        &configuration,
+        &derived,
+        context.clone(),
+        controller_address,
+    );
+    info!(name = configuration.name, listen = %configuration.listen, client_places, host_places, "router starts");
+    let seed = configuration.seed;
+    let known = configuration.known.as_ref();
+    let after = known.map_or(0, |known| known.revision);
+    let state = engine_state(configuration, &program, &derived, transport, clock.clone());
+    let mut tasks = JoinSet::new();
+    let backoff = |peer| Backoff::new(seed, peer, FIRST_PAUSE, LONGEST_PAUSE);
+    let watch = DiscoveryWatch {
+        address: discovery_at,
         clock: clock.clone(),
+        events: events.clone(),
+        after,
+        backoff: backoff(DISCOVERY_PEER),
     };
-    let after = told.known.as_ref().map_or(0, |known| known.revision);
-    if let Some(known) = told.known {
-        here.listed(known, true);
-    }
-    if let Some(news) = told.news {
-        here.give(Input::FromController(FromController::News(news)));
-    }
-    let mut helpers = JoinSet::new();
-    let backoff = |way| Backoff::new(told.seed, way, FIRST_PAUSE, LONGEST_PAUSE);
-    let (watching, hearing) = (core.clone(), core);
-    helpers.spawn(
-        Watching {
-            address: discovery_at,
-            clock: clock.clone(),
-            core: watching,
-            after,
-            backoff: backoff(0),
-        }
-        .run(),
-    );
-    helpers.spawn(
-        Subscription {
-            address: deployer_at,
-            clock: clock.clone(),
-            core: hearing,
-            backoff: backoff(1),
-        }
-        .run(),
-    );
+    tasks.spawn(watch.run());
+    let subscription = Subscription {
+        address: controller_at,
+        clock,
+        events,
+        backoff: backoff(CONTROLLER_PEER),
+    };
+    tasks.spawn(subscription.run());
     let clients = TaskTracker::new();
-    let accepting = Accepting {
+    let acceptor = Acceptor {
         listener,
-        house,
-        places: client_places,
+        context,
+        max_connections: client_places,
         clients: clients.clone(),
     };
-    helpers.spawn(accepting.run());
-    let mut batch = Vec::with_capacity(AT_ONCE);
-    let mut shutdown = Shutdown::new(span(longest));
-    let mut reload: Option<Reload> = None;
-    let (mut swept, mut looked) = (Instant::now(), Instant::now());
-    loop {
-        let wake = clock.instant_at(here.engine.next_wake());
-        let wake = shutdown
-            .next_look(Instant::now())
-            .map_or(wake, |look| look.min(wake));
-        let wake = reload.as_ref().map_or(wake, |reload| reload.next.min(wake));
-        tokio::select! {
-            biased;
-            _ = term.recv(), if !shutdown.begun() => {
-                info!(held = here.engine.waiting_commands(), "router ends");
-                clock.begin_shutdown();
-                shutdown.begin(Instant::now());
-            }
-            _ = hup.recv() => reload = Some(Reload::asked(Instant::now())),
-            _ = sleep_until(wake) => {}
-            _ = arrivals.recv_many(&mut batch, AT_ONCE) => {}
-        }
-        // Whatever woke this task, what has arrived meanwhile is taken in as well: neither starves the other.
-        while batch.len() < AT_ONCE {
-            let Ok(arrival) = arrivals.try_recv() else {
-                break;
-            };
-            batch.push(arrival);
-        }
-        batch.drain(..).for_each(|arrival| here.take(arrival));
-        if here.engine.next_wake() <= clock.now() {
-            here.engine.on_timer(clock.now(), &mut here.links);
-        }
-        if let Some(due) = reload.as_mut().filter(|r| r.next <= Instant::now()) {
-            let (fresh, done) = due.read(&program);
-            if let Some(fresh) = fresh {
-                info!(discovery = %fresh.discovery, deployer = %fresh.deployer, "configuration read again");
-                discovery.send_if_modified(|at| {
-                    std::mem::replace(at, fresh.discovery) != fresh.discovery
-                });
-                let deployer = &here.links.deployer;
-                deployer
-                    .send_if_modified(|at| std::mem::replace(at, fresh.deployer) != fresh.deployer);
-            }
-            reload = reload.filter(|_| !done);
-        }
-        if swept.elapsed() > unused_most.min(Duration::from_secs(1)) {
-            swept = Instant::now();
-            here.links
-                .hosts
-                .values_mut()
-                .for_each(|host| host.unused.expire(unused_most));
-        }
-        if looked.elapsed() > LOOKED_EVERY {
-            looked = Instant::now();
-            here.look(host_places);
-        }
-        match shutdown.step(
-            Instant::now(),
-            here.engine.waiting_commands(),
-            clients.len(),
-        ) {
-            Step::Wait => {}
-            Step::Close => {
-                let _ = leave.send(true);
-                here.give(Input::Close);
-            }
-            Step::GiveUp => here.give(Input::AbortAll),
-            Step::End => break,
-        }
-    }
+    tasks.spawn(acceptor.run());
+    let task = EngineTask {
+        program,
+        state,
+        events: event_queue,
+        signals,
+        discovery_address,
+        closing,
+        clients,
+        shutdown: Shutdown::new(derived.longest_timeout),
+        reload: None,
+        idle_timeout: derived.idle_timeout,
+        max_host_connections: host_places,
+        expired_at: Instant::now(),
+        logged_at: Instant::now(),
+    };
+    task.run().await;
     info!("router has ended");
     Ok(())
 }
 
-#[cfg(test)]
-#[path = "../tests/unit/serve.rs"]
-mod tests;
+fn transport(
+    configuration: &Configuration,
+    derived: &Derived,
+    context: Arc<ListenerContext>,
+    controller_address: watch::Sender<SocketAddr>,
+) -> PlatformTransport {
+    let upstream = UpstreamConfig {
+        clock: context.clock.clone(),
+        events: context.events.clone(),
+        connect_timeout: derived.connect_timeout,
+        send_latency: SendLatency::default(),
+    };
+    PlatformTransport {
+        context,
+        upstream: Arc::new(upstream),
+        pending: HashMap::new(),
+        pending_ids: HashSet::new(),
+        hosts: HashMap::new(),
+        open_deliveries: HashMap::new(),
+        permits: Arc::new(Semaphore::new(derived.limits.hosts)),
+        idle_lifetime: IdleLifetime::default(),
+        controller_address,
+        vote_timeout: to_duration(configuration.told.terms.vote_timeout),
+    }
+}
+
+/// The engine, told what the configuration says of hosts and rollout.
+fn engine_state(
+    configuration: Configuration,
+    program: &PlatformProgram,
+    derived: &Derived,
+    mut transport: PlatformTransport,
+    clock: Arc<Clock>,
+) -> EngineState {
+    let config = EngineConfig {
+        service: configuration.told.terms,
+        answer_margin: to_micros(program.answer_margin),
+        // A connection holds one command at a time.
+        max_waiting: derived.limits.clients,
+    };
+    let engine = Engine::new(config, configuration.seed, clock.now(), &mut transport);
+    let forget_after = to_micros(derived.longest_timeout).max(1);
+    let mut state = EngineState {
+        engine,
+        transport,
+        endpoints: EndpointTable::new(configuration.told.zones, forget_after),
+        clock,
+    };
+    if let Some(known) = configuration.known {
+        state.on_listing(known, true);
+    }
+    if let Some(status) = configuration.news {
+        state.on_rollout_status(status);
+    }
+    state
+}
--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -94,14 +94,17 @@
             std::future::pending::<()>().await
         });
     }
-    let (core, mut arrivals) = mpsc::channel(1);
-    core.send(Arrival::ClientGone(0)).await.unwrap();
+    let (events, mut arrivals) = mpsc::channel(1);
+    events
+        .send(EngineEvent::ClientDisconnected(0))
+        .await
+        .unwrap();
     let (moves, address) = watch::channel(addresses[0]);
     let backoff = Backoff::new(1, 0, FIRST_PAUSE, LONGEST_PAUSE);
-    let watching = Watching {
+    let watching = DiscoveryWatch {
         address,
         clock: Clock::starting_now(),
-        core,
+        events,
         after: 7,
         backoff,
     };
@@ -116,9 +119,9 @@
     );
     assert!(matches!(
         arrivals.recv().await,
-        Some(Arrival::ClientGone(0))
+        Some(EngineEvent::ClientDisconnected(0))
     ));
     assert!(
-        matches!(arrivals.recv().await, Some(Arrival::Listed(listing)) if listing.revision == 41)
+        matches!(arrivals.recv().await, Some(EngineEvent::EndpointsListed(listing)) if listing.revision == 41)
     );
 }
--- a/crates/spokeflow-platform/tests/unit/serve.rs
+++ b/crates/spokeflow-platform/tests/unit/limits.rs
@@ -3,16 +3,13 @@
 use super::*;
 
 fn parts(sockets: u64, fleet: u32, hosts: usize, in_flight: f64) -> (usize, usize) {
-    shares(
-        &Limits {
-            cores: 1.0,
-            memory_mb: 64,
-            sockets,
-        },
-        fleet,
-        hosts,
-        in_flight,
-    )
+    let limits = Limits {
+        cores: 1.0,
+        memory_mb: 64,
+        sockets,
+    };
+    let connections = ConnectionLimits::new(&limits, fleet, hosts, in_flight);
+    (connections.clients, connections.hosts)
 }
 
 /// Two thirds and one third whatever was told: a router of few that meets a thousand hosts went on making
--- a/crates/spokeflow-platform/tests/unit/shutdown.rs
+++ b/crates/spokeflow-platform/tests/unit/shutdown.rs
@@ -8,7 +8,7 @@
     let mut shutdown = Shutdown::new(longest);
     let at = Instant::now();
     assert_eq!(shutdown.step(at, 0, 0), Step::Wait);
-    assert_eq!(shutdown.next_look(at), None);
+    assert_eq!(shutdown.next_check(at), None);
     shutdown.begin(at);
     (shutdown, at)
 }
@@ -36,7 +36,7 @@
     for (longest, by) in [(60_000, 3_700), (4_000, 3_700), (600, 1_300)] {
         let (mut shutdown, at) = begun(longest * MS);
         assert_eq!(shutdown.step(at + 500 * MS, 3, 3), Step::Close);
-        let given_up = (500..by).find(|ms| shutdown.step(at + *ms * MS, 3, 3) == Step::GiveUp);
+        let given_up = (500..by).find(|ms| shutdown.step(at + *ms * MS, 3, 3) == Step::AbortAll);
         assert!(
             given_up.is_some_and(|ms| by - ms >= 100),
             "{longest}: {given_up:?}"
--- a/crates/spokeflow-platform/tests/unit/hosts.rs
+++ b/crates/spokeflow-platform/tests/unit/unread.rs
@@ -1,6 +1,7 @@
 //! What the system holds for a connection.
 
 use std::io::Write;
+use std::time::Duration;
 
 use super::*;
 
@@ -14,12 +15,14 @@
         .unwrap();
     let (mut host, _) = listener.accept().unwrap();
     host.set_nodelay(true).unwrap();
-    assert_eq!(waits(&stream), Waits::Nothing);
+    assert_eq!(unread_state(&stream), UnreadState::Nothing);
     host.write_all(b"x").unwrap();
     // No await from here on: the runtime does not get to wait.
     let begun = std::time::Instant::now();
-    while waits(&stream) == Waits::Nothing && begun.elapsed() < Duration::from_secs(5) {}
-    assert_eq!(waits(&stream), Waits::Bytes);
+    while unread_state(&stream) == UnreadState::Nothing && begun.elapsed() < Duration::from_secs(5)
+    {
+    }
+    assert_eq!(unread_state(&stream), UnreadState::Bytes);
     let mut byte = [0];
     assert!(
         stream.try_read(&mut byte).is_err(),
@@ -28,6 +31,8 @@
     stream.readable().await.unwrap();
     assert_eq!(stream.try_read(&mut byte).unwrap(), 1);
     drop(host);
-    while waits(&stream) == Waits::Nothing && begun.elapsed() < Duration::from_secs(5) {}
-    assert_eq!(waits(&stream), Waits::End);
+    while unread_state(&stream) == UnreadState::Nothing && begun.elapsed() < Duration::from_secs(5)
+    {
+    }
+    assert_eq!(unread_state(&stream), UnreadState::End);
 }
