--- a/crates/spokeflow-experiments/src/agree.rs
+++ b/crates/spokeflow-experiments/src/agree.rs
@@ -29,7 +29,7 @@
     let percent = |n: u64, r: &Report| 100.0 * n as f64 / r.commands.max(1) as f64;
     let lost = |r: &Report| r.failed + r.given_up + r.unreachable;
     let builds = |r: &Report| {
-        let end = |b: &spokeflow_scenario::report::BuildStory| {
+        let end = |b: &spokeflow_scenario::report::BuildSummary| {
             let after = b.after_s.map(|s| format!(" {s:.0} s")).unwrap_or_default();
             let end = if b.end.starts_with("taken") {
                 "taken off"
--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use comfy_table::Table;
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::{play_agreement, AgreementDay, AgreementPlayed};
+use spokeflow_simulator::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
 
 #[derive(Args)]
 pub struct AgreementFlags {
@@ -42,8 +42,8 @@
 
 /// Plays them and prints a table. `false`: something did not hold, told with the day.
 pub fn agreement(flags: &AgreementFlags) -> bool {
-    let days: Vec<AgreementDay> = (0..flags.days)
-        .map(|n| AgreementDay {
+    let days: Vec<ControlPlaneScenario> = (0..flags.days)
+        .map(|n| ControlPlaneScenario {
             routers: flags.routers[n as usize % flags.routers.len()],
             keepers: flags.keepers[n as usize / flags.routers.len() % flags.keepers.len()],
             seed: flags.seed + n,
@@ -88,14 +88,14 @@
         "state bytes",
     ]);
     for &routers in &flags.routers {
-        let of: Vec<&AgreementPlayed> = all
+        let of: Vec<&ControlPlaneRun> = all
             .iter()
             .filter(|d| d.0.routers == routers)
             .map(|d| &d.1)
             .collect();
         let mut waits: Vec<Micros> = of.iter().flat_map(|p| p.waits.iter().copied()).collect();
         waits.sort_unstable();
-        let sum = |f: fn(&AgreementPlayed) -> u64| of.iter().map(|p| f(p)).sum::<u64>();
+        let sum = |f: fn(&ControlPlaneRun) -> u64| of.iter().map(|p| f(p)).sum::<u64>();
         let longest = of
             .iter()
             .map(|p| p.longest_contradiction)
--- a/crates/spokeflow-experiments/src/charts.rs
+++ b/crates/spokeflow-experiments/src/charts.rs
@@ -253,7 +253,7 @@
         let panels = area.split_evenly((3, 2));
         let by =
             |names: Vec<&String>,
-             of: &dyn Fn(&spokeflow_scenario::report::Stretch, usize) -> [f64; 2]| {
+             of: &dyn Fn(&spokeflow_scenario::report::Interval, usize) -> [f64; 2]| {
                 let line = |(n, name): (usize, &&String)| {
                     let points = r.over_time.iter().filter_map(|s| {
                         let [asked, good] = of(s, n);
@@ -269,7 +269,7 @@
         let customers = by(r.by_customer.iter().map(|o| &o.0).collect(), &|s, n| {
             [s.asked_by_customer[n], s.good_by_customer[n]]
         });
-        let one = |name: &str, f: &dyn Fn(&spokeflow_scenario::report::Stretch) -> f64| -> Line {
+        let one = |name: &str, f: &dyn Fn(&spokeflow_scenario::report::Interval) -> f64| -> Line {
             (
                 name.to_string(),
                 r.over_time.iter().map(|s| (s.at_s, f(s))).collect(),
--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -1,9 +1,9 @@
 //! Searches drawn days for those that break a rule or lose most against full sight, and shrinks them: what can
 //! be left out without losing what was found is left out.
 
-use spokeflow_scenario::scenario::{Cancel, Flaw, Scenario};
+use spokeflow_scenario::scenario::{BuildDefect, CancelPolicy, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::{play, Who};
+use spokeflow_simulator::{play, StrategyKind};
 
 /// What a day was found for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,10 +15,12 @@
 }
 
 pub fn judge(day: &Scenario) -> Found {
-    let report = play(day, Who::Engine, false).report;
+    let report = play(day, StrategyKind::Engine, false).report;
     match report.broken.first() {
         Some(b) => Found::Rule(b.rule),
-        None => Found::Loss(play(day, Who::FullSight, false).report.service - report.service),
+        None => {
+            Found::Loss(play(day, StrategyKind::FullSight, false).report.service - report.service)
+        }
     }
 }
 
@@ -26,7 +28,7 @@
     /// Whether a smaller day shows the same.
     fn holds(self, day: &Scenario) -> bool {
         match self {
-            Found::Rule(rule) => play(day, Who::Engine, false)
+            Found::Rule(rule) => play(day, StrategyKind::Engine, false)
                 .report
                 .broken
                 .iter()
@@ -72,7 +74,7 @@
             |d| d.cache_keys = 0,
             |d| d.thrash = 0.0,
             |d| (d.neighbours, d.steal) = (0, 0.0),
-            |d| d.cancel = Cancel::Stops,
+            |d| d.cancel = CancelPolicy::Stops,
             |d| d.key_skew = 0.7,
         ];
         for habit in habits {
@@ -146,7 +148,7 @@
     habit("neighbours", f64::from(day.neighbours));
     habit("steal", day.steal);
     flags.push(format!("--key-skew {}", day.key_skew));
-    if day.cancel != Cancel::Stops {
+    if day.cancel != CancelPolicy::Stops {
         let cancel = serde_json::to_value(day.cancel).ok();
         let cancel = cancel
             .and_then(|c| c.as_str().map(str::to_string))
@@ -162,7 +164,7 @@
         .builds
         .iter()
         .skip(1)
-        .filter(|b| b.flaw != Flaw::None)
+        .filter(|b| b.flaw != BuildDefect::None)
         .map(|b| format!("{:?}", b.flaw));
     let troubles = day.troubles.iter().map(|t| t.kind.name());
     let all: Vec<String> = flaws.chain(troubles).collect();
@@ -176,13 +178,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use spokeflow_scenario::scenario::Kind;
+    use spokeflow_scenario::scenario::FaultKind;
 
     #[test]
     fn a_day_is_shrunk_to_what_matters() {
         // What loses here is the bad build alone; a list that is late for a moment has no part in it.
-        let mut day = Scenario::only(Kind::BadBuild, 4, 40 * SECOND);
-        day.builds[1].flaw = Flaw::Wrong(0.9);
+        let mut day = Scenario::only(FaultKind::BadBuild, 4, 40 * SECOND);
+        day.builds[1].flaw = BuildDefect::Wrong(0.9);
         day.troubles
             .push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
         day.troubles
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -8,10 +8,10 @@
 use spokeflow_experiments::store::{Store, Stored};
 use spokeflow_experiments::{agree, agreement, alone, charts, compare, hunt, sweep, tables};
 use spokeflow_router::{main_with, RouterProgram};
-use spokeflow_scenario::flags::{DayFlags, SizeFlags};
-use spokeflow_scenario::scenario::{Scenario, Size};
+use spokeflow_scenario::flags::{ScenarioFlags, SizeFlags};
+use spokeflow_scenario::scenario::{FleetSize, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::{play, Who};
+use spokeflow_simulator::{play, StrategyKind};
 use spokeflow_testbed::load::{load, pass_through, LoadFlags};
 use spokeflow_testbed::routers::Starting;
 
@@ -68,10 +68,10 @@
 #[derive(Args)]
 struct RunFlags {
     #[command(flatten)]
-    day: DayFlags,
-    /// Who decides: engine, random, round-robin, two-choices or full-sight
+    day: ScenarioFlags,
+    /// StrategyKind decides: engine, random, round-robin, two-choices or full-sight
     #[arg(long, env = "SPOKEFLOW_LAB_WHO", default_value = "engine")]
-    who: Who,
+    who: StrategyKind,
     /// Changes of the terms, NAME=VALUE joined by +
     #[arg(long, env = "SPOKEFLOW_LAB_TERMS", default_value = "usual")]
     terms: Terms,
@@ -156,9 +156,9 @@
     /// Seconds in which commands are sent
     #[arg(long, env = "SPOKEFLOW_LAB_SECONDS", default_value_t = 90)]
     seconds: u64,
-    /// Size of the days
+    /// FleetSize of the days
     #[arg(long, env = "SPOKEFLOW_DAY_SIZE", value_enum, default_value = "small")]
-    size: Size,
+    size: FleetSize,
     /// A share of all routers must vote, and routers tell each other what they see
     #[arg(long, env = "SPOKEFLOW_LAB_MAJORITY")]
     majority: bool,
@@ -482,7 +482,7 @@
             eprintln!("{} seed {}", day.name, day.seed);
             rows.push(agree::Pair {
                 sockets: played?.report,
-                simulated: play(day, Who::Engine, false).report,
+                simulated: play(day, StrategyKind::Engine, false).report,
             });
         }
     }
--- a/crates/spokeflow-experiments/src/plan.rs
+++ b/crates/spokeflow-experiments/src/plan.rs
@@ -4,16 +4,16 @@
 use std::str::FromStr;
 
 use clap::{Args, ValueEnum};
-use spokeflow_scenario::flags::{Built, SizeFlags};
-use spokeflow_scenario::scenario::{Kind, Scenario, Size};
+use spokeflow_scenario::flags::{BuiltInScenario, SizeFlags};
+use spokeflow_scenario::scenario::{FaultKind, FleetSize, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::Who;
+use spokeflow_simulator::StrategyKind;
 
 /// A built-in day, or `only:KIND`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Which {
-    Built(Built),
-    Only(Kind),
+    Built(BuiltInScenario),
+    Only(FaultKind),
 }
 
 impl fmt::Display for Which {
@@ -30,9 +30,10 @@
     fn from_str(text: &str) -> Result<Self, String> {
         match text.strip_prefix("only:") {
             Some(kind) => Ok(Which::Only(kind.parse()?)),
-            None => Ok(Which::Built(Built::from_str(text, false).map_err(
-                |_| format!("'{text}' is not plain, bad-day, drawn or only:KIND"),
-            )?)),
+            None => Ok(Which::Built(
+                BuiltInScenario::from_str(text, false)
+                    .map_err(|_| format!("'{text}' is not plain, bad-day, drawn or only:KIND"))?,
+            )),
         }
     }
 }
@@ -41,9 +42,9 @@
     pub fn day(self, seed: u64, length: Micros) -> Scenario {
         match self {
             Which::Only(kind) => Scenario::only(kind, seed, length),
-            Which::Built(Built::Plain) => Scenario::plain(seed, length),
-            Which::Built(Built::BadDay) => Scenario::bad_day(seed, length),
-            Which::Built(Built::Drawn) => Scenario::drawn(seed, length),
+            Which::Built(BuiltInScenario::Plain) => Scenario::plain(seed, length),
+            Which::Built(BuiltInScenario::BadDay) => Scenario::bad_day(seed, length),
+            Which::Built(BuiltInScenario::Drawn) => Scenario::drawn(seed, length),
         }
     }
 }
@@ -151,7 +152,7 @@
         value_enum,
         default_value = "small"
     )]
-    pub sizes: Vec<Size>,
+    pub sizes: Vec<FleetSize>,
     /// Changes of the terms, each usual or NAME=VALUE joined by +, split by commas; NAME is bake, drain-grace,
     /// exposure-span, warm-within (times in s), exposure-free, slack, reported, retries or forward-only
     #[arg(
@@ -161,14 +162,14 @@
         default_value = "usual"
     )]
     pub terms: Vec<Terms>,
-    /// Who decides: engine, random, round-robin, two-choices, full-sight; split by commas
+    /// StrategyKind decides: engine, random, round-robin, two-choices, full-sight; split by commas
     #[arg(
         long,
         env = "SPOKEFLOW_LAB_WHO",
         value_delimiter = ',',
         default_value = "engine,random,two-choices,full-sight"
     )]
-    pub who: Vec<Who>,
+    pub who: Vec<StrategyKind>,
     /// Seconds in which commands are sent
     #[arg(long, env = "SPOKEFLOW_LAB_SECONDS", default_value_t = 120)]
     pub seconds: u64,
@@ -184,7 +185,7 @@
     pub seed: u64,
     pub size: String,
     pub terms: String,
-    pub who: Who,
+    pub who: StrategyKind,
     pub scenario: Scenario,
 }
 
--- a/crates/spokeflow-experiments/src/store.rs
+++ b/crates/spokeflow-experiments/src/store.rs
@@ -88,13 +88,13 @@
     use super::*;
     use spokeflow_scenario::scenario::Scenario;
     use spokeflow_scenario::SECOND;
-    use spokeflow_simulator::{play, Who};
+    use spokeflow_simulator::{play, StrategyKind};
 
     #[test]
     fn what_was_put_is_there_after_another_opening_and_damage_is_named() {
         let file =
             std::env::temp_dir().join(format!("spokeflow-store-{}.redb", std::process::id()));
-        let report = play(&Scenario::plain(1, 5 * SECOND), Who::Engine, false).report;
+        let report = play(&Scenario::plain(1, 5 * SECOND), StrategyKind::Engine, false).report;
         let text = |t: &str| t.to_string();
         let stored = Stored {
             build: text("b1"),
--- a/crates/spokeflow-experiments/src/tables.rs
+++ b/crates/spokeflow-experiments/src/tables.rs
@@ -161,11 +161,11 @@
     use super::*;
     use spokeflow_scenario::scenario::Scenario;
     use spokeflow_scenario::SECOND;
-    use spokeflow_simulator::{play, Who};
+    use spokeflow_simulator::{play, StrategyKind};
 
     #[test]
     fn scores_lie_between_random_and_full_sight_on_the_days_that_both_played() {
-        let report = play(&Scenario::plain(1, 5 * SECOND), Who::Engine, false).report;
+        let report = play(&Scenario::plain(1, 5 * SECOND), StrategyKind::Engine, false).report;
         let stored = |who: &str, seed, service| {
             let mut report = report.clone();
             report.service = service;
--- a/crates/spokeflow-experiments/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -201,7 +201,7 @@
 /// The bound is wide, since sockets share a small machine with other tests; `spokeflow-experiments agree` measures.
 #[test]
 fn days_on_sockets_and_in_simulated_time_agree() {
-    use spokeflow_scenario::scenario::Kind;
+    use spokeflow_scenario::scenario::FaultKind;
     use spokeflow_testbed::routers::Starting;
     let program = env!("CARGO_BIN_EXE_spokeflow-experiments").into();
     let starting = Starting {
@@ -210,7 +210,7 @@
         logs: None,
         log: "info".into(),
     };
-    let days = [Kind::None, Kind::Cut, Kind::Kill].map(|kind| {
+    let days = [FaultKind::None, FaultKind::Cut, FaultKind::Kill].map(|kind| {
         let mut day = Scenario::only(kind, 11, 12 * SECOND);
         day.at_rate(30.0);
         day
@@ -232,7 +232,7 @@
     });
     for (day, sockets) in days.iter().zip(played) {
         let simulated =
-            spokeflow_simulator::play(day, spokeflow_simulator::Who::Engine, false).report;
+            spokeflow_simulator::play(day, spokeflow_simulator::StrategyKind::Engine, false).report;
         assert!(
             sockets.sound() && simulated.sound(),
             "{}{}",
--- a/crates/spokeflow-scenario/src/board.rs
+++ b/crates/spokeflow-scenario/src/board.rs
@@ -20,14 +20,14 @@
 const REMEMBERED: usize = 4096;
 
 #[derive(Default)]
-pub struct Board {
+pub struct EndpointRegistry {
     entries: BTreeMap<u32, Entry>,
     version: u64,
     log: VecDeque<(u64, u32)>,
     coming: Vec<(Micros, Entry)>,
 }
 
-impl Board {
+impl EndpointRegistry {
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -113,7 +113,7 @@
 
     #[test]
     fn one_who_missed_too_much_is_told_all_and_the_gone_are_forgotten() {
-        let mut board = Board::default();
+        let mut board = EndpointRegistry::default();
         board.know_at(1, entry(1, Phase::Ready));
         board.know_at(1, entry(2, Phase::Ready));
         board.tick(5);
@@ -130,7 +130,7 @@
 
     #[test]
     fn what_is_learned_of_one_host_is_learned_in_order() {
-        let mut board = Board::default();
+        let mut board = EndpointRegistry::default();
         board.know_at(100, entry(1, Phase::Ready));
         assert_eq!(board.know_at(50, entry(1, Phase::Gone)), 101);
         board.tick(200);
--- a/crates/spokeflow-scenario/src/check.rs
+++ b/crates/spokeflow-scenario/src/check.rs
@@ -10,14 +10,14 @@
 use serde::Serialize;
 
 use crate::scenario::{Repeat, Scenario};
-use crate::seen::{AnswerKind, Phase, Process, ReplyKind, Seen, Standing};
+use crate::seen::{AnswerKind, Observation, Phase, Process, ReplyKind, Standing};
 use crate::{Micros, MS, SECOND};
 
 /// The connect timeout of the routers of a day: what takes longer to connect was never sent.
 const CONNECTING: Micros = 250 * MS;
 
 #[derive(Clone, Debug)]
-pub struct RuleTerms {
+pub struct RuleConfig {
     pub repeats: Vec<Repeat>,
     pub drain_grace: Micros,
     pub exposure_free: f64,
@@ -32,9 +32,9 @@
     pub linger: Micros,
 }
 
-impl RuleTerms {
-    pub fn of(day: &Scenario) -> RuleTerms {
-        RuleTerms {
+impl RuleConfig {
+    pub fn of(day: &Scenario) -> RuleConfig {
+        RuleConfig {
             repeats: day.ops.iter().map(|op| op.repeat).collect(),
             drain_grace: day.drain_grace,
             exposure_free: day.exposure_free,
@@ -69,10 +69,10 @@
     pub messages: Vec<String>,
 }
 
-type Trace = [(Micros, Seen)];
+type Trace = [(Micros, Observation)];
 
 /// All breaks, in the order of their times, with the messages that concern the first ones.
-pub fn check(terms: &RuleTerms, seen: &Trace) -> Vec<Broken> {
+pub fn check(terms: &RuleConfig, seen: &Trace) -> Vec<Broken> {
     let mut checker = Checker::new(terms.clone());
     seen.iter().for_each(|(at, s)| checker.see(*at, s));
     let mut broken = checker.finish();
@@ -90,18 +90,18 @@
 
 /// Messages that concern a try or host: `named` holds `try N` or `host N`.
 fn messages(seen: &Trace, named: &[String], at: Micros) -> Vec<String> {
-    let concerns = |s: &Seen| match s {
-        Seen::Taken { tried, .. }
-        | Seen::Answered { tried, .. }
-        | Seen::Left { tried }
-        | Seen::Delivered { tried, .. }
-        | Seen::Replied { tried, .. }
-        | Seen::Ran { tried, .. } => named.contains(&format!("try {tried}")),
-        Seen::Listed { lines, .. } => lines
+    let concerns = |s: &Observation| match s {
+        Observation::Taken { tried, .. }
+        | Observation::Answered { tried, .. }
+        | Observation::Left { tried }
+        | Observation::Delivered { tried, .. }
+        | Observation::Replied { tried, .. }
+        | Observation::Ran { tried, .. } => named.contains(&format!("try {tried}")),
+        Observation::Listed { lines, .. } => lines
             .iter()
             .any(|l| named.contains(&format!("host {}", l.0))),
-        Seen::Fell { host } => named.contains(&format!("host {host}")),
-        Seen::News { to, .. } => named.contains(&format!("router {}", to.router)),
+        Observation::Fell { host } => named.contains(&format!("host {host}")),
+        Observation::News { to, .. } => named.contains(&format!("router {}", to.router)),
         _ => false,
     };
     let near = seen
@@ -119,7 +119,7 @@
     op: usize,
     key: u64,
     deadline: Micros,
-    /// Begun when its router had been told to end, or judged without an answer.
+    /// StartedJob when its router had been told to end, or judged without an answer.
     excused: bool,
     left: bool,
     answered: bool,
@@ -146,7 +146,7 @@
 }
 
 pub struct Checker {
-    terms: RuleTerms,
+    terms: RuleConfig,
     now: Micros,
     tries: HashMap<u64, Try>,
     /// Deadlines of tries, then when they are forgotten.
@@ -162,7 +162,7 @@
 }
 
 impl Checker {
-    pub fn new(terms: RuleTerms) -> Checker {
+    pub fn new(terms: RuleConfig) -> Checker {
         Checker {
             terms,
             now: 0,
@@ -198,11 +198,11 @@
     }
 
     /// Times never go back.
-    pub fn see(&mut self, at: Micros, seen: &Seen) {
+    pub fn see(&mut self, at: Micros, seen: &Observation) {
         self.pass(at);
         self.seen += 1;
         match seen {
-            Seen::Taken {
+            Observation::Taken {
                 by,
                 tried,
                 command,
@@ -229,18 +229,18 @@
                 self.tries.insert(*tried, t);
                 self.due.insert((deadline, *tried));
             }
-            Seen::Answered {
+            Observation::Answered {
                 by,
                 tried,
                 kind,
                 build,
             } => self.answered(at, *by, *tried, *kind, *build),
-            Seen::Left { tried } => {
+            Observation::Left { tried } => {
                 if let Some(t) = self.tries.get_mut(tried) {
                     t.left = true;
                 }
             }
-            Seen::Delivered {
+            Observation::Delivered {
                 host,
                 build,
                 from,
@@ -251,7 +251,7 @@
                 self.delivered_where(at, *from, *host, *tried);
                 self.exposed(at, *from, *host, *build, *tried);
             }
-            Seen::Replied {
+            Observation::Replied {
                 tried,
                 delivery,
                 kind: ReplyKind::Full,
@@ -264,10 +264,10 @@
                         .for_each(|d| d.2 = true);
                 }
             }
-            Seen::Ran {
+            Observation::Ran {
                 tried, command, op, ..
             } => self.ran(at, *tried, *command, usize::from(*op)),
-            Seen::Listed { to, whole, lines } => {
+            Observation::Listed { to, whole, lines } => {
                 let view = self.views.entry(*to).or_default();
                 if *whole {
                     view.whole.get_or_insert(at);
@@ -287,7 +287,7 @@
                     };
                 }
             }
-            Seen::News {
+            Observation::News {
                 to,
                 build,
                 standing,
@@ -302,10 +302,10 @@
                 view.answered
                     .retain(|_, a| a.0 > *build || a.0 == *build && !back);
             }
-            Seen::RouterKilled(p) => self.views.entry(*p).or_default().killed = Some(at),
-            Seen::RouterAsked(p) => self.views.entry(*p).or_default().asked = Some(at),
+            Observation::RouterKilled(p) => self.views.entry(*p).or_default().killed = Some(at),
+            Observation::RouterAsked(p) => self.views.entry(*p).or_default().asked = Some(at),
             // Rule 4: no cold host is pushed over.
-            Seen::Fell { host } => {
+            Observation::Fell { host } => {
                 let what = format!("cold host {host} was sent more than it can bear");
                 self.found(4, at, what, vec![format!("host {host}")]);
             }
@@ -570,7 +570,7 @@
     }
 }
 
-fn over_cap(terms: &RuleTerms, view: &View, at: Micros, build: u16) -> Option<String> {
+fn over_cap(terms: &RuleConfig, view: &View, at: Micros, build: u16) -> Option<String> {
     let free =
         |n: &(Micros, u16, Standing, f64)| n.1 > build || n.1 == build && n.2 == Standing::Released;
     let mut recent = view.states(at, terms.slack).peekable();
@@ -621,15 +621,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::seen::Seen::*;
+    use crate::seen::Observation::*;
 
     const P: Process = Process {
         router: 0,
         start: 0,
     };
 
-    fn terms() -> RuleTerms {
-        RuleTerms {
+    fn terms() -> RuleConfig {
+        RuleConfig {
             repeats: vec![
                 Repeat::Redeliverable,
                 Repeat::Deduplicated(5 * SECOND),
@@ -646,7 +646,7 @@
         }
     }
 
-    fn taken(tried: u64, op: u16) -> Seen {
+    fn taken(tried: u64, op: u16) -> Observation {
         Taken {
             by: P,
             tried,
@@ -657,7 +657,7 @@
         }
     }
 
-    fn delivered(tried: u64, host: u32, delivery: u64) -> Seen {
+    fn delivered(tried: u64, host: u32, delivery: u64) -> Observation {
         Delivered {
             host,
             build: 1,
@@ -667,7 +667,7 @@
         }
     }
 
-    fn answered(tried: u64, kind: AnswerKind) -> Seen {
+    fn answered(tried: u64, kind: AnswerKind) -> Observation {
         Answered {
             by: P,
             tried,
@@ -677,19 +677,19 @@
     }
 
     /// Rules broken by what was seen at these milliseconds.
-    fn rules(seen: &[(Micros, Seen)]) -> Vec<u8> {
+    fn rules(seen: &[(Micros, Observation)]) -> Vec<u8> {
         let seen: Vec<_> = seen.iter().map(|(t, s)| (t * MS, s.clone())).collect();
         check(&terms(), &seen).iter().map(|b| b.rule).collect()
     }
 
     /// The same for traces that leave out answers, which these tests are not about.
-    fn others(seen: &[(Micros, Seen)]) -> Vec<u8> {
+    fn others(seen: &[(Micros, Observation)]) -> Vec<u8> {
         rules(seen).into_iter().filter(|rule| *rule != 1).collect()
     }
 
     #[test]
     fn one_answer_in_time_is_owed() {
-        let end = (9_000, Trouble { what: "end".into() });
+        let end = (9_000, Fault { what: "end".into() });
         let (ack, nack) = (
             answered(1, AnswerKind::Acked),
             answered(1, AnswerKind::Nacked),
@@ -850,7 +850,7 @@
         seen.extend((0..4).map(|n| (5_100 + 10 * n, delivered(n as u64 + 2, 1, n as u64 + 2))));
         let count = |connecting| {
             let seen: Vec<_> = seen.iter().map(|(t, s)| (t * MS, s.clone())).collect();
-            let terms = RuleTerms {
+            let terms = RuleConfig {
                 connecting,
                 ..terms()
             };
--- a/crates/spokeflow-scenario/src/desk.rs
+++ b/crates/spokeflow-scenario/src/desk.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ControllerVote {
     None,
     On,
     Hold,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counted {
+pub enum VoteOutcome {
     Counted,
     Moot,
     TooMany,
@@ -32,7 +32,7 @@
 
 /// A place in the fleet and the hosts that fill it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct HostSlot {
     pub host: u32,
     pub build: u16,
     /// A host that is starting to take over.
@@ -41,14 +41,14 @@
 
 /// What the fleet is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum FleetOrder {
     Start { host: u32, place: usize, build: u16 },
     Drain { host: u32 },
 }
 
-pub struct Desk {
+pub struct ReleaseController {
     pub state: State,
-    pub places: Vec<Place>,
+    pub places: Vec<HostSlot>,
     shares: Vec<f64>,
     caps: Vec<f64>,
     gate: Gate,
@@ -60,7 +60,7 @@
     /// When all machines of the stage ran.
     complete: Option<Micros>,
     launched: Micros,
-    votes: BTreeMap<u32, (u16, u8, Verdict, Micros)>,
+    votes: BTreeMap<u32, (u16, u8, ControllerVote, Micros)>,
     allowance: (Micros, f64),
 }
 
@@ -69,16 +69,16 @@
 const SETTLE: Micros = SECOND;
 const LATEST: Micros = 8 * SECOND;
 
-impl Desk {
-    pub fn new(day: &Scenario) -> Desk {
+impl ReleaseController {
+    pub fn new(day: &Scenario) -> ReleaseController {
         let places = (0..day.hosts)
-            .map(|host| Place {
+            .map(|host| HostSlot {
                 host,
                 build: 1,
                 next: None,
             })
             .collect();
-        Desk {
+        ReleaseController {
             state: State {
                 build: 1,
                 stage: 0,
@@ -103,7 +103,7 @@
     }
 
     /// Offers a build. `false`: one is still on trial or going back; that is taken off first.
-    pub fn offer(&mut self, now: Micros, build: u16, orders: &mut Vec<Order>) -> bool {
+    pub fn offer(&mut self, now: Micros, build: u16, orders: &mut Vec<FleetOrder>) -> bool {
         match self.state.standing {
             Standing::OnTrial => {
                 self.send_back(now, orders);
@@ -129,7 +129,7 @@
     }
 
     /// Starts successors until the stage has its share of places.
-    fn launch(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    fn launch(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let build = self.state.build;
         let share = self.shares[usize::from(self.state.stage)];
         let wanted =
@@ -152,10 +152,10 @@
         &mut self,
         most: usize,
         build: u16,
-        which: impl Fn(&Place) -> bool,
-        orders: &mut Vec<Order>,
+        which: impl Fn(&HostSlot) -> bool,
+        orders: &mut Vec<FleetOrder>,
     ) {
-        let chosen = |p: &&mut Place| p.next.is_none() && which(p);
+        let chosen = |p: &&mut HostSlot| p.next.is_none() && which(p);
         // Spread over the fleet, so that a stage is not one site.
         let step = (self.places.len() / most.max(1)).max(1);
         let order: Vec<usize> = (0..step)
@@ -166,7 +166,7 @@
             let p = &mut self.places[place];
             if left > 0 && chosen(&p) {
                 p.next = Some((self.next_host, build));
-                orders.push(Order::Start {
+                orders.push(FleetOrder::Start {
                     host: self.next_host,
                     place,
                     build,
@@ -178,7 +178,7 @@
     }
 
     /// A host runs: it takes its place, and the one before is drained.
-    pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<Order>) {
+    pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
         let Some(p) = self
             .places
             .iter_mut()
@@ -186,7 +186,7 @@
         else {
             return;
         };
-        orders.push(Order::Drain { host: p.host });
+        orders.push(FleetOrder::Drain { host: p.host });
         let build = p.next.take().map_or(p.build, |n| n.1);
         (p.host, p.build) = (host, build);
         if self.places.iter().all(|p| p.next.is_none()) {
@@ -194,7 +194,7 @@
         }
     }
 
-    pub fn send_back(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let bad = self.state.build;
         self.state = State {
             standing: Standing::GoingBack,
@@ -209,7 +209,7 @@
             .filter(|p| p.next.is_some_and(|n| n.1 == bad))
         {
             if let Some((host, _)) = p.next.take() {
-                orders.push(Order::Drain { host });
+                orders.push(FleetOrder::Drain { host });
             }
         }
         self.replace(self.places.len(), self.earlier, |p| p.build == bad, orders);
@@ -222,50 +222,50 @@
         from: u32,
         build: u16,
         stage: u8,
-        verdict: Verdict,
-    ) -> Counted {
+        verdict: ControllerVote,
+    ) -> VoteOutcome {
         let (at, left) = self.allowance;
         let left =
             (left + (now - at) as f64 / SECOND as f64 * VOTES_A_SECOND).min(2.0 * VOTES_A_SECOND);
         self.allowance = (now, (left - 1.0).max(0.0));
         if left < 1.0 {
-            return Counted::TooMany;
+            return VoteOutcome::TooMany;
         }
         let present = build == self.state.build;
         let fits = match verdict {
-            Verdict::Hold => false,
-            Verdict::None => true,
-            Verdict::On => {
+            ControllerVote::Hold => false,
+            ControllerVote::None => true,
+            ControllerVote::On => {
                 present && stage == self.state.stage && self.state.standing == Standing::OnTrial
             }
-            Verdict::Back => {
+            ControllerVote::Back => {
                 present
                     && matches!(self.state.standing, Standing::OnTrial | Standing::Released)
                     && build > 1
             }
         };
         if !fits {
-            return Counted::Moot;
+            return VoteOutcome::Moot;
         }
         self.votes
             .insert(from, (build, stage, verdict, now + self.vote_life));
-        Counted::Counted
+        VoteOutcome::Counted
     }
 
     /// Moves what is due. A desk that stands still is not asked.
-    pub fn tick(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    pub fn tick(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let State {
             build,
             stage,
             standing,
             ..
         } = self.state;
-        let standing_votes = |verdict: Verdict| {
-            let counts = |v: &&(u16, u8, Verdict, Micros)| {
+        let standing_votes = |verdict: ControllerVote| {
+            let counts = |v: &&(u16, u8, ControllerVote, Micros)| {
                 v.0 == build
                     && v.2 == verdict
                     && v.3 > now
-                    && (verdict == Verdict::Back || v.1 == stage)
+                    && (verdict == ControllerVote::Back || v.1 == stage)
             };
             self.votes.values().filter(counts).count()
         };
@@ -274,7 +274,7 @@
             Gate::Majority => ((share * f64::from(self.routers)).ceil() as usize).max(1),
         };
         let sendable = matches!(standing, Standing::OnTrial | Standing::Released) && build > 1;
-        if sendable && standing_votes(Verdict::Back) >= need(0.35) {
+        if sendable && standing_votes(ControllerVote::Back) >= need(0.35) {
             return self.send_back(now, orders);
         }
         match standing {
@@ -283,7 +283,7 @@
                     .complete
                     .unwrap_or(self.launched + LATEST)
                     .min(self.launched + LATEST);
-                if now < started + self.bake || standing_votes(Verdict::On) < need(0.6) {
+                if now < started + self.bake || standing_votes(ControllerVote::On) < need(0.6) {
                     return;
                 }
                 if usize::from(stage) + 1 == self.shares.len() {
@@ -321,16 +321,16 @@
     use super::*;
 
     /// Starts what is ordered at once.
-    fn settle(desk: &mut Desk, now: Micros, orders: &mut Vec<Order>) {
+    fn settle(desk: &mut ReleaseController, now: Micros, orders: &mut Vec<FleetOrder>) {
         while let Some(order) = orders.pop() {
-            if let Order::Start { host, .. } = order {
+            if let FleetOrder::Start { host, .. } = order {
                 desk.runs(now, host, orders);
             }
         }
     }
 
-    fn desk() -> Desk {
-        Desk::new(&Scenario::plain(1, 60 * SECOND))
+    fn desk() -> ReleaseController {
+        ReleaseController::new(&Scenario::plain(1, 60 * SECOND))
     }
 
     #[test]
@@ -339,7 +339,10 @@
         assert!(desk.offer(now, 2, &mut orders));
         for stage in 0..5 {
             settle(&mut desk, now, &mut orders);
-            assert_eq!(desk.vote(now, 0, 2, stage, Verdict::On), Counted::Counted);
+            assert_eq!(
+                desk.vote(now, 0, 2, stage, ControllerVote::On),
+                VoteOutcome::Counted
+            );
             desk.tick(now + 2_900_000, &mut orders);
             assert_eq!(
                 (desk.state.stage, desk.state.standing),
@@ -358,7 +361,10 @@
         let (mut desk, mut orders) = (desk(), Vec::new());
         desk.offer(0, 2, &mut orders);
         settle(&mut desk, 0, &mut orders);
-        assert_eq!(desk.vote(1, 1, 2, 0, Verdict::Back), Counted::Counted);
+        assert_eq!(
+            desk.vote(1, 1, 2, 0, ControllerVote::Back),
+            VoteOutcome::Counted
+        );
         desk.tick(2, &mut orders);
         assert_eq!(
             (desk.state.standing, desk.state.cap),
@@ -368,7 +374,7 @@
         desk.tick(4, &mut orders);
         assert_eq!(desk.state.standing, Standing::Withdrawn);
         assert!(desk.places.iter().all(|p| p.build == 1));
-        assert_eq!(desk.vote(5, 1, 2, 0, Verdict::On), Counted::Moot);
+        assert_eq!(desk.vote(5, 1, 2, 0, ControllerVote::On), VoteOutcome::Moot);
     }
 
     #[test]
@@ -388,7 +394,7 @@
         desk.offer(0, 2, &mut orders);
         settle(&mut desk, 0, &mut orders);
         let counted = (0..500)
-            .filter(|n| desk.vote(0, *n, 2, 0, Verdict::On) == Counted::Counted)
+            .filter(|n| desk.vote(0, *n, 2, 0, ControllerVote::On) == VoteOutcome::Counted)
             .count();
         assert_eq!(counted, 50);
         desk.tick(11 * SECOND, &mut orders);
--- a/crates/spokeflow-scenario/src/faults.rs
+++ b/crates/spokeflow-scenario/src/faults.rs
@@ -1,12 +1,12 @@
 //! What troubles do to links, list, desk and clients while they last. What they do to hosts and routers is for
 //! whoever plays the day.
 
-use crate::scenario::{Kind, Scenario, Trouble};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::{Micros, MS, SECOND};
 
 /// Which links a cut or a slow way concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkDirection {
     Hosts,
     Office,
 }
@@ -19,7 +19,7 @@
 pub const RESENT_AFTER: Micros = 200 * MS;
 
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct ActiveFaults {
     pub cut_hosts: Option<u16>,
     pub cut_office: Option<u16>,
     pub slow_link: Option<(u16, Micros)>,
@@ -38,53 +38,53 @@
     pub loss: f64,
 }
 
-impl Faults {
-    /// Trouble `n` of the day begins. `false`: it concerns hosts, routers or builds.
-    pub fn begin(&mut self, day: &Scenario, n: usize, trouble: &Trouble) -> bool {
+impl ActiveFaults {
+    /// Fault `n` of the day begins. `false`: it concerns hosts, routers or builds.
+    pub fn begin(&mut self, day: &Scenario, n: usize, trouble: &Fault) -> bool {
         let site = (n as u64 + day.seed) as u16 % day.sites;
         let seconds = (trouble.size * SECOND as f64) as Micros;
         match trouble.kind {
-            Kind::Cut => (self.cut_hosts, self.cut_office) = (Some(site), Some(site)),
+            FaultKind::Cut => (self.cut_hosts, self.cut_office) = (Some(site), Some(site)),
             // The list's own site cut off leaves every other router without news.
-            Kind::CutList => self.cut_office = Some(OFFICE_SITE),
-            Kind::CutHosts => self.cut_hosts = Some(site),
-            Kind::SlowLink => self.slow_link = Some((site, seconds)),
-            Kind::LossyLinks => self.loss = trouble.size.clamp(0.0, 0.9),
-            Kind::SlowConnects => self.slow_connects = seconds,
-            Kind::StalledDesk => self.stalled_desk = true,
-            Kind::RefusingDesk => self.refusing_desk = true,
-            Kind::LateDesk => self.late_desk = seconds,
-            Kind::LateList => self.late_list = seconds,
-            Kind::ListBreaks => self.list_breaks = true,
-            Kind::Shift => self.shift = trouble.size.clamp(0.0, 1.0),
-            Kind::Worthless => self.worthless = trouble.size,
-            Kind::GiveUp => self.give_up = trouble.size.clamp(0.0, 1.0),
-            Kind::RepeatStorm => self.repeats = trouble.size,
-            Kind::HotKey => self.hot_key = trouble.size.clamp(0.0, 1.0),
+            FaultKind::CutList => self.cut_office = Some(OFFICE_SITE),
+            FaultKind::CutHosts => self.cut_hosts = Some(site),
+            FaultKind::SlowLink => self.slow_link = Some((site, seconds)),
+            FaultKind::LossyLinks => self.loss = trouble.size.clamp(0.0, 0.9),
+            FaultKind::SlowConnects => self.slow_connects = seconds,
+            FaultKind::StalledDesk => self.stalled_desk = true,
+            FaultKind::RefusingDesk => self.refusing_desk = true,
+            FaultKind::LateDesk => self.late_desk = seconds,
+            FaultKind::LateList => self.late_list = seconds,
+            FaultKind::ListBreaks => self.list_breaks = true,
+            FaultKind::Shift => self.shift = trouble.size.clamp(0.0, 1.0),
+            FaultKind::Worthless => self.worthless = trouble.size,
+            FaultKind::GiveUp => self.give_up = trouble.size.clamp(0.0, 1.0),
+            FaultKind::RepeatStorm => self.repeats = trouble.size,
+            FaultKind::HotKey => self.hot_key = trouble.size.clamp(0.0, 1.0),
             _ => return false,
         }
         true
     }
 
     /// `others`: troubles that still last, so that two of a kind which overlap end with the later one.
-    pub fn end(&mut self, day: &Scenario, trouble: &Trouble, others: &[(usize, Trouble)]) {
+    pub fn end(&mut self, day: &Scenario, trouble: &Fault, others: &[(usize, Fault)]) {
         match trouble.kind {
-            Kind::Cut => (self.cut_hosts, self.cut_office) = (None, None),
-            Kind::CutList => self.cut_office = None,
-            Kind::CutHosts => self.cut_hosts = None,
-            Kind::SlowLink => self.slow_link = None,
-            Kind::LossyLinks => self.loss = 0.0,
-            Kind::SlowConnects => self.slow_connects = 0,
-            Kind::StalledDesk => self.stalled_desk = false,
-            Kind::RefusingDesk => self.refusing_desk = false,
-            Kind::LateDesk => self.late_desk = 0,
-            Kind::LateList => self.late_list = 0,
-            Kind::ListBreaks => self.list_breaks = false,
-            Kind::Shift => self.shift = 0.0,
-            Kind::Worthless => self.worthless = 0.0,
-            Kind::GiveUp => self.give_up = 0.0,
-            Kind::RepeatStorm => self.repeats = 0.0,
-            Kind::HotKey => self.hot_key = 0.0,
+            FaultKind::Cut => (self.cut_hosts, self.cut_office) = (None, None),
+            FaultKind::CutList => self.cut_office = None,
+            FaultKind::CutHosts => self.cut_hosts = None,
+            FaultKind::SlowLink => self.slow_link = None,
+            FaultKind::LossyLinks => self.loss = 0.0,
+            FaultKind::SlowConnects => self.slow_connects = 0,
+            FaultKind::StalledDesk => self.stalled_desk = false,
+            FaultKind::RefusingDesk => self.refusing_desk = false,
+            FaultKind::LateDesk => self.late_desk = 0,
+            FaultKind::LateList => self.late_list = 0,
+            FaultKind::ListBreaks => self.list_breaks = false,
+            FaultKind::Shift => self.shift = 0.0,
+            FaultKind::Worthless => self.worthless = 0.0,
+            FaultKind::GiveUp => self.give_up = 0.0,
+            FaultKind::RepeatStorm => self.repeats = 0.0,
+            FaultKind::HotKey => self.hot_key = 0.0,
             _ => return,
         }
         for (n, other) in others {
@@ -93,8 +93,8 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn way(&self, a: u16, b: u16, way: Way) -> Option<Micros> {
-        let cut = if way == Way::Hosts {
+    pub fn way(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
+        let cut = if way == LinkDirection::Hosts {
             self.cut_hosts
         } else {
             self.cut_office
@@ -116,17 +116,20 @@
     #[test]
     fn two_cuts_that_overlap_end_with_the_later_one() {
         let day = Scenario::plain(0, 60 * SECOND);
-        let cut = |at: &str| at.parse::<Trouble>().unwrap();
+        let cut = |at: &str| at.parse::<Fault>().unwrap();
         let (first, second) = (cut("cut:at=1s"), cut("cut:at=2s"));
-        let mut faults = Faults::default();
+        let mut faults = ActiveFaults::default();
         assert!(faults.begin(&day, 0, &first) && faults.begin(&day, 1, &second));
-        assert_eq!(faults.way(0, 1, Way::Hosts), None);
+        assert_eq!(faults.way(0, 1, LinkDirection::Hosts), None);
         faults.end(&day, &first, &[(1, second)]);
         assert_eq!(
-            (faults.way(0, 1, Way::Hosts), faults.way(0, 2, Way::Office)),
+            (
+                faults.way(0, 1, LinkDirection::Hosts),
+                faults.way(0, 2, LinkDirection::Office)
+            ),
             (None, Some(BETWEEN_SITES))
         );
         faults.end(&day, &second, &[]);
-        assert_eq!(faults.way(0, 1, Way::Hosts), Some(BETWEEN_SITES));
+        assert_eq!(faults.way(0, 1, LinkDirection::Hosts), Some(BETWEEN_SITES));
     }
 }
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -2,12 +2,12 @@
 
 use clap::{Args, ValueEnum};
 
-use crate::scenario::{Build, Cancel, Kind, Scenario, Size, Trouble};
+use crate::scenario::{Build, CancelPolicy, Fault, FaultKind, FleetSize, Scenario};
 use crate::{Micros, SECOND};
 
 /// The built-in days.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Built {
+pub enum BuiltInScenario {
     /// All in order, no build on trial
     Plain,
     /// One trouble of each family and two builds of which one is bad
@@ -16,7 +16,7 @@
     Drawn,
 }
 
-impl Built {
+impl BuiltInScenario {
     pub fn name(self) -> String {
         self.to_possible_value()
             .map_or_else(String::new, |v| v.get_name().to_string())
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "The day")]
-pub struct DayFlags {
+pub struct ScenarioFlags {
     /// Draws the day
     #[arg(long, env = "SPOKEFLOW_DAY_SEED", default_value_t = 1)]
     pub seed: u64,
@@ -39,15 +39,15 @@
         value_enum,
         default_value = "bad-day"
     )]
-    pub scenario: Built,
+    pub scenario: BuiltInScenario,
     /// One kind of trouble alone, with a good build on trial; bad-build: a bad one and nothing else
     #[arg(long, env = "SPOKEFLOW_DAY_ONLY")]
-    pub only: Option<Kind>,
+    pub only: Option<FaultKind>,
     /// In place of the drawn troubles: KIND:at=TIME[:lasts=TIME][:part=NUMBER][:size=NUMBER], repeated or split
     /// by commas
     #[allow(rustdoc::broken_intra_doc_links)] // The text of --help, where brackets mean an optional part.
     #[arg(long, env = "SPOKEFLOW_DAY_SCRIPT", value_delimiter = ',')]
-    pub script: Vec<Trouble>,
+    pub script: Vec<Fault>,
     /// In place of the drawn builds: NUMBER:at=TIME[:flaw=NAME[:size=NUMBER]][:speed=NUMBER], repeated or split
     /// by commas, in the order of their times; NAME is none, errors, one-op, slow, under-load, late, shared
     /// or wrong
@@ -65,7 +65,7 @@
 pub struct SizeFlags {
     /// A built-in size
     #[arg(long, env = "SPOKEFLOW_DAY_SIZE", value_enum)]
-    pub size: Option<Size>,
+    pub size: Option<FleetSize>,
     /// Routers, in place of the size's
     #[arg(long, env = "SPOKEFLOW_DAY_ROUTERS")]
     pub routers: Option<u32>,
@@ -165,16 +165,16 @@
         day.neighbours = self.neighbours.unwrap_or(day.neighbours);
         if let Some(cancel) = self.cancel {
             day.cancel = match cancel {
-                CancelFlag::Stops => Cancel::Stops,
-                CancelFlag::Waiting => Cancel::Waiting,
-                CancelFlag::Ignored => Cancel::Ignored,
+                CancelFlag::Stops => CancelPolicy::Stops,
+                CancelFlag::Waiting => CancelPolicy::Waiting,
+                CancelFlag::Ignored => CancelPolicy::Ignored,
             };
         }
         Ok(day)
     }
 }
 
-impl DayFlags {
+impl ScenarioFlags {
     /// Errors: a flag and what is wrong with it.
     pub fn day(&self) -> Result<Scenario, String> {
         self.with_seed(self.seed)
@@ -187,9 +187,9 @@
         let length = self.seconds as Micros * SECOND;
         let mut day = match (self.only, self.scenario) {
             (Some(kind), _) => Scenario::only(kind, seed, length),
-            (None, Built::Plain) => Scenario::plain(seed, length),
-            (None, Built::BadDay) => Scenario::bad_day(seed, length),
-            (None, Built::Drawn) => Scenario::drawn(seed, length),
+            (None, BuiltInScenario::Plain) => Scenario::plain(seed, length),
+            (None, BuiltInScenario::BadDay) => Scenario::bad_day(seed, length),
+            (None, BuiltInScenario::Drawn) => Scenario::drawn(seed, length),
         };
         if !self.script.is_empty() || self.bare {
             day.name = "script".into();
@@ -219,7 +219,7 @@
     #[derive(Parser)]
     struct Program {
         #[command(flatten)]
-        day: DayFlags,
+        day: ScenarioFlags,
     }
 
     fn day(flags: &[&str]) -> Result<Scenario, String> {
--- a/crates/spokeflow-scenario/src/front.rs
+++ b/crates/spokeflow-scenario/src/front.rs
@@ -6,20 +6,20 @@
 use crate::scenario::Scenario;
 use crate::{Micros, MS};
 
-pub struct Front {
+pub struct RouterPicker {
     routers: usize,
     sites: usize,
     /// By site, how long its front goes on sending to a router that is down.
     notice: Vec<Micros>,
 }
 
-impl Front {
-    pub fn new(day: &Scenario) -> Front {
+impl RouterPicker {
+    pub fn new(day: &Scenario) -> RouterPicker {
         let mut rng = StdRng::seed_from_u64(day.seed ^ 0xf407);
         let notice = (0..day.sites)
             .map(|_| rng.random_range(1500 * MS..3600 * MS))
             .collect();
-        Front {
+        RouterPicker {
             routers: day.routers as usize,
             sites: usize::from(day.sites),
             notice,
@@ -61,7 +61,7 @@
             routers: 8,
             ..Scenario::plain(3, 60 * SECOND)
         };
-        let front = Front::new(&day);
+        let front = RouterPicker::new(&day);
         let met: std::collections::BTreeSet<usize> = (0..50)
             .map(|d| front.router_for(1, d, 0, 0, |_| None))
             .collect();
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-use crate::scenario::{Cancel, Flaw, Op, Repeat, Scenario};
+use crate::scenario::{BuildDefect, CancelPolicy, Op, Repeat, Scenario};
 use crate::{Micros, SECOND};
 
 /// A delivery as the host holds it. `from` is any number that leads back to who sent it.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Done {
+pub enum JobOutcome {
     Acked {
         wrong: bool,
     },
@@ -34,11 +34,11 @@
 
 /// The marks that all hosts together remember.
 #[derive(Default)]
-pub struct Marks {
+pub struct DeduplicationTable {
     seen: HashMap<u64, Micros>,
 }
 
-impl Marks {
+impl DeduplicationTable {
     /// Whether this is the first of its mark within its memory.
     fn first(&mut self, mark: u64, memory: Micros, now: Micros) -> bool {
         if self.seen.len() > 100_000 {
@@ -51,7 +51,7 @@
 
 /// What troubles do to a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Ailment {
+pub struct HostFault {
     pub hangs: bool,
     pub slower: f64,
     pub fails: f64,
@@ -63,9 +63,9 @@
     pub neighbours: f64,
 }
 
-impl Default for Ailment {
+impl Default for HostFault {
     fn default() -> Self {
-        Ailment {
+        HostFault {
             hangs: false,
             slower: 1.0,
             fails: 0.0,
@@ -78,7 +78,7 @@
 
 /// What beginning a job has led to, for the tap.
 #[derive(Debug, PartialEq)]
-pub struct Begun {
+pub struct StartedJob {
     pub tried: u64,
     pub command: u64,
     pub op: usize,
@@ -87,9 +87,9 @@
 }
 
 pub struct Host {
-    pub flaw: Flaw,
+    pub flaw: BuildDefect,
     pub speed: f64,
-    pub ailment: Ailment,
+    pub ailment: HostFault,
     pub fallen: bool,
     cores: usize,
     queue_most: usize,
@@ -101,7 +101,7 @@
     ops: Vec<Op>,
     waiting: VecDeque<Job>,
     /// Ends at, how, and for whom.
-    running: Vec<(Micros, Done, Job)>,
+    running: Vec<(Micros, JobOutcome, Job)>,
     /// Work that has reached it lately, for the budget of a cold start.
     reached: VecDeque<(Micros, f64)>,
     /// Keys whose data is at hand, the longest unused first; of a host with room for all of them, none.
@@ -109,17 +109,23 @@
     cache_keys: usize,
     miss_cost: f64,
     thrash: f64,
-    cancel: Cancel,
+    cancel: CancelPolicy,
     chance: StdRng,
 }
 
 impl Host {
     /// `started` is `None` for a host that has been up long.
-    pub fn new(day: &Scenario, flaw: Flaw, speed: f64, started: Option<Micros>, seed: u64) -> Host {
+    pub fn new(
+        day: &Scenario,
+        flaw: BuildDefect,
+        speed: f64,
+        started: Option<Micros>,
+        seed: u64,
+    ) -> Host {
         Host {
             flaw,
             speed,
-            ailment: Ailment::default(),
+            ailment: HostFault::default(),
             fallen: false,
             cores: day.cores as usize,
             queue_most: 24 * day.cores as usize,
@@ -214,7 +220,7 @@
     }
 
     /// Begins what a core is free for. Answers what was begun.
-    pub fn begin(&mut self, now: Micros, marks: &mut Marks) -> Vec<Begun> {
+    pub fn begin(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
         let mut begun = Vec::new();
         while self.running.len() < self.cores {
             let Some(job) = self.waiting.pop_front() else {
@@ -245,8 +251,8 @@
             let slower = slower * self.fetch(job.key) * (1.0 + self.thrash * beyond);
             let took = work * slower / (self.speed * self.warmth(now));
             let done = match (failed, wrong) {
-                (true, _) => Done::Error,
-                (false, wrong) => Done::Acked { wrong },
+                (true, _) => JobOutcome::Error,
+                (false, wrong) => JobOutcome::Acked { wrong },
             };
             // What fails fast fails at once, and may have had its effect all the same.
             let took = if failed && self.ailment.fails > 0.0 {
@@ -254,7 +260,7 @@
             } else {
                 took
             };
-            begun.push(Begun {
+            begun.push(StartedJob {
                 tried: job.tried,
                 command: job.command,
                 op: job.op,
@@ -311,18 +317,20 @@
         let mut fails = ail.fails;
         let mut wrong = false;
         match self.flaw {
-            Flaw::None | Flaw::Shared(_) => {}
-            Flaw::Errors(part) => fails = fails.max(part),
-            Flaw::OneOp(part) if job.op == self.ops.len() - 1 => fails = fails.max(part),
-            Flaw::OneOp(_) => {}
-            Flaw::Slow(times) => slower *= times,
-            Flaw::UnderLoad(part) if crowded => (slower, fails) = (slower * 2.0, fails.max(part)),
-            Flaw::UnderLoad(_) => {}
-            Flaw::Late(part) if self.started.is_some_and(|at| now - at > 5 * SECOND) => {
+            BuildDefect::None | BuildDefect::Shared(_) => {}
+            BuildDefect::Errors(part) => fails = fails.max(part),
+            BuildDefect::OneOp(part) if job.op == self.ops.len() - 1 => fails = fails.max(part),
+            BuildDefect::OneOp(_) => {}
+            BuildDefect::Slow(times) => slower *= times,
+            BuildDefect::UnderLoad(part) if crowded => {
+                (slower, fails) = (slower * 2.0, fails.max(part))
+            }
+            BuildDefect::UnderLoad(_) => {}
+            BuildDefect::Late(part) if self.started.is_some_and(|at| now - at > 5 * SECOND) => {
                 (slower, fails) = (slower * 1.8, fails.max(part));
             }
-            Flaw::Late(_) => {}
-            Flaw::Wrong(part) => wrong = self.chance.random_bool(part),
+            BuildDefect::Late(_) => {}
+            BuildDefect::Wrong(part) => wrong = self.chance.random_bool(part),
         }
         (slower, fails, wrong)
     }
@@ -332,22 +340,22 @@
     }
 
     /// What has ended by now, in the order of its ends.
-    pub fn ended(&mut self, now: Micros) -> Vec<(Job, Done)> {
+    pub fn ended(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
         let mut ended: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
         ended.sort_by_key(|r| (r.0, r.2.delivery));
         let hangs = self.ailment.hangs;
         ended
             .into_iter()
-            .map(|(_, done, job)| (job, if hangs { Done::Silent } else { done }))
+            .map(|(_, done, job)| (job, if hangs { JobOutcome::Silent } else { done }))
             .collect()
     }
 
     pub fn cancel(&mut self, from: u64, delivery: u64) {
         let same = |j: &Job| j.from == from && j.delivery == delivery;
-        if self.cancel != Cancel::Ignored {
+        if self.cancel != CancelPolicy::Ignored {
             self.waiting.retain(|j| !same(j));
         }
-        if self.cancel == Cancel::Stops {
+        if self.cancel == CancelPolicy::Stops {
             self.running.retain(|r| !same(&r.2));
         }
     }
@@ -372,7 +380,7 @@
 
     fn host(started: Option<Micros>) -> (Scenario, Host) {
         let day = Scenario::plain(1, 60 * SECOND);
-        let host = Host::new(&day, Flaw::None, 1.0, started, 5);
+        let host = Host::new(&day, BuildDefect::None, 1.0, started, 5);
         (day, host)
     }
 
@@ -401,7 +409,7 @@
         let (_, mut host) = host(None);
         let taken = (1..60).filter(|n| host.arrive(0, job(*n, 1))).count();
         assert_eq!(taken, 24);
-        let mut marks = Marks::default();
+        let mut marks = DeduplicationTable::default();
         let first = host.begin(0, &mut marks);
         assert!(first[0].effect);
         host.cancel(1, first[0].tried);
@@ -420,7 +428,9 @@
                 ..job(1, 0)
             },
         );
-        assert!(host.begin(10, &mut Marks::default()).is_empty());
+        assert!(host
+            .begin(10, &mut DeduplicationTable::default())
+            .is_empty());
         assert_eq!(host.next(), None);
     }
 
@@ -428,10 +438,10 @@
     fn a_host_that_hangs_says_nothing() {
         let (_, mut host) = host(None);
         host.arrive(0, job(1, 0));
-        host.begin(0, &mut Marks::default());
+        host.begin(0, &mut DeduplicationTable::default());
         host.ailment.hangs = true;
         let at = host.next().unwrap();
-        assert_eq!(host.ended(at)[0].1, Done::Silent);
+        assert_eq!(host.ended(at)[0].1, JobOutcome::Silent);
     }
 
     #[test]
@@ -441,21 +451,21 @@
             miss_cost: 3.0,
             ..Scenario::plain(1, 60 * SECOND)
         };
-        let mut host = Host::new(&day, Flaw::None, 1.0, None, 5);
+        let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
         let cost: Vec<f64> = [1, 1, 2, 3, 2, 1].iter().map(|k| host.fetch(*k)).collect();
         assert_eq!(cost, [3.0, 1.0, 3.0, 3.0, 1.0, 3.0]);
         for (cancel, left) in [
-            (Cancel::Stops, 0),
-            (Cancel::Waiting, 1),
-            (Cancel::Ignored, 2),
+            (CancelPolicy::Stops, 0),
+            (CancelPolicy::Waiting, 1),
+            (CancelPolicy::Ignored, 2),
         ] {
             let day = Scenario {
                 cancel,
                 ..day.clone()
             };
-            let mut host = Host::new(&day, Flaw::None, 1.0, None, 5);
+            let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
             assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
-            host.begin(0, &mut Marks::default());
+            host.begin(0, &mut DeduplicationTable::default());
             (1..3).for_each(|n| host.cancel(1, n));
             assert_eq!(host.held(), left);
         }
--- a/crates/spokeflow-scenario/src/report.rs
+++ b/crates/spokeflow-scenario/src/report.rs
@@ -6,9 +6,9 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Broken, Checker, RuleTerms};
-use crate::scenario::{Flaw, Scenario};
-use crate::seen::{Seen, Standing};
+use crate::check::{Broken, Checker, RuleConfig};
+use crate::scenario::{BuildDefect, Scenario};
+use crate::seen::{Observation, Standing};
 use crate::{Micros, SECOND};
 
 /// How a command went, retries and all.
@@ -39,7 +39,7 @@
 
 /// What happened in one stretch of the day. `at_s` is its beginning.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Stretch {
+pub struct Interval {
     pub at_s: f64,
     /// Importance asked for and answered well, by op type and by customer.
     pub asked_by_op: Vec<f64>,
@@ -81,14 +81,14 @@
     pub by_customer: Vec<(String, f64)>,
     pub p50_ms: f64,
     pub p99_ms: f64,
-    pub builds: Vec<BuildStory>,
+    pub builds: Vec<BuildSummary>,
     /// Good builds that were voted back, and bad ones that were not.
     pub false_backs: u32,
     pub misses: u32,
     pub troubles: Vec<String>,
     pub broken: Vec<BrokenRule>,
     pub faults: Vec<String>,
-    pub over_time: Vec<Stretch>,
+    pub over_time: Vec<Interval>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -100,7 +100,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct BuildStory {
+pub struct BuildSummary {
     pub build: u16,
     pub flaw: String,
     pub offered_s: f64,
@@ -113,7 +113,7 @@
 const STRETCHES: Micros = 240;
 
 /// Takes in what is seen of a day.
-pub struct Record {
+pub struct RunRecorder {
     day: Scenario,
     checker: Checker,
     /// Importance asked for and answered well in each second of the day.
@@ -123,7 +123,7 @@
     deliveries: u64,
     times: Histogram<u64>,
     stretch: Micros,
-    over_time: Vec<Stretch>,
+    over_time: Vec<Interval>,
     /// The desk's own standing: when, build, standing, stage.
     desk: Vec<(Micros, u16, Standing, u8)>,
     /// Builds that were voted back while they stood.
@@ -135,11 +135,11 @@
     t as f64 / SECOND as f64
 }
 
-impl Record {
+impl RunRecorder {
     /// `start` is when the first command may be due.
-    pub fn new(day: &Scenario, start: Micros) -> Record {
-        Record {
-            checker: Checker::new(RuleTerms::of(day)),
+    pub fn new(day: &Scenario, start: Micros) -> RunRecorder {
+        RunRecorder {
+            checker: Checker::new(RuleConfig::of(day)),
             by_second: Vec::new(),
             ends: [0; 6],
             tries: 0,
@@ -163,30 +163,30 @@
         self.checker.kept()
     }
 
-    fn stretch(&mut self, at: Micros) -> &mut Stretch {
+    fn stretch(&mut self, at: Micros) -> &mut Interval {
         let n = ((at - self.start).max(0) / self.stretch) as usize;
         let (ops, customers) = (self.day.ops.len(), self.day.customers.len());
         while self.over_time.len() <= n {
             let at_s = seconds(self.over_time.len() as Micros * self.stretch);
             let stage = self.desk.last().map_or(0, |d| d.3);
-            self.over_time.push(Stretch {
+            self.over_time.push(Interval {
                 at_s,
                 asked_by_op: vec![0.0; ops],
                 good_by_op: vec![0.0; ops],
                 asked_by_customer: vec![0.0; customers],
                 good_by_customer: vec![0.0; customers],
                 stage,
-                ..Stretch::default()
+                ..Interval::default()
             });
         }
         &mut self.over_time[n]
     }
 
-    pub fn see(&mut self, at: Micros, seen: &Seen) {
+    pub fn see(&mut self, at: Micros, seen: &Observation) {
         self.checker.see(at, seen);
         match seen {
-            Seen::Taken { .. } => self.tries += 1,
-            Seen::Delivered { build, .. } => {
+            Observation::Taken { .. } => self.tries += 1,
+            Observation::Delivered { build, .. } => {
                 self.deliveries += 1;
                 let trial = self
                     .desk
@@ -196,7 +196,7 @@
                 s.deliveries += 1;
                 s.at_trial += u64::from(trial);
             }
-            Seen::Voted { build, verdict, .. } => {
+            Observation::Voted { build, verdict, .. } => {
                 let back = verdict == "Back";
                 let present = self
                     .desk
@@ -209,7 +209,7 @@
                 s.votes_back += u64::from(back);
                 s.votes_on += u64::from(verdict == "On");
             }
-            Seen::Desk {
+            Observation::ReleaseController {
                 build,
                 stage,
                 standing,
@@ -253,7 +253,7 @@
     }
 
     /// `faults`: what went wrong with the play itself. The breaks are explained where the trace is at hand.
-    pub fn finish(self, faults: Vec<String>, trace: Option<&[(Micros, Seen)]>) -> Report {
+    pub fn finish(self, faults: Vec<String>, trace: Option<&[(Micros, Observation)]>) -> Report {
         let day = &self.day;
         let part = |n: [f64; 2]| if n[0] > 0.0 { n[1] / n[0] } else { 1.0 };
         let sum = |s: &[[f64; 2]]| s.iter().fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
@@ -263,8 +263,8 @@
             .map(|w| part(sum(w)))
             .fold(1.0, f64::min);
         let of = |n: usize,
-                  asked: &dyn Fn(&Stretch) -> &Vec<f64>,
-                  good: &dyn Fn(&Stretch) -> &Vec<f64>| {
+                  asked: &dyn Fn(&Interval) -> &Vec<f64>,
+                  good: &dyn Fn(&Interval) -> &Vec<f64>| {
             let both: Vec<[f64; 2]> = self
                 .over_time
                 .iter()
@@ -276,7 +276,7 @@
         let by_op = by_op.map(|(n, op)| {
             (
                 op.name.to_string(),
-                of(n, &|s: &Stretch| &s.asked_by_op, &|s: &Stretch| {
+                of(n, &|s: &Interval| &s.asked_by_op, &|s: &Interval| {
                     &s.good_by_op
                 }),
             )
@@ -285,7 +285,7 @@
         let by_customer = by_customer.map(|(n, c)| {
             (
                 c.name.to_string(),
-                of(n, &|s: &Stretch| &s.asked_by_customer, &|s: &Stretch| {
+                of(n, &|s: &Interval| &s.asked_by_customer, &|s: &Interval| {
                     &s.good_by_customer
                 }),
             )
@@ -295,15 +295,15 @@
         let flawed = |n: u16| {
             day.builds
                 .iter()
-                .any(|b| b.number == n && b.flaw != Flaw::None)
+                .any(|b| b.number == n && b.flaw != BuildDefect::None)
         };
-        let back = |s: &&BuildStory| s.end.starts_with("sent back");
+        let back = |s: &&BuildSummary| s.end.starts_with("sent back");
         let false_backs = builds
             .iter()
             .filter(back)
             .filter(|s| !flawed(s.build))
             .count() as u32;
-        let offered = |s: &&BuildStory| s.end != "not offered";
+        let offered = |s: &&BuildSummary| s.end != "not offered";
         let misses = builds
             .iter()
             .filter(offered)
@@ -352,7 +352,7 @@
         }
     }
 
-    fn stories(&self) -> Vec<BuildStory> {
+    fn stories(&self) -> Vec<BuildSummary> {
         let story = |build: &crate::scenario::Build| {
             let states: Vec<_> = self.desk.iter().filter(|d| d.1 == build.number).collect();
             let offered = states.first().map(|s| s.0);
@@ -379,7 +379,7 @@
             };
             let flaw = format!("{:?}", build.flaw);
             let offered_s = seconds(offered.map_or(0, |o| o - self.start));
-            BuildStory {
+            BuildSummary {
                 build: build.number,
                 flaw,
                 offered_s,
--- a/crates/spokeflow-scenario/src/scenario.rs
+++ b/crates/spokeflow-scenario/src/scenario.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Customer {
+pub struct Tenant {
     pub name: &'static str,
     /// Commands a second that it is allowed, all routers together.
     pub allowed: f64,
@@ -41,7 +41,7 @@
 
 /// What is wrong with a build.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub enum Flaw {
+pub enum BuildDefect {
     None,
     /// Fails this part of all commands.
     Errors(f64),
@@ -63,34 +63,34 @@
 pub struct Build {
     pub number: u16,
     pub offered: Micros,
-    pub flaw: Flaw,
+    pub flaw: BuildDefect,
     pub speed: f64,
 }
 
-impl Flaw {
+impl BuildDefect {
     fn named(self) -> (&'static str, f64) {
         match self {
-            Flaw::None => ("none", 0.0),
-            Flaw::Errors(n) => ("errors", n),
-            Flaw::OneOp(n) => ("one-op", n),
-            Flaw::Slow(n) => ("slow", n),
-            Flaw::UnderLoad(n) => ("under-load", n),
-            Flaw::Late(n) => ("late", n),
-            Flaw::Shared(n) => ("shared", n),
-            Flaw::Wrong(n) => ("wrong", n),
+            BuildDefect::None => ("none", 0.0),
+            BuildDefect::Errors(n) => ("errors", n),
+            BuildDefect::OneOp(n) => ("one-op", n),
+            BuildDefect::Slow(n) => ("slow", n),
+            BuildDefect::UnderLoad(n) => ("under-load", n),
+            BuildDefect::Late(n) => ("late", n),
+            BuildDefect::Shared(n) => ("shared", n),
+            BuildDefect::Wrong(n) => ("wrong", n),
         }
     }
 
-    fn of(name: &str, size: f64) -> Option<Flaw> {
+    fn of(name: &str, size: f64) -> Option<BuildDefect> {
         Some(match name {
-            "none" => Flaw::None,
-            "errors" => Flaw::Errors(size),
-            "one-op" => Flaw::OneOp(size),
-            "slow" => Flaw::Slow(size),
-            "under-load" => Flaw::UnderLoad(size),
-            "late" => Flaw::Late(size),
-            "shared" => Flaw::Shared(size),
-            "wrong" => Flaw::Wrong(size),
+            "none" => BuildDefect::None,
+            "errors" => BuildDefect::Errors(size),
+            "one-op" => BuildDefect::OneOp(size),
+            "slow" => BuildDefect::Slow(size),
+            "under-load" => BuildDefect::UnderLoad(size),
+            "late" => BuildDefect::Late(size),
+            "shared" => BuildDefect::Shared(size),
+            "wrong" => BuildDefect::Wrong(size),
             _ => return None,
         })
     }
@@ -145,7 +145,8 @@
             }
         }
         let names = "none, errors, one-op, slow, under-load, late, shared, wrong";
-        let flaw = Flaw::of(flaw, size).ok_or(format!("flaw '{flaw}' is not one of {names}"))?;
+        let flaw =
+            BuildDefect::of(flaw, size).ok_or(format!("flaw '{flaw}' is not one of {names}"))?;
         let offered = offered.ok_or(format!("'{text}': at= is missing"))?;
         Ok(Build {
             number,
@@ -164,7 +165,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     Kill,
     /// All hosts die, and one is back long before the others.
     LoneHost,
@@ -200,35 +201,35 @@
     None,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 27] = [
-        Kind::Kill,
-        Kind::LoneHost,
-        Kind::Hang,
-        Kind::Slow,
-        Kind::FastErrors,
-        Kind::Cut,
-        Kind::CutList,
-        Kind::CutHosts,
-        Kind::SlowLink,
-        Kind::LossyLinks,
-        Kind::SlowConnects,
-        Kind::StalledDesk,
-        Kind::LateDesk,
-        Kind::RefusingDesk,
-        Kind::LateList,
-        Kind::ListBreaks,
-        Kind::Shift,
-        Kind::Worthless,
-        Kind::GiveUp,
-        Kind::RepeatStorm,
-        Kind::SlowOp,
-        Kind::HotKey,
-        Kind::RouterKill,
-        Kind::RouterRoll,
-        Kind::BadBuild,
-        Kind::TakeBack,
-        Kind::None,
+impl FaultKind {
+    pub const ALL: [FaultKind; 27] = [
+        FaultKind::Kill,
+        FaultKind::LoneHost,
+        FaultKind::Hang,
+        FaultKind::Slow,
+        FaultKind::FastErrors,
+        FaultKind::Cut,
+        FaultKind::CutList,
+        FaultKind::CutHosts,
+        FaultKind::SlowLink,
+        FaultKind::LossyLinks,
+        FaultKind::SlowConnects,
+        FaultKind::StalledDesk,
+        FaultKind::LateDesk,
+        FaultKind::RefusingDesk,
+        FaultKind::LateList,
+        FaultKind::ListBreaks,
+        FaultKind::Shift,
+        FaultKind::Worthless,
+        FaultKind::GiveUp,
+        FaultKind::RepeatStorm,
+        FaultKind::SlowOp,
+        FaultKind::HotKey,
+        FaultKind::RouterKill,
+        FaultKind::RouterRoll,
+        FaultKind::BadBuild,
+        FaultKind::TakeBack,
+        FaultKind::None,
     ];
 
     pub fn name(self) -> String {
@@ -238,18 +239,21 @@
     }
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether connections are made more slowly under it than on a calm day.
     pub fn slows_connects(self) -> bool {
-        matches!(self, Kind::SlowConnects | Kind::SlowLink | Kind::LossyLinks)
+        matches!(
+            self,
+            FaultKind::SlowConnects | FaultKind::SlowLink | FaultKind::LossyLinks
+        )
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for FaultKind {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        let names = || Kind::ALL.map(Kind::name).join(", ");
-        Kind::ALL
+        let names = || FaultKind::ALL.map(FaultKind::name).join(", ");
+        FaultKind::ALL
             .into_iter()
             .find(|k| k.name() == text)
             .ok_or_else(|| format!("not one of {}", names()))
@@ -257,8 +261,8 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Trouble {
-    pub kind: Kind,
+pub struct Fault {
+    pub kind: FaultKind,
     pub at: Micros,
     pub lasts: Micros,
     /// Part of the hosts or routers that it strikes.
@@ -267,7 +271,7 @@
     pub size: f64,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let [at, lasts] = [self.at, self.lasts].map(|t| t as f64 / SECOND as f64);
         let (kind, part, size) = (self.kind.name(), self.part, self.size);
@@ -275,14 +279,14 @@
     }
 }
 
-impl FromStr for Trouble {
+impl FromStr for Fault {
     type Err = String;
 
     /// `KIND:at=TIME[:lasts=TIME][:part=NUMBER][:size=NUMBER]`, what is left out as in the built-in scenario.
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.trim().split(':');
-        let kind: Kind = words.next().unwrap_or_default().parse()?;
-        let mut trouble = Trouble {
+        let kind: FaultKind = words.next().unwrap_or_default().parse()?;
+        let mut trouble = Fault {
             kind,
             at: 0,
             ..usual(kind)
@@ -317,31 +321,31 @@
 }
 
 /// A kind of trouble as it commonly comes; lengths from the operators' record of incidents.
-fn usual(kind: Kind) -> Trouble {
+fn usual(kind: FaultKind) -> Fault {
     let (lasts, part, size) = match kind {
-        Kind::Kill => (8.0, 0.2, 0.0),
-        Kind::LoneHost => (5.0, 1.0, 0.3),
-        Kind::Hang => (8.0, 0.15, 0.0),
-        Kind::Slow => (10.0, 0.2, 4.0),
-        Kind::FastErrors => (8.0, 0.15, 0.7),
-        Kind::Cut | Kind::CutList | Kind::CutHosts => (7.0, 0.0, 0.0),
-        Kind::SlowLink => (8.0, 0.0, 0.3),
-        Kind::LossyLinks => (10.0, 0.0, 0.05),
-        Kind::SlowConnects => (8.0, 1.0, 0.2),
-        Kind::StalledDesk | Kind::RefusingDesk => (8.0, 0.0, 0.0),
-        Kind::LateDesk | Kind::LateList => (12.0, 0.0, 4.0),
-        Kind::ListBreaks => (8.0, 0.0, 0.0),
-        Kind::Shift => (10.0, 0.0, 0.8),
-        Kind::Worthless => (10.0, 0.0, 2.0),
-        Kind::GiveUp => (10.0, 0.0, 0.25),
-        Kind::RepeatStorm => (8.0, 0.0, 4.0),
-        Kind::SlowOp => (10.0, 0.0, 4.0),
-        Kind::RouterKill => (3.0, 0.34, 0.0),
-        Kind::RouterRoll => (12.0, 1.0, 0.8),
-        Kind::HotKey => (20.0, 0.0, 0.6),
-        Kind::BadBuild | Kind::TakeBack | Kind::None => (0.0, 0.0, 0.0),
+        FaultKind::Kill => (8.0, 0.2, 0.0),
+        FaultKind::LoneHost => (5.0, 1.0, 0.3),
+        FaultKind::Hang => (8.0, 0.15, 0.0),
+        FaultKind::Slow => (10.0, 0.2, 4.0),
+        FaultKind::FastErrors => (8.0, 0.15, 0.7),
+        FaultKind::Cut | FaultKind::CutList | FaultKind::CutHosts => (7.0, 0.0, 0.0),
+        FaultKind::SlowLink => (8.0, 0.0, 0.3),
+        FaultKind::LossyLinks => (10.0, 0.0, 0.05),
+        FaultKind::SlowConnects => (8.0, 1.0, 0.2),
+        FaultKind::StalledDesk | FaultKind::RefusingDesk => (8.0, 0.0, 0.0),
+        FaultKind::LateDesk | FaultKind::LateList => (12.0, 0.0, 4.0),
+        FaultKind::ListBreaks => (8.0, 0.0, 0.0),
+        FaultKind::Shift => (10.0, 0.0, 0.8),
+        FaultKind::Worthless => (10.0, 0.0, 2.0),
+        FaultKind::GiveUp => (10.0, 0.0, 0.25),
+        FaultKind::RepeatStorm => (8.0, 0.0, 4.0),
+        FaultKind::SlowOp => (10.0, 0.0, 4.0),
+        FaultKind::RouterKill => (3.0, 0.34, 0.0),
+        FaultKind::RouterRoll => (12.0, 1.0, 0.8),
+        FaultKind::HotKey => (20.0, 0.0, 0.6),
+        FaultKind::BadBuild | FaultKind::TakeBack | FaultKind::None => (0.0, 0.0, 0.0),
     };
-    Trouble {
+    Fault {
         kind,
         at: 0,
         lasts: (lasts * SECOND as f64) as Micros,
@@ -362,7 +366,7 @@
     /// Commands a second.
     pub rate: f64,
     pub ops: Vec<Op>,
-    pub customers: Vec<Customer>,
+    pub customers: Vec<Tenant>,
     pub keys: u64,
     pub builds: Vec<Build>,
     pub stage_shares: Vec<f64>,
@@ -402,17 +406,17 @@
     pub miss_cost: f64,
     /// With more than two waiting for each core, each further one slows all by this part.
     pub thrash: f64,
-    pub cancel: Cancel,
+    pub cancel: CancelPolicy,
     /// Hosts that share a machine, and how much a busy neighbour slows a host.
     pub neighbours: u32,
     pub steal: f64,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 /// What a host does with a cancelled command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Cancel {
+pub enum CancelPolicy {
     /// Drops it wherever it is.
     Stops,
     /// Drops it where it has not begun.
@@ -423,7 +427,7 @@
 /// Sizes that are tried again and again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
-pub enum Size {
+pub enum FleetSize {
     /// 3 routers, 15 hosts, 46 commands a second: what sockets on one machine play
     Small,
     /// 20 routers, 60 hosts, 200 commands a second
@@ -438,13 +442,13 @@
 
 impl Scenario {
     /// The same day at another size: customers, keys and rate grow in step.
-    pub fn sized(mut self, size: Size) -> Scenario {
+    pub fn sized(mut self, size: FleetSize) -> Scenario {
         let (routers, hosts, rate) = match size {
-            Size::Small => return self,
-            Size::Middle => (20, 60, 200.0),
-            Size::Grown => (150, 300, 1000.0),
-            Size::ManyRouters => (600, 90, 300.0),
-            Size::ManyHosts => (20, 3000, 10_000.0),
+            FleetSize::Small => return self,
+            FleetSize::Middle => (20, 60, 200.0),
+            FleetSize::Grown => (150, 300, 1000.0),
+            FleetSize::ManyRouters => (600, 90, 300.0),
+            FleetSize::ManyHosts => (20, 3000, 10_000.0),
         };
         (self.routers, self.hosts) = (routers, hosts);
         self.at_rate(rate);
@@ -498,7 +502,7 @@
             ),
             op("close-trip", 0.40, 190, 2000, 6000, 3.0, once),
         ];
-        let customer = |name, allowed, usage| Customer {
+        let customer = |name, allowed, usage| Tenant {
             name,
             allowed,
             usage,
@@ -523,7 +527,7 @@
             builds: vec![Build {
                 number: 1,
                 offered: 0,
-                flaw: Flaw::None,
+                flaw: BuildDefect::None,
                 speed: 1.0,
             }],
             stage_shares: vec![0.04, 0.1, 0.25, 0.55, 1.0],
@@ -554,7 +558,7 @@
             cache_keys: 0,
             miss_cost: 2.0,
             thrash: 0.0,
-            cancel: Cancel::Stops,
+            cancel: CancelPolicy::Stops,
             neighbours: 0,
             steal: 0.0,
             troubles: Vec::new(),
@@ -569,14 +573,22 @@
         };
         let mut rng = StdRng::seed_from_u64(seed);
         let bad = rng.random_bool(0.5);
-        let flaw = if bad { draw_flaw(&mut rng) } else { Flaw::None };
+        let flaw = if bad {
+            draw_flaw(&mut rng)
+        } else {
+            BuildDefect::None
+        };
         day.builds.push(Build {
             number: 2,
             offered: length / 12,
             flaw,
             speed: rng.random_range(0.9..1.1),
         });
-        let next = if bad { Flaw::None } else { draw_flaw(&mut rng) };
+        let next = if bad {
+            BuildDefect::None
+        } else {
+            draw_flaw(&mut rng)
+        };
         day.builds.push(Build {
             number: 3,
             offered: length / 2,
@@ -584,59 +596,59 @@
             speed: 1.0,
         });
         // One of each family, in any order, at times that let them overlap.
-        let families: [&[Kind]; 5] = [
+        let families: [&[FaultKind]; 5] = [
             &[
-                Kind::Kill,
-                Kind::LoneHost,
-                Kind::Hang,
-                Kind::Slow,
-                Kind::FastErrors,
+                FaultKind::Kill,
+                FaultKind::LoneHost,
+                FaultKind::Hang,
+                FaultKind::Slow,
+                FaultKind::FastErrors,
             ],
             &[
-                Kind::Cut,
-                Kind::CutList,
-                Kind::CutHosts,
-                Kind::SlowLink,
-                Kind::LossyLinks,
-                Kind::SlowConnects,
+                FaultKind::Cut,
+                FaultKind::CutList,
+                FaultKind::CutHosts,
+                FaultKind::SlowLink,
+                FaultKind::LossyLinks,
+                FaultKind::SlowConnects,
             ],
             &[
-                Kind::StalledDesk,
-                Kind::LateDesk,
-                Kind::RefusingDesk,
-                Kind::LateList,
-                Kind::ListBreaks,
+                FaultKind::StalledDesk,
+                FaultKind::LateDesk,
+                FaultKind::RefusingDesk,
+                FaultKind::LateList,
+                FaultKind::ListBreaks,
             ],
             &[
-                Kind::Shift,
-                Kind::Worthless,
-                Kind::GiveUp,
-                Kind::RepeatStorm,
-                Kind::SlowOp,
-                Kind::HotKey,
+                FaultKind::Shift,
+                FaultKind::Worthless,
+                FaultKind::GiveUp,
+                FaultKind::RepeatStorm,
+                FaultKind::SlowOp,
+                FaultKind::HotKey,
             ],
-            &[Kind::RouterKill, Kind::RouterRoll],
+            &[FaultKind::RouterKill, FaultKind::RouterRoll],
         ];
         for family in families {
             let kind = family[rng.random_range(0..family.len())];
             let at = rng.random_range(length / 10..length * 3 / 4);
-            day.troubles.push(Trouble { at, ..usual(kind) });
+            day.troubles.push(Fault { at, ..usual(kind) });
         }
         day.troubles.sort_by_key(|t| t.at);
         day
     }
 
     /// One kind of trouble only, during the trial of a good build; with `BadBuild`, a bad one and no other.
-    pub fn only(kind: Kind, seed: u64, length: Micros) -> Scenario {
+    pub fn only(kind: FaultKind, seed: u64, length: Micros) -> Scenario {
         let mut day = Scenario {
             name: format!("only {}", kind.name()),
             ..Scenario::plain(seed, length)
         };
         let mut rng = StdRng::seed_from_u64(seed);
-        let flaw = if kind == Kind::BadBuild {
+        let flaw = if kind == FaultKind::BadBuild {
             draw_flaw(&mut rng)
         } else {
-            Flaw::None
+            BuildDefect::None
         };
         day.builds.push(Build {
             number: 2,
@@ -644,29 +656,32 @@
             flaw,
             speed: 1.0,
         });
-        if kind == Kind::TakeBack {
+        if kind == FaultKind::TakeBack {
             // Each stage takes some five seconds: by then the last one has begun.
             day.builds.push(Build {
                 number: 3,
                 offered: length / 10 + 24 * SECOND,
-                flaw: Flaw::None,
+                flaw: BuildDefect::None,
                 speed: 1.0,
             });
         }
-        if !matches!(kind, Kind::BadBuild | Kind::TakeBack | Kind::None) {
-            let early = if kind == Kind::HotKey {
+        if !matches!(
+            kind,
+            FaultKind::BadBuild | FaultKind::TakeBack | FaultKind::None
+        ) {
+            let early = if kind == FaultKind::HotKey {
                 length / 10
             } else {
                 length / 8
             };
             let at = rng.random_range(
-                early..if kind == Kind::HotKey {
+                early..if kind == FaultKind::HotKey {
                     length / 6
                 } else {
                     length / 2
                 },
             );
-            day.troubles.push(Trouble { at, ..usual(kind) });
+            day.troubles.push(Fault { at, ..usual(kind) });
         }
         day
     }
@@ -693,14 +708,18 @@
         if some(&mut rng, 0.25) {
             (day.neighbours, day.steal) = (rng.random_range(2..5), rng.random_range(0.1..0.6));
         }
-        day.cancel = [Cancel::Stops, Cancel::Waiting, Cancel::Ignored][rng.random_range(0..3)];
+        day.cancel = [
+            CancelPolicy::Stops,
+            CancelPolicy::Waiting,
+            CancelPolicy::Ignored,
+        ][rng.random_range(0..3)];
         day.key_skew = rng.random_range(0.3..1.1);
         let mut offered = rng.random_range(length / 20..length / 4);
         for number in 2..2 + rng.random_range(0..3) {
             let flaw = if some(&mut rng, 0.4) {
                 draw_flaw(&mut rng)
             } else {
-                Flaw::None
+                BuildDefect::None
             };
             day.builds.push(Build {
                 number,
@@ -711,10 +730,10 @@
             offered += rng.random_range(length / 8..length / 2);
         }
         for _ in 0..rng.random_range(0..6) {
-            let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len() - 3)];
+            let kind = FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len() - 3)];
             let usual = usual(kind);
             let times = |rng: &mut StdRng| rng.random_range(0.3..1.7);
-            day.troubles.push(Trouble {
+            day.troubles.push(Fault {
                 kind,
                 at: rng.random_range(0..length * 9 / 10),
                 lasts: (usual.lasts as f64 * times(&mut rng)) as Micros,
@@ -731,15 +750,15 @@
     }
 }
 
-fn draw_flaw(rng: &mut StdRng) -> Flaw {
+fn draw_flaw(rng: &mut StdRng) -> BuildDefect {
     match rng.random_range(0..7) {
-        0 => Flaw::Errors(rng.random_range(0.08..0.36)),
-        1 => Flaw::OneOp(rng.random_range(0.25..0.9)),
-        2 => Flaw::Slow(rng.random_range(1.9..3.7)),
-        3 => Flaw::UnderLoad(rng.random_range(0.2..0.5)),
-        4 => Flaw::Late(rng.random_range(0.3..0.7)),
-        5 => Flaw::Shared(rng.random_range(2.0..3.5)),
-        _ => Flaw::Wrong(rng.random_range(0.2..0.6)),
+        0 => BuildDefect::Errors(rng.random_range(0.08..0.36)),
+        1 => BuildDefect::OneOp(rng.random_range(0.25..0.9)),
+        2 => BuildDefect::Slow(rng.random_range(1.9..3.7)),
+        3 => BuildDefect::UnderLoad(rng.random_range(0.2..0.5)),
+        4 => BuildDefect::Late(rng.random_range(0.3..0.7)),
+        5 => BuildDefect::Shared(rng.random_range(2.0..3.5)),
+        _ => BuildDefect::Wrong(rng.random_range(0.2..0.6)),
     }
 }
 
@@ -756,31 +775,31 @@
 
     #[test]
     fn a_trouble_survives_its_own_text_and_faults_are_named() {
-        let trouble: Trouble = "cut:at=5s:lasts=6.5s".parse().unwrap();
+        let trouble: Fault = "cut:at=5s:lasts=6.5s".parse().unwrap();
         assert_eq!(
             (trouble.kind, trouble.at, trouble.lasts),
-            (Kind::Cut, 5 * SECOND, 6_500_000)
+            (FaultKind::Cut, 5 * SECOND, 6_500_000)
         );
         assert_eq!(
-            trouble.to_string().parse::<Trouble>().unwrap().to_string(),
+            trouble.to_string().parse::<Fault>().unwrap().to_string(),
             trouble.to_string()
         );
         assert!("cut"
-            .parse::<Trouble>()
+            .parse::<Fault>()
             .unwrap_err()
             .contains("at= is missing"));
         assert!("cutt:at=1s"
-            .parse::<Trouble>()
+            .parse::<Fault>()
             .unwrap_err()
             .contains("router-roll"));
         assert!("cut:at=1"
-            .parse::<Trouble>()
+            .parse::<Fault>()
             .unwrap_err()
             .contains("ends in s"));
         let build: Build = "3:at=5.5s:flaw=one-op:size=0.25".parse().unwrap();
         assert_eq!(
             (build.number, build.offered, build.flaw),
-            (3, 5_500_000, Flaw::OneOp(0.25))
+            (3, 5_500_000, BuildDefect::OneOp(0.25))
         );
         assert_eq!(
             build.to_string().parse::<Build>().unwrap().to_string(),
--- a/crates/spokeflow-scenario/src/seen.rs
+++ b/crates/spokeflow-scenario/src/seen.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Seen {
+pub enum Observation {
     RouterUp(Process),
     RouterKilled(Process),
     /// Told to end; it answers what it holds.
@@ -115,13 +115,15 @@
         host: u32,
     },
     /// How the desk itself stands, whoever knows of it.
-    Desk {
+    #[serde(rename = "Desk")]
+    ReleaseController {
         build: u16,
         stage: u8,
         standing: Standing,
     },
     /// A trouble of the script begins or ends.
-    Trouble {
+    #[serde(rename = "Trouble")]
+    Fault {
         what: String,
     },
 }
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -5,13 +5,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
 
-use crate::faults::Faults;
+use crate::faults::ActiveFaults;
 use crate::report::End;
 use crate::scenario::{Repeat, Scenario};
 use crate::{Micros, MS, SECOND};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
+pub struct PlannedCommand {
     pub op: usize,
     pub customer: usize,
     pub site: u16,
@@ -44,7 +44,7 @@
     }
 
     /// The next command, due after the one before it.
-    pub fn next(&mut self, day: &Scenario, faults: &Faults) -> Wanted {
+    pub fn next(&mut self, day: &Scenario, faults: &ActiveFaults) -> PlannedCommand {
         // A gentle wave over the day, as the morning's trucks make it.
         let wave =
             1.0 + day.wave * (self.at as f64 / day.wave_span as f64 * std::f64::consts::TAU).sin();
@@ -80,7 +80,7 @@
         } else {
             self.keys.sample(&mut self.rng) as u64
         };
-        Wanted {
+        PlannedCommand {
             op,
             customer,
             site,
@@ -137,7 +137,7 @@
 
 /// One client with one command.
 pub struct Client {
-    pub wanted: Wanted,
+    pub wanted: PlannedCommand,
     pub tries: u32,
     pub rng: StdRng,
 }
@@ -148,7 +148,7 @@
 pub const LEAVES_AFTER: Micros = 20 * MS;
 
 impl Client {
-    pub fn new(wanted: Wanted) -> Client {
+    pub fn new(wanted: PlannedCommand) -> Client {
         Client {
             wanted,
             tries: 0,
@@ -160,7 +160,7 @@
     pub fn try_again(
         &mut self,
         day: &Scenario,
-        faults: &Faults,
+        faults: &ActiveFaults,
         now: Micros,
     ) -> Option<(Micros, Micros)> {
         let op = &day.ops[self.wanted.op];
@@ -185,7 +185,7 @@
     pub fn after(
         &mut self,
         day: &Scenario,
-        faults: &Faults,
+        faults: &ActiveFaults,
         now: Micros,
         end: TryEnd,
     ) -> Option<Micros> {
@@ -233,7 +233,7 @@
         let draw = |n: usize| {
             let mut traffic = Traffic::new(&day, 0);
             (0..n)
-                .map(|_| traffic.next(&day, &Faults::default()))
+                .map(|_| traffic.next(&day, &ActiveFaults::default()))
                 .collect::<Vec<_>>()
         };
         let (one, two) = (draw(20_000), draw(20_000));
@@ -253,9 +253,9 @@
 
     #[test]
     fn what_may_have_run_is_not_asked_again_unless_a_repeat_is_harmless() {
-        let (day, faults) = (Scenario::plain(4, 60 * SECOND), Faults::default());
+        let (day, faults) = (Scenario::plain(4, 60 * SECOND), ActiveFaults::default());
         let again = |op, end, now| {
-            let wanted = Wanted {
+            let wanted = PlannedCommand {
                 op,
                 customer: 0,
                 site: 0,
--- a/crates/spokeflow-simulator/src/agreement.rs
+++ b/crates/spokeflow-simulator/src/agreement.rs
@@ -31,7 +31,7 @@
 const ACTS: Micros = 50 * MS;
 
 #[derive(Clone, Copy, Debug)]
-pub struct AgreementDay {
+pub struct ControlPlaneScenario {
     pub routers: u32,
     pub keepers: u32,
     pub seed: u64,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct AgreementPlayed {
+pub struct ControlPlaneRun {
     /// The first thing that did not hold.
     pub broken: Option<String>,
     pub events: u64,
@@ -63,7 +63,7 @@
 }
 
 struct World {
-    day: AgreementDay,
+    day: ControlPlaneScenario,
     terms: CoordinatorConfig,
     now: Micros,
     chance: StdRng,
@@ -78,11 +78,11 @@
     told: BTreeMap<u64, Micros>,
     forced: BTreeMap<u64, Micros>,
     offer: Option<Proposal>,
-    played: AgreementPlayed,
+    played: ControlPlaneRun,
 }
 
 /// Plays a day. Equal days give equal results.
-pub fn play_agreement(day: AgreementDay) -> AgreementPlayed {
+pub fn play_agreement(day: ControlPlaneScenario) -> ControlPlaneRun {
     let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
     let terms = CoordinatorConfig {
         id: NodeId(0),
@@ -139,7 +139,7 @@
         told: BTreeMap::new(),
         forced: BTreeMap::new(),
         offer: None,
-        played: AgreementPlayed::default(),
+        played: ControlPlaneRun::default(),
     };
     (0..world.keepers.len()).for_each(|n| world.start(n));
     for router in 0..world.routers.len() {
@@ -177,7 +177,7 @@
         }
     }
 
-    fn finish(mut self) -> AgreementPlayed {
+    fn finish(mut self) -> ControlPlaneRun {
         let waits = self
             .forced
             .iter()
--- a/crates/spokeflow-simulator/src/brain.rs
+++ b/crates/spokeflow-simulator/src/brain.rs
@@ -6,11 +6,11 @@
 use spokeflow_core::{BuildId, HostId, Micros};
 use spokeflow_engine::{Engine, EngineConfig, Input, Transport};
 
-use crate::plain::Plain;
+use crate::plain::BaselineStrategy;
 
 /// What a router with full sight would know of a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct HostView {
     pub up: bool,
     /// Work before a command that is sent now, in microseconds, and the delay one way; `None`: cut off.
     pub work_before: f64,
@@ -25,18 +25,18 @@
 
 /// The way out of a router, and, for full sight alone, what nobody can see.
 pub trait Wiring: Transport {
-    fn look(&self, host: HostId) -> Look;
+    fn look(&self, host: HostId) -> HostView;
     fn is_bad(&self, build: BuildId) -> bool;
 }
 
-pub trait Brain {
+pub trait RoutingStrategy {
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring);
     fn next_wake(&self) -> Micros;
     /// Commands that are owed an answer.
     fn held(&self) -> usize;
 }
 
-impl Brain for Engine {
+impl RoutingStrategy for Engine {
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring) {
         Engine::on_input(self, now, input, wiring);
     }
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum StrategyKind {
     Engine,
     Random,
     RoundRobin,
@@ -61,13 +61,13 @@
     FullSight,
 }
 
-impl Who {
-    pub const ALL: [Who; 5] = [
-        Who::Engine,
-        Who::Random,
-        Who::RoundRobin,
-        Who::TwoChoices,
-        Who::FullSight,
+impl StrategyKind {
+    pub const ALL: [StrategyKind; 5] = [
+        StrategyKind::Engine,
+        StrategyKind::Random,
+        StrategyKind::RoundRobin,
+        StrategyKind::TwoChoices,
+        StrategyKind::FullSight,
     ];
 
     pub(crate) fn start(
@@ -76,31 +76,31 @@
         seed: u64,
         now: Micros,
         wiring: &mut dyn Wiring,
-    ) -> Box<dyn Brain> {
+    ) -> Box<dyn RoutingStrategy> {
         match self {
-            Who::Engine => Box::new(Engine::new(terms, seed, now, wiring)),
-            who => Box::new(Plain::new(who, terms, seed, now)),
+            StrategyKind::Engine => Box::new(Engine::new(terms, seed, now, wiring)),
+            who => Box::new(BaselineStrategy::new(who, terms, seed, now)),
         }
     }
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for StrategyKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
-            Who::Engine => "engine",
-            Who::Random => "random",
-            Who::RoundRobin => "round-robin",
-            Who::TwoChoices => "two-choices",
-            Who::FullSight => "full-sight",
+            StrategyKind::Engine => "engine",
+            StrategyKind::Random => "random",
+            StrategyKind::RoundRobin => "round-robin",
+            StrategyKind::TwoChoices => "two-choices",
+            StrategyKind::FullSight => "full-sight",
         })
     }
 }
 
-impl FromStr for Who {
+impl FromStr for StrategyKind {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        let names = || Who::ALL.map(|w| w.to_string()).join(", ");
-        Who::ALL
+        let names = || StrategyKind::ALL.map(|w| w.to_string()).join(", ");
+        StrategyKind::ALL
             .into_iter()
             .find(|w| w.to_string() == text)
             .ok_or_else(|| format!("not one of {}", names()))
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -10,7 +10,7 @@
 mod terms;
 mod world;
 
-pub use agreement::{play_agreement, AgreementDay, AgreementPlayed};
-pub use brain::{Brain, Look, Who, Wiring};
-pub use play::{play, play_with, Played, Watch};
+pub use agreement::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
+pub use brain::{HostView, RoutingStrategy, StrategyKind, Wiring};
+pub use play::{play, play_with, ScenarioRun, Watch};
 pub use terms::engine_terms;
--- a/crates/spokeflow-simulator/src/pair.rs
+++ b/crates/spokeflow-simulator/src/pair.rs
@@ -27,7 +27,7 @@
 
 /// A delivery as it crosses the way.
 #[derive(Clone, Copy, Debug)]
-pub struct Parcel {
+pub struct Message {
     pub delivery: u64,
     pub tried: u64,
     pub command: u64,
@@ -39,7 +39,7 @@
 }
 
 #[derive(Default)]
-pub struct Pair {
+pub struct HostLink {
     /// Counts connections: what belongs to an earlier one is dropped.
     pub epoch: u32,
     pub link: Link,
@@ -57,7 +57,7 @@
     /// When the last message each way arrives: none overtakes another.
     pub last_to: Micros,
     pub last_from: Micros,
-    pub waiting: Vec<Parcel>,
+    pub waiting: Vec<Message>,
     /// Left and unanswered.
     pub out: Vec<u64>,
     /// Cancelled after they left, with the ping whose answer shows that they have arrived.
@@ -66,12 +66,12 @@
     pub pongs: u64,
 }
 
-impl Pair {
+impl HostLink {
     /// As after a restart of the router, or for another host in the same seat.
     pub fn reset(&mut self) {
-        *self = Pair {
+        *self = HostLink {
             epoch: self.epoch + 1,
-            ..Pair::default()
+            ..HostLink::default()
         };
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// The connection is no more. Answers what never left and what may have run.
-    pub fn broken(&mut self, now: Micros, drawn: f64) -> (Vec<Parcel>, Vec<u64>) {
+    pub fn broken(&mut self, now: Micros, drawn: f64) -> (Vec<Message>, Vec<u64>) {
         self.failures = if now - self.up_since > LONGEST_PAUSE {
             0
         } else {
@@ -103,7 +103,7 @@
         self.drop_link()
     }
 
-    pub fn drop_link(&mut self) -> (Vec<Parcel>, Vec<u64>) {
+    pub fn drop_link(&mut self) -> (Vec<Message>, Vec<u64>) {
         self.epoch += 1;
         self.link = Link::Closed;
         self.cancelled.clear();
--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/plain.rs
@@ -10,7 +10,7 @@
     RolloutUpdate, ToClient, ToController, ToHost, ToList, VoteChoice,
 };
 
-use crate::brain::{Brain, Who, Wiring};
+use crate::brain::{RoutingStrategy, StrategyKind, Wiring};
 
 const WAKE: Micros = 50_000;
 const LEAST_LEFT: Micros = 100_000;
@@ -35,8 +35,8 @@
     may_have_run: bool,
 }
 
-pub struct Plain {
-    who: Who,
+pub struct BaselineStrategy {
+    who: StrategyKind,
     terms: EngineConfig,
     now: Micros,
     chance: Rng,
@@ -58,9 +58,9 @@
     version: Option<u64>,
 }
 
-impl Plain {
-    pub fn new(who: Who, terms: EngineConfig, seed: u64, now: Micros) -> Plain {
-        Plain {
+impl BaselineStrategy {
+    pub fn new(who: StrategyKind, terms: EngineConfig, seed: u64, now: Micros) -> BaselineStrategy {
+        BaselineStrategy {
             who,
             terms,
             now,
@@ -153,18 +153,18 @@
         }
         let flight = |h: u32| self.hosts[&h].in_flight;
         match self.who {
-            Who::RoundRobin => {
+            StrategyKind::RoundRobin => {
                 self.turn += 1;
                 Some(pool[self.turn % pool.len()])
             }
-            Who::TwoChoices => {
+            StrategyKind::TwoChoices => {
                 let (a, b) = (
                     pool[self.chance.below(pool.len())],
                     pool[self.chance.below(pool.len())],
                 );
                 Some(if flight(b) < flight(a) { b } else { a })
             }
-            Who::FullSight => {
+            StrategyKind::FullSight => {
                 while pool.len() > WEIGHED {
                     let at = self.chance.below(pool.len());
                     pool.swap_remove(at);
@@ -313,7 +313,7 @@
 
     fn vote(&mut self, wiring: &mut dyn Wiring) {
         let Some(news) = self.news else { return };
-        let bad = self.who == Who::FullSight && wiring.is_bad(BuildId(news.build));
+        let bad = self.who == StrategyKind::FullSight && wiring.is_bad(BuildId(news.build));
         let on = news.phase == RolloutPhase::Canary;
         let baked = self.now - self.stage_began > self.terms.service.stage_bake + 1_000_000;
         let verdict = match (bad, on) {
@@ -335,7 +335,7 @@
     }
 }
 
-impl Brain for Plain {
+impl RoutingStrategy for BaselineStrategy {
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring) {
         self.now = self.now.max(now);
         match input {
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -1,30 +1,30 @@
 //! Plays a day, and gives what came of it.
 
-use spokeflow_scenario::check::{check, RuleTerms};
+use spokeflow_scenario::check::{check, RuleConfig};
 use spokeflow_scenario::report::Report;
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::seen::Seen;
+use spokeflow_scenario::seen::Observation;
 use spokeflow_scenario::Micros;
 
-use crate::brain::Who;
+use crate::brain::StrategyKind;
 use crate::world::World;
 
 /// What is told of a day while it is played.
 pub trait Watch {
     fn passed(&mut self, _at: Micros) {}
-    fn seen(&mut self, _at: Micros, _seen: &Seen) {}
+    fn seen(&mut self, _at: Micros, _seen: &Observation) {}
 }
 
 impl Watch for () {}
 
 /// Keeps the trace, for the messages beside what is broken.
-impl Watch for Vec<(Micros, Seen)> {
-    fn seen(&mut self, at: Micros, seen: &Seen) {
+impl Watch for Vec<(Micros, Observation)> {
+    fn seen(&mut self, at: Micros, seen: &Observation) {
         self.push((at, seen.clone()));
     }
 }
 
-pub struct Played {
+pub struct ScenarioRun {
     pub report: Report,
     pub events: u64,
     /// Simulated microseconds, lead and last answers among them.
@@ -35,12 +35,12 @@
 
 /// Plays a day to its end. Only the first breaks of a rule carry messages, where `explain` says so: the day is
 /// then played a second time, which gives the same.
-pub fn play(day: &Scenario, who: Who, explain: bool) -> Played {
+pub fn play(day: &Scenario, who: StrategyKind, explain: bool) -> ScenarioRun {
     let mut played = play_with(day, who, &mut ());
     if explain && !played.report.broken.is_empty() {
-        let mut trace: Vec<(Micros, Seen)> = Vec::new();
+        let mut trace: Vec<(Micros, Observation)> = Vec::new();
         play_with(day, who, &mut trace);
-        let mut broken = check(&RuleTerms::of(day), &trace);
+        let mut broken = check(&RuleConfig::of(day), &trace);
         for (to, from) in played.report.broken.iter_mut().zip(broken.iter_mut()) {
             to.messages = std::mem::take(&mut from.messages);
         }
@@ -48,6 +48,6 @@
     played
 }
 
-pub fn play_with(day: &Scenario, who: Who, watch: &mut dyn Watch) -> Played {
+pub fn play_with(day: &Scenario, who: StrategyKind, watch: &mut dyn Watch) -> ScenarioRun {
     World::new(day.clone(), who).run(watch)
 }
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -19,14 +19,14 @@
 use slab::Slab;
 use spokeflow_engine::Input;
 use spokeflow_proto::FromController;
-use spokeflow_scenario::board::Board;
-use spokeflow_scenario::desk::Desk;
-use spokeflow_scenario::faults::{Faults, Way, OFFICE_SITE};
-use spokeflow_scenario::front::Front;
-use spokeflow_scenario::host::Marks;
-use spokeflow_scenario::report::Record;
-use spokeflow_scenario::scenario::{Build, Scenario, Trouble};
-use spokeflow_scenario::seen::Seen;
+use spokeflow_scenario::board::EndpointRegistry;
+use spokeflow_scenario::desk::ReleaseController;
+use spokeflow_scenario::faults::{ActiveFaults, LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::front::RouterPicker;
+use spokeflow_scenario::host::DeduplicationTable;
+use spokeflow_scenario::report::RunRecorder;
+use spokeflow_scenario::scenario::{Build, Fault, Scenario};
+use spokeflow_scenario::seen::Observation;
 use spokeflow_scenario::traffic::Traffic;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
@@ -34,9 +34,9 @@
 use self::event::{Due, What};
 use self::hosts::Seat;
 use self::routers::RouterSeat;
-use crate::brain::Who;
-use crate::pair::Pair;
-use crate::play::{Played, Watch};
+use crate::brain::StrategyKind;
+use crate::pair::HostLink;
+use crate::play::{ScenarioRun, Watch};
 
 /// Before the first command, so that routers have a list and news.
 const LEAD: Micros = SECOND;
@@ -47,7 +47,7 @@
 
 pub struct World {
     day: Scenario,
-    who: Who,
+    who: StrategyKind,
     now: Micros,
     start: Micros,
     end: Micros,
@@ -55,31 +55,31 @@
     queue: BinaryHeap<Reverse<Due>>,
     /// What has met a cut, until it ends.
     blocked: Vec<What>,
-    faults: Faults,
+    faults: ActiveFaults,
     rng: StdRng,
     number: u64,
     routers: Vec<RouterSeat>,
     seats: Slab<Seat>,
     seat_of: HashMap<u32, usize>,
     /// By seat and router.
-    pairs: Vec<Pair>,
-    marks: Marks,
-    board: Board,
-    desk: Desk,
+    pairs: Vec<HostLink>,
+    marks: DeduplicationTable,
+    board: EndpointRegistry,
+    desk: ReleaseController,
     offers: Vec<Build>,
-    front: Front,
+    front: RouterPicker,
     traffic: Traffic,
     clients: Slab<Asking>,
     tries: Slab<Trying>,
     struck: BTreeMap<usize, Vec<u32>>,
-    lasting: Vec<(usize, Trouble)>,
-    record: Option<Record>,
-    seen: Vec<(Micros, Seen)>,
+    lasting: Vec<(usize, Fault)>,
+    record: Option<RunRecorder>,
+    seen: Vec<(Micros, Observation)>,
     most: [usize; 3],
 }
 
 impl World {
-    pub fn new(day: Scenario, who: Who) -> World {
+    pub fn new(day: Scenario, who: StrategyKind) -> World {
         let start = LEAD;
         let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
         let offers = day
@@ -96,31 +96,31 @@
             seq: 0,
             queue: BinaryHeap::new(),
             blocked: Vec::new(),
-            faults: Faults::default(),
+            faults: ActiveFaults::default(),
             rng: StdRng::seed_from_u64(day.seed ^ 0x57a6e),
             number: 0,
             routers: Vec::new(),
             seats: Slab::new(),
             seat_of: HashMap::new(),
             pairs: Vec::new(),
-            marks: Marks::default(),
-            board: Board::default(),
-            desk: Desk::new(&day),
+            marks: DeduplicationTable::default(),
+            board: EndpointRegistry::default(),
+            desk: ReleaseController::new(&day),
             offers,
-            front: Front::new(&day),
+            front: RouterPicker::new(&day),
             traffic: Traffic::new(&day, start),
             clients: Slab::new(),
             tries: Slab::new(),
             struck: BTreeMap::new(),
             lasting: Vec::new(),
-            record: Some(Record::new(&day, start)),
+            record: Some(RunRecorder::new(&day, start)),
             seen: Vec::new(),
             most: [0; 3],
             day,
         }
     }
 
-    pub fn run(mut self, watch: &mut dyn Watch) -> Played {
+    pub fn run(mut self, watch: &mut dyn Watch) -> ScenarioRun {
         for host in 0..self.day.hosts {
             self.seat(host, 1, None);
             self.run_host(host);
@@ -159,7 +159,7 @@
         }
         let record = self.record.take().expect("there until the end");
         let report = record.finish(Vec::new(), None);
-        Played {
+        ScenarioRun {
             report,
             events,
             span: self.end,
@@ -167,7 +167,7 @@
         }
     }
 
-    fn note(&mut self, seen: Seen) {
+    fn note(&mut self, seen: Observation) {
         if let Some(record) = &mut self.record {
             record.see(self.now, &seen);
         }
@@ -270,7 +270,11 @@
             }
             What::VotedTo { by, ballot, result } => {
                 let site = self.routers[by.router as usize].site;
-                if self.faults.way(OFFICE_SITE, site, Way::Office).is_none() {
+                if self
+                    .faults
+                    .way(OFFICE_SITE, site, LinkDirection::Office)
+                    .is_none()
+                {
                     return self.blocked.push(What::VotedTo { by, ballot, result });
                 }
                 self.give(
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -6,8 +6,8 @@
 use spokeflow_proto::Command;
 use spokeflow_scenario::report::Outcome;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::{AnswerKind, Process, Seen};
-use spokeflow_scenario::traffic::{Client, TryEnd, Wanted};
+use spokeflow_scenario::seen::{AnswerKind, Observation, Process};
+use spokeflow_scenario::traffic::{Client, PlannedCommand, TryEnd};
 use spokeflow_scenario::{Micros, SECOND};
 
 use super::event::What;
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    pub(super) fn ask(&mut self, wanted: Wanted) {
+    pub(super) fn ask(&mut self, wanted: PlannedCommand) {
         let next = self.traffic.next(&self.day, &self.faults);
         if next.due < self.start + self.day.length {
             self.plan_at(next.due, What::Ask(next));
@@ -87,7 +87,7 @@
         });
         self.most[1] = self.most[1].max(self.tries.len());
         let op = wanted.op as u16;
-        self.note(Seen::Taken {
+        self.note(Observation::Taken {
             by,
             tried,
             command: number,
@@ -148,7 +148,7 @@
             } else {
                 0
             };
-            self.note(Seen::Answered {
+            self.note(Observation::Answered {
                 by,
                 tried,
                 kind,
@@ -176,7 +176,7 @@
             return;
         }
         t.answered = true;
-        self.note(Seen::Left { tried });
+        self.note(Observation::Left { tried });
         self.plan(LOCAL_WAY, What::LeaveAt { tried, by });
         self.plan(SECOND, What::Leaves { tried });
         self.ended(client, TryEnd::GivenUp);
@@ -194,7 +194,7 @@
 
     fn command_ended(&mut self, key: usize, end: TryEnd) {
         let asking = self.clients.remove(key);
-        let Wanted {
+        let PlannedCommand {
             op,
             customer,
             site,
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,14 +4,14 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::faults::{Way, RESENT_AFTER};
+use spokeflow_scenario::faults::{LinkDirection, RESENT_AFTER};
 use spokeflow_scenario::host::Job;
-use spokeflow_scenario::seen::{ReplyKind, Seen};
+use spokeflow_scenario::seen::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
 
 use super::event::{HostWord, RouterWord, What};
 use super::{World, LOCAL_WAY};
-use crate::pair::{pause, Link, Parcel, CONNECT_TIMEOUT, WAY_TIMEOUT};
+use crate::pair::{pause, Link, Message, CONNECT_TIMEOUT, WAY_TIMEOUT};
 
 impl World {
     pub(super) fn ends_of(&self, pair: usize) -> (usize, u32) {
@@ -27,7 +27,7 @@
         let (seat, router) = self.ends_of(pair);
         let (a, b) = (self.seats[seat].site, self.routers[router as usize].site);
         self.faults
-            .way(a, b, Way::Hosts)
+            .way(a, b, LinkDirection::Hosts)
             .map(|way| way.max(LOCAL_WAY))
     }
 
@@ -53,7 +53,7 @@
         self.plan_at(at, What::ToHost { pair, epoch, word });
     }
 
-    pub(super) fn deliver(&mut self, pair: usize, parcel: Parcel) {
+    pub(super) fn deliver(&mut self, pair: usize, parcel: Message) {
         let (seat, router) = self.ends_of(pair);
         let (host, build) = (self.seats[seat].host, self.seats[seat].build);
         let from = self.routers[router as usize].process;
@@ -69,7 +69,7 @@
             self.plan(WAY_TIMEOUT / 2, What::Silence { pair, epoch });
         }
         let (tried, delivery) = (parcel.tried, parcel.delivery);
-        self.note(Seen::Delivered {
+        self.note(Observation::Delivered {
             host,
             build,
             from,
@@ -237,7 +237,7 @@
             HostWord::Ping => return self.reply(pair, epoch, RouterWord::Pong),
             HostWord::Cancel(delivery) => process.model.cancel(from, delivery),
             HostWord::Deliver(p) => {
-                let Parcel {
+                let Message {
                     delivery,
                     tried,
                     command,
@@ -264,7 +264,7 @@
                 }
                 if !taken {
                     let host = self.seats[seat].host;
-                    self.note(Seen::Replied {
+                    self.note(Observation::Replied {
                         host,
                         tried,
                         delivery,
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -5,16 +5,16 @@
 
 use spokeflow_engine::TransportFailure;
 use spokeflow_proto::{FromList, VoteResult};
-use spokeflow_scenario::desk::{State, Verdict};
+use spokeflow_scenario::desk::{ControllerVote, State};
 use spokeflow_scenario::seen::Process;
-use spokeflow_scenario::traffic::{TryEnd, Wanted};
+use spokeflow_scenario::traffic::{PlannedCommand, TryEnd};
 use spokeflow_scenario::Micros;
 
-use crate::pair::Parcel;
+use crate::pair::Message;
 
 #[derive(Clone)]
 pub(super) enum HostWord {
-    Deliver(Parcel),
+    Deliver(Message),
     Cancel(u64),
     Ping,
 }
@@ -31,7 +31,7 @@
 /// What is due. Each carries what tells it from one that has been overtaken.
 #[derive(Clone)]
 pub(super) enum What {
-    Ask(Wanted),
+    Ask(PlannedCommand),
     Try(usize),
     AtRouter {
         tried: u64,
@@ -119,7 +119,7 @@
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: Verdict,
+        verdict: ControllerVote,
     },
     VotedTo {
         by: Process,
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use rand::seq::SliceRandom;
-use spokeflow_scenario::host::Ailment;
-use spokeflow_scenario::scenario::{Flaw, Kind};
-use spokeflow_scenario::seen::{Phase, Process, Seen};
+use spokeflow_scenario::host::HostFault;
+use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
+use spokeflow_scenario::seen::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, SECOND};
 
 use super::event::What;
@@ -34,7 +34,7 @@
                 seat.started
                     .is_some_and(|at| self.now - at < self.day.warm_within),
             );
-            if let Some(Flaw::Shared(times)) = flawed(seat.build) {
+            if let Some(BuildDefect::Shared(times)) = flawed(seat.build) {
                 drags += 2.0 * (times - 1.0);
             }
         }
@@ -90,7 +90,7 @@
         running
     }
 
-    fn ail(&mut self, hosts: &[u32], ail: impl Fn(&mut Ailment)) {
+    fn ail(&mut self, hosts: &[u32], ail: impl Fn(&mut HostFault)) {
         for host in hosts {
             let seat = self.seat_of.get(host).copied();
             if let Some(process) = seat.and_then(|s| self.seats[s].process.as_mut()) {
@@ -105,7 +105,7 @@
 
     pub(super) fn begin(&mut self, n: usize) {
         let trouble = self.day.troubles[n];
-        self.note(Seen::Trouble {
+        self.note(Observation::Fault {
             what: format!("begins: {trouble}"),
         });
         self.lasting.push((n, trouble));
@@ -124,41 +124,41 @@
         }
         let seconds = (trouble.size * SECOND as f64) as Micros;
         match trouble.kind {
-            Kind::Kill | Kind::LoneHost => {
+            FaultKind::Kill | FaultKind::LoneHost => {
                 for (nth, host) in self.strike(n, trouble.part).into_iter().enumerate() {
                     let (incarnation, late) = (self.incarnation(host), self.late());
                     if let Some(&seat) = self.seat_of.get(&host) {
                         self.kill_host(seat);
                     }
                     self.list(host, Phase::Gone, incarnation, late);
-                    let first = trouble.kind == Kind::LoneHost && nth == 0;
+                    let first = trouble.kind == FaultKind::LoneHost && nth == 0;
                     self.plan(
                         if first { seconds } else { trouble.lasts },
                         What::Revive(host),
                     );
                 }
             }
-            Kind::Hang => {
+            FaultKind::Hang => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.hangs = true);
             }
-            Kind::Slow => {
+            FaultKind::Slow => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.slower = trouble.size.max(1.0));
             }
-            Kind::FastErrors => {
+            FaultKind::FastErrors => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.fails = trouble.size.clamp(0.0, 1.0));
             }
-            Kind::SlowOp => {
+            FaultKind::SlowOp => {
                 let all = self.all_hosts();
                 self.ail(&all, |a| a.slow_op = (0, trouble.size.max(1.0)));
             }
-            Kind::RouterKill | Kind::RouterRoll => {
+            FaultKind::RouterKill | FaultKind::RouterRoll => {
                 let mut all: Vec<u32> = (0..self.day.routers).collect();
                 all.shuffle(&mut self.rng);
                 all.truncate(((all.len() as f64 * trouble.part).round() as usize).max(1));
-                if trouble.kind == Kind::RouterRoll {
+                if trouble.kind == FaultKind::RouterRoll {
                     let apart = trouble.lasts / all.len() as Micros;
                     let routers = Rc::new(all);
                     // Of a large fleet many end at a time, so that the roll takes as long as it lasts.
@@ -172,7 +172,7 @@
                 for router in all {
                     let by = self.routers[router as usize].process;
                     if self.routers[router as usize].brain.is_some() {
-                        self.stop_router(router, Seen::RouterKilled(by));
+                        self.stop_router(router, Observation::RouterKilled(by));
                         self.plan(trouble.lasts, What::Start { router, then: None });
                     }
                 }
@@ -183,7 +183,7 @@
 
     pub(super) fn end_trouble(&mut self, n: usize) {
         let trouble = self.day.troubles[n];
-        self.note(Seen::Trouble {
+        self.note(Observation::Fault {
             what: format!("ends: {}", trouble.kind.name()),
         });
         self.lasting.retain(|l| l.0 != n);
@@ -193,10 +193,10 @@
         self.day.troubles = day;
         let struck = self.struck.remove(&n).unwrap_or_default();
         match trouble.kind {
-            Kind::Hang => self.ail(&struck, |a| a.hangs = false),
-            Kind::Slow => self.ail(&struck, |a| a.slower = 1.0),
-            Kind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
-            Kind::SlowOp => {
+            FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
+            FaultKind::Slow => self.ail(&struck, |a| a.slower = 1.0),
+            FaultKind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
+            FaultKind::SlowOp => {
                 let all = self.all_hosts();
                 self.ail(&all, |a| a.slow_op = (usize::MAX, 1.0));
             }
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -6,8 +6,8 @@
 use spokeflow_engine::Input;
 use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList};
 use spokeflow_scenario::board::Entry;
-use spokeflow_scenario::faults::{Way, OFFICE_SITE};
-use spokeflow_scenario::seen::{Phase, Process, Seen};
+use spokeflow_scenario::faults::{LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::seen::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::What;
@@ -77,7 +77,7 @@
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
-            .way(OFFICE_SITE, seat.site, Way::Office)
+            .way(OFFICE_SITE, seat.site, LinkDirection::Office)
             .unwrap_or(2 * MS)
             .max(LOCAL_WAY);
         let at = (self.now + way).max(seat.office_last[0]);
@@ -89,7 +89,7 @@
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
-            .way(seat.site, OFFICE_SITE, Way::Office)
+            .way(seat.site, OFFICE_SITE, LinkDirection::Office)
             .unwrap_or(2 * MS)
             .max(LOCAL_WAY);
         let at = (self.now + way).max(seat.office_last[1]);
@@ -99,7 +99,9 @@
 
     pub(super) fn office_cut(&self, by: Process) -> bool {
         let site = self.routers[by.router as usize].site;
-        self.faults.way(OFFICE_SITE, site, Way::Office).is_none()
+        self.faults
+            .way(OFFICE_SITE, site, LinkDirection::Office)
+            .is_none()
     }
 
     fn stale(&self, by: Process, link: u32) -> bool {
@@ -148,7 +150,7 @@
                 .iter()
                 .map(|l| (l.host, l.build.unwrap_or(0), phase(l)))
                 .collect();
-            self.note(Seen::Listed {
+            self.note(Observation::Listed {
                 to: by,
                 whole,
                 lines,
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -2,15 +2,15 @@
 
 use rand::RngExt;
 use spokeflow_scenario::board::Entry;
-use spokeflow_scenario::desk::Order;
-use spokeflow_scenario::host::{Done, Host};
-use spokeflow_scenario::scenario::{Flaw, Kind};
-use spokeflow_scenario::seen::{Phase, ReplyKind, Seen};
+use spokeflow_scenario::desk::FleetOrder;
+use spokeflow_scenario::host::{Host, JobOutcome};
+use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
+use spokeflow_scenario::seen::{Observation, Phase, ReplyKind};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::{RouterWord, What};
 use super::World;
-use crate::pair::{Link, Pair};
+use crate::pair::{HostLink, Link};
 
 /// What a seat of a host that is gone for good is kept for.
 const SEAT_KEPT: Micros = 90 * SECOND;
@@ -46,7 +46,7 @@
         self.most[2] = self.most[2].max(self.seats.len());
         let pairs = (seat + 1) * self.day.routers as usize;
         if self.pairs.len() < pairs {
-            self.pairs.resize_with(pairs, Pair::default);
+            self.pairs.resize_with(pairs, HostLink::default);
         }
     }
 
@@ -57,10 +57,14 @@
         let incarnation = self.number();
         let (build, started) = (self.seats[seat].build, self.seats[seat].started);
         let made = self.day.builds.iter().find(|b| b.number == build);
-        let (flaw, speed) = made.map_or((Flaw::None, 1.0), |b| (b.flaw, b.speed));
+        let (flaw, speed) = made.map_or((BuildDefect::None, 1.0), |b| (b.flaw, b.speed));
         let seed = self.day.seed ^ u64::from(host) << 20 ^ incarnation << 40;
         let mut model = Host::new(&self.day, flaw, speed, started, seed);
-        if let Some((_, t)) = self.lasting.iter().find(|(_, t)| t.kind == Kind::SlowOp) {
+        if let Some((_, t)) = self
+            .lasting
+            .iter()
+            .find(|(_, t)| t.kind == FaultKind::SlowOp)
+        {
             model.ailment.slow_op = (0, t.size.max(1.0));
         }
         let process = HostProcess {
@@ -125,7 +129,7 @@
 
     pub(super) fn fell(&mut self, seat: usize) {
         let host = self.seats[seat].host;
-        self.note(Seen::Fell { host });
+        self.note(Observation::Fell { host });
         for router in 0..self.day.routers {
             let pair = self.pair_of(seat, router);
             if self.pairs[pair].link == Link::Up {
@@ -178,16 +182,16 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, orders: Vec<Order>) {
+    pub(super) fn carry_out(&mut self, orders: Vec<FleetOrder>) {
         for order in orders {
             match order {
-                Order::Start { host, build, .. } => {
+                FleetOrder::Start { host, build, .. } => {
                     let [least, most] = self.day.boot;
                     self.seat(host, build, Some(self.now));
                     let after = self.rng.random_range(least..most);
                     self.plan(after, What::Boot(host));
                 }
-                Order::Drain { host } => {
+                FleetOrder::Drain { host } => {
                     let Some(&seat) = self.seat_of.get(&host) else {
                         continue;
                     };
@@ -232,11 +236,13 @@
         for (job, done) in ended {
             let (delivery, tried) = (job.delivery, job.tried);
             let (word, kind) = match done {
-                Done::Acked { wrong } => (RouterWord::Acked { delivery, wrong }, ReplyKind::Acked),
-                Done::Error => (RouterWord::Error(delivery), ReplyKind::Error),
-                Done::Silent => continue,
+                JobOutcome::Acked { wrong } => {
+                    (RouterWord::Acked { delivery, wrong }, ReplyKind::Acked)
+                }
+                JobOutcome::Error => (RouterWord::Error(delivery), ReplyKind::Error),
+                JobOutcome::Silent => continue,
             };
-            self.note(Seen::Replied {
+            self.note(Observation::Replied {
                 host,
                 tried,
                 delivery,
@@ -246,7 +252,7 @@
         }
         for begun in begun.into_iter().filter(|b| b.effect) {
             let (tried, command, op) = (begun.tried, begun.command, begun.op as u16);
-            self.note(Seen::Ran {
+            self.note(Observation::Ran {
                 host,
                 build,
                 tried,
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -5,9 +5,9 @@
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
-use spokeflow_scenario::desk::Verdict;
-use spokeflow_scenario::faults::Way;
-use spokeflow_scenario::scenario::Flaw;
+use spokeflow_scenario::desk::ControllerVote;
+use spokeflow_scenario::faults::LinkDirection;
+use spokeflow_scenario::scenario::BuildDefect;
 use spokeflow_scenario::seen::Process;
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::Micros;
@@ -15,8 +15,8 @@
 use super::clients::read_body;
 use super::event::{HostWord, What};
 use super::{World, LOCAL_WAY};
-use crate::brain::{Look, Wiring};
-use crate::pair::{Link, Parcel, IDLE, QUEUE};
+use crate::brain::{HostView, Wiring};
+use crate::pair::{Link, Message, IDLE, QUEUE};
 
 /// The links of one router, for as long as its brain is asked.
 pub(super) struct Wires<'a> {
@@ -99,7 +99,7 @@
             } => {
                 let (tried, command) = read_body(&body);
                 let left = left_us.min(1 << 40) as Micros;
-                let parcel = Parcel {
+                let parcel = Message {
                     delivery,
                     tried,
                     command,
@@ -180,10 +180,10 @@
         } = message
         {
             let verdict = match verdict {
-                VoteChoice::Abstain => Verdict::None,
-                VoteChoice::Promote => Verdict::On,
-                VoteChoice::Hold => Verdict::Hold,
-                VoteChoice::RollBack => Verdict::Back,
+                VoteChoice::Abstain => ControllerVote::None,
+                VoteChoice::Promote => ControllerVote::On,
+                VoteChoice::Hold => ControllerVote::Hold,
+                VoteChoice::RollBack => ControllerVote::Back,
             };
             self.world.ask_office(by, |by| What::VoteAt {
                 by,
@@ -210,7 +210,7 @@
             };
             let (by, site) = (seat.process, seat.site);
             // What meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.way(own, site, Way::Hosts) {
+            if let Some(way) = self.world.faults.way(own, site, LinkDirection::Hosts) {
                 let text = text.clone();
                 self.world
                     .plan(way.max(LOCAL_WAY), What::Told { by, from, text });
@@ -242,8 +242,8 @@
 }
 
 impl Wiring for Wires<'_> {
-    fn look(&self, host: HostId) -> Look {
-        let none = Look {
+    fn look(&self, host: HostId) -> HostView {
+        let none = HostView {
             up: false,
             work_before: 0.0,
             way: None,
@@ -260,7 +260,7 @@
             return none;
         };
         let (model, now) = (&process.model, self.world.now);
-        Look {
+        HostView {
             up: !model.ailment.hangs,
             work_before: model.work_before(now),
             way: self.world.way(pair),
@@ -275,6 +275,6 @@
             .day
             .builds
             .iter()
-            .any(|b| b.number == build.0 && b.flaw != Flaw::None)
+            .any(|b| b.number == build.0 && b.flaw != BuildDefect::None)
     }
 }
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -3,8 +3,8 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::{FromController, RolloutPhase, RolloutUpdate, VoteResult};
-use spokeflow_scenario::desk::{Counted, State, Verdict};
-use spokeflow_scenario::seen::{Process, Seen, Standing};
+use spokeflow_scenario::desk::{ControllerVote, State, VoteOutcome};
+use spokeflow_scenario::seen::{Observation, Process, Standing};
 
 use super::event::What;
 use super::{World, DESK_TICK};
@@ -35,7 +35,7 @@
                 standing,
                 ..
             } = state;
-            self.note(Seen::Desk {
+            self.note(Observation::ReleaseController {
                 build,
                 stage,
                 standing,
@@ -79,7 +79,7 @@
             cap,
             since,
         } = state;
-        self.note(Seen::News {
+        self.note(Observation::News {
             to: by,
             build,
             stage,
@@ -112,7 +112,7 @@
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: Verdict,
+        verdict: ControllerVote,
     ) {
         if self.office_cut(by) {
             return self.blocked.push(What::VoteAt {
@@ -123,7 +123,7 @@
                 verdict,
             });
         }
-        self.note(Seen::Voted {
+        self.note(Observation::Voted {
             from: by,
             build,
             stage,
@@ -142,9 +142,9 @@
                 return;
             }
             match counted {
-                Counted::Counted => VoteResult::Counted,
-                Counted::Moot => VoteResult::Stale,
-                Counted::TooMany => VoteResult::RateLimited,
+                VoteOutcome::Counted => VoteResult::Counted,
+                VoteOutcome::Moot => VoteResult::Stale,
+                VoteOutcome::TooMany => VoteResult::RateLimited,
             }
         };
         self.tell_router(by, |by| What::VotedTo { by, ballot, result });
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -4,14 +4,14 @@
 
 use spokeflow_engine::Input;
 use spokeflow_scenario::desk::State;
-use spokeflow_scenario::seen::{Process, Seen};
+use spokeflow_scenario::seen::{Observation, Process};
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::What;
 use super::links::Wires;
 use super::{World, LOCAL_WAY};
-use crate::brain::Brain;
+use crate::brain::RoutingStrategy;
 use crate::terms::engine_terms;
 
 /// After SIGTERM.
@@ -19,7 +19,7 @@
 
 pub(super) struct RouterSeat {
     pub(super) process: Process,
-    pub(super) brain: Option<Box<dyn Brain>>,
+    pub(super) brain: Option<Box<dyn RoutingStrategy>>,
     pub(super) site: u16,
     pub(super) down_since: Option<Micros>,
     pub(super) closing: bool,
@@ -68,7 +68,7 @@
         let (terms, now) = (engine_terms(day, router), self.now);
         let seed = day.seed.wrapping_mul(31).wrapping_add(u64::from(router));
         let process = self.routers[router as usize].process;
-        self.note(Seen::RouterUp(process));
+        self.note(Observation::RouterUp(process));
         let who = self.who;
         let brain = who.start(
             terms,
@@ -97,7 +97,7 @@
     }
 
     /// The process is no more: connections break, and what waits on it at clients.
-    pub(super) fn stop_router(&mut self, router: u32, seen: Seen) {
+    pub(super) fn stop_router(&mut self, router: u32, seen: Observation) {
         self.note(seen);
         let seat = &mut self.routers[router as usize];
         seat.brain = None;
@@ -144,7 +144,7 @@
         }
         (seat.closing, seat.down_since) = (true, Some(self.now));
         let by = seat.process;
-        self.note(Seen::RouterAsked(by));
+        self.note(Observation::RouterAsked(by));
         self.give(by, Input::Close);
         self.plan(
             0,
@@ -182,7 +182,7 @@
             );
         }
         if seat.process == by && seat.brain.is_some() {
-            self.stop_router(router, Seen::RouterEnded(by));
+            self.stop_router(router, Observation::RouterEnded(by));
         }
         let down = next.as_ref().map_or(SECOND, |n| n.2);
         self.plan(down, What::Start { router, then: next });
--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -1,12 +1,12 @@
 //! Keepers and the routers that follow them, in simulated time.
 
-use spokeflow_simulator::{play_agreement, AgreementDay};
+use spokeflow_simulator::{play_agreement, ControlPlaneScenario};
 
 const SECOND: i64 = 1_000_000;
 
-fn day(routers: u32, keepers: u32, seed: u64, faulty: bool) -> AgreementDay {
+fn day(routers: u32, keepers: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
     let (length, lease, silence, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
-    AgreementDay {
+    ControlPlaneScenario {
         routers,
         keepers,
         seed,
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_log_of_a_day_of_many_offers_stays_small() {
-    let long = AgreementDay {
+    let long = ControlPlaneScenario {
         length: 3600 * SECOND,
         ..day(3, 3, 7, false)
     };
--- a/crates/spokeflow-simulator/tests/days.rs
+++ b/crates/spokeflow-simulator/tests/days.rs
@@ -1,10 +1,10 @@
 //! Days in simulated time.
 
-use spokeflow_scenario::scenario::{Flaw, Kind, Scenario, Size};
+use spokeflow_scenario::scenario::{BuildDefect, FaultKind, FleetSize, Scenario};
 use spokeflow_scenario::SECOND;
-use spokeflow_simulator::{play, Who};
+use spokeflow_simulator::{play, StrategyKind};
 
-fn text(day: &Scenario, who: Who) -> String {
+fn text(day: &Scenario, who: StrategyKind) -> String {
     serde_json::to_string(&play(day, who, false).report).unwrap()
 }
 
@@ -13,12 +13,12 @@
     let days: Vec<Scenario> = (0..6)
         .map(|seed| Scenario::drawn(seed, 20 * SECOND))
         .collect();
-    let one: Vec<String> = days.iter().map(|d| text(d, Who::Engine)).collect();
+    let one: Vec<String> = days.iter().map(|d| text(d, StrategyKind::Engine)).collect();
     let other: Vec<String> = std::thread::scope(|s| {
         let all: Vec<_> = days
             .iter()
             .rev()
-            .map(|d| s.spawn(move || text(d, Who::Engine)))
+            .map(|d| s.spawn(move || text(d, StrategyKind::Engine)))
             .collect();
         all.into_iter().rev().map(|t| t.join().unwrap()).collect()
     });
@@ -31,9 +31,9 @@
 
 #[test]
 fn rules_hold_under_each_kind_of_trouble() {
-    for (n, kind) in Kind::ALL.into_iter().enumerate() {
+    for (n, kind) in FaultKind::ALL.into_iter().enumerate() {
         let day = Scenario::only(kind, 20 + n as u64, 40 * SECOND);
-        let played = play(&day, Who::Engine, true);
+        let played = play(&day, StrategyKind::Engine, true);
         let report = &played.report;
         assert!(report.sound(), "{}", report.text());
         assert!(
@@ -46,9 +46,9 @@
 
 #[test]
 fn a_bad_build_is_sent_back_and_a_good_one_released() {
-    let mut bad = Scenario::only(Kind::BadBuild, 3, 60 * SECOND);
-    bad.builds[1].flaw = Flaw::Errors(0.6);
-    let report = play(&bad, Who::Engine, false).report;
+    let mut bad = Scenario::only(FaultKind::BadBuild, 3, 60 * SECOND);
+    bad.builds[1].flaw = BuildDefect::Errors(0.6);
+    let report = play(&bad, StrategyKind::Engine, false).report;
     assert!(
         report.builds[0].end.starts_with("sent back"),
         "{}",
@@ -56,23 +56,28 @@
     );
     assert_eq!((report.misses, report.false_backs), (0, 0));
     let good = play(
-        &Scenario::only(Kind::None, 3, 60 * SECOND),
-        Who::Engine,
+        &Scenario::only(FaultKind::None, 3, 60 * SECOND),
+        StrategyKind::Engine,
         false,
     )
     .report;
     assert_eq!(good.builds[0].end, "released", "{}", good.text());
-    let random = play(&bad, Who::Random, false).report;
+    let random = play(&bad, StrategyKind::Random, false).report;
     assert_eq!(random.misses, 1, "{}", random.text());
 }
 
 #[test]
 fn full_sight_serves_most_and_random_least_when_hosts_hang_and_crawl() {
-    let mut day = Scenario::only(Kind::Hang, 5, 60 * SECOND);
+    let mut day = Scenario::only(FaultKind::Hang, 5, 60 * SECOND);
     day.troubles
         .push("slow:at=20s:lasts=25s:part=0.3:size=6".parse().unwrap());
     let service = |who| play(&day, who, false).report.service;
-    let [engine, random, full] = [Who::Engine, Who::Random, Who::FullSight].map(service);
+    let [engine, random, full] = [
+        StrategyKind::Engine,
+        StrategyKind::Random,
+        StrategyKind::FullSight,
+    ]
+    .map(service);
     assert!(
         random < engine && engine <= full + 0.01,
         "{random} {engine} {full}"
@@ -82,10 +87,10 @@
 #[test]
 fn many_routers_tell_each_other_and_rules_hold() {
     let mut day = Scenario::bad_day(8, 40 * SECOND)
-        .sized(Size::Middle)
+        .sized(FleetSize::Middle)
         .by_majority();
     day.troubles.push("cut:at=10s:lasts=8s".parse().unwrap());
-    let report = play(&day, Who::Engine, true).report;
+    let report = play(&day, StrategyKind::Engine, true).report;
     assert!(report.sound(), "{}", report.text());
     assert!(report.acked > 6000, "{}", report.text());
 }
@@ -101,12 +106,12 @@
             let build = spokeflow_scenario::scenario::Build {
                 number,
                 offered: n * every,
-                flaw: Flaw::None,
+                flaw: BuildDefect::None,
                 speed: 1.0,
             };
             day.builds.push(build);
         }
-        let played = play(&day, Who::Engine, false);
+        let played = play(&day, StrategyKind::Engine, false);
         assert!(played.report.sound(), "{}", played.report.text());
         let released = played
             .report
@@ -127,7 +132,12 @@
 #[test]
 fn bad_days_of_many_seeds_keep_the_rules() {
     for seed in 1..41 {
-        let report = play(&Scenario::bad_day(seed, 60 * SECOND), Who::Engine, true).report;
+        let report = play(
+            &Scenario::bad_day(seed, 60 * SECOND),
+            StrategyKind::Engine,
+            true,
+        )
+        .report;
         assert!(report.sound(), "{}", report.text());
     }
 }
--- a/crates/spokeflow-simulator/tests/fleet.rs
+++ b/crates/spokeflow-simulator/tests/fleet.rs
@@ -2,14 +2,14 @@
 //! breaks no rule and sends no good build back.
 
 use clap::Parser;
-use spokeflow_scenario::flags::DayFlags;
+use spokeflow_scenario::flags::ScenarioFlags;
 use spokeflow_scenario::report::Report;
-use spokeflow_simulator::{play, Who};
+use spokeflow_simulator::{play, StrategyKind};
 
 #[derive(Parser)]
 struct Day {
     #[command(flatten)]
-    day: DayFlags,
+    day: ScenarioFlags,
 }
 
 /// A good build rolls through the fleet meanwhile.
@@ -19,7 +19,7 @@
          --build 2:at=1s:flaw=none {script}"
     );
     let day = Day::parse_from(flags.split_whitespace()).day.day().unwrap();
-    let report = play(&day, Who::Engine, false).report;
+    let report = play(&day, StrategyKind::Engine, false).report;
     assert!(report.sound(), "{}", report.text());
     assert_eq!(report.false_backs, 0, "{}", report.text());
     report
--- a/crates/spokeflow-simulator/tests/kept.rs
+++ b/crates/spokeflow-simulator/tests/kept.rs
@@ -1,20 +1,20 @@
 //! Days that once broke a rule, as the hunt shrunk them: flags of `spokeflow-experiments run`, with what was wrong.
 
 use clap::Parser;
-use spokeflow_scenario::flags::DayFlags;
-use spokeflow_simulator::{play, Who};
+use spokeflow_scenario::flags::ScenarioFlags;
+use spokeflow_simulator::{play, StrategyKind};
 
 #[derive(Parser)]
 struct Day {
     #[command(flatten)]
-    day: DayFlags,
+    day: ScenarioFlags,
 }
 
 /// The rules hold on it now.
 fn sound(flags: &str) {
     let words = std::iter::once("day").chain(flags.split_whitespace());
     let day = Day::parse_from(words).day.day().unwrap();
-    let report = play(&day, Who::Engine, true).report;
+    let report = play(&day, StrategyKind::Engine, true).report;
     assert!(report.sound() && report.acked > 200, "{}", report.text());
 }
 
@@ -60,7 +60,7 @@
     for seed in 1..25 {
         let flags = format!("day --only cut --seed {seed} --seconds 60");
         let day = Day::parse_from(flags.split_whitespace()).day.day().unwrap();
-        let report = play(&day, Who::Engine, false).report;
+        let report = play(&day, StrategyKind::Engine, false).report;
         assert_eq!(report.false_backs, 0, "{}", report.text());
     }
 }
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -14,11 +14,11 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-use spokeflow_scenario::front::Front;
+use spokeflow_scenario::front::RouterPicker;
 use spokeflow_scenario::report::{End, Outcome};
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::{AnswerKind, Process, Seen};
-use spokeflow_scenario::traffic::{Client, Traffic, TryEnd, Wanted};
+use spokeflow_scenario::seen::{AnswerKind, Observation, Process};
+use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
 
 use crate::hosts::{body, World};
 use crate::Micros;
@@ -135,7 +135,7 @@
                     };
                     // An answer to what is not open, or again, is noted as well: the checker must see it.
                     let Some((tried, waits)) = open.get_mut(&id) else { continue };
-                    self.world.tap.note(Seen::Answered { by, tried: *tried, kind, build });
+                    self.world.tap.note(Observation::Answered { by, tried: *tried, kind, build });
                     if let Some(waits) = waits.take() {
                         let _ = waits.send(end);
                     }
@@ -145,7 +145,7 @@
                     Some(Order::Send(send)) => {
                         let Send { command, tried, number, patience, end } = send;
                         let (op, key, id) = (command.op, command.key, command.id);
-                        self.world.tap.note(Seen::Taken { by, tried, command: number, op, key, patience });
+                        self.world.tap.note(Observation::Taken { by, tried, command: number, op, key, patience });
                         open.insert(id, (tried, Some(end)));
                         if link.send(FromClient::Command(command)).await.is_err() {
                             break;
@@ -153,7 +153,7 @@
                     }
                     Some(Order::Leave(id)) => {
                         if let Some((tried, _)) = open.get(&id) {
-                            self.world.tap.note(Seen::Left { tried: *tried });
+                            self.world.tap.note(Observation::Left { tried: *tried });
                             let _ = link.send(FromClient::Abandon { id }).await;
                         }
                     }
@@ -177,7 +177,7 @@
     /// By site and router.
     links: Vec<Vec<Vec<mpsc::Sender<Order>>>>,
     outcomes: Mutex<Vec<Outcome>>,
-    front: Front,
+    front: RouterPicker,
 }
 
 impl Crowd {
@@ -202,7 +202,7 @@
                 .collect()
         };
         let links = (0..day.sites).map(of_site).collect();
-        let front = Front::new(day);
+        let front = RouterPicker::new(day);
         Arc::new(Crowd {
             world,
             doors,
@@ -229,14 +229,14 @@
         }
     }
 
-    fn router_for(&self, wanted: &Wanted, n: u32) -> usize {
+    fn router_for(&self, wanted: &PlannedCommand, n: u32) -> usize {
         let doors = self.doors.lock().expect("no holder panics");
         let now = self.world.tap.now();
         self.front
             .router_for(wanted.site, wanted.seed, n, now, |r| doors[r].down_since)
     }
 
-    async fn command(self: Arc<Self>, wanted: Wanted) {
+    async fn command(self: Arc<Self>, wanted: PlannedCommand) {
         let day = &self.world.day;
         let number = self.world.number();
         let mut client = Client::new(wanted);
@@ -281,7 +281,7 @@
                 None => break ended.last(),
             }
         };
-        let Wanted {
+        let PlannedCommand {
             op,
             customer,
             site,
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -10,12 +10,12 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
 
-use spokeflow_scenario::board::{Board, Entry};
-use spokeflow_scenario::desk::{Desk, Order};
-use spokeflow_scenario::host::{Ailment, Host};
-use spokeflow_scenario::report::{Outcome, Record, Report};
-use spokeflow_scenario::scenario::{Build, Flaw, Kind, Scenario, Trouble};
-use spokeflow_scenario::seen::{Phase, Process, Seen};
+use spokeflow_scenario::board::{EndpointRegistry, Entry};
+use spokeflow_scenario::desk::{FleetOrder, ReleaseController};
+use spokeflow_scenario::host::{Host, HostFault};
+use spokeflow_scenario::report::{Outcome, Report, RunRecorder};
+use spokeflow_scenario::scenario::{Build, BuildDefect, Fault, FaultKind, Scenario};
+use spokeflow_scenario::seen::{Observation, Phase, Process};
 
 use crate::clients::{Crowd, Door, Doors};
 use crate::hosts::{self, HostProcess, HostSeat, World};
@@ -25,7 +25,7 @@
 
 pub struct Played {
     pub day: Scenario,
-    pub seen: Vec<(Micros, Seen)>,
+    pub seen: Vec<(Micros, Observation)>,
     pub outcomes: Vec<Outcome>,
     pub report: Report,
 }
@@ -74,8 +74,8 @@
     let world = World::new(day.clone());
     let office = Arc::new(Office {
         world: world.clone(),
-        board: Mutex::new(Board::default()),
-        desk: Mutex::new(Desk::new(&day)),
+        board: Mutex::new(EndpointRegistry::default()),
+        desk: Mutex::new(ReleaseController::new(&day)),
     });
     let (list, desk) = office.open().await.map_err(|e| e.to_string())?;
     let doors: Doors = Arc::default();
@@ -109,7 +109,7 @@
             process,
             down_since: None,
         });
-        world.tap.note(Seen::RouterUp(process));
+        world.tap.note(Observation::RouterUp(process));
     }
     sleep(Duration::from_micros(LEAD as u64)).await;
     let start = world.tap.now();
@@ -125,7 +125,7 @@
         .filter(|b| b.number > 1)
         .collect();
     let mut told = 0;
-    let mut troubles: Vec<(usize, Trouble, bool)> = day
+    let mut troubles: Vec<(usize, Fault, bool)> = day
         .troubles
         .iter()
         .enumerate()
@@ -149,7 +149,7 @@
             desk.tick(now, &mut orders);
             let s = desk.state;
             if s != before {
-                world.tap.note(Seen::Desk {
+                world.tap.note(Observation::ReleaseController {
                     build: s.build,
                     stage: s.stage,
                     standing: s.standing,
@@ -161,7 +161,7 @@
         for (n, trouble, begun) in &mut troubles {
             if !*begun && now - start >= trouble.at {
                 *begun = true;
-                world.tap.note(Seen::Trouble {
+                world.tap.note(Observation::Fault {
                     what: format!("begins: {trouble}"),
                 });
                 stage.begin(*n, *trouble, now);
@@ -171,10 +171,10 @@
             .extract_if(.., |t| t.2 && now - start >= t.1.at + t.1.lasts)
             .collect();
         for (n, trouble, _) in over {
-            world.tap.note(Seen::Trouble {
+            world.tap.note(Observation::Fault {
                 what: format!("ends: {}", trouble.kind.name()),
             });
-            let others: Vec<(usize, Trouble)> = troubles
+            let others: Vec<(usize, Fault)> = troubles
                 .iter()
                 .filter(|t| t.2)
                 .map(|t| (t.0, t.1))
@@ -206,7 +206,7 @@
     }
     let (seen, outcomes) = (world.tap.take(), crowd.outcomes());
     let faults = std::mem::take(&mut *stage.faults.lock().expect("no holder panics"));
-    let mut record = Record::new(&day, start);
+    let mut record = RunRecorder::new(&day, start);
     seen.iter().for_each(|(at, s)| record.see(*at, s));
     outcomes.iter().for_each(|o| record.ended(o));
     let report = record.finish(faults, Some(&seen));
@@ -240,7 +240,7 @@
             return Ok(());
         };
         let build = day.builds.iter().find(|b| b.number == seat.build);
-        let (flaw, speed) = build.map_or((Flaw::None, 1.0), |b| (b.flaw, b.speed));
+        let (flaw, speed) = build.map_or((BuildDefect::None, 1.0), |b| (b.flaw, b.speed));
         let model = Host::new(day, flaw, speed, seat.started, seed);
         let place = HostSeat {
             host,
@@ -296,17 +296,17 @@
             .map_or(0, |p| p.incarnation)
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>) {
+    fn carry_out(&mut self, orders: Vec<FleetOrder>) {
         let now = self.world.tap.now();
         for order in orders {
             match order {
-                Order::Start { host, build, .. } => {
+                FleetOrder::Start { host, build, .. } => {
                     let [least, most] = self.world.day.boot;
                     self.seat(host, build, Some(now));
                     self.booting
                         .push((now + self.rng.random_range(least..most), host));
                 }
-                Order::Drain { host } => {
+                FleetOrder::Drain { host } => {
                     self.booting.retain(|b| b.1 != host);
                     let Some(seat) = self.seats.get_mut(&host) else {
                         continue;
@@ -401,7 +401,7 @@
         running
     }
 
-    fn ail(&self, hosts: &[u32], ail: impl Fn(&mut Ailment)) {
+    fn ail(&self, hosts: &[u32], ail: impl Fn(&mut HostFault)) {
         for host in hosts {
             if let Some(process) = self.seats.get(host).and_then(|s| s.process.as_ref()) {
                 ail(&mut process.model.lock().expect("no holder panics").ailment);
@@ -414,7 +414,7 @@
         self.seats.keys().copied().collect()
     }
 
-    fn begin(&mut self, n: usize, trouble: Trouble, now: Micros) {
+    fn begin(&mut self, n: usize, trouble: Fault, now: Micros) {
         let seconds = (trouble.size * SECOND as f64) as Micros;
         let world = self.world.clone();
         if world
@@ -426,40 +426,40 @@
             return;
         }
         match trouble.kind {
-            Kind::Kill | Kind::LoneHost => {
+            FaultKind::Kill | FaultKind::LoneHost => {
                 for (nth, host) in self.strike(n, trouble.part).into_iter().enumerate() {
                     let (incarnation, late) = (self.incarnation(host), self.late());
                     if let Some(seat) = self.seats.get_mut(&host) {
                         seat.process = None;
                     }
                     self.list(host, Phase::Gone, incarnation, late);
-                    let first = trouble.kind == Kind::LoneHost && nth == 0;
+                    let first = trouble.kind == FaultKind::LoneHost && nth == 0;
                     self.reviving
                         .push((now + if first { seconds } else { trouble.lasts }, host));
                 }
             }
-            Kind::Hang => {
+            FaultKind::Hang => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.hangs = true);
             }
-            Kind::Slow => {
+            FaultKind::Slow => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.slower = trouble.size.max(1.0));
             }
-            Kind::FastErrors => {
+            FaultKind::FastErrors => {
                 let struck = self.strike(n, trouble.part);
                 self.ail(&struck, |a| a.fails = trouble.size);
             }
-            Kind::SlowOp => {
+            FaultKind::SlowOp => {
                 self.ail(&self.all_hosts(), |a| {
                     a.slow_op = (0, trouble.size.max(1.0))
                 });
             }
-            Kind::RouterKill | Kind::RouterRoll => {
+            FaultKind::RouterKill | FaultKind::RouterRoll => {
                 let mut all: Vec<u32> = (0..self.world.day.routers).collect();
                 all.shuffle(&mut self.rng);
                 all.truncate(((all.len() as f64 * trouble.part).round() as usize).max(1));
-                let hard = trouble.kind == Kind::RouterKill;
+                let hard = trouble.kind == FaultKind::RouterKill;
                 let down = if hard { trouble.lasts } else { seconds };
                 let apart = if hard {
                     0
@@ -473,7 +473,7 @@
     }
 
     /// `others`: troubles that still last.
-    fn end(&mut self, n: usize, trouble: Trouble, others: &[(usize, Trouble)]) {
+    fn end(&mut self, n: usize, trouble: Fault, others: &[(usize, Fault)]) {
         let struck = self.struck.remove(&n).unwrap_or_default();
         let world = self.world.clone();
         world
@@ -482,10 +482,10 @@
             .expect("no holder panics")
             .end(&world.day, &trouble, others);
         match trouble.kind {
-            Kind::Hang => self.ail(&struck, |a| a.hangs = false),
-            Kind::Slow => self.ail(&struck, |a| a.slower = 1.0),
-            Kind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
-            Kind::SlowOp => self.ail(&self.all_hosts(), |a| a.slow_op = (usize::MAX, 1.0)),
+            FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
+            FaultKind::Slow => self.ail(&struck, |a| a.slower = 1.0),
+            FaultKind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
+            FaultKind::SlowOp => self.ail(&self.all_hosts(), |a| a.slow_op = (usize::MAX, 1.0)),
             _ => {}
         }
     }
@@ -506,7 +506,7 @@
             .filter(|s| s.process.is_some())
             .collect();
         let drags = running.iter().filter_map(|s| match flawed(s.build) {
-            Some(Flaw::Shared(times)) => Some(times),
+            Some(BuildDefect::Shared(times)) => Some(times),
             _ => None,
         });
         let drag = 1.0 + drags.map(|t| 2.0 * (t - 1.0)).sum::<f64>() / running.len().max(1) as f64;
@@ -577,9 +577,9 @@
             return;
         };
         let seen = if hard {
-            Seen::RouterKilled(process)
+            Observation::RouterKilled(process)
         } else {
-            Seen::RouterAsked(process)
+            Observation::RouterAsked(process)
         };
         self.world.tap.note(seen);
         if let Some(door) = self
@@ -599,7 +599,7 @@
                     .expect("no holder panics")
                     .push(format!("router {router}: {what}"));
             }
-            self.world.tap.note(Seen::RouterEnded(process));
+            self.world.tap.note(Observation::RouterEnded(process));
         }
     }
 
@@ -614,7 +614,7 @@
         };
         match self.start(router).await {
             Ok(child) => {
-                self.world.tap.note(Seen::RouterUp(process));
+                self.world.tap.note(Observation::RouterUp(process));
                 if let Some(door) = self
                     .doors
                     .lock()
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -16,10 +16,10 @@
 use tokio_util::codec::Framed;
 
 use rand::RngExt;
-use spokeflow_scenario::faults::{Faults, Way, RESENT_AFTER};
-use spokeflow_scenario::host::{Done, Host, Job, Marks};
+use spokeflow_scenario::faults::{ActiveFaults, LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::host::{DeduplicationTable, Host, Job, JobOutcome};
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::seen::{Process, ReplyKind, Seen};
+use spokeflow_scenario::seen::{Observation, Process, ReplyKind};
 
 use crate::tap::Tap;
 use crate::Micros;
@@ -28,8 +28,8 @@
 pub struct World {
     pub day: Scenario,
     pub tap: Tap,
-    pub marks: Mutex<Marks>,
-    pub faults: Mutex<Faults>,
+    pub marks: Mutex<DeduplicationTable>,
+    pub faults: Mutex<ActiveFaults>,
     /// Which start of each router now runs.
     pub starts: Mutex<Vec<u32>>,
     next: AtomicU64,
@@ -54,7 +54,7 @@
         self.next.fetch_add(1, Ordering::Relaxed)
     }
 
-    pub fn faults(&self) -> Faults {
+    pub fn faults(&self) -> ActiveFaults {
         self.faults.lock().expect("no holder panics").clone()
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn way(&self, a: u16, b: u16, way: Way) -> Option<Micros> {
+    pub fn way(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
         self.faults.lock().expect("no holder panics").way(a, b, way)
     }
 
@@ -92,7 +92,7 @@
         self: &Arc<Self>,
         a: u16,
         b: u16,
-        way: Way,
+        way: LinkDirection,
     ) -> (mpsc::UnboundedSender<T>, mpsc::UnboundedReceiver<T>) {
         let (to, mut inlet) = mpsc::unbounded_channel::<(Instant, T)>();
         let (outlet, from) = mpsc::unbounded_channel();
@@ -231,7 +231,7 @@
             }
             while links.try_join_next().is_some() {}
             if self.model.lock().expect("no holder panics").fallen {
-                self.world.tap.note(Seen::Fell {
+                self.world.tap.note(Observation::Fell {
                     host: self.seat.host,
                 });
                 return;
@@ -246,7 +246,7 @@
         for (job, done) in model.ended(now) {
             let delivery = job.delivery;
             let message = match done {
-                Done::Acked { wrong } => {
+                JobOutcome::Acked { wrong } => {
                     let body = if wrong {
                         Bytes::from_static(b"wrong")
                     } else {
@@ -254,8 +254,8 @@
                     };
                     FromHost::Acked { delivery, body }
                 }
-                Done::Error => FromHost::Error { delivery },
-                Done::Silent => continue,
+                JobOutcome::Error => FromHost::Error { delivery },
+                JobOutcome::Silent => continue,
             };
             self.reply(job.from, message, job.tried);
         }
@@ -263,7 +263,7 @@
         for begun in model.begin(now, &mut marks) {
             if begun.effect {
                 let (host, build, op) = (self.seat.host, self.seat.build, begun.op as u16);
-                self.world.tap.note(Seen::Ran {
+                self.world.tap.note(Observation::Ran {
                     host,
                     build,
                     tried: begun.tried,
@@ -297,7 +297,7 @@
             self.world.faults().slow_connects as u64,
         ))
         .await;
-        while self.world.way(site, own, Way::Hosts).is_none() {
+        while self.world.way(site, own, LinkDirection::Hosts).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
         let conn = self.world.number();
@@ -311,8 +311,10 @@
         if link.send(welcome).await.is_err() {
             return;
         }
-        let (replies, mut to_send) = self.world.delayed(own, site, Way::Hosts);
-        let (arrive, mut arrived) = self.world.delayed::<ToHost>(site, own, Way::Hosts);
+        let (replies, mut to_send) = self.world.delayed(own, site, LinkDirection::Hosts);
+        let (arrive, mut arrived) = self
+            .world
+            .delayed::<ToHost>(site, own, LinkDirection::Hosts);
         self.conns
             .lock()
             .expect("no holder panics")
@@ -325,7 +327,7 @@
                         if let ToHost::Deliver { delivery, body, .. } = &message {
                             let (tried, _) = read_body(body);
                             let (host, build, delivery) = (self.seat.host, self.seat.build, *delivery);
-                            self.world.tap.note(Seen::Delivered { host, build, from, tried, delivery });
+                            self.world.tap.note(Observation::Delivered { host, build, from, tried, delivery });
                         }
                         let _ = arrive.send(message);
                     }
@@ -340,7 +342,7 @@
                         _ => None,
                     };
                     if let Some((kind, delivery)) = kind {
-                        self.world.tap.note(Seen::Replied { host: self.seat.host, tried, delivery, kind });
+                        self.world.tap.note(Observation::Replied { host: self.seat.host, tried, delivery, kind });
                     }
                     if link.send(message).await.is_err() {
                         break;
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -5,14 +5,14 @@
 use clap::{Args, Parser, Subcommand};
 use spokeflow_control_plane::ControlPlaneProgram;
 use spokeflow_router::{main_with, RouterProgram};
+use spokeflow_scenario::flags::ScenarioFlags;
+use spokeflow_scenario::scenario::FaultKind;
 use spokeflow_testbed::commits::{commits, CommitFlags};
 use spokeflow_testbed::day::play;
 use spokeflow_testbed::fleet::{self, FleetTerms};
 use spokeflow_testbed::load::{load, pass_through, LoadFlags};
 use spokeflow_testbed::routers::Starting;
 use spokeflow_testbed::scale::{self, HollowFlags, Outcome, ScaleFlags};
-use spokeflow_testbed::scenario::flags::DayFlags;
-use spokeflow_testbed::scenario::scenario::Kind;
 use spokeflow_testbed::{Micros, SECOND};
 
 /// Stand-ins for what surrounds the routers, and days to try real routers on.
@@ -116,7 +116,7 @@
 #[derive(Args)]
 struct PlayFlags {
     #[command(flatten)]
-    day: DayFlags,
+    day: ScenarioFlags,
     /// Prints the report as JSON
     #[arg(long)]
     json: bool,
@@ -159,7 +159,7 @@
         },
         What::Hollow(flags) => scale::hollow(&flags),
         What::Troubles => {
-            Kind::ALL
+            FaultKind::ALL
                 .iter()
                 .for_each(|kind| println!("{}", kind.name()));
             ExitCode::SUCCESS
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -15,10 +15,10 @@
 use tokio::time::interval;
 use tokio_util::codec::Framed;
 
-use spokeflow_scenario::board::{Board, Entry};
-use spokeflow_scenario::desk::{Counted, Desk, State, Verdict};
-use spokeflow_scenario::faults::{Way, OFFICE_SITE};
-use spokeflow_scenario::seen::{Phase, Process, Seen, Standing};
+use spokeflow_scenario::board::{EndpointRegistry, Entry};
+use spokeflow_scenario::desk::{ControllerVote, ReleaseController, State, VoteOutcome};
+use spokeflow_scenario::faults::{LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::seen::{Observation, Phase, Process, Standing};
 
 use crate::hosts::World;
 use crate::Micros;
@@ -27,8 +27,8 @@
 
 pub struct Office {
     pub world: Arc<World>,
-    pub board: Mutex<Board>,
-    pub desk: Mutex<Desk>,
+    pub board: Mutex<EndpointRegistry>,
+    pub desk: Mutex<ReleaseController>,
 }
 
 impl Office {
@@ -65,9 +65,9 @@
         if link.send(FromList::Welcome).await.is_err() {
             return;
         }
-        let (send, mut ready) = self
-            .world
-            .delayed::<FromList>(OFFICE_SITE, site, Way::Office);
+        let (send, mut ready) =
+            self.world
+                .delayed::<FromList>(OFFICE_SITE, site, LinkDirection::Office);
         let mut watched: Option<u64> = None;
         let mut ticks = interval(TICK);
         loop {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn message(&self, board: &Board, have: Option<u64>) -> FromList {
+    fn message(&self, board: &EndpointRegistry, have: Option<u64>) -> FromList {
         let now = self.world.tap.now();
         let (whole, entries) = board.since(have);
         let line = |e: &&Entry| EndpointRecord {
@@ -154,7 +154,9 @@
             .iter()
             .map(|l| (l.host, l.build.unwrap_or(0), phase(l)))
             .collect();
-        self.world.tap.note(Seen::Listed { to, whole, lines });
+        self.world
+            .tap
+            .note(Observation::Listed { to, whole, lines });
     }
 
     async fn desk(self: Arc<Self>, stream: TcpStream) {
@@ -169,12 +171,14 @@
             return;
         }
         let (to, site) = (self.world.process(hello.index), hello.zone);
-        let (send, mut ready) =
+        let (send, mut ready) = self.world.delayed::<(FromController, Option<State>)>(
+            OFFICE_SITE,
+            site,
+            LinkDirection::Office,
+        );
+        let (hear, mut heard) =
             self.world
-                .delayed::<(FromController, Option<State>)>(OFFICE_SITE, site, Way::Office);
-        let (hear, mut heard) = self
-            .world
-            .delayed::<ToController>(site, OFFICE_SITE, Way::Office);
+                .delayed::<ToController>(site, OFFICE_SITE, LinkDirection::Office);
         let mut told: Option<State> = None;
         let mut told_at = Micros::MIN / 2;
         let mut coming: VecDeque<(Micros, State)> = VecDeque::new();
@@ -188,13 +192,13 @@
                 Some(message) = heard.recv() => {
                     if let ToController::Vote { ballot, build, stage, choice: verdict } = message {
                         let verdict = match verdict {
-                            VoteChoice::Abstain => Verdict::None,
-                            VoteChoice::Promote => Verdict::On,
-                            VoteChoice::Hold => Verdict::Hold,
-                            VoteChoice::RollBack => Verdict::Back,
+                            VoteChoice::Abstain => ControllerVote::None,
+                            VoteChoice::Promote => ControllerVote::On,
+                            VoteChoice::Hold => ControllerVote::Hold,
+                            VoteChoice::RollBack => ControllerVote::Back,
                         };
                         let seen =
-                            Seen::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
+                            Observation::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
                         self.world.tap.note(seen);
                         if let Some(result) = self.vote(to.router, build, stage, verdict) {
                             let _ = send.send((FromController::Voted { ballot, result }, None));
@@ -234,7 +238,13 @@
     }
 
     /// `None`: no answer.
-    fn vote(&self, router: u32, build: u16, stage: u8, verdict: Verdict) -> Option<VoteResult> {
+    fn vote(
+        &self,
+        router: u32,
+        build: u16,
+        stage: u8,
+        verdict: ControllerVote,
+    ) -> Option<VoteResult> {
         let (now, faults) = (self.world.tap.now(), self.world.faults());
         if faults.refusing_desk {
             return Some(VoteResult::Refused);
@@ -247,9 +257,9 @@
                 .vote(now, router, build, stage, verdict)
         });
         match counted.filter(|_| !faults.stalled_desk)? {
-            Counted::Counted => Some(VoteResult::Counted),
-            Counted::Moot => Some(VoteResult::Stale),
-            Counted::TooMany => Some(VoteResult::RateLimited),
+            VoteOutcome::Counted => Some(VoteResult::Counted),
+            VoteOutcome::Moot => Some(VoteResult::Stale),
+            VoteOutcome::TooMany => Some(VoteResult::RateLimited),
         }
     }
 
@@ -261,7 +271,7 @@
             cap,
             since,
         } = state;
-        self.world.tap.note(Seen::News {
+        self.world.tap.note(Observation::News {
             to,
             build,
             stage,
--- a/crates/spokeflow-testbed/src/tap.rs
+++ b/crates/spokeflow-testbed/src/tap.rs
@@ -3,14 +3,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use spokeflow_scenario::seen::Seen;
+use spokeflow_scenario::seen::Observation;
 
 use crate::Micros;
 
 #[derive(Clone)]
 pub struct Tap {
     start: Instant,
-    seen: Arc<Mutex<Vec<(Micros, Seen)>>>,
+    seen: Arc<Mutex<Vec<(Micros, Observation)>>>,
 }
 
 impl Default for Tap {
@@ -33,13 +33,13 @@
         )
     }
 
-    pub fn note(&self, seen: Seen) {
+    pub fn note(&self, seen: Observation) {
         let mut all = self.seen.lock().expect("no holder panics");
         // Under the lock, so that the notes stand in the order of their times.
         all.push((self.now(), seen));
     }
 
-    pub fn take(&self) -> Vec<(Micros, Seen)> {
+    pub fn take(&self) -> Vec<(Micros, Observation)> {
         std::mem::take(&mut self.seen.lock().expect("no holder panics"))
     }
 }
--- a/crates/spokeflow-testbed/tests/days.rs
+++ b/crates/spokeflow-testbed/tests/days.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
+use spokeflow_scenario::scenario::{BuildDefect, FaultKind, Scenario};
+use spokeflow_scenario::seen::Observation;
 use spokeflow_testbed::day::{play, Played};
 use spokeflow_testbed::routers::Starting;
-use spokeflow_testbed::scenario::scenario::{Flaw, Kind, Scenario};
-use spokeflow_testbed::scenario::seen::Seen;
 use spokeflow_testbed::{Micros, SECOND};
 
 fn starting() -> Starting {
@@ -58,7 +58,12 @@
 
 #[test]
 fn rules_hold_under_each_kind_of_trouble_of_hosts_and_ways() {
-    let kinds = [Kind::Kill, Kind::Hang, Kind::Cut, Kind::SlowLink];
+    let kinds = [
+        FaultKind::Kill,
+        FaultKind::Hang,
+        FaultKind::Cut,
+        FaultKind::SlowLink,
+    ];
     let days = kinds
         .map(|kind| short(Scenario::only(kind, 11, SHORT)))
         .to_vec();
@@ -68,10 +73,10 @@
 #[test]
 fn rules_hold_under_each_kind_of_trouble_of_list_and_desk() {
     let kinds = [
-        Kind::StalledDesk,
-        Kind::LateDesk,
-        Kind::ListBreaks,
-        Kind::CutList,
+        FaultKind::StalledDesk,
+        FaultKind::LateDesk,
+        FaultKind::ListBreaks,
+        FaultKind::CutList,
     ];
     let days = kinds
         .map(|kind| short(Scenario::only(kind, 12, SHORT)))
@@ -82,10 +87,10 @@
 #[test]
 fn rules_hold_when_routers_are_killed_and_restarted_and_clients_storm() {
     let kinds = [
-        Kind::RouterKill,
-        Kind::RouterRoll,
-        Kind::RepeatStorm,
-        Kind::GiveUp,
+        FaultKind::RouterKill,
+        FaultKind::RouterRoll,
+        FaultKind::RepeatStorm,
+        FaultKind::GiveUp,
     ];
     let days = kinds
         .map(|kind| short(Scenario::only(kind, 13, SHORT)))
@@ -95,13 +100,13 @@
     let killed = |p: &Played| {
         p.seen
             .iter()
-            .filter(|s| matches!(s.1, Seen::RouterKilled(_)))
+            .filter(|s| matches!(s.1, Observation::RouterKilled(_)))
             .count()
     };
     let ended = |p: &Played| {
         p.seen
             .iter()
-            .filter(|s| matches!(s.1, Seen::RouterEnded(_)))
+            .filter(|s| matches!(s.1, Observation::RouterEnded(_)))
             .count()
     };
     assert!(killed(&played[0]) >= 1 && ended(&played[1]) >= 2);
@@ -109,8 +114,8 @@
 
 #[test]
 fn a_bad_build_is_sent_back_and_a_bad_day_keeps_the_rules() {
-    let mut bad = Scenario::only(Kind::BadBuild, 14, 20 * SECOND);
-    bad.builds[1].flaw = Flaw::Errors(0.9);
+    let mut bad = Scenario::only(FaultKind::BadBuild, 14, 20 * SECOND);
+    bad.builds[1].flaw = BuildDefect::Errors(0.9);
     let days = vec![
         bad,
         short(Scenario::bad_day(15, 12 * SECOND)),
