--- a/crates/spokeflow-core/benches/memory.rs
+++ b/crates/spokeflow-core/benches/memory.rs
@@ -11,7 +11,7 @@
 
 use points::Point;
 use spokeflow_core::*;
-use traffic::{host_line, news, terms, Phase, Sent, EARLIER, SECOND};
+use traffic::{host_endpoint, rollout_status, service_config, Phase, Sent, EARLIER, SECOND};
 
 /// Bytes in use, counted on the way to the system's allocator.
 struct Counting;
@@ -39,14 +39,14 @@
 const TIMEOUT: Micros = 60 * SECOND;
 
 fn router(hosts: u32, tenants: u32, out: &mut Sent) -> Router {
-    let mut terms = terms(Phase::Quiet);
-    terms.tenant_quotas = vec![1.0; tenants as usize];
-    let mut router = Router::new(&terms, 1, NOW, out);
+    let mut config = service_config(Phase::Quiet);
+    config.tenant_quotas = vec![1.0; tenants as usize];
+    let mut router = Router::new(&config, 1, NOW, out);
     router
         .set_time(NOW)
-        .on_rollout_status(news(EARLIER, RolloutState::Released, 1.0), out);
+        .on_rollout_status(rollout_status(EARLIER, RolloutState::Released, 1.0), out);
     let lines: Vec<Endpoint> = (0..hosts)
-        .map(|host| host_line(Phase::Quiet, host, NOW))
+        .map(|host| host_endpoint(Phase::Quiet, host, NOW))
         .collect();
     router
         .set_time(NOW)
@@ -55,7 +55,7 @@
 }
 
 /// Bytes that remain after `build`, for each of `count`.
-fn held_by<T>(count: u32, build: impl FnOnce() -> T) -> f64 {
+fn bytes_per_item<T>(count: u32, build: impl FnOnce() -> T) -> f64 {
     let before = IN_USE.load(Relaxed);
     let built = build();
     let after = IN_USE.load(Relaxed);
@@ -64,11 +64,11 @@
 }
 
 fn host(count: u32) -> f64 {
-    held_by(count, || router(count, 1, &mut Sent::default()))
+    bytes_per_item(count, || router(count, 1, &mut Sent::default()))
 }
 
 fn tenant(count: u32) -> f64 {
-    held_by(count, || router(1, count, &mut Sent::default()))
+    bytes_per_item(count, || router(1, count, &mut Sent::default()))
 }
 
 /// Deliveries that are out to one host each, so that none waits for a place.
@@ -76,7 +76,7 @@
     let mut out = Sent::default();
     let mut router = router(count, 1, &mut out);
     out.deliveries.reserve(count as usize);
-    held_by(count, || {
+    bytes_per_item(count, || {
         for id in 1..=count {
             router.set_time(NOW).on_command(
                 CommandId(id),
@@ -92,10 +92,10 @@
 }
 
 /// Keys whose command has been answered.
-fn pin(count: u32) -> f64 {
+fn sticky_assignment(count: u32) -> f64 {
     let mut out = Sent::default();
     let mut router = router(4, 1, &mut out);
-    held_by(count, || {
+    bytes_per_item(count, || {
         for id in 1..=count {
             let key = Key(u64::from(id));
             router.set_time(NOW).on_command(
@@ -132,11 +132,11 @@
                 "commands in flight",
                 command_in_flight(size),
             ),
-            ("bytes per pin", "pins", pin(size)),
+            ("bytes per pin", "pins", sticky_assignment(size)),
         ];
         for (quantity, size_of, value) in measured {
             println!("{quantity} at {size}: {value:.0}");
-            let about = Point {
+            let description = Point {
                 role: "router data side",
                 quantity,
                 unit: "bytes",
@@ -150,7 +150,7 @@
                 command: "cargo bench -p spokeflow-core --bench memory".into(),
                 date: points::date(),
             };
-            points.push(Point::of(vec![value], about));
+            points.push(Point::of(vec![value], description));
         }
     }
     points::write(&points);
--- a/crates/spokeflow-core/benches/points/mod.rs
+++ b/crates/spokeflow-core/benches/points/mod.rs
@@ -9,43 +9,43 @@
 const FILE_VARIABLE: &str = "SPOKEFLOW_POINTS";
 
 #[derive(Debug, Serialize)]
-pub struct Point {
-    pub role: &'static str,
-    pub quantity: &'static str,
-    pub unit: &'static str,
-    pub phase: &'static str,
-    pub size_of: &'static str,
-    pub size: u32,
-    pub value: f64,
-    pub min: f64,
-    pub max: f64,
+pub(crate) struct Point {
+    pub(crate) role: &'static str,
+    pub(crate) quantity: &'static str,
+    pub(crate) unit: &'static str,
+    pub(crate) phase: &'static str,
+    pub(crate) size_of: &'static str,
+    pub(crate) size: u32,
+    pub(crate) value: f64,
+    pub(crate) min: f64,
+    pub(crate) max: f64,
     /// What was the same for all sizes, and what shows that the point is sound.
-    pub held: BTreeMap<&'static str, f64>,
-    pub command: String,
-    pub date: String,
+    pub(crate) held: BTreeMap<&'static str, f64>,
+    pub(crate) command: String,
+    pub(crate) date: String,
 }
 
 impl Point {
     /// The median of the samples with their range; `samples` is not empty.
-    pub fn of(mut samples: Vec<f64>, about: Point) -> Self {
+    pub(crate) fn of(mut samples: Vec<f64>, description: Point) -> Self {
         samples.sort_by(f64::total_cmp);
         let last = samples.len() - 1;
         Point {
             value: samples[last / 2],
             min: samples[0],
             max: samples[last],
-            ..about
+            ..description
         }
     }
 }
 
 /// The present time in UTC, by the system's `date`; empty where there is none.
-pub fn date() -> String {
+pub(crate) fn date() -> String {
     let output = Command::new("date")
         .args(["-u", "+%Y-%m-%dT%H:%M:%SZ"])
         .output();
     output
-        .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string())
+        .map(|output| String::from_utf8_lossy(&output.stdout).trim().to_string())
         .unwrap_or_default()
 }
 
@@ -53,7 +53,7 @@
 ///
 /// # Panics
 /// Where the file cannot be written.
-pub fn write(points: &[Point]) {
+pub(crate) fn write(points: &[Point]) {
     let Some(path) = std::env::var_os(FILE_VARIABLE) else {
         return;
     };
--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -7,22 +7,22 @@
 
 use spokeflow_core::*;
 
-pub const MILLISECOND: Micros = 1_000;
-pub const SECOND: Micros = 1_000 * MILLISECOND;
-pub const COMMANDS_PER_SECOND: Micros = 300;
-pub const ANSWER_AFTER: Micros = 150 * MILLISECOND;
+pub(crate) const MILLISECOND: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000 * MILLISECOND;
+pub(crate) const COMMANDS_PER_SECOND: Micros = 300;
+pub(crate) const ANSWER_AFTER: Micros = 150 * MILLISECOND;
 /// The interval at which the module asks to be woken.
-pub const WAKE_INTERVAL: Micros = 20 * MILLISECOND;
+pub(crate) const WAKE_INTERVAL: Micros = 20 * MILLISECOND;
 const COMMAND_TIMEOUT: Micros = 4 * SECOND;
 const KEYS: u32 = 5_000;
 const TENANTS: u32 = 4;
 const ZONES: u32 = 3;
-pub const EARLIER: BuildId = BuildId(1);
+pub(crate) const EARLIER: BuildId = BuildId(1);
 const LATER: BuildId = BuildId(2);
 
 /// What the hosts are and do while the traffic runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     /// One build, no news of it yet.
     Unannounced,
     /// One released build; all hosts have run for long.
@@ -40,7 +40,7 @@
 }
 
 impl Phase {
-    pub const ALL: [Phase; 7] = [
+    pub(crate) const ALL: [Phase; 7] = [
         Phase::Unannounced,
         Phase::Quiet,
         Phase::Trial,
@@ -50,7 +50,7 @@
         Phase::Fleet,
     ];
 
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Phase::Unannounced => "unannounced",
             Phase::Quiet => "quiet",
@@ -62,7 +62,7 @@
         }
     }
 
-    pub fn fleet_size(self) -> u32 {
+    pub(crate) fn fleet_size(self) -> u32 {
         if self == Phase::Fleet {
             300
         } else {
@@ -73,8 +73,8 @@
 
 /// Records what the module sends and counts what it refuses.
 #[derive(Default)]
-pub struct Sent {
-    pub deliveries: Vec<CommandId>,
+pub(crate) struct Sent {
+    pub(crate) deliveries: Vec<CommandId>,
     refused: u64,
 }
 
@@ -97,7 +97,7 @@
     fn gossip(&mut self, _: Option<u32>, _: &[u8]) {}
 }
 
-pub struct Traffic {
+pub(crate) struct Traffic {
     phase: Phase,
     hosts: u32,
     router: Router,
@@ -112,23 +112,26 @@
 }
 
 impl Traffic {
-    pub fn start(phase: Phase, hosts: u32) -> Self {
+    pub(crate) fn start(phase: Phase, hosts: u32) -> Self {
         let now = 1_000 * SECOND;
         let mut out = Sent::default();
-        let mut router = Router::new(&terms(phase), 1, now, &mut out);
+        let mut router = Router::new(&service_config(phase), 1, now, &mut out);
         if phase != Phase::Unannounced {
-            router
-                .set_time(now)
-                .on_rollout_status(news(EARLIER, RolloutState::Released, 1.0), &mut out);
+            router.set_time(now).on_rollout_status(
+                rollout_status(EARLIER, RolloutState::Released, 1.0),
+                &mut out,
+            );
         }
-        let lines: Vec<Endpoint> = (0..hosts).map(|host| host_line(phase, host, now)).collect();
+        let lines: Vec<Endpoint> = (0..hosts)
+            .map(|host| host_endpoint(phase, host, now))
+            .collect();
         router
             .set_time(now)
             .on_endpoints(ListKind::Complete, &lines, &mut out);
         if phase == Phase::Trial {
             router
                 .set_time(now)
-                .on_rollout_status(news(LATER, RolloutState::Canary, 0.35), &mut out);
+                .on_rollout_status(rollout_status(LATER, RolloutState::Canary, 0.35), &mut out);
         }
         let due = VecDeque::new();
         Traffic {
@@ -146,17 +149,17 @@
     }
 
     /// Commands given so far.
-    pub fn commands(&self) -> u32 {
+    pub(crate) fn commands(&self) -> u32 {
         self.commands
     }
 
     /// Commands nacked or failed so far.
-    pub fn refused(&self) -> u64 {
+    pub(crate) fn refused(&self) -> u64 {
         self.out.refused
     }
 
     /// Gives one command, after the answers, wake-ups and list changes that fall due before it.
-    pub fn command(&mut self) {
+    pub(crate) fn command(&mut self) {
         let until = self.now + SECOND / COMMANDS_PER_SECOND;
         loop {
             let answer = self.due.front().map_or(Micros::MAX, |(at, _)| *at);
@@ -177,12 +180,14 @@
             self.change();
         }
         self.commands += 1;
-        let (id, op) = (self.commands, OpType((self.commands % 2) as u16));
-        let (share, key) = (TenantId(id % TENANTS), Key(u64::from(1 + id % KEYS)));
+        let id = self.commands;
+        let op = OpType((self.commands % 2) as u16);
+        let tenant = TenantId(id % TENANTS);
+        let key = Key(u64::from(1 + id % KEYS));
         self.router.set_time(self.now).on_command(
             CommandId(id),
             op,
-            share,
+            tenant,
             key,
             COMMAND_TIMEOUT,
             &mut self.out,
@@ -191,7 +196,7 @@
     }
 
     /// Wakes the module at the present time.
-    pub fn wake(&mut self) {
+    pub(crate) fn wake(&mut self) {
         self.router.set_time(self.now).on_timer(&mut self.out);
         self.take_deliveries();
     }
@@ -220,11 +225,11 @@
 
     fn change(&mut self) {
         self.next_change = self.now + SECOND / 10;
-        let back = host_line(self.phase, self.draining, self.now);
+        let back = host_endpoint(self.phase, self.draining, self.now);
         self.draining = (self.draining + 1) % self.hosts;
         let leaving = Endpoint {
             state: EndpointState::Draining,
-            ..host_line(self.phase, self.draining, self.now)
+            ..host_endpoint(self.phase, self.draining, self.now)
         };
         self.router.set_time(self.now).on_endpoints(
             ListKind::Changes,
@@ -235,17 +240,17 @@
     }
 }
 
-pub fn news(build: BuildId, standing: RolloutState, cap: f64) -> RolloutStatus {
+pub(crate) fn rollout_status(build: BuildId, state: RolloutState, cap: f64) -> RolloutStatus {
     RolloutStatus {
         build,
         stage: 1,
-        state: standing,
+        state,
         exposure_cap: cap,
         age: 0,
     }
 }
 
-pub fn host_line(phase: Phase, host: u32, now: Micros) -> Endpoint {
+pub(crate) fn host_endpoint(phase: Phase, host: u32, now: Micros) -> Endpoint {
     let later = phase == Phase::Trial && host.is_multiple_of(4);
     let tenth = host.is_multiple_of(10);
     Endpoint {
@@ -263,7 +268,7 @@
     }
 }
 
-pub fn terms(phase: Phase) -> ServiceConfig {
+pub(crate) fn service_config(phase: Phase) -> ServiceConfig {
     let op = |repeat| OperationConfig {
         repeat,
         deduplication_scope: DeduplicationScope::Unknown,
--- a/crates/spokeflow-core/benches/work.rs
+++ b/crates/spokeflow-core/benches/work.rs
@@ -1,4 +1,4 @@
-//! Work of the decision module for one command and for one wake-up, over the number of hosts.
+//! Work of the decision module for one command and for one tick, over the number of hosts.
 //!
 //! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench work -- quiet` measures the points whose
 //! name holds `quiet` and writes them as JSON. Each point takes about two seconds.
@@ -30,7 +30,7 @@
     traffic
 }
 
-fn about(quantity: &'static str, phase: Phase, hosts: u32, traffic: &Traffic) -> Point {
+fn description(quantity: &'static str, phase: Phase, hosts: u32, traffic: &Traffic) -> Point {
     let held = BTreeMap::from([
         ("commands_per_s", traffic::COMMANDS_PER_SECOND as f64),
         (
@@ -92,7 +92,10 @@
     let mut samples = samples.into_inner();
     // The first ones are the harness's own warm-up.
     let measured = samples.split_off(samples.len().saturating_sub(SAMPLES));
-    Some(Point::of(measured, about(quantity, phase, hosts, &traffic)))
+    Some(Point::of(
+        measured,
+        description(quantity, phase, hosts, &traffic),
+    ))
 }
 
 fn main() {
--- a/crates/spokeflow-core/examples/replay.rs
+++ b/crates/spokeflow-core/examples/replay.rs
@@ -13,8 +13,8 @@
     let [phase, hosts, commands] = arguments.as_slice() else {
         return None;
     };
-    let phase = Phase::ALL.into_iter().find(|p| p.name() == phase)?;
-    let hosts = hosts.parse().ok().filter(|&n| n > 0)?;
+    let phase = Phase::ALL.into_iter().find(|other| other.name() == phase)?;
+    let hosts = hosts.parse().ok().filter(|&count| count > 0)?;
     Some((phase, hosts, commands.parse().ok()?))
 }
 
--- /dev/null
+++ b/crates/spokeflow-core/tests/common/rule_checker.rs
@@ -0,0 +1,420 @@
+//! Carries out what the router asks and checks the five rules at each call.
+
+use std::collections::BTreeMap;
+
+use super::tracking::*;
+use super::*;
+
+/// How late after its deadline an answer may come.
+const ANSWER_SLACK: Micros = 20 * MS;
+
+/// What the rules are checked against: only what the router was told.
+pub(crate) struct RuleChecker {
+    pub(crate) now: Micros,
+    pub(crate) config: ServiceConfig,
+    pub(crate) endpoints: BTreeMap<HostId, Endpoint>,
+    pub(crate) commands: BTreeMap<CommandId, TrackedCommand>,
+    pub(crate) status: Option<RolloutStatus>,
+    pub(crate) votes: Vec<CastVote>,
+    pub(crate) nacks: Vec<Nack>,
+    pub(crate) fails: Vec<CommandId>,
+    pub(crate) list_requests: u32,
+    pub(crate) gossip: Vec<Vec<u8>>,
+    pub(crate) wake_at: Micros,
+    received: Vec<Received>,
+    exposed: Vec<Exposed>,
+    answered_by: BTreeMap<Key, BuildId>,
+    since_start: BTreeMap<HostId, SinceStart>,
+}
+
+fn is_rolled_back(state: RolloutState) -> bool {
+    matches!(state, RolloutState::RollingBack | RolloutState::Withdrawn)
+}
+
+impl RuleChecker {
+    /// A router and its checker.
+    pub(crate) fn start(config: ServiceConfig, seed: u64) -> (Router, RuleChecker) {
+        let mut checker = RuleChecker {
+            now: 100 * SECOND,
+            config,
+            endpoints: BTreeMap::new(),
+            commands: BTreeMap::new(),
+            status: None,
+            votes: Vec::new(),
+            nacks: Vec::new(),
+            fails: Vec::new(),
+            list_requests: 0,
+            gossip: Vec::new(),
+            wake_at: Micros::MAX,
+            received: Vec::new(),
+            exposed: Vec::new(),
+            answered_by: BTreeMap::new(),
+            since_start: BTreeMap::new(),
+        };
+        let config = checker.config.clone();
+        let router = Router::new(&config, seed, checker.now, &mut checker);
+        (router, checker)
+    }
+
+    /// Gives the router a host list.
+    pub(crate) fn list(&mut self, router: &mut Router, kind: ListKind, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            let before = self.endpoints.insert(endpoint.host, *endpoint);
+            let other_process = before.is_none_or(|before| {
+                before.started_at != endpoint.started_at || before.build != endpoint.build
+            });
+            if other_process {
+                self.since_start
+                    .insert(endpoint.host, SinceStart::default());
+            }
+        }
+        if kind != ListKind::Changes {
+            let named = |host: &HostId| endpoints.iter().any(|endpoint| endpoint.host == *host);
+            self.endpoints
+                .iter_mut()
+                .filter(|(host, _)| !named(host))
+                .for_each(|(_, endpoint)| endpoint.state = EndpointState::Gone);
+        }
+        router
+            .set_time(self.now)
+            .on_endpoints(kind, endpoints, self);
+    }
+
+    /// Gives the router a rollout status.
+    pub(crate) fn announce(&mut self, router: &mut Router, status: RolloutStatus) {
+        self.status = Some(status);
+        // Rule 5 is about the newest build announced, on trial or released, and later ones.
+        let back = is_rolled_back(status.state);
+        self.answered_by
+            .retain(|_, build| *build > status.build || *build == status.build && !back);
+        router.set_time(self.now).on_rollout_status(status, self);
+    }
+
+    /// Gives the router a command.
+    pub(crate) fn command(
+        &mut self,
+        router: &mut Router,
+        id: u32,
+        operation: usize,
+        key: u64,
+        time_left: Micros,
+    ) {
+        let received = Received {
+            at: self.now,
+            slot: self.slot(operation),
+        };
+        self.received.push(received);
+        let command = TrackedCommand {
+            operation,
+            key: Key(key),
+            deadline: self.now + time_left,
+            answered: false,
+            deliveries: Vec::new(),
+        };
+        self.commands.insert(CommandId(id), command);
+        router.set_time(self.now).on_command(
+            CommandId(id),
+            OpType(operation as u16),
+            TenantId(id % 3),
+            Key(key),
+            time_left,
+            self,
+        );
+    }
+
+    fn slot(&self, operation: usize) -> usize {
+        if self.config.exposure_by_op {
+            operation
+        } else {
+            0
+        }
+    }
+
+    /// The open deliveries: their command, and their number among its deliveries.
+    pub(crate) fn open(&self) -> Vec<(CommandId, usize)> {
+        let all = self.commands.iter().flat_map(|(id, command)| {
+            let deliveries = command.deliveries.iter().enumerate();
+            deliveries.map(move |(index, delivery)| (*id, index, delivery))
+        });
+        all.filter(|(_, _, delivery)| delivery.open)
+            .map(|(id, index, _)| (id, index))
+            .collect()
+    }
+
+    /// Ends a delivery.
+    pub(crate) fn end(
+        &mut self,
+        router: &mut Router,
+        id: CommandId,
+        index: usize,
+        outcome: AttemptOutcome,
+    ) {
+        let command = self.commands.get_mut(&id).expect("known");
+        let delivery = &mut command.deliveries[index];
+        delivery.open = false;
+        let took = self.now - delivery.at;
+        delivery.may_have_run = !matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::NotConnected | AttemptOutcome::NotSent
+        );
+        let delivery = *delivery;
+        command.answered |= outcome == AttemptOutcome::Acked;
+        let answered = command.answered;
+        let key = command.key;
+        let build = self.endpoints[&delivery.host].build.expect("listed");
+        let since = self.since_start.entry(delivery.host).or_default();
+        since.in_flight = since.in_flight.saturating_sub(1);
+        if outcome == AttemptOutcome::Acked {
+            since.acked += 1;
+        }
+        // An answer counts from its writing, whether or not it was read; what errs or never ran has written none.
+        if delivery.may_have_run && outcome != AttemptOutcome::Error {
+            self.bind_key(key, build);
+        }
+        router.set_time(self.now).on_attempt_outcome(
+            id,
+            index as u8,
+            outcome,
+            took,
+            answered,
+            self,
+        );
+    }
+
+    fn bind_key(&mut self, key: Key, build: BuildId) {
+        let back = self.status.is_some_and(|status| {
+            status.build > build || status.build == build && is_rolled_back(status.state)
+        });
+        if key.0 != 0 && !back {
+            let newest = self.answered_by.entry(key).or_insert(build);
+            *newest = build.max(*newest);
+        }
+    }
+
+    /// Lets time pass: wakes the router when it asked for it and ends deliveries at the client's deadline.
+    pub(crate) fn pass(&mut self, router: &mut Router, span: Micros) {
+        let to = self.now + span;
+        while self.now < to {
+            self.now = (self.now + 5 * MS).min(to);
+            if self.now >= self.wake_at {
+                self.wake_at = Micros::MAX;
+                router.set_time(self.now).on_timer(self);
+            }
+            for (id, index) in self.open() {
+                if self.commands[&id].deadline <= self.now {
+                    self.end(router, id, index, AttemptOutcome::TimedOut);
+                }
+            }
+            let overdue = self.commands.iter().find(|(_, command)| {
+                !command.answered && self.now > command.deadline + ANSWER_SLACK
+            });
+            assert!(overdue.is_none(), "rule 1: no answer in time: {overdue:?}");
+        }
+    }
+
+    fn answer(&mut self, id: CommandId, harmless: bool) {
+        let command = self
+            .commands
+            .get_mut(&id)
+            .expect("an answer for a command never given");
+        assert!(!command.answered, "rule 1: a second answer");
+        assert!(
+            self.now <= command.deadline + ANSWER_SLACK,
+            "rule 1: an answer too late"
+        );
+        command.answered = true;
+        let operation = &self.config.ops[command.operation];
+        let ran = command.may_have_run();
+        let may_nack = match operation.repeat {
+            Repeat::Idempotent => true,
+            Repeat::Deduplicated => {
+                !ran || operation.deduplication_scope == DeduplicationScope::All
+            }
+            Repeat::AtMostOnce => !ran,
+        };
+        assert!(
+            !harmless || may_nack,
+            "rule 2: a nack for what may have run"
+        );
+    }
+
+    /// Rules 1 and 2: no delivery after the final answer, and no repeat that could have a second effect.
+    fn check_repeat(&self, command: &TrackedCommand, endpoint: &Endpoint) {
+        assert!(!command.answered, "rule 1: sent after the final answer");
+        let operation = &self.config.ops[command.operation];
+        assert!(
+            operation.repeat != Repeat::AtMostOnce || !command.may_have_run(),
+            "rule 2: at-most-once sent again"
+        );
+        if operation.repeat == Repeat::Deduplicated {
+            for delivery in &command.deliveries {
+                if delivery.may_have_run {
+                    self.check_deduplicated(operation, delivery, endpoint);
+                }
+            }
+        }
+        assert!(
+            self.config.may_hedge || command.deliveries.iter().all(|delivery| !delivery.open),
+            "rule 2: two at once"
+        );
+    }
+
+    fn check_deduplicated(
+        &self,
+        operation: &OperationConfig,
+        delivery: &SentDelivery,
+        endpoint: &Endpoint,
+    ) {
+        assert!(
+            self.now < delivery.at + operation.deduplication_window,
+            "rule 2: repeat after the deduplication window"
+        );
+        let same = operation.deduplication_scope == DeduplicationScope::All
+            || self.endpoints[&delivery.host].zone == endpoint.zone;
+        assert!(same, "rule 2: repeat outside its scope");
+    }
+
+    /// Rule 4: a cold host is not sent more than its answers have earned.
+    fn check_cold_host(&mut self, endpoint: &Endpoint) {
+        let fresh = endpoint
+            .started_at
+            .is_some_and(|at| self.now < at + self.config.warm_up_time);
+        let since = self.since_start.get_mut(&endpoint.host).expect("listed");
+        since.in_flight += 1;
+        assert!(
+            !fresh || since.in_flight <= 2 + since.acked,
+            "rule 4: {} in flight at a cold host, {} acked",
+            since.in_flight,
+            since.acked
+        );
+    }
+
+    /// Rule 5: a key does not go back, and a build on trial is sent no more than its cap.
+    fn check_build(&mut self, operation: usize, key: Key, build: BuildId) {
+        let floor = self
+            .answered_by
+            .get(&key)
+            .filter(|_| self.config.forward_only && key.0 != 0);
+        assert!(
+            floor.is_none_or(|floor| build >= *floor),
+            "rule 5: back below the build that answered the key"
+        );
+        let Some(status) = self.status else { return };
+        let announced = build == status.build;
+        if build > status.build || (announced && status.state != RolloutState::Released) {
+            let stage = if announced { status.stage } else { 0 };
+            let guarded = stage < self.config.guarded_stages;
+            assert!(
+                !guarded || self.config.ops[operation].repeat == Repeat::Idempotent,
+                "rule 5: guarded stage"
+            );
+            let cap = if announced {
+                status.exposure_cap
+            } else {
+                self.config.stage_caps[0]
+            };
+            self.check_cap(operation, build, cap);
+        }
+    }
+
+    fn check_cap(&mut self, operation: usize, build: BuildId, cap: f64) {
+        let slot = self.slot(operation);
+        let from = self.now - self.config.exposure_window;
+        let exposed = Exposed {
+            at: self.now,
+            slot,
+            build,
+        };
+        self.exposed.push(exposed);
+        let sent = self
+            .exposed
+            .iter()
+            .filter(|exposed| exposed.at > from && exposed.slot == slot && exposed.build == build)
+            .count() as f64;
+        let received = self
+            .received
+            .iter()
+            .filter(|received| received.at > from && received.slot == slot)
+            .count() as f64;
+        assert!(
+            cap > 0.0 && sent <= self.config.exposure_allowance + cap * received + 1e-9,
+            "rule 5: {sent} of {received}"
+        );
+    }
+}
+
+impl Egress for RuleChecker {
+    fn deliver(&mut self, id: CommandId, host: HostId, _until: Option<Micros>) {
+        let endpoint = self.endpoints[&host];
+        let command = self
+            .commands
+            .get(&id)
+            .expect("a delivery for a command never given");
+        self.check_repeat(command, &endpoint);
+        assert_eq!(
+            endpoint.state,
+            EndpointState::Ready,
+            "rule 3: sent to a host that drains or is gone"
+        );
+        let operation = command.operation;
+        let key = command.key;
+        let delivery = SentDelivery {
+            host,
+            at: self.now,
+            open: true,
+            may_have_run: true,
+        };
+        let command = self.commands.get_mut(&id).expect("known");
+        command.deliveries.push(delivery);
+        self.check_cold_host(&endpoint);
+        self.check_build(operation, key, endpoint.build.expect("listed"));
+    }
+
+    fn nack(&mut self, id: CommandId, retry_after: Option<Micros>) {
+        self.answer(id, true);
+        self.nacks.push(Nack {
+            command: id,
+            retry_after,
+        });
+    }
+
+    fn fail(&mut self, id: CommandId) {
+        self.answer(id, false);
+        self.fails.push(id);
+    }
+
+    fn cancel(&mut self, id: CommandId, delivery: u8) {
+        assert!(
+            self.commands[&id].deliveries.len() > usize::from(delivery),
+            "a cancel for a delivery never made"
+        );
+    }
+
+    fn wake(&mut self, at: Micros) {
+        self.wake_at = self.wake_at.min(at);
+    }
+
+    fn vote(&mut self, build: BuildId, stage: u8, vote: RolloutVote) {
+        let known = match self.config.gate {
+            Gate::Clocked => vote != RolloutVote::Promote,
+            Gate::Single | Gate::Majority => vote != RolloutVote::Hold,
+        };
+        assert!(known, "a vote that this gate does not know");
+        self.votes.push(CastVote { build, stage, vote });
+    }
+
+    fn probe(&mut self, _host: HostId) {}
+
+    fn watch_list(&mut self) {
+        self.list_requests += 1;
+    }
+
+    fn fetch_list(&mut self) {
+        self.list_requests += 1;
+    }
+
+    fn gossip(&mut self, _router: Option<u32>, text: &[u8]) {
+        assert!(text.len() <= 256);
+        self.gossip.push(text.to_vec());
+    }
+}
--- /dev/null
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -0,0 +1,320 @@
+//! The figures that the state maintains as hosts change, compared after each step of seeded random runs with plain
+//! definitions that walk over all hosts.
+
+mod scenario;
+mod walk;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use scenario::*;
+use spokeflow_core::state::{BoundedPositions, Hosts, ReadyHosts, StartSpans, WarmHosts, Window};
+use spokeflow_core::*;
+use walk::*;
+
+const QUIET_FOR: [Micros; 3] = [0, 100 * MS, 600 * MS];
+
+#[test]
+fn ready_hosts_are_counted_by_build() {
+    after_each_step(|_, hosts| {
+        assert_eq!(hosts.ready_count(), ready(hosts).count());
+        let kept: BTreeMap<BuildId, usize> = hosts
+            .ready_builds()
+            .map(|(build, ready)| (build, ready.len()))
+            .collect();
+        let builds = ready_builds(hosts).into_iter();
+        let plain: BTreeMap<BuildId, usize> = builds
+            .map(|build| (build, ready_of(hosts, build).len()))
+            .collect();
+        assert_eq!(kept, plain);
+    });
+}
+
+#[test]
+fn ready_hosts_are_in_the_order_of_their_index() {
+    for_each_build(|ready| ready.by_index().to_vec(), |_, plain| plain.to_vec());
+}
+
+#[test]
+fn ready_hosts_are_in_the_order_of_their_hash() {
+    let by_rank = |hosts: &Hosts, plain: &[usize]| {
+        let mut order = plain.to_vec();
+        sort_by_rank(hosts, &mut order);
+        order
+    };
+    for_each_build(|ready| ready.by_rank().to_vec(), by_rank);
+}
+
+#[test]
+fn the_latest_start_of_a_build_is_known() {
+    let latest = |hosts: &Hosts, plain: &[usize]| {
+        plain
+            .iter()
+            .map(|&host| hosts.endpoint(host).started_at.unwrap_or(0))
+            .max()
+            .unwrap_or(0)
+    };
+    for_each_build(|ready| ready.latest_start().unwrap_or(0), latest);
+}
+
+#[test]
+fn the_largest_size_of_a_build_is_known() {
+    let largest = |hosts: &Hosts, plain: &[usize]| {
+        plain
+            .iter()
+            .map(|&host| hosts.endpoint(host).size)
+            .fold(0.0, f64::max)
+    };
+    for_each_build(ReadyHosts::largest_size, largest);
+}
+
+#[test]
+fn observed_hosts_are_counted() {
+    let observed = |hosts: &Hosts, plain: &[usize]| {
+        plain
+            .iter()
+            .filter(|&&host| hosts.answers(host) > 0 || hosts.evidence(host) > 0.0)
+            .count()
+    };
+    for_each_build(ReadyHosts::observed, observed);
+}
+
+#[test]
+fn warm_hosts_are_counted_and_their_sizes_summed() {
+    let warm = |hosts: &Hosts, plain: &[usize]| {
+        let warm = plain
+            .iter()
+            .filter(|&&host| age(hosts, host) >= hosts.spans().warming);
+        warm.fold(WarmHosts::default(), |sum, &host| WarmHosts {
+            count: sum.count + 1,
+            size: sum.size + hosts.endpoint(host).size,
+        })
+    };
+    for_each_build(ReadyHosts::warm, warm);
+}
+
+#[test]
+fn the_oldest_build_of_any_host_is_known() {
+    let mut seen = BTreeSet::new();
+    // Long enough for each of few hosts to come back with later builds.
+    let mut world = World::new(Setting {
+        length: 200 * SECOND,
+        ..setting(6, 3, 1)
+    });
+    world.play_watched(|world| {
+        let hosts = world.router.hosts();
+        let plain = all(hosts).map(|host| hosts.build(host)).min();
+        assert_eq!(hosts.oldest_build(), plain);
+        seen.insert(plain);
+    });
+    assert!(seen.len() > 1, "the oldest build changes in the runs");
+}
+
+#[test]
+fn recently_started_hosts_are_known() {
+    after_each_step(|_, hosts| {
+        let spans = hosts.spans();
+        assert_eq!(
+            hosts.warming().collect::<BTreeSet<_>>(),
+            started_within(hosts, spans.warming)
+        );
+        assert_eq!(
+            hosts.bounded().collect::<BTreeSet<_>>(),
+            started_within(hosts, spans.bounded)
+        );
+        assert_eq!(
+            hosts.recently_started(),
+            started_within(hosts, spans.recent).len()
+        );
+    });
+}
+
+#[test]
+fn the_positions_of_bounded_hosts_are_known() {
+    let positions = |hosts: &Hosts, order: Vec<usize>| -> Vec<usize> {
+        let bounded = |host: usize| age(hosts, host) < hosts.spans().bounded;
+        order
+            .iter()
+            .enumerate()
+            .filter(|(_, host)| bounded(**host))
+            .map(|(position, _)| position)
+            .collect()
+    };
+    let plain = |hosts: &Hosts, members: &[usize]| {
+        let mut by_rank = members.to_vec();
+        sort_by_rank(hosts, &mut by_rank);
+        BoundedPositions {
+            by_index: positions(hosts, members.to_vec()),
+            by_rank: positions(hosts, by_rank),
+        }
+    };
+    for_each_build(|ready| ready.bounded_positions().clone(), plain);
+}
+
+#[test]
+fn failing_or_ejected_hosts_are_known() {
+    let mut most = 0;
+    after_each_step(|_, hosts| {
+        let kept: BTreeSet<usize> = hosts.suspects().collect();
+        let suspects = |host: &usize| {
+            hosts.consecutive_failures(*host) > 0 || hosts.ejected_until(*host) > hosts.now()
+        };
+        let plain: BTreeSet<usize> = ready(hosts).filter(suspects).collect();
+        assert!(
+            kept.is_superset(&plain),
+            "{plain:?} are suspects, {kept:?} known"
+        );
+        assert!(
+            kept.iter()
+                .all(|&host| hosts.endpoint(host).state == EndpointState::Ready),
+            "none that is not ready"
+        );
+        // The ejection of those that are open again ended within the last interval of wake-ups.
+        let over = |host: &&usize| {
+            !plain.contains(host) && hosts.now() - hosts.ejected_until(**host) > SECOND
+        };
+        assert_eq!(kept.iter().find(over), None, "forgotten in time");
+        most = most.max(plain.len());
+    });
+    assert!(most > 10, "many are suspects at times: {most}");
+}
+
+#[test]
+fn open_deliveries_are_counted_and_quiet_hosts_known() {
+    let mut most = 0;
+    after_each_step(|world, hosts| {
+        for host in all(hosts) {
+            assert_eq!(
+                hosts.in_flight(host) as usize,
+                world.open_at(hosts.endpoint(host).host),
+                "at host {host}"
+            );
+        }
+        for span in QUIET_FOR {
+            let before = hosts.now() - span;
+            let quiet =
+                |host: &usize| hosts.in_flight(*host) > 0 && hosts.quiet_since(*host) < before;
+            let plain: BTreeSet<usize> = all(hosts).filter(quiet).collect();
+            assert_eq!(
+                hosts.hosts_quiet_since(before).collect::<BTreeSet<_>>(),
+                plain,
+                "for {span} us"
+            );
+            most = most.max(plain.len());
+        }
+    });
+    assert!(most > 10, "many are quiet at times: {most}");
+}
+
+#[test]
+fn hosts_with_evidence_are_known() {
+    let mut most = 0;
+    after_each_step(|_, hosts| {
+        let plain: BTreeSet<usize> = all(hosts)
+            .filter(|&host| hosts.evidence(host) != 0.0)
+            .collect();
+        assert_eq!(hosts.with_evidence().collect::<BTreeSet<_>>(), plain);
+        most = most.max(plain.len());
+    });
+    assert!(most > 1, "some have evidence at times: {most}");
+}
+
+#[test]
+fn another_process_clears_the_evidence_of_a_host() {
+    let spans = StartSpans {
+        warming: SECOND,
+        bounded: 2 * SECOND,
+        recent: 3 * SECOND,
+    };
+    let mut hosts = Hosts::new(0, spans, 0);
+    let line = Endpoint {
+        host: HostId(1),
+        build: Some(BuildId(1)),
+        cell: 0,
+        zone: ZoneId(0),
+        state: EndpointState::Ready,
+        size: 1.0,
+        started_at: None,
+    };
+    let host = hosts.add(&line);
+    hosts.update(host, &line);
+    hosts.set_evidence(host, 1.0);
+    assert_eq!(hosts.with_evidence().collect::<Vec<_>>(), [host]);
+    hosts.update(
+        host,
+        &Endpoint {
+            started_at: Some(0),
+            ..line
+        },
+    );
+    assert_eq!(
+        (hosts.evidence(host), hosts.with_evidence().count()),
+        (0.0, 0)
+    );
+}
+
+#[test]
+fn sums_over_ready_hosts_are_those_of_a_walk() {
+    after_each_step(|_, hosts| {
+        let span = hosts.spans().warming;
+        let weight = |age: Micros| 0.4 + 0.6 * (age.min(span) as f64 / span as f64);
+        let open = |host: usize| {
+            hosts.consecutive_failures(host) == 0 && hosts.now() >= hosts.ejected_until(host)
+        };
+        for (kept, plain) in [
+            (
+                hosts.sum_ready(weight, |_| true),
+                ready(hosts)
+                    .map(|host| weight(age(hosts, host)))
+                    .sum::<f64>(),
+            ),
+            (
+                hosts.sum_ready(weight, open),
+                ready(hosts)
+                    .filter(|&host| open(host))
+                    .map(|host| weight(age(hosts, host)))
+                    .sum(),
+            ),
+        ] {
+            assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
+        }
+        for build in ready_builds(hosts) {
+            let members = ready_of(hosts, build);
+            let plain: f64 = members
+                .iter()
+                .map(|&host| weight(age(hosts, host)) * hosts.endpoint(host).size)
+                .sum();
+            let kept = hosts.sum_sizes(weight, |other| other == build);
+            assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
+        }
+    });
+}
+
+#[test]
+fn windows_count_what_a_walk_counts() {
+    let mut random = Random::new(1);
+    let mut window = Window::<u64>::default();
+    let mut plain = Vec::new();
+    let mut now = 0;
+    for _ in 0..20_000 {
+        now += random.between(0, 5);
+        if random.one_in(3) {
+            let from = now - random.between(0, 200);
+            window.forget_before(from);
+            plain.retain(|(at, _)| *at >= from);
+        } else {
+            let kind = random.below(5);
+            window.push(now, kind);
+            plain.push((now, kind));
+        }
+        assert_eq!(
+            (window.len(), window.is_empty()),
+            (plain.len(), plain.is_empty())
+        );
+        for kind in 0..5 {
+            assert_eq!(
+                window.count(|other| other == kind),
+                plain.iter().filter(|(_, other)| *other == kind).count()
+            );
+        }
+    }
+}
--- a/crates/spokeflow-core/tests/level.rs
+++ b/crates/spokeflow-core/tests/memory.rs
@@ -29,26 +29,28 @@
 static ALL: Counting = Counting;
 
 #[test]
-fn pins_of_a_released_build_do_not_grow_with_the_keys_ever_met() {
-    let mut out = Quiet::default();
-    let mut router = Router::new(&terms(Gate::Single), 3, 0, &mut out);
-    let hosts: Vec<Endpoint> = (0..8).map(|h| line(h, NEW)).collect();
+fn sticky_assignments_of_a_released_build_do_not_grow_with_the_keys_ever_met() {
+    let mut out = DeliveryLog::default();
+    let mut router = Router::new(&service_config(Gate::Single), 3, 0, &mut out);
+    let hosts: Vec<Endpoint> = (0..8).map(|host| endpoint(host, NEW)).collect();
     router
         .set_time(0)
         .on_endpoints(ListKind::Complete, &hosts, &mut out);
-    router
-        .set_time(0)
-        .on_rollout_status(news(NEW, 2, RolloutState::Released, 1.0), &mut out);
+    router.set_time(0).on_rollout_status(
+        rollout_status(NEW, 2, RolloutState::Released, 1.0),
+        &mut out,
+    );
     let mut after = |keys: std::ops::Range<u32>| {
-        for n in keys {
-            let now = Micros::from(n) * 10 * MS;
-            let (cmd, key) = (CommandId(n), Key(u64::from(n) + 1));
+        for number in keys {
+            let now = Micros::from(number) * 10 * MS;
+            let id = CommandId(number);
+            let key = Key(u64::from(number) + 1);
             router
                 .set_time(now)
-                .on_command(cmd, OpType(0), TenantId(0), key, SECOND, &mut out);
-            for cmd in std::mem::take(&mut out.sent) {
+                .on_command(id, OpType(0), TenantId(0), key, SECOND, &mut out);
+            for id in std::mem::take(&mut out.sent) {
                 router.set_time(now).on_attempt_outcome(
-                    cmd,
+                    id,
                     0,
                     AttemptOutcome::Acked,
                     50 * MS,
@@ -60,7 +62,8 @@
         }
         IN_USE.load(Relaxed)
     };
-    let (early, late) = (after(0..3_000), after(3_000..30_000));
+    let early = after(0..3_000);
+    let late = after(3_000..30_000);
     assert!(
         late < early + early / 4,
         "{early} bytes after 3,000 keys, {late} after 30,000"
