--- a/crates/spokeflow-coordination/src/coordinator/requests.rs
+++ b/crates/spokeflow-coordination/src/coordinator/requests.rs
@@ -13,8 +13,8 @@
 /// Forwarded requests that wait at a time, and requests for one proposal. Beyond that, a request is told that there is
 /// no leader, and one more for the same proposal gets no response.
 pub(super) const MAX_WAITING_REQUESTS: usize = 4096;
-/// How long a request waits, in microseconds: longer than an election takes. After that a proposal's outcome is not
-/// known to its author, and a forwarded request is given up.
+/// How long a request waits, in microseconds: four times the default election timeout. After that a proposal's outcome is
+/// not known to its author, and a forwarded request is given up.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
 
 /// A request that has no response yet.
@@ -161,8 +161,8 @@
             ));
         }
         match self.raft.propose_membership(now, voters, out) {
-            Some(_) => Response::Accepted,
-            None => Response::Invalid(
+            Ok(_) => Response::Accepted,
+            Err(_) => Response::Invalid(
                 "another change is under way, or it is not one node's difference".into(),
             ),
         }
--- a/crates/spokeflow-raft/src/error.rs
+++ b/crates/spokeflow-raft/src/error.rs
@@ -15,3 +15,17 @@
     #[error("too many writes wait for the disk")]
     WriteQueueFull,
 }
+
+/// Why a change of the voters was not appended to the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MembershipError {
+    /// The node may not act as leader, or has not committed an entry of its own term yet.
+    #[error("this node may not act as leader, or has committed nothing in its term")]
+    NotReady,
+    /// An earlier change is not committed yet.
+    #[error("another change of the voters is not committed yet")]
+    ChangeInProgress,
+    /// The voters do not differ from the present ones by one node, or there are none.
+    #[error("the voters do not differ by one node")]
+    NotOneNode,
+}
--- a/crates/spokeflow-raft/src/lib.rs
+++ b/crates/spokeflow-raft/src/lib.rs
@@ -16,7 +16,7 @@
 mod persistent_state;
 
 pub use config::RaftConfig;
-pub use error::ProposeError;
+pub use error::{MembershipError, ProposeError};
 pub use log::{Entry, LogIndex, NodeId, Payload, Snapshot, Term};
 pub use message::{AppendOutcome, Message};
 pub use node::RaftNode;
--- a/crates/spokeflow-raft/src/node/membership.rs
+++ b/crates/spokeflow-raft/src/node/membership.rs
@@ -6,32 +6,37 @@
 use spokeflow_core::Micros;
 
 use super::{LogIndex, NodeId, Output, Payload, RaftNode};
-use crate::Entry;
+use crate::{Entry, MembershipError};
 
 impl RaftNode {
     /// Adds or removes one voter; `voters` are all that vote from then on.
     ///
     /// One change at a time: any two majorities of the voters before and after have a node in common, so that no two
-    /// leaders can be elected in one term. `None` where the node may not act as leader or has not committed an entry
-    /// of its own yet, where another change is not committed, or where `voters` do not differ by one node.
+    /// leaders can be elected in one term. Returns the index of the entry; the change counts from there on.
+    ///
+    /// # Errors
+    ///
+    /// The node cannot change the voters now, or not to these.
     pub fn propose_membership(
         &mut self,
         now: Micros,
         mut voters: Vec<NodeId>,
         out: &mut Output,
-    ) -> Option<LogIndex> {
+    ) -> Result<LogIndex, MembershipError> {
         self.now = now;
         voters.sort_unstable();
         voters.dedup();
         // An earlier leader's change that is not committed may still be lost or kept: an own entry settles it.
-        if !self.has_leader_lease(now)
-            || self.has_uncommitted_change()
-            || self.difference(&voters) != 1
-            || voters.is_empty()
-        {
-            return None;
+        if !self.has_leader_lease(now) {
+            return Err(MembershipError::NotReady);
+        }
+        if self.has_uncommitted_change() {
+            return Err(MembershipError::ChangeInProgress);
+        }
+        if self.difference(&voters) != 1 || voters.is_empty() {
+            return Err(MembershipError::NotOneNode);
         }
-        Some(self.append_to_log(Payload::Membership(voters), out))
+        Ok(self.append_to_log(Payload::Membership(voters), out))
     }
 
     fn has_uncommitted_change(&self) -> bool {
--- a/crates/spokeflow-raft/tests/common/cluster/load.rs
+++ b/crates/spokeflow-raft/tests/common/cluster/load.rs
@@ -53,7 +53,7 @@
                 } else if voters.len() > 3 {
                     voters.retain(|voter| *voter != drawn);
                 }
-                changed = raft.propose_membership(now, voters, out).is_some();
+                changed = raft.propose_membership(now, voters, out).is_ok();
             });
             self.voter_changes += usize::from(changed);
         }
--- a/crates/spokeflow-raft/tests/node.rs
+++ b/crates/spokeflow-raft/tests/node.rs
@@ -5,8 +5,8 @@
 use common::{config, ELECTION_TIMEOUT};
 use spokeflow_core::Micros;
 use spokeflow_raft::{
-    AppendOutcome, CommittedEntry, Entry, LogIndex, Message, NodeId, OutgoingMessage, Output,
-    Payload, PersistentState, RaftNode, Snapshot, Term,
+    AppendOutcome, CommittedEntry, Entry, LogIndex, MembershipError, Message, NodeId,
+    OutgoingMessage, Output, Payload, PersistentState, RaftNode, Snapshot, Term,
 };
 
 const PEER_A: NodeId = NodeId(1);
@@ -206,29 +206,35 @@
     let mut out = Output::default();
     let four: Vec<NodeId> = (0..4).map(NodeId).collect();
     deliver(&mut node, now, PEER_A, mismatched(term, 1, 0));
-    assert!(
-        node.has_recent_quorum(now)
-            && node
-                .propose_membership(now, four.clone(), &mut out)
-                .is_none(),
+    assert!(node.has_recent_quorum(now));
+    assert_eq!(
+        node.propose_membership(now, four.clone(), &mut out),
+        Err(MembershipError::NotReady),
         "no entry of its own is committed"
     );
     sync(&mut node, now, &written);
     deliver(&mut node, now, PEER_A, matched(term, 1));
-    assert!(
-        node.propose_membership(now, (0..5).map(NodeId).collect(), &mut out)
-            .is_none(),
+    let five = (0..5).map(NodeId).collect();
+    assert_eq!(
+        node.propose_membership(now, five, &mut out),
+        Err(MembershipError::NotOneNode),
         "two at once"
     );
     let mut out = Output::default();
     assert_eq!(
         node.propose_membership(now, four, &mut out),
-        Some(LogIndex(2))
+        Ok(LogIndex(2))
     );
-    assert!(
-        node.propose_membership(now, vec![NodeId(0), PEER_A, PEER_B], &mut out)
-            .is_none(),
-        "one is under way"
+    let three = vec![NodeId(0), PEER_A, PEER_B];
+    assert_eq!(
+        node.propose_membership(now, three.clone(), &mut out),
+        Err(MembershipError::NotReady),
+        "three of four have to answer"
+    );
+    deliver(&mut node, now, PEER_B, mismatched(term, 1, 0));
+    assert_eq!(
+        node.propose_membership(now, three, &mut out),
+        Err(MembershipError::ChangeInProgress)
     );
     // Three of four are needed at once: the change counts from its entry on.
     sync(&mut node, now, &out);
