--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) const SECOND: Micros = 1_000 * MILLISECOND;
 pub(crate) const COMMANDS_PER_SECOND: Micros = 300;
 pub(crate) const ANSWER_AFTER: Micros = 150 * MILLISECOND;
-/// The interval at which the module asks to be woken.
+/// The interval at which the module asks for its timer.
 pub(crate) const WAKE_INTERVAL: Micros = 20 * MILLISECOND;
 const COMMAND_TIMEOUT: Micros = 4 * SECOND;
 const KEYS: u32 = 5_000;
@@ -23,7 +23,7 @@
 /// What the hosts are and do while the traffic runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// One build, no news of it yet.
+    /// One build, no status of it yet.
     Unannounced,
     /// One released build; all hosts have run for long.
     Quiet,
--- a/crates/spokeflow-core/src/config.rs
+++ b/crates/spokeflow-core/src/config.rs
@@ -70,7 +70,7 @@
     pub own_index: u32,
     /// Routers of the service.
     pub fleet_size: u32,
-    /// Time between two ticks of the deployment's clock.
+    /// Resolution of times in the deployment.
     pub tick: Micros,
     /// The host list comes only to subscribers.
     pub list_requires_subscription: bool,
@@ -90,11 +90,11 @@
     pub may_name_retry_after: bool,
     /// The longest time that it may say.
     pub longest_retry_after: Micros,
-    /// How long a draining host goes on with what it has.
+    /// How soon after a host was listed as draining or gone nothing new may go to it.
     pub drain_grace: Micros,
     /// Part of its capacity that a host has at its start, above 0 up to 1.
     pub slow_start_from: f64,
-    /// Time in which it grows to the whole.
+    /// Time in which it grows to full capacity.
     pub warm_up_time: Micros,
     /// Multiple of its mean traffic that overloads a cold host.
     pub overload_multiple: f64,
@@ -126,8 +126,8 @@
     pub vote_timeout: Micros,
     /// Part of the wrong answers that clients report.
     pub complaint_share: f64,
-    /// Routers whose votes roll a build back; infinite where that is not told.
+    /// Routers whose votes roll a build back; 0 where the deployment does not say.
     pub rollback_votes: u32,
-    /// Votes that the release controller takes a second from all routers together; 0 where that is not told.
+    /// Votes that the release controller takes a second from all routers together; infinite where the deployment does not say.
     pub votes_per_second: f64,
 }
--- a/crates/spokeflow-core/src/events.rs
+++ b/crates/spokeflow-core/src/events.rs
@@ -1,4 +1,4 @@
-//! What a router is told while it runs: hosts, outcomes of deliveries, and the release controller's word.
+//! What a router learns while it runs: hosts, outcomes of deliveries, and the state of the rollout.
 
 use crate::{BuildId, HostId, Micros, OpType, ZoneId};
 
@@ -87,7 +87,7 @@
     Withdrawn,
 }
 
-/// The release controller's word on the newest build.
+/// What the release controller says of the newest build.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutStatus {
     /// The newest build.
@@ -98,7 +98,7 @@
     pub state: RolloutState,
     /// Part of the commands that it may be sent, 0 to 1.
     pub exposure_cap: f64,
-    /// How long this state had lasted when the status came.
+    /// How long this state had lasted when the status arrived.
     pub age: Micros,
 }
 
--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -1,4 +1,4 @@
-//! The decision module: one [`Router`] a process, told what happens by calls, answering through [`Egress`].
+//! The decision module: one [`Router`] a process, which gets each event by a call and answers through [`Egress`].
 //!
 //! Call [`Router::new`] with the deployment's configuration, then [`Router::set_time`] and one method for each thing
 //! that happens, in order. A command runs through admission, canary, exposure and placement; the outcome of a delivery
--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -167,7 +167,7 @@
                 return true;
             }
         }
-        // A known key above the cap under forward-only rules is refused at once: it comes when there is room.
+        // A known key above the cap under forward-only rules is refused at once: its client comes back when the cap allows it.
         self.wait_or_shed(id, at_cap && rule.newest_build.is_some(), out);
         false
     }
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -26,7 +26,7 @@
 /// Answers that the baseline's mean goes by at most.
 const MAX_BASELINE_SAMPLES: u32 = 200;
 /// Answers up to which thin traffic goes on learning the baseline in the first stages, and the canary fraction up to
-/// which the earlier build's hosts still tell it.
+/// which the earlier build's hosts still show it.
 const THIN_BASELINE_SAMPLES: u32 = 20;
 const THIN_BASELINE_CANARY_FRACTION: f64 = 0.2;
 /// Uncertainty of a baseline, in standard errors of its mean, that is borne without allowance.
@@ -132,7 +132,7 @@
     failed: f64,
     /// Logarithm of the latency, less what a cold host explains.
     latency: f64,
-    /// The baseline rests on enough answers to tell slowness.
+    /// The baseline rests on enough answers to show slowness.
     baseline_known: bool,
 }
 
@@ -308,7 +308,7 @@
     }
 
     /// Guards against a build that slows the earlier hosts too: from its canary on every answer counts against the
-    /// time before, less what traffic explains. It could harm where else the whole fleet slows.
+    /// time before, less what traffic explains. It could harm where the fleet slows for another reason.
     fn count_shared_slowness(&mut self, slowness: f64) {
         let comparable = self.evidence.answers > 0 && self.load.baseline.answered > 0.0;
         if !comparable || !self.rollout.is_canary() {
--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -6,10 +6,10 @@
 use crate::{BuildId, Micros};
 
 /// Part of the exposure cap that the canary fraction takes, and how far keys follow the hosts above it: keys that
-/// carry more than the mean traffic need room too.
+/// carry more than the mean traffic need some of it too.
 const CANARY_FRACTION_OF_CAP: f64 = 0.7;
 const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
-/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are on their way out.
+/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are being replaced.
 const CANARY_LEAD: f64 = 1.25;
 /// Time in which the canary fraction grows from nothing to what it aims at: its hosts see load rise, not jump.
 const CANARY_GROWTH_TIME: Micros = 2 * SECOND;
--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -2,6 +2,7 @@
 
 use super::analysis::{FAILURE_MARGIN, MAX_SHARED_SLOWNESS, MAX_SLOWNESS, SLOWNESS_MARGIN};
 use super::evidence::add_to;
+use super::load::SLOWNESS_PER_LOAD;
 use super::{Router, SECOND};
 use crate::state::{LatencyCount, OperationState};
 use crate::{BuildId, ControllerStats, Micros};
@@ -16,17 +17,15 @@
 const CONTROLLER_SLOWNESS_MARGIN: f64 = 0.3;
 /// How many times fewer fit hosts than before the canary excuse at most.
 const MAX_CAPACITY_LOSS_EXCUSED: f64 = 1.4;
-/// Slowness that one unit of load explains, both as logarithms.
-const SLOWNESS_PER_LOAD: f64 = 1.5;
 /// What remains of an operation's counts after each period.
 const COUNT_FADE: f64 = 0.8;
 /// Deliveries without a loss that a share of losses is lowered by: of few, it says little.
 const LOSS_PRIOR: f64 = 4.0;
-/// Answers of the earlier builds from which their mean latency says what is usual.
+/// Answers of the earlier builds from which their mean latency serves as a baseline.
 const MIN_EARLIER_ANSWERS: f64 = 10.0;
 /// Counts whose periods end closer together than this are of one period.
 const SAME_PERIOD_WITHIN: Micros = SECOND / 4;
-/// Weight of a period in the usual traffic; the first one counts in full.
+/// Weight of a period in the baseline traffic; the first one counts in full.
 const TRAFFIC_WEIGHT: f64 = 0.3;
 /// Least latency in seconds that logarithms are taken of.
 const MIN_LATENCY: f64 = 1e-6;
@@ -35,7 +34,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ControllerTraffic {
     period_end: Micros,
-    /// In the period that is being told, and in the one before.
+    /// In the period that the counts now arriving belong to, and in the one before.
     current: f64,
     previous: f64,
     /// A period's answers before the canary.
@@ -43,7 +42,7 @@
 }
 
 impl ControllerTraffic {
-    /// Begins another period where the counts belong to one; learns what is usual while no build is a canary.
+    /// Begins another period where the counts belong to one; learns the baseline while no build is a canary.
     fn follow_period(&mut self, ended_at: Micros, canary: bool) {
         if ended_at <= self.period_end + SAME_PERIOD_WITHIN {
             return;
@@ -61,7 +60,7 @@
         self.current = 0.0;
     }
 
-    /// How many times the usual traffic there is.
+    /// Traffic in multiples of the baseline.
     fn growth(&self) -> f64 {
         self.previous.max(self.current) / self.baseline.max(1.0)
     }
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Whether a build's counts tell what is usual: it is earlier than the newest, or no earlier one has a host.
+    /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no earlier one has a host.
     fn is_earlier(&self, build: BuildId, newest: BuildId) -> bool {
         build < newest
             || self
--- a/crates/spokeflow-core/src/router/hedging.rs
+++ b/crates/spokeflow-core/src/router/hedging.rs
@@ -1,4 +1,4 @@
-//! A second delivery beside, or in place of, a first one at a host that looks sick.
+//! A second delivery beside, or in place of, a first one at a host that looks unhealthy.
 
 use super::timers::TICK;
 use super::{Out, Router};
@@ -7,13 +7,13 @@
 
 /// Part of the latency objective after which a second delivery may go out: it has the rest to answer in time.
 const HEDGE_OBJECTIVE_FRACTION: f64 = 0.35;
-/// Slowdown of a host, as a logarithm, from which it looks sick: about twice as slow as usual.
+/// Slowdown of a host, as a logarithm, from which it looks unhealthy: about twice as slow as its baseline.
 const HEDGE_SLOWDOWN: f64 = 0.7;
 /// Time left before the deadline below which none goes out.
 const HEDGE_MARGIN: Micros = 4 * TICK;
 
 impl Router {
-    /// Sends a second delivery of commands whose first is late at a host that looks sick, where the operation allows a
+    /// Sends a second delivery of commands whose first is late at a host that looks unhealthy, where the operation allows a
     /// repeat: beside the first where both may run together, else in its place.
     pub(super) fn hedge(&mut self, out: Out) {
         let due: Vec<CommandId> = self
--- a/crates/spokeflow-core/src/router/load.rs
+++ b/crates/spokeflow-core/src/router/load.rs
@@ -20,7 +20,7 @@
 const ASSUMED_ANSWER_SPAN: Micros = 5 * SECOND;
 const NO_BASELINE_SPAN: Micros = 2 * SECOND;
 /// Slowness that one unit of load explains, both as logarithms, and the most that load explains.
-const SLOWNESS_PER_LOAD: f64 = 1.5;
+pub(super) const SLOWNESS_PER_LOAD: f64 = 1.5;
 const MAX_EXPLAINED_SLOWNESS: f64 = 1.5;
 /// Most that commands received, retries among them, explain.
 const MAX_EXPLAINED_BY_RETRIES: f64 = 1.0;
@@ -38,12 +38,12 @@
     pub(super) shed: f64,
 }
 
-/// Commands of late for each whole host's worth of fit capacity.
+/// Commands of late for each warm host's worth of fit capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     received: f64,
     pub(super) answered: f64,
-    /// One over the capacity in whole hosts.
+    /// One over the capacity in warm hosts.
     pub(super) inverse_capacity: f64,
 }
 
@@ -51,9 +51,9 @@
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     pub(super) flow: Flow,
-    /// Answers a second that a whole host gives this router.
+    /// Answers a second that a warm host gives this router.
     pub(super) answers_per_host: f64,
-    /// Seconds that whole hosts have been there for, fading as the flow does.
+    /// Sum of the seconds that warm hosts have been ready, fading as the flow does.
     host_seconds: f64,
     started_at: Micros,
     /// Load while no build was a canary.
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Learns what a whole host answers. Guards against a storm, a fleet most of which has died, a start beside few
-    /// cold hosts: only answers count, those of dead hosts while they lived, over the time in which a whole host may
+    /// Learns what a warm host answers. Guards against a storm, a fleet most of which has died, a start beside few
+    /// cold hosts: only answers count, those of dead hosts while they were ready, over the time in which a warm host may
     /// answer one router once.
     pub(super) fn learn_answer_rate(&mut self, elapsed: Elapsed) {
         let capacity = self
@@ -183,7 +183,7 @@
         load.answers_per_host += (rate - load.answers_per_host) * weight;
     }
 
-    /// Learns what load is usual while no build is a canary.
+    /// Learns the baseline of the load while no build is a canary.
     pub(super) fn learn_baseline_load(&mut self) {
         if !self.rollout.is_canary() && self.now > self.load.started_at + NO_BASELINE_SPAN {
             let load = self.present_load();
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -6,14 +6,14 @@
 /// How long nothing comes back from a host before it may count as unresponsive: above common pauses, far below
 /// time-outs.
 pub(super) const UNRESPONSIVE_AFTER: Micros = 600 * MILLISECOND;
-/// The same in multiples of the slowest operation's usual latency.
+/// The same in multiples of the slowest operation's baseline latency.
 const UNRESPONSIVE_BASELINES: Micros = 6;
 /// First ejection after an error, a reset or a refused connection, and after a time-out.
 const EJECTION: Micros = SECOND / 2;
 const EJECTION_AFTER_TIMEOUT: Micros = SECOND;
 /// Ejections double with each failure in a row up to this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// How long a host that rejects is left alone: it is full, not sick.
+/// How long a host that rejects is left alone: it is full, not faulty.
 const REJECTION_BACKOFF: Micros = 100 * MILLISECOND;
 /// Weight of the newest delivery in the share without a connection.
 const REFUSED_LEARN_RATE: f64 = 0.05;
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -6,7 +6,7 @@
 use crate::state::{CandidateSet, Command, Delivery, OperationState};
 use crate::{unit, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat};
 
-/// Routers that each host is met by at least: uneven traffic evens out.
+/// Least routers that send to each host, so that uneven traffic evens out.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
 /// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is for chance.
 pub(super) const SLOW_START_FRACTION: f64 = 0.9;
--- a/crates/spokeflow-core/src/router/rollout.rs
+++ b/crates/spokeflow-core/src/router/rollout.rs
@@ -3,7 +3,7 @@
 use super::{Out, Router};
 use crate::{BuildId, Micros, RolloutState, RolloutStatus};
 
-/// The release controller's last word.
+/// The last status from the release controller.
 #[derive(Debug, Default)]
 pub(super) struct RolloutView {
     pub(super) status: Option<RolloutStatus>,
@@ -42,7 +42,7 @@
 }
 
 impl Router {
-    /// The release controller has said how the newest build's rollout goes.
+    /// The release controller has said the state of the newest build's rollout.
     pub fn on_rollout_status(&mut self, status: RolloutStatus, out: Out) {
         let before = self.rollout.status.replace(status);
         let same_build = before.is_some_and(|before| before.build == status.build);
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -33,7 +33,7 @@
 }
 
 impl Router {
-    /// The time that [`crate::Egress::wake`] asked for has come.
+    /// The time that [`crate::Egress::wake`] was called with has come.
     pub fn on_timer(&mut self, out: Out) {
         self.tick(out);
         out.wake(self.now + TICK);
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -9,18 +9,18 @@
 const HOLD_EVIDENCE: f64 = 2.0;
 /// Evidence below which a router votes to promote.
 const PROMOTE_BELOW_EVIDENCE: f64 = 1.0;
-/// How many times the proof rolls back a released build: that means a cold start of the whole fleet.
+/// How many times the proof rolls back a released build: that means a cold start of all hosts.
 const RELEASED_PROOF: f64 = 2.0;
 /// Answers that a router needs from a build before it votes on it: fewer may all be chance.
 const MIN_ANSWERS_TO_VOTE: u32 = 3;
-/// How many answers that the release controller counted stand for one of the router's own.
+/// How many answers that the release controller counted weigh as much as one of the router's own.
 const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
 /// Answers that convict a slow build at the least, of which a router of mean traffic gets so many before all follow.
 const MIN_ANSWERS_TO_CONVICT: f64 =
     ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
 /// How many times the usual wait a router takes where it knows too little.
 const UNKNOWN_WAIT_MULTIPLE: Micros = 3;
-/// How many times the usual wait a release side by side takes: its vote waits for all traffic.
+/// How many times the usual wait a release side by side takes: its vote waits until all traffic has gone to the build.
 const RELEASE_WAIT_MULTIPLE: Micros = 4;
 /// What is taken off the wait while a stage's hosts are not listed.
 const UNLISTED_PENALTY: Micros = 8 * SECOND;
@@ -176,7 +176,7 @@
             };
             progress.waited >= multiple * promote_after + self.voting.own_turn
         } else {
-            // Side by side a stage is cheaply taken back and a release is not: its vote waits for all traffic.
+            // Side by side a stage is cheaply taken back and a release is not: its vote waits until all traffic has gone to the build.
             let settled = progress.waited >= RELEASE_WAIT_MULTIPLE * promote_after;
             !progress.is_last || progress.is_complete && settled
         };
--- a/crates/spokeflow-core/src/state/hosts/mod.rs
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -21,7 +21,7 @@
     pub warming: Micros,
     /// What it is sent is bounded.
     pub bounded: Micros,
-    /// It counts as recently started where the capacity of all hosts is judged.
+    /// It counts as recently started where a mostly cold fleet is excused.
     pub recent: Micros,
 }
 
--- a/crates/spokeflow-core/tests/cold_hosts.rs
+++ b/crates/spokeflow-core/tests/cold_hosts.rs
@@ -80,8 +80,8 @@
     assert!(sent <= budget, "rule 4: {sent} sent, {budget} at most");
 }
 
-/// Of drawn scenarios 58 and 904: routers that had just started beside a single cold host, the others dead, took what was asked of
-/// them for what it can do, and all together sent it many times what it bears.
+/// Of drawn scenarios 58 and 904: routers that had just started beside a single cold host, the others dead, took the commands
+/// received for its capacity, and all together sent it many times what it bears.
 #[test]
 fn routers_that_start_beside_one_cold_host_do_not_push_it_over() {
     let routers = 150u64;
--- a/crates/spokeflow-core/tests/common/mod.rs
+++ b/crates/spokeflow-core/tests/common/mod.rs
@@ -2,6 +2,7 @@
 
 #![allow(dead_code, unused_imports)] // each test program uses its own part
 
+mod checks;
 mod rule_checker;
 mod tracking;
 mod traffic;
--- a/crates/spokeflow-core/tests/large_fleet.rs
+++ b/crates/spokeflow-core/tests/large_fleet.rs
@@ -5,7 +5,7 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Guards against a bad build that reaches the whole fleet before any router has seen enough of it to vote: one
+/// Guards against a bad build that reaches all hosts before any router has seen enough of it to vote: one
 /// vote moves a stage, and the hastiest of hundreds had one answer to go by.
 #[test]
 fn in_a_large_fleet_promotion_waits_until_one_router_could_have_convicted() {
@@ -23,7 +23,8 @@
     );
 }
 
-/// Guards against votes to go on from all routers at once, which fill the release controller so that one against has no room.
+/// Guards against votes to go on from all routers at once, which exhaust its rate limit so that
+/// a vote against is not taken.
 #[test]
 fn routers_of_a_large_fleet_spread_their_votes() {
     let voted = |seed| {
--- a/crates/spokeflow-core/tests/placement.rs
+++ b/crates/spokeflow-core/tests/placement.rs
@@ -30,7 +30,7 @@
     assert!(sent <= 5, "{sent}");
 }
 
-/// Seen on sockets: most hosts dead, clients storming, and a cold host took what was asked for what it can do.
+/// Seen on sockets: most hosts dead, clients storming, and a cold host took the commands received for its capacity.
 #[test]
 fn a_storm_while_most_hosts_are_dead_does_not_raise_what_a_cold_host_is_sent() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
--- a/crates/spokeflow-core/tests/sticky.rs
+++ b/crates/spokeflow-core/tests/sticky.rs
@@ -19,7 +19,7 @@
     assert!(new_build_fraction(&checker, 4 * SECOND) > 0.1);
 }
 
-/// Rule 5 binds a key to the newest build that was told, on trial or released. One that has not been released
+/// Rule 5 binds a key to the newest announced build, on trial or released. One that has not been released
 /// when the next is due goes back: its keys were refused for good where their floor outlived it.
 #[test]
 fn a_key_is_free_of_a_build_that_the_next_one_has_ended() {
