--- /dev/null
+++ b/crates/spokeflow-router/src/host_link.rs
@@ -0,0 +1,243 @@
+//! One task for each host: its connection, opened when there is work, kept, and opened again with growing backoff.
+
+use std::ops::ControlFlow;
+use std::sync::Arc;
+
+use spokeflow_core::{HostId, Micros};
+use spokeflow_engine::{Input, Outgoing, TransportFailure};
+use spokeflow_proto::ToHost;
+use spokeflow_runtime::{Backoff, Clock};
+use tokio::sync::{mpsc, watch};
+use tokio::time::{timeout, Instant};
+use tracing::{debug, info};
+
+use crate::event::EngineEvent;
+use crate::host_connection::{ConnectionEnd, Exchange, HostConnection, OpenError};
+use crate::link_config::LinkConfig;
+
+/// Messages taken from the queue of `--host-queue` ahead of the connection: what a host does not read stays in
+/// that queue and fills it, and does not pile up here.
+pub(crate) const MAX_OUTGOING: usize = 16;
+
+/// What the list says of the host.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct HostListing {
+    pub(crate) address: String,
+    /// The host's process, as the list knows it.
+    pub(crate) incarnation: u64,
+    /// Whether it may get deliveries.
+    pub(crate) open: bool,
+    /// Whether it is no longer listed.
+    pub(crate) gone: bool,
+    /// When its drain must have ended.
+    pub(crate) close_by: Option<Instant>,
+}
+
+/// A message of the engine to a host.
+#[derive(Debug)]
+pub(crate) struct QueuedMessage {
+    pub(crate) message: ToHost,
+    /// A delivery that has not left by then never leaves, in microseconds of the router's clock.
+    pub(crate) leave_by: Micros,
+}
+
+/// The task of one host.
+pub(crate) struct HostLink {
+    pub(crate) host: HostId,
+    pub(crate) config: Arc<LinkConfig>,
+    pub(crate) clock: Arc<Clock>,
+    pub(crate) events: mpsc::Sender<EngineEvent>,
+    pub(crate) messages: mpsc::Receiver<QueuedMessage>,
+    pub(crate) listing: watch::Receiver<HostListing>,
+}
+
+/// When a host is connected to again.
+struct RetryTimer {
+    backoff: Backoff,
+    /// In a row.
+    failures: u32,
+    not_before: Instant,
+}
+
+impl RetryTimer {
+    fn new(backoff: Backoff) -> Self {
+        RetryTimer {
+            backoff,
+            failures: 0,
+            not_before: Instant::now(),
+        }
+    }
+
+    /// The host could not be connected to, or the connection broke at once.
+    fn on_failure(&mut self) {
+        self.failures += 1;
+        self.delay();
+    }
+
+    /// A connection that had lasted broke.
+    fn on_lost(&mut self) {
+        self.failures = 0;
+        self.delay();
+    }
+
+    fn delay(&mut self) {
+        let delay = self.backoff.delay(self.failures.saturating_sub(1));
+        self.not_before = Instant::now() + delay;
+    }
+}
+
+impl HostLink {
+    /// Serves the host until it is gone or the engine's task is.
+    pub(crate) async fn run(mut self) {
+        let mut outgoing = Outgoing::default();
+        let mut retry = RetryTimer::new(self.config.backoff(u64::from(self.host.0)));
+        loop {
+            if !outgoing.has_waiting() {
+                if self.wait_for_work(&mut outgoing).await.is_break() {
+                    return;
+                }
+                continue;
+            }
+            if Instant::now() < retry.not_before {
+                self.fail_unsent(&mut outgoing).await;
+                continue;
+            }
+            match self.connect(&mut outgoing).await {
+                Ok(connection) => {
+                    if self
+                        .exchange(&mut outgoing, connection, &mut retry)
+                        .await
+                        .is_break()
+                    {
+                        return;
+                    }
+                }
+                Err(error) => {
+                    retry.on_failure();
+                    self.log_not_connected(retry.failures, &error);
+                    self.fail_unsent(&mut outgoing).await;
+                }
+            }
+        }
+    }
+
+    /// Waits for a message or a change of the listing. `Break`: this task is to end.
+    async fn wait_for_work(&mut self, outgoing: &mut Outgoing) -> ControlFlow<()> {
+        tokio::select! {
+            message = self.messages.recv() => match message {
+                Some(message) => self.queue(outgoing, message).await,
+                None => return ControlFlow::Break(()),
+            },
+            changed = self.listing.changed() => {
+                if changed.is_err() || self.apply_listing(outgoing).await {
+                    return ControlFlow::Break(());
+                }
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Uses a connection until it ends. `Break`: this task is to end.
+    async fn exchange(
+        &mut self,
+        outgoing: &mut Outgoing,
+        connection: HostConnection,
+        retry: &mut RetryTimer,
+    ) -> ControlFlow<()> {
+        let since = Instant::now();
+        match Exchange::new(self, outgoing, connection).run().await {
+            ConnectionEnd::Idle => {}
+            ConnectionEnd::Done => return ControlFlow::Break(()),
+            ConnectionEnd::Broken | ConnectionEnd::Unresponsive => {
+                // A host that accepts connections and breaks them at once is left alone as well.
+                if since.elapsed() > self.config.max_reconnect_delay {
+                    retry.on_lost();
+                } else {
+                    retry.on_failure();
+                }
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Queues a message for the connection; tells the engine of a delivery that this proves not sent.
+    pub(crate) async fn queue(&self, outgoing: &mut Outgoing, queued: QueuedMessage) {
+        if let Some(delivery) = outgoing.push(queued.message, queued.leave_by) {
+            self.fail(vec![delivery], TransportFailure::NotSent).await;
+        }
+    }
+
+    /// Does what the list says; `true` where this task is to end.
+    pub(crate) async fn apply_listing(&mut self, outgoing: &mut Outgoing) -> bool {
+        let listing = self.listing.borrow_and_update().clone();
+        if listing.open {
+            outgoing.open();
+        } else {
+            let unsent = outgoing.close();
+            self.fail(unsent, TransportFailure::NotSent).await;
+        }
+        listing.gone && outgoing.is_idle()
+    }
+
+    /// Tells the engine that deliveries have failed.
+    pub(crate) async fn fail(&self, deliveries: Vec<u64>, failure: TransportFailure) {
+        for delivery in deliveries {
+            let input = Input::DeliveryFailed {
+                host: self.host.0,
+                delivery,
+                failure,
+            };
+            let _ = self.events.send(EngineEvent::Input(input)).await;
+        }
+    }
+
+    /// Fails all that waits for a connection.
+    async fn fail_unsent(&self, outgoing: &mut Outgoing) {
+        let unsent = outgoing.on_disconnected(0).unsent;
+        self.fail(unsent, TransportFailure::NotConnected).await;
+    }
+
+    /// Opens the connection; messages are taken meanwhile, so that a drain or a cancel does not wait for it.
+    async fn connect(&mut self, outgoing: &mut Outgoing) -> Result<HostConnection, OpenError> {
+        let address = self.listing.borrow().address.clone();
+        let hello = self.config.hello.clone();
+        let opening = HostConnection::open(self.host, hello, address);
+        let opening = timeout(self.config.connect_timeout, opening);
+        tokio::pin!(opening);
+        let connection = loop {
+            tokio::select! {
+                opened = &mut opening => break opened.unwrap_or(Err(OpenError::TimedOut))?,
+                Some(message) = self.messages.recv(), if outgoing.waiting() < MAX_OUTGOING => {
+                    self.queue(outgoing, message).await;
+                }
+                Ok(()) = self.listing.changed() => {
+                    self.apply_listing(outgoing).await;
+                }
+            }
+        };
+        // The engine learns of the process first: what is placed on it from now on counts it as recently started.
+        let listed = self.listing.borrow().incarnation;
+        let welcome = Input::FromHost {
+            host: self.host.0,
+            message: connection.welcome.clone(),
+        };
+        let _ = self.events.send(EngineEvent::Input(welcome)).await;
+        let incarnation = connection.incarnation;
+        if incarnation != listed {
+            // What waits was meant for another process, maybe another build.
+            self.fail_unsent(outgoing).await;
+        }
+        debug!(host = self.host.0, incarnation, "host connected");
+        Ok(connection)
+    }
+
+    fn log_not_connected(&self, failures: u32, error: &OpenError) {
+        if let Some(kept_back) = self.clock.allow_log_line() {
+            info!(host = self.host.0, failures, kept_back, %error, "host not connected");
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/host_link.rs"]
+mod tests;
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::Framed;
 
 use crate::event::EngineEvent;
-use crate::hosts::LinkTerms;
+use crate::link_config::LinkConfig;
 
 /// Numbers of the links beside those to hosts, whose ids are below them: each link draws its backoff by its number.
 pub(crate) const LIST_LINK: u64 = 1 << 32;
@@ -79,7 +79,7 @@
 /// The link to one service.
 pub(crate) struct ServiceLink<P: LinkProtocol> {
     pub(crate) address: SocketAddr,
-    pub(crate) terms: Arc<LinkTerms>,
+    pub(crate) config: Arc<LinkConfig>,
     pub(crate) events: mpsc::Sender<EngineEvent>,
     pub(crate) queue: mpsc::Receiver<P::Outgoing>,
     pub(crate) protocol: P,
@@ -89,13 +89,13 @@
     /// Connects again and again until the engine's task is gone.
     pub(crate) async fn run(mut self) {
         let mut failures = 0_u32;
-        let mut backoff = self.terms.backoff(P::LINK);
+        let mut backoff = self.config.backoff(P::LINK);
         loop {
             let error = match self.open().await {
                 Ok(link) => {
                     let since = Instant::now();
                     let error = self.exchange(link).await;
-                    let lasted = since.elapsed() > self.terms.longest_pause;
+                    let lasted = since.elapsed() > self.config.max_reconnect_delay;
                     failures = if lasted { 0 } else { failures + 1 };
                     error
                 }
@@ -121,14 +121,14 @@
             let codec = FrameCodec::new(P::FRAME_LIMIT);
             let mut link: Link<P::Incoming, P::Outgoing> =
                 Framed::with_capacity(stream, codec, READ_BUFFER);
-            link.send(self.protocol.hello(self.terms.hello.clone()))
+            link.send(self.protocol.hello(self.config.hello.clone()))
                 .await?;
             match link.next().await {
                 Some(Ok(first)) if P::is_welcome(&first) => Ok(link),
                 _ => Err(FrameError::OutOfOrder),
             }
         };
-        let open_timeout = self.terms.connect_timeout.max(MIN_OPEN_TIMEOUT);
+        let open_timeout = self.config.connect_timeout.max(MIN_OPEN_TIMEOUT);
         timeout(open_timeout, opening)
             .await
             .unwrap_or(Err(FrameError::TooSlow))
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -49,8 +49,8 @@
     });
     match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("spokeflow-router: {what}");
+        Err(error) => {
+            eprintln!("spokeflow-router: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/spokeflow-router/src/recorder.rs
@@ -0,0 +1,63 @@
+//! The recording of all inputs to the engine, written by a thread of its own.
+
+use std::fs::File;
+use std::io::{BufWriter, Write};
+use std::path::Path;
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
+use std::thread;
+
+use spokeflow_core::Micros;
+use spokeflow_engine::{Input, Recording};
+use tracing::warn;
+
+use crate::error::ServeError;
+
+/// Entries that wait to be written at most: some seconds of traffic, which a busy disk may take to come back.
+const ENTRY_QUEUE: usize = 1 << 16;
+
+/// Writes inputs to a file. Where the file falls behind, the recording ends there, and the log says so.
+pub(crate) struct Recorder {
+    /// `None` once the recording has ended.
+    entries: Option<SyncSender<Vec<u8>>>,
+}
+
+impl Recorder {
+    /// # Errors
+    ///
+    /// The file cannot be created or written.
+    pub(crate) fn open(file: &Path, seed: u64, now: Micros) -> Result<Self, ServeError> {
+        let error = |source| ServeError::Record {
+            file: file.to_path_buf(),
+            source,
+        };
+        let mut output = BufWriter::new(File::create(file).map_err(error)?);
+        output
+            .write_all(&Recording::head(seed, now))
+            .map_err(error)?;
+        let (entries, queue) = sync_channel(ENTRY_QUEUE);
+        thread::spawn(move || write_entries(output, queue));
+        Ok(Recorder {
+            entries: Some(entries),
+        })
+    }
+
+    pub(crate) fn record(&mut self, now: Micros, input: &Input) {
+        let Some(entries) = &self.entries else {
+            return;
+        };
+        if entries.try_send(Recording::entry(now, input)).is_err() {
+            warn!("recording ends: its file is slower than the inputs");
+            self.entries = None;
+        }
+    }
+}
+
+fn write_entries(mut output: BufWriter<File>, queue: Receiver<Vec<u8>>) {
+    for entry in queue {
+        if let Err(error) = output.write_all(&entry) {
+            warn!(%error, "recording ends");
+            return;
+        }
+    }
+    let _ = output.flush();
+}
--- /dev/null
+++ b/crates/spokeflow-router/tests/unit/host_link.rs
@@ -0,0 +1,104 @@
+//! The queue in front of a host's connection.
+
+use std::time::Duration;
+
+use bytes::BytesMut;
+use spokeflow_proto::{FrameCodec, FromHost, Hello, Role, WORK_LIMIT};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+
+use super::*;
+
+/// A host that greets and never reads again: its queue must fill, so that the engine hears `Full`. The task
+/// once took all that came into a list of its own, and the bound of the queue bound nothing.
+#[test]
+fn what_a_host_does_not_read_fills_its_queue() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        let port = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = port.local_addr().unwrap().to_string();
+        tokio::spawn(async move {
+            let (stream, _) = port.accept().await.unwrap();
+            let (_read, mut write) = stream.into_split();
+            let codec = FrameCodec::<ToHost, FromHost>::new(WORK_LIMIT);
+            let mut bytes = BytesMut::new();
+            let welcome = FromHost::Welcome {
+                host: 1,
+                build: 1,
+                incarnation: 1,
+                up_us: 0,
+            };
+            codec.write(&welcome, &mut bytes).unwrap();
+            write.write_all(&bytes).await.unwrap();
+            std::future::pending::<()>().await
+        });
+        let config = LinkConfig {
+            hello: Hello::new(Role::Router, 0, 0),
+            connect_timeout: Duration::from_secs(5),
+            seed: 3,
+            min_reconnect_delay: Duration::from_millis(50),
+            max_reconnect_delay: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(60),
+            ping_timeout: Duration::from_secs(60),
+        };
+        const QUEUE: usize = 8;
+        let (messages, message_queue) = mpsc::channel(QUEUE);
+        let (events, mut engine_events) = mpsc::channel(4096);
+        let listing = HostListing {
+            address,
+            incarnation: 1,
+            open: true,
+            gone: false,
+            close_by: None,
+        };
+        let (_listing, listing_updates) = watch::channel(listing);
+        let link = HostLink {
+            host: HostId(1),
+            config: Arc::new(config),
+            clock: Clock::starting_now(),
+            events,
+            messages: message_queue,
+            listing: listing_updates,
+        };
+        tokio::spawn(link.run());
+        let body = bytes::Bytes::from(vec![0; 60_000]);
+        let deliver = |delivery| {
+            let body = body.clone();
+            let left_us = 60_000_000;
+            ToHost::Deliver {
+                delivery,
+                op: 0,
+                tenant: 0,
+                key: 0,
+                idempotency_key: 0,
+                left_us,
+                body,
+            }
+        };
+        let mut taken = 0;
+        let mut refused = 0;
+        for delivery in 0..1000 {
+            let queued = QueuedMessage {
+                message: deliver(delivery),
+                leave_by: Micros::MAX,
+            };
+            match messages.try_send(queued) {
+                Ok(()) => taken += 1,
+                Err(_) => refused += 1,
+            }
+            tokio::time::sleep(Duration::from_micros(300)).await;
+        }
+        // What the two systems hold between them is some megabytes at most.
+        assert!(matches!(
+            engine_events.recv().await,
+            Some(EngineEvent::Input(Input::FromHost { .. }))
+        ));
+        assert!(
+            taken < 400 && refused > 600,
+            "{taken} taken, {refused} refused"
+        );
+    });
+}
