--- a/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
+++ b/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
@@ -1,27 +1,30 @@
+//! The program `spokeflow-migrate`: see [`spokeflow_router::migrate`].
+
 use std::process::ExitCode;
 
 use clap::Parser;
-use spokeflow_router::migrate::{carry, MigrateProgram};
+use spokeflow_router::migrate::{migrate, MigrateProgram};
+
+/// Exit code of a file that cannot be migrated; nothing was written, and each reason is a line of standard error.
+const CANNOT_MIGRATE: u8 = 2;
 
-/// Exit code 0: carried over, or it would be; 2: nothing written, each fault on a line of standard error.
 fn main() -> ExitCode {
     let program = MigrateProgram::parse();
-    match carry(&program) {
-        Ok((text, notes)) => {
+    match migrate(&program) {
+        Ok(migration) => {
             if program.check {
-                print!("{text}");
+                print!("{}", migration.text);
+            }
+            for note in migration.notes {
+                eprintln!("spokeflow-migrate: {note}");
             }
-            notes
-                .iter()
-                .for_each(|note| eprintln!("spokeflow-migrate: {note}"));
             ExitCode::SUCCESS
         }
-        Err(faults) => {
-            faults
-                .0
-                .iter()
-                .for_each(|fault| eprintln!("spokeflow-migrate: {fault}"));
-            ExitCode::from(2)
+        Err(errors) => {
+            for error in errors.0 {
+                eprintln!("spokeflow-migrate: {error}");
+            }
+            ExitCode::from(CANNOT_MIGRATE)
         }
     }
 }
--- a/crates/spokeflow-router/src/main.rs
+++ b/crates/spokeflow-router/src/main.rs
@@ -1,16 +1,18 @@
+//! The program `spokeflow-router`: a router of the project's own protocol or, with `platform` as the first argument, of
+//! the platform's protocol, with flags of its own.
+
 use std::process::ExitCode;
 
 use clap::Parser;
 use spokeflow_config::adopt_former_variables;
 use spokeflow_platform::PlatformProgram;
+use spokeflow_router::RouterProgram;
 
-/// `platform` as the first argument: the platform's protocol, with flags of its own. Else the project's.
 fn main() -> ExitCode {
     adopt_former_variables();
     if std::env::args().nth(1).as_deref() == Some("platform") {
-        return spokeflow_platform::main_with(PlatformProgram::parse_from(
-            std::env::args().skip(1),
-        ));
+        let arguments = std::env::args().skip(1);
+        return spokeflow_platform::main_with(PlatformProgram::parse_from(arguments));
     }
-    spokeflow_router::main_with(spokeflow_router::RouterProgram::parse())
+    spokeflow_router::main_with(RouterProgram::parse())
 }
--- /dev/null
+++ b/crates/spokeflow-router/src/migrate/mod.rs
@@ -0,0 +1,86 @@
+//! Migrates a router's file of environment variables to a deployment where both builds run side by side.
+//!
+//! Which settings are kept, dropped or added is in `mapping.rs`; nothing here decides on traffic.
+
+mod check;
+mod error;
+mod mapping;
+mod output;
+mod setting;
+
+use std::path::PathBuf;
+
+use clap::Parser;
+
+pub use check::check_settings;
+pub use error::{MigrationError, MigrationErrors, SettingError};
+pub use setting::{parse_settings, Setting, SettingOrigin};
+
+/// Reads a router's file of environment variables, writes its counterpart for a deployment where both builds run side
+/// by side, and lists what it could not carry over.
+#[derive(Debug, Parser)]
+#[command(name = "spokeflow-migrate", version)]
+pub struct MigrateProgram {
+    /// The file of the earlier deployment; it is not changed
+    #[arg(long)]
+    pub from: PathBuf,
+    /// Where the counterpart is written
+    #[arg(long, required_unless_present = "check")]
+    pub to: Option<PathBuf>,
+    /// A value for the new deployment, in place of the old file's: NAME=VALUE, such as SPOKEFLOW_GATE=majority
+    #[arg(long = "set", value_name = "NAME=VALUE")]
+    pub set: Vec<String>,
+    /// Writes nothing: prints the counterpart instead
+    #[arg(long)]
+    pub check: bool,
+    /// Overwrites a file that exists at --to
+    #[arg(long)]
+    pub replace: bool,
+}
+
+/// A migrated file.
+#[derive(Debug)]
+pub struct Migration {
+    /// The counterpart, as it was or would be written.
+    pub text: String,
+    /// What was not carried over or should be looked at, one line each.
+    pub notes: Vec<String>,
+}
+
+/// Migrates a file.
+///
+/// # Errors
+///
+/// What cannot be read or does not fit, all that is found at once. Nothing has been written.
+pub fn migrate(program: &MigrateProgram) -> Result<Migration, MigrationErrors> {
+    let text = std::fs::read_to_string(&program.from).map_err(|source| MigrationError::File {
+        path: program.from.clone(),
+        source,
+    })?;
+    let old = parse_settings(&text)?;
+    check_settings(&old)?;
+    let given = given_settings(&program.set)?;
+    let mapped = mapping::map(&old, &given);
+    check_settings(&mapped.settings)?;
+    let text = setting::write_settings(&mapped.settings);
+    if let Some(to) = program.to.as_ref().filter(|_| !program.check) {
+        output::write(&program.from, to, &text, program.replace)?;
+    }
+    Ok(Migration {
+        text,
+        notes: mapped.notes,
+    })
+}
+
+/// The settings that the command line gives.
+fn given_settings(set: &[String]) -> Result<Vec<Setting>, MigrationError> {
+    let mut given: Vec<Setting> = Vec::new();
+    for text in set {
+        let setting = Setting::parse(None, text).map_err(MigrationError::GivenSyntax)?;
+        if given.iter().any(|other| other.name == setting.name) {
+            return Err(MigrationError::GivenTwice(setting.origin()));
+        }
+        given.push(setting);
+    }
+    Ok(given)
+}
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -1,35 +1,41 @@
+//! The router as a program: its command line, its runtime and its exit codes.
+
 use std::process::ExitCode;
 
 use clap::Parser;
-
 use spokeflow_runtime::{init_logging, shutdown_signal};
 
+use crate::error::ServeError;
 use crate::{serve, Listening, RouterFlags};
 
-/// Sends commands to hosts, keeps every key at one build while a release is rolled out, and votes it on or back.
+/// Exit code of flags that do not fit.
+const BAD_FLAGS: u8 = 2;
+
+/// Sends commands to hosts, keeps every key at one build while a release is rolled out, and votes to promote or roll
+/// back.
 #[derive(Debug, Parser)]
 #[command(name = "spokeflow-router", version)]
 #[command(
-    after_help = "On the platform, `spokeflow-router platform` speaks its protocol; see `spokeflow-router platform --help`."
+    after_help = "On the platform, `spokeflow-router platform` serves its protocol; see `spokeflow-router platform --help`."
 )]
 pub struct RouterProgram {
+    /// What the router is configured with.
     #[command(flatten)]
     pub terms: RouterFlags,
 }
 
-/// Runs the router until SIGTERM or SIGINT. Exit code 0: ended as asked; 1: could not go on; 2: bad terms.
+/// Runs the router until SIGTERM or SIGINT. Exit code 0: ended by a signal; 1: could not go on; 2: bad flags.
 pub fn main_with(program: RouterProgram) -> ExitCode {
-    let terms = program.terms;
-    if let Err(errors) = terms.check() {
-        errors
-            .lines()
-            .iter()
-            .for_each(|fault| eprintln!("spokeflow-router: {fault}"));
-        return ExitCode::from(2);
+    let flags = program.terms;
+    if let Err(errors) = flags.check() {
+        for line in errors.lines() {
+            eprintln!("spokeflow-router: {line}");
+        }
+        return ExitCode::from(BAD_FLAGS);
     }
-    if let Err(fault) = init_logging(&terms.log, terms.log_form) {
-        eprintln!("spokeflow-router: {fault}");
-        return ExitCode::from(2);
+    if let Err(error) = init_logging(&flags.log, flags.log_form) {
+        eprintln!("spokeflow-router: {error}");
+        return ExitCode::from(BAD_FLAGS);
     }
     // One thread: the engine is one task, and waking it across threads costs more than its peers' frames.
     let runtime = match tokio::runtime::Builder::new_current_thread()
@@ -37,17 +43,12 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(e) => {
-            eprintln!("spokeflow-router: cannot start: {e}");
+        Err(error) => {
+            eprintln!("spokeflow-router: cannot start: {error}");
             return ExitCode::FAILURE;
         }
     };
-    let ended = runtime.block_on(async {
-        let listening = Listening::open(&terms).await?;
-        println!("listening on {}", listening.address());
-        serve(terms, listening, shutdown_signal()).await
-    });
-    match ended {
+    match runtime.block_on(run(flags)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("spokeflow-router: {error}");
@@ -55,3 +56,9 @@
         }
     }
 }
+
+async fn run(flags: RouterFlags) -> Result<(), ServeError> {
+    let listening = Listening::open(&flags).await?;
+    println!("listening on {}", listening.address());
+    serve(flags, listening, shutdown_signal()).await
+}
--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate.rs
@@ -7,7 +7,9 @@
 use clap::Parser;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::*;
-use spokeflow_router::migrate::{carry, checked, read, MigrateProgram};
+use spokeflow_router::migrate::{
+    check_settings, migrate, parse_settings, MigrateProgram, MigrationErrors,
+};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -62,6 +64,11 @@
     }
 }
 
+/// The errors as they are printed.
+fn lines(errors: &MigrationErrors) -> Vec<String> {
+    errors.0.iter().map(ToString::to_string).collect()
+}
+
 #[test]
 fn each_fault_is_one_line_with_setting_and_line_and_nothing_is_written() {
     let base = "SPOKEFLOW_LIST=127.0.0.1:1\nSPOKEFLOW_DESK=127.0.0.1:2\n\
@@ -102,15 +109,15 @@
     ];
     for (more, said) in cases {
         let folder = Folder::new("faults", &format!("{base}{more}\n"));
-        let faults = carry(&folder.program(&[])).unwrap_err();
-        assert_eq!(faults.0.len(), 1, "{more}: {faults}");
-        assert!(faults.0[0].starts_with(said), "{more}: {faults}");
+        let errors = migrate(&folder.program(&[])).unwrap_err();
+        assert_eq!(errors.0.len(), 1, "{more}: {errors}");
+        assert!(lines(&errors)[0].starts_with(said), "{more}: {errors}");
         assert_eq!(folder.files(), 1, "{more}");
     }
     let missing = Folder::new("missing", "SPOKEFLOW_LIST=127.0.0.1:1\n");
-    let faults = carry(&missing.program(&[])).unwrap_err();
+    let errors = migrate(&missing.program(&[])).unwrap_err();
     assert_eq!(
-        faults.0,
+        lines(&errors),
         [
             "SPOKEFLOW_OP: missing",
             "SPOKEFLOW_RELEASE_CONTROLLER: missing"
@@ -118,9 +125,9 @@
     );
     // What is wrong only in the new shape is found as well, before anything is written.
     let folder = Folder::new("new", OLD);
-    let faults = carry(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
+    let errors = migrate(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
     assert_eq!(
-        faults.0,
+        lines(&errors),
         ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 of 4 routers"]
     );
     assert_eq!(folder.files(), 1);
@@ -129,7 +136,8 @@
 #[test]
 fn the_input_stays_an_output_is_not_overwritten_unasked_and_a_check_writes_nothing() {
     let folder = Folder::new("files", OLD);
-    let (would, notes) = carry(&folder.program(&["--check"])).unwrap();
+    let checked = migrate(&folder.program(&["--check"])).unwrap();
+    let notes = checked.notes;
     assert_eq!(folder.files(), 1);
     for (line, name) in [(5, "FORWARD_ONLY"), (9, "MAY_TELL"), (10, "PEER")] {
         let said = format!("line {line}: SPOKEFLOW_{name}: not carried over");
@@ -146,27 +154,28 @@
     );
     let to = folder.0.join("new.env");
     std::fs::write(&to, "mine").unwrap();
-    let faults = carry(&folder.program(&[])).unwrap_err();
-    assert!(faults.0[0].contains("--replace"), "{faults}");
+    let errors = migrate(&folder.program(&[])).unwrap_err();
+    assert!(lines(&errors)[0].contains("--replace"), "{errors}");
     assert_eq!(std::fs::read_to_string(&to).unwrap(), "mine");
-    carry(&folder.program(&["--replace"])).unwrap();
+    migrate(&folder.program(&["--replace"])).unwrap();
     let new = std::fs::read_to_string(&to).unwrap();
-    assert_eq!((new.as_str(), folder.files()), (would.as_str(), 2));
+    assert_eq!((new.as_str(), folder.files()), (checked.text.as_str(), 2));
     assert_eq!(
         std::fs::read_to_string(folder.0.join("old.env")).unwrap(),
         OLD
     );
-    let terms = checked(&read(&new).unwrap()).unwrap();
+    let terms = check_settings(&parse_settings(&new).unwrap()).unwrap();
     let s = &terms.service;
     assert!(s.beside && s.host_reports && s.controller_stats && s.host_sizes);
     assert!(!s.forward_only && !s.may_tell);
     assert_eq!((s.fleet_size, terms.site, s.ops.len()), (4, 1, 2));
     // Carried over again it stays what it is.
     let again = Folder::new("again", &new);
-    assert_eq!(carry(&again.program(&["--check"])).unwrap().0, new);
+    assert_eq!(migrate(&again.program(&["--check"])).unwrap().text, new);
     let to = to.to_str().unwrap();
     let same = MigrateProgram::parse_from(["move", "--from", to, "--to", to]);
-    assert!(carry(&same).unwrap_err().0[0].contains("is the file that is read"));
+    let errors = migrate(&same).unwrap_err();
+    assert!(lines(&errors)[0].contains("is the file that is read"));
 }
 
 type Peer<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
@@ -200,11 +209,16 @@
         "SPOKEFLOW_BACK_VOTES=1".into(),
     ];
     let more: Vec<&str> = set.iter().flat_map(|s| ["--set", s.as_str()]).collect();
-    carry(&folder.program(&more)).unwrap();
+    migrate(&folder.program(&more)).unwrap();
     let file = std::fs::read_to_string(folder.0.join("new.env")).unwrap();
     let mut router = tokio::process::Command::new(env!("CARGO_BIN_EXE_spokeflow-router"))
         .env_clear()
-        .envs(read(&file).unwrap().into_iter().map(|s| (s.name, s.value)))
+        .envs(
+            parse_settings(&file)
+                .unwrap()
+                .into_iter()
+                .map(|s| (s.name, s.value)),
+        )
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .kill_on_drop(true)
--- a/crates/spokeflow-router/tests/scene/mod.rs
+++ b/crates/spokeflow-router/tests/scene/mod.rs
@@ -15,11 +15,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-pub const SOON: Duration = Duration::from_secs(10);
+pub(crate) const SOON: Duration = Duration::from_secs(10);
 
 /// What a host does with a request once it has read it whole.
 #[derive(Clone, Debug)]
-pub enum Deed {
+pub(crate) enum Deed {
     /// Writes these bytes and goes on.
     Say(Vec<u8>),
     SayAfter(Duration, Vec<u8>),
@@ -31,7 +31,7 @@
     Break,
 }
 
-pub fn ok(body: &str) -> Vec<u8> {
+pub(crate) fn ok(body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -43,14 +43,14 @@
 
 /// A host: its address, and the requests it has read, as text.
 #[derive(Clone)]
-pub struct Host {
-    pub address: String,
-    pub heard: Arc<Mutex<Vec<String>>>,
+pub(crate) struct Host {
+    pub(crate) address: String,
+    pub(crate) heard: Arc<Mutex<Vec<String>>>,
 }
 
 impl Host {
     /// The script is given how many requests this host has read before.
-    pub async fn start(script: impl Fn(usize) -> Deed + Send + Sync + 'static) -> Host {
+    pub(crate) async fn start(script: impl Fn(usize) -> Deed + Send + Sync + 'static) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let heard: Arc<Mutex<Vec<String>>> = Default::default();
@@ -94,12 +94,12 @@
         Host { address, heard }
     }
 
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.heard.lock().unwrap().len()
     }
 
     /// Until it has read so many requests.
-    pub async fn heard(&self, count: usize) {
+    pub(crate) async fn heard(&self, count: usize) {
         timeout(SOON, async {
             while self.count() < count {
                 sleep(Duration::from_millis(1)).await;
@@ -111,7 +111,7 @@
 }
 
 /// One message with the length its head says, as text; `None` at the end of the connection.
-pub async fn read_message(stream: &mut TcpStream) -> Option<String> {
+pub(crate) async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).to_string();
@@ -133,7 +133,7 @@
 }
 
 /// A list in discovery's form: id, address, phase and build of each host.
-pub fn list(revision: u64, hosts: &[(&str, &str, &str, u16)]) -> String {
+pub(crate) fn list(revision: u64, hosts: &[(&str, &str, &str, u16)]) -> String {
     let members: Vec<String> = hosts
         .iter()
         .map(|(id, address, phase, build)| {
@@ -149,7 +149,7 @@
 }
 
 /// Discovery: tells each line that is set, and a sign of life between.
-pub async fn discovery(lines: watch::Receiver<String>) -> String {
+pub(crate) async fn discovery(lines: watch::Receiver<String>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
@@ -178,7 +178,7 @@
 }
 
 /// The deployer: the first connections get what `first` holds, one each, the later ones speak as they should.
-pub async fn deployer(first: Vec<&'static str>) -> (String, Arc<Mutex<Vec<String>>>) {
+pub(crate) async fn deployer(first: Vec<&'static str>) -> (String, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let heard: Arc<Mutex<Vec<String>>> = Default::default();
@@ -215,22 +215,22 @@
 }
 
 /// The real program between scripted peers.
-pub struct Scene {
-    pub address: String,
-    pub child: Child,
-    pub lines: watch::Sender<String>,
-    pub folder: PathBuf,
+pub(crate) struct Scene {
+    pub(crate) address: String,
+    pub(crate) child: Child,
+    pub(crate) lines: watch::Sender<String>,
+    pub(crate) folder: PathBuf,
 }
 
 /// A host that takes no new connection until it is let: the system's queue for it is full, and the one that a router
 /// makes meanwhile comes up when it asks the system again, a second after its first try.
-pub struct LateHost {
-    pub host: Host,
+pub(crate) struct LateHost {
+    pub(crate) host: Host,
     let_go: watch::Sender<bool>,
 }
 
 impl LateHost {
-    pub async fn start() -> LateHost {
+    pub(crate) async fn start() -> LateHost {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(0).unwrap();
@@ -268,7 +268,7 @@
     }
 
     /// Until a connection to it is being made.
-    pub async fn wanted(&self) {
+    pub(crate) async fn wanted(&self) {
         let port: u16 = self
             .host
             .address
@@ -286,7 +286,7 @@
         .expect("a connection is being made");
     }
 
-    pub fn let_go(&self) {
+    pub(crate) fn let_go(&self) {
         self.let_go.send_replace(true);
     }
 }
@@ -294,7 +294,7 @@
 const SYN_SENT: u8 = 2;
 
 /// State and unread bytes of each socket of this machine whose peer has this port (proc_net_tcp(5)).
-pub fn sockets_to(port: u16) -> Vec<(u8, u64)> {
+pub(crate) fn sockets_to(port: u16) -> Vec<(u8, u64)> {
     let hex = |text: &str| u64::from_str_radix(text, 16).unwrap();
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table
@@ -312,7 +312,7 @@
     }
 }
 
-pub fn configuration(listen: &str, discovery: &str, deployer: &str, sockets: u32) -> String {
+pub(crate) fn configuration(listen: &str, discovery: &str, deployer: &str, sockets: u32) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},
@@ -330,12 +330,12 @@
 }
 
 impl Scene {
-    pub async fn start(list: String, deployer: &str, sockets: u32) -> Scene {
+    pub(crate) async fn start(list: String, deployer: &str, sockets: u32) -> Scene {
         Scene::start_with(list, deployer, sockets, |told| told).await
     }
 
     /// `change` has the last word on the configuration.
-    pub async fn start_with(
+    pub(crate) async fn start_with(
         list: String,
         deployer: &str,
         sockets: u32,
@@ -354,7 +354,7 @@
     }
 
     /// One whose configuration is a pipe: each reading of it waits for [`Scene::tell`].
-    pub async fn waiting() -> Scene {
+    pub(crate) async fn waiting() -> Scene {
         Scene::laid(String::new(), |_, _, file| {
             assert!(std::process::Command::new("mkfifo")
                 .arg(file)
@@ -366,7 +366,7 @@
     }
 
     /// Opens once the router reads its configuration.
-    pub async fn pipe(&self) -> std::fs::File {
+    pub(crate) async fn pipe(&self) -> std::fs::File {
         use std::os::unix::fs::OpenOptionsExt;
         let mut open = std::fs::OpenOptions::new();
         open.write(true).custom_flags(nix::libc::O_NONBLOCK);
@@ -383,7 +383,7 @@
     }
 
     /// Ends one reading with this text; the next one waits at a pipe of its own, so that two cannot run together.
-    pub fn tell(&self, mut pipe: std::fs::File, text: &str) {
+    pub(crate) fn tell(&self, mut pipe: std::fs::File, text: &str) {
         let (next, file) = (self.folder.join("next"), self.folder.join("config.json"));
         assert!(std::process::Command::new("mkfifo")
             .arg(&next)
@@ -427,7 +427,7 @@
         }
     }
 
-    pub async fn up(&self) {
+    pub(crate) async fn up(&self) {
         let up = timeout(SOON, async {
             while self.status("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").await != Some(200) {
                 sleep(Duration::from_millis(10)).await;
@@ -439,17 +439,17 @@
         }
     }
 
-    pub async fn connect(&self) -> TcpStream {
+    pub(crate) async fn connect(&self) -> TcpStream {
         TcpStream::connect(&self.address).await.unwrap()
     }
 
     /// The status of the answer on a new connection; `None` where it is closed instead.
-    pub async fn status(&self, request: &str) -> Option<u16> {
+    pub(crate) async fn status(&self, request: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(&self.address).await.ok()?;
         status(&exchange(&mut stream, request).await?)
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().unwrap().to_string();
         assert!(std::process::Command::new("kill")
             .args([name, &pid])
@@ -459,25 +459,25 @@
     }
 }
 
-pub async fn exchange(stream: &mut TcpStream, request: &str) -> Option<String> {
+pub(crate) async fn exchange(stream: &mut TcpStream, request: &str) -> Option<String> {
     stream.write_all(request.as_bytes()).await.ok()?;
     timeout(SOON, read_message(stream))
         .await
         .expect("an answer or a close in time")
 }
 
-pub fn status(answer: &str) -> Option<u16> {
+pub(crate) fn status(answer: &str) -> Option<u16> {
     answer.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
 }
 
-pub fn body(answer: &str) -> &str {
+pub(crate) fn body(answer: &str) -> &str {
     answer.split_once("\r\n\r\n").unwrap().1
 }
 
-pub fn read(id: &str) -> String {
+pub(crate) fn read(id: &str) -> String {
     format!("GET /read/k{id} HTTP/1.1\r\nHost: h\r\nRequest-Id: {id}\r\nRequest-Class: read\r\nTenant: acme\r\nRequest-Timeout: 4000m\r\n\r\n")
 }
 
-pub fn seal(id: &str) -> String {
+pub(crate) fn seal(id: &str) -> String {
     format!("POST /seal/k{id} HTTP/1.1\r\nHost: h\r\nRequest-Id: {id}\r\nRequest-Class: seal\r\nTenant: acme\r\nRequest-Timeout: 4000m\r\nContent-Length: 4\r\n\r\nbody")
 }
--- a/crates/spokeflow-router/tests/unit/host_link.rs
+++ b/crates/spokeflow-router/tests/unit/host_link.rs
@@ -2,15 +2,59 @@
 
 use std::time::Duration;
 
-use bytes::BytesMut;
+use bytes::{Bytes, BytesMut};
 use spokeflow_proto::{FrameCodec, FromHost, Hello, Role, WORK_LIMIT};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
 use super::*;
 
-/// A host that greets and never reads again: its queue must fill, so that the engine hears `Full`. The task
-/// once took all that came into a list of its own, and the bound of the queue bound nothing.
+/// Messages that wait for the host at most.
+const QUEUE: usize = 8;
+
+/// A host that answers the hello and never reads again.
+async fn accept_and_never_read(listener: TcpListener) {
+    let (stream, _) = listener.accept().await.unwrap();
+    let (_read, mut write) = stream.into_split();
+    let codec = FrameCodec::<ToHost, FromHost>::new(WORK_LIMIT);
+    let mut bytes = BytesMut::new();
+    let welcome = FromHost::Welcome {
+        host: 1,
+        build: 1,
+        incarnation: 1,
+        up_us: 0,
+    };
+    codec.write(&welcome, &mut bytes).unwrap();
+    write.write_all(&bytes).await.unwrap();
+    std::future::pending::<()>().await
+}
+
+fn config() -> LinkConfig {
+    LinkConfig {
+        hello: Hello::new(Role::Router, 0, 0),
+        connect_timeout: Duration::from_secs(5),
+        seed: 3,
+        min_reconnect_delay: Duration::from_millis(50),
+        max_reconnect_delay: Duration::from_secs(2),
+        idle_timeout: Duration::from_secs(60),
+        ping_timeout: Duration::from_secs(60),
+    }
+}
+
+fn deliver(delivery: u64, body: Bytes) -> ToHost {
+    ToHost::Deliver {
+        delivery,
+        op: 0,
+        tenant: 0,
+        key: 0,
+        idempotency_key: 0,
+        left_us: 60_000_000,
+        body,
+    }
+}
+
+/// The queue of a host that never reads must fill, so that the engine learns of it as `Full`. The task once took all
+/// that came into a list of its own, and the bound of the queue bound nothing.
 #[test]
 fn what_a_host_does_not_read_fills_its_queue() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -18,33 +62,9 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        let port = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let address = port.local_addr().unwrap().to_string();
-        tokio::spawn(async move {
-            let (stream, _) = port.accept().await.unwrap();
-            let (_read, mut write) = stream.into_split();
-            let codec = FrameCodec::<ToHost, FromHost>::new(WORK_LIMIT);
-            let mut bytes = BytesMut::new();
-            let welcome = FromHost::Welcome {
-                host: 1,
-                build: 1,
-                incarnation: 1,
-                up_us: 0,
-            };
-            codec.write(&welcome, &mut bytes).unwrap();
-            write.write_all(&bytes).await.unwrap();
-            std::future::pending::<()>().await
-        });
-        let config = LinkConfig {
-            hello: Hello::new(Role::Router, 0, 0),
-            connect_timeout: Duration::from_secs(5),
-            seed: 3,
-            min_reconnect_delay: Duration::from_millis(50),
-            max_reconnect_delay: Duration::from_secs(2),
-            idle_timeout: Duration::from_secs(60),
-            ping_timeout: Duration::from_secs(60),
-        };
-        const QUEUE: usize = 8;
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap().to_string();
+        tokio::spawn(accept_and_never_read(listener));
         let (messages, message_queue) = mpsc::channel(QUEUE);
         let (events, mut engine_events) = mpsc::channel(4096);
         let listing = HostListing {
@@ -57,32 +77,19 @@
         let (_listing, listing_updates) = watch::channel(listing);
         let link = HostLink {
             host: HostId(1),
-            config: Arc::new(config),
+            config: Arc::new(config()),
             clock: Clock::starting_now(),
             events,
             messages: message_queue,
             listing: listing_updates,
         };
         tokio::spawn(link.run());
-        let body = bytes::Bytes::from(vec![0; 60_000]);
-        let deliver = |delivery| {
-            let body = body.clone();
-            let left_us = 60_000_000;
-            ToHost::Deliver {
-                delivery,
-                op: 0,
-                tenant: 0,
-                key: 0,
-                idempotency_key: 0,
-                left_us,
-                body,
-            }
-        };
+        let body = Bytes::from(vec![0; 60_000]);
         let mut taken = 0;
         let mut refused = 0;
         for delivery in 0..1000 {
             let queued = QueuedMessage {
-                message: deliver(delivery),
+                message: deliver(delivery, body.clone()),
                 leave_by: Micros::MAX,
             };
             match messages.try_send(queued) {
