--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -44,7 +44,7 @@
             "--seed=1".into(),
         ];
         flags.extend(more.iter().map(ToString::to_string));
-        let terms = RouterProgram::try_parse_from(flags).unwrap().terms;
+        let terms = RouterProgram::try_parse_from(flags).unwrap().flags;
         terms.check().unwrap();
         let listening = Listening::open(&terms).await.unwrap();
         let address = listening.address();
