--- a/crates/spokeflow-core/benches/memory.rs
+++ b/crates/spokeflow-core/benches/memory.rs
@@ -1,6 +1,8 @@
-//! Bytes that the module holds for one host, sticky assignment, command in flight and tenant, counted at the allocator.
+//! Bytes that the module holds for one host, sticky assignment, command in flight and tenant,
+//! counted at the allocator.
 //!
-//! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench memory` prints them and writes them as JSON.
+//! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench memory` prints them and
+//! writes them as JSON.
 
 mod points;
 mod traffic;
--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -1,5 +1,6 @@
-//! Steady traffic through one [`Router`] in simulated time: commands at an even rate, each answered after a fixed
-//! time, with the wake-ups that the module asks for. Used by the benchmarks and by `examples/replay.rs`.
+//! Steady traffic through one [`Router`] in simulated time: commands at an even rate, each answered
+//! after a fixed time, with the wake-ups that the module asks for. Used by the benchmarks and by
+//! `examples/replay.rs`.
 
 #![allow(dead_code)] // each program uses its own part
 
--- a/crates/spokeflow-core/benches/work.rs
+++ b/crates/spokeflow-core/benches/work.rs
@@ -1,7 +1,7 @@
 //! Work of the decision module for one command and for one tick, over the number of hosts.
 //!
-//! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench work -- quiet` measures the points whose
-//! name holds `quiet` and writes them as JSON. Each point takes about two seconds.
+//! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench work -- quiet` measures the
+//! points whose name holds `quiet` and writes them as JSON. Each point takes about two seconds.
 
 mod points;
 mod traffic;
--- a/crates/spokeflow-core/src/config.rs
+++ b/crates/spokeflow-core/src/config.rs
@@ -128,6 +128,7 @@
     pub complaint_share: f64,
     /// Routers whose votes roll a build back; 0 where the deployment does not say.
     pub rollback_votes: u32,
-    /// Votes that the release controller takes a second from all routers together; infinite where the deployment does not say.
+    /// Votes that the release controller takes a second from all routers together; infinite where
+    /// the deployment does not say.
     pub votes_per_second: f64,
 }
--- a/crates/spokeflow-core/src/egress.rs
+++ b/crates/spokeflow-core/src/egress.rs
@@ -17,7 +17,8 @@
 
 /// What the router asks of the world. Calls are carried out in the order they are made.
 pub trait Egress {
-    /// Sends a command to a host; the delivery is given up at `until`, or with the client where `None`.
+    /// Sends a command to a host; the delivery is given up at `until`, or with the client where
+    /// `None`.
     fn deliver(&mut self, cmd: CommandId, host: HostId, until: Option<Micros>);
     /// Final answer: trying again is harmless, best after `retry_after` where given.
     fn nack(&mut self, cmd: CommandId, retry_after: Option<Micros>);
--- a/crates/spokeflow-core/src/events.rs
+++ b/crates/spokeflow-core/src/events.rs
@@ -102,8 +102,8 @@
     pub age: Micros,
 }
 
-/// What the release controller counted of one operation at one build, in a sample of all routers' deliveries over a
-/// past period.
+/// What the release controller counted of one operation at one build, in a sample of all routers'
+/// deliveries over a past period.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerStats {
     /// The build.
--- a/crates/spokeflow-core/src/lib.rs
+++ b/crates/spokeflow-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The core of spokeflow: [`Router`] decides, [`Egress`] carries out, the rest are plain types.
 //!
-//! Everything that decides is in `router.rs` and the modules under `router/`; the other files hold types and state
-//! without decisions. Nothing here reads a clock, does I/O or draws chance from outside: equal calls give equal
-//! outputs.
+//! Everything that decides is in `router.rs` and the modules under `router/`; the other files hold
+//! types and state without decisions. Nothing here reads a clock, does I/O or draws chance from
+//! outside: equal calls give equal outputs.
 
 mod config;
 mod egress;
--- a/crates/spokeflow-core/src/rng.rs
+++ b/crates/spokeflow-core/src/rng.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// Spreads a key evenly over 0 to 1 by the output function of SplitMix64: the same key, the same position.
+/// Spreads a key evenly over 0 to 1 by the output function of SplitMix64: the same key, the same
+/// position.
 pub fn unit(key: u64) -> f64 {
     let mut hash = key.wrapping_add(GOLDEN_GAMMA);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -1,8 +1,10 @@
-//! The decision module: one [`Router`] a process, which gets each event by a call and answers through [`Egress`].
+//! The decision module: one [`Router`] a process, which gets each event by a call and answers
+//! through [`Egress`].
 //!
-//! Call [`Router::new`] with the deployment's configuration, then [`Router::set_time`] and one method for each thing
-//! that happens, in order. A command runs through admission, canary, exposure and placement; the outcome of a delivery
-//! runs through outlier detection, analysis and retry. `docs/design.md` gives the reasons.
+//! Call [`Router::new`] with the deployment's configuration, then [`Router::set_time`] and one
+//! method for each thing that happens, in order. A command runs through admission, canary, exposure
+//! and placement; the outcome of a delivery runs through outlier detection, analysis and retry.
+//! `docs/design.md` gives the reasons.
 
 mod admission;
 mod analysis;
@@ -82,7 +84,8 @@
 }
 
 impl Router {
-    /// A router without hosts. Asks for the first tick and, where the deployment requires it, for the host list.
+    /// A router without hosts. Asks for the first tick and, where the deployment requires it, for
+    /// the host list.
     pub fn new(config: &ServiceConfig, seed: u64, now: Micros, out: Out) -> Self {
         out.wake(now + TICK);
         if config.list_requires_subscription {
@@ -119,8 +122,9 @@
         }
     }
 
-    /// Uses another configuration from the next call on. What was counted, sent and assigned stays: no window begins
-    /// anew. The operations, windows and forward-only rules have to be the same as before, and as many tenants.
+    /// Uses another configuration from the next call on. What was counted, sent and assigned stays:
+    /// no window begins anew. The operations, windows and forward-only rules have to be the same as
+    /// before, and as many tenants.
     pub fn reconfigure(&mut self, config: &ServiceConfig) {
         self.config = DerivedConfig::new(config);
         self.hosts.set_spans(self.config.start_spans);
--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -14,7 +14,8 @@
 const WAIT_OBJECTIVE_FRACTION: f64 = 0.3;
 /// Time left before the deadline at which a command no longer waits.
 const WAIT_MARGIN: Micros = 2 * TICK;
-/// Deliveries in flight below which traffic is too thin for the concurrency limit to bound the queues.
+/// Deliveries in flight below which traffic is too thin for the concurrency limit to bound the
+/// queues.
 const THIN_TRAFFIC: f64 = 2.0;
 /// Marks the hash input of a command without a key, so that it equals no key's.
 const KEYLESS_BIT: u64 = 1 << 40;
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Guards against queues so long that most is served too late, where traffic is too thin for a limit: only what
-    /// brings the median latency back to half the objective is admitted.
+    /// Guards against queues so long that most is served too late, where traffic is too thin for a
+    /// limit: only what brings the median latency back to half the objective is admitted.
     fn overload(&self, operation: usize) -> f64 {
         let returns: f64 = self
             .operations
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Sends a command that is not answered to a host, or lets it wait, or gives it up; says whether a delivery went
-    /// out.
+    /// Sends a command that is not answered to a host, or lets it wait, or gives it up; says
+    /// whether a delivery went out.
     pub(super) fn route(&mut self, id: CommandId, out: Out) -> bool {
         let Some(command) = self.commands.get(&id).filter(|command| !command.answered) else {
             return false;
@@ -167,12 +168,14 @@
                 return true;
             }
         }
-        // A known key above the cap under forward-only rules is refused at once: its client comes back when the cap allows it.
+        // A known key above the cap under forward-only rules is refused at once: its client comes
+        // back when the cap allows it.
         self.wait_or_shed(id, at_cap && rule.newest_build.is_some(), out);
         false
     }
 
-    /// Lets a command without an open delivery wait where it has the time for it and `refuse` does not forbid it.
+    /// Lets a command without an open delivery wait where it has the time for it and `refuse` does
+    /// not forbid it.
     fn wait_or_shed(&mut self, id: CommandId, refuse: bool, out: Out) {
         let Some(command) = self
             .commands
@@ -189,8 +192,9 @@
         }
     }
 
-    /// Routes waiting commands by what their tenant was served of its quota: those of one far beyond it wait in vain.
-    /// Ends where the hosts are full, so that many which wait cost no more with each that comes or goes.
+    /// Routes waiting commands by what their tenant was served of its quota: those of one far
+    /// beyond it wait in vain. Ends where the hosts are full, so that many which wait cost no more
+    /// with each that comes or goes.
     pub(super) fn route_waiting(&mut self, out: Out) {
         for tenant in self.waiting.by_service(&self.config.tenant_quotas) {
             let mut queue = self.waiting.take(tenant);
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -6,7 +6,8 @@
 use super::{Router, ROUTERS_PER_HOST};
 use crate::{AttemptOutcome, BuildId, HostId, Micros};
 
-/// Taken off each analyzed delivery's failure beside the earlier build's rate: a rate this far above it is chance.
+/// Taken off each analyzed delivery's failure beside the earlier build's rate: a rate this far
+/// above it is chance.
 pub(super) const FAILURE_MARGIN: f64 = 0.02;
 /// Evidence of wrong answers that each answer takes off: reports this rare are chance.
 pub(super) const WRONG_ANSWER_MARGIN: f64 = 0.01;
@@ -15,7 +16,8 @@
 /// Slowness, as a logarithm, that is put down to chance, and the evidence of one unit beyond it.
 pub(super) const SLOWNESS_MARGIN: f64 = 0.6;
 pub(super) const SLOWNESS_WEIGHT: f64 = 0.4;
-/// Bound of an answer's slowness, as a logarithm, in both directions: one answer is not more than one.
+/// Bound of an answer's slowness, as a logarithm, in both directions: one answer is not more than
+/// one.
 pub(super) const MAX_SLOWNESS: f64 = 2.0;
 /// Bound of an answer's slowness where it counts against the slowness that all hosts share.
 pub(super) const MAX_SHARED_SLOWNESS: f64 = 1.5;
@@ -25,13 +27,14 @@
 const MIN_BASELINE_SAMPLES: f64 = 5.0;
 /// Answers that the baseline's mean goes by at most.
 const MAX_BASELINE_SAMPLES: u32 = 200;
-/// Answers up to which thin traffic goes on learning the baseline in the first stages, and the canary fraction up to
-/// which the earlier build's hosts still show it.
+/// Answers up to which thin traffic goes on learning the baseline in the first stages, and the
+/// canary fraction up to which the earlier build's hosts still show it.
 const THIN_BASELINE_SAMPLES: u32 = 20;
 const THIN_BASELINE_CANARY_FRACTION: f64 = 0.2;
 /// Uncertainty of a baseline, in standard errors of its mean, that is borne without allowance.
 const BORNE_UNCERTAINTY: f64 = 0.25;
-/// Weights of the newest answer in a host's slowdown, and in the earlier build's failure rate and slowness.
+/// Weights of the newest answer in a host's slowdown, and in the earlier build's failure rate and
+/// slowness.
 const HOST_SLOWDOWN_RATE: f64 = 0.15;
 const FAILURE_LEARN_RATE: f64 = 0.02;
 const SLOWNESS_LEARN_RATE: f64 = 0.05;
@@ -85,7 +88,8 @@
         count.errors += f64::from(u8::from(erred));
     }
 
-    /// What a failure proves, 0 to 1: less for a tenant whose commands err at every host, far beyond the others'.
+    /// What a failure proves, 0 to 1: less for a tenant whose commands err at every host, far
+    /// beyond the others'.
     fn proof(&self, tenant: usize) -> f64 {
         let own = self.0[tenant];
         let least_of_others = self
@@ -114,7 +118,8 @@
         self.failed *= LOSS_FADE;
     }
 
-    /// Of what the release controller calls lost, the part that would count as a failure if it were this router's own.
+    /// Of what the release controller calls lost, the part that would count as a failure if it were
+    /// this router's own.
     pub(super) fn failure_fraction(&self) -> f64 {
         (self.failed + 1.0) / (self.lost + 1.0)
     }
@@ -185,7 +190,8 @@
             && self.slowdowns.operations.excess(operation) > 0.0
     }
 
-    /// 1 where the end of a delivery is a failure of the build, 0 where it is an answer, `None` where it says nothing.
+    /// 1 where the end of a delivery is a failure of the build, 0 where it is an answer, `None`
+    /// where it says nothing.
     fn failure_of(
         &self,
         host: usize,
@@ -196,20 +202,24 @@
         match outcome {
             AttemptOutcome::Acked => Some(0.0),
             AttemptOutcome::Error => Some(1.0),
-            // Links break connections too, and one crash breaks all that was open at the host: that is one failure,
-            // of a host that does little else.
+            // Links break connections too, and one crash breaks all that was open at the host: that
+            // is one failure, of a host that does little else.
             AttemptOutcome::Reset => {
                 let alone = self.hosts.answers(host) < ANSWERS_TO_EXCUSE_RESET
                     && self.now >= self.hosts.ejected_until(host);
                 alone.then_some(1.0)
             }
-            // A full fleet times out too: that is slowness, which more traffic excuses, and no failure. It is neither
-            // where the client was in a hurry, or where the host answered nobody.
+            // A full fleet times out too: that is slowness, which more traffic excuses, and no
+            // failure. It is neither where the client ended it early, or where the host answered
+            // nobody.
             AttemptOutcome::TimedOut => {
                 let long = took as f64 >= self.operations[operation].latency_objective;
                 (long && !self.is_suspect(host)).then_some(0.0)
             }
-            _ => None,
+            AttemptOutcome::Rejected
+            | AttemptOutcome::NotConnected
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent => None,
         }
     }
 
@@ -221,13 +231,12 @@
             tenant: answer.tenant,
         };
         let over_baseline = if answer.baseline_known {
-            self.slowness_over_baseline(answer)
+            let over_baseline = self.slowness_over_baseline(answer);
+            self.slowdowns.learn(origin, over_baseline);
+            over_baseline
         } else {
             0.0
         };
-        if answer.baseline_known {
-            self.slowdowns.learn(origin, over_baseline);
-        }
         let slowness = over_baseline - self.slowdowns.largest_excess(origin);
         let before = self.hosts.slowdown(answer.host);
         let after = before + HOST_SLOWDOWN_RATE * (slowness - before);
@@ -235,8 +244,8 @@
         slowness
     }
 
-    /// Slowness as a logarithm, less what a baseline of few answers may be off by chance; of many routers, one is very
-    /// unlucky and votes for all.
+    /// Slowness as a logarithm, less what a baseline of few answers may be off by chance; of many
+    /// routers, one is very unlucky and votes for all.
     fn slowness_over_baseline(&self, answer: &Answer) -> f64 {
         if !answer.acked {
             return MAX_SLOWNESS * (1.0 - answer.failed);
@@ -307,8 +316,9 @@
         }
     }
 
-    /// Guards against a build that slows the earlier hosts too: from its canary on every answer counts against the
-    /// time before, less what traffic explains. It could harm where the fleet slows for another reason.
+    /// Guards against a build that slows the earlier hosts too: from its canary on every answer
+    /// counts against the time before, less what traffic explains. It could harm where the fleet
+    /// slows for another reason.
     fn count_shared_slowness(&mut self, slowness: f64) {
         let comparable = self.evidence.answers > 0 && self.load.baseline.answered > 0.0;
         if !comparable || !self.rollout.is_canary() {
--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -5,13 +5,15 @@
 use crate::state::Command;
 use crate::{BuildId, Micros};
 
-/// Part of the exposure cap that the canary fraction takes, and how far keys follow the hosts above it: keys that
-/// carry more than the mean traffic need some of it too.
+/// Part of the exposure cap that the canary fraction takes, and how far keys follow the hosts above
+/// it: keys that carry more than the mean traffic need some of it too.
 const CANARY_FRACTION_OF_CAP: f64 = 0.7;
 const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
-/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are being replaced.
+/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are being
+/// replaced.
 const CANARY_LEAD: f64 = 1.25;
-/// Time in which the canary fraction grows from nothing to what it aims at: its hosts see load rise, not jump.
+/// Time in which the canary fraction grows from nothing to what it aims at: its hosts see load
+/// rise, not jump.
 const CANARY_GROWTH_TIME: Micros = 2 * SECOND;
 /// Least aim that the growth goes by, so that a small one is reached as well.
 const MIN_GROWTH_AIM: f64 = 0.02;
@@ -33,7 +35,8 @@
         self.build = build;
     }
 
-    /// Grows towards an aim over a part of the growth time, up to the cap; never shrinks but for the cap.
+    /// Grows towards an aim over a part of the growth time, up to the cap; never shrinks but for
+    /// the cap.
     fn grow(&mut self, aim: f64, part: f64, cap: f64) {
         let step = self.fraction + part * aim.max(MIN_GROWTH_AIM);
         self.fraction = self.fraction.max(aim.min(step)).min(cap);
@@ -61,8 +64,8 @@
 }
 
 impl Router {
-    /// The builds to try for a command, best first. Assignments keep a key at its build; the canary fraction takes
-    /// keys to the one on trial.
+    /// The builds to try for a command, best first. Assignments keep a key at its build; the canary
+    /// fraction takes keys to the one on trial.
     pub(super) fn choose_builds(&self, command: &Command, floor: Option<BuildId>) -> BuildChoice {
         let serving = self.serving_builds();
         let allowed = |build: &BuildId| floor.is_none_or(|floor| *build >= floor);
@@ -96,8 +99,9 @@
         }
     }
 
-    /// Whether a command belongs to the canary fraction. A few keys may carry much of the traffic: the fraction's
-    /// come no faster than its hosts bear, and no more follow than the earlier build's hosts have become fewer.
+    /// Whether a command belongs to the canary fraction. A few keys may carry much of the traffic:
+    /// the fraction's come no faster than its hosts bear, and no more follow than the earlier
+    /// build's hosts have become fewer.
     fn goes_to_trial(&self, command: &Command, new: BuildId, old: BuildId) -> bool {
         let exposed = self.exposure.exposed_to(new) as f64;
         let bearable =
@@ -122,7 +126,8 @@
         }
     }
 
-    /// What part of the present capacity runs the build on trial, cold hosts counted by what they can do.
+    /// What part of the present capacity runs the build on trial, cold hosts counted by what they
+    /// can do.
     fn trial_capacity_fraction(&self, new: BuildId, old: BuildId) -> f64 {
         // Side by side, each trial host bears what each earlier one did before the trial.
         let warm_up = |age| self.warm_up_fraction(age);
@@ -133,8 +138,9 @@
         (trial / all.max(1e-9)).min(1.0)
     }
 
-    /// The canary fraction grows towards its part of the cap, as far as the trial hosts listed ready bear it, and
-    /// follows the hosts where the earlier build is left with fewer than its keys need.
+    /// The canary fraction grows towards its part of the cap, as far as the trial hosts listed
+    /// ready bear it, and follows the hosts where the earlier build is left with fewer than its
+    /// keys need.
     pub(super) fn grow_canary(&mut self) {
         let part = (self.now - self.ticks.ticked_at) as f64 / CANARY_GROWTH_TIME as f64;
         let serving = self.serving_builds();
--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -9,7 +9,8 @@
 
 /// Evidence of the slowness in one operation's counts of a period with many answers.
 const CONTROLLER_WEIGHT: f64 = 1.5;
-/// Most evidence of the failures of one operation and period: one period brings a part of the proof.
+/// Most evidence of the failures of one operation and period: one period brings a part of the
+/// proof.
 const MAX_FAILURE_EVIDENCE: f64 = CONTROLLER_WEIGHT / 2.0;
 /// Answers at which a period's slowness has half its weight.
 const HALF_WEIGHT_ANSWERS: f64 = 12.0;
@@ -42,7 +43,8 @@
 }
 
 impl ControllerTraffic {
-    /// Begins another period where the counts belong to one; learns the baseline while no build is a canary.
+    /// Begins another period where the counts belong to one; learns the baseline while no build is
+    /// a canary.
     fn follow_period(&mut self, ended_at: Micros, canary: bool) {
         if ended_at <= self.period_end + SAME_PERIOD_WITHIN {
             return;
@@ -109,8 +111,8 @@
 }
 
 impl Router {
-    /// Takes what the release controller counted of all routers' deliveries as evidence. It could harm where faults
-    /// strike trial hosts only.
+    /// Takes what the release controller counted of all routers' deliveries as evidence. It could
+    /// harm where faults strike trial hosts only.
     pub fn on_controller_stats(&mut self, stats: ControllerStats) {
         let operation = usize::from(stats.op.0);
         let Some(status) = self.rollout.status else {
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no earlier one has a host.
+    /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no earlier
+    /// one has a host.
     fn is_earlier(&self, build: BuildId, newest: BuildId) -> bool {
         build < newest
             || self
@@ -147,8 +150,8 @@
                 .is_none_or(|oldest| oldest >= newest)
     }
 
-    /// Counts a period's answers as traffic, and works out what that explains. More answers or fewer hosts than before
-    /// explain slowness; losses may be the build's own doing.
+    /// Counts a period's answers as traffic, and works out what that explains. More answers or
+    /// fewer hosts than before explain slowness; losses may be the build's own doing.
     fn weigh_period(&mut self, stats: &ControllerStats) -> PeriodCount {
         let sampled = f64::from(stats.sampled);
         let lost = f64::from(stats.failed).min(sampled);
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -7,11 +7,13 @@
 use crate::state::StartSpans;
 use crate::{Gate, Micros, ServiceConfig};
 
-/// Most deliveries of one command, whatever the deployment allows: more only add load to a service in trouble.
+/// Most deliveries of one command, whatever the deployment allows: more only add load to a service
+/// in trouble.
 const MAX_DELIVERIES: u32 = 4;
 /// Share of a fleet's routers whose rollback votes decide that counts as many.
 const FULL_QUORUM_FRACTION: f64 = 0.2;
-/// The release controller starts its clock about this long after the hosts run; a vote before has no effect.
+/// The release controller starts its clock about this long after the hosts run; a vote before has
+/// no effect.
 const PROMOTE_DELAY: Micros = SECOND;
 /// Warm-up times for which a host counts as recently started.
 const RECENT_WARM_UPS: Micros = 3;
@@ -38,7 +40,8 @@
     pub(super) start_spans: StartSpans,
     /// Length of the slots in which what a cold host is sent is bounded.
     pub(super) overload_window: Micros,
-    /// Multiple of a host's mean traffic that it takes in one slot while cold, in seconds of its rate.
+    /// Multiple of a host's mean traffic that it takes in one slot while cold, in seconds of its
+    /// rate.
     pub(super) slow_start_allowance: f64,
     pub(super) gate: Gate,
     /// Exposure cap before the release controller has said one.
@@ -62,7 +65,8 @@
     pub(super) vote_spread: f64,
     pub(super) vote_lifetime: Micros,
     pub(super) vote_timeout: Micros,
-    /// Weight of own evidence; below 1 where so few routers roll back that the hastiest would decide for all.
+    /// Weight of own evidence; below 1 where so few routers roll back that the hastiest would
+    /// decide for all.
     pub(super) quorum_scale: f64,
     /// Evidence of one reported wrong answer.
     pub(super) wrong_answer_weight: f64,
@@ -153,7 +157,8 @@
     }
 }
 
-/// Where a quorum decides, one report is enough for a router's vote: false ones reach few routers at a time.
+/// Where a quorum decides, one report is enough for a router's vote: false ones reach few routers
+/// at a time.
 fn wrong_answer_weight(config: &ServiceConfig, quorum: bool, quorum_scale: f64) -> f64 {
     if quorum {
         1.3 * ROLLBACK_EVIDENCE * quorum_scale
--- a/crates/spokeflow-core/src/router/discovery.rs
+++ b/crates/spokeflow-core/src/router/discovery.rs
@@ -3,9 +3,11 @@
 use super::{Out, Router, SECOND};
 use crate::{Endpoint, ListKind, Micros, Rng};
 
-/// How long after asking for the list the router asks again; a list usually comes within a fraction of it.
+/// How long after asking for the list the router asks again; a list usually comes within a fraction
+/// of it.
 const RESUBSCRIBE_AFTER: Micros = 5 * SECOND;
-/// Bounds of the pause after a failure: short enough to miss little, long enough to spare a server in trouble.
+/// Bounds of the pause after a failure: short enough to miss little, long enough to spare a server
+/// in trouble.
 const MIN_BACKOFF: Micros = SECOND / 2;
 const MAX_BACKOFF: Micros = 4 * SECOND;
 
@@ -68,7 +70,8 @@
 
     /// The host list could not be had, or a subscription has ended.
     pub fn on_list_failure(&mut self) {
-        // The notice does not say whether a subscription still exists: asking again is the only safe reading.
+        // The notice does not say whether a subscription still exists: asking again is the only
+        // safe reading.
         self.subscription.failed(self.now, &mut self.rng);
     }
 }
--- a/crates/spokeflow-core/src/router/evidence.rs
+++ b/crates/spokeflow-core/src/router/evidence.rs
@@ -2,7 +2,8 @@
 
 use super::{Router, ROUTERS_PER_HOST};
 
-/// Evidence at which a router votes to roll back; a failure that surely is the build's own counts about 1.
+/// Evidence at which a router votes to roll back; a failure that surely is the build's own counts
+/// about 1.
 pub(super) const ROLLBACK_EVIDENCE: f64 = 4.0;
 /// Hosts that must show evidence against a build at most: a router meets few of many.
 const MAX_HOSTS_TO_CONVICT: f64 = 8.0;
@@ -68,7 +69,8 @@
         self.controller_answers_in_stage = 0.0;
     }
 
-    /// Failures add up over the operations; each other kind is another proof, and one answer counts in one only.
+    /// Failures add up over the operations; each other kind is another proof, and one answer counts
+    /// in one only.
     pub(super) fn total(&self) -> f64 {
         let failures: f64 = self.failures.iter().sum();
         failures
@@ -91,8 +93,9 @@
 }
 
 impl Router {
-    /// Two in five of a build's hosts (in a large fleet of those observed) convict it, two at least of three, for
-    /// slowness always: each brings its part. It could harm where a build fails rarely on many hosts.
+    /// Two in five of a build's hosts (in a large fleet of those observed) convict it, two at least
+    /// of three, for slowness always: each brings its part. It could harm where a build fails
+    /// rarely on many hosts.
     pub(super) fn add_evidence(&mut self, host: usize, kind: EvidenceKind, gain: f64) {
         let before = self.hosts.evidence(host);
         let gain = if gain > 0.0 {
--- a/crates/spokeflow-core/src/router/hedging.rs
+++ b/crates/spokeflow-core/src/router/hedging.rs
@@ -5,16 +5,19 @@
 use crate::state::Command;
 use crate::{CommandId, Micros};
 
-/// Part of the latency objective after which a second delivery may go out: it has the rest to answer in time.
+/// Part of the latency objective after which a second delivery may go out: it has the rest to
+/// answer in time.
 const HEDGE_OBJECTIVE_FRACTION: f64 = 0.35;
-/// Slowdown of a host, as a logarithm, from which it looks unhealthy: about twice as slow as its baseline.
+/// Slowdown of a host, as a logarithm, from which it looks unhealthy: about twice as slow as its
+/// baseline.
 const HEDGE_SLOWDOWN: f64 = 0.7;
 /// Time left before the deadline below which none goes out.
 const HEDGE_MARGIN: Micros = 4 * TICK;
 
 impl Router {
-    /// Sends a second delivery of commands whose first is late at a host that looks unhealthy, where the operation allows a
-    /// repeat: beside the first where both may run together, else in its place.
+    /// Sends a second delivery of commands whose first is late at a host that looks unhealthy,
+    /// where the operation allows a repeat: beside the first where both may run together, else in
+    /// its place.
     pub(super) fn hedge(&mut self, out: Out) {
         let due: Vec<CommandId> = self
             .commands
--- a/crates/spokeflow-core/src/router/load.rs
+++ b/crates/spokeflow-core/src/router/load.rs
@@ -6,8 +6,8 @@
 
 /// Weight of the newest load report in the mean.
 const UTILIZATION_LEARN_RATE: f64 = 0.05;
-/// Weights of the newest answer rate a host where it is above, or below, what is known. A fleet that answers little
-/// for a while can still do what it did.
+/// Weights of the newest answer rate a host where it is above, or below, what is known. A fleet
+/// that answers little for a while can still do what it did.
 const RISING_RATE_WEIGHT: f64 = 0.02;
 const FALLING_RATE_WEIGHT: f64 = 0.001;
 /// Weight of the present load in the baseline; the first one counts in full.
@@ -24,8 +24,8 @@
 const MAX_EXPLAINED_SLOWNESS: f64 = 1.5;
 /// Most that commands received, retries among them, explain.
 const MAX_EXPLAINED_BY_RETRIES: f64 = 1.0;
-/// A fleet is full where it sheds more than the first part of what comes and answers more than the second part of
-/// what it did before.
+/// A fleet is full where it sheds more than the first part of what comes and answers more than the
+/// second part of what it did before.
 const FULL_SHED_FRACTION: f64 = 0.05;
 const FULL_ANSWER_FRACTION: f64 = 0.95;
 
@@ -132,8 +132,8 @@
         }
     }
 
-    /// The slowness, as a logarithm, that more load or less capacity than before the canary explains; retries, up to
-    /// a bound.
+    /// The slowness, as a logarithm, that more load or less capacity than before the canary
+    /// explains; retries, up to a bound.
     pub(super) fn slowness_by_load(&self) -> f64 {
         let now = self.present_load();
         let baseline = self.load.baseline;
@@ -143,8 +143,9 @@
             .max(explains(now.answered, baseline.answered))
             .max(explains(now.inverse_capacity, baseline.inverse_capacity))
             .clamp(0.0, MAX_EXPLAINED_SLOWNESS);
-        // A fleet that sheds and yet answers as much as before is full: that is load, whatever was received. One
-        // that has just been replaced was cold, and has the queue of that time to work off.
+        // A fleet that sheds and yet answers as much as before is full: that is load, whatever was
+        // received. One that has just been replaced was cold, and has the queue of that time to
+        // work off.
         let flow = self.load.flow;
         let full = flow.shed > FULL_SHED_FRACTION * flow.received
             && now.answered > FULL_ANSWER_FRACTION * baseline.answered;
@@ -157,9 +158,9 @@
         }
     }
 
-    /// Learns what a warm host answers. Guards against a storm, a fleet most of which has died, a start beside few
-    /// cold hosts: only answers count, those of dead hosts while they were ready, over the time in which a warm host may
-    /// answer one router once.
+    /// Learns what a warm host answers. Guards against a storm, a fleet most of which has died, a
+    /// start beside few cold hosts: only answers count, those of dead hosts while they were ready,
+    /// over the time in which a warm host may answer one router once.
     pub(super) fn learn_answer_rate(&mut self, elapsed: Elapsed) {
         let capacity = self
             .hosts
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -3,8 +3,8 @@
 use super::{Router, MILLISECOND, SECOND};
 use crate::{AttemptOutcome, Micros};
 
-/// How long nothing comes back from a host before it may count as unresponsive: above common pauses, far below
-/// time-outs.
+/// How long nothing comes back from a host before it may count as unresponsive: above common
+/// pauses, far below time-outs.
 pub(super) const UNRESPONSIVE_AFTER: Micros = 600 * MILLISECOND;
 /// The same in multiples of the slowest operation's baseline latency.
 const UNRESPONSIVE_BASELINES: Micros = 6;
@@ -26,7 +26,8 @@
         self.note_connection(host, outcome);
         match outcome {
             AttemptOutcome::Acked => self.note_ack(host),
-            // Fast errors draw traffic by least load: a host that errs or breaks loses what its answers earned.
+            // Fast errors draw traffic by least load: a host that errs or breaks loses what its
+            // answers earned.
             AttemptOutcome::Error | AttemptOutcome::Reset => {
                 self.hosts.set_answers(host, self.hosts.answers(host) / 2);
                 if self.hosts.answers(host) == 0 {
@@ -99,7 +100,8 @@
         self.is_unresponsive(host) || self.hosts.consecutive_failures(host) > 0
     }
 
-    /// Counts a failure in a row, unless the host is ejected already, and ejects it for longer with each.
+    /// Counts a failure in a row, unless the host is ejected already, and ejects it for longer with
+    /// each.
     fn eject(&mut self, host: usize, duration: Micros) {
         if self.now < self.hosts.ejected_until(host) {
             return;
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -8,13 +8,15 @@
 
 /// Least routers that send to each host, so that uneven traffic evens out.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
-/// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is for chance.
+/// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is
+/// for chance.
 pub(super) const SLOW_START_FRACTION: f64 = 0.9;
 /// Part of the latency objective that deliveries spend at hosts before these count as full.
 pub(super) const CONCURRENCY_OBJECTIVE_FRACTION: f64 = 0.4;
 /// How far above what lately came back the deliveries in flight may be, so that the limit can rise.
 const CONCURRENCY_HEADROOM: f64 = 1.1;
-/// Deliveries in flight that are allowed without any answer, and as many again for each host the router has to itself.
+/// Deliveries in flight that are allowed without any answer, and as many again for each host the
+/// router has to itself.
 const BASE_CONCURRENCY: f64 = 2.0;
 /// Share of deliveries without a connection from which a router keeps to hosts that it has one to.
 const MAX_REFUSED_FRACTION: f64 = 0.15;
@@ -30,9 +32,11 @@
 const SUBSET_PER_COMMAND: f64 = 0.75;
 /// Least hosts of the own subset: a choice of two needs two.
 const MIN_SUBSET: usize = 2;
-/// Part of what cold hosts may be sent that applies when the subset is left for want of hosts in it.
+/// Part of what cold hosts may be sent that applies when the subset is left for want of hosts in
+/// it.
 const OUTSIDE_SUBSET_TRAFFIC: f64 = 0.2;
-/// One over the part of the hosts that have to be fit; where fewer are, the router's own view is at fault.
+/// One over the part of the hosts that have to be fit; where fewer are, the router's own view is at
+/// fault.
 const FIT_DIVISOR: usize = 3;
 
 /// The hosts of a build that this router keeps to.
@@ -64,7 +68,8 @@
         }
     }
 
-    /// The hosts of a build that a command may be sent to, less the suspects where there are others.
+    /// The hosts of a build that a command may be sent to, less the suspects where there are
+    /// others.
     fn fit_hosts(&self, command: &Command, build: BuildId) -> CandidateSet {
         let operation = &self.operations[command.operation];
         let subset = self.subset(build);
@@ -78,7 +83,8 @@
             self.now >= self.hosts.ejected_until(host) && !self.is_unresponsive(host)
         });
         if fit.len() * FIT_DIVISOR < untried.len() {
-            // Most hosts seem unfit at once: that is this router's view or its zone's links, not the hosts.
+            // Most hosts seem unfit at once: that is this router's view or its zone's links, not
+            // the hosts.
             fit = untried;
         }
         // Hosts that take no new connection go on serving over the existing ones.
@@ -97,7 +103,8 @@
         fit
     }
 
-    /// Those candidates that have not had the command, would drop its repeat and may take one more delivery.
+    /// Those candidates that have not had the command, would drop its repeat and may take one more
+    /// delivery.
     fn usable_hosts(
         &self,
         command: &Command,
@@ -135,8 +142,8 @@
         }
     }
 
-    /// Own deliveries in flight, weighed by how slowly the host answers and, where it reports, by how long others'
-    /// commands make one wait. A report says less the older it is.
+    /// Own deliveries in flight, weighed by how slowly the host answers and, where it reports, by
+    /// how long others' commands make one wait. A report says less the older it is.
     fn load_score(&self, host: usize) -> f64 {
         let slowness = self
             .hosts
@@ -155,8 +162,8 @@
         f64::from(self.hosts.in_flight(host) + 1) * slowness / (UTILIZATION_LIMIT - utilization)
     }
 
-    /// Guards against a new connection for nearly every command: of a build's hosts in zones that are not slow, a
-    /// router with little traffic keeps to a few, its own by hash.
+    /// Guards against a new connection for nearly every command: of a build's hosts in zones that
+    /// are not slow, a router with little traffic keeps to a few, its own by hash.
     fn subset(&self, build: BuildId) -> Subset {
         let zones = &self.slowdowns.zones;
         let mut candidates = self.hosts.candidates(build);
@@ -176,9 +183,9 @@
         }
     }
 
-    /// Guards against queues at the hosts: no more is in flight than lately came back within a part of the latency
-    /// objective. It could harm where answers return after a gap. An operation that waits everywhere is counted by
-    /// itself.
+    /// Guards against queues at the hosts: no more is in flight than lately came back within a part
+    /// of the latency objective. It could harm where answers return after a gap. An operation that
+    /// waits everywhere is counted by itself.
     pub(super) fn at_concurrency_limit(&self, operation: usize) -> bool {
         let excess = |index: usize| self.slowdowns.operations.excess(index);
         let hosts = self.hosts.ready_count() as f64;
@@ -201,9 +208,10 @@
             >= base + CONCURRENCY_HEADROOM * CONCURRENCY_OBJECTIVE_FRACTION * returns
     }
 
-    /// Whether a host may be sent one more. A fresh one gets no more in flight than its answers have earned, and in
-    /// each slot of its age this router's own part of what the fleet may send it, drawn by hash where that is below
-    /// one. What is sent counts, for hosts that err fast. One that has failed gets one command at a time.
+    /// Whether a host may be sent one more. A fresh one gets no more in flight than its answers
+    /// have earned, and in each slot of its age this router's own part of what the fleet may send
+    /// it, drawn by hash where that is below one. What is sent counts, for hosts that err fast. One
+    /// that has failed gets one command at a time.
     fn may_take(&self, host: usize, traffic_multiple: f64) -> bool {
         let age = self.hosts.age(host);
         if age < self.config.start_spans.bounded
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -5,20 +5,24 @@
 use crate::state::{Command, Delivery};
 use crate::{AttemptOutcome, CommandId, DeduplicationScope, Micros, Repeat};
 
-/// Deliveries again, at a guess, that each command earns: enough for single failures, too few to double a load.
+/// Deliveries again, at a guess, that each command earns: enough for single failures, too few to
+/// double a load.
 const RETRIES_PER_COMMAND: f64 = 0.1;
 /// Most of them that are saved up.
 const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Time left before the deadline below which nothing is sent again: no answer would come in time.
 const RETRY_MARGIN: Micros = 2 * TICK;
-/// Part of the latency objective after which a refused client does best to come again, and as much again by chance.
+/// Part of the latency objective after which a refused client does best to come again, and as much
+/// again by chance.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// How far the estimate of the median latency moves with each answer, and its bounds, as logarithms.
+/// How far the estimate of the median latency moves with each answer, and its bounds, as
+/// logarithms.
 const OVERLOAD_STEP: f64 = 0.2;
 const MIN_OVERLOAD: f64 = -2.0;
 const MAX_OVERLOAD: f64 = 1.0;
 
-/// Deliveries again that the router may still make where it does not know whether the one before ran.
+/// Deliveries again that the router may still make where it does not know whether the one before
+/// ran.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     available: f64,
@@ -53,8 +57,8 @@
 }
 
 impl Router {
-    /// A delivery, numbered from 0 in the order of the command's deliveries, has ended after `took`; `answered` where
-    /// the client has its final answer by that.
+    /// A delivery, numbered from 0 in the order of the command's deliveries, has ended after
+    /// `took`; `answered` where the client has its final answer by that.
     pub fn on_attempt_outcome(
         &mut self,
         id: CommandId,
@@ -126,8 +130,8 @@
         state.overload = (state.overload + step).clamp(MIN_OVERLOAD, MAX_OVERLOAD);
     }
 
-    /// Ends a delivery's claim on its key. An answer may have been written that nobody could read: it binds the key as
-    /// well.
+    /// Ends a delivery's claim on its key. An answer may have been written that nobody could read:
+    /// it binds the key as well.
     fn release_key(&mut self, id: CommandId, delivery: &Delivery, outcome: AttemptOutcome) {
         let key = self.commands[&id].key;
         let newest = delivery.build.max(self.hosts.build(delivery.host));
@@ -142,8 +146,8 @@
         }
     }
 
-    /// After a delivery without an ack: another one where the operation allows it, else the final answer. `guess`
-    /// says that it may have run.
+    /// After a delivery without an ack: another one where the operation allows it, else the final
+    /// answer. `guess` says that it may have run.
     fn retry_or_abort(&mut self, id: CommandId, guess: bool, out: Out) {
         let Some(command) = self.commands.get(&id) else {
             return;
@@ -163,8 +167,8 @@
         self.route(id, out);
     }
 
-    /// Whether a command may be delivered once more. The deduplication window counts from the first delivery, whether
-    /// or not it ran: it was open when the next was sent.
+    /// Whether a command may be delivered once more. The deduplication window counts from the first
+    /// delivery, whether or not it ran: it was open when the next was sent.
     pub(super) fn may_redeliver(&self, command: &Command) -> bool {
         let operation = &self.operations[command.operation];
         let allowed = match operation.repeat {
--- a/crates/spokeflow-core/src/router/rollout.rs
+++ b/crates/spokeflow-core/src/router/rollout.rs
@@ -59,7 +59,8 @@
             self.voting.own_turn = (self.rng.fraction() * self.config.vote_spread) as Micros;
         }
         if self.rollout.is_rolled_back(status.build) {
-            // A rollback returns keys to the earlier build and lifts what forward-only rules forbade.
+            // A rollback returns keys to the earlier build and lifts what forward-only rules
+            // forbade.
             self.sticky.forget_build(status.build);
         }
         self.tick(out);
--- a/crates/spokeflow-core/src/router/slowdowns.rs
+++ b/crates/spokeflow-core/src/router/slowdowns.rs
@@ -2,11 +2,13 @@
 
 use super::Router;
 
-/// Slowness, as a logarithm over the best of its kind, from which it is held to belong to this one alone.
+/// Slowness, as a logarithm over the best of its kind, from which it is held to belong to this one
+/// alone.
 const SLOWDOWN_THRESHOLD: f64 = 1.2;
 /// Weight of the newest answer in a slowdown.
 const LEARN_RATE: f64 = 0.15;
-/// Part of a second's fading that a slowdown fades by: it is forgotten slowly, so that what was mended is tried again.
+/// Part of a second's fading that a slowdown fades by: it is forgotten slowly, so that what was
+/// mended is tried again.
 const FADE_EXPONENT: f64 = 0.1;
 
 /// Latency over the baseline, as logarithms by index; NaN before the first answer.
--- a/crates/spokeflow-core/src/router/sticky.rs
+++ b/crates/spokeflow-core/src/router/sticky.rs
@@ -55,7 +55,8 @@
 }
 
 impl Router {
-    /// Whether forward-only rules hold keys at this build: the newest that the controller named, or one after it.
+    /// Whether forward-only rules hold keys at this build: the newest that the controller named, or
+    /// one after it.
     pub(super) fn binds_keys(&self, build: BuildId) -> bool {
         self.config.forward_only
             && self
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Remembers which build serves a key. One delivery to an earlier build takes no key off the trial.
+    /// Remembers which build serves a key. One delivery to an earlier build takes no key off the
+    /// trial.
     pub(super) fn assign_key(&mut self, key: Key, build: BuildId) {
         if key.0 == 0 {
             return;
@@ -105,7 +107,8 @@
             status.build.0.saturating_add(released.into())
         });
         let forward_only = self.config.forward_only;
-        // A delivery may be open for longer than an assignment without use: its answer binds the key as well.
+        // A delivery may be open for longer than an assignment without use: its answer binds the
+        // key as well.
         self.sticky.sweep(self.now, |assignment| {
             let binds = |build: BuildId| Some(build.0) >= binding_from;
             forward_only && (assignment.claims > 0 || assignment.answered_by.is_some_and(binds))
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -3,7 +3,8 @@
 use super::{Out, Router, MILLISECOND, SECOND};
 use crate::Micros;
 
-/// Time from one tick to the next: short against any latency objective, long against the work of one tick.
+/// Time from one tick to the next: short against any latency objective, long against the work of
+/// one tick.
 pub(super) const TICK: Micros = 20 * MILLISECOND;
 /// Time from one sweep of the sticky assignments, which walks over all, to the next.
 const SWEEP_INTERVAL: Micros = SECOND / 2;
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -15,16 +15,19 @@
 const MIN_ANSWERS_TO_VOTE: u32 = 3;
 /// How many answers that the release controller counted weigh as much as one of the router's own.
 const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
-/// Answers that convict a slow build at the least, of which a router of mean traffic gets so many before all follow.
+/// Answers that convict a slow build at the least, of which a router of mean traffic gets so many
+/// before all follow.
 const MIN_ANSWERS_TO_CONVICT: f64 =
     ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
 /// How many times the usual wait a router takes where it knows too little.
 const UNKNOWN_WAIT_MULTIPLE: Micros = 3;
-/// How many times the usual wait a release side by side takes: its vote waits until all traffic has gone to the build.
+/// How many times the usual wait a release side by side takes: its vote waits until all traffic has
+/// gone to the build.
 const RELEASE_WAIT_MULTIPLE: Micros = 4;
 /// What is taken off the wait while a stage's hosts are not listed.
 const UNLISTED_PENALTY: Micros = 8 * SECOND;
-/// Pause after a vote that is stale, and after one that was not taken for another reason; chance is added to both.
+/// Pause after a vote that is stale, and after one that was not taken for another reason; chance is
+/// added to both.
 const STALE_VOTE_BACKOFF: Micros = SECOND;
 const REFUSED_VOTE_BACKOFF: Micros = 200 * MILLISECOND;
 const VOTE_BACKOFF_JITTER: usize = 200_000;
@@ -57,7 +60,8 @@
         self.again_at = now;
     }
 
-    /// Forgets a vote that the release controller never answered: it may count or not, so it is cast anew.
+    /// Forgets a vote that the release controller never answered: it may count or not, so it is
+    /// cast anew.
     fn expire(&mut self, now: Micros) {
         if self.awaits_outcome && now >= self.again_at {
             self.awaits_outcome = false;
@@ -176,7 +180,8 @@
             };
             progress.waited >= multiple * promote_after + self.voting.own_turn
         } else {
-            // Side by side a stage is cheaply taken back and a release is not: its vote waits until all traffic has gone to the build.
+            // Side by side a stage is cheaply taken back and a release is not: its vote waits until
+            // all traffic has gone to the build.
             let settled = progress.waited >= RELEASE_WAIT_MULTIPLE * promote_after;
             !progress.is_last || progress.is_complete && settled
         };
@@ -211,9 +216,9 @@
         }
     }
 
-    /// Whether the router has seen enough of the stage to vote after the usual wait. Where one vote is enough, the
-    /// fleet has seen many times what a quiet router has; but the one that votes against a build has to see enough of
-    /// it alone, the more so the more hosts follow.
+    /// Whether the router has seen enough of the stage to vote after the usual wait. Where one vote
+    /// is enough, the fleet has seen many times what a quiet router has; but the one that votes
+    /// against a build has to see enough of it alone, the more so the more hosts follow.
     fn knows_enough(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
         let majority = self.config.gate == Gate::Majority;
         let routers_alike = if majority {
@@ -239,7 +244,8 @@
         let expected_answers =
             self.config.mean_command_rate * progress.hosts_fraction * progress.waited as f64
                 / SECOND as f64;
-        // Without quotas the rate is infinite, and its product with no wait is no number: that is not too few.
+        // Without quotas the rate is infinite, and its product with no wait is no number: that is
+        // not too few.
         let too_few = expected_answers < MIN_ANSWERS_TO_CONVICT * following;
         answered && !waits_for_release && !too_few
     }
--- a/crates/spokeflow-core/src/state/candidates.rs
+++ b/crates/spokeflow-core/src/state/candidates.rs
@@ -6,8 +6,9 @@
 
 /// Hosts in a fixed order less those excluded.
 ///
-/// Only the *unverified* members are ever checked: the others are known to pass every check, so a set costs by the
-/// number of its unverified members and not by that of its hosts. A clone shares the order.
+/// Only the *unverified* members are ever checked: the others are known to pass every check, so a
+/// set costs by the number of its unverified members and not by that of its hosts. A clone shares
+/// the order.
 #[derive(Clone, Debug)]
 pub struct CandidateSet {
     build: BuildId,
@@ -50,7 +51,8 @@
         Arc::ptr_eq(&self.order, order)
     }
 
-    /// Marks the hosts at these positions as unverified; `known` is ascending. Positions beyond the set are ignored.
+    /// Marks the hosts at these positions as unverified; `known` is ascending. Positions beyond the
+    /// set are ignored.
     pub fn mark_unverified(&mut self, known: &[usize], others: impl Iterator<Item = usize>) {
         let in_set = |position: &usize| {
             *position < self.limit && self.excluded.binary_search(position).is_err()
@@ -105,7 +107,8 @@
                 .any(|&position| passes(self.order[position]))
     }
 
-    /// The host at an index counted from 0 over the members; `index` is below [`CandidateSet::len`].
+    /// The host at an index counted from 0 over the members; `index` is below
+    /// [`CandidateSet::len`].
     pub fn nth(&self, index: usize) -> usize {
         let mut position = index;
         for &excluded in &self.excluded {
@@ -127,7 +130,8 @@
         (0..self.limit).filter(move |position| excluded.next_if_eq(position).is_none())
     }
 
-    /// The largest size in the set, 0 where it is empty; the search ends at `upper_bound`, which none exceeds.
+    /// The largest size in the set, 0 where it is empty; the search ends at `upper_bound`, which
+    /// none exceeds.
     pub fn largest(&self, size: impl Fn(usize) -> f64, upper_bound: f64) -> f64 {
         let mut largest: f64 = 0.0;
         for host in self.iter() {
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -81,7 +81,8 @@
         self.records[host].connected_at
     }
 
-    /// Deliveries sent in a numbered interval of the process's age; only the last one is remembered.
+    /// Deliveries sent in a numbered interval of the process's age; only the last one is
+    /// remembered.
     pub fn sent_in_slot(&self, host: usize, slot: Micros) -> u32 {
         let record = &self.records[host];
         if record.slot == slot {
--- a/crates/spokeflow-core/src/state/hosts/mod.rs
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -1,5 +1,5 @@
-//! What is known of each host, under a dense index, and figures over all of them that are kept as hosts change.
-//! Nothing here decides; `docs/scaling.md` lists the figures.
+//! What is known of each host, under a dense index, and figures over all of them that are kept as
+//! hosts change. Nothing here decides; `docs/scaling.md` lists the figures.
 
 mod figures;
 mod record;
@@ -110,7 +110,8 @@
         while self.recent.pop_expired(now).is_some() {}
     }
 
-    /// Adds a host that the list names for the first time and returns its index; [`Hosts::update`] follows.
+    /// Adds a host that the list names for the first time and returns its index; [`Hosts::update`]
+    /// follows.
     pub fn add(&mut self, endpoint: &Endpoint) -> usize {
         let host = self.records.len();
         let record = HostRecord::new(endpoint);
--- a/crates/spokeflow-core/src/state/hosts/selection.rs
+++ b/crates/spokeflow-core/src/state/hosts/selection.rs
@@ -4,12 +4,13 @@
 use crate::state::CandidateSet;
 use crate::{BuildId, Micros};
 
-/// One over the part of a set's hosts above which checking all costs less than looking up the suspects.
+/// One over the part of a set's hosts above which checking all costs less than looking up the
+/// suspects.
 const LOOKUP_DIVISOR: usize = 4;
 
 impl Hosts {
-    /// Sums a weight by age over the ready hosts that count. All hosts past the slow start weigh alike, and only
-    /// suspects may not count.
+    /// Sums a weight by age over the ready hosts that count. All hosts past the slow start weigh
+    /// alike, and only suspects may not count.
     pub fn sum_ready(&self, weight: impl Fn(Micros) -> f64, counts: impl Fn(usize) -> bool) -> f64 {
         let warm: usize = self.ready.values().map(|ready| ready.warm().count).sum();
         let is_warm = |host: usize| {
@@ -25,8 +26,8 @@
             + warming.map(|host| weight(self.age(host))).sum::<f64>()
     }
 
-    /// Sums size times a weight by age over the ready hosts of some builds. All hosts past the slow start weigh
-    /// alike.
+    /// Sums size times a weight by age over the ready hosts of some builds. All hosts past the slow
+    /// start weigh alike.
     pub fn sum_sizes(&self, weight: impl Fn(Micros) -> f64, of: impl Fn(BuildId) -> bool) -> f64 {
         let warm: f64 = self
             .ready_builds()
@@ -64,8 +65,9 @@
         CandidateSet::new(build, hosts.into()).limited_to(count)
     }
 
-    /// Marks those hosts of a set as unverified of which something may forbid a delivery: they started recently, have
-    /// failed in a row, are ejected, have been quiet since before a time, or are named. Or all.
+    /// Marks those hosts of a set as unverified of which something may forbid a delivery: they
+    /// started recently, have failed in a row, are ejected, have been quiet since before a time, or
+    /// are named. Or all.
     pub fn mark_suspects(
         &self,
         candidates: &mut CandidateSet,
--- a/crates/spokeflow-core/src/state/mod.rs
+++ b/crates/spokeflow-core/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the router remembers, without any decision: operations, commands, sticky assignments, hosts and windows.
+//! What the router remembers, without any decision: operations, commands, sticky assignments, hosts
+//! and windows.
 
 mod candidates;
 mod command;
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -45,7 +45,8 @@
 pub struct ReadyHosts {
     by_index: Arc<Vec<usize>>,
     by_rank: Arc<Vec<usize>>,
-    /// Hosts by the time of their start and by the bits of their size, which order as positive sizes do.
+    /// Hosts by the time of their start and by the bits of their size, which order as positive
+    /// sizes do.
     starts: BTreeMap<Micros, usize>,
     sizes: BTreeMap<u64, usize>,
     bounded: BTreeSet<usize>,
--- a/crates/spokeflow-core/src/state/sticky.rs
+++ b/crates/spokeflow-core/src/state/sticky.rs
@@ -9,7 +9,8 @@
     pub build: BuildId,
     /// When the key was last routed.
     pub used_at: Micros,
-    /// The newest build that has answered the key: under forward-only rules it never goes to an earlier one.
+    /// The newest build that has answered the key: under forward-only rules it never goes to an
+    /// earlier one.
     pub answered_by: Option<BuildId>,
     /// The newest build that has an open delivery of the key, which may answer at any time.
     pub claimed_by: Option<BuildId>,
--- a/crates/spokeflow-core/tests/admission.rs
+++ b/crates/spokeflow-core/tests/admission.rs
@@ -61,7 +61,8 @@
     });
     checker.command(&mut router, 9_000, 1, 5, 1900 * MS);
     let first = checker.commands[&CommandId(9_000)].deliveries[0].host;
-    // The host answers nothing: a copy goes out beside the first, which then turns out never to have run.
+    // The host answers nothing: a copy goes out beside the first, which then turns out never to
+    // have run.
     checker.pass(&mut router, 750 * MS);
     let copies = checker.commands[&CommandId(9_000)].deliveries.len();
     checker.end(
@@ -128,9 +129,9 @@
     assert!(new_build_fraction(&checker, 4 * SECOND) > 0.1);
 }
 
-/// Met on sockets under heavy overload: every command that waited was routed anew at each that came or went, so
-/// that the router fell seconds behind. Routing ends now where the hosts are full, and what has waited in vain
-/// must still be given up on at the next tick, not with the hosts.
+/// Met on sockets under heavy overload: every command that waited was routed anew at each that came
+/// or went, so that the router fell seconds behind. Routing ends now where the hosts are full, and
+/// what has waited in vain must still be given up on at the next tick, not with the hosts.
 #[test]
 fn what_waits_in_vain_at_full_hosts_is_refused_within_a_tick() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
--- a/crates/spokeflow-core/tests/analysis.rs
+++ b/crates/spokeflow-core/tests/analysis.rs
@@ -272,7 +272,8 @@
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
-/// Seen on sockets: where one answer in ten came spoilt from any host, a good build was rolled back by chance.
+/// Seen on sockets: where one answer in ten came spoilt from any host, a good build was rolled back
+/// by chance.
 #[test]
 fn failures_that_every_host_has_do_not_convict_a_build_and_many_more_do() {
     let noise = |_, _, number: u32| {
@@ -311,8 +312,8 @@
     }
 }
 
-/// Seen on sockets: the last stage replaced the whole fleet at once, all of it was cold and full, and a good build
-/// went back for it.
+/// Seen on sockets: the last stage replaced the whole fleet at once, all of it was cold and full,
+/// and a good build went back for it.
 #[test]
 fn a_fleet_that_was_just_replaced_is_not_convicted_of_slowness() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
--- a/crates/spokeflow-core/tests/canary.rs
+++ b/crates/spokeflow-core/tests/canary.rs
@@ -42,8 +42,8 @@
     );
 }
 
-/// Seen on sockets: the keys of a canary of a quarter carried more than a third of the traffic, and trial hosts
-/// slowed under it.
+/// Seen on sockets: the keys of a canary of a quarter carried more than a third of the traffic, and
+/// trial hosts slowed under it.
 #[test]
 fn the_canary_takes_no_more_traffic_than_its_hosts_bear() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -81,7 +81,8 @@
     lower.stage_caps = vec![0.05; 3];
     lower.exposure_allowance = 0.0;
     router.reconfigure(&lower);
-    // From here on the checker counts each delivery against the new configuration, over the whole window.
+    // From here on the checker counts each delivery against the new configuration, over the whole
+    // window.
     checker.config = lower;
     checker.announce(
         &mut router,
--- a/crates/spokeflow-core/tests/cold_hosts.rs
+++ b/crates/spokeflow-core/tests/cold_hosts.rs
@@ -5,8 +5,8 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Gives each router so many commands, of which all but the first four hosts reject theirs where `reject` holds; then
-/// host 3 starts anew. Returns what host 3 was sent.
+/// Gives each router so many commands, of which all but the first four hosts reject theirs where
+/// `reject` holds; then host 3 starts anew. Returns what host 3 was sent.
 fn serve_fleet(
     fleet: &mut [(Router, RuleChecker)],
     reject: bool,
@@ -45,7 +45,8 @@
     sent as f64
 }
 
-/// Many routers share hosts, and two in three hosts refuse: what all send to a cold one stays in its budget.
+/// Many routers share hosts, and two in three hosts refuse: what all send to a cold one stays in
+/// its budget.
 #[test]
 fn many_routers_together_do_not_push_a_cold_host_over() {
     let routers = 40u64;
@@ -70,7 +71,8 @@
         checker.announce(router, rollout_status(OLD, 2, RolloutState::Released, 1.0));
     }
     serve_fleet(&mut fleet, false, 8 * each as u32, SECOND / each);
-    // Forty routers of twelve a second over twelve hosts: forty a second each, which is what one can do.
+    // Forty routers of twelve a second over twelve hosts: forty a second each, which is what one
+    // can do.
     let can = (routers as f64) * each as f64 / f64::from(hosts);
     let span = config.overload_window as f64 / SECOND as f64;
     let present = config.slow_start_from
@@ -80,8 +82,9 @@
     assert!(sent <= budget, "rule 4: {sent} sent, {budget} at most");
 }
 
-/// Of drawn scenarios 58 and 904: routers that had just started beside a single cold host, the others dead, took the commands
-/// received for its capacity, and all together sent it many times what it bears.
+/// Of drawn scenarios 58 and 904: routers that had just started beside a single cold host, the
+/// others dead, took the commands received for its capacity, and all together sent it many times
+/// what it bears.
 #[test]
 fn routers_that_start_beside_one_cold_host_do_not_push_it_over() {
     let routers = 150u64;
@@ -116,7 +119,8 @@
             .map(|command| command.deliveries.len())
             .sum::<usize>();
     }
-    // A host that answers one command in a latency objective bears so many over the overload window, and chance on top.
+    // A host that answers one command in a latency objective bears so many over the overload
+    // window, and chance on top.
     let span = config.overload_window as f64 / SECOND as f64;
     let can = SECOND as f64 / config.ops[0].latency_objective as f64 * config.slow_start_from;
     let budget = config.overload_multiple * can * span;
--- a/crates/spokeflow-core/tests/common/checks.rs
+++ b/crates/spokeflow-core/tests/common/checks.rs
@@ -5,7 +5,8 @@
 use super::*;
 
 impl RuleChecker {
-    /// Rules 1 and 2: no delivery after the final answer, and no repeat that could have a second effect.
+    /// Rules 1 and 2: no delivery after the final answer, and no repeat that could have a second
+    /// effect.
     pub(super) fn check_repeat(&self, command: &TrackedCommand, endpoint: &Endpoint) {
         assert!(!command.answered, "rule 1: sent after the final answer");
         let operation = &self.config.ops[command.operation];
--- a/crates/spokeflow-core/tests/common/mod.rs
+++ b/crates/spokeflow-core/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! The helpers of the tests: a configuration to start from, a checker of the five rules, and traffic through a router.
+//! The helpers of the tests: a configuration to start from, a checker of the five rules, and
+//! traffic through a router.
 
 #![allow(dead_code, unused_imports)] // each test program uses its own part
 
--- a/crates/spokeflow-core/tests/common/rule_checker.rs
+++ b/crates/spokeflow-core/tests/common/rule_checker.rs
@@ -167,7 +167,8 @@
         if outcome == AttemptOutcome::Acked {
             since.acked += 1;
         }
-        // An answer counts from its writing, whether or not it was read; what errs or never ran has written none.
+        // An answer counts from its writing, whether or not it was read; what errs or never ran has
+        // written none.
         if delivery.may_have_run && outcome != AttemptOutcome::Error {
             self.bind_key(key, build);
         }
@@ -191,7 +192,8 @@
         }
     }
 
-    /// Lets time pass: wakes the router when it asked for it and ends deliveries at the client's deadline.
+    /// Lets time pass: wakes the router when it asked for it and ends deliveries at the client's
+    /// deadline.
     pub(crate) fn pass(&mut self, router: &mut Router, span: Micros) {
         let to = self.now + span;
         while self.now < to {
--- a/crates/spokeflow-core/tests/common/traffic.rs
+++ b/crates/spokeflow-core/tests/common/traffic.rs
@@ -115,8 +115,8 @@
 
 pub(crate) const BAD: Response = Response::new(AttemptOutcome::Error, 20 * MS);
 
-/// Reports the release controller's counts of each operation at the old and the new build, over periods of two
-/// seconds.
+/// Reports the release controller's counts of each operation at the old and the new build, over
+/// periods of two seconds.
 pub(crate) fn report_counts(
     router: &mut Router,
     checker: &mut RuleChecker,
@@ -142,7 +142,8 @@
     }
 }
 
-/// Three hundred routers and this one, of more than mean traffic: sixty old hosts, forty of the new build, twelve seconds up.
+/// Three hundred routers and this one, of more than mean traffic: sixty old hosts, forty of the new
+/// build, twelve seconds up.
 pub(crate) fn large_fleet(seed: u64, change: impl Fn(&mut ServiceConfig)) -> (Router, RuleChecker) {
     let mut config = service_config(Gate::Single);
     config.fleet_size = 300;
--- a/crates/spokeflow-core/tests/host_figures.rs
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -1,5 +1,5 @@
-//! The figures that the state maintains as hosts change, compared after each step of seeded random runs with plain
-//! definitions that walk over all hosts.
+//! The figures that the state maintains as hosts change, compared after each step of seeded random
+//! runs with plain definitions that walk over all hosts.
 
 mod scenario;
 mod walk;
--- a/crates/spokeflow-core/tests/large_fleet.rs
+++ b/crates/spokeflow-core/tests/large_fleet.rs
@@ -5,8 +5,8 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Guards against a bad build that reaches all hosts before any router has seen enough of it to vote: one
-/// vote moves a stage, and the hastiest of hundreds had one answer to go by.
+/// Guards against a bad build that reaches all hosts before any router has seen enough of it to
+/// vote: one vote moves a stage, and the hastiest of hundreds had one answer to go by.
 #[test]
 fn in_a_large_fleet_promotion_waits_until_one_router_could_have_convicted() {
     let (mut router, mut checker) = large_fleet(5, |_| {});
@@ -39,7 +39,8 @@
     );
 }
 
-/// Guards against proof that no router can bring: each keeps to a few of many hosts, and may hear no more.
+/// Guards against proof that no router can bring: each keeps to a few of many hosts, and may hear
+/// no more.
 #[test]
 fn in_a_large_fleet_the_few_hosts_that_are_met_convict() {
     let (mut router, mut checker) = large_fleet(5, |_| {});
@@ -57,8 +58,8 @@
     );
 }
 
-/// Guards against a bad build that reaches all hosts since no thin router meets five that fail: chance brings three
-/// together seldom, and one host alone does not convict.
+/// Guards against a bad build that reaches all hosts since no thin router meets five that fail:
+/// chance brings three together seldom, and one host alone does not convict.
 #[test]
 fn of_thin_traffic_three_failures_at_three_hosts_convict() {
     let back = |fails: fn(HostId) -> bool| {
@@ -86,7 +87,8 @@
     assert!(!back(|host| host.0 == 77));
 }
 
-/// Guards against a mean time that a router has by luck from few quick answers: everything seems slow against it.
+/// Guards against a mean time that a router has by luck from few quick answers: everything seems
+/// slow against it.
 #[test]
 fn in_a_large_fleet_a_mean_of_few_quick_answers_convicts_nobody() {
     let back = |ms| {
@@ -106,8 +108,9 @@
     assert!(back(400));
 }
 
-/// Guards against a good build rolled back for a burst: one of many routers sees by its own traffic only a part of
-/// what loads the hosts, and so cannot tell a build that slows them all from others' commands.
+/// Guards against a good build rolled back for a burst: one of many routers sees by its own traffic
+/// only a part of what loads the hosts, and so cannot tell a build that slows them all from others'
+/// commands.
 #[test]
 fn slowness_of_all_hosts_convicts_no_build_where_own_traffic_tells_little_of_the_load() {
     let (mut router, mut checker) = large_fleet(5, |_| {});
@@ -117,8 +120,8 @@
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
-/// Guards against a release, which takes twice the proof to undo, before hosts that fail some time after their start
-/// have done so.
+/// Guards against a release, which takes twice the proof to undo, before hosts that fail some time
+/// after their start have done so.
 #[test]
 fn in_a_large_fleet_the_vote_for_the_release_waits_three_times_as_long() {
     let voted = |fleet_size| {
--- a/crates/spokeflow-core/tests/outliers.rs
+++ b/crates/spokeflow-core/tests/outliers.rs
@@ -26,7 +26,8 @@
     assert!(sent <= 1, "{sent}");
 }
 
-/// Seen on sockets: links that break a tenth of the connections had most hosts ejected at once, and the rest full.
+/// Seen on sockets: links that break a tenth of the connections had most hosts ejected at once, and
+/// the rest full.
 #[test]
 fn connections_that_break_here_and_there_eject_no_host() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -51,7 +52,8 @@
     assert!(most < &(2 * least), "{sent:?}");
 }
 
-/// Seen on sockets: hosts that had served and then erred at once got a sixth of all deliveries for it.
+/// Seen on sockets: hosts that had served and then erred at once got a sixth of all deliveries for
+/// it.
 #[test]
 fn a_host_that_begins_to_err_on_everything_is_ejected() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
--- a/crates/spokeflow-core/tests/placement.rs
+++ b/crates/spokeflow-core/tests/placement.rs
@@ -30,7 +30,8 @@
     assert!(sent <= 5, "{sent}");
 }
 
-/// Seen on sockets: most hosts dead, clients storming, and a cold host took the commands received for its capacity.
+/// Seen on sockets: most hosts dead, clients storming, and a cold host took the commands received
+/// for its capacity.
 #[test]
 fn a_storm_while_most_hosts_are_dead_does_not_raise_what_a_cold_host_is_sent() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -81,7 +82,8 @@
     };
     storm(&mut router, 3 * SECOND);
     let sent = storm(&mut router, 2 * SECOND - MS);
-    // A whole host has answered some eight a second: three times what a cold one can do of that in two seconds.
+    // A whole host has answered some eight a second: three times what a cold one can do of that in
+    // two seconds.
     assert!(sent <= 40, "{sent}");
 }
 
--- a/crates/spokeflow-core/tests/rules.rs
+++ b/crates/spokeflow-core/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Random runs from a fixed seed: the checker checks the five rules after each step, all gates and operations.
+//! Random runs from a fixed seed: the checker checks the five rules after each step, all gates and
+//! operations.
 
 mod common;
 
--- a/crates/spokeflow-core/tests/scenario/events.rs
+++ b/crates/spokeflow-core/tests/scenario/events.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl World {
-    /// Some hosts drain, go, or come back with a build and a start of their own; sometimes the complete list comes.
+    /// Some hosts drain, go, or come back with a build and a start of their own; sometimes the
+    /// complete list comes.
     pub(super) fn change_hosts(&mut self) {
         let many = if self.random.one_in(12) {
             1 + self.setting.hosts / 3
--- a/crates/spokeflow-core/tests/scenario/mod.rs
+++ b/crates/spokeflow-core/tests/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! Seeded random scenarios: a router among hosts that come, drain, die and return with other builds, under trials,
-//! rollbacks, outages and overload. Every output goes into a digest in its order, so that two versions of the
-//! module with equal digests have made the same choices.
+//! Seeded random scenarios: a router among hosts that come, drain, die and return with other
+//! builds, under trials, rollbacks, outages and overload. Every output goes into a digest in its
+//! order, so that two versions of the module with equal digests have made the same choices.
 
 #![allow(dead_code)] // each test program uses its own part
 
@@ -154,7 +154,8 @@
         if self.random.one_in(per_second / 4) {
             self.change_hosts();
         }
-        // From a second to five for each stage: some trials end before the canary fraction has grown, some after.
+        // From a second to five for each stage: some trials end before the canary fraction has
+        // grown, some after.
         if self.random.one_in(per_second * (1 + self.setting.seed % 5)) {
             self.announce_next_status();
         }
--- a/crates/spokeflow-core/tests/sticky.rs
+++ b/crates/spokeflow-core/tests/sticky.rs
@@ -5,8 +5,9 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Seen on sockets: answers of the new build that were written and could not be read, and commands given up as
-/// they were; their keys then went back to the old build. The checker counts such a key as answered.
+/// Seen on sockets: answers of the new build that were written and could not be read, and commands
+/// given up as they were; their keys then went back to the old build. The checker counts such a key
+/// as answered.
 #[test]
 fn a_key_whose_answer_may_have_been_written_does_not_go_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -19,8 +20,9 @@
     assert!(new_build_fraction(&checker, 4 * SECOND) > 0.1);
 }
 
-/// Rule 5 binds a key to the newest announced build, on trial or released. One that has not been released
-/// when the next is due goes back: its keys were refused for good where their floor outlived it.
+/// Rule 5 binds a key to the newest announced build, on trial or released. One that has not been
+/// released when the next is due goes back: its keys were refused for good where their floor
+/// outlived it.
 #[test]
 fn a_key_is_free_of_a_build_that_the_next_one_has_ended() {
     const NEXT: BuildId = BuildId(9);
@@ -58,7 +60,8 @@
     assert_eq!(ask(&mut router, &mut checker, 3), Some(OLD));
 }
 
-/// Sticky assignments of a released build are not kept for ever; what they guarded against holds for all keys in their place.
+/// Sticky assignments of a released build are not kept for ever; what they guarded against holds
+/// for all keys in their place.
 #[test]
 fn a_key_long_unused_goes_to_no_earlier_build_than_the_released_one() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -85,8 +88,9 @@
     assert_eq!(checker.commands[&CommandId(3)].deliveries.len(), 1);
 }
 
-/// Drawn day 702: of two deliveries of a hot key at the trial build one came to no connection, which freed the key while
-/// the other was out; its next command went to the old build, and arrived there after the other had been answered.
+/// Drawn day 702: of two deliveries of a hot key at the trial build one came to no connection,
+/// which freed the key while the other was out; its next command went to the old build, and arrived
+/// there after the other had been answered.
 #[test]
 fn a_key_stays_while_any_of_its_deliveries_may_be_answered() {
     let (mut router, mut checker) = fleet(Gate::Single, |config| config.exposure_allowance = 9.0);
@@ -126,8 +130,9 @@
     );
 }
 
-/// Seen on review: a sticky assignment without use was swept after ten seconds though a delivery of its key was out; its answer then
-/// bound a key that had been rolled back to the old build meanwhile.
+/// Seen on review: a sticky assignment without use was swept after ten seconds though a delivery of
+/// its key was out; its answer then bound a key that had been rolled back to the old build
+/// meanwhile.
 #[test]
 fn a_key_stays_while_a_delivery_of_it_is_out_for_long() {
     let (mut router, mut checker) = fleet(Gate::Single, |config| {
