--- a/crates/spokeflow-engine/src/engine/commands.rs
+++ b/crates/spokeflow-engine/src/engine/commands.rs
@@ -18,7 +18,7 @@
         transport: &mut dyn Transport,
     ) {
         if self.in_flight.is_id_in_use(conn, command.id) {
-            // Two answers under one number could not be told apart. The transport closes the connection, which ends
+            // Two answers under one number could not be distinguished. The transport closes the connection, which ends
             // the first command.
             let refused = FrameError::IdInUse(command.id).refused();
             return transport.to_client(conn, ToClient::Refused(refused));
--- a/crates/spokeflow-engine/src/in_flight.rs
+++ b/crates/spokeflow-engine/src/in_flight.rs
@@ -106,13 +106,13 @@
     pub(crate) open_vote: Option<OpenVote>,
     /// How long the result of a vote is awaited.
     pub(crate) vote_timeout: Micros,
-    /// A vote could not be sent; the decision module is not told yet.
+    /// A vote could not be sent; the decision module has not been notified yet.
     pub(crate) vote_failed: bool,
     pub(crate) list_version: Option<u64>,
-    /// A request for the list could not be sent; the decision module is not told yet.
+    /// A request for the list could not be sent; the decision module has not been notified yet.
     pub(crate) list_failed: bool,
     pub(crate) counts: Counts,
-    /// Where a control plane is followed and the release controller has been heard of.
+    /// Where a control plane is followed and the release controller has sent a status.
     pub(crate) canary_lease: Option<CanaryLease>,
     /// Where the list comes from the control plane.
     pub(crate) replicated: Option<ReplicatedEndpoints>,
--- a/crates/spokeflow-http/src/error.rs
+++ b/crates/spokeflow-http/src/error.rs
@@ -31,7 +31,7 @@
 }
 
 impl HttpError {
-    /// The status that tells a client so; `None` where no client is left to be told.
+    /// The status for the client; `None` where no client is left to get one.
     pub fn status(&self) -> Option<u16> {
         match self {
             HttpError::HeadTooLong => Some(431),
--- a/crates/spokeflow-wirehost/src/event.rs
+++ b/crates/spokeflow-wirehost/src/event.rs
@@ -88,7 +88,7 @@
     },
     Stats(ControllerStats),
     /// Messages between routers, results of probes and codes of a later wire: not used.
-    Unused,
+    Ignored,
 }
 
 impl Start {
@@ -127,7 +127,7 @@
                 Ok(Event::WrongAnswer { host, age })
             }
             code::STATS => read_stats(fields),
-            _ => Ok(Event::Unused),
+            _ => Ok(Event::Ignored),
         }
     }
 }
--- a/crates/spokeflow-wirehost/src/routers.rs
+++ b/crates/spokeflow-wirehost/src/routers.rs
@@ -145,7 +145,7 @@
             }
             Event::WrongAnswer { host, age } => router.on_wrong_answer(host, age),
             Event::Stats(stats) => router.on_controller_stats(stats),
-            Event::Stop | Event::Unused => {}
+            Event::Stop | Event::Ignored => {}
         }
     }
 }
