--- a/crates/spokeflow-proto/src/error.rs
+++ b/crates/spokeflow-proto/src/error.rs
@@ -31,7 +31,7 @@
     #[error("not spokeflow: the opening message lacks its mark")]
     NotSpokeflow,
     /// This end does not know the version that the peer asks for.
-    #[error("wrong version {0}: this end supports {VERSION}")]
+    #[error("wrong version {0}: this end speaks {VERSION}")]
     WrongVersion(u16),
     /// The peer's role, or index, does not fit this port.
     #[error("wrong role for this port")]
