--- a/crates/spokeflow-router/src/migrate/check.rs
+++ b/crates/spokeflow-router/src/migrate/check.rs
@@ -109,7 +109,7 @@
         .try_get_matches_from(arguments)
         .and_then(|matches| RouterProgram::from_arg_matches(&matches))
         .map_err(|error| MigrationError::RejectedTogether(first_line(&error)))?
-        .terms;
+        .flags;
     flags.check().map_err(|errors| {
         let lines = errors.lines().iter();
         MigrationErrors(lines.map(|line| table.unfit(settings, line)).collect())
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -21,12 +21,12 @@
 pub struct RouterProgram {
     /// What the router is configured with.
     #[command(flatten)]
-    pub terms: RouterFlags,
+    pub flags: RouterFlags,
 }
 
 /// Runs the router until SIGTERM or SIGINT. Exit code 0: ended by a signal; 1: could not go on; 2: bad flags.
 pub fn main_with(program: RouterProgram) -> ExitCode {
-    let flags = program.terms;
+    let flags = program.flags;
     if let Err(errors) = flags.check() {
         for line in errors.lines() {
             eprintln!("spokeflow-router: {line}");
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::*;
-use spokeflow_router::{serve, Listening, RouterProgram};
+use spokeflow_router::{serve, Listening, RouterProgram, ServeError};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     list: mpsc::UnboundedSender<FromList>,
     end: Option<oneshot::Sender<()>>,
-    pub ended: JoinHandle<Result<(), String>>,
+    pub ended: JoinHandle<Result<(), ServeError>>,
     version: u64,
 }
 
@@ -44,7 +44,7 @@
             "--seed=1".into(),
         ];
         flags.extend(more.iter().map(ToString::to_string));
-        let terms = RouterProgram::try_parse_from(flags).unwrap().terms;
+        let terms = RouterProgram::try_parse_from(flags).unwrap().flags;
         terms.check().unwrap();
         let listening = Listening::open(&terms).await.unwrap();
         let address = listening.address();
