--- a/crates/spokeflow-platform/src/acceptor.rs
+++ b/crates/spokeflow-platform/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients, and makes room where as many are open as may be.
+//! Accepts connections of clients, and closes one where as many are open as may be.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const BACKLOG: u32 = 1024;
 /// Pause after a failed accept. Out of descriptors, most likely: trying at once again would only spin.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Pause after a connection was asked to close: its task has to be scheduled to do so.
+/// Delay after a connection was requested to close: its task has to be scheduled to do so.
 const CLOSE_WAIT: Duration = Duration::from_millis(1);
 
 /// The task that accepts connections.
@@ -38,13 +38,13 @@
         loop {
             let stream = match self.listener.accept().await {
                 Ok((stream, _)) => stream,
-                Err(e) => {
-                    warn!(%e, "cannot accept");
+                Err(error) => {
+                    warn!(%error, "cannot accept");
                     sleep(ACCEPT_RETRY).await;
                     continue;
                 }
             };
-            self.make_room(&mut states).await;
+            self.free_capacity(&mut states).await;
             connection += 1;
             let state = Arc::new(ConnectionState::new(self.context.clock.now()));
             states.push(state.clone());
@@ -58,7 +58,7 @@
     }
 
     /// Returns once there is room for one more connection.
-    async fn make_room(&self, states: &mut Vec<Arc<ConnectionState>>) {
+    async fn free_capacity(&self, states: &mut Vec<Arc<ConnectionState>>) {
         while states.len() >= self.max_connections {
             states.retain(|state| Arc::strong_count(state) > 1);
             if states.len() >= self.max_connections {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Asks one connection to close: the one that has longest sent nothing since it came, else the one longest idle.
+/// Requests one connection to close: the one that has longest sent nothing since it came, else the one longest idle.
 fn request_close(states: &[Arc<ConnectionState>]) {
     let closable = states
         .iter()
--- a/crates/spokeflow-platform/src/client_connection.rs
+++ b/crates/spokeflow-platform/src/client_connection.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
-use tokio::time::{sleep_until, timeout, Instant};
+use tokio::time::{sleep_until, timeout};
 use tokio_util::codec::Decoder;
 use tracing::{debug, info};
 
@@ -19,18 +19,11 @@
 use crate::limits::BODY_LIMIT;
 use crate::listener_context::ListenerContext;
 use crate::request_schema::Checked;
+use crate::request_wait::{RequestWait, Wake};
 use crate::unread::{unread_state, UnreadState};
 
-/// A connection that has sent nothing whole for so long is closed: "a connection with no open request may be closed
-/// after 2 s" (days in service).
-const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that had its answers and is used no more is closed, if room has not been wanted before: by the same term
-/// it might be after 2 s, and a client that comes back finds it open for longer.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// A client that has not taken its answer whole by then is closed. Guards the descriptors; no term names a time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A first request that began within its time gets so much more to come whole, at the least.
-const BEGUN_TIMEOUT: Duration = Duration::from_millis(500);
 /// For so long what a refused client still sends is read and dropped, so that it gets to read why.
 const LINGER: Duration = Duration::from_millis(100);
 /// Reads of a lingering connection at most.
@@ -58,7 +51,7 @@
 /// What one reading has brought.
 enum ReadOutcome {
     Request(Request),
-    /// A part of one, or nothing but what may stand between requests.
+    /// A part of one, or nothing but empty lines between requests.
     Part,
     End,
 }
@@ -131,8 +124,8 @@
             codec: ServerCodec::new(BODY_LIMIT),
         };
         let mut is_known = false;
-        if let Err(fault) = self.serve(&mut link, &mut is_known).await {
-            self.refuse(&mut link, fault).await;
+        if let Err(error) = self.serve(&mut link, &mut is_known).await {
+            self.refuse(&mut link, error).await;
         }
         if is_known {
             let event = EngineEvent::ClientDisconnected(self.connection);
@@ -140,11 +133,11 @@
         }
     }
 
-    async fn refuse(&self, link: &mut Link, fault: HttpError) {
+    async fn refuse(&self, link: &mut Link, error: HttpError) {
         if let Some(kept_back) = self.context.clock.allow_log_line() {
-            info!(conn = self.connection, kept_back, %fault, "client refused");
+            info!(connection = self.connection, kept_back, %error, "client refused");
         }
-        let Some(status) = fault.status() else {
+        let Some(status) = error.status() else {
             return;
         };
         self.state.set(Activity::New, &self.context.clock);
@@ -158,67 +151,57 @@
     }
 
     /// The next request; `None` where the connection is to be closed between two, which it is only when nothing of
-    /// the next one has come: that would be a request taken and never answered.
+    /// the next one has come: that would be a request accepted and never answered.
     async fn next_request(
         &self,
         link: &mut Link,
         had_answer: bool,
     ) -> Result<Option<Request>, HttpError> {
-        let clock = &self.context.clock;
-        let mut closing = self.context.closing.clone();
-        let (activity, patience) = if had_answer {
-            (Activity::Idle, IDLE_TIMEOUT)
-        } else {
-            (Activity::New, FIRST_REQUEST_TIMEOUT)
-        };
-        let mut until = Instant::now() + patience;
-        // Something of a request has come, maybe only as far as the system.
-        let mut has_begun = false;
-        let mut saw_closing = false;
-        self.state.set(activity, clock);
+        let mut wait = RequestWait::starting_now(had_answer);
+        self.state.set(wait.activity(), &self.context.clock);
         loop {
-            if !has_begun && link.has_begun() {
-                has_begun = true;
-                until = if had_answer {
-                    Instant::now() + FIRST_REQUEST_TIMEOUT
-                } else {
-                    until.max(Instant::now() + BEGUN_TIMEOUT)
-                };
-                self.state.set(Activity::Receiving, clock);
+            if !wait.has_begun && link.has_begun() {
+                wait.begin();
+                self.state.set(Activity::Receiving, &self.context.clock);
             }
-            tokio::select! {
-                biased;
-                read = link.read() => match read? {
-                    ReadOutcome::Request(request) => return Ok(Some(request)),
-                    ReadOutcome::Part => continue,
-                    ReadOutcome::End => return Ok(None),
-                },
-                _ = self.state.close_requested.notified() => {
-                    if link.has_begun() {
-                        return Err(HttpError::Overloaded);
-                    }
-                }
-                _ = async { closing.wait_for(|closing| *closing).await.is_ok() },
-                    if !has_begun && !saw_closing => {
-                    saw_closing = true;
-                    if !had_answer {
-                        // Whoever has just connected is about to send a request.
-                        until = until.min(Instant::now() + LINGER);
-                        continue;
-                    }
-                }
-                _ = sleep_until(until) => {
-                    if link.has_begun() {
-                        return Err(HttpError::Unreadable("it does not go on"));
-                    }
-                }
+            match self.wait(link, &mut wait).await? {
+                Wake::Request(request) => return Ok(Some(request)),
+                Wake::Again => continue,
+                Wake::End => return Ok(None),
+                Wake::Close => {}
             }
             if unread_state(&link.stream) != UnreadState::Bytes {
                 return Ok(None);
             }
             // It has crossed the closing: the runtime has not learned of it yet.
-            has_begun = true;
-            until = Instant::now() + BEGUN_TIMEOUT;
+            wait.cross_closing();
+        }
+    }
+
+    /// Waits once for a part of a request, or for a reason to close the connection.
+    async fn wait(&self, link: &mut Link, wait: &mut RequestWait) -> Result<Wake, HttpError> {
+        let mut closing = self.context.closing.clone();
+        tokio::select! {
+            biased;
+            read = link.read() => Ok(match read? {
+                ReadOutcome::Request(request) => Wake::Request(request),
+                ReadOutcome::Part => Wake::Again,
+                ReadOutcome::End => Wake::End,
+            }),
+            _ = self.state.close_requested.notified() => {
+                if link.has_begun() {
+                    return Err(HttpError::Overloaded);
+                }
+                Ok(Wake::Close)
+            }
+            _ = async { closing.wait_for(|closing| *closing).await.is_ok() },
+                if !wait.has_begun && !wait.saw_closing => Ok(wait.on_closing()),
+            _ = sleep_until(wait.until) => {
+                if link.has_begun() {
+                    return Err(HttpError::Unreadable("it does not go on"));
+                }
+                Ok(Wake::Close)
+            }
         }
     }
 
--- a/crates/spokeflow-platform/src/connection_state.rs
+++ b/crates/spokeflow-platform/src/connection_state.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is doing, for the choice of one to close when room is wanted.
+//! What a client's connection is doing, for the choice of one to close when another needs its place.
 
 use std::sync::atomic::{AtomicI64, AtomicU8, Ordering};
 
@@ -6,7 +6,7 @@
 use spokeflow_runtime::Clock;
 use tokio::sync::Notify;
 
-/// In the order in which connections are asked to close where room is wanted; one that is served never is.
+/// In the order in which connections are closed where another needs their place; one that is served never is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum Activity {
@@ -25,7 +25,7 @@
     activity: AtomicU8,
     /// Since when, by the clock of the process.
     since: AtomicI64,
-    /// Tells the task to close the connection, if it can.
+    /// Requests the task to close the connection, if it can.
     pub(crate) close_requested: Notify,
 }
 
--- a/crates/spokeflow-platform/src/endpoint_table.rs
+++ b/crates/spokeflow-platform/src/endpoint_table.rs
@@ -9,17 +9,17 @@
 
 /// The host list, or what changed in it, in discovery's form.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listing {
+pub(crate) struct Listing {
     #[serde(default)]
-    pub revision: u64,
+    pub(crate) revision: u64,
     #[serde(default)]
-    pub complete: bool,
-    pub members: Vec<Member>,
+    pub(crate) complete: bool,
+    pub(crate) members: Vec<Member>,
 }
 
 /// One host of a listing.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Member {
+pub(crate) struct Member {
     id: String,
     #[serde(default)]
     host_port: String,
--- a/crates/spokeflow-platform/src/engine_state.rs
+++ b/crates/spokeflow-platform/src/engine_state.rs
@@ -102,7 +102,7 @@
             return;
         }
         let id = String::from_utf8_lossy(&pending.id);
-        debug!(%id, conn = connection, op = command.op, left_us = command.left_us, "command");
+        debug!(%id, connection, op = command.op, left_us = command.left_us, "command");
         self.transport.pending.insert(connection, pending);
         self.input(Input::Command {
             conn: connection,
@@ -129,22 +129,22 @@
         self.input(Input::FromList(messages.sizes));
     }
 
-    /// Logs what the engine counts as out beside what is open, so that on-call sees the two part. `max_connections`: to
-    /// hosts.
+    /// Logs what the engine counts as open beside the connections in use, so that operators see where the two differ.
+    /// `max_connections`: to hosts.
     pub(crate) fn log_status(&self, max_connections: usize) {
         let hosts = self.transport.hosts.values();
-        let unused: usize = hosts.map(|host| host.idle.count()).sum();
+        let idle: usize = hosts.map(|host| host.idle.count()).sum();
         let open = max_connections - self.transport.permits.available_permits();
         let latency = self.transport.upstream.send_latency.take_summary();
         info!(
-            held = self.engine.waiting_commands(),
-            out = self.engine.open_deliveries(),
-            in_use = open - unused,
-            unused,
-            left = latency.count,
+            waiting = self.engine.waiting_commands(),
+            open_deliveries = self.engine.open_deliveries(),
+            in_use = open - idle,
+            idle,
+            sent = latency.count,
             mean_us = latency.mean_us,
-            most_us = latency.longest_us,
-            "on the sockets"
+            longest_us = latency.longest_us,
+            "connections to hosts"
         );
     }
 }
--- a/crates/spokeflow-platform/src/event.rs
+++ b/crates/spokeflow-platform/src/event.rs
@@ -34,7 +34,7 @@
     },
     /// Discovery has listed the hosts.
     EndpointsListed(Listing),
-    /// The release controller says how a rollout stands.
+    /// The release controller sends the state of a rollout.
     RolloutStatus(RolloutUpdate),
     /// The release controller says that an answer of this host was wrong, to a delivery sent so many microseconds ago.
     WrongAnswerReport { host_name: String, ago_us: u64 },
--- a/crates/spokeflow-platform/src/idle_connections.rs
+++ b/crates/spokeflow-platform/src/idle_connections.rs
@@ -12,7 +12,7 @@
 
 /// "A second answer may come some milliseconds late" (standing test): a connection carries nothing for so long after an
 /// answer, or what comes late would be read as the answer to the next request on it. Seen on the bench: 1 to 4 ms.
-const SETTLE_TIME: Duration = Duration::from_millis(20);
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 
 /// A connection to a host, with its permit among those that the descriptors allow.
 pub(crate) struct Connection {
@@ -54,7 +54,7 @@
     /// The one used last that has settled and is still open, if so short a rest is allowed; what has rested longer is
     /// closed with it.
     pub(crate) fn take(&mut self, lifetime: &IdleLifetime) -> Option<Rested> {
-        let has_settled = |idle: &Idle| idle.since.elapsed() >= SETTLE_TIME;
+        let has_settled = |idle: &Idle| idle.since.elapsed() >= REUSE_DELAY;
         let mut settled = self.0.partition_point(has_settled);
         while settled > 0 {
             settled -= 1;
--- a/crates/spokeflow-platform/src/idle_lifetime.rs
+++ b/crates/spokeflow-platform/src/idle_lifetime.rs
@@ -1,11 +1,11 @@
 //! Estimate of how long a connection may rest and still be used again, learned from what became of those that were.
 //!
-//! Hosts, and what stands between, close resting connections when they like, and a request written to one that is
+//! Hosts, and what is between, close resting connections when they like, and a request written to one that is
 //! closed is lost as if it might have run. A new connection costs a round trip or two. So rests of a length that
-//! breaks clearly more often than new connections do are not used. Guards against idle limits shorter than told and
+//! breaks clearly more often than new connections do are not used. Guards against idle limits shorter than stated and
 //! middleboxes that forget connections; it could harm where new connections are dear, and then only by their price.
 
-/// Lengths of rest, each up to twice the one before, from 1 ms on; the first entry stands for new connections.
+/// Lengths of rest, each up to twice the one before, from 1 ms on; the first entry is that of new connections.
 const LENGTHS: usize = 18;
 /// Broken beyond the share among new connections from which a length is left alone.
 const EXCESS_BROKEN: f64 = 0.08;
--- a/crates/spokeflow-platform/src/limits.rs
+++ b/crates/spokeflow-platform/src/limits.rs
@@ -13,13 +13,16 @@
 
 /// What the platform grants this router.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub(crate) struct Limits {
     /// Parts of a core.
     #[serde(default = "one")]
-    pub cores: f64,
-    pub memory_mb: u64,
+    #[expect(dead_code, reason = "checked as a part of the file")]
+    pub(crate) cores: f64,
+    /// Mebibytes.
+    #[expect(dead_code, reason = "checked as a part of the file")]
+    pub(crate) memory_mb: u64,
     /// File descriptors.
-    pub sockets: u64,
+    pub(crate) sockets: u64,
 }
 
 fn one() -> f64 {
@@ -35,7 +38,7 @@
 
 impl ConnectionLimits {
     /// Shares out what the reserved descriptors leave. A command holds a connection of a client and one to a host, and
-    /// those to the hosts that this router reaches stand idle between: what the fleet's size, the number of `hosts` and
+    /// those to the hosts that this router reaches are idle between: what the fleet's size, the number of `hosts` and
     /// the commands `in_flight` come to, a third at least and half at most, goes to hosts.
     pub(crate) fn new(limits: &Limits, fleet: u32, hosts: usize, in_flight: f64) -> Self {
         let free = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS) as usize;
--- a/crates/spokeflow-platform/src/program.rs
+++ b/crates/spokeflow-platform/src/program.rs
@@ -1,36 +1,93 @@
+//! The router on the platform as a program: its command line, its signals and its exit codes.
+
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Parser;
+use spokeflow_runtime::{init_logging, LogFormat, LogSetupError};
+use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{sleep, Instant};
 
-use crate::configuration::ConfigurationFault;
+use crate::configuration::{Configuration, ConfigurationError};
 use crate::reload::{RETRY_INTERVAL, WRITE_TIMEOUT};
-use crate::{serve, Configuration};
-use spokeflow_runtime::{init_logging, LogFormat};
+use crate::serve::{serve, ServeError};
+
+/// Exit code of a router that could not go on.
+const FAILED: u8 = 1;
+/// Exit code of flags or a file that do not fit.
+const BAD_CONFIGURATION: u8 = 2;
 
-/// What the platform asks by signals; what comes before it is looked at is kept.
-pub struct Signals {
-    pub reload: Signal,
-    pub terminate: Signal,
+/// The signals that the platform sends; one that comes before it is waited for is kept.
+pub(crate) struct Signals {
+    /// SIGHUP: read the configuration again.
+    pub(crate) reload: Signal,
+    /// SIGTERM: end.
+    pub(crate) terminate: Signal,
 }
 
 impl Signals {
-    /// Errors: the system does not let them be heard.
-    pub fn heard() -> Result<Signals, String> {
-        let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+    /// # Errors
+    ///
+    /// The system does not let them be caught.
+    fn register() -> io::Result<Signals> {
         Ok(Signals {
-            reload: heard(SignalKind::hangup())?,
-            terminate: heard(SignalKind::terminate())?,
+            reload: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+        })
+    }
+}
+
+/// Why flags and file are no configuration, in one line that names the flag.
+#[derive(Debug, Error)]
+pub(crate) enum FlagError {
+    #[error("--config {}: {source}", .path.display())]
+    Config {
+        path: PathBuf,
+        source: ConfigurationError,
+    },
+    #[error("--name {flag}: the file says {file}")]
+    Name { flag: String, file: String },
+    #[error("--listen {flag}: the file says {file}")]
+    Listen { flag: SocketAddr, file: SocketAddr },
+}
+
+impl FlagError {
+    /// Whether the file may be in the middle of being replaced.
+    pub(crate) fn is_incomplete_file(&self) -> bool {
+        matches!(self, FlagError::Config { source, .. } if source.is_incomplete_file())
+    }
+}
+
+/// Why the program has failed.
+#[derive(Debug, Error)]
+enum ProgramError {
+    #[error("cannot start: {0}")]
+    Runtime(#[source] io::Error),
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    #[error(transparent)]
+    Flags(#[from] FlagError),
+    #[error(transparent)]
+    Logging(#[from] LogSetupError),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+}
+
+impl ProgramError {
+    fn exit_code(&self) -> ExitCode {
+        ExitCode::from(match self {
+            ProgramError::Flags(_) | ProgramError::Logging(_) => BAD_CONFIGURATION,
+            ProgramError::Runtime(_) | ProgramError::Signals(_) | ProgramError::Serve(_) => FAILED,
         })
     }
 }
 
-/// Runs the router on the platform: what it is told stands in the variables `GW_*` and in the file that one of them
-/// names. SIGHUP reads that file again, SIGTERM ends the router once all it has taken is answered.
+/// Runs the router on the platform: its configuration is in the variables `GW_*` and in the file that one of them
+/// names. SIGHUP reads that file again, SIGTERM ends the router once all it has accepted is answered.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "spokeflow-router platform", version)]
 pub struct PlatformProgram {
@@ -43,7 +100,7 @@
     /// Where clients connect; must be the file's
     #[arg(long, env = "GW_LISTEN")]
     pub listen: Option<SocketAddr>,
-    /// Kept back from each client's patience for the way of the answer
+    /// Subtracted from the time that each client waits, for the way of the answer
     #[arg(long, env = "SPOKEFLOW_ANSWER_MARGIN", default_value = "30ms", value_parser = humantime::parse_duration)]
     pub answer_margin: Duration,
     /// What is logged to standard error: a level, or levels by target
@@ -55,65 +112,65 @@
 }
 
 impl PlatformProgram {
-    /// The file, checked against what the variables say. Errors: one line that names the flag.
-    pub fn configuration(&self) -> Result<Configuration, ConfigurationFault> {
-        let named = |fault: ConfigurationFault| ConfigurationFault {
-            what: format!("--config {}", fault.what),
-            ..fault
-        };
-        let told = Configuration::read(&self.config).map_err(named)?;
-        if let Some(name) = self.name.as_ref().filter(|name| **name != told.name) {
-            return Err(format!("--name {name}: the file says {}", told.name).into());
+    /// Reads the file and checks it against the flags.
+    pub(crate) fn configuration(&self) -> Result<Configuration, FlagError> {
+        let file = Configuration::read(&self.config).map_err(|source| FlagError::Config {
+            path: self.config.clone(),
+            source,
+        })?;
+        if let Some(name) = self.name.as_ref().filter(|name| **name != file.name) {
+            return Err(FlagError::Name {
+                flag: name.clone(),
+                file: file.name,
+            });
         }
-        if let Some(listen) = self.listen.filter(|listen| *listen != told.listen) {
-            return Err(format!("--listen {listen}: the file says {}", told.listen).into());
+        if let Some(listen) = self.listen.filter(|listen| *listen != file.listen) {
+            return Err(FlagError::Listen {
+                flag: listen,
+                file: file.listen,
+            });
         }
-        Ok(told)
+        Ok(file)
     }
 
-    /// The same at the start, where there is none before it to go on with: guards against a file that is being
-    /// written just then.
-    async fn first_configuration(&self) -> Result<Configuration, ConfigurationFault> {
-        let begun = Instant::now();
+    /// The same at the start, where there is no earlier configuration to go on with: guards against a file that is
+    /// being written just then.
+    async fn first_configuration(&self) -> Result<Configuration, FlagError> {
+        let started = Instant::now();
         loop {
             match self.configuration() {
-                Err(fault) if fault.torn && begun.elapsed() < WRITE_TIMEOUT => {
+                Err(error) if error.is_incomplete_file() && started.elapsed() < WRITE_TIMEOUT => {
                     sleep(RETRY_INTERVAL).await
                 }
-                told => return told,
+                result => return result,
             }
         }
     }
 }
 
-/// Exit code 0: ended as asked; 1: could not go on; 2: bad flags or a bad file.
+/// Runs the router until SIGTERM. Exit code 0: ended by the signal; 1: could not go on; 2: bad flags or a bad file.
 pub fn main_with(program: PlatformProgram) -> ExitCode {
-    let complain = |what: String, code| {
-        eprintln!("spokeflow-router platform: {what}");
-        ExitCode::from(code)
-    };
+    match run(program) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("spokeflow-router platform: {error}");
+            error.exit_code()
+        }
+    }
+}
+
+fn run(program: PlatformProgram) -> Result<(), ProgramError> {
     // One thread: the platform gives part of one core.
-    let runtime = match tokio::runtime::Builder::new_current_thread()
+    let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-    {
-        Ok(runtime) => runtime,
-        Err(e) => return complain(format!("cannot start: {e}"), 1),
-    };
-    let ended = runtime.block_on(async {
+        .map_err(ProgramError::Runtime)?;
+    runtime.block_on(async {
         // Before all else: one that came earlier would end the process, or be lost between the reading and this.
-        let signals = Signals::heard().map_err(|what| (what, 1))?;
-        let told = program
-            .first_configuration()
-            .await
-            .map_err(|fault| (fault.what, 2))?;
-        init_logging(&program.log, program.log_form).map_err(|e| (e.to_string(), 2))?;
-        serve(program, told, signals)
-            .await
-            .map_err(|what| (what, 1))
-    });
-    match ended {
-        Ok(()) => ExitCode::SUCCESS,
-        Err((what, code)) => complain(what, code),
-    }
+        let signals = Signals::register().map_err(ProgramError::Signals)?;
+        let configuration = program.first_configuration().await?;
+        init_logging(&program.log, program.log_form)?;
+        serve(program, configuration, signals).await?;
+        Ok(())
+    })
 }
--- a/crates/spokeflow-platform/src/release_controller.rs
+++ b/crates/spokeflow-platform/src/release_controller.rs
@@ -109,8 +109,7 @@
             };
             failures = if was_up { 0 } else { failures + 1 };
             if let Some(kept_back) = self.clock.allow_log_line() {
-                let fault = error.to_string();
-                info!(%address, failures, kept_back, fault, "deployer lost");
+                info!(%address, failures, kept_back, %error, "deployer lost");
             }
             tokio::select! {
                 _ = sleep(self.backoff.delay(failures)) => {}
@@ -152,13 +151,13 @@
     }
 }
 
-/// The event that a line stands for; `None` for a sign of life.
+/// The event that a line is; `None` for a sign of life.
 fn parse_line(line: &str) -> Result<Option<EngineEvent>, SubscriptionError> {
-    let words: Vec<&str> = line.split_ascii_whitespace().collect();
-    match words.as_slice() {
+    let fields: Vec<&str> = line.split_ascii_whitespace().collect();
+    match fields.as_slice() {
         ["OK"] | ["*"] => Ok(None),
         ["*", "news", state @ ..] => {
-            let status = RolloutLine::parse(state).and_then(|line| line.to_news());
+            let status = RolloutLine::parse(state).and_then(|line| line.to_update());
             let status = status.ok_or_else(|| SubscriptionError::Status(line.to_string()))?;
             Ok(Some(EngineEvent::RolloutStatus(status)))
         }
@@ -213,7 +212,7 @@
         };
         let line = format!("SAY {} {} {verdict}\r\n", self.build, self.stage);
         // After the timeout the engine has counted the vote as unanswered, and another may be out: nothing is sent.
-        let Ok(answer) = timeout(self.timeout, self.cast(line)).await else {
+        let Ok(answer) = timeout(self.timeout, self.send(line)).await else {
             return;
         };
         debug!(ballot = self.ballot, result = ?answer.result, "vote answered");
@@ -225,7 +224,7 @@
         let _ = self.events.send(event).await;
     }
 
-    async fn cast(&self, line: String) -> VoteAnswer {
+    async fn send(&self, line: String) -> VoteAnswer {
         let opening = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let Ok(Ok(mut stream)) = opening else {
             return VoteResult::Refused.into();
@@ -242,10 +241,10 @@
 }
 
 fn parse_vote_answer(line: &str) -> VoteAnswer {
-    let words: Vec<&str> = line.split_ascii_whitespace().collect();
-    match words.as_slice() {
+    let fields: Vec<&str> = line.split_ascii_whitespace().collect();
+    match fields.as_slice() {
         ["OK", state @ ..] => {
-            let status = RolloutLine::parse(state).and_then(|line| line.to_news());
+            let status = RolloutLine::parse(state).and_then(|line| line.to_update());
             VoteAnswer {
                 result: status.as_ref().map(|_| VoteResult::Counted),
                 status,
--- a/crates/spokeflow-platform/src/reload.rs
+++ b/crates/spokeflow-platform/src/reload.rs
@@ -5,8 +5,8 @@
 use tokio::time::Instant;
 use tracing::warn;
 
+use crate::configuration::Configuration;
 use crate::program::PlatformProgram;
-use crate::Configuration;
 
 /// A file that is no whole text is read again this often: whoever writes it is at it.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -36,13 +36,12 @@
     pub(crate) fn read(&mut self, program: &PlatformProgram) -> Option<Option<Configuration>> {
         match program.configuration() {
             Ok(fresh) => Some(Some(fresh)),
-            Err(fault) if fault.torn && self.next < self.until => {
+            Err(error) if error.is_incomplete_file() && self.next < self.until => {
                 self.next = Instant::now() + RETRY_INTERVAL;
                 None
             }
-            Err(fault) => {
-                let what = fault.what;
-                warn!(what, "configuration cannot be read: the one before stands");
+            Err(error) => {
+                warn!(%error, "configuration cannot be read: the previous one stays");
                 Some(None)
             }
         }
--- a/crates/spokeflow-platform/src/request_schema.rs
+++ b/crates/spokeflow-platform/src/request_schema.rs
@@ -99,8 +99,8 @@
         let operation = *self.operations.get(operation_name).ok_or(400u16)?;
         let tenant = *self.tenants.get(tenant_name).ok_or(400u16)?;
         let left_us = parse_timeout(left).ok_or(400u16)?;
-        let is_plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
-        if id.len() > MAX_ID || !id.iter().all(is_plain) {
+        let is_id_byte = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
+        if id.len() > MAX_ID || !id.iter().all(is_id_byte) {
             return Err(400);
         }
         // A host that drops repeats knows them by this key; without it the request is not what its client sent.
@@ -119,7 +119,7 @@
     }
 }
 
-/// What may run again is asked by GET and has no body; what must not, by POST.
+/// What may run again is requested by GET and has no body; what must not, by POST.
 fn check_method(request: &Request, repeat: Repeat) -> Result<(), Status> {
     let idempotent = repeat == Repeat::Idempotent;
     let method: &[u8] = if idempotent { b"GET" } else { b"POST" };
@@ -171,7 +171,7 @@
     key.iter().fold(0xcbf2_9ce4_8422_2325, step).max(1)
 }
 
-/// The request as hosts get it, but for the time left, which stands after the first line and is not known before
+/// The request as hosts get it, but for the time left, which goes after the first line and is not known before
 /// it is sent.
 fn forwarded(request: &Request, fields: &Fields, idempotency_key: Option<&Bytes>) -> Bytes {
     let mut head = BytesMut::with_capacity(192 + request.target.len() + request.body.len());
--- a/crates/spokeflow-platform/src/rollout_line.rs
+++ b/crates/spokeflow-platform/src/rollout_line.rs
@@ -28,9 +28,9 @@
         })
     }
 
-    /// `None` where a word is not known or a number cannot be one.
-    pub(crate) fn to_news(&self) -> Option<RolloutUpdate> {
-        let standing = match self.mode.as_str() {
+    /// `None` where the mode is not known or the exposure is no fraction.
+    pub(crate) fn to_update(&self) -> Option<RolloutUpdate> {
+        let phase = match self.mode.as_str() {
             "IN_PROGRESS" => RolloutPhase::Canary,
             "ROLLING_BACK" => RolloutPhase::RollingBack,
             "COMPLETE" => RolloutPhase::Released,
@@ -42,7 +42,7 @@
             .then_some(RolloutUpdate {
                 build: self.release,
                 stage: self.tranche,
-                phase: standing,
+                phase,
                 exposure_cap: self.exposure as f32,
                 age_us: self.old_ms.saturating_mul(1000),
             })
--- a/crates/spokeflow-platform/src/shutdown.rs
+++ b/crates/spokeflow-platform/src/shutdown.rs
@@ -28,7 +28,7 @@
 
 /// What is to be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub(crate) enum Step {
     Wait,
     /// Take no more commands, close connections that carry none.
     Close,
@@ -45,7 +45,7 @@
     Aborted,
 }
 
-pub struct Shutdown {
+pub(crate) struct Shutdown {
     phase: Phase,
     close_at: Instant,
     abort_at: Instant,
@@ -55,7 +55,7 @@
 }
 
 impl Shutdown {
-    pub fn new(longest_deadline: Duration) -> Self {
+    pub(crate) fn new(longest_deadline: Duration) -> Self {
         let drain_time = longest_deadline.min(LONGEST_DEADLINE) + KILL_MARGIN - LAST_WRITE_TIME;
         let never = Instant::now();
         Shutdown {
@@ -67,19 +67,19 @@
         }
     }
 
-    pub fn has_begun(&self) -> bool {
+    pub(crate) fn has_begun(&self) -> bool {
         self.phase != Phase::Serving
     }
 
     /// SIGTERM has come.
-    pub fn begin(&mut self, now: Instant) {
+    pub(crate) fn begin(&mut self, now: Instant) {
         self.phase = Phase::Draining;
         self.close_at = now + ACCEPT_TIME;
         self.abort_at = now + self.drain_time;
     }
 
     /// `waiting`: commands that are owed an answer; `clients`: connections.
-    pub fn step(&mut self, now: Instant, waiting: usize, clients: usize) -> Step {
+    pub(crate) fn step(&mut self, now: Instant, waiting: usize, clients: usize) -> Step {
         match self.phase {
             Phase::Serving => return Step::Wait,
             Phase::Draining if now < self.close_at => return Step::Wait,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// When [`Shutdown::step`] is to be asked again at the latest.
-    pub fn next_check(&self, now: Instant) -> Option<Instant> {
+    /// When [`Shutdown::step`] is to be called again at the latest.
+    pub(crate) fn next_check(&self, now: Instant) -> Option<Instant> {
         match self.phase {
             Phase::Serving => None,
             Phase::Draining => Some(self.close_at),
--- a/crates/spokeflow-platform/src/unread.rs
+++ b/crates/spokeflow-platform/src/unread.rs
@@ -1,4 +1,4 @@
-//! What the system holds unread for a connection, asked of the system itself.
+//! What the system holds unread for a connection, by a call to the system.
 
 use std::mem::MaybeUninit;
 
@@ -20,7 +20,7 @@
     match SockRef::from(stream).peek(&mut byte) {
         Ok(0) => UnreadState::End,
         Ok(_) => UnreadState::Bytes,
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => UnreadState::Nothing,
+        Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => UnreadState::Nothing,
         Err(_) => UnreadState::End,
     }
 }
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -33,7 +33,7 @@
 pub(crate) struct UpstreamConfig {
     pub(crate) clock: Arc<Clock>,
     pub(crate) events: mpsc::Sender<EngineEvent>,
-    /// A connection has to stand within this time; so has an answer, once begun, to come whole.
+    /// A connection has to be open within this time; so has an answer, once begun, to come whole.
     pub(crate) connect_timeout: Duration,
     pub(crate) send_latency: SendLatency,
 }
@@ -182,7 +182,7 @@
 }
 
 impl Attempt {
-    /// The client's `Request-Id`, as it stands in the request's head.
+    /// The client's `Request-Id`, as it is in the request's head.
     pub(crate) fn id(&self) -> &str {
         const FIELD: &[u8] = b"\r\nRequest-Id: ";
         let field = self
@@ -221,7 +221,7 @@
     /// Writes the request whole, on an idle connection or on a new one. Nothing has run where it cannot.
     ///
     /// Guards against connections that come up late: what was true of the command when the module called may be so no
-    /// longer, so the time left is told as of the writing, and what is past its time or has been recalled never leaves.
+    /// longer, so the time left is that of the writing, and what is past its time or has been recalled never leaves.
     async fn send(&mut self) -> Result<Connection, TransportFailure> {
         let route = self.route.take();
         let leave_by = self.leave_by;
@@ -274,8 +274,8 @@
                     let bytes = buffer.len();
                     debug!(host = self.host.0, bytes, "more than the answer has come");
                 }
-                let kept = Some(connection).filter(|_| reusable);
-                (Outcome::Message(answer.message), kept)
+                let reusable_connection = Some(connection).filter(|_| reusable);
+                (Outcome::Message(answer.message), reusable_connection)
             }
             Err(HttpError::Io(_) | HttpError::Truncated) => {
                 (Outcome::Lost(TransportFailure::Reset), None)
--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -1,71 +1,25 @@
-//! Objects of a watch, and how often one is opened anew.
+//! How often a watch is opened again, and what is asked of the new one.
 
 use super::*;
 
 const PLAIN: &str =
     r#"{"revision":41,"complete":true,"members":[{"id":"s-{\"a]","phase":"Ready"}]}"#;
 
-fn indented() -> String {
-    let value: serde_json::Value = serde_json::from_str(PLAIN).unwrap();
-    serde_json::to_string_pretty(&value).unwrap()
-}
-
-fn revisions(objects: &mut Objects) -> Vec<u64> {
-    std::iter::from_fn(|| objects.next().unwrap())
-        .map(|listing| listing.revision)
-        .collect()
-}
-
-/// Lists may come indented: read line by line, each broke the watch, and no change was ever heard.
-#[test]
-fn objects_are_read_however_they_are_laid_out_and_cut() {
-    let text = format!("\n{PLAIN}\n\n{}\n\r\n{PLAIN}{}\n", indented(), indented());
-    for cut in 1..text.len() {
-        let mut objects = Objects::default();
-        let mut all = Vec::new();
-        for part in text.as_bytes().chunks(cut) {
-            objects.push(part);
-            all.extend(revisions(&mut objects));
-        }
-        assert_eq!(all, [41, 41, 41, 41], "in parts of {cut}");
-    }
-}
-
 /// What a silent watch misses counts as told after 6 s, however often that happens and nothing changes meanwhile.
 #[test]
 fn a_watch_that_falls_silent_again_and_again_is_opened_anew_in_time() {
-    let mut backoff = Backoff::new(5, 0, FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(5, 0, MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY);
     let mut failures = 0;
     for _ in 0..20 {
-        failures = in_a_row(failures, true);
+        failures = failures_in_a_row(failures, true);
         assert!(
-            SILENCE + backoff.delay(failures) < Duration::from_millis(5_500),
+            READ_TIMEOUT + backoff.delay(failures) < Duration::from_millis(5_500),
             "{failures} in a row"
         );
     }
     let mut refused = 0;
-    (0..20).for_each(|_| refused = in_a_row(refused, false));
-    assert!(backoff.delay(refused) >= LONGEST_PAUSE / 2);
-}
-
-#[test]
-fn half_an_object_with_another_behind_it_is_found_out() {
-    let mut objects = Objects::default();
-    objects.push(b"{\"revision\":2,\"complete\":tr");
-    assert!(objects.next().unwrap().is_none());
-    objects.push(format!("\n{PLAIN}\n").as_bytes());
-    assert!(objects.next().is_err());
-}
-
-#[test]
-fn an_object_without_an_end_is_given_up() {
-    let mut objects = Objects::default();
-    objects.push(b"{\"members\":[");
-    let fault = (0..OBJECT_LIMIT).step_by(1 << 20).find_map(|_| {
-        objects.push(&vec![b' '; 2 << 20]);
-        objects.next().err()
-    });
-    assert!(fault.is_some());
+    (0..20).for_each(|_| refused = failures_in_a_row(refused, false));
+    assert!(backoff.delay(refused) >= MAX_RECONNECT_DELAY / 2);
 }
 
 /// Guards against a hand-over that loses what it has taken: the address moves while the list waits for room, and the
@@ -100,7 +54,7 @@
         .await
         .unwrap();
     let (moves, address) = watch::channel(addresses[0]);
-    let backoff = Backoff::new(1, 0, FIRST_PAUSE, LONGEST_PAUSE);
+    let backoff = Backoff::new(1, 0, MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY);
     let watching = DiscoveryWatch {
         address,
         clock: Clock::starting_now(),
