--- a/crates/spokeflow-platform/src/endpoint_table.rs
+++ b/crates/spokeflow-platform/src/endpoint_table.rs
@@ -100,7 +100,8 @@
         let complete = listing.complete;
         let mut named = vec![false; self.entries.len()];
         for member in listing.members {
-            let Some((line, size)) = self.line(member, now, unix_ms) else {
+            let size = member.size;
+            let Some(line) = self.line(member, now, unix_ms) else {
                 continue;
             };
             named.resize(self.entries.len(), false);
@@ -132,12 +133,7 @@
         }
     }
 
-    fn line(
-        &mut self,
-        member: Member,
-        now: Micros,
-        unix_ms: u64,
-    ) -> Option<(EndpointRecord, Option<f32>)> {
+    fn line(&mut self, member: Member, now: Micros, unix_ms: u64) -> Option<EndpointRecord> {
         let gone = member.phase == Phase::Gone;
         let host = match self.numbers.get(&member.id) {
             Some(host) => *host,
@@ -168,7 +164,7 @@
             build,
             started_ms,
         } = entry.process.clone();
-        let line = EndpointRecord {
+        Some(EndpointRecord {
             host,
             address,
             build,
@@ -182,8 +178,7 @@
             incarnation: entry.incarnation,
             up_us: (started_ms != 0)
                 .then(|| unix_ms.saturating_sub(started_ms).saturating_mul(1000)),
-        };
-        Some((line, member.size))
+        })
     }
 
     fn add(&mut self, name: &str, now: Micros) -> u32 {
--- a/crates/spokeflow-platform/src/lib.rs
+++ b/crates/spokeflow-platform/src/lib.rs
@@ -25,6 +25,7 @@
 mod request_schema;
 mod request_wait;
 mod rollout_line;
+mod send_latency;
 mod serve;
 mod shutdown;
 mod transport;
--- a/crates/spokeflow-platform/src/release_controller.rs
+++ b/crates/spokeflow-platform/src/release_controller.rs
@@ -182,7 +182,7 @@
     pub(crate) ballot: u64,
     pub(crate) build: u16,
     pub(crate) stage: u8,
-    pub(crate) verdict: VoteChoice,
+    pub(crate) choice: VoteChoice,
 }
 
 /// The answer to a vote; no result where the vote may count or not.
@@ -204,13 +204,13 @@
 
 impl Vote {
     pub(crate) async fn run(self) {
-        let verdict = match self.verdict {
+        let choice = match self.choice {
             VoteChoice::Abstain => "none",
             VoteChoice::Promote => "on",
             VoteChoice::Hold => "hold",
             VoteChoice::RollBack => "back",
         };
-        let line = format!("SAY {} {} {verdict}\r\n", self.build, self.stage);
+        let line = format!("SAY {} {} {choice}\r\n", self.build, self.stage);
         // After the timeout the engine has counted the vote as unanswered, and another may be out: nothing is sent.
         let Ok(answer) = timeout(self.timeout, self.send(line)).await else {
             return;
--- a/crates/spokeflow-platform/src/request_schema.rs
+++ b/crates/spokeflow-platform/src/request_schema.rs
@@ -39,6 +39,10 @@
 /// The status of the answer to a request that is no command.
 type Status = u16;
 
+const BAD_REQUEST: Status = 400;
+const NOT_FOUND: Status = 404;
+const METHOD_NOT_ALLOWED: Status = 405;
+
 /// What the header fields of a request say.
 struct Fields<'a> {
     id: &'a Bytes,
@@ -54,8 +58,8 @@
     /// The command that a request is. What is none of this deployment is answered so, and its connection ends with
     /// that.
     pub(crate) fn check(&self, request: Request) -> Checked {
-        match self.command(&request) {
-            Ok((id, command)) => Checked::Command { id, command },
+        match self.parse(&request) {
+            Ok(checked) => checked,
             Err(status) => Checked::Answer(Response {
                 status,
                 close: true,
@@ -64,13 +68,13 @@
         }
     }
 
-    fn command(&self, request: &Request) -> Result<(Bytes, Command), Status> {
+    fn parse(&self, request: &Request) -> Result<Checked, Status> {
         let fields = self.fields(request)?;
         check_method(request, fields.operation.repeat)?;
         let key = key_in_path(request, fields.operation_name)?;
         let deduplicated = fields.operation.repeat == Repeat::Deduplicated;
         if deduplicated && fields.idempotency_key.is_none() {
-            return Err(400);
+            return Err(BAD_REQUEST);
         }
         let idempotency_key = fields.idempotency_key.filter(|_| deduplicated);
         let command = Command {
@@ -82,7 +86,10 @@
             left_us: fields.left_us,
             body: forwarded(request, &fields, idempotency_key),
         };
-        Ok((fields.id.clone(), command))
+        Ok(Checked::Command {
+            id: fields.id.clone(),
+            command,
+        })
     }
 
     fn fields<'a>(&self, request: &'a Request) -> Result<Fields<'a>, Status> {
@@ -92,16 +99,16 @@
                 .single(name)
                 .filter(|value| !value.is_empty())
         };
-        let id = field("request-id").ok_or(400u16)?;
-        let operation_name = field("request-class").ok_or(400u16)?;
-        let tenant_name = field("tenant").ok_or(400u16)?;
-        let left = field("request-timeout").ok_or(400u16)?;
-        let operation = *self.operations.get(operation_name).ok_or(400u16)?;
-        let tenant = *self.tenants.get(tenant_name).ok_or(400u16)?;
-        let left_us = parse_timeout(left).ok_or(400u16)?;
+        let id = field("request-id").ok_or(BAD_REQUEST)?;
+        let operation_name = field("request-class").ok_or(BAD_REQUEST)?;
+        let tenant_name = field("tenant").ok_or(BAD_REQUEST)?;
+        let left = field("request-timeout").ok_or(BAD_REQUEST)?;
+        let operation = *self.operations.get(operation_name).ok_or(BAD_REQUEST)?;
+        let tenant = *self.tenants.get(tenant_name).ok_or(BAD_REQUEST)?;
+        let left_us = parse_timeout(left).ok_or(BAD_REQUEST)?;
         let is_id_byte = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
         if id.len() > MAX_ID || !id.iter().all(is_id_byte) {
-            return Err(400);
+            return Err(BAD_REQUEST);
         }
         // A host that drops repeats knows them by this key; without it the request is not what its client sent.
         let is_visible = |byte: &u8| (0x21..0x7f).contains(byte);
@@ -124,10 +131,10 @@
     let idempotent = repeat == Repeat::Idempotent;
     let method: &[u8] = if idempotent { b"GET" } else { b"POST" };
     if request.method != method {
-        return Err(405);
+        return Err(METHOD_NOT_ALLOWED);
     }
     if idempotent && !request.body.is_empty() {
-        return Err(400);
+        return Err(BAD_REQUEST);
     }
     Ok(())
 }
@@ -139,7 +146,7 @@
     let path = path.strip_prefix(b"/").unwrap_or(b"");
     let mut parts = path.splitn(2, |byte| *byte == b'/');
     if parts.next() != Some(operation) {
-        return Err(404);
+        return Err(NOT_FOUND);
     }
     let key = parts
         .next()
--- /dev/null
+++ b/crates/spokeflow-platform/src/send_latency.rs
@@ -0,0 +1,40 @@
+//! Measures how long deliveries take to be sent.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// How long deliveries took from the decision module's call until their last byte had left, since last read.
+#[derive(Default)]
+pub(crate) struct SendLatency {
+    count: AtomicU64,
+    total_us: AtomicU64,
+    longest_us: AtomicU64,
+}
+
+/// What [`SendLatency`] has measured over a span.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SendLatencySummary {
+    pub(crate) count: u64,
+    pub(crate) mean_us: u64,
+    pub(crate) longest_us: u64,
+}
+
+impl SendLatency {
+    pub(crate) fn record(&self, latency: Duration) {
+        let micros = latency.as_micros() as u64;
+        self.count.fetch_add(1, Ordering::Relaxed);
+        self.total_us.fetch_add(micros, Ordering::Relaxed);
+        self.longest_us.fetch_max(micros, Ordering::Relaxed);
+    }
+
+    /// What was measured since the last call.
+    pub(crate) fn take_summary(&self) -> SendLatencySummary {
+        let count = self.count.swap(0, Ordering::Relaxed);
+        let total_us = self.total_us.swap(0, Ordering::Relaxed);
+        SendLatencySummary {
+            count,
+            mean_us: total_us / count.max(1),
+            longest_us: self.longest_us.swap(0, Ordering::Relaxed),
+        }
+    }
+}
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -30,9 +30,10 @@
 use crate::program::{PlatformProgram, Signals};
 use crate::release_controller::Subscription;
 use crate::request_schema::{Operation, RequestSchema};
+use crate::send_latency::SendLatency;
 use crate::shutdown::Shutdown;
 use crate::transport::PlatformTransport;
-use crate::upstream::{SendLatency, UpstreamConfig};
+use crate::upstream::UpstreamConfig;
 
 /// Events that wait for the engine at most; a task whose event finds no room waits, and so does its peer.
 const EVENT_QUEUE: usize = 4096;
--- a/crates/spokeflow-platform/src/transport.rs
+++ b/crates/spokeflow-platform/src/transport.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Room for one more connection to a host, if need be that of the one longest idle.
+    /// A permit for one more connection to a host, if need be that of the one longest idle.
     fn permit(&mut self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Some(permit);
@@ -180,17 +180,17 @@
         let Some(pending) = self.pending.remove(&connection) else {
             return;
         };
-        let (build, come_back_us) = match &message {
-            ToClient::Acked { build, .. } => (Some(*build), None),
-            ToClient::Nacked {
-                retry_after_us: come_back_us,
-                ..
-            } => (None, *come_back_us),
-            _ => (None, None),
+        let build = match &message {
+            ToClient::Acked { build, .. } => Some(*build),
+            _ => None,
+        };
+        let retry_after_us = match &message {
+            ToClient::Nacked { retry_after_us, .. } => *retry_after_us,
+            _ => None,
         };
         let id = String::from_utf8_lossy(&pending.id);
         let end = answer_name(&message);
-        debug!(%id, conn = connection, end, build, come_back_us, "answer");
+        debug!(%id, connection, end, build, retry_after_us, "answer");
         self.pending_ids.remove(&pending.id);
         let _ = pending.answer.send(message);
     }
@@ -207,7 +207,7 @@
                 // Dropped with its task, the connection closes: that is how an attempt is given up here.
                 if let Some(open) = self.open_deliveries.remove(&delivery) {
                     open.task.abort();
-                    debug!(delivery, "delivery given up");
+                    debug!(delivery, "delivery cancelled");
                 }
                 true
             }
@@ -226,7 +226,7 @@
             ballot,
             build,
             stage,
-            choice: verdict,
+            choice,
         } = message
         else {
             return true;
@@ -238,7 +238,7 @@
             ballot,
             build,
             stage,
-            verdict,
+            choice,
         };
         tokio::spawn(vote.run());
         true
@@ -259,7 +259,7 @@
             .entry(host)
             .or_insert_with(|| Host::new(address, incarnation));
         known.is_open = true;
-        if (known.address, known.incarnation) != (address, incarnation) {
+        if known.address != address || known.incarnation != incarnation {
             // What has not left yet was meant for another process, maybe another build.
             *known = Host::new(address, incarnation);
             self.cancel_deliveries(host, Some(incarnation));
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -1,8 +1,8 @@
 //! Deliveries to hosts: one task for each, on a connection that carries nothing else meanwhile. A delivery counts as
 //! sent from the moment the system has taken its last byte; all that fails before proves that it never ran.
 
+use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,6 +12,7 @@
 use spokeflow_http::{HttpError, ResponseCodec, ResponsePart};
 use spokeflow_proto::FromHost;
 use spokeflow_runtime::Clock;
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
@@ -23,6 +24,7 @@
 use crate::idle_connections::{Connection, Rested};
 use crate::idle_lifetime::ConnectionUse;
 use crate::limits::BODY_LIMIT;
+use crate::send_latency::SendLatency;
 
 /// Bytes kept ready for what comes back on a connection.
 const BUFFER: usize = 2 << 10;
@@ -38,42 +40,6 @@
     pub(crate) send_latency: SendLatency,
 }
 
-/// How long deliveries took from the decision module's call until their last byte had left, since last read.
-#[derive(Default)]
-pub(crate) struct SendLatency {
-    count: AtomicU64,
-    total_us: AtomicU64,
-    longest_us: AtomicU64,
-}
-
-/// What [`SendLatency`] has measured over a span.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct SendLatencySummary {
-    pub(crate) count: u64,
-    pub(crate) mean_us: u64,
-    pub(crate) longest_us: u64,
-}
-
-impl SendLatency {
-    fn record(&self, latency: Duration) {
-        let micros = latency.as_micros() as u64;
-        self.count.fetch_add(1, Ordering::Relaxed);
-        self.total_us.fetch_add(micros, Ordering::Relaxed);
-        self.longest_us.fetch_max(micros, Ordering::Relaxed);
-    }
-
-    /// What was measured since the last call.
-    pub(crate) fn take_summary(&self) -> SendLatencySummary {
-        let count = self.count.swap(0, Ordering::Relaxed);
-        let total_us = self.total_us.swap(0, Ordering::Relaxed);
-        SendLatencySummary {
-            count,
-            mean_us: total_us / count.max(1),
-            longest_us: self.longest_us.swap(0, Ordering::Relaxed),
-        }
-    }
-}
-
 /// The connection that a delivery goes out on.
 pub(crate) enum Route {
     /// One that has rested.
@@ -115,24 +81,35 @@
     bytes.freeze()
 }
 
-/// Opens a connection and writes the request whole. Errors: why not, for the log.
+/// Why a request could not be sent whole: it has not run.
+#[derive(Debug, Error)]
+enum SendError {
+    #[error("no permit")]
+    NoPermit,
+    #[error("not in time")]
+    ConnectTimeout,
+    #[error("refused")]
+    Refused(#[source] io::Error),
+    #[error("broken before the request had left")]
+    Broken(#[source] io::Error),
+}
+
+/// Opens a connection and writes the request whole.
 async fn send_on_new(
     address: SocketAddr,
     within: Duration,
     permit: OwnedSemaphorePermit,
     request: &[u8],
     until: Instant,
-) -> Result<Connection, &'static str> {
+) -> Result<Connection, SendError> {
     let opening = timeout(within, TcpStream::connect(address)).await;
-    let mut stream = opening.map_err(|_| "not in time")?.map_err(|_| "refused")?;
+    let opened = opening.map_err(|_| SendError::ConnectTimeout)?;
+    let mut stream = opened.map_err(SendError::Refused)?;
     let _ = stream.set_nodelay(true);
     // Closing takes back what has not left: a delivery that is given up must not arrive later.
     let _ = stream.set_zero_linger();
     let bytes = with_time_left(request, until);
-    stream
-        .write_all(&bytes)
-        .await
-        .map_err(|_| "broken before the request had left")?;
+    stream.write_all(&bytes).await.map_err(SendError::Broken)?;
     Ok(Connection { stream, permit })
 }
 
@@ -174,13 +151,29 @@
             Outcome::Message(FromHost::Full { .. }) => "Full",
             Outcome::Message(_) => "Error",
             Outcome::Lost(TransportFailure::Reset) => "Reset",
-            Outcome::Lost(TransportFailure::Unresponsive) => "Silent",
+            Outcome::Lost(TransportFailure::Unresponsive) => "Unresponsive",
             Outcome::Lost(TransportFailure::NotConnected) => "NotConnected",
             Outcome::Lost(_) => "NotSent",
         }
     }
 }
 
+/// How a delivery has ended.
+struct DeliveryEnd {
+    outcome: Outcome,
+    /// The connection, where it can be used again.
+    connection: Option<Connection>,
+}
+
+impl DeliveryEnd {
+    fn lost(failure: TransportFailure) -> Self {
+        DeliveryEnd {
+            outcome: Outcome::Lost(failure),
+            connection: None,
+        }
+    }
+}
+
 impl Attempt {
     /// The client's `Request-Id`, as it is in the request's head.
     pub(crate) fn id(&self) -> &str {
@@ -196,13 +189,14 @@
 
     pub(crate) async fn run(mut self) {
         let called = Instant::now();
-        let (outcome, connection) = match self.send().await {
+        let end = match self.send().await {
             Ok(connection) => {
                 self.config.send_latency.record(called.elapsed());
                 self.answer(connection).await
             }
-            Err(failure) => (Outcome::Lost(failure), None),
+            Err(failure) => DeliveryEnd::lost(failure),
         };
+        let outcome = end.outcome;
         let took_us = called.elapsed().as_micros() as u64;
         let address = self.address;
         let rested = self.rested;
@@ -212,7 +206,7 @@
             host: self.host,
             delivery: self.delivery,
             input: outcome.into_input(self.host, self.delivery),
-            connection,
+            connection: end.connection,
             connection_use,
         };
         let _ = self.config.events.send(event).await;
@@ -232,7 +226,7 @@
         let rested = &mut self.rested;
         let sending = async move {
             let permit = match route {
-                None => return Err("no permit"),
+                None => return Err(SendError::NoPermit),
                 Some(Route::New(permit)) => permit,
                 Some(Route::Idle(idle)) => {
                     let mut connection = idle.connection;
@@ -254,9 +248,9 @@
             biased;
             _ = &mut self.cancelled => Err(TransportFailure::NotSent),
             _ = sleep_until(leave_by) => Err(TransportFailure::NotSent),
-            sent = sending => sent.map_err(|fault| {
+            sent = sending => sent.map_err(|error| {
                 if let Some(kept_back) = self.config.clock.allow_log_line() {
-                    info!(host = self.host.0, %address, kept_back, fault, "host not connected");
+                    info!(host = self.host.0, %address, kept_back, %error, "host not connected");
                 }
                 TransportFailure::NotConnected
             }),
@@ -264,7 +258,7 @@
     }
 
     /// Reads the answer; the connection comes back where it can be used again.
-    async fn answer(&self, mut connection: Connection) -> (Outcome, Option<Connection>) {
+    async fn answer(&self, mut connection: Connection) -> DeliveryEnd {
         let mut buffer = BytesMut::with_capacity(BUFFER);
         match self.read(&mut connection.stream, &mut buffer).await {
             Ok(answer) => {
@@ -274,19 +268,21 @@
                     let bytes = buffer.len();
                     debug!(host = self.host.0, bytes, "more than the answer has come");
                 }
-                let reusable_connection = Some(connection).filter(|_| reusable);
-                (Outcome::Message(answer.message), reusable_connection)
+                DeliveryEnd {
+                    outcome: Outcome::Message(answer.message),
+                    connection: Some(connection).filter(|_| reusable),
+                }
             }
             Err(HttpError::Io(_) | HttpError::Truncated) => {
-                (Outcome::Lost(TransportFailure::Reset), None)
+                DeliveryEnd::lost(TransportFailure::Reset)
             }
-            Err(fault) => {
+            Err(error) => {
                 if let Some(kept_back) = self.config.clock.allow_log_line() {
-                    info!(host = self.host.0, kept_back, %fault, "answer cannot be read");
+                    info!(host = self.host.0, kept_back, %error, "answer cannot be read");
                 }
                 // It may have run and is waited for no longer. No error: a good answer may have been written, which
                 // binds its key, and any host's may come spoilt, which is no sign of a build that fails.
-                (Outcome::Lost(TransportFailure::Unresponsive), None)
+                DeliveryEnd::lost(TransportFailure::Unresponsive)
             }
         }
     }
