--- a/crates/spokeflow-testbed/src/fleet/check.rs
+++ b/crates/spokeflow-testbed/src/fleet/check.rs
@@ -1,516 +1,315 @@
-//! What must hold, from what crossed the switchboard, the hosts and the clients. Nothing that a process logs or says of
-//! itself beside its messages is read.
+//! What must hold, from what crossed the switchboard, the hosts and the clients. Nothing that a process logs or reports
+//! of itself beside its messages is read.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{HashMap, HashSet};
 
-use serde::Serialize;
-use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
-use spokeflow_coordination::{HostState, LeaseGrant, Overrides, ProposalOutcome, Revision};
-use spokeflow_raft::{AppendOutcome, Message};
+use spokeflow_coordination::Overrides;
 
-use super::peers::{Asked, Delivered, Ended, NEW, ONCE, PATIENCE};
-use super::switchboard::{Crossed, Frame, Node};
-use crate::Micros;
+use super::clients::{CommandOutcome, CommandRecord, AT_MOST_ONCE_OPERATION, COMMAND_TIMEOUT};
+use super::observations::{leader_term, DiskSwap, Observations};
+use super::peers::{DeliveryRecord, Recorded, CANARY_BUILD};
+use super::report::Report;
+use super::switchboard::{Frame, FramePayload, Participant};
+use crate::{Micros, SECOND};
 
-/// What may pass between an act and its being seen here.
-#[derive(Clone, Copy, Debug)]
-pub struct Slack(pub Micros);
-
-/// What the day did that the checker must know to judge it.
-#[derive(Default)]
-pub struct Done {
-    /// Routers that were stopped or not there: from, to.
-    pub away: Vec<(u32, Micros, Micros)>,
-    /// Keepers that ran on another disk than theirs.
-    pub other_disk: Vec<(u32, Micros, Micros)>,
-    /// From when on nothing was wrong any more.
-    pub mended: Micros,
-    pub end: Micros,
-    pub faults: Vec<String>,
-    pub leaders_killed: Vec<Micros>,
-    /// What went wrong with the rig's own expectations, such as a process that did not start.
-    pub unexpected: Vec<String>,
-}
-
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct Report {
-    pub broken: Vec<String>,
-    pub faults: usize,
-    pub frames: usize,
-    pub revisions: usize,
-    pub leaders: usize,
-    pub commands: usize,
-    pub acked: usize,
-    pub nacked: usize,
-    pub failed: usize,
-    pub trial_deliveries: usize,
-    pub grants: usize,
-    pub refused_disks: usize,
-    /// Longest time for which a router acted against a revision that another may have acted on, and the bound.
-    pub longest_contradiction_us: Micros,
-    /// Longest time for which a router sent to a host that another had been told to leave.
-    pub longest_stale_list_us: Micros,
-    /// Drains told by keepers.
-    pub drains: usize,
-    pub bound_us: Micros,
-    /// By which this program itself came late at most.
-    pub lag_us: Micros,
-    /// From the first word of a revision to its coming into force: the median and the longest.
-    pub in_force_p50_us: Micros,
-    pub in_force_p99_us: Micros,
-    pub in_force_max_us: Micros,
-    /// From the kill of a leader to the first word of the next one: the median and the longest.
-    pub leaderless_p50_us: Micros,
-    pub leaderless_max_us: Micros,
-    /// Bytes a second between a router and its keepers, both ways, in the mean.
-    pub router_bytes_per_s: f64,
-}
-
-impl Report {
-    pub fn sound(&self) -> bool {
-        self.broken.is_empty()
-    }
-
-    pub fn text(&self) -> String {
-        let mut lines: Vec<String> = self
-            .broken
-            .iter()
-            .take(20)
-            .map(|b| format!("BROKEN {b}"))
-            .collect();
-        lines.push(format!(
-            "{} faults, {} frames, {} leaders, {} revisions, {} grants, {} disks refused",
-            self.faults, self.frames, self.leaders, self.revisions, self.grants, self.refused_disks
-        ));
-        lines.push(format!(
-            "{} commands: {} acked, {} nacked, {} failed; {} deliveries to the build on trial",
-            self.commands, self.acked, self.nacked, self.failed, self.trial_deliveries
-        ));
-        lines.push(format!(
-            "longest contradiction {} ms, and with a drained host {} ms ({} drains), of {} ms; announced to in force {} ms (median), {} ms (longest); own lag {} ms",
-            self.longest_contradiction_us / 1000,
-            self.longest_stale_list_us / 1000,
-            self.drains,
-            self.bound_us / 1000,
-            self.in_force_p50_us / 1000,
-            self.in_force_max_us / 1000,
-            self.lag_us / 1000
-        ));
-        lines.push(if self.sound() {
-            "kept".into()
-        } else {
-            format!("{} BROKEN", self.broken.len())
-        });
-        lines.join("\n")
-    }
+/// A router that was killed or paused.
+pub(super) struct RouterAbsence {
+    pub(super) router: u32,
+    pub(super) from: Micros,
+    pub(super) to: Micros,
 }
 
-fn newest(grant: &LeaseGrant) -> u64 {
-    grant
-        .pending
-        .as_ref()
-        .map_or(grant.in_force.number.0, |a| a.number.0)
+/// What the rig did to the processes, as far as the checker must know it.
+#[derive(Default)]
+pub(super) struct RunLog {
+    pub(super) router_absences: Vec<RouterAbsence>,
+    pub(super) disk_swaps: Vec<DiskSwap>,
+    pub(super) ended_at: Micros,
+    /// Each fault with the time at which it began.
+    pub(super) faults: Vec<String>,
+    pub(super) leaders_killed_at: Vec<Micros>,
+    /// What went against the rig's own expectations, such as a process that did not start.
+    pub(super) failures: Vec<String>,
 }
 
-/// Whether a revision lets nothing go to the build on trial.
-pub fn closes(values: &Overrides) -> bool {
-    values
+/// Whether a revision lets nothing go to the canary build.
+pub(super) fn closes_canary(overrides: &Overrides) -> bool {
+    overrides
         .get("stage-cap")
-        .is_some_and(|caps| caps.split(',').all(|c| c.trim() == "0"))
+        .is_some_and(|caps| caps.split(',').all(|cap| cap.trim() == "0"))
 }
 
-struct Seen {
-    /// By revision: when first told of anywhere, and when first told to be in force.
-    told: BTreeMap<u64, Micros>,
-    forced: BTreeMap<u64, Micros>,
-    values: BTreeMap<u64, Overrides>,
-    /// By host: when a list that has it draining was first told, by process; and when one that has it ready was.
-    drained: HashMap<u32, BTreeMap<u64, Micros>>,
-    ready: HashMap<u32, BTreeMap<u64, Micros>>,
-    /// By router: when a grant reached it, and until when its lease then ran at most.
-    leases: HashMap<u32, Vec<(Micros, Micros)>>,
-    grants: usize,
-    leaders: usize,
+/// All that is known of a run.
+pub(super) struct Evidence<'a> {
+    pub(super) frames: &'a [Frame],
+    pub(super) recorded: &'a Recorded,
+    pub(super) log: &'a RunLog,
+    pub(super) lease: Micros,
+    /// What may pass between an act and its being recorded.
+    pub(super) slack: Micros,
 }
 
-pub fn check(
-    frames: &[Frame],
-    delivered: &[Delivered],
-    asked: &HashMap<u64, Asked>,
-    done: &Done,
-    lease: Micros,
-    Slack(slack): Slack,
-) -> Report {
-    let mut broken = done.unexpected.clone();
-    let seen = read(frames, done, lease, &mut broken);
-    let mut report = Report {
-        bound_us: lease,
-        lag_us: slack,
-        ..Report::default()
-    };
-    acts(&seen, delivered, lease, slack, &mut report, &mut broken);
-    commands(delivered, asked, done, slack, &mut report, &mut broken);
-    let mut waits: Vec<Micros> = seen
-        .forced
-        .iter()
-        .filter_map(|(n, at)| Some(at - seen.told.get(n)?))
-        .collect();
-    waits.sort_unstable();
-    report.in_force_p50_us = waits.get(waits.len() / 2).copied().unwrap_or(0);
-    report.in_force_p99_us = waits.get(waits.len() * 99 / 100).copied().unwrap_or(0);
-    report.in_force_max_us = waits.last().copied().unwrap_or(0);
-    let mut gaps: Vec<Micros> = done
-        .leaders_killed
-        .iter()
-        .filter_map(|at| Some(next_leader(frames, *at)? - at))
-        .collect();
-    gaps.sort_unstable();
-    report.leaderless_p50_us = gaps.get(gaps.len() / 2).copied().unwrap_or(0);
-    report.leaderless_max_us = gaps.last().copied().unwrap_or(0);
-    let routers: std::collections::HashSet<Node> = frames
-        .iter()
-        .flat_map(|f| [f.from, f.to])
-        .filter(|n| matches!(n, Node::Router(_)))
-        .collect();
-    let of_routers = frames
-        .iter()
-        .filter(|f| routers.contains(&f.from) || routers.contains(&f.to));
-    let bytes: usize = of_routers.map(|f| f.bytes).sum();
-    report.router_bytes_per_s =
-        bytes as f64 / routers.len().max(1) as f64 / (done.end.max(1) as f64 / 1e6);
-    (report.faults, report.frames) = (done.faults.len(), frames.len());
-    (report.revisions, report.grants, report.leaders) =
-        (seen.forced.len(), seen.grants, seen.leaders);
-    report.refused_disks = done.other_disk.len();
-    report.drains = seen.drained.values().map(BTreeMap::len).sum();
-    report.broken = broken;
-    report
-}
-
-/// When the first leader spoke whose term is later than any before `at`.
-fn next_leader(frames: &[Frame], at: Micros) -> Option<Micros> {
-    let term = |f: &Frame| match &f.what {
-        Crossed::Up(ToNode::Raft(
-            Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. },
-        )) => Some(term.0),
-        _ => None,
-    };
-    let before = frames
-        .iter()
-        .filter(|f| f.at <= at)
-        .filter_map(term)
-        .max()?;
-    frames
-        .iter()
-        .filter(|f| f.at > at && term(f).is_some_and(|t| t > before))
-        .map(|f| f.at)
-        .min()
-}
+impl Evidence<'_> {
+    /// Checks every rule and measures the bounded times.
+    pub(super) fn check(&self) -> Report {
+        let mut report = Report {
+            violations: self.log.failures.clone(),
+            bound_us: self.lease,
+            faults: self.log.faults.len(),
+            frames: self.frames.len(),
+            refused_disks: self.log.disk_swaps.len(),
+            ..Report::default()
+        };
+        let observed = Observations::read(
+            self.frames,
+            &self.log.disk_swaps,
+            self.lease,
+            &mut report.violations,
+        );
+        self.check_drained_hosts(&observed, &mut report);
+        self.check_canary(&observed, &mut report);
+        self.check_commands(&mut report);
+        self.measure_revisions(&observed, &mut report);
+        self.measure_leaders(&mut report);
+        report.router_bytes_per_s = self.router_bytes_per_s();
+        report.revisions = observed.in_force_at.len();
+        report.grants = observed.grants;
+        report.leaders = observed.leaders;
+        let draining = observed.draining_since.values();
+        report.drains = draining.map(|incarnations| incarnations.len()).sum();
+        report
+    }
 
-/// Revisions and leases, and whether reads, offers and promises were as they must be.
-fn read(frames: &[Frame], done: &Done, lease: Micros, broken: &mut Vec<String>) -> Seen {
-    let mut seen = Seen {
-        told: BTreeMap::new(),
-        forced: BTreeMap::new(),
-        values: BTreeMap::from([(0, Overrides::new())]),
-        drained: HashMap::new(),
-        ready: HashMap::new(),
-        leases: HashMap::new(),
-        grants: 0,
-        leaders: 0,
-    };
-    let mut begun: HashMap<u64, Micros> = HashMap::new();
-    let mut asks: HashMap<(u64, u64), (Micros, Node, &Request)> = HashMap::new();
-    let mut verdicts: HashMap<u64, ProposalOutcome> = HashMap::new();
-    let mut tokens: HashMap<u64, u64> = HashMap::new();
-    let mut leaders: BTreeMap<u64, u32> = BTreeMap::new();
-    // What had been told, and been in force, by each instant: a later reader must not see less.
-    let mut most: Vec<(Micros, u64, u64)> = vec![(0, 0, 0)];
-    let mut order: Vec<&Frame> = frames.iter().collect();
-    order.sort_by_key(|f| f.at);
-    for frame in order {
-        match &frame.what {
-            Crossed::Up(ToNode::Hello { .. }) => {
-                begun.insert(frame.conn, frame.at);
-            }
-            Crossed::Up(ToNode::Request {
-                number,
-                request: ask,
-            }) => {
-                asks.entry((frame.conn, *number))
-                    .or_insert((frame.at, frame.from, ask));
+    /// No router sends to a host for longer than a lease after another was told that it drains.
+    fn check_drained_hosts(&self, observed: &Observations, report: &mut Report) {
+        for delivery in &self.recorded.deliveries {
+            // Without a lease a router goes by the last list that it received: it cannot know of a later one. One that
+            // has just got a lease again may have sent this before.
+            if delivery.at > observed.lease_end(delivery.router, delivery.at - self.slack) {
+                continue;
             }
-            Crossed::Up(ToNode::Raft(message)) => {
-                let Node::Keeper(from) = frame.from else {
+            let draining = observed.draining_since.get(&delivery.host);
+            for (incarnation, since) in draining.into_iter().flatten() {
+                if *since > delivery.at || is_back(observed, delivery, *incarnation) {
                     continue;
-                };
-                if let Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. } =
-                    message
-                {
-                    let first = *leaders.entry(term.0).or_insert(from);
-                    if first != from {
-                        broken.push(format!(
-                            "keepers {first} and {from} both led in term {}",
-                            term.0
-                        ));
-                    }
                 }
-                let promises = match message {
-                    Message::VoteResponse {
-                        granted,
-                        pre_vote: sounded,
-                        ..
-                    } => *granted && !sounded,
-                    Message::AppendEntriesResponse { outcome, .. } => {
-                        matches!(outcome, AppendOutcome::Matched(_))
-                    }
-                    _ => false,
-                };
-                // By when its connection began: what an earlier process said may still be on its way.
-                let at = begun.get(&frame.conn).copied().unwrap_or(frame.at);
-                let other = |d: &&(u32, Micros, Micros)| d.0 == from && (d.1..d.2).contains(&at);
-                if promises && done.other_disk.iter().any(|d| other(&d)) {
-                    broken.push(format!(
-                        "keeper {from} promised on a disk that is not its own: {message:?} at {} ms",
-                        frame.at / 1000
+                let age = delivery.at - since;
+                report.longest_stale_list_us = report.longest_stale_list_us.max(age);
+                if age > self.lease + self.slack {
+                    report.violations.push(format!(
+                        "router {} sent to host {} at {} ms, {} ms after it was told to drain",
+                        delivery.router,
+                        delivery.host,
+                        delivery.at / 1000,
+                        age / 1000
                     ));
                 }
             }
-            Crossed::Down(FromNode::Response {
-                number,
-                response: answer,
-            }) => {
-                let Some((asked_at, from, ask)) = asks.get(&(frame.conn, *number)) else {
-                    continue;
-                };
-                let mut tell = |told: u64, forced: u64| {
-                    let before = most.partition_point(|m| m.0 < *asked_at);
-                    let (_, t, f) = most[before.max(1) - 1];
-                    if told < t || forced < f {
-                        broken.push(format!(
-                            "{from:?} asked at {} ms and was told {told}/{forced}, after {t}/{f} had been told",
-                            asked_at / 1000
-                        ));
-                    }
-                    let last = *most.last().unwrap_or(&(0, 0, 0));
-                    most.push((frame.at, told.max(last.1), forced.max(last.2)));
-                    for n in 1..=told {
-                        seen.told.entry(n).or_insert(frame.at);
-                    }
-                    for n in 1..=forced {
-                        seen.forced.entry(n).or_insert(frame.at);
-                    }
-                };
-                let mut revisions: Vec<&Revision> = Vec::new();
-                match answer {
-                    Response::Granted(grant) => {
-                        seen.grants += 1;
-                        tell(newest(grant), grant.in_force.number.0);
-                        let known = grant.pending.iter().chain([&grant.in_force]);
-                        revisions.extend(known.filter_map(|k| k.revision.as_ref()));
-                        for host in grant.list.iter().flat_map(|part| &part.hosts) {
-                            let of = match host.state {
-                                HostState::Ready => &mut seen.ready,
-                                _ => &mut seen.drained,
-                            };
-                            of.entry(host.host)
-                                .or_default()
-                                .entry(host.incarnation)
-                                .or_insert(frame.at);
-                        }
-                        if let (Node::Router(router), Some(on)) = (frame.to, frame.on) {
-                            seen.leases
-                                .entry(router)
-                                .or_default()
-                                .push((on, asked_at + lease));
-                        }
-                    }
-                    Response::Status(view) => {
-                        let newest = view.pending.as_ref().unwrap_or(&view.in_force).number.0;
-                        tell(newest, view.in_force.number.0);
-                        revisions.extend(view.pending.iter().chain([&view.in_force]));
-                        revisions.extend(view.history.iter().map(|h| &h.revision));
-                    }
-                    Response::Proposed(verdict) => {
-                        let Request::Propose(offer) = ask else {
-                            continue;
-                        };
-                        let before = *verdicts.entry(offer.token).or_insert(*verdict);
-                        if before != *verdict {
-                            broken.push(format!("one offer was told {before:?} and {verdict:?}"));
-                        }
-                        if let ProposalOutcome::Pending(n) = verdict {
-                            let token = *tokens.entry(n.0).or_insert(offer.token);
-                            if token != offer.token {
-                                broken.push(format!("revision {} was given to two offers", n.0));
-                            }
-                            let last = *most.last().unwrap_or(&(0, 0, 0));
-                            most.push((frame.at, n.0.max(last.1), last.2));
-                            seen.told.entry(n.0).or_insert(frame.at);
-                            seen.values
-                                .entry(n.0)
-                                .or_insert_with(|| offer.values.clone());
-                        }
-                    }
-                    _ => {}
-                }
-                for revision in revisions {
-                    let known = seen.values.entry(revision.number.0);
-                    if *known.or_insert_with(|| revision.values.clone()) != revision.values {
-                        broken.push(format!(
-                            "revision {} was told in two forms",
-                            revision.number.0
-                        ));
-                    }
-                }
-            }
-            _ => {}
         }
     }
-    seen.leaders = leaders.len();
-    seen.leases.values_mut().for_each(|l| l.sort_unstable());
-    seen
-}
 
-/// Deliveries to the build on trial, against leases and revisions.
-fn acts(
-    seen: &Seen,
-    delivered: &[Delivered],
-    lease: Micros,
-    slack: Micros,
-    report: &mut Report,
-    broken: &mut Vec<String>,
-) {
-    let held = |router: &u32, at: Micros| {
-        let leases = seen.leases.get(router).into_iter().flatten();
-        leases
-            .take_while(|l| l.0 <= at)
-            .map(|l| l.1)
-            .max()
-            .unwrap_or(0)
-    };
-    for d in delivered {
-        // Without a lease a router goes by the last list that it was told: it cannot know of a later one. One that has
-        // just got a lease again may have sent this before.
-        if d.at > held(&d.router, d.at - slack) {
-            continue;
-        }
-        // The process that drained, and the next one, are told apart by when each was first told of.
-        for (process, told) in seen
-            .drained
-            .get(&d.host)
-            .into_iter()
-            .flatten()
-            .filter(|t| *t.1 <= d.at)
-        {
-            let back = seen
-                .ready
-                .get(&d.host)
-                .is_some_and(|r| r.range(process + 1..).any(|n| *n.1 <= d.at));
-            if back {
-                continue;
-            }
-            let since = d.at - told;
-            report.longest_stale_list_us = report.longest_stale_list_us.max(since);
-            if since > lease + slack {
-                broken.push(format!(
-                    "router {} sent to host {} at {} ms, {} ms after it was told to drain",
-                    d.router,
-                    d.host,
-                    d.at / 1000,
-                    since / 1000
+    /// No router sends to the canary build without a lease, nor for longer than a lease against a revision.
+    fn check_canary(&self, observed: &Observations, report: &mut Report) {
+        let deliveries = self.recorded.deliveries.iter();
+        for delivery in deliveries.filter(|delivery| delivery.build == CANARY_BUILD) {
+            report.canary_deliveries += 1;
+            let lease_end = observed.lease_end(delivery.router, delivery.at);
+            if delivery.at > lease_end + self.slack {
+                report.violations.push(format!(
+                    "router {} sent to the canary build at {} ms, its lease was over at {} ms",
+                    delivery.router,
+                    delivery.at / 1000,
+                    lease_end / 1000
                 ));
             }
+            self.check_contradiction(observed, delivery, report);
         }
     }
-    for d in delivered.iter().filter(|d| d.build == NEW) {
-        report.trial_deliveries += 1;
-        let held = seen.leases.get(&d.router).map_or(0, |leases| {
-            leases
-                .iter()
-                .take_while(|l| l.0 <= d.at)
-                .map(|l| l.1)
-                .max()
-                .unwrap_or(0)
-        });
-        if d.at > held + slack {
-            broken.push(format!(
-                "router {} sent to the build on trial at {} ms, its lease was over at {} ms",
-                d.router,
-                d.at / 1000,
-                held / 1000
-            ));
-        }
-        // The newest revision that somebody may have acted on by then; a later one that opens is none before it is
-        // in force.
-        for (n, told) in seen
-            .told
-            .iter()
-            .filter(|t| *t.1 <= d.at && closes(&seen.values[t.0]))
-        {
-            let opened = seen.forced.iter().any(|(m, at)| m > n && *at <= d.at);
-            if opened {
+
+    /// Compares a delivery with every revision that somebody may have acted on by then; a later one that opens the
+    /// canary build counts only once it is in force.
+    fn check_contradiction(
+        &self,
+        observed: &Observations,
+        delivery: &DeliveryRecord,
+        report: &mut Report,
+    ) {
+        for (number, announced_at) in &observed.announced_at {
+            let announced = *announced_at <= delivery.at;
+            if !announced || !closes_canary(&observed.overrides[number]) {
+                continue;
+            }
+            let mut later = observed.in_force_at.range(number + 1..);
+            if later.any(|(_, in_force_at)| *in_force_at <= delivery.at) {
                 continue;
             }
-            let since = d.at - told;
-            report.longest_contradiction_us = report.longest_contradiction_us.max(since);
-            if since > lease + slack {
-                broken.push(format!(
-                    "router {} sent to the build on trial at {} ms, {} ms after revision {n} had closed it",
-                    d.router,
-                    d.at / 1000,
-                    since / 1000
+            let age = delivery.at - announced_at;
+            report.longest_contradiction_us = report.longest_contradiction_us.max(age);
+            if age > self.lease + self.slack {
+                report.violations.push(format!(
+                    "router {} sent to the canary build at {} ms, {} ms after revision {number} had closed it",
+                    delivery.router,
+                    delivery.at / 1000,
+                    age / 1000
                 ));
             }
         }
     }
-}
 
-/// One final answer for each command, in time; nothing twice that must not be.
-fn commands(
-    delivered: &[Delivered],
-    asked: &HashMap<u64, Asked>,
-    done: &Done,
-    slack: Micros,
-    report: &mut Report,
-    broken: &mut Vec<String>,
-) {
-    let mut runs: HashMap<u64, usize> = HashMap::new();
-    delivered
-        .iter()
-        .for_each(|d| *runs.entry(d.command).or_default() += 1);
-    for (id, a) in asked {
-        report.commands += 1;
-        let times = runs.get(id).copied().unwrap_or(0);
-        match a.answers.first().map(|x| x.1) {
-            Some(Ended::Acked) => report.acked += 1,
-            Some(Ended::Nacked) => report.nacked += 1,
-            Some(Ended::Failed) => report.failed += 1,
-            None => {}
+    fn check_commands(&self, report: &mut Report) {
+        let mut deliveries: HashMap<u64, usize> = HashMap::new();
+        for delivery in &self.recorded.deliveries {
+            *deliveries.entry(delivery.command).or_default() += 1;
         }
-        if a.answers.len() > 1 {
-            broken.push(format!(
-                "rule 1: command {id} had {} answers",
-                a.answers.len()
-            ));
+        for (id, command) in &self.recorded.commands {
+            report.commands += 1;
+            match command.first_outcome() {
+                Some(CommandOutcome::Acked) => report.acked += 1,
+                Some(CommandOutcome::Nacked) => report.nacked += 1,
+                Some(CommandOutcome::Failed) => report.failed += 1,
+                None => {}
+            }
+            self.check_answers(*id, command, report);
+            let delivered = deliveries.get(id).copied().unwrap_or(0);
+            check_deliveries(*id, command, delivered, report);
         }
-        let by = a.at + PATIENCE + slack;
-        let away = done
-            .away
-            .iter()
-            .any(|w| w.0 == a.router && w.1 <= by && w.2 >= a.at);
-        let over = by < done.end;
-        if !away && over && !a.broken && a.answers.first().is_none_or(|x| x.0 > by) {
-            broken.push(format!(
+    }
+
+    /// A command has one answer, in time.
+    fn check_answers(&self, id: u64, command: &CommandRecord, report: &mut Report) {
+        let answers = command.answers.len();
+        if answers > 1 {
+            report
+                .violations
+                .push(format!("rule 1: command {id} had {answers} answers"));
+        }
+        let due_at = command.sent_at + COMMAND_TIMEOUT + self.slack;
+        let excused = command.disconnected || self.router_was_absent(command, due_at);
+        let due = due_at < self.log.ended_at;
+        let first = command.answers.first();
+        if !excused && due && first.is_none_or(|answer| answer.at > due_at) {
+            report.violations.push(format!(
                 "rule 1: command {id} of router {} had no answer in time",
-                a.router
+                command.router
             ));
         }
-        if a.op == ONCE && times > 1 {
-            broken.push(format!("rule 2: command {id} was delivered {times} times"));
-        }
-        if a.op == ONCE && times > 0 && a.answers.first().is_some_and(|x| x.1 == Ended::Nacked) {
-            broken.push(format!("rule 2: command {id} was delivered and nacked"));
+    }
+
+    fn router_was_absent(&self, command: &CommandRecord, due_at: Micros) -> bool {
+        self.log.router_absences.iter().any(|absence| {
+            absence.router == command.router
+                && absence.from <= due_at
+                && absence.to >= command.sent_at
+        })
+    }
+
+    fn measure_revisions(&self, observed: &Observations, report: &mut Report) {
+        let in_force = observed.in_force_at.iter();
+        let waits = in_force
+            .filter_map(|(number, at)| Some(at - observed.announced_at.get(number)?))
+            .collect();
+        let waits = Sorted::new(waits);
+        report.in_force_p50_us = waits.percentile(50);
+        report.in_force_p99_us = waits.percentile(99);
+        report.in_force_max_us = waits.longest();
+    }
+
+    fn measure_leaders(&self, report: &mut Report) {
+        let killed = self.log.leaders_killed_at.iter();
+        let gaps = killed
+            .filter_map(|at| Some(self.next_leader(*at)? - at))
+            .collect();
+        let gaps = Sorted::new(gaps);
+        report.leaderless_p50_us = gaps.percentile(50);
+        report.leaderless_max_us = gaps.longest();
+    }
+
+    /// When the first leader sent whose term is later than any before an instant.
+    fn next_leader(&self, at: Micros) -> Option<Micros> {
+        let before = self.frames.iter().filter(|frame| frame.at <= at);
+        let last_term = before.filter_map(frame_leader_term).max()?;
+        self.frames
+            .iter()
+            .filter(|frame| frame.at > at)
+            .filter(|frame| frame_leader_term(frame).is_some_and(|term| term > last_term))
+            .map(|frame| frame.at)
+            .min()
+    }
+
+    fn router_bytes_per_s(&self) -> f64 {
+        let is_router = |process: &Participant| matches!(process, Participant::Router(_));
+        let routers: HashSet<Participant> = self
+            .frames
+            .iter()
+            .flat_map(|frame| [frame.link.from, frame.link.to])
+            .filter(is_router)
+            .collect();
+        let bytes: usize = self
+            .frames
+            .iter()
+            .filter(|frame| is_router(&frame.link.from) || is_router(&frame.link.to))
+            .map(|frame| frame.bytes)
+            .sum();
+        let seconds = self.log.ended_at.max(1) as f64 / SECOND as f64;
+        bytes as f64 / routers.len().max(1) as f64 / seconds
+    }
+}
+
+/// Durations in ascending order.
+struct Sorted(Vec<Micros>);
+
+impl Sorted {
+    fn new(mut durations: Vec<Micros>) -> Sorted {
+        durations.sort_unstable();
+        Sorted(durations)
+    }
+
+    /// 0 where there are none.
+    fn percentile(&self, percent: usize) -> Micros {
+        let index = self.0.len() * percent / 100;
+        self.0.get(index).copied().unwrap_or(0)
+    }
+
+    /// 0 where there are none.
+    fn longest(&self) -> Micros {
+        self.0.last().copied().unwrap_or(0)
+    }
+}
+
+fn frame_leader_term(frame: &Frame) -> Option<u64> {
+    match &frame.payload {
+        FramePayload::ToNode(spokeflow_coordination::wire::ToNode::Raft(message)) => {
+            leader_term(message)
         }
+        _ => None,
+    }
+}
+
+/// Whether a host was listed as ready again, in a later incarnation than one that drained, before a delivery.
+fn is_back(observed: &Observations, delivery: &DeliveryRecord, drained: u64) -> bool {
+    observed
+        .ready_since
+        .get(&delivery.host)
+        .is_some_and(|ready| {
+            ready
+                .range(drained + 1..)
+                .any(|(_, since)| *since <= delivery.at)
+        })
+}
+
+/// A command of an at-most-once operation is delivered no more than once, and not at all where it is nacked.
+fn check_deliveries(id: u64, command: &CommandRecord, delivered: usize, report: &mut Report) {
+    if command.operation != AT_MOST_ONCE_OPERATION {
+        return;
+    }
+    if delivered > 1 {
+        report.violations.push(format!(
+            "rule 2: command {id} was delivered {delivered} times"
+        ));
+    }
+    if delivered > 0 && command.first_outcome() == Some(CommandOutcome::Nacked) {
+        report
+            .violations
+            .push(format!("rule 2: command {id} was delivered and nacked"));
     }
 }
--- a/crates/spokeflow-testbed/src/fleet/mod.rs
+++ b/crates/spokeflow-testbed/src/fleet/mod.rs
@@ -1,13 +1,31 @@
-//! The fleet rig: real processes of keepers and routers, every link to a keeper through a switchboard, faults drawn
+//! The fleet rig: real control-plane nodes and routers, with every link to a node through a switchboard, faults drawn
 //! from a seed, and a checker that reads only what crossed the switchboard, the hosts and the clients.
 
 mod check;
+mod clients;
+mod error;
+mod faults;
+mod inject;
+mod observations;
 pub(crate) mod peers;
 mod plan;
-mod play;
+mod proposals;
+mod pump;
+mod report;
+mod rig;
+mod run;
 mod switchboard;
 
-pub use check::{Report, Slack};
-pub use plan::{Disk, Fault};
-pub use play::{play, FleetTerms};
-pub use switchboard::{Crossed, Frame, Node, Way};
+use std::sync::{Mutex, MutexGuard};
+
+pub use error::FleetError;
+pub use faults::{Disk, Fault, ScriptedFault};
+pub use report::Report;
+pub use rig::FleetConfig;
+pub use run::{run, FleetRun};
+pub use switchboard::{Frame, FramePayload, Link, LinkCondition, Participant};
+
+/// The guard of a mutex whose holders never panic.
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no holder panics")
+}
--- /dev/null
+++ b/crates/spokeflow-testbed/src/fleet/observations.rs
@@ -0,0 +1,354 @@
+//! Reads revisions and leases out of the frames of a run, and checks on the way that reads, proposals and promises of
+//! nodes were consistent.
+
+use std::collections::{BTreeMap, HashMap};
+
+use spokeflow_coordination::wire::{FromNode, Request, Response, ToNode};
+use spokeflow_coordination::{
+    HostState, LeaseGrant, Overrides, Proposal, ProposalOutcome, Revision,
+};
+use spokeflow_raft::{AppendOutcome, Message};
+
+use super::switchboard::{Frame, FramePayload, Participant};
+use crate::Micros;
+
+/// A node that ran on a disk other than its own.
+pub(super) struct DiskSwap {
+    pub(super) node: u32,
+    pub(super) from: Micros,
+    pub(super) to: Micros,
+}
+
+/// A lease as the switchboard saw it. Ordered by the time at which the grant reached its router.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ObservedLease {
+    pub(super) received_at: Micros,
+    /// Until when the lease runs at most.
+    pub(super) expires_at: Micros,
+}
+
+/// What the frames say of revisions, hosts and leases. Revisions are keyed by their numbers.
+#[derive(Default)]
+pub(super) struct Observations {
+    /// When a revision was first announced to anybody.
+    pub(super) announced_at: BTreeMap<u64, Micros>,
+    /// When a revision was first reported to be in force.
+    pub(super) in_force_at: BTreeMap<u64, Micros>,
+    pub(super) overrides: BTreeMap<u64, Overrides>,
+    /// By host: when it was first listed as not ready, by incarnation.
+    pub(super) draining_since: HashMap<u32, BTreeMap<u64, Micros>>,
+    /// By host: when it was first listed as ready, by incarnation.
+    pub(super) ready_since: HashMap<u32, BTreeMap<u64, Micros>>,
+    /// By router, in the order of their arrival.
+    pub(super) leases: HashMap<u32, Vec<ObservedLease>>,
+    pub(super) grants: usize,
+    pub(super) leaders: usize,
+}
+
+impl Observations {
+    /// Until when the leases run that a router had received by an instant; 0 where it had none.
+    pub(super) fn lease_end(&self, router: u32, at: Micros) -> Micros {
+        let leases = self.leases.get(&router).into_iter().flatten();
+        leases
+            .take_while(|lease| lease.received_at <= at)
+            .map(|lease| lease.expires_at)
+            .max()
+            .unwrap_or(0)
+    }
+
+    /// Reads the frames. Inconsistent answers and promises are added to `violations`.
+    pub(super) fn read(
+        frames: &[Frame],
+        disk_swaps: &[DiskSwap],
+        lease: Micros,
+        violations: &mut Vec<String>,
+    ) -> Observations {
+        let mut reader = FrameReader {
+            disk_swaps,
+            lease,
+            violations,
+            observed: Observations {
+                overrides: BTreeMap::from([(0, Overrides::new())]),
+                ..Observations::default()
+            },
+            connected_at: HashMap::new(),
+            requests: HashMap::new(),
+            outcomes: HashMap::new(),
+            tokens: HashMap::new(),
+            leaders: BTreeMap::new(),
+            progress: vec![RevisionProgress::default()],
+        };
+        let mut by_time: Vec<&Frame> = frames.iter().collect();
+        by_time.sort_by_key(|frame| frame.at);
+        for frame in by_time {
+            reader.read_frame(frame);
+        }
+        let mut observed = reader.observed;
+        observed.leaders = reader.leaders.len();
+        observed
+            .leases
+            .values_mut()
+            .for_each(|leases| leases.sort_unstable());
+        observed
+    }
+}
+
+/// A request as it left its sender.
+struct SentRequest<'a> {
+    at: Micros,
+    from: Participant,
+    request: &'a Request,
+}
+
+/// The newest revisions that anybody had been told of by an instant.
+#[derive(Clone, Copy, Default)]
+struct RevisionProgress {
+    at: Micros,
+    announced: u64,
+    in_force: u64,
+}
+
+struct FrameReader<'a> {
+    disk_swaps: &'a [DiskSwap],
+    lease: Micros,
+    violations: &'a mut Vec<String>,
+    observed: Observations,
+    /// By connection.
+    connected_at: HashMap<u64, Micros>,
+    /// By connection and number of the request.
+    requests: HashMap<(u64, u64), SentRequest<'a>>,
+    /// By token of the proposal.
+    outcomes: HashMap<u64, ProposalOutcome>,
+    /// Token of the proposal that became a revision, by its number.
+    tokens: HashMap<u64, u64>,
+    /// By term.
+    leaders: BTreeMap<u64, u32>,
+    /// Never empty, and never going back: a later reader must not be told less.
+    progress: Vec<RevisionProgress>,
+}
+
+impl<'a> FrameReader<'a> {
+    fn read_frame(&mut self, frame: &'a Frame) {
+        match &frame.payload {
+            FramePayload::ToNode(ToNode::Hello { .. }) => {
+                self.connected_at.insert(frame.connection, frame.at);
+            }
+            FramePayload::ToNode(ToNode::Request { number, request }) => {
+                let sent = SentRequest {
+                    at: frame.at,
+                    from: frame.link.from,
+                    request,
+                };
+                self.requests
+                    .entry((frame.connection, *number))
+                    .or_insert(sent);
+            }
+            FramePayload::ToNode(ToNode::Raft(message)) => {
+                if let Participant::Node(sender) = frame.link.from {
+                    self.read_leader(sender, message);
+                    self.check_promise(frame, sender, message);
+                }
+            }
+            FramePayload::FromNode(FromNode::Response { number, response }) => {
+                self.read_response(frame, *number, response);
+            }
+            _ => {}
+        }
+    }
+
+    /// Each term has one leader.
+    fn read_leader(&mut self, sender: u32, message: &Message) {
+        let Some(term) = leader_term(message) else {
+            return;
+        };
+        let first = *self.leaders.entry(term).or_insert(sender);
+        if first != sender {
+            self.violations.push(format!(
+                "nodes {first} and {sender} both led in term {term}"
+            ));
+        }
+    }
+
+    /// A node on another disk than its own promises nothing.
+    fn check_promise(&mut self, frame: &Frame, sender: u32, message: &Message) {
+        if !is_promise(message) {
+            return;
+        }
+        // By when its connection began: messages of an earlier process may still be on their way.
+        let connected_at = self.connected_at.get(&frame.connection);
+        let at = connected_at.copied().unwrap_or(frame.at);
+        let swapped = self
+            .disk_swaps
+            .iter()
+            .any(|swap| swap.node == sender && (swap.from..swap.to).contains(&at));
+        if swapped {
+            self.violations.push(format!(
+                "node {sender} promised on a disk that is not its own: {message:?} at {} ms",
+                frame.at / 1000
+            ));
+        }
+    }
+
+    fn read_response(&mut self, frame: &Frame, number: u64, response: &Response) {
+        let Some(sent) = self.requests.get(&(frame.connection, number)) else {
+            return;
+        };
+        let sent_at = sent.at;
+        let sender = sent.from;
+        let request = sent.request;
+        match response {
+            Response::Granted(grant) => {
+                self.observed.grants += 1;
+                let newest = newest_revision(grant);
+                let in_force = grant.in_force.number.0;
+                self.read_progress(frame.at, sent_at, sender, newest, in_force);
+                self.read_hosts(frame.at, grant);
+                self.read_lease(frame, sent_at);
+                let known = grant.pending.iter().chain([&grant.in_force]);
+                known
+                    .filter_map(|reference| reference.revision.as_ref())
+                    .for_each(|revision| self.read_revision(revision));
+            }
+            Response::Status(status) => {
+                let newest = status.pending.as_ref().unwrap_or(&status.in_force).number.0;
+                let in_force = status.in_force.number.0;
+                self.read_progress(frame.at, sent_at, sender, newest, in_force);
+                let past = status.history.iter().map(|entry| &entry.revision);
+                let known = status.pending.iter().chain([&status.in_force]).chain(past);
+                known.for_each(|revision| self.read_revision(revision));
+            }
+            Response::Proposed(outcome) => {
+                if let Request::Propose(proposal) = request {
+                    self.read_outcome(frame.at, proposal, *outcome);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Whoever asks after another was answered is told of no older revisions.
+    fn read_progress(
+        &mut self,
+        at: Micros,
+        sent_at: Micros,
+        sender: Participant,
+        announced: u64,
+        in_force: u64,
+    ) {
+        let before = self.progress.partition_point(|known| known.at < sent_at);
+        let known = self.progress[before.max(1) - 1];
+        if announced < known.announced || in_force < known.in_force {
+            self.violations.push(format!(
+                "{sender:?} sent a request at {} ms and was answered {announced}/{in_force}, after {}/{} had been answered",
+                sent_at / 1000,
+                known.announced,
+                known.in_force
+            ));
+        }
+        self.advance(at, announced, in_force);
+        for number in 1..=announced {
+            self.observed.announced_at.entry(number).or_insert(at);
+        }
+        for number in 1..=in_force {
+            self.observed.in_force_at.entry(number).or_insert(at);
+        }
+    }
+
+    fn advance(&mut self, at: Micros, announced: u64, in_force: u64) {
+        let last = self.progress.last().copied().unwrap_or_default();
+        self.progress.push(RevisionProgress {
+            at,
+            announced: announced.max(last.announced),
+            in_force: in_force.max(last.in_force),
+        });
+    }
+
+    fn read_hosts(&mut self, at: Micros, grant: &LeaseGrant) {
+        for host in grant.list.iter().flat_map(|update| &update.hosts) {
+            let since = match host.state {
+                HostState::Ready => &mut self.observed.ready_since,
+                _ => &mut self.observed.draining_since,
+            };
+            since
+                .entry(host.host)
+                .or_default()
+                .entry(host.incarnation)
+                .or_insert(at);
+        }
+    }
+
+    fn read_lease(&mut self, frame: &Frame, sent_at: Micros) {
+        let Participant::Router(router) = frame.link.to else {
+            return;
+        };
+        let Some(received_at) = frame.forwarded_at else {
+            return;
+        };
+        let lease = ObservedLease {
+            received_at,
+            expires_at: sent_at + self.lease,
+        };
+        self.observed.leases.entry(router).or_default().push(lease);
+    }
+
+    /// A proposal has one outcome however often it is sent, and a revision comes of one proposal.
+    fn read_outcome(&mut self, at: Micros, proposal: &Proposal, outcome: ProposalOutcome) {
+        let first = *self.outcomes.entry(proposal.token).or_insert(outcome);
+        if first != outcome {
+            self.violations.push(format!(
+                "one proposal was answered {first:?} and {outcome:?}"
+            ));
+        }
+        let ProposalOutcome::Pending(number) = outcome else {
+            return;
+        };
+        let number = number.0;
+        let token = *self.tokens.entry(number).or_insert(proposal.token);
+        if token != proposal.token {
+            self.violations
+                .push(format!("revision {number} was given to two proposals"));
+        }
+        self.advance(at, number, 0);
+        self.observed.announced_at.entry(number).or_insert(at);
+        self.observed
+            .overrides
+            .entry(number)
+            .or_insert_with(|| proposal.values.clone());
+    }
+
+    /// A revision has the same values for everybody.
+    fn read_revision(&mut self, revision: &Revision) {
+        let number = revision.number.0;
+        let known = self.observed.overrides.entry(number);
+        if *known.or_insert_with(|| revision.values.clone()) != revision.values {
+            self.violations
+                .push(format!("revision {number} was told in two forms"));
+        }
+    }
+}
+
+/// The term of a message that only a leader sends.
+pub(super) fn leader_term(message: &Message) -> Option<u64> {
+    match message {
+        Message::AppendEntries { term, .. } | Message::InstallSnapshot { term, .. } => Some(term.0),
+        _ => None,
+    }
+}
+
+/// Whether the sender must hold to a message after a restart: a vote, or entries taken.
+fn is_promise(message: &Message) -> bool {
+    match message {
+        Message::VoteResponse {
+            granted, pre_vote, ..
+        } => *granted && !pre_vote,
+        Message::AppendEntriesResponse { outcome, .. } => {
+            matches!(outcome, AppendOutcome::Matched(_))
+        }
+        _ => false,
+    }
+}
+
+fn newest_revision(grant: &LeaseGrant) -> u64 {
+    let newest = grant.pending.as_ref().unwrap_or(&grant.in_force);
+    newest.number.0
+}
--- a/crates/spokeflow-testbed/src/fleet/plan.rs
+++ b/crates/spokeflow-testbed/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Faults of one day, drawn from its seed.
+//! Draws faults from the seed of a run. The order of the draws is fixed: a seed names the same faults at every version.
 
 use std::time::Duration;
 
@@ -6,198 +6,136 @@
 use rand::RngExt;
 use spokeflow_control_plane::CRASH_POINTS;
 
-use super::switchboard::{Node, Way};
+use super::faults::{Disk, Fault};
+use super::switchboard::{Link, LinkCondition, Participant};
 
-#[derive(Clone, Debug, PartialEq)]
-pub enum Disk {
-    Own,
-    /// As it was when the keeper was last killed before.
-    Old,
-    /// Its last part is missing.
-    Torn,
-    Empty,
+/// Draws one fault after the other among the nodes and routers of the moment.
+pub(super) struct FaultPlan<'a> {
+    pub(super) rng: &'a mut StdRng,
+    /// Numbers of the nodes that are part of the fleet.
+    pub(super) nodes: &'a [u32],
+    /// Routers are numbered from 0.
+    pub(super) routers: u32,
+    /// How long a router's lease runs: faults last from much less to somewhat more.
+    pub(super) lease: Duration,
 }
 
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
-    KillKeeper {
-        keeper: u32,
-        down: Duration,
-        disk: Disk,
-    },
-    /// Whichever leads then.
-    KillLeader {
-        down: Duration,
-    },
-    /// Started so that it dies at a step of its own.
-    DieAt {
-        keeper: u32,
-        place: String,
-    },
-    /// Started on a disk that fails after some writes.
-    DiskFails {
-        keeper: u32,
-        after: u64,
-    },
-    StopKeeper {
-        keeper: u32,
-        lasts: Duration,
-    },
-    AllKeepersDown {
-        lasts: Duration,
-    },
-    /// Another takes its place, by a change of those who vote.
-    Replace {
-        keeper: u32,
-    },
-    KillRouter {
-        router: u32,
-        down: Duration,
-    },
-    StopRouter {
-        router: u32,
-        lasts: Duration,
-    },
-    /// Ways that pass nothing; with `reset` the connections over them end as well.
-    Cut {
-        ways: Vec<(Node, Node)>,
-        lasts: Duration,
-        reset: bool,
-    },
-    /// All ways between all processes.
-    Rough {
-        way: Way,
-        lasts: Duration,
-    },
-}
+impl FaultPlan<'_> {
+    pub(super) fn draw(&mut self) -> Fault {
+        let node = self.nodes[self.rng.random_range(0..self.nodes.len())];
+        let router = self.rng.random_range(0..self.routers);
+        let lease_ms = self.lease.as_millis() as u64;
+        match self.rng.random_range(0..100) {
+            0..14 => self.kill_node(node, 2500, Disk::Own),
+            14..19 => self.kill_node(node, 500, Disk::Stale),
+            19..22 => self.kill_node(node, 500, Disk::Truncated),
+            22..25 => self.kill_node(node, 500, Disk::Empty),
+            25..33 => self.crash_at(node),
+            33..36 => Fault::FailWrites {
+                node,
+                after: self.rng.random_range(1..8),
+            },
+            36..46 => Fault::PauseNode {
+                node,
+                lasts: self.span(200, 2 * lease_ms),
+            },
+            46..49 => Fault::KillAllNodes {
+                lasts: self.span(lease_ms / 2, 3 * lease_ms),
+            },
+            49..53 => Fault::ReplaceNode { node },
+            53..61 => Fault::KillRouter {
+                router,
+                down: self.span(50, 1500),
+            },
+            61..74 => Fault::PauseRouter {
+                router,
+                lasts: self.span(200, 2 * lease_ms),
+            },
+            74..90 => self.cut(node, router, lease_ms),
+            _ => self.degrade(lease_ms),
+        }
+    }
 
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            Fault::Cut { ways, lasts, reset } => {
-                let first = ways.first();
-                write!(
-                    f,
-                    "{} ways cut for {lasts:?}, reset {reset}, first {first:?}",
-                    ways.len()
-                )
-            }
-            other => write!(f, "{other:?}"),
+    fn span(&mut self, from_ms: u64, to_ms: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(from_ms..to_ms))
+    }
+
+    fn kill_node(&mut self, node: u32, longest_ms: u64, disk: Disk) -> Fault {
+        let down = self.span(50, longest_ms);
+        Fault::KillNode { node, down, disk }
+    }
+
+    fn crash_at(&mut self, node: u32) -> Fault {
+        let point = CRASH_POINTS[self.rng.random_range(0..CRASH_POINTS.len())].name();
+        let count = self.rng.random_range(1..12);
+        Fault::CrashAt {
+            node,
+            point: format!("{point}:{count}"),
         }
     }
-}
 
-fn span(rng: &mut StdRng, from_ms: u64, to_ms: u64) -> Duration {
-    Duration::from_millis(rng.random_range(from_ms..to_ms))
-}
+    fn cut(&mut self, node: u32, router: u32, lease_ms: u64) -> Fault {
+        let kind = self.rng.random_range(0..6);
+        let lasts = self.span(300, 2 * lease_ms);
+        let links = self.cut_links(kind, node, router);
+        let reset = self.rng.random_bool(0.5);
+        Fault::Cut {
+            links,
+            lasts,
+            reset,
+        }
+    }
 
-/// One fault among so many keepers, numbered `keepers`, and routers.
-pub fn draw(rng: &mut StdRng, keepers: &[u32], routers: u32, lease: Duration) -> Fault {
-    let keeper = keepers[rng.random_range(0..keepers.len())];
-    let router = rng.random_range(0..routers);
-    let lease = lease.as_millis() as u64;
-    match rng.random_range(0..100) {
-        0..14 => Fault::KillKeeper {
-            keeper,
-            down: span(rng, 50, 2500),
-            disk: Disk::Own,
-        },
-        14..19 => Fault::KillKeeper {
-            keeper,
-            down: span(rng, 50, 500),
-            disk: Disk::Old,
-        },
-        19..22 => Fault::KillKeeper {
-            keeper,
-            down: span(rng, 50, 500),
-            disk: Disk::Torn,
-        },
-        22..25 => Fault::KillKeeper {
-            keeper,
-            down: span(rng, 50, 500),
-            disk: Disk::Empty,
-        },
-        25..33 => {
-            let place = CRASH_POINTS[rng.random_range(0..CRASH_POINTS.len())].name();
-            Fault::DieAt {
-                keeper,
-                place: format!("{place}:{}", rng.random_range(1..12)),
-            }
+    /// The links of one of six kinds of cut: three around a node, three around routers.
+    fn cut_links(&mut self, kind: i32, node: u32, router: u32) -> Vec<Link> {
+        let node = Participant::Node(node);
+        let router = Participant::Router(router);
+        let all: Vec<Participant> = self.nodes.iter().copied().map(Participant::Node).collect();
+        let others = all.iter().copied().filter(|other| *other != node);
+        match kind {
+            // The node alone.
+            0 => others.flat_map(|other| Link::both(node, other)).collect(),
+            // The node sends and nobody receives it.
+            1 => others.map(|other| Link::new(node, other)).collect(),
+            // The node reaches some only.
+            2 => others
+                .filter(|_| self.rng.random_bool(0.5))
+                .flat_map(|other| Link::both(node, other))
+                .collect(),
+            // The router alone.
+            3 => all
+                .into_iter()
+                .flat_map(|other| Link::both(router, other))
+                .collect(),
+            // The router sends and no node receives it.
+            4 => all
+                .into_iter()
+                .map(|other| Link::new(router, other))
+                .collect(),
+            // Each router from some nodes.
+            _ => (0..self.routers)
+                .flat_map(|router| all.iter().map(move |other| (router, *other)))
+                .filter(|_| self.rng.random_bool(0.5))
+                .flat_map(|(router, other)| Link::both(Participant::Router(router), other))
+                .collect(),
         }
-        33..36 => Fault::DiskFails {
-            keeper,
-            after: rng.random_range(1..8),
-        },
-        36..46 => Fault::StopKeeper {
-            keeper,
-            lasts: span(rng, 200, 2 * lease),
-        },
-        46..49 => Fault::AllKeepersDown {
-            lasts: span(rng, lease / 2, 3 * lease),
-        },
-        49..53 => Fault::Replace { keeper },
-        53..61 => Fault::KillRouter {
-            router,
-            down: span(rng, 50, 1500),
-        },
-        61..74 => Fault::StopRouter {
-            router,
-            lasts: span(rng, 200, 2 * lease),
-        },
-        74..90 => {
-            let (kind, lasts) = (rng.random_range(0..6), span(rng, 300, 2 * lease));
-            let mut ways = Vec::new();
-            let one = Node::Keeper(keeper);
-            let others = || {
-                keepers
-                    .iter()
-                    .map(|k| Node::Keeper(*k))
-                    .filter(|k| *k != one)
-            };
-            match kind {
-                // One keeper: alone; not heard; heard by some only.
-                0 => others().for_each(|o| ways.extend([(one, o), (o, one)])),
-                1 => others().for_each(|o| ways.push((one, o))),
-                2 => others()
-                    .filter(|_| rng.random_bool(0.5))
-                    .for_each(|o| ways.extend([(one, o), (o, one)])),
-                // One router: from all; hears and is not heard; some routers from some keepers.
-                3 => keepers.iter().for_each(|k| {
-                    ways.extend([
-                        (Node::Router(router), Node::Keeper(*k)),
-                        (Node::Keeper(*k), Node::Router(router)),
-                    ]);
-                }),
-                4 => keepers
-                    .iter()
-                    .for_each(|k| ways.push((Node::Router(router), Node::Keeper(*k)))),
-                _ => (0..routers).for_each(|r| {
-                    for k in keepers.iter().filter(|_| rng.random_bool(0.5)) {
-                        ways.extend([
-                            (Node::Router(r), Node::Keeper(*k)),
-                            (Node::Keeper(*k), Node::Router(r)),
-                        ]);
-                    }
-                }),
-            }
-            Fault::Cut {
-                ways,
-                lasts,
-                reset: rng.random_bool(0.5),
+    }
+
+    fn degrade(&mut self, lease_ms: u64) -> Fault {
+        let mut condition = LinkCondition::HEALTHY;
+        match self.rng.random_range(0..4) {
+            0 => condition.delay = self.span(20, 300),
+            1 => {
+                condition.loss = 0.1;
+                condition.duplication = 0.1;
+                condition.reordering = 0.1;
             }
+            2 => condition.trickle = true,
+            _ => condition.truncation = 0.05,
         }
-        _ => {
-            let mut way = Way::SOUND;
-            match rng.random_range(0..4) {
-                0 => way.delay = span(rng, 20, 300),
-                1 => (way.lost, way.twice, way.late) = (0.1, 0.1, 0.1),
-                2 => way.trickles = true,
-                _ => way.torn = 0.05,
-            }
-            Fault::Rough {
-                way,
-                lasts: span(rng, 500, 2 * lease),
-            }
+        Fault::Degrade {
+            condition,
+            lasts: self.span(500, 2 * lease_ms),
         }
     }
 }
--- a/crates/spokeflow-testbed/src/fleet/switchboard.rs
+++ b/crates/spokeflow-testbed/src/fleet/switchboard.rs
@@ -1,315 +1,336 @@
-//! Every connection to a keeper passes here, frame by frame. Who calls is read from the opening message; what each way
-//! between two processes does to a frame is set by the plan of the day.
+//! Every connection to a node passes through the switchboard, frame by frame. The caller is read from the opening
+//! message; what a link between two processes does to a frame is set by the faults of the run.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use rand::RngExt;
 use spokeflow_coordination::wire::{Caller, FromNode, ToNode};
 use spokeflow_raft::NodeId;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
+use super::locked;
+use super::pump::{read_frame, write_frame, Pump};
 use crate::Micros;
 
+/// How often a blocked link is looked at again.
+const BLOCKED_POLL: Duration = Duration::from_millis(5);
+
+/// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Node {
-    Keeper(u32),
+pub enum Participant {
+    /// A control-plane node, by its number.
+    Node(u32),
+    /// A router, by its number.
     Router(u32),
-    Person,
+    /// An operator, or the rig in its place.
+    Operator,
+}
+
+/// One direction between two processes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Link {
+    /// Who sends.
+    pub from: Participant,
+    /// Who receives.
+    pub to: Participant,
+}
+
+impl Link {
+    /// The direction from one process to another.
+    pub fn new(from: Participant, to: Participant) -> Link {
+        Link { from, to }
+    }
+
+    /// Both directions between two processes.
+    pub fn both(one: Participant, other: Participant) -> [Link; 2] {
+        [Link::new(one, other), Link::new(other, one)]
+    }
+
+    fn reversed(self) -> Link {
+        Link::new(self.to, self.from)
+    }
 }
 
-/// What happens to frames from one process to another.
+/// What happens to the frames of a link. Shares are of the frames after the opening ones, in 0..=1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
-    /// Nothing passes; it waits, and passes when the way is mended.
-    pub held: bool,
-    /// Shares of the frames after the opening ones.
-    pub lost: f64,
-    pub twice: f64,
-    /// Put behind the next one.
-    pub late: f64,
+pub struct LinkCondition {
+    /// Nothing passes: frames wait until the link is restored.
+    pub blocked: bool,
+    /// Share of frames that are lost.
+    pub loss: f64,
+    /// Share of frames that arrive twice.
+    pub duplication: f64,
+    /// Share of frames that arrive behind the next one.
+    pub reordering: f64,
+    /// Longest delay of a frame.
     pub delay: Duration,
-    /// A few bytes at a time.
-    pub trickles: bool,
-    /// The connection ends within a frame, by this chance for each.
-    pub torn: f64,
+    /// Frames arrive a few bytes at a time.
+    pub trickle: bool,
+    /// Share of frames within which the connection ends.
+    pub truncation: f64,
 }
 
-impl Way {
-    pub const SOUND: Way = Way {
-        held: false,
-        lost: 0.0,
-        twice: 0.0,
-        late: 0.0,
+impl LinkCondition {
+    /// Frames pass at once and unchanged.
+    pub const HEALTHY: LinkCondition = LinkCondition {
+        blocked: false,
+        loss: 0.0,
+        duplication: 0.0,
+        reordering: 0.0,
         delay: Duration::ZERO,
-        trickles: false,
-        torn: 0.0,
+        trickle: false,
+        truncation: 0.0,
+    };
+
+    /// Nothing passes.
+    pub const BLOCKED: LinkCondition = LinkCondition {
+        blocked: true,
+        ..LinkCondition::HEALTHY
     };
 }
 
-/// A frame, as it left its sender.
+/// The message in a frame, by its direction.
 #[derive(Clone, Debug)]
-pub enum Crossed {
-    Up(ToNode),
-    Down(FromNode),
+pub enum FramePayload {
+    /// From the caller to the node.
+    ToNode(ToNode),
+    /// From the node to its caller.
+    FromNode(FromNode),
 }
 
+/// A frame, as it left its sender.
 #[derive(Clone, Debug)]
 pub struct Frame {
+    /// When the switchboard received it.
     pub at: Micros,
-    /// When it was handed on; `None` where it never was.
-    pub on: Option<Micros>,
-    pub from: Node,
-    pub to: Node,
+    /// When it was forwarded; `None` where it never was.
+    pub forwarded_at: Option<Micros>,
+    /// Between which processes.
+    pub link: Link,
     /// Number of the connection.
-    pub conn: u64,
+    pub connection: u64,
+    /// Length with its prefix.
     pub bytes: usize,
-    pub what: Crossed,
+    /// The decoded message.
+    pub payload: FramePayload,
+}
+
+/// The two ends of a connection that is to be reset, and a count that grows with each order.
+struct ResetOrder {
+    number: u64,
+    link: Link,
+}
+
+/// Which way frames run over a connection.
+#[derive(Clone, Copy)]
+pub(super) enum Direction {
+    ToNode,
+    FromNode,
 }
 
-pub struct Switchboard {
+/// Position of a frame in the record.
+#[derive(Clone, Copy)]
+pub(super) struct FrameIndex(usize);
+
+/// Forwards and records all frames between nodes and their callers.
+pub(super) struct Switchboard {
     start: Instant,
-    ways: Mutex<HashMap<(Node, Node), Way>>,
-    targets: Mutex<HashMap<u32, SocketAddr>>,
+    conditions: Mutex<HashMap<Link, LinkCondition>>,
+    node_addresses: Mutex<HashMap<u32, SocketAddr>>,
     frames: Mutex<Vec<Frame>>,
-    conns: Mutex<u64>,
-    /// Ends all connections of a pair of processes: the pair, and a count that grows.
-    resets: watch::Sender<(u64, Node, Node)>,
+    connections: Mutex<u64>,
+    resets: watch::Sender<ResetOrder>,
 }
 
 impl Switchboard {
-    pub fn new(start: Instant) -> Arc<Self> {
-        let resets = watch::Sender::new((0, Node::Person, Node::Person));
-        let (ways, targets, frames, conns) = Default::default();
+    pub(super) fn new(start: Instant) -> Arc<Self> {
+        let none = ResetOrder {
+            number: 0,
+            link: Link::new(Participant::Operator, Participant::Operator),
+        };
         Arc::new(Switchboard {
             start,
-            ways,
-            targets,
-            frames,
-            conns,
-            resets,
+            conditions: Mutex::default(),
+            node_addresses: Mutex::default(),
+            frames: Mutex::default(),
+            connections: Mutex::default(),
+            resets: watch::Sender::new(none),
         })
     }
 
-    pub fn now(&self) -> Micros {
+    pub(super) fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    pub fn way(&self, from: Node, to: Node) -> Way {
-        self.ways
-            .lock()
-            .expect("no holder panics")
-            .get(&(from, to))
+    pub(super) fn condition(&self, link: Link) -> LinkCondition {
+        locked(&self.conditions)
+            .get(&link)
             .copied()
-            .unwrap_or(Way::SOUND)
+            .unwrap_or(LinkCondition::HEALTHY)
     }
 
-    pub fn set(&self, from: Node, to: Node, way: Way) {
-        self.ways
-            .lock()
-            .expect("no holder panics")
-            .insert((from, to), way);
+    pub(super) fn set_condition(&self, link: Link, condition: LinkCondition) {
+        locked(&self.conditions).insert(link, condition);
     }
 
-    pub fn mend(&self) {
-        self.ways.lock().expect("no holder panics").clear();
+    /// Makes all links healthy.
+    pub(super) fn restore(&self) {
+        locked(&self.conditions).clear();
     }
 
     /// Ends the connections between two processes now.
-    pub fn reset(&self, a: Node, b: Node) {
-        self.resets.send_modify(|r| *r = (r.0 + 1, a, b));
+    pub(super) fn reset(&self, link: Link) {
+        self.resets.send_modify(|order| {
+            order.number += 1;
+            order.link = link;
+        });
     }
 
-    /// Where a keeper now listens, behind the address that everybody knows.
-    pub fn target(&self, keeper: u32, address: Option<SocketAddr>) {
-        let mut targets = self.targets.lock().expect("no holder panics");
+    /// Sets where a node listens now, behind the address that its callers use; `None` while it does not run.
+    pub(super) fn set_node_address(&self, node: u32, address: Option<SocketAddr>) {
+        let mut addresses = locked(&self.node_addresses);
         match address {
-            Some(address) => drop(targets.insert(keeper, address)),
-            None => drop(targets.remove(&keeper)),
+            Some(address) => {
+                addresses.insert(node, address);
+            }
+            None => {
+                addresses.remove(&node);
+            }
         }
     }
 
-    /// All frames so far, in the order of their numbers.
-    pub fn take(&self) -> Vec<Frame> {
-        std::mem::take(&mut *self.frames.lock().expect("no holder panics"))
+    /// Takes all frames so far, in the order of their arrival.
+    pub(super) fn take_frames(&self) -> Vec<Frame> {
+        std::mem::take(&mut *locked(&self.frames))
     }
 
-    /// Opens the address of one keeper. Errors: no port can be had.
-    pub async fn open(self: &Arc<Self>, keeper: u32) -> std::io::Result<SocketAddr> {
+    /// Opens the address at which callers reach a node.
+    ///
+    /// # Errors
+    ///
+    /// No port can be had.
+    pub(super) async fn open(self: &Arc<Self>, node: u32) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let board = self.clone();
+        let switchboard = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(board.clone().carry(keeper, stream));
+                tokio::spawn(switchboard.clone().forward_connection(node, stream));
             }
         });
         Ok(address)
     }
 
-    async fn carry(self: Arc<Self>, keeper: u32, mut caller: TcpStream) {
-        let Some(first) = read_frame(&mut caller).await else {
+    async fn forward_connection(self: Arc<Self>, node: u32, mut caller: TcpStream) {
+        let Some(hello) = read_frame(&mut caller).await else {
             return;
         };
-        let Ok(ToNode::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+        let Some(process) = caller_of(&hello) else {
             return;
         };
-        let from = match who {
-            Caller::Node { id: NodeId(id), .. } => Node::Keeper(id),
-            Caller::Router { index } => Node::Router(index),
-            Caller::Operator => Node::Person,
-        };
-        let to = Node::Keeper(keeper);
-        let target = self
-            .targets
-            .lock()
-            .expect("no holder panics")
-            .get(&keeper)
-            .copied();
-        let Some(target) = target else { return };
-        while self.way(from, to).held {
-            sleep(Duration::from_millis(5)).await;
-        }
-        let Ok(mut called) = TcpStream::connect(target).await else {
+        let link = Link::new(process, Participant::Node(node));
+        let address = locked(&self.node_addresses).get(&node).copied();
+        let Some(address) = address else { return };
+        self.wait_until_unblocked(link).await;
+        let Ok(mut called) = TcpStream::connect(address).await else {
             return;
         };
-        let conn = {
-            let mut conns = self.conns.lock().expect("no holder panics");
-            *conns += 1;
-            *conns
-        };
-        let _ = (caller.set_nodelay(true), called.set_nodelay(true));
-        let mut resets = self.resets.subscribe();
-        self.note(from, to, conn, true, &first);
-        if write_frame(&mut called, &first).await.is_err() {
+        let connection = self.next_connection();
+        // Without effect on what is checked: only the timing of small frames gets worse.
+        let _ = caller.set_nodelay(true);
+        let _ = called.set_nodelay(true);
+        let resets = self.resets.subscribe();
+        self.record(link, connection, Direction::ToNode, &hello);
+        if write_frame(&mut called, &hello).await.is_err() {
             return;
         }
-        let (up_in, up_out) = caller.split();
-        let (down_in, down_out) = called.split();
+        let (caller_input, caller_output) = caller.split();
+        let (called_input, called_output) = called.split();
+        let to_node = Pump {
+            switchboard: &self,
+            link,
+            connection,
+            direction: Direction::ToNode,
+        };
+        let from_node = Pump {
+            link: link.reversed(),
+            direction: Direction::FromNode,
+            ..to_node
+        };
         tokio::select! {
-            _ = self.pump((from, to), conn, true, up_in, down_out) => {}
-            _ = self.pump((to, from), conn, false, down_in, up_out) => {}
-            _ = async {
-                loop {
-                    if resets.changed().await.is_err() {
-                        return;
-                    }
-                    let (_, a, b) = *resets.borrow_and_update();
-                    if (a, b) == (from, to) || (b, a) == (from, to) {
-                        return;
-                    }
-                }
-            } => {}
+            () = to_node.run(caller_input, called_output) => {}
+            () = from_node.run(called_input, caller_output) => {}
+            () = reset_ordered(resets, link) => {}
+        }
+    }
+
+    pub(super) async fn wait_until_unblocked(&self, link: Link) {
+        while self.condition(link).blocked {
+            sleep(BLOCKED_POLL).await;
         }
     }
 
-    /// Notes a frame, which runs up from the caller or down to it; answers its number.
-    fn note(&self, from: Node, to: Node, conn: u64, up: bool, body: &[u8]) -> Option<usize> {
-        let what = match up {
-            true => Crossed::Up(postcard::from_bytes(body).ok()?),
-            false => Crossed::Down(postcard::from_bytes(body).ok()?),
+    fn next_connection(&self) -> u64 {
+        let mut connections = locked(&self.connections);
+        *connections += 1;
+        *connections
+    }
+
+    /// Records a frame; `None` where its message cannot be decoded.
+    pub(super) fn record(
+        &self,
+        link: Link,
+        connection: u64,
+        direction: Direction,
+        body: &[u8],
+    ) -> Option<FrameIndex> {
+        let payload = match direction {
+            Direction::ToNode => FramePayload::ToNode(postcard::from_bytes(body).ok()?),
+            Direction::FromNode => FramePayload::FromNode(postcard::from_bytes(body).ok()?),
         };
-        let mut frames = self.frames.lock().expect("no holder panics");
-        let bytes = body.len() + 4;
+        let mut frames = locked(&self.frames);
         frames.push(Frame {
             at: self.now(),
-            on: None,
-            from,
-            to,
-            conn,
-            bytes,
-            what,
+            forwarded_at: None,
+            link,
+            connection,
+            bytes: body.len() + size_of::<u32>(),
+            payload,
         });
-        Some(frames.len() - 1)
+        Some(FrameIndex(frames.len() - 1))
     }
 
-    fn handed_on(&self, number: Option<usize>) {
-        let (now, mut frames) = (self.now(), self.frames.lock().expect("no holder panics"));
-        if let Some(frame) = number.and_then(|n| frames.get_mut(n)) {
-            frame.on = Some(now);
-        }
-    }
-
-    async fn pump(
-        &self,
-        (from, to): (Node, Node),
-        conn: u64,
-        up: bool,
-        mut input: impl AsyncReadExt + Unpin,
-        mut output: impl AsyncWriteExt + Unpin,
-    ) {
-        let mut behind: Option<(Option<usize>, Vec<u8>)> = None;
-        let mut first = true;
-        while let Some(frame) = read_frame(&mut input).await {
-            let number = self.note(from, to, conn, up, &frame);
-            let way = self.way(from, to);
-            let drawn = |p: f64| p > 0.0 && rand::rng().random_bool(p);
-            if !way.delay.is_zero() {
-                let part = rand::rng().random_range(0.2..1.0);
-                sleep(way.delay.mul_f64(part)).await;
-            }
-            while self.way(from, to).held {
-                sleep(Duration::from_millis(5)).await;
-            }
-            // Opening messages pass: without them nothing would be tried at all.
-            if !std::mem::take(&mut first) {
-                if drawn(way.lost) {
-                    continue;
-                }
-                if drawn(way.torn) {
-                    let half = frame.len() as u32;
-                    let _ = output.write_all(&half.to_be_bytes()).await;
-                    let _ = output.write_all(&frame[..frame.len() / 2]).await;
-                    return;
-                }
-                if behind.is_none() && drawn(way.late) {
-                    behind = Some((number, frame));
-                    continue;
-                }
-            }
-            let copies = 1 + usize::from(drawn(way.twice));
-            let now: Vec<_> = std::iter::repeat_n((number, frame), copies)
-                .chain(behind.take())
-                .collect();
-            for (number, frame) in now {
-                let sent = match way.trickles {
-                    true => trickle(&mut output, &frame).await,
-                    false => write_frame(&mut output, &frame).await,
-                };
-                if sent.is_err() {
-                    return;
-                }
-                self.handed_on(number);
-            }
+    pub(super) fn record_forwarded(&self, index: Option<FrameIndex>) {
+        let now = self.now();
+        let mut frames = locked(&self.frames);
+        if let Some(frame) = index.and_then(|index| frames.get_mut(index.0)) {
+            frame.forwarded_at = Some(now);
         }
     }
 }
 
-async fn read_frame(from: &mut (impl AsyncReadExt + Unpin)) -> Option<Vec<u8>> {
-    let length = from.read_u32().await.ok()?;
-    let mut body = vec![0; (length as usize).min(spokeflow_coordination::wire::LIMIT)];
-    from.read_exact(&mut body).await.ok()?;
-    Some(body)
-}
-
-async fn write_frame(to: &mut (impl AsyncWriteExt + Unpin), body: &[u8]) -> std::io::Result<()> {
-    let mut frame = (body.len() as u32).to_be_bytes().to_vec();
-    frame.extend(body);
-    to.write_all(&frame).await
+/// Who calls, by the opening message of a connection.
+fn caller_of(hello: &[u8]) -> Option<Participant> {
+    let Ok(ToNode::Hello { caller, .. }) = postcard::from_bytes(hello) else {
+        return None;
+    };
+    Some(match caller {
+        Caller::Node { id: NodeId(id), .. } => Participant::Node(id),
+        Caller::Router { index } => Participant::Router(index),
+        Caller::Operator => Participant::Operator,
+    })
 }
 
-async fn trickle(to: &mut (impl AsyncWriteExt + Unpin), body: &[u8]) -> std::io::Result<()> {
-    let mut frame = (body.len() as u32).to_be_bytes().to_vec();
-    frame.extend(body);
-    for part in frame.chunks(16) {
-        to.write_all(part).await?;
-        to.flush().await?;
-        sleep(Duration::from_millis(1)).await;
+/// Waits until the connections between the two processes of a link are to end.
+async fn reset_ordered(mut resets: watch::Receiver<ResetOrder>, link: Link) {
+    while resets.changed().await.is_ok() {
+        let ordered = resets.borrow_and_update().link;
+        if ordered == link || ordered.reversed() == link {
+            return;
+        }
     }
-    Ok(())
 }
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -9,7 +9,7 @@
 use spokeflow_scenario::scenario::FaultKind;
 use spokeflow_testbed::commits::{commits, CommitFlags};
 use spokeflow_testbed::day::play;
-use spokeflow_testbed::fleet::{self, FleetTerms};
+use spokeflow_testbed::fleet::{self, FleetConfig, FleetRun, ScriptedFault};
 use spokeflow_testbed::load::{load, pass_through, LoadFlags};
 use spokeflow_testbed::routers::Starting;
 use spokeflow_testbed::scale::{self, HollowFlags, Outcome, ScaleFlags};
@@ -280,19 +280,23 @@
     let kill = fleet::Fault::KillLeader {
         down: std::time::Duration::from_millis(1500),
     };
-    let terms = FleetTerms {
+    let kill = ScriptedFault {
+        fault: kill,
+        pause: std::time::Duration::from_secs(3),
+    };
+    let config = FleetConfig {
         routers: flags.routers,
-        keepers: flags.keepers,
+        nodes: flags.keepers,
         seed: flags.seed,
-        lasts: flags.lasts,
-        script: vec![(kill, std::time::Duration::from_secs(3)); flags.kill_leaders as usize],
+        duration: flags.lasts,
+        script: vec![kill; flags.kill_leaders as usize],
         lease: flags.lease,
-        silence: flags.lease / 5,
-        folder: flags.stores.clone().unwrap_or_else(own),
-        keep: flags.stores.is_some(),
-        agreed_list: !flags.own_list,
-        peace: flags.peace,
-        pace: flags.pace,
+        election_timeout: flags.lease / 5,
+        store_directory: flags.stores.clone().unwrap_or_else(own),
+        keep_stores: flags.stores.is_some(),
+        replicated_list: !flags.own_list,
+        fault_free: flags.peace,
+        command_interval: flags.pace,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
@@ -300,7 +304,8 @@
         .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let progress = |at: Micros, what: &str| eprintln!("{:>7} ms  {what}", at / 1000);
-    let (report, frames, _) = runtime.block_on(fleet::play(terms, starting, progress))?;
+    let run = fleet::run(config, starting, progress);
+    let FleetRun { report, frames, .. } = runtime.block_on(run).map_err(|e| e.to_string())?;
     if let Some(file) = &flags.trace {
         let fault = |e: std::io::Error| format!("--trace {}: {e}", file.display());
         let mut out = std::io::BufWriter::new(std::fs::File::create(file).map_err(fault)?);
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -21,7 +21,7 @@
 use super::roster::{Kind, Roster};
 use super::settings::{RouterSettings, Surroundings};
 use super::tap::Tap;
-use crate::fleet::peers::{Noted, Peers};
+use crate::fleet::peers::Peers;
 use crate::routers::{RouterProcess, Starting};
 
 /// A process of hollow routers says that they start within this time.
@@ -88,22 +88,19 @@
         let zones = flags.clone();
         let list = ListSource::new(flags.hosts, |host| zones.zone(host));
         let list_at = list.open().await.map_err(port)?;
-        let peers = Arc::new(Peers {
-            start: Instant::now(),
-            list: tokio::sync::watch::Sender::new((0, Vec::new())),
-            noted: std::sync::Mutex::new(Noted::default()),
-            doors: std::sync::Mutex::default(),
-            lag: std::sync::Mutex::default(),
-        });
+        let peers = Peers::new(Instant::now(), 0);
         // Own lists of real routers say nothing: hosts come from the voters.
-        let [_, desk, silent] = peers.open(0).await.map_err(port)?;
+        let peer_addresses = peers.open(0).await.map_err(port)?;
         let mut voters_at = Vec::new();
         for id in 1..=flags.voters {
             voters_at.push(tap.open(id).await.map_err(port)?);
         }
         let roster = Roster::default();
         roster.add("harness", Some(std::process::id()), Kind::Harness);
-        let around = Surroundings { list: silent, desk };
+        let around = Surroundings {
+            list: peer_addresses.silent_list,
+            desk: peer_addresses.release_controller,
+        };
         let (voters, real, hollow) = Default::default();
         let rig = Rig {
             flags,
--- a/crates/spokeflow-testbed/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -16,7 +16,7 @@
 use super::report::{bounds, Report, Spread, SpreadOf};
 use super::rig::Rig;
 use super::sample::{PhaseSamples, Role, Sampler};
-use crate::fleet::Node;
+use crate::fleet::Participant;
 use crate::routers::Starting;
 
 /// The phase in which all processes are started.
@@ -266,7 +266,7 @@
     if let Some(first) = not_ready.first() {
         let traffic = seen
             .traffic
-            .get(&Node::Router(*first))
+            .get(&Participant::Router(*first))
             .copied()
             .unwrap_or_default();
         let text = format!(
--- a/crates/spokeflow-testbed/src/scale/sample.rs
+++ b/crates/spokeflow-testbed/src/scale/sample.rs
@@ -15,7 +15,7 @@
 use super::roster::{Kind, Member, Roster};
 use super::tap::Tap;
 use super::traffic::NodeTraffic;
-use crate::fleet::Node;
+use crate::fleet::Participant;
 
 const SAMPLE_EVERY: Duration = Duration::from_millis(250);
 
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PhaseSamples {
     pub processes: BTreeMap<(Role, String), ProcessSamples>,
-    pub links: BTreeMap<(Role, Node), LinkSamples>,
+    pub links: BTreeMap<(Role, Participant), LinkSamples>,
     pub memory_peak_bytes: u64,
     pub process_count: u32,
 }
@@ -115,7 +115,7 @@
     real: u32,
     phase: PhaseSamples,
     last_usage: BTreeMap<i32, Usage>,
-    last_traffic: BTreeMap<Node, NodeTraffic>,
+    last_traffic: BTreeMap<Participant, NodeTraffic>,
     last_at: Instant,
     /// Told why the run has to stop.
     stop: watch::Sender<Option<String>>,
@@ -274,11 +274,11 @@
         let traffic = self.tap.seen().traffic.clone();
         for (node, now) in &traffic {
             let role = match node {
-                Node::Keeper(id) if *id == leader => Role::VoterLeader,
-                Node::Keeper(_) => Role::VoterFollower,
-                Node::Router(index) if *index < self.real => Role::RealRouter,
-                Node::Router(_) => Role::HollowRouter,
-                Node::Person => continue,
+                Participant::Node(id) if *id == leader => Role::VoterLeader,
+                Participant::Node(_) => Role::VoterFollower,
+                Participant::Router(index) if *index < self.real => Role::RealRouter,
+                Participant::Router(_) => Role::HollowRouter,
+                Participant::Operator => continue,
             };
             let before = self.last_traffic.get(node).copied().unwrap_or_default();
             let samples = self.phase.links.entry((role, *node)).or_default();
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -15,7 +15,7 @@
 
 use super::traffic::Seen;
 use super::wire::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
-use crate::fleet::Node;
+use crate::fleet::Participant;
 use crate::Micros;
 
 /// Bytes of a frame before its body.
@@ -48,8 +48,8 @@
 /// One connection, counted as open while it lives.
 struct Connection {
     tap: Arc<Tap>,
-    caller: Node,
-    voter: Node,
+    caller: Participant,
+    voter: Participant,
     /// Numbers of requests for a lease, and when they crossed.
     requests: Mutex<VecDeque<(u64, Micros)>>,
 }
@@ -118,8 +118,10 @@
     }
 
     /// Waits while a router is cut off.
-    async fn until_passes(&self, node: Node) {
-        let Node::Router(router) = node else { return };
+    async fn until_passes(&self, node: Participant) {
+        let Participant::Router(router) = node else {
+            return;
+        };
         let _ = self
             .cut
             .subscribe()
@@ -141,14 +143,14 @@
             return;
         };
         let node = match who {
-            Caller::Node { id: NodeId(id), .. } => Node::Keeper(id),
-            Caller::Router { index } => Node::Router(index),
-            Caller::Operator => Node::Person,
+            Caller::Node { id: NodeId(id), .. } => Participant::Node(id),
+            Caller::Router { index } => Participant::Router(index),
+            Caller::Operator => Participant::Operator,
         };
         // A connection that is given up while it is held up never reaches the voter.
         tokio::select! {
             () = self.until_passes(node) => {}
-            _ = ended(caller_in.get_mut()), if matches!(node, Node::Router(_)) => return,
+            _ = ended(caller_in.get_mut()), if matches!(node, Participant::Router(_)) => return,
         }
         let target = self
             .targets
@@ -166,7 +168,7 @@
             Input::new(voter_in, codec()),
             Output::new(voter_out, codec()),
         );
-        let connection = self.clone().connection(node, Node::Keeper(voter));
+        let connection = self.clone().connection(node, Participant::Node(voter));
         let length = first.len() as u64;
         if voter_out.send(first.freeze()).await.is_err() {
             return;
@@ -181,7 +183,7 @@
         self.until_passes(node).await;
     }
 
-    fn connection(self: Arc<Self>, caller: Node, voter: Node) -> Connection {
+    fn connection(self: Arc<Self>, caller: Participant, voter: Participant) -> Connection {
         {
             let mut seen = self.seen();
             seen.opened(caller);
@@ -230,7 +232,7 @@
     fn note_request(&self, request: ToKeeperHead) {
         let now = self.tap.now();
         match (request, self.caller) {
-            (ToKeeperHead::Lease { number, in_force }, Node::Router(router)) => {
+            (ToKeeperHead::Lease { number, in_force }, Participant::Router(router)) => {
                 let mut requests = self.requests.lock().expect("no holder panics");
                 requests.push_back((number, now));
                 if requests.len() > REQUESTS_KEPT {
@@ -238,7 +240,7 @@
                 }
                 self.tap.seen().propagation.confirmed(now, router, in_force);
             }
-            (ToKeeperHead::Leads { term }, Node::Keeper(voter)) => {
+            (ToKeeperHead::Leads { term }, Participant::Node(voter)) => {
                 self.tap.seen().led(now, voter, term)
             }
             _ => {}
@@ -254,7 +256,7 @@
         else {
             return;
         };
-        let Node::Router(router) = self.caller else {
+        let Participant::Router(router) = self.caller else {
             return;
         };
         let now = self.tap.now();
--- a/crates/spokeflow-testbed/src/scale/traffic.rs
+++ b/crates/spokeflow-testbed/src/scale/traffic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::propagation::Propagation;
-use crate::fleet::Node;
+use crate::fleet::Participant;
 use crate::Micros;
 
 /// What one router or voter sent and received, counted in frames with their four bytes of length; headers of TCP and IP
@@ -64,7 +64,7 @@
 /// All that the tap notes.
 #[derive(Debug, Default)]
 pub struct Seen {
-    pub traffic: BTreeMap<Node, NodeTraffic>,
+    pub traffic: BTreeMap<Participant, NodeTraffic>,
     pub leadership: Leadership,
     pub lapses: Lapses,
     pub propagation: Propagation,
@@ -72,18 +72,18 @@
 }
 
 impl Seen {
-    pub fn opened(&mut self, node: Node) {
+    pub fn opened(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections_opened += 1;
         traffic.connections += 1;
     }
 
-    pub fn closed(&mut self, node: Node) {
+    pub fn closed(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections = traffic.connections.saturating_sub(1);
     }
 
-    pub fn passed(&mut self, from: Node, to: Node, bytes: u64) {
+    pub fn passed(&mut self, from: Participant, to: Participant, bytes: u64) {
         let sender = self.traffic.entry(from).or_default();
         sender.bytes_sent += bytes;
         sender.frames_sent += 1;
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -1,18 +1,22 @@
-//! Real processes of keepers and routers under faults, checked from what crossed the switchboard, hosts and clients.
+//! Real control-plane nodes and routers under faults, checked from what crossed the switchboard, hosts and clients.
 
 use std::time::Duration;
 
 use spokeflow_control_plane::CRASH_POINTS;
 use spokeflow_coordination::wire::ToNode;
 use spokeflow_raft::Message;
-use spokeflow_testbed::fleet::{play, Crossed, Disk, Fault, FleetTerms, Frame, Node, Report};
+use spokeflow_testbed::fleet::{
+    run, Disk, Fault, FleetConfig, FleetRun, Frame, FramePayload, Link, Participant, Report,
+    ScriptedFault,
+};
 use spokeflow_testbed::routers::Starting;
 
-fn played(
+/// Runs the fleet, and checks what every run must show.
+fn checked_run(
     name: &str,
     seed: u64,
     routers: u32,
-    script: Vec<(Fault, Duration)>,
+    script: Vec<ScriptedFault>,
 ) -> (Report, Vec<Frame>) {
     let program = env!("CARGO_BIN_EXE_spokeflow-testbed").into();
     let starting = Starting {
@@ -21,42 +25,47 @@
         logs: None,
         log: "info".into(),
     };
-    let folder =
+    let store_directory =
         std::env::temp_dir().join(format!("spokeflow-{name}-{}-{seed}", std::process::id()));
-    let terms = FleetTerms {
+    let config = FleetConfig {
         routers,
-        keepers: 3,
+        nodes: 3,
         seed,
-        lasts: Duration::from_secs(12),
+        duration: Duration::from_secs(12),
         script,
         lease: Duration::from_millis(1500),
-        silence: Duration::from_millis(300),
-        folder,
-        keep: false,
-        agreed_list: seed % 4 != 2,
-        peace: false,
-        pace: Duration::from_millis(20),
+        election_timeout: Duration::from_millis(300),
+        store_directory,
+        keep_stores: false,
+        replicated_list: seed % 4 != 2,
+        fault_free: false,
+        command_interval: Duration::from_millis(20),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .unwrap();
-    let (report, frames, faults) = runtime.block_on(play(terms, starting, |_, _| {})).unwrap();
+    let run = runtime.block_on(run(config, starting, |_, _| {}));
+    let FleetRun {
+        report,
+        frames,
+        faults,
+    } = run.unwrap();
     runtime.shutdown_background();
     println!("{}\n{}", faults.join("\n"), report.text());
     assert!(
         report.sound(),
         "{:?}",
-        &report.broken[..report.broken.len().min(5)]
+        &report.violations[..report.violations.len().min(5)]
     );
     // Something happened that could have been broken.
     assert!(
-        report.revisions > 1 && report.trial_deliveries > 20,
+        report.revisions > 1 && report.canary_deliveries > 20,
         "{}",
         report.text()
     );
-    // A router that starts has no list yet where that comes from the keepers.
+    // A router that starts has no list yet where that comes from the nodes.
     assert!(
         report.acked * 100 > report.commands * 85,
         "served all along: {}",
@@ -66,153 +75,138 @@
     (report, frames)
 }
 
-fn s(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
+fn fault(fault: Fault, pause: Duration) -> ScriptedFault {
+    ScriptedFault { fault, pause }
+}
+
+fn is_append(payload: &FramePayload) -> bool {
+    matches!(
+        payload,
+        FramePayload::ToNode(ToNode::Raft(Message::AppendEntries { .. }))
+    )
+}
+
 #[test]
 fn drawn_faults_break_no_agreement() {
     for seed in [1, 2] {
-        let (report, _) = played("drawn", seed, 4, Vec::new());
+        let (report, _) = checked_run("drawn", seed, 4, Vec::new());
         assert!(report.faults > 5, "{}", report.text());
     }
 }
 
-/// Cut off alone, heard by nobody, stopped: each acts against a later revision for no longer than its lease.
+/// Cut off alone, received by nobody, paused: each acts against a later revision for no longer than its lease.
 #[test]
 fn routers_that_are_cut_off_or_stopped_act_on_no_old_revision() {
-    let both = |r| {
-        (1..4).flat_map(move |k| {
-            [
-                (Node::Router(r), Node::Keeper(k)),
-                (Node::Keeper(k), Node::Router(r)),
-            ]
-        })
-    };
-    let up = |r| (1..4).map(move |k| (Node::Router(r), Node::Keeper(k)));
+    let nodes = || (1..4).map(Participant::Node);
+    let both: Vec<Link> = nodes()
+        .flat_map(|node| Link::both(Participant::Router(0), node))
+        .collect();
+    let outbound: Vec<Link> = nodes()
+        .map(|node| Link::new(Participant::Router(1), node))
+        .collect();
     let mut script = Vec::new();
     for reset in [true, false] {
-        let lasts = s(5.0);
-        script.push((
-            Fault::Cut {
-                ways: both(0).collect(),
-                lasts,
-                reset,
-            },
-            s(0.5),
-        ));
-        script.push((
-            Fault::Cut {
-                ways: up(1).collect(),
-                lasts,
-                reset,
-            },
-            s(0.5),
-        ));
-        script.push((
-            Fault::StopRouter {
-                router: 2,
-                lasts: s(2.5),
-            },
-            s(9.0),
-        ));
+        let cut = |links: &Vec<Link>| Fault::Cut {
+            links: links.clone(),
+            lasts: seconds(5.0),
+            reset,
+        };
+        script.push(fault(cut(&both), seconds(0.5)));
+        script.push(fault(cut(&outbound), seconds(0.5)));
+        let pause = Fault::PauseRouter {
+            router: 2,
+            lasts: seconds(2.5),
+        };
+        script.push(fault(pause, seconds(9.0)));
     }
-    let (report, _) = played("cut", 3, 4, script);
+    let (report, _) = checked_run("cut", 3, 4, script);
     assert!(report.longest_contradiction_us > 0, "{}", report.text());
 }
 
-/// Without any keeper all go on serving by the build that stands, and come back when there are keepers again.
+/// Without any node all go on serving by the released build, and come back when there are nodes again.
 #[test]
-fn without_keepers_routers_serve_by_the_standing_build_alone() {
-    played(
-        "alone",
-        4,
-        4,
-        vec![(Fault::AllKeepersDown { lasts: s(5.0) }, s(7.0))],
-    );
+fn without_nodes_routers_serve_by_the_released_build_alone() {
+    let outage = Fault::KillAllNodes {
+        lasts: seconds(5.0),
+    };
+    checked_run("alone", 4, 4, vec![fault(outage, seconds(7.0))]);
 }
 
 #[test]
-fn keepers_are_replaced_until_none_of_the_first_is_left() {
-    let replace = |keeper| (Fault::Replace { keeper }, s(5.0));
-    let (_, frames) = played("replaced", 5, 3, vec![replace(1), replace(2), replace(3)]);
-    let says = |f: &&Frame| {
-        matches!(
-            f.what,
-            Crossed::Up(ToNode::Raft(Message::AppendEntries { .. }))
-        )
-    };
+fn nodes_are_replaced_until_none_of_the_first_is_left() {
+    let replace = |node| fault(Fault::ReplaceNode { node }, seconds(5.0));
+    let script = vec![replace(1), replace(2), replace(3)];
+    let (_, frames) = checked_run("replaced", 5, 3, script);
     let last = frames
         .iter()
         .rev()
-        .filter(says)
+        .filter(|frame| is_append(&frame.payload))
         .take(20)
-        .flat_map(|f| [f.from, f.to]);
-    let first = last.filter(|n| matches!(n, Node::Keeper(1..=3))).count();
+        .flat_map(|frame| [frame.link.from, frame.link.to]);
+    let first = last
+        .filter(|process| matches!(process, Participant::Node(1..=3)))
+        .count();
     assert_eq!(
         first, 0,
-        "the last leader and those it speaks to have all come since"
+        "the last leader and those it sends to have all come since"
     );
-    // Every keeper has met every other, also those that had nothing to say to each other: an older disk is known by all.
-    let hello = |a, b| {
-        let says = |f: &Frame| matches!(f.what, Crossed::Up(ToNode::Hello { .. }));
-        frames
-            .iter()
-            .any(|f| (f.from, f.to) == (Node::Keeper(a), Node::Keeper(b)) && says(f))
+    // Every node has met every other, also those that had nothing to send to each other: a stale disk is known by all.
+    let hello = |from, to| {
+        let link = Link::new(Participant::Node(from), Participant::Node(to));
+        frames.iter().any(|frame| {
+            frame.link == link
+                && matches!(frame.payload, FramePayload::ToNode(ToNode::Hello { .. }))
+        })
     };
     let pairs = (4..7)
-        .flat_map(|a| (4..7).map(move |b| (a, b)))
-        .filter(|(a, b)| a != b);
+        .flat_map(|from| (4..7).map(move |to| (from, to)))
+        .filter(|(from, to)| from != to);
     assert_eq!(
-        pairs.filter(|(a, b)| !hello(*a, *b)).collect::<Vec<_>>(),
+        pairs
+            .filter(|(from, to)| !hello(*from, *to))
+            .collect::<Vec<_>>(),
         []
     );
 }
 
-/// A keeper that comes with another disk than its own promises nothing.
+/// A node that comes with another disk than its own promises nothing.
 #[test]
-fn an_old_a_torn_and_an_empty_disk_are_not_taken_for_the_own() {
-    let kill = |keeper, disk| {
-        (
-            Fault::KillKeeper {
-                keeper,
-                down: s(0.1),
-                disk,
-            },
-            s(3.5),
-        )
+fn a_stale_a_truncated_and_an_empty_disk_are_not_taken_for_the_own() {
+    let kill = |node, disk| {
+        let kill = Fault::KillNode {
+            node,
+            down: seconds(0.1),
+            disk,
+        };
+        fault(kill, seconds(3.5))
     };
     let script = vec![
         kill(1, Disk::Own),
-        kill(1, Disk::Old),
+        kill(1, Disk::Stale),
         kill(2, Disk::Empty),
-        kill(3, Disk::Torn),
-        kill(1, Disk::Old),
+        kill(3, Disk::Truncated),
+        kill(1, Disk::Stale),
     ];
-    let (report, _) = played("disks", 6, 3, script);
+    let (report, _) = checked_run("disks", 6, 3, script);
     assert!(report.refused_disks >= 3, "{}", report.text());
 }
 
-/// At every place that the program names, and on a disk that fails.
+/// At every crash point that the program names, and on a disk that fails.
 #[test]
-fn a_keeper_that_dies_at_any_of_its_steps_loses_nothing_that_it_promised() {
+fn a_node_that_crashes_at_any_of_its_steps_loses_nothing_that_it_promised() {
     let mut script = Vec::new();
-    for (n, point) in CRASH_POINTS.iter().enumerate() {
-        let keeper = 1 + n as u32 % 3;
-        script.push((
-            Fault::DieAt {
-                keeper,
-                place: format!("{}:{}", point.name(), 2 + n),
-            },
-            s(1.8),
-        ));
+    for (index, point) in CRASH_POINTS.iter().enumerate() {
+        let crash = Fault::CrashAt {
+            node: 1 + index as u32 % 3,
+            point: format!("{}:{}", point.name(), 2 + index),
+        };
+        script.push(fault(crash, seconds(1.8)));
     }
-    script.push((
-        Fault::DiskFails {
-            keeper: 2,
-            after: 3,
-        },
-        s(2.0),
-    ));
-    played("steps", 7, 3, script);
+    let failing = Fault::FailWrites { node: 2, after: 3 };
+    script.push(fault(failing, seconds(2.0)));
+    checked_run("steps", 7, 3, script);
 }
