--- /dev/null
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -0,0 +1,300 @@
+//! The built-in scenarios. All chance in them comes from the seed, and the order of the draws is part of what a
+//! seed means: it must not change.
+
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+
+use super::{
+    Build, BuildDefect, CancelPolicy, Fault, FaultKind, Gate, Op, Repeat, Scenario, Tenant,
+};
+use crate::{Micros, MS, SECOND};
+
+/// Tells the draws of [`Scenario::drawn`] from those of the other scenarios with the same seed.
+const DRAWN_SEED: u64 = 0xd4a3;
+/// Kinds at the end of [`FaultKind::ALL`] that stand for a whole scenario and are not drawn as faults.
+const WHOLE_SCENARIOS: usize = 3;
+const CANCEL_POLICIES: [CancelPolicy; 3] = [
+    CancelPolicy::Stops,
+    CancelPolicy::Waiting,
+    CancelPolicy::Ignored,
+];
+/// Kinds of faults that [`Scenario::bad_day`] takes one each of.
+const FAULT_FAMILIES: [&[FaultKind]; 5] = [
+    &[
+        FaultKind::Kill,
+        FaultKind::LoneHost,
+        FaultKind::Hang,
+        FaultKind::Slow,
+        FaultKind::FastErrors,
+    ],
+    &[
+        FaultKind::Cut,
+        FaultKind::CutList,
+        FaultKind::CutHosts,
+        FaultKind::SlowLink,
+        FaultKind::LossyLinks,
+        FaultKind::SlowConnects,
+    ],
+    &[
+        FaultKind::StalledDesk,
+        FaultKind::LateDesk,
+        FaultKind::RefusingDesk,
+        FaultKind::LateList,
+        FaultKind::ListBreaks,
+    ],
+    &[
+        FaultKind::Shift,
+        FaultKind::Worthless,
+        FaultKind::GiveUp,
+        FaultKind::RepeatStorm,
+        FaultKind::SlowOp,
+        FaultKind::HotKey,
+    ],
+    &[FaultKind::RouterKill, FaultKind::RouterRoll],
+];
+
+impl Scenario {
+    /// A run like those at the first operators' relays, without faults.
+    pub fn plain(seed: u64, length: Micros) -> Scenario {
+        Scenario {
+            name: "plain".into(),
+            seed,
+            length,
+            sites: 3,
+            hosts: 15,
+            routers: 3,
+            cores: 1,
+            rate: 46.0,
+            ops: operations(),
+            customers: tenants(),
+            keys: 600,
+            builds: vec![sound_build(1, 0)],
+            stage_shares: vec![0.04, 0.1, 0.25, 0.55, 1.0],
+            slack: 1.4,
+            gate: Gate::Single,
+            bake: 2 * SECOND,
+            exposure_free: 1.0,
+            exposure_span: 4 * SECOND,
+            forward_only: true,
+            drain_grace: SECOND,
+            drain: 2 * SECOND,
+            boot: [SECOND, 2200 * MS],
+            cold_from: 0.31,
+            warm_within: 3700 * MS,
+            fall_multiple: 3.0,
+            fall_span: 3 * SECOND,
+            retries: 2,
+            try_part: [0.4, 1.0],
+            list_late: [400 * MS, 1400 * MS],
+            news_late: [260 * MS, 880 * MS],
+            news_every: 4 * SECOND,
+            reported: 0.15,
+            tells: false,
+            key_skew: 0.7,
+            wave: 0.15,
+            wave_span: 15 * SECOND,
+            burst: 0.0,
+            cache_keys: 0,
+            miss_cost: 2.0,
+            thrash: 0.0,
+            cancel: CancelPolicy::Stops,
+            neighbours: 0,
+            steal: 0.0,
+            troubles: Vec::new(),
+        }
+    }
+
+    /// Several faults, some at once, and two builds of which one may be bad.
+    pub fn bad_day(seed: u64, length: Micros) -> Scenario {
+        let mut scenario = Scenario {
+            name: "bad-day".into(),
+            ..Scenario::plain(seed, length)
+        };
+        let mut rng = StdRng::seed_from_u64(seed);
+        let second_is_bad = rng.random_bool(0.5);
+        let flaw = draw_defect_if(second_is_bad, &mut rng);
+        scenario.builds.push(Build {
+            number: 2,
+            offered: length / 12,
+            flaw,
+            speed: rng.random_range(0.9..1.1),
+        });
+        scenario.builds.push(Build {
+            number: 3,
+            offered: length / 2,
+            flaw: draw_defect_if(!second_is_bad, &mut rng),
+            speed: 1.0,
+        });
+        // One of each family, in any order, at times that let them overlap.
+        for family in FAULT_FAMILIES {
+            let kind = family[rng.random_range(0..family.len())];
+            let at = rng.random_range(length / 10..length * 3 / 4);
+            let fault = Fault::typical(kind);
+            scenario.troubles.push(Fault { at, ..fault });
+        }
+        scenario.troubles.sort_by_key(|fault| fault.at);
+        scenario
+    }
+
+    /// One kind of fault only, during the canary of a good build; with `BadBuild`, a bad one and no fault.
+    pub fn only(kind: FaultKind, seed: u64, length: Micros) -> Scenario {
+        let mut scenario = Scenario {
+            name: format!("only {}", kind.name()),
+            ..Scenario::plain(seed, length)
+        };
+        let mut rng = StdRng::seed_from_u64(seed);
+        let offered = length / 10;
+        scenario.builds.push(Build {
+            flaw: draw_defect_if(kind == FaultKind::BadBuild, &mut rng),
+            ..sound_build(2, offered)
+        });
+        let window = match kind {
+            FaultKind::BadBuild | FaultKind::None => return scenario,
+            FaultKind::TakeBack => {
+                // Each stage takes some five seconds: by then the last one has begun.
+                let next = sound_build(3, offered + 24 * SECOND);
+                scenario.builds.push(next);
+                return scenario;
+            }
+            FaultKind::HotKey => offered..length / 6,
+            _ => length / 8..length / 2,
+        };
+        let at = rng.random_range(window);
+        let fault = Fault::typical(kind);
+        scenario.troubles.push(Fault { at, ..fault });
+        scenario
+    }
+
+    /// Any troubles, up to five, of any size and at any time, several at once; hosts with caches, neighbours and
+    /// queues that thrash, and clients that burst, each on some days.
+    pub fn drawn(seed: u64, length: Micros) -> Scenario {
+        let mut rng = StdRng::seed_from_u64(seed ^ DRAWN_SEED);
+        let mut scenario = Scenario {
+            name: "drawn".into(),
+            ..Scenario::plain(seed, length)
+        };
+        if rng.random_bool(0.25) {
+            scenario.burst = rng.random_range(0.3..1.5);
+        }
+        if rng.random_bool(0.25) {
+            scenario.cache_keys = (scenario.keys / u64::from(scenario.hosts) * 4).max(8) as u32;
+            scenario.miss_cost = rng.random_range(1.2..2.5);
+        }
+        if rng.random_bool(0.25) {
+            scenario.thrash = rng.random_range(0.02..0.1);
+        }
+        if rng.random_bool(0.25) {
+            scenario.neighbours = rng.random_range(2..5);
+            scenario.steal = rng.random_range(0.1..0.6);
+        }
+        scenario.cancel = CANCEL_POLICIES[rng.random_range(0..CANCEL_POLICIES.len())];
+        scenario.key_skew = rng.random_range(0.3..1.1);
+        let mut offered = rng.random_range(length / 20..length / 4);
+        for number in 2..2 + rng.random_range(0..3) {
+            let defective = rng.random_bool(0.4);
+            let flaw = draw_defect_if(defective, &mut rng);
+            scenario.builds.push(Build {
+                number,
+                offered,
+                flaw,
+                speed: rng.random_range(0.85..1.2),
+            });
+            offered += rng.random_range(length / 8..length / 2);
+        }
+        for _ in 0..rng.random_range(0..6) {
+            scenario.troubles.push(draw_fault(&mut rng, length));
+        }
+        scenario.troubles.sort_by_key(|t| t.at);
+        scenario
+    }
+}
+
+fn operations() -> Vec<Op> {
+    vec![
+        Op {
+            name: "set-threshold",
+            share: 0.45,
+            work: 130 * MS,
+            target: 1200 * MS,
+            timeout: 4000 * MS,
+            importance: 2.0,
+            repeat: Repeat::Redeliverable,
+        },
+        Op {
+            name: "note-arrival",
+            share: 0.15,
+            work: 130 * MS,
+            target: 1200 * MS,
+            timeout: 4000 * MS,
+            importance: 2.0,
+            repeat: Repeat::Deduplicated(5 * SECOND),
+        },
+        Op {
+            name: "close-trip",
+            share: 0.40,
+            work: 190 * MS,
+            target: 2000 * MS,
+            timeout: 6000 * MS,
+            importance: 3.0,
+            repeat: Repeat::AtMostOnce,
+        },
+    ]
+}
+
+fn tenants() -> Vec<Tenant> {
+    let tenant = |name, allowed, usage| Tenant {
+        name,
+        allowed,
+        usage,
+    };
+    vec![
+        tenant("doto-dairy", 25.0, 0.7),
+        tenant("rumoi-fish", 17.0, 0.8),
+        tenant("tokachi-veg", 14.0, 0.7),
+        tenant("otaru-cold", 8.0, 0.6),
+    ]
+}
+
+/// A build without defects, at the speed of the first.
+fn sound_build(number: u16, offered: Micros) -> Build {
+    Build {
+        number,
+        offered,
+        flaw: BuildDefect::None,
+        speed: 1.0,
+    }
+}
+
+fn draw_defect_if(defective: bool, rng: &mut StdRng) -> BuildDefect {
+    if defective {
+        draw_defect(rng)
+    } else {
+        BuildDefect::None
+    }
+}
+
+/// Any fault, at any time and from a third to less than twice its common size.
+fn draw_fault(rng: &mut StdRng, length: Micros) -> Fault {
+    let kind = FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len() - WHOLE_SCENARIOS)];
+    let typical = Fault::typical(kind);
+    let factor = |rng: &mut StdRng| rng.random_range(0.3..1.7);
+    Fault {
+        kind,
+        at: rng.random_range(0..length * 9 / 10),
+        lasts: (typical.lasts as f64 * factor(rng)) as Micros,
+        part: (typical.part * factor(rng)).min(1.0),
+        size: typical.size * factor(rng),
+    }
+}
+
+fn draw_defect(rng: &mut StdRng) -> BuildDefect {
+    match rng.random_range(0..7) {
+        0 => BuildDefect::Errors(rng.random_range(0.08..0.36)),
+        1 => BuildDefect::OneOp(rng.random_range(0.25..0.9)),
+        2 => BuildDefect::Slow(rng.random_range(1.9..3.7)),
+        3 => BuildDefect::UnderLoad(rng.random_range(0.2..0.5)),
+        4 => BuildDefect::Late(rng.random_range(0.3..0.7)),
+        5 => BuildDefect::Shared(rng.random_range(2.0..3.5)),
+        _ => BuildDefect::Wrong(rng.random_range(0.2..0.6)),
+    }
+}
--- /dev/null
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -0,0 +1,55 @@
+//! Fleet sizes and what follows from one.
+
+use serde::Serialize;
+
+use super::{Gate, Scenario};
+
+/// Sizes that are tried again and again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
+#[serde(rename_all = "kebab-case")]
+pub enum FleetSize {
+    /// 3 routers, 15 hosts, 46 commands a second: what sockets on one machine play
+    Small,
+    /// 20 routers, 60 hosts, 200 commands a second
+    Middle,
+    /// 150 routers, 300 hosts, 1,000 commands a second
+    Grown,
+    /// 600 routers, 90 hosts, 300 commands a second
+    ManyRouters,
+    /// 20 routers, 3,000 hosts, 10,000 commands a second
+    ManyHosts,
+}
+
+impl Scenario {
+    /// The same scenario at another size: tenants, keys and rate grow in step.
+    pub fn sized(mut self, size: FleetSize) -> Scenario {
+        let (routers, hosts, rate) = match size {
+            FleetSize::Small => return self,
+            FleetSize::Middle => (20, 60, 200.0),
+            FleetSize::Grown => (150, 300, 1000.0),
+            FleetSize::ManyRouters => (600, 90, 300.0),
+            FleetSize::ManyHosts => (20, 3000, 10_000.0),
+        };
+        self.routers = routers;
+        self.hosts = hosts;
+        self.at_rate(rate);
+        self
+    }
+
+    /// Another rate, in commands a second, with tenants and keys in step.
+    pub fn at_rate(&mut self, rate: f64) {
+        let growth = rate / self.rate;
+        self.rate = rate;
+        for tenant in &mut self.customers {
+            tenant.allowed *= growth;
+        }
+        self.keys = ((self.keys as f64 * growth) as u64).max(1);
+    }
+
+    /// A fleet in which a share of all routers must vote and routers tell each other what they see.
+    pub fn by_majority(mut self) -> Scenario {
+        self.gate = Gate::Majority;
+        self.tells = true;
+        self
+    }
+}
