--- a/crates/spokeflow-experiments/tests/documents.rs
+++ b/crates/spokeflow-experiments/tests/documents.rs
@@ -154,6 +154,7 @@
     let source = Source::read();
     let mut pages = files_below(&root().join("docs"), ".md");
     pages.push(root().join("README.md"));
+    pages.push(root().join("CONTRIBUTING.md"));
     let mut lacking = Vec::new();
     for page in pages {
         let text = fs::read_to_string(&page).unwrap();
