--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -25,7 +25,7 @@
 /// Guards against a hand-over that loses what it has taken: the address moves while the list waits for room, and the
 /// next watch has to ask from before it.
 #[tokio::test]
-async fn a_list_that_was_not_handed_over_is_asked_for_again() {
+async fn a_list_that_was_not_handed_over_is_requested_again() {
     let (asked, mut asks) = mpsc::unbounded_channel();
     let mut addresses = Vec::new();
     for _ in 0..2 {
--- a/crates/spokeflow-platform/tests/unit/unread.rs
+++ b/crates/spokeflow-platform/tests/unit/unread.rs
@@ -8,7 +8,7 @@
 /// Guards against a look that believes the runtime: within one turn of it, it has not heard of what has come since it
 /// last waited. A request would be written to a connection that its host had ended, or read another's answer.
 #[tokio::test]
-async fn what_has_come_is_seen_before_the_runtime_hears_of_it() {
+async fn what_has_come_is_seen_before_the_runtime_learns_of_it() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap())
         .await
--- a/crates/spokeflow-router/tests/common/host.rs
+++ b/crates/spokeflow-router/tests/common/host.rs
@@ -13,34 +13,36 @@
 
 /// What a host does with a request once it has read it whole.
 #[derive(Clone, Debug)]
-pub(crate) enum Deed {
+pub(crate) enum HostAction {
     /// Writes these bytes and goes on.
-    Say(Vec<u8>),
-    SayAfter(Duration, Vec<u8>),
+    Respond(Vec<u8>),
+    RespondAfter(Duration, Vec<u8>),
     /// Says this once it is let.
-    SayOnce(watch::Receiver<bool>, Vec<u8>),
+    RespondOnceReleased(watch::Receiver<bool>, Vec<u8>),
     /// Says this, and after a pause what belongs to nobody.
-    SayMore(Vec<u8>, Duration, Vec<u8>),
+    RespondAndSend(Vec<u8>, Duration, Vec<u8>),
     /// Ends the connection unanswered.
-    Break,
+    Close,
 }
 
-type Script = Arc<dyn Fn(usize) -> Deed + Send + Sync>;
+type Script = Arc<dyn Fn(usize) -> HostAction + Send + Sync>;
 
 /// A host: its address, and the requests it has read, as text.
 #[derive(Clone)]
 pub(crate) struct Host {
     pub(crate) address: String,
-    pub(crate) heard: Arc<Mutex<Vec<String>>>,
+    pub(crate) requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Host {
     /// The script is given how many requests this host has read before.
-    pub(crate) async fn start(script: impl Fn(usize) -> Deed + Send + Sync + 'static) -> Host {
+    pub(crate) async fn start(
+        script: impl Fn(usize) -> HostAction + Send + Sync + 'static,
+    ) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let heard: Arc<Mutex<Vec<String>>> = Default::default();
-        let (script, all): (Script, _) = (Arc::new(script), heard.clone());
+        let requests: Arc<Mutex<Vec<String>>> = Default::default();
+        let (script, all): (Script, _) = (Arc::new(script), requests.clone());
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let (script, all) = (script.clone(), all.clone());
@@ -52,23 +54,23 @@
                             all.len() - 1
                         };
                         let bytes = match script(before) {
-                            Deed::Say(bytes) => bytes,
-                            Deed::SayAfter(pause, bytes) => {
+                            HostAction::Respond(bytes) => bytes,
+                            HostAction::RespondAfter(pause, bytes) => {
                                 sleep(pause).await;
                                 bytes
                             }
-                            Deed::SayOnce(mut let_go, bytes) => {
-                                let _ = let_go.wait_for(|go| *go).await;
+                            HostAction::RespondOnceReleased(mut release, bytes) => {
+                                let _ = release.wait_for(|go| *go).await;
                                 bytes
                             }
-                            Deed::SayMore(first, pause, more) => {
+                            HostAction::RespondAndSend(first, pause, more) => {
                                 if stream.write_all(&first).await.is_err() {
                                     return;
                                 }
                                 sleep(pause).await;
                                 more
                             }
-                            Deed::Break => return,
+                            HostAction::Close => return,
                         };
                         if stream.write_all(&bytes).await.is_err() {
                             return;
@@ -77,15 +79,15 @@
                 });
             }
         });
-        Host { address, heard }
+        Host { address, requests }
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.heard.lock().unwrap().len()
+        self.requests.lock().unwrap().len()
     }
 
     /// Until it has read so many requests.
-    pub(crate) async fn heard(&self, count: usize) {
+    pub(crate) async fn wait_for_requests(&self, count: usize) {
         timeout(SOON, async {
             while self.count() < count {
                 sleep(Duration::from_millis(1)).await;
--- a/crates/spokeflow-router/tests/common/late_host.rs
+++ b/crates/spokeflow-router/tests/common/late_host.rs
@@ -16,7 +16,7 @@
 /// makes meanwhile comes up when it asks the system again, a second after its first try.
 pub(crate) struct LateHost {
     pub(crate) host: Host,
-    let_go: watch::Sender<bool>,
+    release: watch::Sender<bool>,
 }
 
 impl LateHost {
@@ -31,9 +31,9 @@
         {
             fills.push(fill);
         }
-        let (let_go, mut released) = watch::channel(false);
-        let heard: Arc<Mutex<Vec<String>>> = Default::default();
-        let all = heard.clone();
+        let (release, mut released) = watch::channel(false);
+        let requests: Arc<Mutex<Vec<String>>> = Default::default();
+        let all = requests.clone();
         tokio::spawn(async move {
             let _ = released.wait_for(|go| *go).await;
             drop(fills);
@@ -51,14 +51,14 @@
         LateHost {
             host: Host {
                 address: address.to_string(),
-                heard,
+                requests,
             },
-            let_go,
+            release,
         }
     }
 
     /// Until a connection to it is being made.
-    pub(crate) async fn wanted(&self) {
+    pub(crate) async fn wait_for_connect(&self) {
         let port: u16 = self
             .host
             .address
@@ -76,8 +76,8 @@
         .expect("a connection is being made");
     }
 
-    pub(crate) fn let_go(&self) {
-        self.let_go.send_replace(true);
+    pub(crate) fn release(&self) {
+        self.release.send_replace(true);
     }
 }
 
--- a/crates/spokeflow-router/tests/common/mod.rs
+++ b/crates/spokeflow-router/tests/common/mod.rs
@@ -14,11 +14,11 @@
 
 use tokio::time::timeout;
 
-pub(crate) use host::{Deed, Host};
+pub(crate) use host::{Host, HostAction};
 pub(crate) use http::{body, closed, exchange, ok, read, read_message, seal, status};
 pub(crate) use late_host::{sockets_to, LateHost};
 pub(crate) use peers::{deployer, discovery, list};
-pub(crate) use router::{configuration, Scene};
+pub(crate) use router::{configuration, TestRouter};
 
 /// What is awaited comes within this time, also on a busy machine.
 pub(crate) const SOON: Duration = Duration::from_secs(10);
--- a/crates/spokeflow-router/tests/common/peers.rs
+++ b/crates/spokeflow-router/tests/common/peers.rs
@@ -59,8 +59,8 @@
 pub(crate) async fn deployer(first: Vec<&'static str>) -> (String, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let heard: Arc<Mutex<Vec<String>>> = Default::default();
-    let all = heard.clone();
+    let requests: Arc<Mutex<Vec<String>>> = Default::default();
+    let all = requests.clone();
     tokio::spawn(async move {
         let mut first = first.into_iter();
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -89,5 +89,5 @@
             });
         }
     });
-    (address, heard)
+    (address, requests)
 }
--- a/crates/spokeflow-router/tests/common/router.rs
+++ b/crates/spokeflow-router/tests/common/router.rs
@@ -15,14 +15,14 @@
 use super::SOON;
 
 /// The real program between scripted peers.
-pub(crate) struct Scene {
+pub(crate) struct TestRouter {
     pub(crate) address: String,
     pub(crate) child: Child,
     pub(crate) lines: watch::Sender<String>,
     pub(crate) folder: PathBuf,
 }
 
-impl Drop for Scene {
+impl Drop for TestRouter {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -45,9 +45,9 @@
     )
 }
 
-impl Scene {
-    pub(crate) async fn start(list: String, deployer: &str, sockets: u32) -> Scene {
-        Scene::start_with(list, deployer, sockets, |told| told).await
+impl TestRouter {
+    pub(crate) async fn start(list: String, deployer: &str, sockets: u32) -> TestRouter {
+        TestRouter::start_with(list, deployer, sockets, |text| text).await
     }
 
     /// `change` has the last word on the configuration.
@@ -56,8 +56,8 @@
         deployer: &str,
         sockets: u32,
         change: impl Fn(String) -> String,
-    ) -> Scene {
-        let scene = Scene::laid(list, |address, discovery, file| {
+    ) -> TestRouter {
+        let router = TestRouter::start_configured(list, |address, discovery, file| {
             std::fs::write(
                 file,
                 change(configuration(address, discovery, deployer, sockets)),
@@ -65,13 +65,13 @@
             .unwrap();
         })
         .await;
-        scene.up().await;
-        scene
+        router.wait_until_up().await;
+        router
     }
 
-    /// One whose configuration is a pipe: each reading of it waits for [`Scene::tell`].
-    pub(crate) async fn waiting() -> Scene {
-        Scene::laid(String::new(), |_, _, file| {
+    /// One whose configuration is a pipe: each reading of it waits for [`TestRouter::tell`].
+    pub(crate) async fn waiting() -> TestRouter {
+        TestRouter::start_configured(String::new(), |_, _, file| {
             assert!(std::process::Command::new("mkfifo")
                 .arg(file)
                 .status()
@@ -110,20 +110,23 @@
         std::io::Write::write_all(&mut pipe, text.as_bytes()).unwrap();
     }
 
-    async fn laid(list: String, lay: impl FnOnce(&str, &str, &std::path::Path)) -> Scene {
-        static SCENES: AtomicU64 = AtomicU64::new(0);
-        let n = SCENES.fetch_add(1, Ordering::Relaxed);
+    async fn start_configured(
+        list: String,
+        write_configuration: impl FnOnce(&str, &str, &std::path::Path),
+    ) -> TestRouter {
+        static ROUTERS: AtomicU64 = AtomicU64::new(0);
+        let n = ROUTERS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("spokeflow-platform-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let (lines, told) = watch::channel(list);
-        let discovery = discovery(told).await;
+        let (lines, line_updates) = watch::channel(list);
+        let discovery = discovery(line_updates).await;
         // An address of its own, and a port that the system deals out to nobody: one that was free a moment ago may be
         // the near end of another test's connection by the time the router listens.
         let (pid, n_th) = (std::process::id(), 1 + n % 250);
         let address = format!("127.{}.{}.{n_th}:8081", 64 + (pid >> 8) % 64, pid % 256);
         let file = folder.join("config.json");
-        lay(&address, &discovery, &file);
+        write_configuration(&address, &discovery, &file);
         let child = Command::new(env!("CARGO_BIN_EXE_spokeflow-router"))
             .arg("platform")
             .env("GW_CONFIG", &file)
@@ -135,7 +138,7 @@
             .kill_on_drop(true)
             .spawn()
             .unwrap();
-        Scene {
+        TestRouter {
             address,
             child,
             lines,
@@ -143,7 +146,7 @@
         }
     }
 
-    pub(crate) async fn up(&self) {
+    pub(crate) async fn wait_until_up(&self) {
         let up = timeout(SOON, async {
             while self.status("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").await != Some(200) {
                 sleep(Duration::from_millis(10)).await;
--- a/crates/spokeflow-router/tests/crossings/clients.rs
+++ b/crates/spokeflow-router/tests/crossings/clients.rs
@@ -11,17 +11,22 @@
 #[test]
 fn a_flood_does_not_close_a_connection_whose_request_has_begun() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 64).await;
-        let mut half = scene.connect().await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
+        let router = TestRouter::start(
+            list(1, &[("s-a", &host.address, "Ready", 1)]),
+            &controller,
+            64,
+        )
+        .await;
+        let mut half = router.connect().await;
         let request = seal("half");
         let (first, rest) = request.split_at(request.len() - 2);
         half.write_all(first.as_bytes()).await.unwrap();
-        assert_eq!(scene.status("GET /up HTTP/1.1\r\n\r\n").await, Some(200));
+        assert_eq!(router.status("GET /up HTTP/1.1\r\n\r\n").await, Some(200));
         let mut silent = Vec::new();
         for _ in 0..60 {
-            silent.push(scene.connect().await);
+            silent.push(router.connect().await);
         }
         // The first of the silent ones has had to go.
         closed(&mut silent[0]).await;
@@ -38,10 +43,15 @@
 #[test]
 fn an_empty_line_between_requests_is_no_request_that_does_not_go_on() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
-        let mut client = scene.connect().await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
+        let router = TestRouter::start(
+            list(1, &[("s-a", &host.address, "Ready", 1)]),
+            &controller,
+            256,
+        )
+        .await;
+        let mut client = router.connect().await;
         for id in ["a", "b"] {
             let answer = exchange(&mut client, &format!("{}\r\n", seal(id)))
                 .await
--- a/crates/spokeflow-router/tests/crossings/held.rs
+++ b/crates/spokeflow-router/tests/crossings/held.rs
@@ -7,32 +7,37 @@
 
 use crate::common::*;
 
-/// A host that answers only when it is told to.
+/// A host that answers only when it is released.
 pub(crate) async fn holding() -> (Host, watch::Sender<bool>) {
     let (release, released) = watch::channel(false);
     (
-        Host::start(move |_| Deed::SayOnce(released.clone(), ok("held"))).await,
+        Host::start(move |_| HostAction::RespondOnceReleased(released.clone(), ok("held"))).await,
         release,
     )
 }
 
-/// A router with one command that its host holds until it is told to answer.
-pub(crate) async fn with_one_held() -> (Scene, watch::Sender<bool>, TcpStream) {
+/// A router with one command that its host holds until it is released.
+pub(crate) async fn with_one_held() -> (TestRouter, watch::Sender<bool>, TcpStream) {
     let (host, release) = holding().await;
-    let (desk, _) = deployer(vec![]).await;
-    let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
-    let mut held = scene.connect().await;
+    let (controller, _) = deployer(vec![]).await;
+    let router = TestRouter::start(
+        list(1, &[("s-a", &host.address, "Ready", 1)]),
+        &controller,
+        256,
+    )
+    .await;
+    let mut held = router.connect().await;
     held.write_all(read("held").as_bytes()).await.unwrap();
-    host.heard(1).await;
-    (scene, release, held)
+    host.wait_for_requests(1).await;
+    (router, release, held)
 }
 
-pub(crate) async fn served_and_ended(scene: &mut Scene, held: &mut TcpStream) {
+pub(crate) async fn served_and_ended(router: &mut TestRouter, held: &mut TcpStream) {
     assert_eq!(
         status(&timeout(SOON, read_message(held)).await.unwrap().unwrap()),
         Some(200)
     );
-    assert!(timeout(SOON, scene.child.wait())
+    assert!(timeout(SOON, router.child.wait())
         .await
         .unwrap()
         .unwrap()
@@ -40,8 +45,8 @@
 }
 
 /// SIGTERM, and then until the router has closed a connection that nobody used.
-pub(crate) async fn close_idle(scene: &Scene) {
-    let mut idle = scene.connect().await;
+pub(crate) async fn close_idle(router: &TestRouter) {
+    let mut idle = router.connect().await;
     assert_eq!(
         status(
             &exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n")
@@ -50,6 +55,6 @@
         ),
         Some(200)
     );
-    scene.signal("-TERM");
+    router.signal("-TERM");
     closed(&mut idle).await;
 }
--- a/crates/spokeflow-router/tests/crossings/hosts.rs
+++ b/crates/spokeflow-router/tests/crossings/hosts.rs
@@ -14,27 +14,27 @@
 #[test]
 fn the_key_of_a_deduplicated_command_reaches_its_host() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let hosts = list(1, &[("s-a", &host.address, "Ready", 1)]);
-        let scene = Scene::start_with(hosts.clone(), &desk, 256, keyed).await;
-        assert_eq!(scene.status(&with_key("a")).await, Some(200));
-        let heard = host.heard.lock().unwrap()[0].clone();
+        let router = TestRouter::start_with(hosts.clone(), &controller, 256, keyed).await;
+        assert_eq!(router.status(&with_key("a")).await, Some(200));
+        let requests = host.requests.lock().unwrap()[0].clone();
         assert_eq!(
-            heard.matches("\r\nIdempotency-Key: key-a\r\n").count(),
+            requests.matches("\r\nIdempotency-Key: key-a\r\n").count(),
             1,
-            "{heard}"
+            "{requests}"
         );
         // Without one, or with two, a host could not tell a repeat.
-        assert_eq!(scene.status(&seal("b")).await, Some(400));
+        assert_eq!(router.status(&seal("b")).await, Some(400));
         let two =
             with_key("c").replace("Content-Length", "Idempotency-Key: other\r\nContent-Length");
-        assert_eq!(scene.status(&two).await, Some(400));
+        assert_eq!(router.status(&two).await, Some(400));
         assert_eq!(host.count(), 1);
         // "A request that is unsafe to repeat uses POST, with no idempotency key."
-        let plain = Scene::start(hosts, &desk, 256).await;
+        let plain = TestRouter::start(hosts, &controller, 256).await;
         assert_eq!(plain.status(&with_key("d")).await, Some(200));
-        assert!(!host.heard.lock().unwrap()[1].contains("Idempotency-Key"));
+        assert!(!host.requests.lock().unwrap()[1].contains("Idempotency-Key"));
     });
 }
 
@@ -44,12 +44,17 @@
     run(async {
         let host = Host::start(|n| {
             let bytes = ok(&format!("answer {n}"));
-            Deed::SayMore(bytes.clone(), Duration::from_millis(4), bytes)
+            HostAction::RespondAndSend(bytes.clone(), Duration::from_millis(4), bytes)
         })
         .await;
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await;
-        let mut client = scene.connect().await;
+        let (controller, _) = deployer(vec![]).await;
+        let router = TestRouter::start(
+            list(1, &[("s-a", &host.address, "Ready", 1)]),
+            &controller,
+            256,
+        )
+        .await;
+        let mut client = router.connect().await;
         for n in 0..40 {
             let answer = exchange(&mut client, &seal(&format!("r{n}")))
                 .await
@@ -71,8 +76,8 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let (end, ended) = watch::channel(0);
-        let heard = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-        let count = heard.clone();
+        let arrived = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+        let count = arrived.clone();
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let (mut ended, count) = (ended.clone(), count.clone());
@@ -91,9 +96,10 @@
                 });
             }
         });
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &address, "Ready", 1)]), &desk, 256).await;
-        let mut client = scene.connect().await;
+        let (controller, _) = deployer(vec![]).await;
+        let router =
+            TestRouter::start(list(1, &[("s-a", &address, "Ready", 1)]), &controller, 256).await;
+        let mut client = router.connect().await;
         for n in 0..20 {
             assert_eq!(
                 status(
@@ -105,20 +111,20 @@
             );
             // Long enough for the connection to be used again.
             sleep(Duration::from_millis(30)).await;
-            scene.signal("-STOP");
+            router.signal("-STOP");
             end.send(n).unwrap();
             sleep(Duration::from_millis(5)).await;
             client
                 .write_all(seal(&format!("b{n}")).as_bytes())
                 .await
                 .unwrap();
-            scene.signal("-CONT");
+            router.signal("-CONT");
             let answer = timeout(SOON, read_message(&mut client))
                 .await
                 .unwrap()
                 .unwrap();
             assert_eq!(status(&answer), Some(200), "{n}");
         }
-        assert_eq!(heard.load(std::sync::atomic::Ordering::Relaxed), 40);
+        assert_eq!(arrived.load(std::sync::atomic::Ordering::Relaxed), 40);
     });
 }
--- a/crates/spokeflow-router/tests/crossings/main.rs
+++ b/crates/spokeflow-router/tests/crossings/main.rs
@@ -15,8 +15,8 @@
 use common::seal;
 
 /// The configuration where hosts drop what they have had of the second operation, by its key.
-fn keyed(told: String) -> String {
-    told.replace(
+fn keyed(text: String) -> String {
+    text.replace(
         "\"effect\":\"at_most_once\"",
         "\"effect\":\"deduplicated\",\"dedup_scope\":\"all\",\"dedup_window_s\":0.6",
     )
--- a/crates/spokeflow-router/tests/crossings/reload.rs
+++ b/crates/spokeflow-router/tests/crossings/reload.rs
@@ -10,31 +10,31 @@
 #[test]
 fn sighup_before_the_configuration_is_read_is_kept_for_after() {
     run(async {
-        let first = Host::start(|_| Deed::Say(ok("first"))).await;
-        let second = Host::start(|_| Deed::Say(ok("second"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let first = Host::start(|_| HostAction::Respond(ok("first"))).await;
+        let second = Host::start(|_| HostAction::Respond(ok("second"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let [one, two] = [("s-a", &first), ("s-b", &second)]
             .map(|(id, host)| watch::channel(list(1, &[(id, &host.address, "Ready", 1)])).1);
         let (one, two) = (discovery(one).await, discovery(two).await);
-        let mut scene = Scene::waiting().await;
-        let told = |discovery: &str| configuration(&scene.address, discovery, &desk, 256);
-        let (before, after) = (told(&one), told(&two));
+        let mut router = TestRouter::waiting().await;
+        let text = |discovery: &str| configuration(&router.address, discovery, &controller, 256);
+        let (before, after) = (text(&one), text(&two));
         // Each writing is taken by one reading: the pipe opens only once the router reads.
-        let pipe = scene.pipe().await;
-        scene.signal("-HUP");
-        scene.tell(pipe, &before);
-        scene.tell(scene.pipe().await, &after);
-        scene.up().await;
-        assert!(scene.child.try_wait().unwrap().is_none());
+        let pipe = router.pipe().await;
+        router.signal("-HUP");
+        router.tell(pipe, &before);
+        router.tell(router.pipe().await, &after);
+        router.wait_until_up().await;
+        assert!(router.child.try_wait().unwrap().is_none());
         let begun = Instant::now();
         let mut n = 0;
         while second.count() == 0 && begun.elapsed() < SOON {
             n += 1;
-            scene.status(&read(&format!("r{n}"))).await;
+            router.status(&read(&format!("r{n}"))).await;
         }
         assert!(
             second.count() > 0,
-            "the configuration that SIGHUP told of was not read"
+            "the configuration that SIGHUP announced was not read"
         );
     });
 }
@@ -43,31 +43,31 @@
 #[test]
 fn a_configuration_that_is_being_written_is_read_again() {
     run(async {
-        let first = Host::start(|_| Deed::Say(ok("first"))).await;
-        let second = Host::start(|_| Deed::Say(ok("second"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let first = Host::start(|_| HostAction::Respond(ok("first"))).await;
+        let second = Host::start(|_| HostAction::Respond(ok("second"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let [one, two] = [("s-a", &first), ("s-b", &second)]
             .map(|(id, host)| watch::channel(list(1, &[(id, &host.address, "Ready", 1)])).1);
         let (one, two) = (discovery(one).await, discovery(two).await);
-        let mut scene = Scene::waiting().await;
-        let told = |discovery: &str| configuration(&scene.address, discovery, &desk, 256);
-        let (before, after) = (told(&one), told(&two));
+        let mut router = TestRouter::waiting().await;
+        let text = |discovery: &str| configuration(&router.address, discovery, &controller, 256);
+        let (before, after) = (text(&one), text(&two));
         for text in [&before[..before.len() / 2], "", &before] {
-            scene.tell(scene.pipe().await, text);
+            router.tell(router.pipe().await, text);
         }
-        scene.up().await;
-        assert_eq!(scene.status(&read("a")).await, Some(200));
-        scene.signal("-HUP");
+        router.wait_until_up().await;
+        assert_eq!(router.status(&read("a")).await, Some(200));
+        router.signal("-HUP");
         for text in [&after[..after.len() / 3], &after] {
-            scene.tell(scene.pipe().await, text);
+            router.tell(router.pipe().await, text);
         }
         let begun = Instant::now();
         let mut n = 0;
         while second.count() == 0 && begun.elapsed() < SOON {
             n += 1;
-            scene.status(&read(&format!("r{n}"))).await;
+            router.status(&read(&format!("r{n}"))).await;
         }
         assert!(second.count() > 0, "the old configuration stands");
-        assert!(scene.child.try_wait().unwrap().is_none());
+        assert!(router.child.try_wait().unwrap().is_none());
     });
 }
--- a/crates/spokeflow-router/tests/crossings/watch.rs
+++ b/crates/spokeflow-router/tests/crossings/watch.rs
@@ -31,10 +31,10 @@
 
 /// The configuration with another discovery.
 fn at_discovery(address: &str) -> impl Fn(String) -> String + '_ {
-    move |told| {
-        let at = told.find("\"discovery\":\"").unwrap();
-        let end = at + told[at..].find(',').unwrap();
-        format!("{}\"discovery\":\"{address}\"{}", &told[..at], &told[end..])
+    move |text| {
+        let at = text.find("\"discovery\":\"").unwrap();
+        let end = at + text[at..].find(',').unwrap();
+        format!("{}\"discovery\":\"{address}\"{}", &text[..at], &text[end..])
     }
 }
 
@@ -44,15 +44,15 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A watch that begins an object and then shows signs of life only: what it holds back counts as told after 6 s.
+/// A watch that begins an object and then shows signs of life only: what it holds back counts as known after 6 s.
 #[test]
 fn a_watch_that_stops_within_an_object_is_opened_anew_in_time() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
         let whole = list(1, &[("s-a", &host.address, "Ready", 1)]);
-        let (told, mut reopened) = watch::channel(0);
+        let (connections, mut reopened) = watch::channel(0);
         let discovery = scripted(move |n, mut stream| {
-            told.send_replace(n + 1);
+            connections.send_replace(n + 1);
             let whole = whole.clone();
             async move {
                 // White space may stand here, so that nothing tells it from a list that goes on.
@@ -67,16 +67,17 @@
             }
         })
         .await;
-        let (desk, _) = deployer(vec![]).await;
+        let (controller, _) = deployer(vec![]).await;
         let begun = Instant::now();
-        let scene = Scene::start_with(String::new(), &desk, 256, at_discovery(&discovery)).await;
+        let router =
+            TestRouter::start_with(String::new(), &controller, 256, at_discovery(&discovery)).await;
         assert_eq!(*reopened.borrow_and_update(), 2);
         assert!(
             begun.elapsed() < Duration::from_millis(5_900),
             "{:?}",
             begun.elapsed()
         );
-        assert_eq!(scene.status(&read("a")).await, Some(200));
+        assert_eq!(router.status(&read("a")).await, Some(200));
     });
 }
 
@@ -85,7 +86,7 @@
 #[test]
 fn a_watch_that_is_not_answered_at_once_is_opened_anew() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
         let whole = list(1, &[("s-a", &host.address, "Ready", 1)]);
         let discovery = scripted(move |n, mut stream| {
             let whole = whole.clone();
@@ -99,57 +100,62 @@
             }
         })
         .await;
-        let (desk, _) = deployer(vec![]).await;
+        let (controller, _) = deployer(vec![]).await;
         let begun = Instant::now();
-        let scene = Scene::start_with(String::new(), &desk, 256, at_discovery(&discovery)).await;
+        let router =
+            TestRouter::start_with(String::new(), &controller, 256, at_discovery(&discovery)).await;
         assert!(
             begun.elapsed() < Duration::from_millis(4_000),
             "{:?}",
             begun.elapsed()
         );
-        assert_eq!(scene.status(&read("a")).await, Some(200));
+        assert_eq!(router.status(&read("a")).await, Some(200));
     });
 }
 
 /// The address moves to an agent that lags behind the old one: what it tells anew was overtaken there, and a host that
 /// drains must not come back by it.
 #[test]
-fn changes_older_than_what_was_heard_before_a_move_are_passed_over() {
+fn changes_older_than_those_received_before_a_move_are_skipped() {
     run(async {
-        let drained = Host::start(|_| Deed::Say(ok("drained"))).await;
-        let good = Host::start(|_| Deed::Say(ok("good"))).await;
-        let newest = Host::start(|_| Deed::Say(ok("newest"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let drained = Host::start(|_| HostAction::Respond(ok("drained"))).await;
+        let good = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let newest = Host::start(|_| HostAction::Respond(ok("newest"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let before = [
             ("s-a", drained.address.as_str(), "Terminating", 1),
             ("s-b", &*good.address, "Ready", 1),
         ];
-        let scene = Scene::start(list(9, &before), &desk, 256).await;
+        let router = TestRouter::start(list(9, &before), &controller, 256).await;
         let change = |revision, id, host: &Host| {
             list(revision, &[(id, &host.address, "Ready", 1)])
                 .replace("\"complete\":true", "\"complete\":false")
         };
-        let told = format!(
+        let text = format!(
             "{HEAD}{}{}",
             chunk(&change(5, "s-a", &drained)),
             chunk(&change(10, "s-c", &newest))
         );
         let lagging = scripted(move |_, mut stream| {
-            let told = told.clone();
+            let text = text.clone();
             async move {
-                let _ = stream.write_all(told.as_bytes()).await;
+                let _ = stream.write_all(text.as_bytes()).await;
                 sleep(Duration::from_secs(30)).await;
             }
         })
         .await;
-        let file = scene.folder.join("config.json");
-        std::fs::write(&file, configuration(&scene.address, &lagging, &desk, 256)).unwrap();
-        scene.signal("-HUP");
+        let file = router.folder.join("config.json");
+        std::fs::write(
+            &file,
+            configuration(&router.address, &lagging, &controller, 256),
+        )
+        .unwrap();
+        router.signal("-HUP");
         let begun = Instant::now();
         let mut n = 0;
         while newest.count() < 10 && begun.elapsed() < SOON {
             n += 1;
-            assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200));
+            assert_eq!(router.status(&read(&format!("r{n}"))).await, Some(200));
         }
         assert!(newest.count() >= 10);
         assert_eq!(
--- a/crates/spokeflow-router/tests/platform.rs
+++ b/crates/spokeflow-router/tests/platform.rs
@@ -9,39 +9,46 @@
 use tokio::time::{sleep, timeout};
 
 /// One host, and a deployer that speaks as it should.
-async fn with_host(host: &Host) -> Scene {
-    let (desk, _) = deployer(vec![]).await;
-    Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 256).await
+async fn with_host(host: &Host) -> TestRouter {
+    let (controller, _) = deployer(vec![]).await;
+    TestRouter::start(
+        list(1, &[("s-a", &host.address, "Ready", 1)]),
+        &controller,
+        256,
+    )
+    .await
 }
 
 #[test]
 fn a_calm_path_serves_both_kinds_on_one_connection() {
     run(async {
-        let host = Host::start(|n| Deed::Say(ok(&format!("answer {n}")))).await;
-        let scene = with_host(&host).await;
-        let mut client = scene.connect().await;
+        let host = Host::start(|n| HostAction::Respond(ok(&format!("answer {n}")))).await;
+        let router = with_host(&host).await;
+        let mut client = router.connect().await;
         let first = exchange(&mut client, &read("r1")).await.unwrap();
         let second = exchange(&mut client, &seal("r2")).await.unwrap();
         assert_eq!((status(&first), body(&first)), (Some(200), "answer 0"));
         assert_eq!((status(&second), body(&second)), (Some(200), "answer 1"));
-        let heard = host.heard.lock().unwrap().clone();
+        let requests = host.requests.lock().unwrap().clone();
         assert!(
-            heard[0].starts_with("GET /read/kr1 HTTP/1.1\r\nRequest-Timeout: "),
+            requests[0].starts_with("GET /read/kr1 HTTP/1.1\r\nRequest-Timeout: "),
             "{}",
-            heard[0]
+            requests[0]
+        );
+        assert!(requests[0].contains("\r\nRequest-Id: r1\r\n"));
+        assert!(
+            requests[1].starts_with("POST /seal/kr2 ") && requests[1].ends_with("\r\n\r\nbody")
         );
-        assert!(heard[0].contains("\r\nRequest-Id: r1\r\n"));
-        assert!(heard[1].starts_with("POST /seal/kr2 ") && heard[1].ends_with("\r\n\r\nbody"));
     });
 }
 
-/// Clients that send what is no command: each is told so or closed in time, nothing of it reaches a host or is
+/// Clients that send what is no command: each gets a refusal or is closed in time, nothing of it reaches a host or is
 /// answered as if it had, and the usual client beside them is served.
 #[test]
 fn what_is_no_command_is_turned_away_and_reaches_nobody() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let scene = with_host(&host).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let router = with_host(&host).await;
         let good = read("x");
         let without = |field: &str| {
             let lines = good
@@ -79,7 +86,7 @@
         ];
         for request in bad {
             let begun = Instant::now();
-            let status = scene.status(&request).await;
+            let status = router.status(&request).await;
             let shown: String = request.chars().take(200).collect();
             assert!(
                 status.is_none_or(|s| (400..600).contains(&s)),
@@ -90,23 +97,24 @@
                 "late to {shown:?}"
             );
         }
-        assert_eq!(host.count(), 0, "{:?}", host.heard);
-        assert_eq!(scene.status(&good).await, Some(200));
+        assert_eq!(host.count(), 0, "{:?}", host.requests);
+        assert_eq!(router.status(&good).await, Some(200));
     });
 }
 
 #[test]
 fn an_id_that_is_open_is_refused_and_free_again_after_its_answer() {
     run(async {
-        let host = Host::start(|_| Deed::SayAfter(Duration::from_millis(300), ok("good"))).await;
-        let scene = with_host(&host).await;
-        let mut first = scene.connect().await;
+        let host =
+            Host::start(|_| HostAction::RespondAfter(Duration::from_millis(300), ok("good"))).await;
+        let router = with_host(&host).await;
+        let mut first = router.connect().await;
         first.write_all(read("same").as_bytes()).await.unwrap();
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(scene.status(&read("same")).await, Some(409));
+        assert_eq!(router.status(&read("same")).await, Some(409));
         let answer = read_message(&mut first).await.unwrap();
         assert_eq!((status(&answer), host.count()), (Some(200), 1));
-        assert_eq!(scene.status(&read("same")).await, Some(200));
+        assert_eq!(router.status(&read("same")).await, Some(200));
     });
 }
 
@@ -124,18 +132,18 @@
     ];
     run(async {
         for bytes in spoilt {
-            let sick = Host::start(move |_| Deed::Say(bytes.to_vec())).await;
-            let well = Host::start(|_| Deed::Say(ok("good"))).await;
-            let (desk, _) = deployer(vec![]).await;
+            let sick = Host::start(move |_| HostAction::Respond(bytes.to_vec())).await;
+            let well = Host::start(|_| HostAction::Respond(ok("good"))).await;
+            let (controller, _) = deployer(vec![]).await;
             let both = [
                 ("s-a", &*sick.address, "Ready", 1),
                 ("s-b", &*well.address, "Ready", 1),
             ];
-            let scene = Scene::start(list(1, &both), &desk, 256).await;
+            let router = TestRouter::start(list(1, &both), &controller, 256).await;
             let mut n = 0;
             while sick.count() == 0 {
                 n += 1;
-                let answer = exchange(&mut scene.connect().await, &read(&format!("r{n}")))
+                let answer = exchange(&mut router.connect().await, &read(&format!("r{n}")))
                     .await
                     .unwrap();
                 assert_eq!(
@@ -144,10 +152,10 @@
                     "{bytes:?}"
                 );
             }
-            scene.lines.send(list(2, &both[..1])).unwrap();
+            router.lines.send(list(2, &both[..1])).unwrap();
             sleep(Duration::from_millis(700)).await;
             let before = sick.count();
-            assert_eq!(scene.status(&seal("once")).await, Some(502), "{bytes:?}");
+            assert_eq!(router.status(&seal("once")).await, Some(502), "{bytes:?}");
             assert_eq!(
                 sick.count(),
                 before + 1,
@@ -163,11 +171,11 @@
     run(async {
         let host = Host::start(|n| {
             let bytes = ok(&format!("answer {n}"));
-            Deed::SayMore(bytes.clone(), Duration::from_millis(20), bytes)
+            HostAction::RespondAndSend(bytes.clone(), Duration::from_millis(20), bytes)
         })
         .await;
-        let scene = with_host(&host).await;
-        let mut client = scene.connect().await;
+        let router = with_host(&host).await;
+        let mut client = router.connect().await;
         for n in 0..5 {
             let answer = exchange(&mut client, &read(&format!("r{n}")))
                 .await
@@ -188,34 +196,36 @@
         let dead = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let nobody = dead.local_addr().unwrap().to_string();
         drop(dead);
-        let well = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let well = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let hosts = [
             ("s-a", nobody.as_str(), "Ready", 1),
             ("s-b", &*well.address, "Ready", 1),
         ];
-        let scene = Scene::start(list(1, &hosts), &desk, 256).await;
+        let router = TestRouter::start(list(1, &hosts), &controller, 256).await;
         for n in 0..12 {
-            assert_eq!(scene.status(&seal(&format!("c{n}"))).await, Some(200));
+            assert_eq!(router.status(&seal(&format!("c{n}"))).await, Some(200));
         }
-        let breaks = Host::start(|_| Deed::Break).await;
-        scene
+        let breaks = Host::start(|_| HostAction::Close).await;
+        router
             .lines
             .send(list(2, &[("s-c", &breaks.address, "Ready", 1)]))
             .unwrap();
         sleep(Duration::from_millis(200)).await;
-        assert_eq!(scene.status(&seal("once")).await, Some(502));
+        assert_eq!(router.status(&seal("once")).await, Some(502));
         assert_eq!(breaks.count(), 1);
         let full = Host::start(|_| {
-            Deed::Say(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
+            HostAction::Respond(
+                b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
+            )
         })
         .await;
-        scene
+        router
             .lines
             .send(list(3, &[("s-d", &full.address, "Ready", 1)]))
             .unwrap();
         sleep(Duration::from_millis(200)).await;
-        let refused = exchange(&mut scene.connect().await, &seal("full"))
+        let refused = exchange(&mut router.connect().await, &seal("full"))
             .await
             .unwrap();
         assert_eq!(status(&refused), Some(503));
@@ -228,11 +238,11 @@
 #[test]
 fn lists_that_change_are_followed_at_once() {
     run(async {
-        let first = Host::start(|_| Deed::Say(ok("first"))).await;
-        let second = Host::start(|_| Deed::Say(ok("second"))).await;
-        let scene = with_host(&first).await;
-        assert_eq!(scene.status(&read("a")).await, Some(200));
-        scene
+        let first = Host::start(|_| HostAction::Respond(ok("first"))).await;
+        let second = Host::start(|_| HostAction::Respond(ok("second"))).await;
+        let router = with_host(&first).await;
+        assert_eq!(router.status(&read("a")).await, Some(200));
+        router
             .lines
             .send("{\"revision\":2,\"complete\":tr".into())
             .unwrap();
@@ -241,10 +251,10 @@
             ("s-a", &*second.address, "Ready", 1),
             ("s-b", &*first.address, "Terminating", 1),
         ];
-        scene.lines.send(list(3, &moved)).unwrap();
+        router.lines.send(list(3, &moved)).unwrap();
         sleep(Duration::from_millis(400)).await;
         for n in 0..5 {
-            let answer = exchange(&mut scene.connect().await, &read(&format!("b{n}")))
+            let answer = exchange(&mut router.connect().await, &read(&format!("b{n}")))
                 .await
                 .unwrap();
             assert_eq!(body(&answer), "second");
@@ -258,12 +268,12 @@
                 ("s-b", &*first.address, "Ready", 1),
             ],
         );
-        scene
+        router
             .lines
             .send(back.replace(',', ",\n  ").replace('{', "{\n  "))
             .unwrap();
         sleep(Duration::from_millis(400)).await;
-        let answer = exchange(&mut scene.connect().await, &read("c"))
+        let answer = exchange(&mut router.connect().await, &read("c"))
             .await
             .unwrap();
         assert_eq!(body(&answer), "first");
@@ -273,30 +283,35 @@
 #[test]
 fn a_new_configuration_moves_discovery_and_deployer() {
     run(async {
-        let first = Host::start(|_| Deed::Say(ok("first"))).await;
-        let second = Host::start(|_| Deed::Say(ok("second"))).await;
-        let scene = with_host(&first).await;
-        let (_lines, told) =
+        let first = Host::start(|_| HostAction::Respond(ok("first"))).await;
+        let second = Host::start(|_| HostAction::Respond(ok("second"))).await;
+        let router = with_host(&first).await;
+        let (_lines, line_updates) =
             tokio::sync::watch::channel(list(9, &[("s-b", &second.address, "Ready", 1)]));
-        let (desk, heard) = deployer(vec![]).await;
-        let file = scene.folder.join("config.json");
+        let (controller, requests) = deployer(vec![]).await;
+        let file = router.folder.join("config.json");
         std::fs::write(&file, "{ half a file").unwrap();
-        scene.signal("-HUP");
+        router.signal("-HUP");
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(scene.status(&read("a")).await, Some(200));
+        assert_eq!(router.status(&read("a")).await, Some(200));
         std::fs::write(
             &file,
-            configuration(&scene.address, &discovery(told).await, &desk, 256),
+            configuration(
+                &router.address,
+                &discovery(line_updates).await,
+                &controller,
+                256,
+            ),
         )
         .unwrap();
-        scene.signal("-HUP");
+        router.signal("-HUP");
         sleep(Duration::from_millis(400)).await;
-        let answer = exchange(&mut scene.connect().await, &read("b"))
+        let answer = exchange(&mut router.connect().await, &read("b"))
             .await
             .unwrap();
         assert_eq!(body(&answer), "second");
         assert_eq!(
-            heard.lock().unwrap().first().map(String::as_str),
+            requests.lock().unwrap().first().map(String::as_str),
             Some("SUB")
         );
     });
@@ -305,18 +320,20 @@
 #[test]
 fn at_sigterm_all_that_was_taken_is_answered() {
     run(async {
-        let host = Host::start(|_| Deed::SayAfter(Duration::from_millis(1200), ok("late"))).await;
-        let mut scene = with_host(&host).await;
+        let host =
+            Host::start(|_| HostAction::RespondAfter(Duration::from_millis(1200), ok("late")))
+                .await;
+        let mut router = with_host(&host).await;
         let mut held = Vec::new();
         for n in 0..3 {
-            let mut client = scene.connect().await;
+            let mut client = router.connect().await;
             client
                 .write_all(read(&format!("r{n}")).as_bytes())
                 .await
                 .unwrap();
             held.push(client);
         }
-        let mut idle = scene.connect().await;
+        let mut idle = router.connect().await;
         assert_eq!(
             status(
                 &exchange(&mut idle, "GET /up HTTP/1.1\r\n\r\n")
@@ -326,8 +343,8 @@
             Some(200)
         );
         sleep(Duration::from_millis(100)).await;
-        scene.signal("-TERM");
-        while scene.status("GET /up HTTP/1.1\r\n\r\n").await == Some(200) {
+        router.signal("-TERM");
+        while router.status("GET /up HTTP/1.1\r\n\r\n").await == Some(200) {
             sleep(Duration::from_millis(5)).await;
         }
         for client in &mut held {
@@ -335,7 +352,7 @@
             assert_eq!((status(&answer), body(&answer)), (Some(200), "late"));
             assert!(answer.contains("Connection: close"));
         }
-        assert!(timeout(SOON, scene.child.wait())
+        assert!(timeout(SOON, router.child.wait())
             .await
             .unwrap()
             .unwrap()
@@ -347,14 +364,19 @@
 #[test]
 fn silent_connections_do_not_keep_others_out() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 64).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
+        let router = TestRouter::start(
+            list(1, &[("s-a", &host.address, "Ready", 1)]),
+            &controller,
+            64,
+        )
+        .await;
         let (mut silent, begun) = (Vec::new(), Instant::now());
         for n in 0..300 {
-            silent.push(scene.connect().await);
+            silent.push(router.connect().await);
             if n % 50 == 0 {
-                assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200));
+                assert_eq!(router.status(&read(&format!("r{n}"))).await, Some(200));
             }
         }
         // Without room made for them they would wait until the silent ones' time is up.
@@ -372,25 +394,25 @@
 
 /// Votes and news: spoilt lines cost their connection and nothing else.
 #[test]
-fn a_deployer_that_speaks_noise_is_asked_again() {
+fn a_deployer_that_sends_noise_is_connected_to_again() {
     run(async {
-        let old = Host::start(|_| Deed::Say(ok("old"))).await;
-        let new = Host::start(|_| Deed::Say(ok("new"))).await;
+        let old = Host::start(|_| HostAction::Respond(ok("old"))).await;
+        let new = Host::start(|_| HostAction::Respond(ok("new"))).await;
         let noise = vec![
             "\u{fffd}noise\r\n",
             "OK\r\n* news 2 0 SIDEWAYS 0.5 10\r\n",
             "OK\r\n* news 2 0 IN_PROG",
         ];
-        let (desk, heard) = deployer(noise).await;
+        let (controller, requests) = deployer(noise).await;
         let hosts = [
             ("s-a", &*old.address, "Ready", 1),
             ("s-b", &*new.address, "Ready", 2),
         ];
-        let scene = Scene::start(list(1, &hosts), &desk, 256).await;
+        let router = TestRouter::start(list(1, &hosts), &controller, 256).await;
         let begun = Instant::now();
         let mut n = 0;
         let voted = || {
-            heard
+            requests
                 .lock()
                 .unwrap()
                 .iter()
@@ -398,10 +420,10 @@
         };
         while !voted() && begun.elapsed() < SOON {
             n += 1;
-            assert_eq!(scene.status(&read(&format!("r{n}"))).await, Some(200));
+            assert_eq!(router.status(&read(&format!("r{n}"))).await, Some(200));
             sleep(Duration::from_millis(5)).await;
         }
-        assert!(voted(), "{:?}", heard.lock().unwrap());
+        assert!(voted(), "{:?}", requests.lock().unwrap());
         assert!(new.count() > 0);
     });
 }
@@ -429,13 +451,13 @@
             .arg(&file)
             .output()
             .unwrap();
-        let told = String::from_utf8_lossy(&ended.stderr).to_string();
+        let text = String::from_utf8_lossy(&ended.stderr).to_string();
         assert_eq!(
-            (ended.status.code(), told.lines().count()),
+            (ended.status.code(), text.lines().count()),
             (Some(2), 1),
-            "{told}"
+            "{text}"
         );
-        assert!(told.contains(says), "{told}");
+        assert!(text.contains(says), "{text}");
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -444,12 +466,17 @@
 #[test]
 fn with_hardly_any_descriptors_it_still_serves() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
-        let scene = Scene::start(list(1, &[("s-a", &host.address, "Ready", 1)]), &desk, 27).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
+        let router = TestRouter::start(
+            list(1, &[("s-a", &host.address, "Ready", 1)]),
+            &controller,
+            27,
+        )
+        .await;
         for n in 0..6 {
             assert_eq!(
-                scene.status(&read(&format!("r{n}"))).await,
+                router.status(&read(&format!("r{n}"))).await,
                 Some(200),
                 "{n}"
             );
@@ -458,12 +485,12 @@
 }
 
 /// Guards against bounds on the list's length on the way from discovery to the module: 1,500 hosts, then half of them
-/// gone and as many new ones, which are told in one line each.
+/// gone and as many new ones, which are listed in one line each.
 #[test]
 fn a_list_of_many_hosts_is_read_whole_and_followed() {
     run(async {
-        let host = Host::start(|_| Deed::Say(ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let host = Host::start(|_| HostAction::Respond(ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let named = |from: usize| {
             (from..from + 1500)
                 .map(|n| format!("s-{n:08x}"))
@@ -477,8 +504,8 @@
                 .collect();
             list(1, &members)
         };
-        let scene = Scene::start(lines(&first, "Ready"), &desk, 256).await;
-        let mut client = scene.connect().await;
+        let router = TestRouter::start(lines(&first, "Ready"), &controller, 256).await;
+        let mut client = router.connect().await;
         for n in 0..20 {
             assert_eq!(
                 status(
@@ -489,7 +516,7 @@
                 Some(200)
             );
         }
-        scene.lines.send(lines(&second, "Ready")).unwrap();
+        router.lines.send(lines(&second, "Ready")).unwrap();
         for n in 0..20 {
             assert_eq!(
                 status(
@@ -509,8 +536,9 @@
 fn processes_that_start_beside_one_cold_host_do_not_push_it_over_together() {
     const FLEET: usize = 12;
     run(async {
-        let host = Host::start(|_| Deed::SayAfter(Duration::from_millis(150), ok("good"))).await;
-        let (desk, _) = deployer(vec![]).await;
+        let host =
+            Host::start(|_| HostAction::RespondAfter(Duration::from_millis(150), ok("good"))).await;
+        let (controller, _) = deployer(vec![]).await;
         let started = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap()
@@ -520,16 +548,16 @@
         let begun = Instant::now();
         let starting = (0..FLEET).map(|n| {
             let own = format!("\"fleet_size\":{FLEET},\"me\":{n}");
-            let change = move |told: String| told.replace("\"fleet_size\":1,\"me\":0", &own);
-            Scene::start_with(cold.clone(), &desk, 256, change)
+            let change = move |text: String| text.replace("\"fleet_size\":1,\"me\":0", &own);
+            TestRouter::start_with(cold.clone(), &controller, 256, change)
         });
         let mut scenes = Vec::new();
-        for scene in starting {
-            scenes.push(scene.await);
+        for router in starting {
+            scenes.push(router.await);
         }
         for round in 0..10 {
-            for (n, scene) in scenes.iter().enumerate() {
-                let mut client = scene.connect().await;
+            for (n, router) in scenes.iter().enumerate() {
+                let mut client = router.connect().await;
                 client
                     .write_all(read(&format!("r{n}-{round}")).as_bytes())
                     .await
@@ -540,7 +568,7 @@
         }
         assert!(
             begun.elapsed() < Duration::from_millis(2_900),
-            "within the told span"
+            "within the stated span"
         );
         // One command in a service target of 1 s, by 3 for 3 s at 0.31 of that: 2.8, and chance on top, 3 roots and 3.
         assert!(
@@ -549,8 +577,8 @@
             host.count()
         );
         sleep(Duration::from_secs(5).saturating_sub(begun.elapsed())).await;
-        for (n, scene) in scenes.iter().enumerate() {
-            assert_eq!(scene.status(&read(&format!("warm{n}"))).await, Some(200));
+        for (n, router) in scenes.iter().enumerate() {
+            assert_eq!(router.status(&read(&format!("warm{n}"))).await, Some(200));
         }
     });
 }
