--- a/crates/spokeflow-router/tests/migrate.rs
+++ b/crates/spokeflow-router/tests/migrate/started_router.rs
@@ -1,183 +1,20 @@
-//! A file for the old shape carried over, and the real router started with what came of it.
+//! The real router, started with a migrated file.
 
-use std::path::PathBuf;
 use std::process::Stdio;
 use std::time::Duration;
 
-use clap::Parser;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::*;
-use spokeflow_router::migrate::{
-    check_settings, migrate, parse_settings, MigrateProgram, MigrationErrors, Setting,
-};
+use spokeflow_router::migrate::{migrate, parse_settings, Setting};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-const SOON: Duration = Duration::from_secs(10);
-
-const OLD: &str = "# the old fleet
-SPOKEFLOW_LIST=127.0.0.1:1
-SPOKEFLOW_DESK=127.0.0.1:2
-export SPOKEFLOW_OP=seat-map:redeliverable:target=1.5s:timeout=5s,hold:at-most-once:target=1s:timeout=3s
-SPOKEFLOW_FORWARD_ONLY=true
-
-SPOKEFLOW_FLEET_SIZE=\"4\"
-SPOKEFLOW_SITE=1
-SPOKEFLOW_MAY_TELL=true
-SPOKEFLOW_PEER=1=127.0.0.1:3
-";
-
-/// A folder of a test's own, gone with it.
-struct Folder(PathBuf);
+use crate::{Folder, OLD};
 
-impl Folder {
-    fn new(name: &str, old: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("spokeflow-migrate-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).unwrap();
-        std::fs::write(path.join("old.env"), old).unwrap();
-        Folder(path)
-    }
-
-    fn program(&self, more: &[&str]) -> MigrateProgram {
-        let (from, to) = (self.0.join("old.env"), self.0.join("new.env"));
-        let line = [
-            "move",
-            "--from",
-            from.to_str().unwrap(),
-            "--to",
-            to.to_str().unwrap(),
-        ];
-        MigrateProgram::parse_from(line.iter().chain(more))
-    }
-
-    fn files(&self) -> usize {
-        std::fs::read_dir(&self.0).unwrap().count()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
-/// The errors as they are printed.
-fn lines(errors: &MigrationErrors) -> Vec<String> {
-    errors.0.iter().map(ToString::to_string).collect()
-}
-
-#[test]
-fn each_fault_is_one_line_with_setting_and_line_and_nothing_is_written() {
-    let base = "SPOKEFLOW_LIST=127.0.0.1:1\nSPOKEFLOW_DESK=127.0.0.1:2\n\
-                SPOKEFLOW_OP=a:redeliverable:target=1s:timeout=4s\n";
-    let cases = [
-        (
-            "SPOKEFLOW_LISTT=1",
-            "line 4: SPOKEFLOW_LISTT: not a setting",
-        ),
-        (
-            "SPOKEFLOW_SITE=1\nSPOKEFLOW_SITE=2",
-            "line 5: SPOKEFLOW_SITE: given before, on line 4",
-        ),
-        (
-            "no setting at all",
-            "line 4: 'no setting at all' is not NAME=VALUE",
-        ),
-        (
-            "SPOKEFLOW_SITE=\"1",
-            "line 4: SPOKEFLOW_SITE: the quote does not end",
-        ),
-        (
-            "SPOKEFLOW_SITE=here",
-            "line 4: SPOKEFLOW_SITE: invalid value 'here'",
-        ),
-        (
-            "SPOKEFLOW_MAY_PROBE=yes",
-            "line 4: SPOKEFLOW_MAY_PROBE: 'yes' is neither true nor false",
-        ),
-        (
-            "SPOKEFLOW_COLD_FROM=0",
-            "line 4: SPOKEFLOW_COLD_FROM: --cold-from: ",
-        ),
-        (
-            "SPOKEFLOW_BACK_VOTES=3",
-            "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 of 1 routers",
-        ),
-    ];
-    for (more, said) in cases {
-        let folder = Folder::new("faults", &format!("{base}{more}\n"));
-        let errors = migrate(&folder.program(&[])).unwrap_err();
-        assert_eq!(errors.0.len(), 1, "{more}: {errors}");
-        assert!(lines(&errors)[0].starts_with(said), "{more}: {errors}");
-        assert_eq!(folder.files(), 1, "{more}");
-    }
-    let missing = Folder::new("missing", "SPOKEFLOW_LIST=127.0.0.1:1\n");
-    let errors = migrate(&missing.program(&[])).unwrap_err();
-    assert_eq!(
-        lines(&errors),
-        [
-            "SPOKEFLOW_OP: missing",
-            "SPOKEFLOW_RELEASE_CONTROLLER: missing"
-        ]
-    );
-    // What is wrong only in the new shape is found as well, before anything is written.
-    let folder = Folder::new("new", OLD);
-    let errors = migrate(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
-    assert_eq!(
-        lines(&errors),
-        ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 of 4 routers"]
-    );
-    assert_eq!(folder.files(), 1);
-}
-
-#[test]
-fn the_input_stays_an_output_is_not_overwritten_unasked_and_a_check_writes_nothing() {
-    let folder = Folder::new("files", OLD);
-    let checked = migrate(&folder.program(&["--check"])).unwrap();
-    let notes = checked.notes;
-    assert_eq!(folder.files(), 1);
-    for (line, name) in [(5, "FORWARD_ONLY"), (9, "MAY_TELL"), (10, "PEER")] {
-        let said = format!("line {line}: SPOKEFLOW_{name}: not carried over");
-        assert!(
-            notes.iter().any(|n| n.starts_with(&said)),
-            "{said}: {notes:?}"
-        );
-    }
-    assert!(
-        notes
-            .iter()
-            .any(|n| n.starts_with("SPOKEFLOW_GATE: not in the file")),
-        "{notes:?}"
-    );
-    let to = folder.0.join("new.env");
-    std::fs::write(&to, "mine").unwrap();
-    let errors = migrate(&folder.program(&[])).unwrap_err();
-    assert!(lines(&errors)[0].contains("--replace"), "{errors}");
-    assert_eq!(std::fs::read_to_string(&to).unwrap(), "mine");
-    migrate(&folder.program(&["--replace"])).unwrap();
-    let new = std::fs::read_to_string(&to).unwrap();
-    assert_eq!((new.as_str(), folder.files()), (checked.text.as_str(), 2));
-    assert_eq!(
-        std::fs::read_to_string(folder.0.join("old.env")).unwrap(),
-        OLD
-    );
-    let terms = check_settings(&parse_settings(&new).unwrap()).unwrap();
-    let s = &terms.service;
-    assert!(s.beside && s.host_reports && s.controller_stats && s.host_sizes);
-    assert!(!s.forward_only && !s.may_tell);
-    assert_eq!((s.fleet_size, terms.site, s.ops.len()), (4, 1, 2));
-    // Carried over again it stays what it is.
-    let again = Folder::new("again", &new);
-    assert_eq!(migrate(&again.program(&["--check"])).unwrap().text, new);
-    let to = to.to_str().unwrap();
-    let same = MigrateProgram::parse_from(["move", "--from", to, "--to", to]);
-    let errors = migrate(&same).unwrap_err();
-    assert!(lines(&errors)[0].contains("is the file that is read"));
-}
+const SOON: Duration = Duration::from_secs(10);
 
 type Peer<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
 
--- /dev/null
+++ b/crates/spokeflow-router/tests/platform/main.rs
@@ -0,0 +1,20 @@
+//! The program on the platform, end to end on loopback sockets.
+
+mod clients;
+#[path = "../common/mod.rs"]
+mod common;
+mod control;
+mod hosts;
+
+use common::{deployer, list, Host, TestRouter};
+
+/// One host, and a deployer that answers as it should.
+async fn with_host(host: &Host) -> TestRouter {
+    let (controller, _) = deployer(vec![]).await;
+    TestRouter::start(
+        list(1, &[("s-a", &host.address, "Ready", 1)]),
+        &controller,
+        256,
+    )
+    .await
+}
