--- a/crates/spokeflow-router/tests/common/host.rs
+++ b/crates/spokeflow-router/tests/common/host.rs
@@ -42,10 +42,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let requests: Arc<Mutex<Vec<String>>> = Default::default();
-        let (script, all): (Script, _) = (Arc::new(script), requests.clone());
+        let script: Script = Arc::new(script);
+        let all = requests.clone();
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                let (script, all) = (script.clone(), all.clone());
+                let script = script.clone();
+                let all = all.clone();
                 tokio::spawn(async move {
                     while let Some(request) = read_message(&mut stream).await {
                         let before = {
--- a/crates/spokeflow-router/tests/common/peers.rs
+++ b/crates/spokeflow-router/tests/common/peers.rs
@@ -64,7 +64,8 @@
     tokio::spawn(async move {
         let mut first = first.into_iter();
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (spoilt, all) = (first.next(), all.clone());
+            let spoilt = first.next();
+            let all = all.clone();
             tokio::spawn(async move {
                 let mut bytes = Vec::new();
                 while !bytes.ends_with(b"\r\n") {
--- a/crates/spokeflow-router/tests/common/router.rs
+++ b/crates/spokeflow-router/tests/common/router.rs
@@ -100,7 +100,8 @@
 
     /// Ends one reading with this text; the next one waits at a pipe of its own, so that two cannot run together.
     pub(crate) fn tell(&self, mut pipe: std::fs::File, text: &str) {
-        let (next, file) = (self.folder.join("next"), self.folder.join("config.json"));
+        let next = self.folder.join("next");
+        let file = self.folder.join("config.json");
         assert!(std::process::Command::new("mkfifo")
             .arg(&next)
             .status()
@@ -123,7 +124,8 @@
         let discovery = discovery(line_updates).await;
         // An address of its own, and a port that the system deals out to nobody: one that was free a moment ago may be
         // the near end of another test's connection by the time the router listens.
-        let (pid, n_th) = (std::process::id(), 1 + n % 250);
+        let pid = std::process::id();
+        let n_th = 1 + n % 250;
         let address = format!("127.{}.{}.{n_th}:8081", 64 + (pid >> 8) % 64, pid % 256);
         let file = folder.join("config.json");
         write_configuration(&address, &discovery, &file);
--- a/crates/spokeflow-router/tests/crossings/hosts.rs
+++ b/crates/spokeflow-router/tests/crossings/hosts.rs
@@ -80,7 +80,8 @@
         let count = arrived.clone();
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                let (mut ended, count) = (ended.clone(), count.clone());
+                let mut ended = ended.clone();
+                let count = count.clone();
                 ended.borrow_and_update();
                 tokio::spawn(async move {
                     loop {
--- a/crates/spokeflow-router/tests/crossings/reload.rs
+++ b/crates/spokeflow-router/tests/crossings/reload.rs
@@ -15,10 +15,12 @@
         let (controller, _) = deployer(vec![]).await;
         let [one, two] = [("s-a", &first), ("s-b", &second)]
             .map(|(id, host)| watch::channel(list(1, &[(id, &host.address, "Ready", 1)])).1);
-        let (one, two) = (discovery(one).await, discovery(two).await);
+        let one = discovery(one).await;
+        let two = discovery(two).await;
         let mut router = TestRouter::waiting().await;
         let text = |discovery: &str| configuration(&router.address, discovery, &controller, 256);
-        let (before, after) = (text(&one), text(&two));
+        let before = text(&one);
+        let after = text(&two);
         // Each writing is taken by one reading: the pipe opens only once the router reads.
         let pipe = router.pipe().await;
         router.signal("-HUP");
@@ -48,10 +50,12 @@
         let (controller, _) = deployer(vec![]).await;
         let [one, two] = [("s-a", &first), ("s-b", &second)]
             .map(|(id, host)| watch::channel(list(1, &[(id, &host.address, "Ready", 1)])).1);
-        let (one, two) = (discovery(one).await, discovery(two).await);
+        let one = discovery(one).await;
+        let two = discovery(two).await;
         let mut router = TestRouter::waiting().await;
         let text = |discovery: &str| configuration(&router.address, discovery, &controller, 256);
-        let (before, after) = (text(&one), text(&two));
+        let before = text(&one);
+        let after = text(&two);
         for text in [&before[..before.len() / 2], "", &before] {
             router.tell(router.pipe().await, text);
         }
--- a/crates/spokeflow-router/tests/migrate/conversion.rs
+++ b/crates/spokeflow-router/tests/migrate/conversion.rs
@@ -107,11 +107,16 @@
         std::fs::read_to_string(folder.0.join("old.env")).unwrap(),
         OLD
     );
-    let terms = check_settings(&parse_settings(&new).unwrap()).unwrap();
-    let s = &terms.service;
-    assert!(s.beside && s.host_reports && s.controller_stats && s.host_sizes);
-    assert!(!s.forward_only && !s.may_tell);
-    assert_eq!((s.fleet_size, terms.site, s.ops.len()), (4, 1, 2));
+    let flags = check_settings(&parse_settings(&new).unwrap()).unwrap();
+    let service = &flags.service;
+    assert!(
+        service.beside && service.host_reports && service.controller_stats && service.host_sizes
+    );
+    assert!(!service.forward_only && !service.may_tell);
+    assert_eq!(
+        (service.fleet_size, flags.site, service.ops.len()),
+        (4, 1, 2)
+    );
     // Carried over again it stays what it is.
     let again = Folder::new("again", &new);
     assert_eq!(migrate(&again.program(&["--check"])).unwrap().text, new);
--- a/crates/spokeflow-router/tests/migrate/main.rs
+++ b/crates/spokeflow-router/tests/migrate/main.rs
@@ -34,7 +34,8 @@
     }
 
     fn program(&self, more: &[&str]) -> MigrateProgram {
-        let (from, to) = (self.0.join("old.env"), self.0.join("new.env"));
+        let from = self.0.join("old.env");
+        let to = self.0.join("new.env");
         let line = [
             "move",
             "--from",
--- a/crates/spokeflow-router/tests/platform/clients.rs
+++ b/crates/spokeflow-router/tests/platform/clients.rs
@@ -119,7 +119,8 @@
             64,
         )
         .await;
-        let (mut silent, begun) = (Vec::new(), Instant::now());
+        let mut silent = Vec::new();
+        let begun = Instant::now();
         for n in 0..300 {
             silent.push(router.connect().await);
             if n % 50 == 0 {
--- a/crates/spokeflow-router/tests/platform/control.rs
+++ b/crates/spokeflow-router/tests/platform/control.rs
@@ -239,7 +239,8 @@
                 .map(|n| format!("s-{n:08x}"))
                 .collect::<Vec<_>>()
         };
-        let (first, second) = (named(0), named(750));
+        let first = named(0);
+        let second = named(750);
         let lines = |names: &[String], phase| {
             let members: Vec<_> = names
                 .iter()
