--- a/crates/spokeflow-scenario/src/check/answers.rs
+++ b/crates/spokeflow-scenario/src/check/answers.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Attempt, Deadline};
 use super::{attempt_name, Checker};
-use crate::seen::{AnswerKind, Observation};
+use crate::observation::{AnswerKind, Observation};
 use crate::Micros;
 
 /// How many of the newest breaks are searched for one that an answer that came late belongs to.
--- a/crates/spokeflow-scenario/src/check/draining.rs
+++ b/crates/spokeflow-scenario/src/check/draining.rs
@@ -1,7 +1,7 @@
 //! Rule 3: nothing new to a drained or gone host past the grace.
 
 use super::{attempt_name, host_name, Checker};
-use crate::seen::Process;
+use crate::observation::Process;
 use crate::{Micros, SECOND};
 
 impl Checker {
--- a/crates/spokeflow-scenario/src/check/explain.rs
+++ b/crates/spokeflow-scenario/src/check/explain.rs
@@ -1,7 +1,7 @@
 //! Puts the messages that concern a break beside it.
 
 use super::{attempt_name, host_name, router_name, Broken, Trace};
-use crate::seen::Observation;
+use crate::observation::Observation;
 use crate::{Micros, SECOND};
 
 /// Breaks that are explained; the first ones tell the cause.
--- a/crates/spokeflow-scenario/src/check/exposure.rs
+++ b/crates/spokeflow-scenario/src/check/exposure.rs
@@ -2,7 +2,7 @@
 
 use super::state::{KeyAnswer, Rollout, RouterView};
 use super::{attempt_name, router_name, Checker, RuleConfig};
-use crate::seen::{Process, Standing};
+use crate::observation::{Process, Standing};
 use crate::Micros;
 
 /// Far below what rounding adds to a count of deliveries, far above a rounding error.
--- a/crates/spokeflow-scenario/src/check/mod.rs
+++ b/crates/spokeflow-scenario/src/check/mod.rs
@@ -24,7 +24,7 @@
 pub use explain::explain;
 pub use retention::Retained;
 
-use crate::seen::{Observation, Process, ReplyKind};
+use crate::observation::{Observation, Process, ReplyKind};
 use crate::Micros;
 use state::{Attempt, CommandEffects, Deadline, RouterView};
 
--- a/crates/spokeflow-scenario/src/check/state.rs
+++ b/crates/spokeflow-scenario/src/check/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use crate::seen::{Phase, Process, Standing};
+use crate::observation::{Phase, Process, Standing};
 use crate::Micros;
 
 /// When something is due for an attempt; the earliest sorts first.
--- a/crates/spokeflow-scenario/src/board.rs
+++ b/crates/spokeflow-scenario/src/endpoint_registry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::seen::Phase;
+use crate::observation::Phase;
 use crate::Micros;
 
 #[derive(Clone, Debug)]
--- a/crates/spokeflow-scenario/src/lib.rs
+++ b/crates/spokeflow-scenario/src/lib.rs
@@ -1,20 +1,22 @@
-//! What a day is made of, the same whether it is played on sockets or in simulated time: sizes, traffic, builds
-//! and troubles; the models of hosts, list and desk; what is seen of a day, the checker that decides the five
-//! rules from that alone, and the report. No I/O; time is handed in; chance comes from handed seeds.
+//! What a run is made of, the same whether it is played on sockets or in simulated time: sizes, traffic, builds
+//! and faults; the models of hosts, host list and release controller; what is observed of a run, the checker that
+//! decides the five rules from that alone, and the report. No I/O; time is handed in; chance comes from seeds.
 
-pub mod board;
+pub mod active_faults;
 pub mod check;
-pub mod desk;
-pub mod faults;
+pub mod endpoint_registry;
 pub mod flags;
-pub mod front;
 pub mod host;
+pub mod observation;
+pub mod release_controller;
 pub mod report;
+pub mod router_picker;
 pub mod scenario;
-pub mod seen;
 pub mod traffic;
 
-/// Microseconds since the start of the day.
+/// Microseconds since the start of the run.
 pub type Micros = i64;
+/// A millisecond.
 pub const MS: Micros = 1000;
+/// A second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/spokeflow-scenario/src/desk.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::observation::Standing;
 use crate::scenario::{Gate, Scenario};
-use crate::seen::Standing;
 use crate::{Micros, SECOND};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/spokeflow-scenario/src/report/builds.rs
+++ b/crates/spokeflow-scenario/src/report/builds.rs
@@ -2,8 +2,8 @@
 
 use super::recorder::RunRecorder;
 use super::{seconds, BuildSummary};
+use crate::observation::Standing;
 use crate::scenario::{Build, BuildDefect};
-use crate::seen::Standing;
 use crate::Micros;
 
 /// How a summary begins whose build was rolled back by votes.
--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -5,8 +5,8 @@
 use super::builds::{ControllerState, RollbackVote};
 use super::{seconds, BrokenRule, End, Interval, Outcome, Report};
 use crate::check::{explain, Broken, Checker, RuleConfig};
+use crate::observation::{Observation, Standing};
 use crate::scenario::Scenario;
-use crate::seen::{Observation, Standing};
 use crate::{Micros, SECOND};
 
 /// Intervals that a run is cut into at most, each a second at least.
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
 
-use crate::faults::ActiveFaults;
+use crate::active_faults::ActiveFaults;
 use crate::report::End;
 use crate::scenario::{Repeat, Scenario};
 use crate::{Micros, MS, SECOND};
--- a/crates/spokeflow-scenario/tests/check.rs
+++ b/crates/spokeflow-scenario/tests/check.rs
@@ -1,9 +1,11 @@
 //! The checker finds each break of the five rules in a trace, and nothing in a trace that keeps them.
 
 use spokeflow_scenario::check::{check, Checker, RuleConfig};
+use spokeflow_scenario::observation::Observation::*;
+use spokeflow_scenario::observation::{
+    AnswerKind, Observation, Phase, Process, ReplyKind, Standing,
+};
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::Observation::*;
-use spokeflow_scenario::seen::{AnswerKind, Observation, Phase, Process, ReplyKind, Standing};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 const P: Process = Process {
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -1,9 +1,9 @@
 //! Plays a day, and gives what came of it.
 
 use spokeflow_scenario::check::{check, RuleConfig};
+use spokeflow_scenario::observation::Observation;
 use spokeflow_scenario::report::Report;
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::seen::Observation;
 use spokeflow_scenario::Micros;
 
 use crate::brain::StrategyKind;
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -4,9 +4,9 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::Command;
+use spokeflow_scenario::observation::{AnswerKind, Observation, Process};
 use spokeflow_scenario::report::Outcome;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::{AnswerKind, Observation, Process};
 use spokeflow_scenario::traffic::{Client, PlannedCommand, TryEnd};
 use spokeflow_scenario::{Micros, SECOND};
 
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,9 +4,9 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::faults::{LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{LinkDirection, RESENT_AFTER};
 use spokeflow_scenario::host::Job;
-use spokeflow_scenario::seen::{Observation, ReplyKind};
+use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
 
 use super::event::{HostWord, RouterWord, What};
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -5,8 +5,8 @@
 
 use spokeflow_engine::TransportFailure;
 use spokeflow_proto::{FromList, VoteResult};
-use spokeflow_scenario::desk::{ControllerVote, State};
-use spokeflow_scenario::seen::Process;
+use spokeflow_scenario::observation::Process;
+use spokeflow_scenario::release_controller::{ControllerVote, State};
 use spokeflow_scenario::traffic::{PlannedCommand, TryEnd};
 use spokeflow_scenario::Micros;
 
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -4,8 +4,8 @@
 
 use rand::seq::SliceRandom;
 use spokeflow_scenario::host::HostFault;
+use spokeflow_scenario::observation::{Observation, Phase, Process};
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
-use spokeflow_scenario::seen::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, SECOND};
 
 use super::event::What;
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -5,9 +5,9 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList};
-use spokeflow_scenario::board::Entry;
-use spokeflow_scenario::faults::{LinkDirection, OFFICE_SITE};
-use spokeflow_scenario::seen::{Observation, Phase, Process};
+use spokeflow_scenario::active_faults::{LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::endpoint_registry::Entry;
+use spokeflow_scenario::observation::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::What;
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -1,11 +1,11 @@
 //! Hosts: their processes from boot to end, and the work that these do.
 
 use rand::RngExt;
-use spokeflow_scenario::board::Entry;
-use spokeflow_scenario::desk::FleetOrder;
+use spokeflow_scenario::endpoint_registry::Entry;
 use spokeflow_scenario::host::{Host, JobOutcome};
+use spokeflow_scenario::observation::{Observation, Phase, ReplyKind};
+use spokeflow_scenario::release_controller::FleetOrder;
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
-use spokeflow_scenario::seen::{Observation, Phase, ReplyKind};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::{RouterWord, What};
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -5,10 +5,10 @@
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
-use spokeflow_scenario::desk::ControllerVote;
-use spokeflow_scenario::faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::observation::Process;
+use spokeflow_scenario::release_controller::ControllerVote;
 use spokeflow_scenario::scenario::BuildDefect;
-use spokeflow_scenario::seen::Process;
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::Micros;
 
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -3,8 +3,8 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::{FromController, RolloutPhase, RolloutUpdate, VoteResult};
-use spokeflow_scenario::desk::{ControllerVote, State, VoteOutcome};
-use spokeflow_scenario::seen::{Observation, Process, Standing};
+use spokeflow_scenario::observation::{Observation, Process, Standing};
+use spokeflow_scenario::release_controller::{ControllerVote, State, VoteOutcome};
 
 use super::event::What;
 use super::{World, DESK_TICK};
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use spokeflow_engine::Input;
-use spokeflow_scenario::desk::State;
-use spokeflow_scenario::seen::{Observation, Process};
+use spokeflow_scenario::observation::{Observation, Process};
+use spokeflow_scenario::release_controller::State;
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -14,10 +14,10 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-use spokeflow_scenario::front::RouterPicker;
+use spokeflow_scenario::observation::{AnswerKind, Observation, Process};
 use spokeflow_scenario::report::{End, Outcome};
+use spokeflow_scenario::router_picker::RouterPicker;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::{AnswerKind, Observation, Process};
 use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
 
 use crate::hosts::{body, World};
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -10,12 +10,12 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
 
-use spokeflow_scenario::board::{EndpointRegistry, Entry};
-use spokeflow_scenario::desk::{FleetOrder, ReleaseController};
+use spokeflow_scenario::endpoint_registry::{EndpointRegistry, Entry};
 use spokeflow_scenario::host::{Host, HostFault};
+use spokeflow_scenario::observation::{Observation, Phase, Process};
+use spokeflow_scenario::release_controller::{FleetOrder, ReleaseController};
 use spokeflow_scenario::report::{Outcome, Report, RunRecorder};
 use spokeflow_scenario::scenario::{Build, BuildDefect, Fault, FaultKind, Scenario};
-use spokeflow_scenario::seen::{Observation, Phase, Process};
 
 use crate::clients::{Crowd, Door, Doors};
 use crate::hosts::{self, HostProcess, HostSeat, World};
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -16,10 +16,10 @@
 use tokio_util::codec::Framed;
 
 use rand::RngExt;
-use spokeflow_scenario::faults::{ActiveFaults, LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, RESENT_AFTER};
 use spokeflow_scenario::host::{DeduplicationTable, Host, Job, JobOutcome};
+use spokeflow_scenario::observation::{Observation, Process, ReplyKind};
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::seen::{Observation, Process, ReplyKind};
 
 use crate::tap::Tap;
 use crate::Micros;
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -15,10 +15,12 @@
 use tokio::time::interval;
 use tokio_util::codec::Framed;
 
-use spokeflow_scenario::board::{EndpointRegistry, Entry};
-use spokeflow_scenario::desk::{ControllerVote, ReleaseController, State, VoteOutcome};
-use spokeflow_scenario::faults::{LinkDirection, OFFICE_SITE};
-use spokeflow_scenario::seen::{Observation, Phase, Process, Standing};
+use spokeflow_scenario::active_faults::{LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::endpoint_registry::{EndpointRegistry, Entry};
+use spokeflow_scenario::observation::{Observation, Phase, Process, Standing};
+use spokeflow_scenario::release_controller::{
+    ControllerVote, ReleaseController, State, VoteOutcome,
+};
 
 use crate::hosts::World;
 use crate::Micros;
--- a/crates/spokeflow-testbed/src/tap.rs
+++ b/crates/spokeflow-testbed/src/tap.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use spokeflow_scenario::seen::Observation;
+use spokeflow_scenario::observation::Observation;
 
 use crate::Micros;
 
--- a/crates/spokeflow-testbed/tests/days.rs
+++ b/crates/spokeflow-testbed/tests/days.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use spokeflow_scenario::observation::Observation;
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind, Scenario};
-use spokeflow_scenario::seen::Observation;
 use spokeflow_testbed::day::{play, Played};
 use spokeflow_testbed::routers::Starting;
 use spokeflow_testbed::{Micros, SECOND};
