--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -108,28 +108,3 @@
         Some(if a == b { 0 } else { BETWEEN_SITES } + slow.map_or(0, |s| s.1))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn two_cuts_that_overlap_end_with_the_later_one() {
-        let day = Scenario::plain(0, 60 * SECOND);
-        let cut = |at: &str| at.parse::<Fault>().unwrap();
-        let (first, second) = (cut("cut:at=1s"), cut("cut:at=2s"));
-        let mut faults = ActiveFaults::default();
-        assert!(faults.begin(&day, 0, &first) && faults.begin(&day, 1, &second));
-        assert_eq!(faults.way(0, 1, LinkDirection::Hosts), None);
-        faults.end(&day, &first, &[(1, second)]);
-        assert_eq!(
-            (
-                faults.way(0, 1, LinkDirection::Hosts),
-                faults.way(0, 2, LinkDirection::Office)
-            ),
-            (None, Some(BETWEEN_SITES))
-        );
-        faults.end(&day, &second, &[]);
-        assert_eq!(faults.way(0, 1, LinkDirection::Hosts), Some(BETWEEN_SITES));
-    }
-}
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host.rs
@@ -272,8 +272,8 @@
         begun
     }
 
-    /// By how much the work grows where the key's data is not at hand.
-    fn fetch(&mut self, key: u64) -> f64 {
+    /// Uses the key's data. Returns by how much the work grows where it is not at hand.
+    pub fn fetch(&mut self, key: u64) -> f64 {
         if self.cache_keys == 0 || key == 0 {
             return 1.0;
         }
@@ -360,114 +360,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn job(n: u64, op: usize) -> Job {
-        Job {
-            from: 1,
-            delivery: n,
-            tried: n,
-            command: n,
-            op,
-            key: n,
-            mark: n,
-            expires: 100 * SECOND,
-        }
-    }
-
-    fn host(started: Option<Micros>) -> (Scenario, Host) {
-        let day = Scenario::plain(1, 60 * SECOND);
-        let host = Host::new(&day, BuildDefect::None, 1.0, started, 5);
-        (day, host)
-    }
-
-    #[test]
-    fn a_cold_host_does_less_and_falls_when_sent_more_than_its_budget() {
-        let (_, mut cold) = host(Some(0));
-        assert!(
-            (cold.warmth(0) - 0.31).abs() < 1e-9 && (cold.warmth(3_700_000) - 1.0).abs() < 1e-9
-        );
-        // Three times 0.31 cores for three seconds bear 2.79 s of work: 21 of 130 ms, 3 roots of what that is of mean
-        // work and 3 more.
-        let fell_at = (1..60).find(|n| {
-            cold.arrive(1000, job(*n, 0));
-            cold.fallen
-        });
-        assert_eq!(fell_at, Some(41));
-        let (_, mut warm) = host(None);
-        (0..60).for_each(|n| {
-            warm.arrive(1000, job(n, 0));
-        });
-        assert!(!warm.fallen);
-    }
-
-    #[test]
-    fn a_full_queue_refuses_and_a_repeat_has_no_second_effect() {
-        let (_, mut host) = host(None);
-        let taken = (1..60).filter(|n| host.arrive(0, job(*n, 1))).count();
-        assert_eq!(taken, 24);
-        let mut marks = DeduplicationTable::default();
-        let first = host.begin(0, &mut marks);
-        assert!(first[0].effect);
-        host.cancel(1, first[0].tried);
-        host.waiting.clear();
-        host.arrive(1, job(first[0].tried, 1));
-        assert!(!host.begin(1, &mut marks)[0].effect);
-    }
-
-    #[test]
-    fn what_has_expired_never_runs() {
-        let (_, mut host) = host(None);
-        host.arrive(
-            0,
-            Job {
-                expires: 10,
-                ..job(1, 0)
-            },
-        );
-        assert!(host
-            .begin(10, &mut DeduplicationTable::default())
-            .is_empty());
-        assert_eq!(host.next(), None);
-    }
-
-    #[test]
-    fn a_host_that_hangs_says_nothing() {
-        let (_, mut host) = host(None);
-        host.arrive(0, job(1, 0));
-        host.begin(0, &mut DeduplicationTable::default());
-        host.ailment.hangs = true;
-        let at = host.next().unwrap();
-        assert_eq!(host.ended(at)[0].1, JobOutcome::Silent);
-    }
-
-    #[test]
-    fn keys_at_hand_cost_less_and_a_cancel_is_heeded_as_the_day_says() {
-        let day = Scenario {
-            cache_keys: 2,
-            miss_cost: 3.0,
-            ..Scenario::plain(1, 60 * SECOND)
-        };
-        let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
-        let cost: Vec<f64> = [1, 1, 2, 3, 2, 1].iter().map(|k| host.fetch(*k)).collect();
-        assert_eq!(cost, [3.0, 1.0, 3.0, 3.0, 1.0, 3.0]);
-        for (cancel, left) in [
-            (CancelPolicy::Stops, 0),
-            (CancelPolicy::Waiting, 1),
-            (CancelPolicy::Ignored, 2),
-        ] {
-            let day = Scenario {
-                cancel,
-                ..day.clone()
-            };
-            let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
-            assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
-            host.begin(0, &mut DeduplicationTable::default());
-            (1..3).for_each(|n| host.cancel(1, n));
-            assert_eq!(host.held(), left);
-        }
-    }
-}
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -1,4 +1,5 @@
-//! The release desk: offers builds, counts votes, moves stages, replaces hosts. No I/O; time is handed in.
+//! A model of the release controller: it offers builds, counts votes, moves stages and replaces hosts. No I/O; time
+//! is handed in.
 
 use std::collections::BTreeMap;
 
@@ -6,70 +7,138 @@
 use crate::scenario::{Gate, Scenario};
 use crate::{Micros, SECOND};
 
+/// How the newest build's rollout stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct State {
+    /// The newest build.
     pub build: u16,
+    /// Its stage, from 0.
     pub stage: u8,
+    /// Where its rollout is.
     pub standing: Standing,
+    /// The exposure cap, 0 to 1.
     pub cap: f64,
+    /// Since when all this is so.
     pub since: Micros,
 }
 
+/// A router's vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerVote {
+    /// Abstains.
     None,
+    /// To the next stage.
     On,
+    /// Stay in this stage.
     Hold,
+    /// Roll the build back.
     Back,
 }
 
+/// What became of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteOutcome {
+    /// It counts until it expires or another one of its router replaces it.
     Counted,
+    /// It does not fit how the rollout stands.
     Moot,
+    /// Votes come faster than they are taken.
     TooMany,
 }
 
 /// A place in the fleet and the hosts that fill it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostSlot {
+    /// The host that runs.
     pub host: u32,
+    /// Its build.
     pub build: u16,
-    /// A host that is starting to take over.
+    /// A host that is starting to take over, and its build.
     pub next: Option<(u32, u16)>,
 }
 
 /// What the fleet is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetOrder {
-    Start { host: u32, place: usize, build: u16 },
-    Drain { host: u32 },
+    /// Start a host.
+    Start {
+        /// Its number, never used before.
+        host: u32,
+        /// Index of its slot in the fleet.
+        place: usize,
+        /// The build it runs.
+        build: u16,
+    },
+    /// Drain a host.
+    Drain {
+        /// Its number.
+        host: u32,
+    },
+}
+
+/// A vote that counts.
+struct CountedVote {
+    build: u16,
+    stage: u8,
+    vote: ControllerVote,
+    expires: Micros,
+}
+
+/// Votes that may still be taken: a token bucket.
+struct VoteAllowance {
+    at: Micros,
+    tokens: f64,
+}
+
+impl VoteAllowance {
+    fn take(&mut self, now: Micros) -> bool {
+        let refill = (now - self.at) as f64 / SECOND as f64 * VOTES_PER_SECOND;
+        let tokens = (self.tokens + refill).min(2.0 * VOTES_PER_SECOND);
+        self.at = now;
+        self.tokens = (tokens - 1.0).max(0.0);
+        tokens >= 1.0
+    }
 }
 
+/// The release controller of a run.
 pub struct ReleaseController {
+    /// How the newest build's rollout stands.
     pub state: State,
+    /// The fleet's slots.
     pub places: Vec<HostSlot>,
+    /// By stage, the fraction of slots that run the new build.
     shares: Vec<f64>,
+    /// By stage, the exposure cap.
     caps: Vec<f64>,
     gate: Gate,
     bake: Micros,
-    vote_life: Micros,
     routers: u32,
+    /// The build to go back to.
     earlier: u16,
     next_host: u32,
-    /// When all machines of the stage ran.
+    /// When the stage's clock starts, once all its hosts run.
     complete: Option<Micros>,
     launched: Micros,
-    votes: BTreeMap<u32, (u16, u8, ControllerVote, Micros)>,
-    allowance: (Micros, f64),
+    /// The last vote of each router.
+    votes: BTreeMap<u32, CountedVote>,
+    allowance: VoteAllowance,
 }
 
-const VOTES_A_SECOND: f64 = 50.0;
-/// A stage's clock starts so long after its last machine runs, or after the launch at the latest.
-const SETTLE: Micros = SECOND;
-const LATEST: Micros = 8 * SECOND;
+/// Votes taken a second, all routers together.
+const VOTES_PER_SECOND: f64 = 50.0;
+/// How long a vote counts.
+const VOTE_LIFE: Micros = 10 * SECOND;
+/// A stage's clock starts so long after its last host runs,
+const SETTLE_AFTER: Micros = SECOND;
+/// and so long after the stage's launch at the latest.
+const SETTLE_LATEST: Micros = 8 * SECOND;
+/// Part of the routers that must vote to roll back, where a majority decides.
+const ROLLBACK_SHARE: f64 = 0.35;
+/// Part of the routers that must vote to promote, where a majority decides.
+const PROMOTE_SHARE: f64 = 0.6;
 
 impl ReleaseController {
+    /// The controller at the start: build 1 is released and runs in all slots.
     pub fn new(day: &Scenario) -> ReleaseController {
         let places = (0..day.hosts)
             .map(|host| HostSlot {
@@ -91,18 +160,20 @@
             caps: (0..day.stage_shares.len()).map(|s| day.cap(s)).collect(),
             gate: day.gate,
             bake: day.bake,
-            vote_life: 10 * SECOND,
             routers: day.routers,
             earlier: 1,
             next_host: day.hosts,
             complete: None,
             launched: 0,
             votes: BTreeMap::new(),
-            allowance: (0, VOTES_A_SECOND),
+            allowance: VoteAllowance {
+                at: 0,
+                tokens: VOTES_PER_SECOND,
+            },
         }
     }
 
-    /// Offers a build. `false`: one is still on trial or going back; that is taken off first.
+    /// Offers a build. Returns false while an earlier one is in its canary or rolled back; a canary is taken off first.
     pub fn offer(&mut self, now: Micros, build: u16, orders: &mut Vec<FleetOrder>) -> bool {
         match self.state.standing {
             Standing::OnTrial => {
@@ -128,7 +199,7 @@
         }
     }
 
-    /// Starts successors until the stage has its share of places.
+    /// Starts successors until the stage has its fraction of slots.
     fn launch(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let build = self.state.build;
         let share = self.shares[usize::from(self.state.stage)];
@@ -137,17 +208,19 @@
         let have = self
             .places
             .iter()
-            .filter(|p| p.build == build || p.next.is_some())
+            .filter(|slot| slot.build == build || slot.next.is_some())
             .count();
         self.replace(
             wanted.saturating_sub(have),
             build,
-            |p| p.build != build,
+            |slot| slot.build != build,
             orders,
         );
-        (self.complete, self.launched) = (None, now);
+        self.complete = None;
+        self.launched = now;
     }
 
+    /// Starts successors of `build` for up to `most` slots.
     fn replace(
         &mut self,
         most: usize,
@@ -155,17 +228,17 @@
         which: impl Fn(&HostSlot) -> bool,
         orders: &mut Vec<FleetOrder>,
     ) {
-        let chosen = |p: &&mut HostSlot| p.next.is_none() && which(p);
+        let free = |slot: &HostSlot| slot.next.is_none() && which(slot);
         // Spread over the fleet, so that a stage is not one site.
         let step = (self.places.len() / most.max(1)).max(1);
         let order: Vec<usize> = (0..step)
-            .flat_map(|s| (s..self.places.len()).step_by(step))
+            .flat_map(|first| (first..self.places.len()).step_by(step))
             .collect();
         let mut left = most;
         for place in order {
-            let p = &mut self.places[place];
-            if left > 0 && chosen(&p) {
-                p.next = Some((self.next_host, build));
+            let slot = &mut self.places[place];
+            if left > 0 && free(slot) {
+                slot.next = Some((self.next_host, build));
                 orders.push(FleetOrder::Start {
                     host: self.next_host,
                     place,
@@ -177,23 +250,25 @@
         }
     }
 
-    /// A host runs: it takes its place, and the one before is drained.
+    /// A host runs: it takes its slot, and the one before is drained.
     pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
-        let Some(p) = self
+        let Some(slot) = self
             .places
             .iter_mut()
-            .find(|p| p.next.is_some_and(|n| n.0 == host))
+            .find(|slot| slot.next.is_some_and(|(next, _)| next == host))
         else {
             return;
         };
-        orders.push(FleetOrder::Drain { host: p.host });
-        let build = p.next.take().map_or(p.build, |n| n.1);
-        (p.host, p.build) = (host, build);
-        if self.places.iter().all(|p| p.next.is_none()) {
-            self.complete.get_or_insert(now + SETTLE);
+        orders.push(FleetOrder::Drain { host: slot.host });
+        let build = slot.next.take().map_or(slot.build, |(_, build)| build);
+        slot.host = host;
+        slot.build = build;
+        if self.places.iter().all(|slot| slot.next.is_none()) {
+            self.complete.get_or_insert(now + SETTLE_AFTER);
         }
     }
 
+    /// Rolls the newest build back.
     pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let bad = self.state.build;
         self.state = State {
@@ -202,17 +277,22 @@
             since: now,
             ..self.state
         };
-        // Successors that have not started yet are not needed; their place is kept by the host before.
-        for p in self
+        // Successors that have not started yet are not needed; their slot is kept by the host before.
+        for slot in self
             .places
             .iter_mut()
-            .filter(|p| p.next.is_some_and(|n| n.1 == bad))
+            .filter(|slot| slot.next.is_some_and(|(_, build)| build == bad))
         {
-            if let Some((host, _)) = p.next.take() {
+            if let Some((host, _)) = slot.next.take() {
                 orders.push(FleetOrder::Drain { host });
             }
         }
-        self.replace(self.places.len(), self.earlier, |p| p.build == bad, orders);
+        self.replace(
+            self.places.len(),
+            self.earlier,
+            |slot| slot.build == bad,
+            orders,
+        );
     }
 
     /// A vote of router `from`.
@@ -222,182 +302,96 @@
         from: u32,
         build: u16,
         stage: u8,
-        verdict: ControllerVote,
+        vote: ControllerVote,
     ) -> VoteOutcome {
-        let (at, left) = self.allowance;
-        let left =
-            (left + (now - at) as f64 / SECOND as f64 * VOTES_A_SECOND).min(2.0 * VOTES_A_SECOND);
-        self.allowance = (now, (left - 1.0).max(0.0));
-        if left < 1.0 {
+        if !self.allowance.take(now) {
             return VoteOutcome::TooMany;
         }
-        let present = build == self.state.build;
-        let fits = match verdict {
-            ControllerVote::Hold => false,
-            ControllerVote::None => true,
-            ControllerVote::On => {
-                present && stage == self.state.stage && self.state.standing == Standing::OnTrial
-            }
-            ControllerVote::Back => {
-                present
-                    && matches!(self.state.standing, Standing::OnTrial | Standing::Released)
-                    && build > 1
-            }
-        };
-        if !fits {
+        if !self.fits(build, stage, vote) {
             return VoteOutcome::Moot;
         }
-        self.votes
-            .insert(from, (build, stage, verdict, now + self.vote_life));
-        VoteOutcome::Counted
-    }
-
-    /// Moves what is due. A desk that stands still is not asked.
-    pub fn tick(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
-        let State {
+        let counted = CountedVote {
             build,
             stage,
-            standing,
-            ..
-        } = self.state;
-        let standing_votes = |verdict: ControllerVote| {
-            let counts = |v: &&(u16, u8, ControllerVote, Micros)| {
-                v.0 == build
-                    && v.2 == verdict
-                    && v.3 > now
-                    && (verdict == ControllerVote::Back || v.1 == stage)
-            };
-            self.votes.values().filter(counts).count()
+            vote,
+            expires: now + VOTE_LIFE,
         };
-        let need = |share: f64| match self.gate {
-            Gate::Single => 1,
-            Gate::Majority => ((share * f64::from(self.routers)).ceil() as usize).max(1),
-        };
-        let sendable = matches!(standing, Standing::OnTrial | Standing::Released) && build > 1;
-        if sendable && standing_votes(ControllerVote::Back) >= need(0.35) {
-            return self.send_back(now, orders);
-        }
-        match standing {
-            Standing::OnTrial => {
-                let started = self
-                    .complete
-                    .unwrap_or(self.launched + LATEST)
-                    .min(self.launched + LATEST);
-                if now < started + self.bake || standing_votes(ControllerVote::On) < need(0.6) {
-                    return;
-                }
-                if usize::from(stage) + 1 == self.shares.len() {
-                    self.state = State {
-                        standing: Standing::Released,
-                        cap: 1.0,
-                        since: now,
-                        ..self.state
-                    };
-                } else {
-                    let cap = self.caps[usize::from(stage) + 1];
-                    self.state = State {
-                        stage: stage + 1,
-                        cap,
-                        since: now,
-                        ..self.state
-                    };
-                    self.launch(now, orders);
-                }
-            }
-            Standing::GoingBack if self.places.iter().all(|p| p.build != build) => {
-                self.state = State {
-                    standing: Standing::Withdrawn,
-                    since: now,
-                    ..self.state
-                };
-            }
-            _ => {}
-        }
+        self.votes.insert(from, counted);
+        VoteOutcome::Counted
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    /// Starts what is ordered at once.
-    fn settle(desk: &mut ReleaseController, now: Micros, orders: &mut Vec<FleetOrder>) {
-        while let Some(order) = orders.pop() {
-            if let FleetOrder::Start { host, .. } = order {
-                desk.runs(now, host, orders);
+    fn fits(&self, build: u16, stage: u8, vote: ControllerVote) -> bool {
+        match vote {
+            ControllerVote::Hold => false,
+            ControllerVote::None => true,
+            ControllerVote::On => {
+                build == self.state.build
+                    && stage == self.state.stage
+                    && self.state.standing == Standing::OnTrial
             }
+            ControllerVote::Back => build == self.state.build && self.may_roll_back(),
         }
     }
 
-    fn desk() -> ReleaseController {
-        ReleaseController::new(&Scenario::plain(1, 60 * SECOND))
+    fn may_roll_back(&self) -> bool {
+        let in_place = matches!(self.state.standing, Standing::OnTrial | Standing::Released);
+        in_place && self.state.build > 1
+    }
+
+    /// Votes that count now: to roll back in any stage, others in this one.
+    fn count(&self, now: Micros, vote: ControllerVote) -> usize {
+        let counts = |counted: &&CountedVote| {
+            counted.build == self.state.build
+                && counted.vote == vote
+                && counted.expires > now
+                && (vote == ControllerVote::Back || counted.stage == self.state.stage)
+        };
+        self.votes.values().filter(counts).count()
     }
 
-    #[test]
-    fn a_build_goes_through_all_stages_by_votes_and_no_sooner_than_baked() {
-        let (mut desk, mut orders, mut now) = (desk(), Vec::new(), SECOND);
-        assert!(desk.offer(now, 2, &mut orders));
-        for stage in 0..5 {
-            settle(&mut desk, now, &mut orders);
-            assert_eq!(
-                desk.vote(now, 0, 2, stage, ControllerVote::On),
-                VoteOutcome::Counted
-            );
-            desk.tick(now + 2_900_000, &mut orders);
-            assert_eq!(
-                (desk.state.stage, desk.state.standing),
-                (stage, Standing::OnTrial)
-            );
-            now += 3 * SECOND;
-            desk.tick(now, &mut orders);
+    /// How many votes decide, where this part of a majority's routers must vote.
+    fn votes_needed(&self, share: f64) -> usize {
+        match self.gate {
+            Gate::Single => 1,
+            Gate::Majority => ((share * f64::from(self.routers)).ceil() as usize).max(1),
         }
-        settle(&mut desk, now, &mut orders);
-        assert_eq!(desk.state.standing, Standing::Released);
-        assert!(desk.places.iter().all(|p| p.build == 2));
     }
 
-    #[test]
-    fn a_vote_back_takes_the_build_off_and_starts_the_earlier_one_again() {
-        let (mut desk, mut orders) = (desk(), Vec::new());
-        desk.offer(0, 2, &mut orders);
-        settle(&mut desk, 0, &mut orders);
-        assert_eq!(
-            desk.vote(1, 1, 2, 0, ControllerVote::Back),
-            VoteOutcome::Counted
-        );
-        desk.tick(2, &mut orders);
-        assert_eq!(
-            (desk.state.standing, desk.state.cap),
-            (Standing::GoingBack, 0.0)
-        );
-        settle(&mut desk, 3, &mut orders);
-        desk.tick(4, &mut orders);
-        assert_eq!(desk.state.standing, Standing::Withdrawn);
-        assert!(desk.places.iter().all(|p| p.build == 1));
-        assert_eq!(desk.vote(5, 1, 2, 0, ControllerVote::On), VoteOutcome::Moot);
+    /// Moves what is due. Not called while the controller is stalled.
+    pub fn tick(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
+        let votes_back = self.count(now, ControllerVote::Back);
+        if self.may_roll_back() && votes_back >= self.votes_needed(ROLLBACK_SHARE) {
+            return self.send_back(now, orders);
+        }
+        let build = self.state.build;
+        match self.state.standing {
+            Standing::OnTrial if self.stage_passed(now) => self.promote(now, orders),
+            Standing::GoingBack if self.places.iter().all(|slot| slot.build != build) => {
+                self.state.standing = Standing::Withdrawn;
+                self.state.since = now;
+            }
+            _ => {}
+        }
     }
 
-    #[test]
-    fn a_second_offer_takes_off_what_is_still_on_trial() {
-        let (mut desk, mut orders) = (desk(), Vec::new());
-        desk.offer(0, 2, &mut orders);
-        assert!(!desk.offer(10, 3, &mut orders));
-        settle(&mut desk, 11, &mut orders);
-        desk.tick(12, &mut orders);
-        assert!(desk.offer(13, 3, &mut orders));
-        assert_eq!(desk.state.build, 3);
+    fn stage_passed(&self, now: Micros) -> bool {
+        let latest = self.launched + SETTLE_LATEST;
+        let started = self.complete.unwrap_or(latest).min(latest);
+        let votes_on = self.count(now, ControllerVote::On);
+        now >= started + self.bake && votes_on >= self.votes_needed(PROMOTE_SHARE)
     }
 
-    #[test]
-    fn votes_are_bounded_and_pass_away() {
-        let (mut desk, mut orders) = (desk(), Vec::new());
-        desk.offer(0, 2, &mut orders);
-        settle(&mut desk, 0, &mut orders);
-        let counted = (0..500)
-            .filter(|n| desk.vote(0, *n, 2, 0, ControllerVote::On) == VoteOutcome::Counted)
-            .count();
-        assert_eq!(counted, 50);
-        desk.tick(11 * SECOND, &mut orders);
-        assert_eq!(desk.state.stage, 0, "votes stand for ten seconds");
+    /// To the next stage, or released after the last one.
+    fn promote(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
+        let next = self.state.stage + 1;
+        self.state.since = now;
+        if usize::from(next) == self.shares.len() {
+            self.state.standing = Standing::Released;
+            self.state.cap = 1.0;
+        } else {
+            self.state.stage = next;
+            self.state.cap = self.caps[usize::from(next)];
+            self.launch(now, orders);
+        }
     }
 }
