--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -59,9 +59,9 @@
     };
     loop {
         let mut any = false;
-        for n in (0..best.troubles.len()).rev() {
+        for n in (0..best.faults.len()).rev() {
             let mut smaller = best.clone();
-            smaller.troubles.remove(n);
+            smaller.faults.remove(n);
             any |= attempt(&mut best, smaller);
         }
         for n in (1..best.builds.len()).rev() {
@@ -85,7 +85,7 @@
             }
         }
         let last = best
-            .troubles
+            .faults
             .iter()
             .map(|t| t.at + t.lasts)
             .chain(best.builds.iter().map(|b| b.offered))
@@ -128,7 +128,7 @@
         flags.push("--majority".into());
     }
     flags.extend(day.builds.iter().skip(1).map(|b| format!("--build {b}")));
-    flags.extend(day.troubles.iter().map(|t| format!("--script {t}")));
+    flags.extend(day.faults.iter().map(|t| format!("--script {t}")));
     let mut habit = |flag: &str, n: f64| {
         if n > 0.0 {
             flags.push(format!("--{flag} {n}"));
@@ -164,9 +164,9 @@
         .builds
         .iter()
         .skip(1)
-        .filter(|b| b.flaw != BuildDefect::None)
-        .map(|b| format!("{:?}", b.flaw));
-    let troubles = day.troubles.iter().map(|t| t.kind.name());
+        .filter(|b| b.defect != BuildDefect::None)
+        .map(|b| format!("{:?}", b.defect));
+    let troubles = day.faults.iter().map(|t| t.kind.name());
     let all: Vec<String> = flaws.chain(troubles).collect();
     if all.is_empty() {
         "nothing".into()
@@ -184,16 +184,16 @@
     fn a_day_is_shrunk_to_what_matters() {
         // What loses here is the bad build alone; a list that is late for a moment has no part in it.
         let mut day = Scenario::only(FaultKind::BadBuild, 4, 40 * SECOND);
-        day.builds[1].flaw = BuildDefect::Wrong(0.9);
-        day.troubles
+        day.builds[1].defect = BuildDefect::Wrong(0.9);
+        day.faults
             .push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
-        day.troubles
+        day.faults
             .push("give-up:at=31s:lasts=1s:size=0.9".parse().unwrap());
         let found = judge(&day);
         assert!(matches!(found, Found::Loss(l) if l > 0.0), "{found:?}");
         let small = shrink(&day, found, 60);
         assert!(
-            small.troubles.is_empty() && small.builds.len() == 2,
+            small.faults.is_empty() && small.builds.len() == 2,
             "{}",
             flags(&small)
         );
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -317,7 +317,7 @@
     } else {
         print!("{}", report.text());
     }
-    Ok(report.sound())
+    Ok(report.passed())
 }
 
 fn sweep_days(flags: &SweepFlags) -> Result<bool, String> {
--- a/crates/spokeflow-experiments/tests/lab.rs
+++ b/crates/spokeflow-experiments/tests/lab.rs
@@ -234,7 +234,7 @@
         let simulated =
             spokeflow_simulator::play(day, spokeflow_simulator::StrategyKind::Engine, false).report;
         assert!(
-            sockets.sound() && simulated.sound(),
+            sockets.passed() && simulated.passed(),
             "{}{}",
             sockets.text(),
             simulated.text()
--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
     Hosts,
-    Office,
+    ControlSite,
 }
 
 /// The site that list and desk stand in.
-pub const OFFICE_SITE: u16 = 0;
+pub const CONTROL_SITE: u16 = 0;
 /// One way between two sites.
 pub const BETWEEN_SITES: Micros = 2 * MS;
 /// How long a lost packet waits to be sent again.
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
     pub cut_hosts: Option<u16>,
-    pub cut_office: Option<u16>,
+    pub cut_control_site: Option<u16>,
     pub slow_link: Option<(u16, Micros)>,
     pub slow_connects: Micros,
-    pub stalled_desk: bool,
-    pub refusing_desk: bool,
-    pub late_desk: Micros,
-    pub late_list: Micros,
+    pub stalled_controller: bool,
+    pub refusing_controller: bool,
+    pub controller_delay: Micros,
+    pub list_delay: Micros,
     pub list_breaks: bool,
     pub shift: f64,
     pub worthless: f64,
@@ -44,17 +44,17 @@
         let site = (n as u64 + day.seed) as u16 % day.sites;
         let seconds = (trouble.size * SECOND as f64) as Micros;
         match trouble.kind {
-            FaultKind::Cut => (self.cut_hosts, self.cut_office) = (Some(site), Some(site)),
+            FaultKind::Cut => (self.cut_hosts, self.cut_control_site) = (Some(site), Some(site)),
             // The list's own site cut off leaves every other router without news.
-            FaultKind::CutList => self.cut_office = Some(OFFICE_SITE),
+            FaultKind::CutList => self.cut_control_site = Some(CONTROL_SITE),
             FaultKind::CutHosts => self.cut_hosts = Some(site),
             FaultKind::SlowLink => self.slow_link = Some((site, seconds)),
             FaultKind::LossyLinks => self.loss = trouble.size.clamp(0.0, 0.9),
             FaultKind::SlowConnects => self.slow_connects = seconds,
-            FaultKind::StalledDesk => self.stalled_desk = true,
-            FaultKind::RefusingDesk => self.refusing_desk = true,
-            FaultKind::LateDesk => self.late_desk = seconds,
-            FaultKind::LateList => self.late_list = seconds,
+            FaultKind::StalledController => self.stalled_controller = true,
+            FaultKind::RefusingController => self.refusing_controller = true,
+            FaultKind::LateController => self.controller_delay = seconds,
+            FaultKind::LateList => self.list_delay = seconds,
             FaultKind::ListBreaks => self.list_breaks = true,
             FaultKind::Shift => self.shift = trouble.size.clamp(0.0, 1.0),
             FaultKind::Worthless => self.worthless = trouble.size,
@@ -69,16 +69,16 @@
     /// `others`: troubles that still last, so that two of a kind which overlap end with the later one.
     pub fn end(&mut self, day: &Scenario, trouble: &Fault, others: &[(usize, Fault)]) {
         match trouble.kind {
-            FaultKind::Cut => (self.cut_hosts, self.cut_office) = (None, None),
-            FaultKind::CutList => self.cut_office = None,
+            FaultKind::Cut => (self.cut_hosts, self.cut_control_site) = (None, None),
+            FaultKind::CutList => self.cut_control_site = None,
             FaultKind::CutHosts => self.cut_hosts = None,
             FaultKind::SlowLink => self.slow_link = None,
             FaultKind::LossyLinks => self.loss = 0.0,
             FaultKind::SlowConnects => self.slow_connects = 0,
-            FaultKind::StalledDesk => self.stalled_desk = false,
-            FaultKind::RefusingDesk => self.refusing_desk = false,
-            FaultKind::LateDesk => self.late_desk = 0,
-            FaultKind::LateList => self.late_list = 0,
+            FaultKind::StalledController => self.stalled_controller = false,
+            FaultKind::RefusingController => self.refusing_controller = false,
+            FaultKind::LateController => self.controller_delay = 0,
+            FaultKind::LateList => self.list_delay = 0,
             FaultKind::ListBreaks => self.list_breaks = false,
             FaultKind::Shift => self.shift = 0.0,
             FaultKind::Worthless => self.worthless = 0.0,
@@ -93,11 +93,11 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn way(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
+    pub fn delay(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
         let cut = if way == LinkDirection::Hosts {
             self.cut_hosts
         } else {
-            self.cut_office
+            self.cut_control_site
         };
         if a != b && cut.is_some_and(|site| site == a || site == b) {
             return None;
--- a/crates/spokeflow-scenario/src/check/answers.rs
+++ b/crates/spokeflow-scenario/src/check/answers.rs
@@ -12,16 +12,16 @@
     pub(super) fn on_accepted(&mut self, at: Micros, observation: &Observation) {
         let Observation::Taken {
             by,
-            tried,
+            attempt: number,
             command,
             op,
             key,
-            patience,
+            timeout,
         } = observation
         else {
             return;
         };
-        let deadline = at + patience + self.config.slack;
+        let deadline = at + timeout + self.config.slack;
         let router = self.router(*by);
         router.accepted.push_back(at);
         let attempt = Attempt {
@@ -36,10 +36,10 @@
             nacked: None,
             deliveries: Vec::new(),
         };
-        self.attempts.insert(*tried, attempt);
+        self.attempts.insert(*number, attempt);
         self.answers_due.insert(Deadline {
             at: deadline,
-            attempt: *tried,
+            attempt: *number,
         });
     }
 
--- a/crates/spokeflow-scenario/src/check/config.rs
+++ b/crates/spokeflow-scenario/src/check/config.rs
@@ -37,7 +37,7 @@
 impl RuleConfig {
     /// The rules of this scenario.
     pub fn of(day: &Scenario) -> RuleConfig {
-        let slow_connects = day.troubles.iter().any(|fault| fault.kind.slows_connects());
+        let slow_connects = day.faults.iter().any(|fault| fault.kind.slows_connects());
         RuleConfig {
             repeats: day.ops.iter().map(|op| op.repeat).collect(),
             drain_grace: day.drain_grace,
--- a/crates/spokeflow-scenario/src/check/explain.rs
+++ b/crates/spokeflow-scenario/src/check/explain.rs
@@ -32,12 +32,12 @@
 
 fn concerns(observation: &Observation, concerned: &[String]) -> bool {
     match observation {
-        Observation::Taken { tried, .. }
-        | Observation::Answered { tried, .. }
-        | Observation::Left { tried }
-        | Observation::Delivered { tried, .. }
-        | Observation::Replied { tried, .. }
-        | Observation::Ran { tried, .. } => concerned.contains(&attempt_name(*tried)),
+        Observation::Taken { attempt: tried, .. }
+        | Observation::Answered { attempt: tried, .. }
+        | Observation::Left { attempt: tried }
+        | Observation::Delivered { attempt: tried, .. }
+        | Observation::Replied { attempt: tried, .. }
+        | Observation::Ran { attempt: tried, .. } => concerned.contains(&attempt_name(*tried)),
         Observation::Listed { lines, .. } => lines
             .iter()
             .any(|(host, ..)| concerned.contains(&host_name(*host))),
--- a/crates/spokeflow-scenario/src/check/exposure.rs
+++ b/crates/spokeflow-scenario/src/check/exposure.rs
@@ -2,7 +2,7 @@
 
 use super::state::{KeyAnswer, Rollout, RouterView};
 use super::{attempt_name, router_name, Checker, RuleConfig};
-use crate::observation::{Process, Standing};
+use crate::observation::{Process, RolloutState};
 use crate::Micros;
 
 /// Far below what rounding adds to a count of deliveries, far above a rounding error.
@@ -82,7 +82,8 @@
     build: u16,
 ) -> Option<String> {
     let uncapped = |rollout: &Rollout| {
-        rollout.build > build || rollout.build == build && rollout.standing == Standing::Released
+        rollout.build > build
+            || rollout.build == build && rollout.standing == RolloutState::Released
     };
     let mut recent = router.rollouts_within(at, config.slack).peekable();
     recent.peek()?;
--- a/crates/spokeflow-scenario/src/check/mod.rs
+++ b/crates/spokeflow-scenario/src/check/mod.rs
@@ -112,7 +112,7 @@
             Observation::Taken { .. } => self.on_accepted(at, observation),
             Observation::Answered {
                 by,
-                tried,
+                attempt: tried,
                 kind,
                 build,
             } => {
@@ -121,7 +121,7 @@
                     self.bind_key(at, *by, key, *build);
                 }
             }
-            Observation::Left { tried } => {
+            Observation::Left { attempt: tried } => {
                 if let Some(attempt) = self.attempts.get_mut(tried) {
                     attempt.client_left = true;
                 }
@@ -130,7 +130,7 @@
                 host,
                 build,
                 from,
-                tried,
+                attempt: tried,
                 delivery,
             } => {
                 self.check_redelivery(at, *tried, *delivery);
@@ -138,13 +138,16 @@
                 self.check_exposure(at, *from, *host, *build, *tried);
             }
             Observation::Replied {
-                tried,
+                attempt: tried,
                 delivery,
                 kind: ReplyKind::Full,
                 ..
             } => self.on_refusal(*tried, *delivery),
             Observation::Ran {
-                tried, command, op, ..
+                attempt: tried,
+                command,
+                op,
+                ..
             } => self.on_effect(at, *tried, *command, usize::from(*op)),
             Observation::Listed { to, whole, lines } => {
                 self.router(*to).on_list(at, *whole, lines);
@@ -152,12 +155,12 @@
             Observation::News {
                 to,
                 build,
-                standing,
+                state: standing,
                 cap,
                 ..
             } => self.router(*to).on_rollout(at, *build, *standing, *cap),
             Observation::RouterKilled(process) => self.router(*process).killed = Some(at),
-            Observation::RouterAsked(process) => self.router(*process).shutdown = Some(at),
+            Observation::RouterShutdown(process) => self.router(*process).shutdown = Some(at),
             Observation::Fell { host } => self.on_overrun(at, *host),
             _ => {}
         }
--- a/crates/spokeflow-scenario/src/check/state.rs
+++ b/crates/spokeflow-scenario/src/check/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use crate::observation::{Phase, Process, Standing};
+use crate::observation::{Phase, Process, RolloutState};
 use crate::Micros;
 
 /// When something is due for an attempt; the earliest sorts first.
@@ -55,13 +55,16 @@
 pub(super) struct Rollout {
     pub(super) at: Micros,
     pub(super) build: u16,
-    pub(super) standing: Standing,
+    pub(super) standing: RolloutState,
     pub(super) cap: f64,
 }
 
 impl Rollout {
     pub(super) fn goes_back(&self) -> bool {
-        matches!(self.standing, Standing::GoingBack | Standing::Withdrawn)
+        matches!(
+            self.standing,
+            RolloutState::RollingBack | RolloutState::Withdrawn
+        )
     }
 }
 
@@ -119,7 +122,7 @@
     }
 
     /// The router was told how the rollout stands.
-    pub(super) fn on_rollout(&mut self, at: Micros, build: u16, standing: Standing, cap: f64) {
+    pub(super) fn on_rollout(&mut self, at: Micros, build: u16, standing: RolloutState, cap: f64) {
         let rollout = Rollout {
             at,
             build,
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -193,8 +193,8 @@
         };
         if !self.script.is_empty() || self.bare {
             day.name = "script".into();
-            day.troubles.clone_from(&self.script);
-            day.troubles.sort_by_key(|t| t.at);
+            day.faults.clone_from(&self.script);
+            day.faults.sort_by_key(|t| t.at);
         }
         if !self.builds.is_empty() || self.bare {
             if self
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host.rs
@@ -87,9 +87,9 @@
 }
 
 pub struct Host {
-    pub flaw: BuildDefect,
+    pub defect: BuildDefect,
     pub speed: f64,
-    pub ailment: HostFault,
+    pub fault: HostFault,
     pub fallen: bool,
     cores: usize,
     queue_most: usize,
@@ -123,9 +123,9 @@
         seed: u64,
     ) -> Host {
         Host {
-            flaw,
+            defect: flaw,
             speed,
-            ailment: HostFault::default(),
+            fault: HostFault::default(),
             fallen: false,
             cores: day.cores as usize,
             queue_most: 24 * day.cores as usize,
@@ -155,7 +155,7 @@
         self.cold_from + (1.0 - self.cold_from) * age as f64 / self.warm_within as f64
     }
 
-    pub fn held(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Whether it would bear a few more now without falling over.
-    pub fn bears(&self, now: Micros) -> bool {
+    pub fn has_headroom(&self, now: Micros) -> bool {
         if self.started.is_none_or(|at| now - at >= self.warm_within) {
             return true;
         }
@@ -255,7 +255,7 @@
                 (false, wrong) => JobOutcome::Acked { wrong },
             };
             // What fails fast fails at once, and may have had its effect all the same.
-            let took = if failed && self.ailment.fails > 0.0 {
+            let took = if failed && self.fault.fails > 0.0 {
                 took.min(5_000.0)
             } else {
                 took
@@ -309,14 +309,14 @@
     }
 
     fn flaw_of(&mut self, job: &Job, now: Micros, crowded: bool) -> (f64, f64, bool) {
-        let ail = self.ailment;
+        let ail = self.fault;
         let mut slower = ail.slower * ail.drag * ail.neighbours;
         if job.op == ail.slow_op.0 {
             slower *= ail.slow_op.1;
         }
         let mut fails = ail.fails;
         let mut wrong = false;
-        match self.flaw {
+        match self.defect {
             BuildDefect::None | BuildDefect::Shared(_) => {}
             BuildDefect::Errors(part) => fails = fails.max(part),
             BuildDefect::OneOp(part) if job.op == self.ops.len() - 1 => fails = fails.max(part),
@@ -343,7 +343,7 @@
     pub fn ended(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
         let mut ended: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
         ended.sort_by_key(|r| (r.0, r.2.delivery));
-        let hangs = self.ailment.hangs;
+        let hangs = self.fault.hangs;
         ended
             .into_iter()
             .map(|(_, done, job)| (job, if hangs { JobOutcome::Silent } else { done }))
--- a/crates/spokeflow-scenario/src/observation.rs
+++ b/crates/spokeflow-scenario/src/observation.rs
@@ -26,9 +26,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Standing {
-    OnTrial,
-    GoingBack,
+pub enum RolloutState {
+    #[serde(rename = "OnTrial")]
+    Canary,
+    #[serde(rename = "GoingBack")]
+    RollingBack,
     Released,
     Withdrawn,
 }
@@ -45,40 +47,47 @@
     RouterUp(Process),
     RouterKilled(Process),
     /// Told to end; it answers what it holds.
-    RouterAsked(Process),
+    #[serde(rename = "RouterAsked")]
+    RouterShutdown(Process),
     RouterEnded(Process),
     /// A client has written a try to its socket. `command` is the same for all tries of one command.
     Taken {
         by: Process,
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
         command: u64,
         op: u16,
         key: u64,
-        patience: Micros,
+        #[serde(rename = "patience")]
+        timeout: Micros,
     },
     /// A client has read an answer.
     Answered {
         by: Process,
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
         kind: AnswerKind,
         build: u16,
     },
     /// The client has gone before its patience was over.
     Left {
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
     },
     /// A host has read a delivery.
     Delivered {
         host: u32,
         build: u16,
         from: Process,
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
         delivery: u64,
     },
     /// A host has written its answer.
     Replied {
         host: u32,
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
         delivery: u64,
         kind: ReplyKind,
     },
@@ -86,7 +95,8 @@
     Ran {
         host: u32,
         build: u16,
-        tried: u64,
+        #[serde(rename = "tried")]
+        attempt: u64,
         command: u64,
         op: u16,
     },
@@ -101,14 +111,16 @@
         to: Process,
         build: u16,
         stage: u8,
-        standing: Standing,
+        #[serde(rename = "standing")]
+        state: RolloutState,
         cap: f64,
     },
     Voted {
         from: Process,
         build: u16,
         stage: u8,
-        verdict: String,
+        #[serde(rename = "verdict")]
+        vote: String,
     },
     /// A cold host was sent more than it can bear and is down.
     Fell {
@@ -119,7 +131,8 @@
     ReleaseController {
         build: u16,
         stage: u8,
-        standing: Standing,
+        #[serde(rename = "standing")]
+        state: RolloutState,
     },
     /// A trouble of the script begins or ends.
     #[serde(rename = "Trouble")]
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::observation::Standing;
+use crate::observation::RolloutState;
 use crate::scenario::{Gate, Scenario};
 use crate::{Micros, SECOND};
 
@@ -15,7 +15,7 @@
     /// Its stage, from 0.
     pub stage: u8,
     /// Where its rollout is.
-    pub standing: Standing,
+    pub rollout: RolloutState,
     /// The exposure cap, 0 to 1.
     pub cap: f64,
     /// Since when all this is so.
@@ -65,7 +65,7 @@
         /// Its number, never used before.
         host: u32,
         /// Index of its slot in the fleet.
-        place: usize,
+        slot: usize,
         /// The build it runs.
         build: u16,
     },
@@ -105,7 +105,7 @@
     /// How the newest build's rollout stands.
     pub state: State,
     /// The fleet's slots.
-    pub places: Vec<HostSlot>,
+    pub slots: Vec<HostSlot>,
     /// By stage, the fraction of slots that run the new build.
     shares: Vec<f64>,
     /// By stage, the exposure cap.
@@ -151,13 +151,13 @@
             state: State {
                 build: 1,
                 stage: 0,
-                standing: Standing::Released,
+                rollout: RolloutState::Released,
                 cap: 1.0,
                 since: 0,
             },
-            places,
-            shares: day.stage_shares.clone(),
-            caps: (0..day.stage_shares.len()).map(|s| day.cap(s)).collect(),
+            slots: places,
+            shares: day.stage_fractions.clone(),
+            caps: (0..day.stage_fractions.len()).map(|s| day.cap(s)).collect(),
             gate: day.gate,
             bake: day.bake,
             routers: day.routers,
@@ -175,21 +175,21 @@
 
     /// Offers a build. Returns false while an earlier one is in its canary or rolled back; a canary is taken off first.
     pub fn offer(&mut self, now: Micros, build: u16, orders: &mut Vec<FleetOrder>) -> bool {
-        match self.state.standing {
-            Standing::OnTrial => {
+        match self.state.rollout {
+            RolloutState::Canary => {
                 self.send_back(now, orders);
                 false
             }
-            Standing::GoingBack => false,
-            Standing::Released | Standing::Withdrawn => {
-                if self.state.standing == Standing::Released {
+            RolloutState::RollingBack => false,
+            RolloutState::Released | RolloutState::Withdrawn => {
+                if self.state.rollout == RolloutState::Released {
                     self.earlier = self.state.build;
                 }
                 self.votes.clear();
                 self.state = State {
                     build,
                     stage: 0,
-                    standing: Standing::OnTrial,
+                    rollout: RolloutState::Canary,
                     cap: self.caps[0],
                     since: now,
                 };
@@ -204,9 +204,9 @@
         let build = self.state.build;
         let share = self.shares[usize::from(self.state.stage)];
         let wanted =
-            ((share * self.places.len() as f64).round() as usize).clamp(1, self.places.len());
+            ((share * self.slots.len() as f64).round() as usize).clamp(1, self.slots.len());
         let have = self
-            .places
+            .slots
             .iter()
             .filter(|slot| slot.build == build || slot.next.is_some())
             .count();
@@ -230,18 +230,18 @@
     ) {
         let free = |slot: &HostSlot| slot.next.is_none() && which(slot);
         // Spread over the fleet, so that a stage is not one site.
-        let step = (self.places.len() / most.max(1)).max(1);
+        let step = (self.slots.len() / most.max(1)).max(1);
         let order: Vec<usize> = (0..step)
-            .flat_map(|first| (first..self.places.len()).step_by(step))
+            .flat_map(|first| (first..self.slots.len()).step_by(step))
             .collect();
         let mut left = most;
         for place in order {
-            let slot = &mut self.places[place];
+            let slot = &mut self.slots[place];
             if left > 0 && free(slot) {
                 slot.next = Some((self.next_host, build));
                 orders.push(FleetOrder::Start {
                     host: self.next_host,
-                    place,
+                    slot: place,
                     build,
                 });
                 self.next_host += 1;
@@ -253,7 +253,7 @@
     /// A host runs: it takes its slot, and the one before is drained.
     pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
         let Some(slot) = self
-            .places
+            .slots
             .iter_mut()
             .find(|slot| slot.next.is_some_and(|(next, _)| next == host))
         else {
@@ -263,7 +263,7 @@
         let build = slot.next.take().map_or(slot.build, |(_, build)| build);
         slot.host = host;
         slot.build = build;
-        if self.places.iter().all(|slot| slot.next.is_none()) {
+        if self.slots.iter().all(|slot| slot.next.is_none()) {
             self.complete.get_or_insert(now + SETTLE_AFTER);
         }
     }
@@ -272,14 +272,14 @@
     pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let bad = self.state.build;
         self.state = State {
-            standing: Standing::GoingBack,
+            rollout: RolloutState::RollingBack,
             cap: 0.0,
             since: now,
             ..self.state
         };
         // Successors that have not started yet are not needed; their slot is kept by the host before.
         for slot in self
-            .places
+            .slots
             .iter_mut()
             .filter(|slot| slot.next.is_some_and(|(_, build)| build == bad))
         {
@@ -288,7 +288,7 @@
             }
         }
         self.replace(
-            self.places.len(),
+            self.slots.len(),
             self.earlier,
             |slot| slot.build == bad,
             orders,
@@ -327,14 +327,17 @@
             ControllerVote::On => {
                 build == self.state.build
                     && stage == self.state.stage
-                    && self.state.standing == Standing::OnTrial
+                    && self.state.rollout == RolloutState::Canary
             }
             ControllerVote::Back => build == self.state.build && self.may_roll_back(),
         }
     }
 
     fn may_roll_back(&self) -> bool {
-        let in_place = matches!(self.state.standing, Standing::OnTrial | Standing::Released);
+        let in_place = matches!(
+            self.state.rollout,
+            RolloutState::Canary | RolloutState::Released
+        );
         in_place && self.state.build > 1
     }
 
@@ -364,10 +367,10 @@
             return self.send_back(now, orders);
         }
         let build = self.state.build;
-        match self.state.standing {
-            Standing::OnTrial if self.stage_passed(now) => self.promote(now, orders),
-            Standing::GoingBack if self.places.iter().all(|slot| slot.build != build) => {
-                self.state.standing = Standing::Withdrawn;
+        match self.state.rollout {
+            RolloutState::Canary if self.stage_passed(now) => self.promote(now, orders),
+            RolloutState::RollingBack if self.slots.iter().all(|slot| slot.build != build) => {
+                self.state.rollout = RolloutState::Withdrawn;
                 self.state.since = now;
             }
             _ => {}
@@ -386,7 +389,7 @@
         let next = self.state.stage + 1;
         self.state.since = now;
         if usize::from(next) == self.shares.len() {
-            self.state.standing = Standing::Released;
+            self.state.rollout = RolloutState::Released;
             self.state.cap = 1.0;
         } else {
             self.state.stage = next;
--- a/crates/spokeflow-scenario/src/report/builds.rs
+++ b/crates/spokeflow-scenario/src/report/builds.rs
@@ -2,7 +2,7 @@
 
 use super::recorder::RunRecorder;
 use super::{seconds, BuildSummary};
-use crate::observation::Standing;
+use crate::observation::RolloutState;
 use crate::scenario::{Build, BuildDefect};
 use crate::Micros;
 
@@ -15,7 +15,7 @@
 pub(super) struct ControllerState {
     pub(super) at: Micros,
     pub(super) build: u16,
-    pub(super) standing: Standing,
+    pub(super) standing: RolloutState,
     pub(super) stage: u8,
 }
 
@@ -51,8 +51,8 @@
         let offered = states.first().map(|state| state.at);
         let first = |standing| states.iter().find(|state| state.standing == standing);
         let (end, ended) = match (
-            first(Standing::GoingBack),
-            first(Standing::Released),
+            first(RolloutState::RollingBack),
+            first(RolloutState::Released),
             states.last(),
         ) {
             (Some(back), _, _) => {
@@ -70,7 +70,7 @@
         };
         BuildSummary {
             build: build.number,
-            flaw: format!("{:?}", build.flaw),
+            flaw: format!("{:?}", build.defect),
             offered_s: seconds(offered.map_or(0, |at| at - self.start)),
             end,
             after_s: ended.zip(offered).map(|(end, offer)| seconds(end - offer)),
@@ -84,7 +84,7 @@
 
     fn defective(&self, number: u16) -> bool {
         let mut builds = self.day.builds.iter();
-        builds.any(|build| build.number == number && build.flaw != BuildDefect::None)
+        builds.any(|build| build.number == number && build.defect != BuildDefect::None)
     }
 
     /// Good builds that were rolled back by votes.
--- a/crates/spokeflow-scenario/src/report/mod.rs
+++ b/crates/spokeflow-scenario/src/report/mod.rs
@@ -169,7 +169,7 @@
 
 impl Report {
     /// Whether no rule was broken and nothing went wrong with the run itself.
-    pub fn sound(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.broken.is_empty() && self.faults.is_empty()
     }
 }
--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -5,7 +5,7 @@
 use super::builds::{ControllerState, RollbackVote};
 use super::{seconds, BrokenRule, End, Interval, Outcome, Report};
 use crate::check::{explain, Broken, Checker, RuleConfig};
-use crate::observation::{Observation, Standing};
+use crate::observation::{Observation, RolloutState};
 use crate::scenario::Scenario;
 use crate::{Micros, SECOND};
 
@@ -114,11 +114,15 @@
         match observation {
             Observation::Taken { .. } => self.attempts += 1,
             Observation::Delivered { build, .. } => self.on_delivery(at, *build),
-            Observation::Voted { build, verdict, .. } => self.on_vote(at, *build, verdict),
+            Observation::Voted {
+                build,
+                vote: verdict,
+                ..
+            } => self.on_vote(at, *build, verdict),
             Observation::ReleaseController {
                 build,
                 stage,
-                standing,
+                state: standing,
             } => {
                 self.controller.push(ControllerState {
                     at,
@@ -137,7 +141,7 @@
         let canary = self
             .controller
             .last()
-            .is_some_and(|state| state.build == build && state.standing == Standing::OnTrial);
+            .is_some_and(|state| state.build == build && state.standing == RolloutState::Canary);
         let interval = self.interval_at(at);
         interval.deliveries += 1;
         interval.at_trial += u64::from(canary);
@@ -145,10 +149,9 @@
 
     fn on_vote(&mut self, at: Micros, build: u16, vote: &str) {
         let back = vote == "Back";
-        let in_place = self
-            .controller
-            .last()
-            .is_some_and(|state| state.build == build && state.standing != Standing::GoingBack);
+        let in_place = self.controller.last().is_some_and(|state| {
+            state.build == build && state.standing != RolloutState::RollingBack
+        });
         let last = self.rollback_votes.last();
         if back && in_place && last.is_none_or(|earlier| earlier.build != build) {
             self.rollback_votes.push(RollbackVote { at, build });
@@ -159,7 +162,7 @@
     }
 
     /// How the fleet is at this time: commands held by hosts, and hosts that are warming up.
-    pub fn stands(&mut self, at: Micros, in_flight: u64, cold_hosts: u64) {
+    pub fn on_fleet_state(&mut self, at: Micros, in_flight: u64, cold_hosts: u64) {
         let interval = self.interval_at(at);
         interval.in_flight = interval.in_flight.max(in_flight);
         interval.cold_hosts = interval.cold_hosts.max(cold_hosts);
@@ -256,7 +259,7 @@
             false_backs: self.false_rollbacks(&builds),
             misses: self.missed_defects(&builds),
             builds,
-            troubles: day.troubles.iter().map(ToString::to_string).collect(),
+            troubles: day.faults.iter().map(ToString::to_string).collect(),
             broken: broken_rules(self.checker, trace),
             faults,
             over_time: self.over_time,
--- a/crates/spokeflow-scenario/src/scenario/build.rs
+++ b/crates/spokeflow-scenario/src/scenario/build.rs
@@ -37,7 +37,8 @@
     /// When it is offered to the release controller.
     pub offered: Micros,
     /// What is wrong with it.
-    pub flaw: BuildDefect,
+    #[serde(rename = "flaw")]
+    pub defect: BuildDefect,
     /// Its speed, 1 for that of the first build.
     pub speed: f64,
 }
@@ -78,7 +79,7 @@
 
 impl fmt::Display for Build {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (defect, size) = self.flaw.named();
+        let (defect, size) = self.defect.named();
         let at = self.offered as f64 / SECOND as f64;
         write!(
             f,
@@ -115,7 +116,7 @@
         Ok(Build {
             number,
             offered,
-            flaw,
+            defect: flaw,
             speed,
         })
     }
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -36,9 +36,9 @@
         FaultKind::SlowConnects,
     ],
     &[
-        FaultKind::StalledDesk,
-        FaultKind::LateDesk,
-        FaultKind::RefusingDesk,
+        FaultKind::StalledController,
+        FaultKind::LateController,
+        FaultKind::RefusingController,
         FaultKind::LateList,
         FaultKind::ListBreaks,
     ],
@@ -69,7 +69,7 @@
             customers: tenants(),
             keys: 600,
             builds: vec![sound_build(1, 0)],
-            stage_shares: vec![0.04, 0.1, 0.25, 0.55, 1.0],
+            stage_fractions: vec![0.04, 0.1, 0.25, 0.55, 1.0],
             slack: 1.4,
             gate: Gate::Single,
             bake: 2 * SECOND,
@@ -86,8 +86,8 @@
             retries: 2,
             try_part: [0.4, 1.0],
             list_late: [400 * MS, 1400 * MS],
-            news_late: [260 * MS, 880 * MS],
-            news_every: 4 * SECOND,
+            rollout_delay: [260 * MS, 880 * MS],
+            rollout_interval: 4 * SECOND,
             reported: 0.15,
             tells: false,
             key_skew: 0.7,
@@ -100,7 +100,7 @@
             cancel: CancelPolicy::Stops,
             neighbours: 0,
             steal: 0.0,
-            troubles: Vec::new(),
+            faults: Vec::new(),
         }
     }
 
@@ -116,13 +116,13 @@
         scenario.builds.push(Build {
             number: 2,
             offered: length / 12,
-            flaw,
+            defect: flaw,
             speed: rng.random_range(0.9..1.1),
         });
         scenario.builds.push(Build {
             number: 3,
             offered: length / 2,
-            flaw: draw_defect_if(!second_is_bad, &mut rng),
+            defect: draw_defect_if(!second_is_bad, &mut rng),
             speed: 1.0,
         });
         // One of each family, in any order, at times that let them overlap.
@@ -130,9 +130,9 @@
             let kind = family[rng.random_range(0..family.len())];
             let at = rng.random_range(length / 10..length * 3 / 4);
             let fault = Fault::typical(kind);
-            scenario.troubles.push(Fault { at, ..fault });
+            scenario.faults.push(Fault { at, ..fault });
         }
-        scenario.troubles.sort_by_key(|fault| fault.at);
+        scenario.faults.sort_by_key(|fault| fault.at);
         scenario
     }
 
@@ -145,7 +145,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let offered = length / 10;
         scenario.builds.push(Build {
-            flaw: draw_defect_if(kind == FaultKind::BadBuild, &mut rng),
+            defect: draw_defect_if(kind == FaultKind::BadBuild, &mut rng),
             ..sound_build(2, offered)
         });
         let window = match kind {
@@ -161,7 +161,7 @@
         };
         let at = rng.random_range(window);
         let fault = Fault::typical(kind);
-        scenario.troubles.push(Fault { at, ..fault });
+        scenario.faults.push(Fault { at, ..fault });
         scenario
     }
 
@@ -196,15 +196,15 @@
             scenario.builds.push(Build {
                 number,
                 offered,
-                flaw,
+                defect: flaw,
                 speed: rng.random_range(0.85..1.2),
             });
             offered += rng.random_range(length / 8..length / 2);
         }
         for _ in 0..rng.random_range(0..6) {
-            scenario.troubles.push(draw_fault(&mut rng, length));
+            scenario.faults.push(draw_fault(&mut rng, length));
         }
-        scenario.troubles.sort_by_key(|t| t.at);
+        scenario.faults.sort_by_key(|t| t.at);
         scenario
     }
 }
@@ -260,7 +260,7 @@
     Build {
         number,
         offered,
-        flaw: BuildDefect::None,
+        defect: BuildDefect::None,
         speed: 1.0,
     }
 }
--- a/crates/spokeflow-scenario/src/scenario/fault.rs
+++ b/crates/spokeflow-scenario/src/scenario/fault.rs
@@ -35,11 +35,14 @@
     /// Connections take longer to make.
     SlowConnects,
     /// The release controller does nothing.
-    StalledDesk,
+    #[serde(rename = "stalled-desk")]
+    StalledController,
     /// The release controller's news come late.
-    LateDesk,
+    #[serde(rename = "late-desk")]
+    LateController,
     /// The release controller refuses connections.
-    RefusingDesk,
+    #[serde(rename = "refusing-desk")]
+    RefusingController,
     /// The host list learns late.
     LateList,
     /// The host list closes its connections.
@@ -82,9 +85,9 @@
         FaultKind::SlowLink,
         FaultKind::LossyLinks,
         FaultKind::SlowConnects,
-        FaultKind::StalledDesk,
-        FaultKind::LateDesk,
-        FaultKind::RefusingDesk,
+        FaultKind::StalledController,
+        FaultKind::LateController,
+        FaultKind::RefusingController,
         FaultKind::LateList,
         FaultKind::ListBreaks,
         FaultKind::Shift,
@@ -208,8 +211,8 @@
         FaultKind::SlowLink => (8.0, 0.0, 0.3),
         FaultKind::LossyLinks => (10.0, 0.0, 0.05),
         FaultKind::SlowConnects => (8.0, 1.0, 0.2),
-        FaultKind::StalledDesk | FaultKind::RefusingDesk => (8.0, 0.0, 0.0),
-        FaultKind::LateDesk | FaultKind::LateList => (12.0, 0.0, 4.0),
+        FaultKind::StalledController | FaultKind::RefusingController => (8.0, 0.0, 0.0),
+        FaultKind::LateController | FaultKind::LateList => (12.0, 0.0, 4.0),
         FaultKind::ListBreaks => (8.0, 0.0, 0.0),
         FaultKind::Shift => (10.0, 0.0, 0.8),
         FaultKind::Worthless => (10.0, 0.0, 2.0),
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -93,7 +93,8 @@
     /// Builds in the order of their offers; the first is there from the start.
     pub builds: Vec<Build>,
     /// By stage, the fraction of hosts that run the new build.
-    pub stage_shares: Vec<f64>,
+    #[serde(rename = "stage_shares")]
+    pub stage_fractions: Vec<f64>,
     /// How much more than its fraction of hosts a stage's exposure cap allows, a factor.
     pub slack: f64,
     /// Whose votes move a rollout.
@@ -127,9 +128,11 @@
     /// How late the host list learns of a change, the least and the most.
     pub list_late: [Micros; 2],
     /// How late a router is told of the rollout, the least and the most.
-    pub news_late: [Micros; 2],
+    #[serde(rename = "news_late")]
+    pub rollout_delay: [Micros; 2],
     /// How often the release controller repeats its state.
-    pub news_every: Micros,
+    #[serde(rename = "news_every")]
+    pub rollout_interval: Micros,
     /// Part of the wrong answers that clients report.
     pub reported: f64,
     /// Routers tell each other what they see.
@@ -155,7 +158,8 @@
     /// Part of its speed that a host loses to busy neighbours.
     pub steal: f64,
     /// Scheduled faults, in the order of their times.
-    pub troubles: Vec<Fault>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 /// What a host does with a cancelled command.
@@ -173,6 +177,6 @@
 impl Scenario {
     /// The exposure cap of a stage, 0 to 1.
     pub fn cap(&self, stage: usize) -> f64 {
-        (self.stage_shares[stage] * self.slack).min(1.0)
+        (self.stage_fractions[stage] * self.slack).min(1.0)
     }
 }
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -137,7 +137,7 @@
 
 /// One client with one command.
 pub struct Client {
-    pub wanted: PlannedCommand,
+    pub command: PlannedCommand,
     pub tries: u32,
     pub rng: StdRng,
 }
@@ -150,7 +150,7 @@
 impl Client {
     pub fn new(wanted: PlannedCommand) -> Client {
         Client {
-            wanted,
+            command: wanted,
             tries: 0,
             rng: StdRng::seed_from_u64(wanted.seed),
         }
@@ -163,10 +163,10 @@
         faults: &ActiveFaults,
         now: Micros,
     ) -> Option<(Micros, Micros)> {
-        let op = &day.ops[self.wanted.op];
+        let op = &day.ops[self.command.op];
         self.tries += 1;
         let [least, most] = day.try_part;
-        let left = self.wanted.due + op.timeout - now;
+        let left = self.command.due + op.timeout - now;
         let patience =
             ((op.timeout as f64 * self.rng.random_range(least..=most)) as Micros).min(left);
         if patience < LEAST_PATIENCE {
@@ -195,10 +195,10 @@
             TryEnd::Unreachable => (true, 0),
             TryEnd::Failed | TryEnd::Broken | TryEnd::GivenUp => (false, 0),
         };
-        let op = &day.ops[self.wanted.op];
+        let op = &day.ops[self.command.op];
         let harmless = match op.repeat {
             Repeat::Redeliverable => true,
-            Repeat::Deduplicated(memory) => now - self.wanted.due + op.timeout / 2 < memory,
+            Repeat::Deduplicated(memory) => now - self.command.due + op.timeout / 2 < memory,
             Repeat::AtMostOnce => false,
         };
         // In a storm clients come back at once and more often.
--- a/crates/spokeflow-scenario/tests/check.rs
+++ b/crates/spokeflow-scenario/tests/check.rs
@@ -3,7 +3,7 @@
 use spokeflow_scenario::check::{check, Checker, RuleConfig};
 use spokeflow_scenario::observation::Observation::*;
 use spokeflow_scenario::observation::{
-    AnswerKind, Observation, Phase, Process, ReplyKind, Standing,
+    AnswerKind, Observation, Phase, Process, ReplyKind, RolloutState,
 };
 use spokeflow_scenario::scenario::Repeat;
 use spokeflow_scenario::{Micros, MS, SECOND};
@@ -34,11 +34,11 @@
 fn taken(tried: u64, op: u16) -> Observation {
     Taken {
         by: P,
-        tried,
+        attempt: tried,
         command: tried,
         op,
         key: 9,
-        patience: SECOND,
+        timeout: SECOND,
     }
 }
 
@@ -47,7 +47,7 @@
         host,
         build: 1,
         from: P,
-        tried,
+        attempt: tried,
         delivery,
     }
 }
@@ -55,7 +55,7 @@
 fn answered(tried: u64, kind: AnswerKind) -> Observation {
     Answered {
         by: P,
-        tried,
+        attempt: tried,
         kind,
         build: 1,
     }
@@ -96,7 +96,7 @@
     );
     assert!(rules(&[(0, taken(1, 0)), (500, RouterKilled(P)), end.clone()]).is_empty());
     assert!(rules(&[
-        (0, RouterAsked(P)),
+        (0, RouterShutdown(P)),
         (10, taken(1, 0)),
         (500, RouterEnded(P)),
         end.clone()
@@ -105,7 +105,7 @@
     assert_eq!(
         rules(&[
             (0, taken(1, 0)),
-            (10, RouterAsked(P)),
+            (10, RouterShutdown(P)),
             (500, RouterEnded(P)),
             end
         ]),
@@ -118,13 +118,13 @@
     let ran = |tried, op| Ran {
         host: 1,
         build: 1,
-        tried,
+        attempt: tried,
         command: 1,
         op,
     };
     let full = Replied {
         host: 1,
-        tried: 1,
+        attempt: 1,
         delivery: 1,
         kind: ReplyKind::Full,
     };
@@ -189,10 +189,10 @@
         to: P,
         build: 1,
         stage: 0,
-        standing,
+        state: standing,
         cap,
     };
-    let on = news(Standing::OnTrial, 0.1);
+    let on = news(RolloutState::Canary, 0.1);
     let mut seen = vec![(0, on.clone())];
     seen.extend((0..20).map(|n| (1_000 + n, taken(n as u64 + 1, 0))));
     seen.extend((0..3).map(|n| (2_000 + n, delivered(n as u64 + 1, 1, n as u64))));
@@ -200,18 +200,18 @@
     let mut over = seen.clone();
     over.push((2_100, delivered(4, 1, 4)));
     assert_eq!(others(&over), [5]);
-    over[0].1 = news(Standing::Released, 1.0);
+    over[0].1 = news(RolloutState::Released, 1.0);
     assert!(others(&over).is_empty());
     // Found by a hunt (drawn day 458): a router that has just started sends by stage 0 and hears then that
     // the build goes back; what it had sent by then may leave within the grace.
     let first = |at| {
-        let back = news(Standing::GoingBack, 0.0);
+        let back = news(RolloutState::RollingBack, 0.0);
         vec![(0, taken(1, 0)), (100, back), (at, delivered(1, 1, 1))]
     };
     assert!(others(&first(105)).is_empty());
     assert_eq!(others(&first(1_300)), [5]);
     let mut back = seen.clone();
-    back.push((2_200, news(Standing::GoingBack, 0.0)));
+    back.push((2_200, news(RolloutState::RollingBack, 0.0)));
     back.push((3_500, delivered(5, 1, 9)));
     assert_eq!(others(&back), [5]);
 }
@@ -226,7 +226,7 @@
             to: P,
             build: 1,
             stage: 0,
-            standing: Standing::OnTrial,
+            state: RolloutState::Canary,
             cap: 0.1,
         },
     )];
@@ -262,7 +262,7 @@
                 to: P,
                 build: 2,
                 stage: 4,
-                standing: Standing::OnTrial,
+                state: RolloutState::Canary,
                 cap: 1.0,
             },
         ),
@@ -271,7 +271,7 @@
             20,
             Answered {
                 by: P,
-                tried: 1,
+                attempt: 1,
                 kind: AnswerKind::Acked,
                 build: 2,
             },
@@ -293,7 +293,7 @@
             to: P,
             build: 2,
             stage: 4,
-            standing: Standing::GoingBack,
+            state: RolloutState::RollingBack,
             cap: 0.0,
         },
     ));
@@ -306,7 +306,7 @@
         360,
         Answered {
             by: P,
-            tried: 2,
+            attempt: 2,
             kind: AnswerKind::Acked,
             build: 2,
         },
@@ -317,7 +317,7 @@
             to: P,
             build: 3,
             stage: 0,
-            standing: Standing::OnTrial,
+            state: RolloutState::Canary,
             cap: 0.1,
         },
     ));
@@ -339,12 +339,12 @@
         to: P,
         build,
         stage: 4,
-        standing,
+        state: standing,
         cap,
     };
     let ack = |tried, build| Answered {
         by: P,
-        tried,
+        attempt: tried,
         kind: AnswerKind::Acked,
         build,
     };
@@ -357,10 +357,10 @@
                 lines,
             },
         ),
-        (0, tell(2, Standing::OnTrial, 1.0)),
+        (0, tell(2, RolloutState::Canary, 1.0)),
         (10, taken(1, 0)),
         (20, ack(1, 2)),
-        (300, tell(3, Standing::OnTrial, 1.0)),
+        (300, tell(3, RolloutState::Canary, 1.0)),
         (310, taken(2, 0)),
     ];
     let mut seen = start.to_vec();
@@ -380,7 +380,10 @@
     assert_eq!(others(&seen), [5], "build 3 stands");
     seen.splice(
         7..,
-        [(400, tell(3, Standing::Withdrawn, 0.0)), (600, taken(3, 0))],
+        [
+            (400, tell(3, RolloutState::Withdrawn, 0.0)),
+            (600, taken(3, 0)),
+        ],
     );
     seen.push((700, delivered(3, 1, 1)));
     assert!(others(&seen).is_empty(), "build 3 went back");
@@ -392,11 +395,11 @@
         at,
         &Taken {
             by: P,
-            tried: n,
+            attempt: n,
             command: n,
             op: 1,
             key: n,
-            patience: SECOND,
+            timeout: SECOND,
         },
     );
     checker.see(
@@ -405,7 +408,7 @@
             host: 1,
             build: 2,
             from: P,
-            tried: n,
+            attempt: n,
             delivery: n,
         },
     );
@@ -414,7 +417,7 @@
         &Ran {
             host: 1,
             build: 2,
-            tried: n,
+            attempt: n,
             command: n,
             op: 1,
         },
@@ -423,7 +426,7 @@
         at,
         &Answered {
             by: P,
-            tried: n,
+            attempt: n,
             kind: AnswerKind::Acked,
             build: 2,
         },
@@ -437,7 +440,7 @@
         to: P,
         build: 2,
         stage: 4,
-        standing: Standing::Released,
+        state: RolloutState::Released,
         cap: 1.0,
     };
     checker.see(
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -76,7 +76,7 @@
     let (_, mut host) = host(None);
     host.arrive(0, job(1, 0));
     host.begin(0, &mut DeduplicationTable::default());
-    host.ailment.hangs = true;
+    host.fault.hangs = true;
     let at = host.next().unwrap();
     assert_eq!(host.ended(at)[0].1, JobOutcome::Silent);
 }
@@ -104,6 +104,6 @@
         assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
         host.begin(0, &mut DeduplicationTable::default());
         (1..3).for_each(|n| host.cancel(1, n));
-        assert_eq!(host.held(), left);
+        assert_eq!(host.queued(), left);
     }
 }
--- a/crates/spokeflow-scenario/tests/release_controller.rs
+++ b/crates/spokeflow-scenario/tests/release_controller.rs
@@ -1,6 +1,6 @@
 //! The release controller's model: stages, votes and rollbacks.
 
-use spokeflow_scenario::observation::Standing;
+use spokeflow_scenario::observation::RolloutState;
 use spokeflow_scenario::release_controller::{
     ControllerVote, FleetOrder, ReleaseController, VoteOutcome,
 };
@@ -32,15 +32,15 @@
         );
         controller.tick(now + 2_900_000, &mut orders);
         assert_eq!(
-            (controller.state.stage, controller.state.standing),
-            (stage, Standing::OnTrial)
+            (controller.state.stage, controller.state.rollout),
+            (stage, RolloutState::Canary)
         );
         now += 3 * SECOND;
         controller.tick(now, &mut orders);
     }
     settle(&mut controller, now, &mut orders);
-    assert_eq!(controller.state.standing, Standing::Released);
-    assert!(controller.places.iter().all(|p| p.build == 2));
+    assert_eq!(controller.state.rollout, RolloutState::Released);
+    assert!(controller.slots.iter().all(|p| p.build == 2));
 }
 
 #[test]
@@ -54,13 +54,13 @@
     );
     controller.tick(2, &mut orders);
     assert_eq!(
-        (controller.state.standing, controller.state.cap),
-        (Standing::GoingBack, 0.0)
+        (controller.state.rollout, controller.state.cap),
+        (RolloutState::RollingBack, 0.0)
     );
     settle(&mut controller, 3, &mut orders);
     controller.tick(4, &mut orders);
-    assert_eq!(controller.state.standing, Standing::Withdrawn);
-    assert!(controller.places.iter().all(|p| p.build == 1));
+    assert_eq!(controller.state.rollout, RolloutState::Withdrawn);
+    assert!(controller.slots.iter().all(|p| p.build == 1));
     assert_eq!(
         controller.vote(5, 1, 2, 0, ControllerVote::On),
         VoteOutcome::Moot
--- a/crates/spokeflow-scenario/tests/scenario.rs
+++ b/crates/spokeflow-scenario/tests/scenario.rs
@@ -35,7 +35,7 @@
         .contains("ends in s"));
     let build: Build = "3:at=5.5s:flaw=one-op:size=0.25".parse().unwrap();
     assert_eq!(
-        (build.number, build.offered, build.flaw),
+        (build.number, build.offered, build.defect),
         (3, 5_500_000, BuildDefect::OneOp(0.25))
     );
     assert_eq!(
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -19,7 +19,7 @@
 use slab::Slab;
 use spokeflow_engine::Input;
 use spokeflow_proto::FromController;
-use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::EndpointRegistry;
 use spokeflow_scenario::host::DeduplicationTable;
 use spokeflow_scenario::observation::Observation;
@@ -135,7 +135,7 @@
         }
         self.plan(DESK_TICK, What::DeskTick);
         self.plan(SLOW_TICK, What::SlowTick);
-        for (n, trouble) in self.day.troubles.clone().iter().enumerate() {
+        for (n, trouble) in self.day.faults.clone().iter().enumerate() {
             self.plan_at(self.start + trouble.at, What::Begin(n));
         }
         let first = self.traffic.next(&self.day, &self.faults);
@@ -272,7 +272,7 @@
                 let site = self.routers[by.router as usize].site;
                 if self
                     .faults
-                    .way(OFFICE_SITE, site, LinkDirection::Office)
+                    .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
                     .is_none()
                 {
                     return self.blocked.push(What::VotedTo { by, ballot, result });
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -62,7 +62,7 @@
         let Some(asking) = self.clients.get_mut(key) else {
             return;
         };
-        let wanted = asking.client.wanted;
+        let wanted = asking.client.command;
         let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now)
         else {
             return self.command_ended(key, TryEnd::GivenUp);
@@ -89,11 +89,11 @@
         let op = wanted.op as u16;
         self.note(Observation::Taken {
             by,
-            tried,
+            attempt: tried,
             command: number,
             op,
             key: wanted.key,
-            patience,
+            timeout: patience,
         });
         self.plan(
             LOCAL_WAY,
@@ -117,7 +117,7 @@
         let Some(asking) = self.clients.get(client) else {
             return;
         };
-        let (wanted, number) = (asking.client.wanted, asking.number);
+        let (wanted, number) = (asking.client.command, asking.number);
         let dropped = matches!(self.day.ops[wanted.op].repeat, Repeat::Deduplicated(_));
         let command = Command {
             id: tried,
@@ -150,7 +150,7 @@
             };
             self.note(Observation::Answered {
                 by,
-                tried,
+                attempt: tried,
                 kind,
                 build,
             });
@@ -176,7 +176,7 @@
             return;
         }
         t.answered = true;
-        self.note(Observation::Left { tried });
+        self.note(Observation::Left { attempt: tried });
         self.plan(LOCAL_WAY, What::LeaveAt { tried, by });
         self.plan(SECOND, What::Leaves { tried });
         self.ended(client, TryEnd::GivenUp);
@@ -200,7 +200,7 @@
             site,
             due,
             ..
-        } = asking.client.wanted;
+        } = asking.client.command;
         let (end, build) = end.last();
         let (took, tries) = (self.now - due, asking.client.tries);
         let outcome = Outcome {
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -27,7 +27,7 @@
         let (seat, router) = self.ends_of(pair);
         let (a, b) = (self.seats[seat].site, self.routers[router as usize].site);
         self.faults
-            .way(a, b, LinkDirection::Hosts)
+            .delay(a, b, LinkDirection::Hosts)
             .map(|way| way.max(LOCAL_WAY))
     }
 
@@ -73,7 +73,7 @@
             host,
             build,
             from,
-            tried,
+            attempt: tried,
             delivery,
         });
         self.send(pair, HostWord::Deliver(parcel));
@@ -266,7 +266,7 @@
                     let host = self.seats[seat].host;
                     self.note(Observation::Replied {
                         host,
-                        tried,
+                        attempt: tried,
                         delivery,
                         kind: ReplyKind::Full,
                     });
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -22,14 +22,14 @@
                 .builds
                 .iter()
                 .find(|b| b.number == build)
-                .map(|b| b.flaw)
+                .map(|b| b.defect)
         };
         for (_, seat) in &self.seats {
             let Some(process) = &seat.process else {
                 continue;
             };
             running += 1;
-            held += process.model.held() as u64;
+            held += process.model.queued() as u64;
             cold += u64::from(
                 seat.started
                     .is_some_and(|at| self.now - at < self.day.warm_within),
@@ -60,17 +60,17 @@
             let Some(process) = &mut seat.process else {
                 continue;
             };
-            process.model.ailment.drag = drag;
+            process.model.fault.drag = drag;
             if group > 1 {
                 let (all, hosts) = busy[n / group];
                 let others = (all - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
-                process.model.ailment.neighbours =
+                process.model.fault.neighbours =
                     1.0 / (1.0 - 0.9 * self.day.steal * others.clamp(0.0, 1.0));
             }
         }
         let at = self.now;
         if let Some(record) = self.record.as_mut().filter(|_| at >= LEAD) {
-            record.stands(at, held, cold);
+            record.on_fleet_state(at, held, cold);
         }
     }
 
@@ -94,7 +94,7 @@
         for host in hosts {
             let seat = self.seat_of.get(host).copied();
             if let Some(process) = seat.and_then(|s| self.seats[s].process.as_mut()) {
-                ail(&mut process.model.ailment);
+                ail(&mut process.model.fault);
             }
         }
     }
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn begin(&mut self, n: usize) {
-        let trouble = self.day.troubles[n];
+        let trouble = self.day.faults[n];
         self.note(Observation::Fault {
             what: format!("begins: {trouble}"),
         });
@@ -182,15 +182,15 @@
     }
 
     pub(super) fn end_trouble(&mut self, n: usize) {
-        let trouble = self.day.troubles[n];
+        let trouble = self.day.faults[n];
         self.note(Observation::Fault {
             what: format!("ends: {}", trouble.kind.name()),
         });
         self.lasting.retain(|l| l.0 != n);
         let others = self.lasting.clone();
-        let day = std::mem::take(&mut self.day.troubles);
+        let day = std::mem::take(&mut self.day.faults);
         self.faults.end(&self.day, &trouble, &others);
-        self.day.troubles = day;
+        self.day.faults = day;
         let struck = self.struck.remove(&n).unwrap_or_default();
         match trouble.kind {
             FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -57,7 +57,7 @@
         let incarnation = self.number();
         let (build, started) = (self.seats[seat].build, self.seats[seat].started);
         let made = self.day.builds.iter().find(|b| b.number == build);
-        let (flaw, speed) = made.map_or((BuildDefect::None, 1.0), |b| (b.flaw, b.speed));
+        let (flaw, speed) = made.map_or((BuildDefect::None, 1.0), |b| (b.defect, b.speed));
         let seed = self.day.seed ^ u64::from(host) << 20 ^ incarnation << 40;
         let mut model = Host::new(&self.day, flaw, speed, started, seed);
         if let Some((_, t)) = self
@@ -65,7 +65,7 @@
             .iter()
             .find(|(_, t)| t.kind == FaultKind::SlowOp)
         {
-            model.ailment.slow_op = (0, t.size.max(1.0));
+            model.fault.slow_op = (0, t.size.max(1.0));
         }
         let process = HostProcess {
             model,
@@ -80,7 +80,7 @@
 
     pub(super) fn late(&mut self) -> Micros {
         let [least, most] = self.day.list_late;
-        self.rng.random_range(least..most) + self.faults.late_list
+        self.rng.random_range(least..most) + self.faults.list_delay
     }
 
     pub(super) fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
@@ -161,7 +161,7 @@
         let busy = self.seats[seat]
             .process
             .as_ref()
-            .is_some_and(|p| p.model.held() > 0 && !p.model.fallen);
+            .is_some_and(|p| p.model.queued() > 0 && !p.model.fallen);
         if busy {
             return self.plan(100 * MS, What::Stop(host));
         }
@@ -244,7 +244,7 @@
             };
             self.note(Observation::Replied {
                 host,
-                tried,
+                attempt: tried,
                 delivery,
                 kind,
             });
@@ -255,7 +255,7 @@
             self.note(Observation::Ran {
                 host,
                 build,
-                tried,
+                attempt: tried,
                 command,
                 op,
             });
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -210,7 +210,7 @@
             };
             let (by, site) = (seat.process, seat.site);
             // What meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.way(own, site, LinkDirection::Hosts) {
+            if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
                 let text = text.clone();
                 self.world
                     .plan(way.max(LOCAL_WAY), What::Told { by, from, text });
@@ -261,12 +261,12 @@
         };
         let (model, now) = (&process.model, self.world.now);
         HostView {
-            up: !model.ailment.hangs,
+            up: !model.fault.hangs,
             work_before: model.work_before(now),
             way: self.world.way(pair),
-            speed: model.speed * model.warmth(now) / (model.ailment.slower * model.ailment.drag),
-            fails: model.ailment.fails,
-            bears: model.bears(now),
+            speed: model.speed * model.warmth(now) / (model.fault.slower * model.fault.drag),
+            fails: model.fault.fails,
+            bears: model.has_headroom(now),
         }
     }
 
@@ -275,6 +275,6 @@
             .day
             .builds
             .iter()
-            .any(|b| b.number == build.0 && b.flaw != BuildDefect::None)
+            .any(|b| b.number == build.0 && b.defect != BuildDefect::None)
     }
 }
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::{FromController, RolloutPhase, RolloutUpdate, VoteResult};
-use spokeflow_scenario::observation::{Observation, Process, Standing};
+use spokeflow_scenario::observation::{Observation, Process, RolloutState};
 use spokeflow_scenario::release_controller::{ControllerVote, State, VoteOutcome};
 
 use super::event::What;
@@ -12,7 +12,7 @@
 impl World {
     pub(super) fn desk_tick(&mut self) {
         self.plan(DESK_TICK, What::DeskTick);
-        if self.faults.stalled_desk {
+        if self.faults.stalled_controller {
             return;
         }
         let mut orders = Vec::new();
@@ -32,33 +32,33 @@
             let State {
                 build,
                 stage,
-                standing,
+                rollout: standing,
                 ..
             } = state;
             self.note(Observation::ReleaseController {
                 build,
                 stage,
-                standing,
+                state: standing,
             });
         }
         self.carry_out(orders);
         for router in 0..self.routers.len() {
             let seat = &self.routers[router];
             if seat.brain.is_none()
-                || seat.told == Some(state) && self.now - seat.told_at < self.day.news_every
+                || seat.told == Some(state) && self.now - seat.told_at < self.day.rollout_interval
             {
                 continue;
             }
             // A router that has just connected is told at once, changes some time after.
             let first = seat.told.is_none();
-            let [least, most] = self.day.news_late;
+            let [least, most] = self.day.rollout_delay;
             let late = if first {
                 0
             } else {
                 self.rng.random_range(least..most)
             };
             let seat = &mut self.routers[router];
-            let at = (self.now + late + self.faults.late_desk).max(seat.news_last);
+            let at = (self.now + late + self.faults.controller_delay).max(seat.news_last);
             (seat.told, seat.told_at, seat.news_last) = (Some(state), self.now, at);
             let by = seat.process;
             self.plan_at(at, What::NewsTo { by, state });
@@ -69,13 +69,13 @@
         if self.routers[by.router as usize].process != by {
             return;
         }
-        if self.faults.stalled_desk || self.office_cut(by) {
+        if self.faults.stalled_controller || self.office_cut(by) {
             return self.blocked.push(What::NewsTo { by, state });
         }
         let State {
             build,
             stage,
-            standing,
+            rollout: standing,
             cap,
             since,
         } = state;
@@ -83,14 +83,14 @@
             to: by,
             build,
             stage,
-            standing,
+            state: standing,
             cap,
         });
         let standing = match standing {
-            Standing::OnTrial => RolloutPhase::Canary,
-            Standing::GoingBack => RolloutPhase::RollingBack,
-            Standing::Released => RolloutPhase::Released,
-            Standing::Withdrawn => RolloutPhase::Withdrawn,
+            RolloutState::Canary => RolloutPhase::Canary,
+            RolloutState::RollingBack => RolloutPhase::RollingBack,
+            RolloutState::Released => RolloutPhase::Released,
+            RolloutState::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.now - since).max(0) as u64;
         let news = RolloutUpdate {
@@ -127,18 +127,18 @@
             from: by,
             build,
             stage,
-            verdict: format!("{verdict:?}"),
+            vote: format!("{verdict:?}"),
         });
-        let result = if self.faults.refusing_desk {
+        let result = if self.faults.refusing_controller {
             VoteResult::Refused
         } else {
             // A desk that stands still loses some votes and answers none.
-            let counts = !self.faults.stalled_desk || self.rng.random_bool(0.5);
+            let counts = !self.faults.stalled_controller || self.rng.random_bool(0.5);
             if !counts {
                 return;
             }
             let counted = self.desk.vote(self.now, by.router, build, stage, verdict);
-            if self.faults.stalled_desk {
+            if self.faults.stalled_controller {
                 return;
             }
             match counted {
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -144,7 +144,7 @@
         }
         (seat.closing, seat.down_since) = (true, Some(self.now));
         let by = seat.process;
-        self.note(Observation::RouterAsked(by));
+        self.note(Observation::RouterShutdown(by));
         self.give(by, Input::Close);
         self.plan(
             0,
--- a/crates/spokeflow-simulator/tests/days.rs
+++ b/crates/spokeflow-simulator/tests/days.rs
@@ -35,7 +35,7 @@
         let day = Scenario::only(kind, 20 + n as u64, 40 * SECOND);
         let played = play(&day, StrategyKind::Engine, true);
         let report = &played.report;
-        assert!(report.sound(), "{}", report.text());
+        assert!(report.passed(), "{}", report.text());
         assert!(
             report.commands > 1000 && report.acked * 2 > report.commands,
             "{}",
@@ -47,7 +47,7 @@
 #[test]
 fn a_bad_build_is_sent_back_and_a_good_one_released() {
     let mut bad = Scenario::only(FaultKind::BadBuild, 3, 60 * SECOND);
-    bad.builds[1].flaw = BuildDefect::Errors(0.6);
+    bad.builds[1].defect = BuildDefect::Errors(0.6);
     let report = play(&bad, StrategyKind::Engine, false).report;
     assert!(
         report.builds[0].end.starts_with("sent back"),
@@ -69,7 +69,7 @@
 #[test]
 fn full_sight_serves_most_and_random_least_when_hosts_hang_and_crawl() {
     let mut day = Scenario::only(FaultKind::Hang, 5, 60 * SECOND);
-    day.troubles
+    day.faults
         .push("slow:at=20s:lasts=25s:part=0.3:size=6".parse().unwrap());
     let service = |who| play(&day, who, false).report.service;
     let [engine, random, full] = [
@@ -89,9 +89,9 @@
     let mut day = Scenario::bad_day(8, 40 * SECOND)
         .sized(FleetSize::Middle)
         .by_majority();
-    day.troubles.push("cut:at=10s:lasts=8s".parse().unwrap());
+    day.faults.push("cut:at=10s:lasts=8s".parse().unwrap());
     let report = play(&day, StrategyKind::Engine, true).report;
-    assert!(report.sound(), "{}", report.text());
+    assert!(report.passed(), "{}", report.text());
     assert!(report.acked > 6000, "{}", report.text());
 }
 
@@ -106,13 +106,13 @@
             let build = spokeflow_scenario::scenario::Build {
                 number,
                 offered: n * every,
-                flaw: BuildDefect::None,
+                defect: BuildDefect::None,
                 speed: 1.0,
             };
             day.builds.push(build);
         }
         let played = play(&day, StrategyKind::Engine, false);
-        assert!(played.report.sound(), "{}", played.report.text());
+        assert!(played.report.passed(), "{}", played.report.text());
         let released = played
             .report
             .builds
@@ -138,6 +138,6 @@
             true,
         )
         .report;
-        assert!(report.sound(), "{}", report.text());
+        assert!(report.passed(), "{}", report.text());
     }
 }
--- a/crates/spokeflow-simulator/tests/fleet.rs
+++ b/crates/spokeflow-simulator/tests/fleet.rs
@@ -20,7 +20,7 @@
     );
     let day = Day::parse_from(flags.split_whitespace()).day.day().unwrap();
     let report = play(&day, StrategyKind::Engine, false).report;
-    assert!(report.sound(), "{}", report.text());
+    assert!(report.passed(), "{}", report.text());
     assert_eq!(report.false_backs, 0, "{}", report.text());
     report
 }
--- a/crates/spokeflow-simulator/tests/kept.rs
+++ b/crates/spokeflow-simulator/tests/kept.rs
@@ -15,7 +15,7 @@
     let words = std::iter::once("day").chain(flags.split_whitespace());
     let day = Day::parse_from(words).day.day().unwrap();
     let report = play(&day, StrategyKind::Engine, true).report;
-    assert!(report.sound() && report.acked > 200, "{}", report.text());
+    assert!(report.passed() && report.acked > 200, "{}", report.text());
 }
 
 /// Rule 2: a cancelled delivery, held by the cut with its cancel, ran when the cut ended, after hosts had
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -135,7 +135,7 @@
                     };
                     // An answer to what is not open, or again, is noted as well: the checker must see it.
                     let Some((tried, waits)) = open.get_mut(&id) else { continue };
-                    self.world.tap.note(Observation::Answered { by, tried: *tried, kind, build });
+                    self.world.tap.note(Observation::Answered { by, attempt: *tried, kind, build });
                     if let Some(waits) = waits.take() {
                         let _ = waits.send(end);
                     }
@@ -145,7 +145,7 @@
                     Some(Order::Send(send)) => {
                         let Send { command, tried, number, patience, end } = send;
                         let (op, key, id) = (command.op, command.key, command.id);
-                        self.world.tap.note(Observation::Taken { by, tried, command: number, op, key, patience });
+                        self.world.tap.note(Observation::Taken { by, attempt: tried, command: number, op, key, timeout: patience });
                         open.insert(id, (tried, Some(end)));
                         if link.send(FromClient::Command(command)).await.is_err() {
                             break;
@@ -153,7 +153,7 @@
                     }
                     Some(Order::Leave(id)) => {
                         if let Some((tried, _)) = open.get(&id) {
-                            self.world.tap.note(Observation::Left { tried: *tried });
+                            self.world.tap.note(Observation::Left { attempt: *tried });
                             let _ = link.send(FromClient::Abandon { id }).await;
                         }
                     }
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -126,7 +126,7 @@
         .collect();
     let mut told = 0;
     let mut troubles: Vec<(usize, Fault, bool)> = day
-        .troubles
+        .faults
         .iter()
         .enumerate()
         .map(|(n, t)| (n, *t, false))
@@ -138,7 +138,7 @@
             progress(told * SECOND);
         }
         let mut orders = Vec::new();
-        if !world.faults().stalled_desk {
+        if !world.faults().stalled_controller {
             let mut desk = stage.office.desk.lock().expect("no holder panics");
             let before = desk.state;
             if let Some(next) = offers.first().filter(|b| now - start >= b.offered) {
@@ -152,7 +152,7 @@
                 world.tap.note(Observation::ReleaseController {
                     build: s.build,
                     stage: s.stage,
-                    standing: s.standing,
+                    state: s.rollout,
                 });
             }
         }
@@ -240,7 +240,7 @@
             return Ok(());
         };
         let build = day.builds.iter().find(|b| b.number == seat.build);
-        let (flaw, speed) = build.map_or((BuildDefect::None, 1.0), |b| (b.flaw, b.speed));
+        let (flaw, speed) = build.map_or((BuildDefect::None, 1.0), |b| (b.defect, b.speed));
         let model = Host::new(day, flaw, speed, seat.started, seed);
         let place = HostSeat {
             host,
@@ -264,7 +264,7 @@
 
     fn late(&mut self) -> Micros {
         let [least, most] = self.world.day.list_late;
-        self.rng.random_range(least..most) + self.world.faults().late_list
+        self.rng.random_range(least..most) + self.world.faults().list_delay
     }
 
     fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
@@ -353,7 +353,7 @@
             let busy = seat
                 .process
                 .as_ref()
-                .is_some_and(|p| p.model.lock().expect("no holder panics").held() > 0);
+                .is_some_and(|p| p.model.lock().expect("no holder panics").queued() > 0);
             if busy
                 && !seat
                     .process
@@ -404,7 +404,7 @@
     fn ail(&self, hosts: &[u32], ail: impl Fn(&mut HostFault)) {
         for host in hosts {
             if let Some(process) = self.seats.get(host).and_then(|s| s.process.as_ref()) {
-                ail(&mut process.model.lock().expect("no holder panics").ailment);
+                ail(&mut process.model.lock().expect("no holder panics").fault);
                 process.changed.notify_one();
             }
         }
@@ -498,7 +498,7 @@
                 .builds
                 .iter()
                 .find(|b| b.number == build)
-                .map(|b| b.flaw)
+                .map(|b| b.defect)
         };
         let running: Vec<&Seat> = self
             .seats
@@ -579,7 +579,7 @@
         let seen = if hard {
             Observation::RouterKilled(process)
         } else {
-            Observation::RouterAsked(process)
+            Observation::RouterShutdown(process)
         };
         self.world.tap.note(seen);
         if let Some(door) = self
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -73,7 +73,10 @@
 
     /// The delay one way, or `None` while the sites are cut from each other.
     pub fn way(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
-        self.faults.lock().expect("no holder panics").way(a, b, way)
+        self.faults
+            .lock()
+            .expect("no holder panics")
+            .delay(a, b, way)
     }
 
     /// What a lost packet adds to the delay: it is sent again after a while, and may be lost again.
@@ -266,7 +269,7 @@
                 self.world.tap.note(Observation::Ran {
                     host,
                     build,
-                    tried: begun.tried,
+                    attempt: begun.tried,
                     command: begun.command,
                     op,
                 });
@@ -327,7 +330,7 @@
                         if let ToHost::Deliver { delivery, body, .. } = &message {
                             let (tried, _) = read_body(body);
                             let (host, build, delivery) = (self.seat.host, self.seat.build, *delivery);
-                            self.world.tap.note(Observation::Delivered { host, build, from, tried, delivery });
+                            self.world.tap.note(Observation::Delivered { host, build, from, attempt: tried, delivery });
                         }
                         let _ = arrive.send(message);
                     }
@@ -342,7 +345,7 @@
                         _ => None,
                     };
                     if let Some((kind, delivery)) = kind {
-                        self.world.tap.note(Observation::Replied { host: self.seat.host, tried, delivery, kind });
+                        self.world.tap.note(Observation::Replied { host: self.seat.host, attempt: tried, delivery, kind });
                     }
                     if link.send(message).await.is_err() {
                         break;
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -258,7 +258,7 @@
     }
     // Not waited for: connections of the stand-ins may still be open.
     runtime.shutdown_background();
-    Ok(report.sound())
+    Ok(report.passed())
 }
 
 fn play_fleet(flags: &FleetFlags) -> Result<bool, String> {
--- a/crates/spokeflow-testbed/src/office.rs
+++ b/crates/spokeflow-testbed/src/office.rs
@@ -15,9 +15,9 @@
 use tokio::time::interval;
 use tokio_util::codec::Framed;
 
-use spokeflow_scenario::active_faults::{LinkDirection, OFFICE_SITE};
+use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::{EndpointRegistry, Entry};
-use spokeflow_scenario::observation::{Observation, Phase, Process, Standing};
+use spokeflow_scenario::observation::{Observation, Phase, Process, RolloutState};
 use spokeflow_scenario::release_controller::{
     ControllerVote, ReleaseController, State, VoteOutcome,
 };
@@ -69,7 +69,7 @@
         }
         let (send, mut ready) =
             self.world
-                .delayed::<FromList>(OFFICE_SITE, site, LinkDirection::Office);
+                .delayed::<FromList>(CONTROL_SITE, site, LinkDirection::ControlSite);
         let mut watched: Option<u64> = None;
         let mut ticks = interval(TICK);
         loop {
@@ -174,13 +174,13 @@
         }
         let (to, site) = (self.world.process(hello.index), hello.zone);
         let (send, mut ready) = self.world.delayed::<(FromController, Option<State>)>(
-            OFFICE_SITE,
+            CONTROL_SITE,
             site,
-            LinkDirection::Office,
+            LinkDirection::ControlSite,
         );
         let (hear, mut heard) =
             self.world
-                .delayed::<ToController>(site, OFFICE_SITE, LinkDirection::Office);
+                .delayed::<ToController>(site, CONTROL_SITE, LinkDirection::ControlSite);
         let mut told: Option<State> = None;
         let mut told_at = Micros::MIN / 2;
         let mut coming: VecDeque<(Micros, State)> = VecDeque::new();
@@ -200,7 +200,7 @@
                             VoteChoice::RollBack => ControllerVote::Back,
                         };
                         let seen =
-                            Observation::Voted { from: to, build, stage, verdict: format!("{verdict:?}") };
+                            Observation::Voted { from: to, build, stage, vote: format!("{verdict:?}") };
                         self.world.tap.note(seen);
                         if let Some(result) = self.vote(to.router, build, stage, verdict) {
                             let _ = send.send((FromController::Voted { ballot, result }, None));
@@ -218,15 +218,15 @@
                 }
                 _ = ticks.tick() => {
                     let (now, faults) = (self.world.tap.now(), self.world.faults());
-                    if faults.stalled_desk {
+                    if faults.stalled_controller {
                         continue;
                     }
                     let state = self.desk.lock().expect("no holder panics").state;
-                    if told != Some(state) || now - told_at >= self.world.day.news_every {
+                    if told != Some(state) || now - told_at >= self.world.day.rollout_interval {
                         // A router that has just connected is told at once, changes some time after.
-                        let [least, most] = self.world.day.news_late;
+                        let [least, most] = self.world.day.rollout_delay;
                         let late = if told.is_none() { 0 } else { rand::rng().random_range(least..most) };
-                        coming.push_back((now + late + faults.late_desk, state));
+                        coming.push_back((now + late + faults.controller_delay, state));
                         (told, told_at) = (Some(state), now);
                     }
                     while coming.front().is_some_and(|c| c.0 <= now) {
@@ -248,17 +248,17 @@
         verdict: ControllerVote,
     ) -> Option<VoteResult> {
         let (now, faults) = (self.world.tap.now(), self.world.faults());
-        if faults.refusing_desk {
+        if faults.refusing_controller {
             return Some(VoteResult::Refused);
         }
-        let counts = !faults.stalled_desk || rand::rng().random_bool(0.5);
+        let counts = !faults.stalled_controller || rand::rng().random_bool(0.5);
         let counted = counts.then(|| {
             self.desk
                 .lock()
                 .expect("no holder panics")
                 .vote(now, router, build, stage, verdict)
         });
-        match counted.filter(|_| !faults.stalled_desk)? {
+        match counted.filter(|_| !faults.stalled_controller)? {
             VoteOutcome::Counted => Some(VoteResult::Counted),
             VoteOutcome::Moot => Some(VoteResult::Stale),
             VoteOutcome::TooMany => Some(VoteResult::RateLimited),
@@ -269,7 +269,7 @@
         let State {
             build,
             stage,
-            standing,
+            rollout: standing,
             cap,
             since,
         } = state;
@@ -277,14 +277,14 @@
             to,
             build,
             stage,
-            standing,
+            state: standing,
             cap,
         });
         let standing = match standing {
-            Standing::OnTrial => RolloutPhase::Canary,
-            Standing::GoingBack => RolloutPhase::RollingBack,
-            Standing::Released => RolloutPhase::Released,
-            Standing::Withdrawn => RolloutPhase::Withdrawn,
+            RolloutState::Canary => RolloutPhase::Canary,
+            RolloutState::RollingBack => RolloutPhase::RollingBack,
+            RolloutState::Released => RolloutPhase::Released,
+            RolloutState::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.world.tap.now() - since).max(0) as u64;
         RolloutUpdate {
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -224,11 +224,11 @@
                 "majority"
             }
         ),
-        format!("--stage-share={}", numbers(&day.stage_shares)),
+        format!("--stage-share={}", numbers(&day.stage_fractions)),
         format!(
             "--stage-cap={}",
             numbers(
-                &(0..day.stage_shares.len())
+                &(0..day.stage_fractions.len())
                     .map(|s| day.cap(s))
                     .collect::<Vec<_>>()
             )
--- a/crates/spokeflow-testbed/tests/days.rs
+++ b/crates/spokeflow-testbed/tests/days.rs
@@ -39,7 +39,7 @@
 
 fn sound(played: &Played) {
     let report = &played.report;
-    assert!(report.sound(), "{}", report.text());
+    assert!(report.passed(), "{}", report.text());
     // A day on which nothing crossed the sockets would keep every rule.
     assert!(
         report.commands > 200 && report.acked * 2 > report.commands,
@@ -73,8 +73,8 @@
 #[test]
 fn rules_hold_under_each_kind_of_trouble_of_list_and_desk() {
     let kinds = [
-        FaultKind::StalledDesk,
-        FaultKind::LateDesk,
+        FaultKind::StalledController,
+        FaultKind::LateController,
         FaultKind::ListBreaks,
         FaultKind::CutList,
     ];
@@ -115,7 +115,7 @@
 #[test]
 fn a_bad_build_is_sent_back_and_a_bad_day_keeps_the_rules() {
     let mut bad = Scenario::only(FaultKind::BadBuild, 14, 20 * SECOND);
-    bad.builds[1].flaw = BuildDefect::Errors(0.9);
+    bad.builds[1].defect = BuildDefect::Errors(0.9);
     let days = vec![
         bad,
         short(Scenario::bad_day(15, 12 * SECOND)),
