--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,9 +4,9 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::faults::{LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{LinkDirection, RESENT_AFTER};
 use spokeflow_scenario::host::Job;
-use spokeflow_scenario::seen::{Observation, ReplyKind};
+use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
 
 use super::event::{HostWord, RouterWord, What};
@@ -27,7 +27,7 @@
         let (seat, router) = self.ends_of(pair);
         let (a, b) = (self.seats[seat].site, self.routers[router as usize].site);
         self.faults
-            .way(a, b, LinkDirection::Hosts)
+            .delay(a, b, LinkDirection::Hosts)
             .map(|way| way.max(LOCAL_WAY))
     }
 
@@ -73,7 +73,7 @@
             host,
             build,
             from,
-            tried,
+            attempt: tried,
             delivery,
         });
         self.send(pair, HostWord::Deliver(parcel));
@@ -266,7 +266,7 @@
                     let host = self.seats[seat].host;
                     self.note(Observation::Replied {
                         host,
-                        tried,
+                        attempt: tried,
                         delivery,
                         kind: ReplyKind::Full,
                     });
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use spokeflow_engine::Input;
-use spokeflow_scenario::desk::State;
-use spokeflow_scenario::seen::{Observation, Process};
+use spokeflow_scenario::observation::{Observation, Process};
+use spokeflow_scenario::release_controller::State;
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
@@ -144,7 +144,7 @@
         }
         (seat.closing, seat.down_since) = (true, Some(self.now));
         let by = seat.process;
-        self.note(Observation::RouterAsked(by));
+        self.note(Observation::RouterShutdown(by));
         self.give(by, Input::Close);
         self.plan(
             0,
