--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -474,7 +474,8 @@
             });
             let mut played = Vec::new();
             for day in all.collect::<Vec<_>>() {
-                played.push(day.await.map_err(|e| e.to_string()).and_then(|p| p));
+                let run = day.await.map_err(|e| e.to_string());
+                played.push(run.and_then(|p| p.map_err(|e| e.to_string())));
             }
             played
         });
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -1,309 +1,197 @@
-//! Clients: an open loop of commands with patience, retries, keys, customers and reports of wrong answers, and
-//! the plain front of each site that spreads them over its routers.
+//! Clients: an open loop of commands with timeouts, retries, keys, tenants and reports of wrong answers, spread over the
+//! routers of each site.
 
-use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
-use spokeflow_proto::{Command, FrameCodec, FromClient, Hello, Role, ToClient, WORK_LIMIT};
-use tokio::net::TcpStream;
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::{sleep, sleep_until, timeout};
-use tokio_util::codec::Framed;
-
+use spokeflow_proto::Command;
 use spokeflow_scenario::front::RouterPicker;
 use spokeflow_scenario::report::{End, Outcome};
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::seen::{AnswerKind, Observation, Process};
 use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::hosts::{body, World};
-use crate::Micros;
-
-/// Where routers can be reached, and since when one is down.
-#[derive(Clone, Copy, Debug)]
-pub struct Door {
-    pub address: Option<SocketAddr>,
-    pub process: Process,
-    pub down_since: Option<Micros>,
-}
-
-pub type Doors = Arc<Mutex<Vec<Door>>>;
-
-struct Send {
-    command: Command,
-    tried: u64,
-    number: u64,
-    patience: Micros,
-    end: oneshot::Sender<TryEnd>,
-}
-
-enum Order {
-    Send(Send),
-    Leave(u64),
-}
-
-/// One client connection, kept up while its router is.
-struct Link {
-    world: Arc<World>,
-    doors: Doors,
-    router: usize,
-    site: u16,
-    orders: mpsc::Receiver<Order>,
-}
-
-impl Link {
-    async fn run(mut self) {
-        loop {
-            let door = self.doors.lock().expect("no holder panics")[self.router];
-            let opened = match door.address {
-                Some(address) => timeout(Duration::from_millis(250), self.open(address))
-                    .await
-                    .ok()
-                    .flatten(),
-                None => None,
-            };
-            match opened {
-                Some(link) => self.work(link, door.process).await,
-                None => {
-                    // What is asked meanwhile meets a closed door.
-                    let pause = sleep(Duration::from_millis(30));
-                    tokio::pin!(pause);
-                    loop {
-                        tokio::select! {
-                            _ = &mut pause => break,
-                            order = self.orders.recv() => match order {
-                                Some(Order::Send(send)) => drop(send.end.send(TryEnd::Unreachable)),
-                                Some(Order::Leave(_)) => {}
-                                None => return,
-                            }
-                        }
-                    }
-                }
-            }
-            if self.orders.is_closed() && self.orders.is_empty() {
-                return;
-            }
-        }
-    }
-
-    async fn open(
-        &self,
-        address: SocketAddr,
-    ) -> Option<Framed<TcpStream, FrameCodec<ToClient, FromClient>>> {
-        let stream = TcpStream::connect(address).await.ok()?;
-        let _ = stream.set_nodelay(true);
-        let mut link = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-        link.send(FromClient::Hello(Hello::new(Role::Client, 0, self.site)))
-            .await
-            .ok()?;
-        matches!(link.next().await, Some(Ok(ToClient::Welcome))).then_some(link)
-    }
+use crate::client_connection::{Attempt, ClientConnection, ClientRequest, RouterEndpoints};
+use crate::context::RunContext;
+use crate::hosts::CommandBody;
+use crate::{locked, Micros};
 
-    async fn work(
-        &mut self,
-        mut link: Framed<TcpStream, FrameCodec<ToClient, FromClient>>,
-        by: Process,
-    ) {
-        let mut open: HashMap<u64, (u64, Option<oneshot::Sender<TryEnd>>)> = HashMap::new();
-        let mut closing = false;
-        loop {
-            tokio::select! {
-                read = link.next() => {
-                    let Some(Ok(message)) = read else { break };
-                    let (id, kind, build, end) = match message {
-                        ToClient::Acked { id, build, receipt, body } => {
-                            let wrong = &body[..] == b"wrong";
-                            let reports = wrong && rand::rng().random_bool(self.world.day.reported);
-                            if reports {
-                                let _ = link.send(FromClient::WrongAnswer { receipt }).await;
-                            }
-                            (id, AnswerKind::Acked, build, TryEnd::Acked { build, wrong })
-                        }
-                        ToClient::Nacked { id, retry_after_us: come_back_us } => {
-                            (id, AnswerKind::Nacked, 0, TryEnd::Nacked(come_back_us.map(|t| t as Micros)))
-                        }
-                        ToClient::Failed { id } => (id, AnswerKind::Failed, 0, TryEnd::Failed),
-                        ToClient::Closing => {
-                            closing = true;
-                            continue;
-                        }
-                        ToClient::Welcome | ToClient::Refused(_) => break,
-                    };
-                    // An answer to what is not open, or again, is noted as well: the checker must see it.
-                    let Some((tried, waits)) = open.get_mut(&id) else { continue };
-                    self.world.tap.note(Observation::Answered { by, tried: *tried, kind, build });
-                    if let Some(waits) = waits.take() {
-                        let _ = waits.send(end);
-                    }
-                }
-                order = self.orders.recv() => match order {
-                    Some(Order::Send(send)) if closing => drop(send.end.send(TryEnd::Unreachable)),
-                    Some(Order::Send(send)) => {
-                        let Send { command, tried, number, patience, end } = send;
-                        let (op, key, id) = (command.op, command.key, command.id);
-                        self.world.tap.note(Observation::Taken { by, tried, command: number, op, key, patience });
-                        open.insert(id, (tried, Some(end)));
-                        if link.send(FromClient::Command(command)).await.is_err() {
-                            break;
-                        }
-                    }
-                    Some(Order::Leave(id)) => {
-                        if let Some((tried, _)) = open.get(&id) {
-                            self.world.tap.note(Observation::Left { tried: *tried });
-                            let _ = link.send(FromClient::Abandon { id }).await;
-                        }
-                    }
-                    None => return,
-                },
-            }
-        }
-        for (_, (_, waits)) in open {
-            if let Some(waits) = waits {
-                let _ = waits.send(TryEnd::Broken);
-            }
-        }
-    }
-}
+/// Connections of a site to a router: more than one, so that not all commands share the fate of one.
+const CONNECTIONS_PER_ROUTER: usize = 3;
+/// Requests that wait for a connection: more than clients send within the timeout of connecting.
+const REQUEST_QUEUE: usize = 1024;
 
-const LINKS_EACH: usize = 3;
+/// All connections of a site to a router.
+type RouterConnections = Vec<mpsc::Sender<ClientRequest>>;
 
-pub struct Crowd {
-    world: Arc<World>,
-    doors: Doors,
+/// All clients of a run.
+pub(crate) struct ClientPool {
+    context: Arc<RunContext>,
+    endpoints: RouterEndpoints,
     /// By site and router.
-    links: Vec<Vec<Vec<mpsc::Sender<Order>>>>,
+    connections: Vec<Vec<RouterConnections>>,
     outcomes: Mutex<Vec<Outcome>>,
-    front: RouterPicker,
+    picker: RouterPicker,
 }
 
-impl Crowd {
-    pub fn new(world: Arc<World>, doors: Doors) -> Arc<Crowd> {
-        let day = &world.day;
-        let link = |router: usize, site| {
-            let (to, orders) = mpsc::channel(1024);
-            let link = Link {
-                world: world.clone(),
-                doors: doors.clone(),
-                router,
-                site,
-                orders,
-            };
-            tokio::spawn(link.run());
-            to
-        };
-        let of_router = |router, site| (0..LINKS_EACH).map(|_| link(router, site)).collect();
-        let of_site = |site| {
-            (0..day.routers as usize)
-                .map(|r| of_router(r, site))
-                .collect()
-        };
-        let links = (0..day.sites).map(of_site).collect();
-        let front = RouterPicker::new(day);
-        Arc::new(Crowd {
-            world,
-            doors,
-            links,
+impl ClientPool {
+    /// Opens the connections of all sites to all routers.
+    pub(crate) fn new(context: Arc<RunContext>, endpoints: RouterEndpoints) -> Arc<ClientPool> {
+        let scenario = &context.scenario;
+        let routers = 0..scenario.routers as usize;
+        let connections = (0..scenario.sites)
+            .map(|site| {
+                let routers = routers.clone();
+                routers
+                    .map(|router| open_connections(&context, &endpoints, router, site))
+                    .collect()
+            })
+            .collect();
+        let picker = RouterPicker::new(scenario);
+        Arc::new(ClientPool {
+            context,
+            endpoints,
+            connections,
             outcomes: Mutex::default(),
-            front,
+            picker,
         })
     }
 
-    pub fn outcomes(&self) -> Vec<Outcome> {
-        std::mem::take(&mut self.outcomes.lock().expect("no holder panics"))
+    /// Takes the outcomes of all commands that have ended.
+    pub(crate) fn take_outcomes(&self) -> Vec<Outcome> {
+        std::mem::take(&mut *locked(&self.outcomes))
     }
 
-    /// Sends commands until `until`, whatever becomes of those before: an open loop.
-    pub async fn send(self: Arc<Self>, until: Micros) {
-        let mut traffic = Traffic::new(&self.world.day, self.world.tap.now());
+    /// Sends commands until a time, whatever becomes of those before: an open loop.
+    pub(crate) async fn send_until(self: Arc<Self>, until: Micros) {
+        let context = &self.context;
+        let mut traffic = Traffic::new(&context.scenario, context.tap.now());
         loop {
-            let wanted = traffic.next(&self.world.day, &self.world.faults());
-            if wanted.due >= until {
+            let planned = traffic.next(&context.scenario, &context.faults());
+            if planned.due >= until {
                 return;
             }
-            sleep_until(self.world.tap.instant(wanted.due)).await;
-            tokio::spawn(self.clone().command(wanted));
+            sleep_until(context.tap.instant(planned.due)).await;
+            tokio::spawn(self.clone().run_command(planned));
         }
     }
 
-    fn router_for(&self, wanted: &PlannedCommand, n: u32) -> usize {
-        let doors = self.doors.lock().expect("no holder panics");
-        let now = self.world.tap.now();
-        self.front
-            .router_for(wanted.site, wanted.seed, n, now, |r| doors[r].down_since)
+    /// Runs a command to its end, over all its attempts, and records its outcome.
+    async fn run_command(self: Arc<Self>, planned: PlannedCommand) {
+        let number = self.context.unique_id();
+        let mut client = Client::new(planned);
+        let (end, build) = self.attempt_until_end(&mut client, planned, number).await;
+        let outcome = Outcome {
+            command: number,
+            op: planned.op,
+            customer: planned.customer,
+            site: planned.site,
+            due: planned.due,
+            tries: client.tries,
+            end,
+            took: self.context.tap.now() - planned.due,
+            build,
+        };
+        locked(&self.outcomes).push(outcome);
     }
 
-    async fn command(self: Arc<Self>, wanted: PlannedCommand) {
-        let day = &self.world.day;
-        let number = self.world.number();
-        let mut client = Client::new(wanted);
-        let (end, build) = loop {
-            let asked = client.try_again(day, &self.world.faults(), self.world.tap.now());
-            let Some((patience, waits)) = asked else {
-                break (End::GivenUp, 0);
-            };
-            let router = self.router_for(&wanted, client.tries - 1);
-            let links = &self.links[usize::from(wanted.site)][router];
-            let link = &links[client.rng.random_range(0..links.len())];
-            let (tried, (tell, told)) = (self.world.number(), oneshot::channel());
-            let dropped = matches!(day.ops[wanted.op].repeat, Repeat::Deduplicated(_));
-            let command = Command {
-                id: tried,
-                op: wanted.op as u16,
-                tenant: wanted.customer as u32,
-                key: wanted.key,
-                idempotency_key: if dropped { number } else { 0 },
-                left_us: patience as u64,
-                body: body(tried, number),
+    /// How the command ended, and the build that answered it, 0 where none did.
+    async fn attempt_until_end(
+        &self,
+        client: &mut Client,
+        planned: PlannedCommand,
+        number: u64,
+    ) -> (End, u16) {
+        let context = &self.context;
+        let scenario = &context.scenario;
+        loop {
+            let times = client.try_again(scenario, &context.faults(), context.tap.now());
+            let Some((patience, answer_timeout)) = times else {
+                return (End::GivenUp, 0);
             };
-            let send = Send {
+            let router = self.pick_router(&planned, client.tries - 1);
+            let connections = &self.connections[usize::from(planned.site)][router];
+            let connection = &connections[client.rng.random_range(0..connections.len())];
+            let command = self.command(&planned, number, patience);
+            let id = command.id;
+            let (end, ended) = oneshot::channel();
+            let attempt = Attempt {
                 command,
-                tried,
                 number,
                 patience,
-                end: tell,
+                end,
             };
-            if link.send(Order::Send(send)).await.is_err() {
-                break (End::Unreachable, 0);
+            if connection.send(ClientRequest::Send(attempt)).await.is_err() {
+                return (End::Unreachable, 0);
             }
-            let ended = match timeout(Duration::from_micros(waits as u64), told).await {
+            let answer_timeout = Duration::from_micros(answer_timeout as u64);
+            let end = match timeout(answer_timeout, ended).await {
                 Ok(ended) => ended.unwrap_or(TryEnd::Failed),
                 Err(_) => {
-                    let _ = link.send(Order::Leave(tried)).await;
+                    // A connection that has ended knows of no attempt.
+                    let _ = connection.send(ClientRequest::Abandon(id)).await;
                     TryEnd::GivenUp
                 }
             };
-            match client.after(day, &self.world.faults(), self.world.tap.now(), ended) {
+            match client.after(scenario, &context.faults(), context.tap.now(), end) {
                 Some(pause) => sleep(Duration::from_micros(pause as u64)).await,
-                None => break ended.last(),
+                None => return end.last(),
             }
+        }
+    }
+
+    fn pick_router(&self, planned: &PlannedCommand, attempt: u32) -> usize {
+        let endpoints = locked(&self.endpoints);
+        let now = self.context.tap.now();
+        let down_since = |router: usize| endpoints[router].down_since;
+        self.picker
+            .router_for(planned.site, planned.seed, attempt, now, down_since)
+    }
+
+    /// The command of a new attempt, with its own number.
+    fn command(&self, planned: &PlannedCommand, number: u64, patience: Micros) -> Command {
+        let attempt = self.context.unique_id();
+        let repeat = self.context.scenario.ops[planned.op].repeat;
+        let idempotency_key = match repeat {
+            Repeat::Deduplicated(_) => number,
+            Repeat::Redeliverable | Repeat::AtMostOnce => 0,
         };
-        let PlannedCommand {
-            op,
-            customer,
-            site,
-            due,
-            ..
-        } = wanted;
-        let took = self.world.tap.now() - due;
-        let tries = client.tries;
-        let outcome = Outcome {
+        let body = CommandBody {
+            attempt,
             command: number,
-            op,
-            customer,
-            site,
-            due,
-            tries,
-            end,
-            took,
-            build,
         };
-        self.outcomes
-            .lock()
-            .expect("no holder panics")
-            .push(outcome);
+        Command {
+            id: attempt,
+            op: planned.op as u16,
+            tenant: planned.customer as u32,
+            key: planned.key,
+            idempotency_key,
+            left_us: patience as u64,
+            body: body.into(),
+        }
     }
 }
+
+fn open_connections(
+    context: &Arc<RunContext>,
+    endpoints: &RouterEndpoints,
+    router: usize,
+    site: u16,
+) -> RouterConnections {
+    (0..CONNECTIONS_PER_ROUTER)
+        .map(|_| {
+            let (sender, requests) = mpsc::channel(REQUEST_QUEUE);
+            let connection = ClientConnection {
+                context: context.clone(),
+                endpoints: endpoints.clone(),
+                router,
+                site,
+                requests,
+            };
+            tokio::spawn(connection.run());
+            sender
+        })
+        .collect()
+}
--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -142,7 +142,8 @@
                 .enumerate()
                 .map(|(k, s)| format!("--member={k}={s}")),
         );
-        keepers.push(RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await?);
+        let started = RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await;
+        keepers.push(started.map_err(|e| e.to_string())?);
     }
     let Ok(Response::Status(view)) =
         send_request(&seats, Request::Status, Duration::from_secs(10)).await
--- a/crates/spokeflow-testbed/src/fleet/clients.rs
+++ b/crates/spokeflow-testbed/src/fleet/clients.rs
@@ -11,8 +11,8 @@
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 use tokio_util::codec::Framed;
 
-use super::locked;
 use super::peers::Peers;
+use crate::locked;
 use crate::Micros;
 
 /// Within which a client wants an answer.
--- a/crates/spokeflow-testbed/src/fleet/error.rs
+++ b/crates/spokeflow-testbed/src/fleet/error.rs
@@ -2,6 +2,8 @@
 
 use std::path::PathBuf;
 
+use crate::routers::StartError;
+
 /// A failure to set the rig up; what goes wrong later is part of the report.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
@@ -17,11 +19,11 @@
     #[error("cannot listen on loopback: {0}")]
     Listen(#[source] std::io::Error),
     /// A node of the first configuration does not start.
-    #[error("node {node} does not start: {reason}")]
+    #[error("node {node} does not start: {source}")]
     StartNode {
         /// Its number.
         node: u32,
-        /// What its process said, or why there is none.
-        reason: String,
+        /// The cause.
+        source: StartError,
     },
 }
--- a/crates/spokeflow-testbed/src/fleet/inject.rs
+++ b/crates/spokeflow-testbed/src/fleet/inject.rs
@@ -10,10 +10,10 @@
 use tokio::time::{sleep, Instant};
 
 use super::faults::{Disk, Fault};
-use super::locked;
 use super::observations::DiskSwap;
 use super::rig::{AddedNode, Rig};
 use super::switchboard::{Link, LinkCondition, Participant};
+use crate::locked;
 use crate::{Micros, MS};
 
 /// Within which the nodes answer a request for their status.
@@ -96,9 +96,9 @@
         if !self.reserve_node(node).await {
             return;
         }
-        self.pause_node(node, true).await;
+        self.pause_node(node).await;
         sleep(lasts).await;
-        self.pause_node(node, false).await;
+        self.resume_node(node).await;
         self.release_node(node).await;
     }
 
@@ -134,9 +134,9 @@
             return;
         };
         let from = self.now();
-        process.stop(true);
+        process.pause();
         sleep(lasts).await;
-        process.stop(false);
+        process.resume();
         self.return_router(router, process).await;
         self.record_absence(router, from);
     }
--- a/crates/spokeflow-testbed/src/fleet/mod.rs
+++ b/crates/spokeflow-testbed/src/fleet/mod.rs
@@ -16,16 +16,9 @@
 mod run;
 mod switchboard;
 
-use std::sync::{Mutex, MutexGuard};
-
 pub use error::FleetError;
 pub use faults::{Disk, Fault, ScriptedFault};
 pub use report::Report;
 pub use rig::FleetConfig;
 pub use run::{run, FleetRun};
 pub use switchboard::{Frame, FramePayload, Link, LinkCondition, Participant};
-
-/// The guard of a mutex whose holders never panic.
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no holder panics")
-}
--- a/crates/spokeflow-testbed/src/fleet/peers.rs
+++ b/crates/spokeflow-testbed/src/fleet/peers.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::Framed;
 
 use super::clients::{command_number, CommandRecord};
-use super::locked;
+use crate::locked;
 use crate::Micros;
 
 /// The released build: that of the hosts with even numbers.
--- a/crates/spokeflow-testbed/src/fleet/rig.rs
+++ b/crates/spokeflow-testbed/src/fleet/rig.rs
@@ -9,9 +9,9 @@
 use super::check::{RouterAbsence, RunLog};
 use super::error::FleetError;
 use super::faults::ScriptedFault;
-use super::locked;
 use super::peers::{PeerAddresses, Peers};
 use super::switchboard::Switchboard;
+use crate::locked;
 use crate::routers::{RouterProcess, Starting};
 use crate::Micros;
 
@@ -207,7 +207,7 @@
         };
         let process = RouterProcess::start(&starting, &flags, &format!("keeper-{node}"))
             .await
-            .map_err(|reason| FleetError::StartNode { node, reason })?;
+            .map_err(|source| FleetError::StartNode { node, source })?;
         self.switchboard
             .set_node_address(node, Some(process.address));
         if let Some(slot) = self.nodes.lock().await.get_mut(&node) {
@@ -260,17 +260,26 @@
         drop(nodes);
         self.switchboard.set_node_address(node, None);
         if let Some(mut process) = process {
-            process.stop(false);
+            process.resume();
             process.kill().await;
         }
     }
 
-    /// Pauses a node as by SIGSTOP, or continues it.
-    pub(super) async fn pause_node(&self, node: u32, paused: bool) {
+    /// Pauses a node as by SIGSTOP.
+    pub(super) async fn pause_node(&self, node: u32) {
         let nodes = self.nodes.lock().await;
         let process = nodes.get(&node).and_then(|slot| slot.process.as_ref());
         if let Some(process) = process {
-            process.stop(paused);
+            process.pause();
+        }
+    }
+
+    /// Continues a paused node.
+    pub(super) async fn resume_node(&self, node: u32) {
+        let nodes = self.nodes.lock().await;
+        let process = nodes.get(&node).and_then(|slot| slot.process.as_ref());
+        if let Some(process) = process {
+            process.resume();
         }
     }
 
@@ -278,7 +287,7 @@
     pub(super) async fn node_has_ended(&self, node: u32) -> bool {
         let mut nodes = self.nodes.lock().await;
         let process = nodes.get_mut(&node).and_then(|slot| slot.process.as_mut());
-        process.is_none_or(|process| process.has_ended().is_some())
+        process.is_none_or(RouterProcess::has_ended)
     }
 
     /// Reserves a node for one fault; `false` where it has one or is retired.
@@ -341,7 +350,7 @@
                 self.peers.set_router_address(router, Some(process.address));
                 self.return_router(router, process).await;
             }
-            Err(reason) => self.record_failure(reason),
+            Err(error) => self.record_failure(error.to_string()),
         }
     }
 
--- a/crates/spokeflow-testbed/src/fleet/run.rs
+++ b/crates/spokeflow-testbed/src/fleet/run.rs
@@ -11,12 +11,12 @@
 use super::check::Evidence;
 use super::error::FleetError;
 use super::faults::{Fault, ScriptedFault};
-use super::locked;
 use super::peers::Peers;
 use super::plan::FaultPlan;
 use super::report::Report;
 use super::rig::{FleetConfig, Rig};
 use super::switchboard::{Frame, Switchboard};
+use crate::locked;
 use crate::routers::Starting;
 use crate::{Micros, MS};
 
--- a/crates/spokeflow-testbed/src/fleet/switchboard.rs
+++ b/crates/spokeflow-testbed/src/fleet/switchboard.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-use super::locked;
 use super::pump::{read_frame, write_frame, Pump};
+use crate::locked;
 use crate::Micros;
 
 /// How often a blocked link is looked at again.
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -1,199 +1,117 @@
-//! Hosts on loopback sockets: the model of `host.rs` behind a listener, with the ways between sites.
+//! Fake hosts on loopback sockets: the host model of the scenario behind a listener.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use spokeflow_proto::{FrameCodec, FromHost, Role, ToHost, WORK_LIMIT};
+use spokeflow_proto::{FrameCodec, FromHost, Hello, Role, ToHost, WORK_LIMIT};
+use spokeflow_scenario::faults::LinkDirection;
+use spokeflow_scenario::host::{Host, Job, JobOutcome};
+use spokeflow_scenario::seen::{Observation, Process, ReplyKind};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{JoinHandle, JoinSet};
-use tokio::time::{sleep, sleep_until, Instant};
+use tokio::time::{sleep, sleep_until};
 use tokio_util::codec::Framed;
 
-use rand::RngExt;
-use spokeflow_scenario::faults::{ActiveFaults, LinkDirection, RESENT_AFTER};
-use spokeflow_scenario::host::{DeduplicationTable, Host, Job, JobOutcome};
-use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::seen::{Observation, Process, ReplyKind};
-
-use crate::tap::Tap;
-use crate::Micros;
-
-/// What all stand-ins of a day share.
-pub struct World {
-    pub day: Scenario,
-    pub tap: Tap,
-    pub marks: Mutex<DeduplicationTable>,
-    pub faults: Mutex<ActiveFaults>,
-    /// Which start of each router now runs.
-    pub starts: Mutex<Vec<u32>>,
-    next: AtomicU64,
-}
-
-impl World {
-    pub fn new(day: Scenario) -> Arc<World> {
-        let starts = Mutex::new(vec![0; day.routers as usize]);
-        let (tap, marks, faults) = (Tap::default(), Mutex::default(), Mutex::default());
-        Arc::new(World {
-            day,
-            tap,
-            marks,
-            faults,
-            starts,
-            next: AtomicU64::new(1),
-        })
-    }
+use crate::context::{Path, RunContext};
+use crate::{locked, Micros};
 
-    /// A number that no other call gets.
-    pub fn number(&self) -> u64 {
-        self.next.fetch_add(1, Ordering::Relaxed)
-    }
+/// Body of an answer that is right.
+const RIGHT_ANSWER: &[u8] = b"right";
+/// Body of an answer that clients may report.
+pub(crate) const WRONG_ANSWER: &[u8] = b"wrong";
+/// Bound on the time that a delivery has left, so that no sum of times overflows.
+const MAX_TIME_LEFT_US: u64 = 1 << 40;
 
-    pub fn faults(&self) -> ActiveFaults {
-        self.faults.lock().expect("no holder panics").clone()
-    }
+type HostLink = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
 
-    pub fn process(&self, router: u32) -> Process {
-        let start = self
-            .starts
-            .lock()
-            .expect("no holder panics")
-            .get(router as usize)
-            .copied();
-        Process {
-            router,
-            start: start.unwrap_or(0),
-        }
-    }
+/// What the body of a command carries, by which the tap knows it again.
+#[derive(Clone, Copy)]
+pub(crate) struct CommandBody {
+    /// Number of the attempt.
+    pub(crate) attempt: u64,
+    /// Number of the command, the same in each attempt.
+    pub(crate) command: u64,
+}
 
-    /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn way(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
-        self.faults.lock().expect("no holder panics").way(a, b, way)
+impl From<CommandBody> for Bytes {
+    fn from(body: CommandBody) -> Bytes {
+        let mut bytes = body.attempt.to_be_bytes().to_vec();
+        bytes.extend(body.command.to_be_bytes());
+        bytes.into()
     }
+}
 
-    /// What a lost packet adds to the delay: it is sent again after a while, and may be lost again.
-    fn resent(&self, a: u16, b: u16) -> Micros {
-        let loss = self.faults.lock().expect("no holder panics").loss;
-        let mut late = 0;
-        while a != b && loss > 0.0 && late < 8 * RESENT_AFTER && rand::rng().random_bool(loss) {
-            late += RESENT_AFTER.max(late);
+impl CommandBody {
+    /// Reads a body; what is missing in it reads as 0.
+    fn read(body: &[u8]) -> CommandBody {
+        let number = |from: usize| {
+            body.get(from..from + size_of::<u64>())
+                .and_then(|bytes| bytes.try_into().ok())
+                .map_or(0, u64::from_be_bytes)
+        };
+        CommandBody {
+            attempt: number(0),
+            command: number(size_of::<u64>()),
         }
-        late
-    }
-
-    /// Passes on what is sent, in order, after the way's delay; what meets a cut waits for its end, as bytes on
-    /// a broken path do.
-    pub fn delayed<T: Send + 'static>(
-        self: &Arc<Self>,
-        a: u16,
-        b: u16,
-        way: LinkDirection,
-    ) -> (mpsc::UnboundedSender<T>, mpsc::UnboundedReceiver<T>) {
-        let (to, mut inlet) = mpsc::unbounded_channel::<(Instant, T)>();
-        let (outlet, from) = mpsc::unbounded_channel();
-        let (sender, mut stamped) = mpsc::unbounded_channel();
-        tokio::spawn(async move {
-            while let Some(message) = stamped.recv().await {
-                if to.send((Instant::now(), message)).is_err() {
-                    return;
-                }
-            }
-        });
-        let world = self.clone();
-        tokio::spawn(async move {
-            while let Some((at, message)) = inlet.recv().await {
-                let at = at + Duration::from_micros(world.resent(a, b) as u64);
-                loop {
-                    match world.way(a, b, way) {
-                        Some(0) => break,
-                        Some(delay) => {
-                            sleep_until(at + Duration::from_micros(delay as u64)).await;
-                            if world.way(a, b, way).is_some() {
-                                break;
-                            }
-                        }
-                        None => sleep(Duration::from_millis(5)).await,
-                    }
-                }
-                if outlet.send(message).is_err() {
-                    return;
-                }
-            }
-        });
-        (sender, from)
     }
 }
 
-/// What a command carries: the try and the command, by which the tap knows them again.
-pub fn body(tried: u64, command: u64) -> Bytes {
-    let mut body = tried.to_be_bytes().to_vec();
-    body.extend(command.to_be_bytes());
-    body.into()
-}
-
-fn read_body(body: &[u8]) -> (u64, u64) {
-    let part = |from| {
-        body.get(from..from + 8)
-            .and_then(|b| b.try_into().ok())
-            .map_or(0, u64::from_be_bytes)
-    };
-    (part(0), part(8))
-}
-
-/// A running process of a host.
-pub struct HostProcess {
-    pub address: SocketAddr,
-    pub incarnation: u64,
-    pub model: Arc<Mutex<Host>>,
-    pub changed: Arc<Notify>,
+/// A running process of a host. It is killed when dropped.
+pub(crate) struct HostProcess {
+    pub(crate) address: SocketAddr,
+    pub(crate) incarnation: u64,
+    pub(crate) model: Arc<Mutex<Host>>,
+    /// Notified by whoever changes the model.
+    pub(crate) changed: Arc<Notify>,
     task: JoinHandle<()>,
 }
 
-impl HostProcess {
-    /// As by kill -9: sockets close, what it held is lost.
-    pub fn kill(&self) {
-        self.task.abort();
-    }
-}
-
 impl Drop for HostProcess {
+    /// As by SIGKILL: sockets close, and work in progress is lost.
     fn drop(&mut self) {
-        self.kill();
+        self.task.abort();
     }
 }
 
-pub struct HostSeat {
-    pub host: u32,
-    pub site: u16,
-    pub build: u16,
+/// Which host a process belongs to.
+pub(crate) struct HostIdentity {
+    pub(crate) host: u32,
+    pub(crate) site: u16,
+    pub(crate) build: u16,
 }
 
-/// Starts a process of a host at `address`, or at any free port. Errors: the port cannot be had.
-pub async fn start(
-    world: &Arc<World>,
-    seat: HostSeat,
+/// Starts a process of a host at `address`, or at any free port.
+///
+/// # Errors
+///
+/// The port cannot be had.
+pub(crate) async fn start(
+    context: &Arc<RunContext>,
+    identity: HostIdentity,
     model: Host,
     address: Option<SocketAddr>,
 ) -> std::io::Result<HostProcess> {
-    let listener = TcpListener::bind(address.unwrap_or(([127, 0, 0, 1], 0).into())).await?;
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listener = TcpListener::bind(address.unwrap_or(any_port)).await?;
     let address = listener.local_addr()?;
-    let incarnation = world.number();
-    let (model, changed) = (Arc::new(Mutex::new(model)), Arc::new(Notify::new()));
-    let run = Run {
-        world: world.clone(),
-        seat,
+    let incarnation = context.unique_id();
+    let model = Arc::new(Mutex::new(model));
+    let changed = Arc::new(Notify::new());
+    let server = HostServer {
+        context: context.clone(),
+        identity,
         incarnation,
-        started: world.tap.now(),
+        started_at: context.tap.now(),
         model: model.clone(),
         changed: changed.clone(),
-        conns: Arc::default(),
+        replies: Mutex::default(),
     };
-    let task = tokio::spawn(Arc::new(run).serve(listener));
+    let task = tokio::spawn(Arc::new(server).serve(listener));
     Ok(HostProcess {
         address,
         incarnation,
@@ -203,201 +121,227 @@
     })
 }
 
-type Conns = Mutex<HashMap<u64, mpsc::UnboundedSender<(FromHost, u64)>>>;
+/// A message to a router, and the attempt that it answers.
+struct Reply {
+    message: FromHost,
+    /// 0 where it answers none.
+    attempt: u64,
+}
 
-struct Run {
-    world: Arc<World>,
-    seat: HostSeat,
+struct HostServer {
+    context: Arc<RunContext>,
+    identity: HostIdentity,
     incarnation: u64,
-    started: Micros,
+    started_at: Micros,
     model: Arc<Mutex<Host>>,
     changed: Arc<Notify>,
-    conns: Arc<Conns>,
+    /// By number of the connection.
+    replies: Mutex<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
 }
 
-impl Run {
+impl HostServer {
+    /// Serves connections until the model crashes.
     async fn serve(self: Arc<Self>, listener: TcpListener) {
         // Dropped with this task, and with it all connections.
-        let mut links = JoinSet::new();
+        let mut connections = JoinSet::new();
         loop {
-            let next = self.model.lock().expect("no holder panics").next();
-            let due = self.world.tap.instant(next.unwrap_or(0));
+            let next = locked(&self.model).next();
+            let due = self.context.tap.instant(next.unwrap_or(0));
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                    links.spawn(self.clone().link(stream));
+                    connections.spawn(self.clone().serve_connection(stream));
                 },
-                _ = sleep_until(due), if next.is_some() => self.pump(),
-                _ = self.changed.notified() => self.pump(),
+                () = sleep_until(due), if next.is_some() => self.advance(),
+                () = self.changed.notified() => self.advance(),
             }
-            while links.try_join_next().is_some() {}
-            if self.model.lock().expect("no holder panics").fallen {
-                self.world.tap.note(Observation::Fell {
-                    host: self.seat.host,
-                });
+            while connections.try_join_next().is_some() {}
+            if locked(&self.model).fallen {
+                let host = self.identity.host;
+                self.context.tap.record(Observation::Fell { host });
                 return;
             }
         }
     }
 
-    /// Ends what has ended and begins what can begin.
-    fn pump(&self) {
-        let now = self.world.tap.now();
-        let mut model = self.model.lock().expect("no holder panics");
-        for (job, done) in model.ended(now) {
+    /// Answers the jobs that are done and starts those that can start.
+    fn advance(&self) {
+        let now = self.context.tap.now();
+        let mut model = locked(&self.model);
+        for (job, outcome) in model.ended(now) {
             let delivery = job.delivery;
-            let message = match done {
-                JobOutcome::Acked { wrong } => {
-                    let body = if wrong {
-                        Bytes::from_static(b"wrong")
-                    } else {
-                        Bytes::from_static(b"right")
-                    };
-                    FromHost::Acked { delivery, body }
-                }
+            let message = match outcome {
+                JobOutcome::Acked { wrong } => FromHost::Acked {
+                    delivery,
+                    body: Bytes::from_static(match wrong {
+                        true => WRONG_ANSWER,
+                        false => RIGHT_ANSWER,
+                    }),
+                },
                 JobOutcome::Error => FromHost::Error { delivery },
                 JobOutcome::Silent => continue,
             };
             self.reply(job.from, message, job.tried);
         }
-        let mut marks = self.world.marks.lock().expect("no holder panics");
-        for begun in model.begin(now, &mut marks) {
-            if begun.effect {
-                let (host, build, op) = (self.seat.host, self.seat.build, begun.op as u16);
-                self.world.tap.note(Observation::Ran {
-                    host,
-                    build,
-                    tried: begun.tried,
-                    command: begun.command,
-                    op,
+        let mut deduplication = locked(&self.context.deduplication);
+        for job in model.begin(now, &mut deduplication) {
+            if job.effect {
+                self.context.tap.record(Observation::Ran {
+                    host: self.identity.host,
+                    build: self.identity.build,
+                    tried: job.tried,
+                    command: job.command,
+                    op: job.op as u16,
                 });
             }
         }
     }
 
-    fn reply(&self, conn: u64, message: FromHost, tried: u64) {
-        if let Some(to) = self.conns.lock().expect("no holder panics").get(&conn) {
-            let _ = to.send((message, tried));
+    fn reply(&self, connection: u64, message: FromHost, attempt: u64) {
+        if let Some(replies) = locked(&self.replies).get(&connection) {
+            // A connection that has ended needs no reply.
+            let _ = replies.send(Reply { message, attempt });
         }
     }
 
-    async fn link(self: Arc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut link: Framed<TcpStream, FrameCodec<ToHost, FromHost>> =
-            Framed::new(stream, FrameCodec::new(WORK_LIMIT));
+        let mut link = HostLink::new(stream, FrameCodec::new(WORK_LIMIT));
         let Some(Ok(ToHost::Hello(hello))) = link.next().await else {
             return;
         };
-        if let Err(fault) = hello.check(&[Role::Router]) {
-            let _ = link.send(FromHost::Refused(fault.refused())).await;
+        if let Err(error) = hello.check(&[Role::Router]) {
+            let _ = link.send(FromHost::Refused(error.refused())).await;
             return;
         }
-        let from = self.world.process(hello.index);
-        let (site, own) = (hello.zone, self.seat.site);
-        sleep(Duration::from_micros(
-            self.world.faults().slow_connects as u64,
-        ))
-        .await;
-        while self.world.way(site, own, LinkDirection::Hosts).is_none() {
-            sleep(Duration::from_millis(5)).await;
+        // As it is now: it may be another by the time the path is connected.
+        let router = self.context.router_process(hello.index);
+        let connection = self.context.unique_id();
+        if self.welcome(&mut link, &hello).await.is_ok() {
+            let path = self.inbound_path(&hello);
+            self.exchange(&mut link, router, path, connection).await;
         }
-        let conn = self.world.number();
-        let up_us = (self.world.tap.now() - self.started) as u64;
-        let welcome = FromHost::Welcome {
-            host: self.seat.host,
-            build: self.seat.build,
-            incarnation: self.incarnation,
-            up_us,
-        };
-        if link.send(welcome).await.is_err() {
-            return;
+        locked(&self.replies).remove(&connection);
+    }
+
+    fn inbound_path(&self, hello: &Hello) -> Path {
+        Path {
+            from: hello.zone,
+            to: self.identity.site,
+            links: LinkDirection::Hosts,
         }
-        let (replies, mut to_send) = self.world.delayed(own, site, LinkDirection::Hosts);
-        let (arrive, mut arrived) = self
-            .world
-            .delayed::<ToHost>(site, own, LinkDirection::Hosts);
-        self.conns
-            .lock()
-            .expect("no holder panics")
-            .insert(conn, replies);
+    }
+
+    async fn welcome(
+        &self,
+        link: &mut HostLink,
+        hello: &Hello,
+    ) -> Result<(), spokeflow_proto::FrameError> {
+        let connect_delay = self.context.faults().slow_connects;
+        sleep(Duration::from_micros(connect_delay as u64)).await;
+        self.context
+            .wait_until_connected(self.inbound_path(hello))
+            .await;
+        link.send(FromHost::Welcome {
+            host: self.identity.host,
+            build: self.identity.build,
+            incarnation: self.incarnation,
+            up_us: (self.context.tap.now() - self.started_at) as u64,
+        })
+        .await
+    }
+
+    async fn exchange(
+        &self,
+        link: &mut HostLink,
+        router: Process,
+        inbound_path: Path,
+        connection: u64,
+    ) {
+        let (replies, mut delayed_replies) = self.context.delayed_channel(inbound_path.reversed());
+        let (inbound, mut delayed_inbound) = self.context.delayed_channel::<ToHost>(inbound_path);
+        locked(&self.replies).insert(connection, replies);
         loop {
             tokio::select! {
-                read = link.next() => match read {
-                    Some(Ok(message)) => {
-                        // The tap sees what has left the router, however long the way to the host still is.
-                        if let ToHost::Deliver { delivery, body, .. } = &message {
-                            let (tried, _) = read_body(body);
-                            let (host, build, delivery) = (self.seat.host, self.seat.build, *delivery);
-                            self.world.tap.note(Observation::Delivered { host, build, from, tried, delivery });
-                        }
-                        let _ = arrive.send(message);
-                    }
-                    _ => break,
-                },
-                Some(message) = arrived.recv() => self.arrived(conn, message),
-                Some((message, tried)) = to_send.recv() => {
-                    let kind = match &message {
-                        FromHost::Acked { delivery, .. } => Some((ReplyKind::Acked, *delivery)),
-                        FromHost::Error { delivery } => Some((ReplyKind::Error, *delivery)),
-                        FromHost::Full { delivery } => Some((ReplyKind::Full, *delivery)),
-                        _ => None,
-                    };
-                    if let Some((kind, delivery)) = kind {
-                        self.world.tap.note(Observation::Replied { host: self.seat.host, tried, delivery, kind });
-                    }
-                    if link.send(message).await.is_err() {
-                        break;
+                read = link.next() => {
+                    let Some(Ok(message)) = read else { return };
+                    self.record_delivery(router, &message);
+                    // The other end lives as long as this function.
+                    let _ = inbound.send(message);
+                }
+                Some(message) = delayed_inbound.recv() => self.receive(connection, message),
+                Some(reply) = delayed_replies.recv() => {
+                    self.record_reply(&reply);
+                    if link.send(reply.message).await.is_err() {
+                        return;
                     }
                 }
             }
         }
-        self.conns.lock().expect("no holder panics").remove(&conn);
     }
 
-    fn arrived(&self, conn: u64, message: ToHost) {
-        let now = self.world.tap.now();
+    /// Records what has left the router, however long the path to the host still is.
+    fn record_delivery(&self, router: Process, message: &ToHost) {
+        if let ToHost::Deliver { delivery, body, .. } = message {
+            self.context.tap.record(Observation::Delivered {
+                host: self.identity.host,
+                build: self.identity.build,
+                from: router,
+                tried: CommandBody::read(body).attempt,
+                delivery: *delivery,
+            });
+        }
+    }
+
+    fn record_reply(&self, reply: &Reply) {
+        let (kind, delivery) = match &reply.message {
+            FromHost::Acked { delivery, .. } => (ReplyKind::Acked, *delivery),
+            FromHost::Error { delivery } => (ReplyKind::Error, *delivery),
+            FromHost::Full { delivery } => (ReplyKind::Full, *delivery),
+            _ => return,
+        };
+        self.context.tap.record(Observation::Replied {
+            host: self.identity.host,
+            tried: reply.attempt,
+            delivery,
+            kind,
+        });
+    }
+
+    fn receive(&self, connection: u64, message: ToHost) {
+        let now = self.context.tap.now();
         match message {
             ToHost::Deliver {
                 delivery,
                 op,
                 key,
-                idempotency_key: mark,
+                idempotency_key,
                 left_us,
                 body,
                 ..
             } => {
-                let (tried, command) = read_body(&body);
-                let op = usize::from(op).min(self.world.day.ops.len() - 1);
-                let expires = now + left_us.min(1 << 40) as Micros;
+                let body = CommandBody::read(&body);
+                let last_op = self.context.scenario.ops.len() - 1;
                 let job = Job {
-                    from: conn,
+                    from: connection,
                     delivery,
-                    tried,
-                    command,
-                    op,
+                    tried: body.attempt,
+                    command: body.command,
+                    op: usize::from(op).min(last_op),
                     key,
-                    mark,
-                    expires,
+                    mark: idempotency_key,
+                    expires: now + left_us.min(MAX_TIME_LEFT_US) as Micros,
                 };
-                let taken = self
-                    .model
-                    .lock()
-                    .expect("no holder panics")
-                    .arrive(now, job);
-                if !taken {
-                    self.reply(conn, FromHost::Full { delivery }, tried);
+                let accepted = locked(&self.model).arrive(now, job);
+                if !accepted {
+                    self.reply(connection, FromHost::Full { delivery }, body.attempt);
                 }
             }
-            ToHost::Cancel { delivery } => {
-                self.model
-                    .lock()
-                    .expect("no holder panics")
-                    .cancel(conn, delivery);
-            }
-            ToHost::Probe { probe } => self.reply(conn, FromHost::Probed { probe }, 0),
-            ToHost::Ping => self.reply(conn, FromHost::Pong, 0),
+            ToHost::Cancel { delivery } => locked(&self.model).cancel(connection, delivery),
+            ToHost::Probe { probe } => self.reply(connection, FromHost::Probed { probe }, 0),
+            ToHost::Ping => self.reply(connection, FromHost::Pong, 0),
             ToHost::Hello(_) => {}
         }
-        self.pump();
+        self.advance();
         self.changed.notify_one();
     }
 }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -259,7 +259,7 @@
     let started = RouterProcess::start(&starting, &flags, "keeper").await;
     // It has the file open and needs no name for it.
     let _ = std::fs::remove_file(&store);
-    started
+    started.map_err(|e| e.to_string())
 }
 
 async fn silent() -> std::io::Result<SocketAddr> {
@@ -285,11 +285,11 @@
         Follows::Stalled => (None, Some(silent().await.map_err(fault)?)),
         Follows::Nothing => (None, None),
     };
-    let mut router = if load.pass {
+    let started = if load.pass {
         let mut pass = starting.clone();
         pass.first = vec!["pass".into()];
         let flags: Vec<String> = addresses.iter().map(|a| format!("--host={a}")).collect();
-        RouterProcess::start_plain(&pass, &flags).await?
+        RouterProcess::start_plain(&pass, &flags).await
     } else {
         let (list, desk) = office(&addresses, load.trial).await.map_err(fault)?;
         let mut flags = vec![
@@ -306,10 +306,11 @@
                 .map(|k| format!("--control-plane={}", k.address)),
         );
         flags.extend(silent.map(|address| format!("--control-plane={address}")));
-        RouterProcess::start(starting, &flags, "router").await?
+        RouterProcess::start(starting, &flags, "router").await
     };
+    let mut router = started.map_err(|e| e.to_string())?;
     sleep(Duration::from_millis(500)).await;
-    let resident = |r: &RouterProcess| r.resident().unwrap_or(0);
+    let resident = |r: &RouterProcess| r.resident_kib().unwrap_or(0);
     let resident_start_kib = resident(&router);
     let mut idle = Vec::new();
     for _ in 0..load.idle {
@@ -348,9 +349,12 @@
         )));
     }
     sleep(warm).await;
-    let cpu = router.cpu().unwrap_or_default();
+    let cpu = router.processor_time().unwrap_or_default();
     sleep(Duration::from_secs(load.seconds)).await;
-    let cpu = router.cpu().unwrap_or_default().saturating_sub(cpu);
+    let cpu = router
+        .processor_time()
+        .unwrap_or_default()
+        .saturating_sub(cpu);
     let resident_end_kib = resident(&router);
     for sender in senders {
         let _ = timeout(Duration::from_secs(10), sender).await;
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -235,7 +235,8 @@
             eprintln!("{at} s of {of} s");
         }
     };
-    let played = runtime.block_on(play(scenario, starting, progress))?;
+    let played = runtime.block_on(play(scenario, starting, progress));
+    let played = played.map_err(|e| e.to_string())?;
     if shown {
         eprintln!();
     }
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -1,39 +1,92 @@
-//! Real router processes, started, killed and told to end.
+//! Real processes of routers and nodes: started, killed, paused and terminated.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::Stdio;
+use std::process::{ExitStatus, Stdio};
 use std::time::Duration;
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use tokio::io::{AsyncBufReadExt, BufReader};
-use tokio::process::{Child, Command};
+use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::timeout;
 
-use spokeflow_config::OperationFlag;
-use spokeflow_core::DeduplicationScope;
+pub use crate::router_flags::flags;
 
-use spokeflow_scenario::scenario::{Gate, Repeat, Scenario};
+/// Within which a process prints where it listens.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// What a process prints before its address.
+const LISTENING_PREFIX: &str = "listening on ";
+/// Variables that would change the flags of a process.
+const VARIABLE_PREFIX: &str = "SPOKEFLOW_";
+/// The kernel counts processor time in hundredths of a second on every platform that this runs on.
+const CLOCK_TICK_MS: u64 = 10;
 
-use crate::Micros;
+/// Why a process does not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// Its log cannot be opened.
+    #[error("--logs {}: {source}", directory.display())]
+    OpenLog {
+        /// The directory of the logs.
+        directory: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The program cannot be run.
+    #[error("{}: {source}", program.display())]
+    Spawn {
+        /// The program.
+        program: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// Its standard output is not there to be read.
+    #[error("no output")]
+    NoOutput,
+    /// It did not print its address in time.
+    #[error("{name} did not print where it listens: '{line}'")]
+    NoAddress {
+        /// Name of the process.
+        name: String,
+        /// What it printed instead.
+        line: String,
+    },
+}
 
-pub struct RouterProcess {
-    child: Child,
-    pub address: SocketAddr,
+/// Why a process did not end well.
+#[derive(Debug, thiserror::Error)]
+pub enum EndError {
+    /// It ended with a failure.
+    #[error("ended with {0}")]
+    Failed(ExitStatus),
+    /// It cannot be waited for.
+    #[error("cannot be waited for: {0}")]
+    Wait(#[source] std::io::Error),
+    /// It was killed after the time that it had.
+    #[error("did not end in time")]
+    TimedOut,
 }
 
-/// How routers are started: the program, with arguments that come first, and where logs and recordings go.
+/// How processes are started: the program, with arguments that come first, and where logs go.
 #[derive(Clone, Debug)]
 pub struct Starting {
+    /// The program.
     pub program: PathBuf,
+    /// Its first arguments, such as a subcommand.
     pub first: Vec<String>,
+    /// Directory of the logs, of which there are none without it.
     pub logs: Option<PathBuf>,
+    /// Which lines are logged, as the flag `--log` takes them.
     pub log: String,
 }
 
 impl Starting {
-    /// This program itself, whose hidden subcommand is the router: a build of the stand-ins alone has both.
+    /// This program itself, whose hidden subcommand is the router: a build of the testbed alone has both.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell the path of this program.
     pub fn own() -> std::io::Result<Starting> {
         let program = std::env::current_exe()?;
         Ok(Starting {
@@ -43,231 +96,173 @@
             log: "info".into(),
         })
     }
+
+    /// The standard error output of a process.
+    fn log_output(&self, name: &str) -> Result<Stdio, StartError> {
+        let Some(directory) = &self.logs else {
+            return Ok(Stdio::null());
+        };
+        std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(directory.join(format!("{name}.log")))
+            .map(Stdio::from)
+            .map_err(|source| StartError::OpenLog {
+                directory: directory.clone(),
+                source,
+            })
+    }
+}
+
+/// A running process that listens at an address. It is killed when dropped.
+pub(crate) struct RouterProcess {
+    child: Child,
+    pub(crate) address: SocketAddr,
 }
 
 impl RouterProcess {
-    /// Errors: it does not start or does not say where it listens.
-    pub async fn start(
+    /// Starts a process and waits until it listens.
+    ///
+    /// # Errors
+    ///
+    /// It does not start, or does not print where it listens.
+    pub(crate) async fn start(
         starting: &Starting,
         flags: &[String],
         name: &str,
-    ) -> Result<RouterProcess, String> {
+    ) -> Result<RouterProcess, StartError> {
         let mut flags = flags.to_vec();
         flags.push(format!("--log={}", starting.log));
-        RouterProcess::start_as(starting, &flags, name).await
+        RouterProcess::start_with(starting, &flags, name).await
     }
 
-    /// A program that listens as a router does and takes no flags of the log.
-    pub async fn start_plain(
+    /// Starts a program that listens as a router does and takes no flag of the log.
+    ///
+    /// # Errors
+    ///
+    /// It does not start, or does not print where it listens.
+    pub(crate) async fn start_plain(
         starting: &Starting,
         flags: &[String],
-    ) -> Result<RouterProcess, String> {
-        RouterProcess::start_as(starting, flags, "plain").await
+    ) -> Result<RouterProcess, StartError> {
+        RouterProcess::start_with(starting, flags, "plain").await
     }
 
-    async fn start_as(
+    async fn start_with(
         starting: &Starting,
         flags: &[String],
         name: &str,
-    ) -> Result<RouterProcess, String> {
+    ) -> Result<RouterProcess, StartError> {
         let mut command = Command::new(&starting.program);
-        command.args(&starting.first).args(flags);
-        let log = match &starting.logs {
-            Some(folder) => {
-                let file = folder.join(format!("{name}.log"));
-                let file = std::fs::OpenOptions::new()
-                    .create(true)
-                    .append(true)
-                    .open(file);
-                let file = file.map_err(|e| format!("--logs {}: {e}", folder.display()))?;
-                Stdio::from(file)
+        // No variable of the caller's is taken for a flag.
+        for (variable, _) in std::env::vars() {
+            if variable.starts_with(VARIABLE_PREFIX) {
+                command.env_remove(variable);
             }
-            None => Stdio::null(),
-        };
-        // No variable of the caller's is taken for a term of the day.
-        std::env::vars()
-            .filter(|(k, _)| k.starts_with("SPOKEFLOW_"))
-            .for_each(|(k, _)| {
-                command.env_remove(k);
-            });
+        }
         command
+            .args(&starting.first)
+            .args(flags)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
-            .stderr(log)
+            .stderr(starting.log_output(name)?)
             .kill_on_drop(true);
-        let mut child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", starting.program.display()))?;
-        let Some(out) = child.stdout.take() else {
-            return Err("no output".into());
-        };
-        let mut line = String::new();
-        let said = timeout(
-            Duration::from_secs(10),
-            BufReader::new(out).read_line(&mut line),
-        )
-        .await;
-        let address = line
-            .trim()
-            .strip_prefix("listening on ")
-            .and_then(|a| a.parse().ok());
-        match (said, address) {
-            (Ok(Ok(_)), Some(address)) => Ok(RouterProcess { child, address }),
-            _ => Err(format!(
-                "router {name} did not say where it listens: '{}'",
-                line.trim()
-            )),
-        }
+        let spawned = command.spawn();
+        let mut child = spawned.map_err(|source| StartError::Spawn {
+            program: starting.program.clone(),
+            source,
+        })?;
+        let output = child.stdout.take().ok_or(StartError::NoOutput)?;
+        let address = read_address(output, name).await?;
+        Ok(RouterProcess { child, address })
     }
 
     /// `None` once it has ended and that has been noticed.
-    pub fn pid(&self) -> Option<u32> {
+    pub(crate) fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// As by `kill -9`.
-    pub async fn kill(&mut self) {
+    /// Kills it, as by SIGKILL.
+    pub(crate) async fn kill(&mut self) {
+        // One that has ended needs no kill.
         let _ = self.child.kill().await;
     }
 
-    /// Stopped as by SIGSTOP, or continued.
-    pub fn stop(&self, stopped: bool) {
+    /// Stops it, as by SIGSTOP.
+    pub(crate) fn pause(&self) {
+        self.signal(Signal::SIGSTOP);
+    }
+
+    /// Continues it, as by SIGCONT.
+    pub(crate) fn resume(&self) {
+        self.signal(Signal::SIGCONT);
+    }
+
+    fn signal(&self, signal: Signal) {
         if let Some(pid) = self.child.id() {
-            let signal = if stopped {
-                Signal::SIGSTOP
-            } else {
-                Signal::SIGCONT
-            };
+            // It may have ended meanwhile.
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Whether it has ended by itself, and its exit code then.
-    pub fn has_ended(&mut self) -> Option<Option<i32>> {
-        self.child
-            .try_wait()
-            .ok()
-            .flatten()
-            .map(|status| status.code())
+    /// Whether it has ended by itself.
+    pub(crate) fn has_ended(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Told to end. Answers how it ended; killed where it does not within `within`.
-    pub async fn end(&mut self, within: Duration) -> Result<(), String> {
-        if let Some(pid) = self.child.id() {
-            let _ = kill(Pid::from_raw(pid as i32), Signal::SIGTERM);
-        }
+    /// Ends it, as by SIGTERM, and kills it where it does not end in time.
+    ///
+    /// # Errors
+    ///
+    /// It ended with a failure, or not in time.
+    pub(crate) async fn terminate(&mut self, within: Duration) -> Result<(), EndError> {
+        self.signal(Signal::SIGTERM);
         match timeout(within, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(status) => Err(format!("ended with {status:?}")),
+            Ok(Ok(status)) => Err(EndError::Failed(status)),
+            Ok(Err(error)) => Err(EndError::Wait(error)),
             Err(_) => {
                 self.kill().await;
-                Err("did not end in time".into())
+                Err(EndError::TimedOut)
             }
         }
     }
 
     /// Processor time used so far, where the system tells.
-    pub fn cpu(&self) -> Option<Duration> {
+    pub(crate) fn processor_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()?)).ok()?;
+        // Behind the name in brackets, which may contain anything: user time is the 12th field, system time the 13th.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let ticks: u64 =
-            fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-        // The kernel tells in hundredths of a second on every platform that this runs on.
-        Some(Duration::from_millis(ticks * 10))
+        let user_ticks: u64 = fields.get(11)?.parse().ok()?;
+        let system_ticks: u64 = fields.get(12)?.parse().ok()?;
+        Some(Duration::from_millis(
+            (user_ticks + system_ticks) * CLOCK_TICK_MS,
+        ))
     }
 
     /// Resident memory in KiB, where the system tells.
-    pub fn resident(&self) -> Option<u64> {
+    pub(crate) fn resident_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
-        status.lines().find_map(|l| {
-            l.strip_prefix("VmRSS:")?
-                .trim()
-                .strip_suffix(" kB")?
-                .trim()
-                .parse()
-                .ok()
+        status.lines().find_map(|line| {
+            let size = line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB")?;
+            size.trim().parse().ok()
         })
     }
 }
 
-fn span(t: Micros) -> String {
-    format!("{t}us")
-}
-
-/// All terms of a day as flags.
-pub fn flags(day: &Scenario, index: u32, list: SocketAddr, desk: SocketAddr) -> Vec<String> {
-    let numbers = |list: &[f64]| {
-        list.iter()
-            .map(|n| format!("{n}"))
-            .collect::<Vec<_>>()
-            .join(",")
-    };
-    let mut flags = vec![
-        "--listen=127.0.0.1:0".to_string(),
-        format!("--list={list}"),
-        format!("--release-controller={desk}"),
-        format!("--index={index}"),
-        format!("--site={}", index % u32::from(day.sites)),
-        format!("--fleet-size={}", day.routers),
-        "--delivery-cap=6".into(),
-        "--side-by-side".into(),
-        format!("--drain-grace={}", span(day.drain_grace)),
-        format!("--cold-from={}", day.cold_from),
-        format!("--warm-within={}", span(day.warm_within)),
-        format!("--fall-multiple={}", day.fall_multiple),
-        format!("--fall-span={}", span(day.fall_span)),
-        format!(
-            "--gate={}",
-            if day.gate == Gate::Single {
-                "single"
-            } else {
-                "majority"
-            }
-        ),
-        format!("--stage-share={}", numbers(&day.stage_shares)),
-        format!(
-            "--stage-cap={}",
-            numbers(
-                &(0..day.stage_shares.len())
-                    .map(|s| day.cap(s))
-                    .collect::<Vec<_>>()
-            )
-        ),
-        format!("--exposure-free={}", day.exposure_free),
-        format!("--exposure-span={}", span(day.exposure_span)),
-        format!("--stage-bake={}", span(day.bake)),
-        format!("--complaint-share={}", day.reported),
-        format!(
-            "--seed={}",
-            day.seed.wrapping_mul(31).wrapping_add(u64::from(index))
-        ),
-    ];
-    if day.forward_only {
-        flags.push("--forward-only".into());
-    }
-    for op in &day.ops {
-        let micros = |t: Micros| Duration::from_micros(t as u64);
-        let (repeat, memory) = match op.repeat {
-            Repeat::Redeliverable => (spokeflow_core::Repeat::Idempotent, 0),
-            Repeat::Deduplicated(memory) => (spokeflow_core::Repeat::Deduplicated, memory),
-            Repeat::AtMostOnce => (spokeflow_core::Repeat::AtMostOnce, 0),
-        };
-        let op = OperationFlag {
-            name: op.name.to_string(),
-            repeat,
-            scope: DeduplicationScope::All,
-            memory: micros(memory),
-            target: micros(op.target),
-            timeout: micros(op.timeout),
-            importance: op.importance,
-            streamed: false,
-        };
-        flags.push(format!("--op={}", op));
+async fn read_address(output: ChildStdout, name: &str) -> Result<SocketAddr, StartError> {
+    let mut line = String::new();
+    let mut output = BufReader::new(output);
+    let read = timeout(START_TIMEOUT, output.read_line(&mut line)).await;
+    let line = line.trim();
+    let address = line
+        .strip_prefix(LISTENING_PREFIX)
+        .and_then(|address| address.parse().ok());
+    match (read, address) {
+        (Ok(Ok(_)), Some(address)) => Ok(address),
+        _ => Err(StartError::NoAddress {
+            name: name.to_string(),
+            line: line.to_string(),
+        }),
     }
-    flags.extend(
-        day.customers
-            .iter()
-            .map(|c| format!("--customer={}={}", c.name, c.allowed)),
-    );
-    flags
 }
--- a/crates/spokeflow-testbed/src/tap.rs
+++ b/crates/spokeflow-testbed/src/tap.rs
@@ -1,45 +1,48 @@
-//! What crossed the sockets, as the stand-ins saw it, and what ran at the hosts.
+//! Records what crosses the sockets and what runs at the hosts, with the time of each.
 
 use std::sync::{Arc, Mutex};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use spokeflow_scenario::seen::Observation;
 
-use crate::Micros;
+use crate::{locked, Micros};
 
+/// The record of a run; clones write to the same one. Its time starts when it is made.
 #[derive(Clone)]
-pub struct Tap {
+pub(crate) struct Tap {
     start: Instant,
-    seen: Arc<Mutex<Vec<(Micros, Observation)>>>,
+    observations: Arc<Mutex<Vec<(Micros, Observation)>>>,
 }
 
 impl Default for Tap {
     fn default() -> Self {
         Tap {
             start: Instant::now(),
-            seen: Arc::default(),
+            observations: Arc::default(),
         }
     }
 }
 
 impl Tap {
-    pub fn now(&self) -> Micros {
+    /// The time of the run.
+    pub(crate) fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(
-            self.start + std::time::Duration::from_micros(at.max(0) as u64),
-        )
+    /// The instant at a time of the run; times before its start count as the start.
+    pub(crate) fn instant(&self, at: Micros) -> tokio::time::Instant {
+        let since_start = Duration::from_micros(at.max(0) as u64);
+        tokio::time::Instant::from_std(self.start + since_start)
     }
 
-    pub fn note(&self, seen: Observation) {
-        let mut all = self.seen.lock().expect("no holder panics");
-        // Under the lock, so that the notes stand in the order of their times.
-        all.push((self.now(), seen));
+    pub(crate) fn record(&self, observation: Observation) {
+        let mut observations = locked(&self.observations);
+        // The time is read under the lock, so that the record is in the order of its times.
+        observations.push((self.now(), observation));
     }
 
-    pub fn take(&self) -> Vec<(Micros, Observation)> {
-        std::mem::take(&mut self.seen.lock().expect("no holder panics"))
+    /// Takes all observations so far.
+    pub(crate) fn take(&self) -> Vec<(Micros, Observation)> {
+        std::mem::take(&mut *locked(&self.observations))
     }
 }
