--- a/crates/spokeflow-experiments/src/capacity/rows/others.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/others.rs
@@ -62,7 +62,7 @@
     let whole = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
     let watchers = target.fleet.routers + 1.0;
     const LINKS: &str =
-        "`spokeflow-router`, `ListProtocol`; `spokeflow-control-plane`, `ListProtocol`; the source is not ours";
+        "`spokeflow-router`, `ListProtocol`; `spokeflow-control-plane`, `ListLink`; the source is not ours";
     vec![
         Row::varying(Role::ListSource, "bytes sent", Unit::BytesPerSecond, |s| {
             inputs.per_second(source_sends(inputs, &inputs.load(s), watchers))
