--- /dev/null
+++ b/crates/spokeflow-experiments/src/commands/agree.rs
@@ -0,0 +1,102 @@
+//! `agree`: plays the same scenarios on sockets and in simulated time.
+
+use clap::Args;
+use spokeflow_experiments::plan::{ScenarioChoice, Seeds};
+use spokeflow_experiments::{agree, tables};
+use spokeflow_scenario::report::Report;
+use spokeflow_scenario::scenario::Scenario;
+use spokeflow_scenario::{Micros, SECOND};
+use spokeflow_simulator::{play, StrategyKind};
+use spokeflow_testbed::routers::Starting;
+use tokio::runtime::Runtime;
+
+use super::{CommandError, Outcome};
+
+/// Runtime threads of the fake peers: the routers are processes of their own.
+const PEER_THREADS: usize = 2;
+
+/// Flags of `agree`.
+#[derive(Args)]
+pub(crate) struct AgreeFlags {
+    /// Days: plain, bad-day, drawn or only:KIND, split by commas
+    #[arg(
+        value_name = "DAYS",
+        long = "days",
+        env = "SPOKEFLOW_LAB_DAYS",
+        value_delimiter = ',',
+        default_value = "bad-day"
+    )]
+    scenarios: Vec<ScenarioChoice>,
+    /// Seeds of each: one, or FIRST-LAST
+    #[arg(long, env = "SPOKEFLOW_LAB_SEEDS", default_value = "1-3")]
+    seeds: Seeds,
+    /// Seconds in which commands are sent
+    #[arg(long, env = "SPOKEFLOW_LAB_SECONDS", default_value_t = 40)]
+    seconds: u64,
+    /// Days played on sockets at a time
+    #[arg(value_name = "BESIDE", long = "beside", default_value_t = 3)]
+    concurrency: usize,
+}
+
+/// Plays each scenario both ways, and prints the figures of both beside each other.
+///
+/// # Errors
+/// A flag is wrong, or a run on sockets cannot be started or fails.
+pub(crate) fn agree(flags: &AgreeFlags) -> Result<Outcome, CommandError> {
+    if flags.seconds < 5 || flags.concurrency == 0 {
+        return Err(CommandError::AgreeBounds);
+    }
+    let length = flags.seconds as Micros * SECOND;
+    let scenarios: Vec<Scenario> = flags
+        .scenarios
+        .iter()
+        .flat_map(|choice| flags.seeds.iter().map(|seed| choice.scenario(seed, length)))
+        .collect();
+    let starting = Starting::own().map_err(CommandError::testbed)?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(PEER_THREADS)
+        .enable_all()
+        .build()
+        .map_err(CommandError::Runtime)?;
+    let mut pairs = Vec::new();
+    for together in scenarios.chunks(flags.concurrency) {
+        let on_sockets = play_on_sockets(&runtime, &starting, together);
+        for (scenario, sockets) in together.iter().zip(on_sockets) {
+            eprintln!("{} seed {}", scenario.name, scenario.seed);
+            pairs.push(agree::Pair {
+                sockets: sockets?,
+                simulated: play(scenario, StrategyKind::Engine, false).report,
+            });
+        }
+    }
+    print!("{}", tables::text(&agree::HEAD, &agree::rows(&pairs)));
+    runtime.shutdown_background();
+    Ok(Outcome::Success)
+}
+
+/// Plays the scenarios at the same time; the reports stand in their order.
+fn play_on_sockets(
+    runtime: &Runtime,
+    starting: &Starting,
+    scenarios: &[Scenario],
+) -> Vec<Result<Report, CommandError>> {
+    runtime.block_on(async {
+        let tasks: Vec<_> = scenarios
+            .iter()
+            .map(|scenario| {
+                let playing =
+                    spokeflow_testbed::day::play(scenario.clone(), starting.clone(), |_| {});
+                tokio::spawn(playing)
+            })
+            .collect();
+        let mut reports = Vec::new();
+        for task in tasks {
+            let played = task.await.map_err(CommandError::Task);
+            reports
+                .push(played.and_then(|played| {
+                    played.map(|run| run.report).map_err(CommandError::testbed)
+                }));
+        }
+        reports
+    })
+}
--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -1,206 +1,278 @@
-//! Searches drawn days for those that break a rule or lose most against full sight, and shrinks them: what can
-//! be left out without losing what was found is left out.
+//! Searches drawn scenarios for those that break a rule or lose most against full sight, and shrinks them: what
+//! can be left out without losing what was found is left out.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
 
 use spokeflow_scenario::scenario::{BuildDefect, CancelPolicy, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
 use spokeflow_simulator::{play, StrategyKind};
 
-/// What a day was found for.
+/// A smaller scenario shows the same loss where it has this part of it: leaving anything out costs a little.
+const LOSS_KEPT: f64 = 0.75;
+
+/// Time left after the last fault or build, in which its effects show; also the least length.
+const AFTERMATH: Micros = 10 * SECOND;
+
+/// Skew of keys in a scenario without one of its own.
+const PLAIN_KEY_SKEW: f64 = 0.7;
+
+/// What a scenario was found for. Its `Debug` form is printed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Found {
+pub enum Finding {
     /// This rule is broken.
     Rule(u8),
     /// So much service is lost against full sight.
     Loss(f64),
 }
 
-pub fn judge(day: &Scenario) -> Found {
-    let report = play(day, StrategyKind::Engine, false).report;
-    match report.broken.first() {
-        Some(b) => Found::Rule(b.rule),
-        None => {
-            Found::Loss(play(day, StrategyKind::FullSight, false).report.service - report.service)
-        }
+/// A scenario that was searched, and what it was found for.
+#[derive(Clone, Debug)]
+pub struct Candidate {
+    /// As it was drawn.
+    pub scenario: Scenario,
+    /// What its run showed.
+    pub finding: Finding,
+}
+
+/// Plays the scenario with the engine, and where no rule is broken, with full sight too.
+pub fn evaluate(scenario: &Scenario) -> Finding {
+    let engine = play(scenario, StrategyKind::Engine, false).report;
+    if let Some(broken) = engine.broken.first() {
+        return Finding::Rule(broken.rule);
     }
+    let full_sight = play(scenario, StrategyKind::FullSight, false).report;
+    Finding::Loss(full_sight.service - engine.service)
+}
+
+/// Evaluates all scenarios, `jobs` at a time. The worst stand first, equals by their seeds.
+pub fn search(scenarios: &[Scenario], jobs: usize) -> Vec<Candidate> {
+    let next = AtomicUsize::new(0);
+    let evaluate_next = || {
+        let mut found = Vec::new();
+        while let Some(scenario) = scenarios.get(next.fetch_add(1, Ordering::Relaxed)) {
+            found.push(Candidate {
+                scenario: scenario.clone(),
+                finding: evaluate(scenario),
+            });
+        }
+        found
+    };
+    let mut candidates: Vec<Candidate> = std::thread::scope(|scope| {
+        let workers: Vec<_> = (0..jobs.max(1))
+            .map(|_| scope.spawn(evaluate_next))
+            .collect();
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().unwrap_or_default())
+            .collect()
+    });
+    candidates.sort_by(|left, right| {
+        let worst_first = right.finding.severity().total_cmp(&left.finding.severity());
+        worst_first.then(left.scenario.seed.cmp(&right.scenario.seed))
+    });
+    candidates
 }
 
-impl Found {
-    /// Whether a smaller day shows the same.
-    fn holds(self, day: &Scenario) -> bool {
+impl Finding {
+    /// Whether a smaller scenario shows the same.
+    fn is_shown_by(self, scenario: &Scenario) -> bool {
         match self {
-            Found::Rule(rule) => play(day, StrategyKind::Engine, false)
+            Finding::Rule(rule) => play(scenario, StrategyKind::Engine, false)
                 .report
                 .broken
                 .iter()
-                .any(|b| b.rule == rule),
-            Found::Loss(loss) => matches!(judge(day), Found::Loss(l) if l >= 0.75 * loss),
+                .any(|broken| broken.rule == rule),
+            Finding::Loss(loss) => {
+                matches!(evaluate(scenario), Finding::Loss(still) if still >= LOSS_KEPT * loss)
+            }
         }
     }
 
-    pub fn weight(self) -> f64 {
+    /// By which findings are ordered: any broken rule is worse than any loss, which is at most 1, and the rules
+    /// of small numbers are the gravest.
+    pub fn severity(self) -> f64 {
         match self {
-            Found::Rule(rule) => 10.0 - f64::from(rule),
-            Found::Loss(loss) => loss,
+            Finding::Rule(rule) => 10.0 - f64::from(rule),
+            Finding::Loss(loss) => loss,
         }
     }
 }
 
-/// A smaller day that still shows what was found; at most so many days are played for it.
-pub fn shrink(day: &Scenario, found: Found, most: usize) -> Scenario {
-    let mut best = day.clone();
-    let played = std::cell::Cell::new(0);
-    let attempt = |best: &mut Scenario, smaller: Scenario| {
-        played.set(played.get() + 1);
-        let better = played.get() <= most && found.holds(&smaller);
-        if better {
-            *best = smaller;
-        }
-        better
+/// The smallest scenario so far, and how many were played to find it.
+struct Shrinking {
+    best: Scenario,
+    finding: Finding,
+    played: usize,
+    most_played: usize,
+}
+
+/// A smaller scenario that still shows what was found; at most `most_played` are played for it.
+pub fn shrink(scenario: &Scenario, finding: Finding, most_played: usize) -> Scenario {
+    let mut shrinking = Shrinking {
+        best: scenario.clone(),
+        finding,
+        played: 0,
+        most_played,
     };
     loop {
+        let mut smaller = shrinking.drop_faults();
+        smaller |= shrinking.drop_builds();
+        smaller |= shrinking.drop_load_features();
+        smaller |= shrinking.shorten();
+        if !smaller || shrinking.played >= most_played {
+            return shrinking.best;
+        }
+    }
+}
+
+/// Each step answers whether it made the scenario smaller.
+impl Shrinking {
+    /// Takes the change where the finding still shows and plays are left.
+    fn attempt(&mut self, change: impl FnOnce(&mut Scenario)) -> bool {
+        let mut smaller = self.best.clone();
+        change(&mut smaller);
+        self.played += 1;
+        let shows = self.played <= self.most_played && self.finding.is_shown_by(&smaller);
+        if shows {
+            self.best = smaller;
+        }
+        shows
+    }
+
+    fn drop_faults(&mut self) -> bool {
         let mut any = false;
-        for n in (0..best.troubles.len()).rev() {
-            let mut smaller = best.clone();
-            smaller.troubles.remove(n);
-            any |= attempt(&mut best, smaller);
+        for index in (0..self.best.troubles.len()).rev() {
+            any |= self.attempt(|scenario| {
+                scenario.troubles.remove(index);
+            });
         }
-        for n in (1..best.builds.len()).rev() {
-            let mut smaller = best.clone();
-            smaller.builds.remove(n);
-            any |= attempt(&mut best, smaller);
+        any
+    }
+
+    /// The first build stays: it is the one that runs at the beginning.
+    fn drop_builds(&mut self) -> bool {
+        let mut any = false;
+        for index in (1..self.best.builds.len()).rev() {
+            any |= self.attempt(|scenario| {
+                scenario.builds.remove(index);
+            });
         }
-        let habits: [fn(&mut Scenario); 6] = [
-            |d| d.burst = 0.0,
-            |d| d.cache_keys = 0,
-            |d| d.thrash = 0.0,
-            |d| (d.neighbours, d.steal) = (0, 0.0),
-            |d| d.cancel = CancelPolicy::Stops,
-            |d| d.key_skew = 0.7,
+        any
+    }
+
+    fn drop_load_features(&mut self) -> bool {
+        const DROPS: [fn(&mut Scenario); 6] = [
+            |scenario| scenario.burst = 0.0,
+            |scenario| scenario.cache_keys = 0,
+            |scenario| scenario.thrash = 0.0,
+            |scenario| {
+                scenario.neighbours = 0;
+                scenario.steal = 0.0;
+            },
+            |scenario| scenario.cancel = CancelPolicy::Stops,
+            |scenario| scenario.key_skew = PLAIN_KEY_SKEW,
         ];
-        for habit in habits {
-            let mut smaller = best.clone();
-            habit(&mut smaller);
-            if form(&smaller) != form(&best) {
-                any |= attempt(&mut best, smaller);
+        let mut any = false;
+        for drop_feature in DROPS {
+            let mut smaller = self.best.clone();
+            drop_feature(&mut smaller);
+            if serialized(&smaller) != serialized(&self.best) {
+                any |= self.attempt(drop_feature);
             }
         }
-        let last = best
+        any
+    }
+
+    /// To two thirds, as long as the last fault and build have their aftermath.
+    fn shorten(&mut self) -> bool {
+        let faults_end = self
+            .best
             .troubles
             .iter()
-            .map(|t| t.at + t.lasts)
-            .chain(best.builds.iter().map(|b| b.offered))
-            .max();
-        let shorter = (last.unwrap_or(0) + 10 * SECOND)
-            .max(best.length * 2 / 3)
-            .max(10 * SECOND);
-        if whole(shorter) < best.length {
-            let smaller = Scenario {
-                length: whole(shorter),
-                ..best.clone()
-            };
-            any |= attempt(&mut best, smaller);
-        }
-        if !any || played.get() >= most {
-            return best;
-        }
+            .map(|fault| fault.at + fault.lasts);
+        let builds_offered = self.best.builds.iter().map(|build| build.offered);
+        let last_event = faults_end.chain(builds_offered).max().unwrap_or(0);
+        let shorter = (last_event + AFTERMATH)
+            .max(self.best.length * 2 / 3)
+            .max(AFTERMATH);
+        let whole_seconds = shorter / SECOND * SECOND;
+        whole_seconds < self.best.length && self.attempt(|scenario| scenario.length = whole_seconds)
     }
 }
 
-fn whole(length: Micros) -> Micros {
-    length / SECOND * SECOND
+fn serialized(scenario: &Scenario) -> String {
+    serde_json::to_string(scenario).unwrap_or_default()
 }
 
-fn form(day: &Scenario) -> String {
-    serde_json::to_string(day).unwrap_or_default()
-}
-
-/// The day as flags of `run`.
-pub fn flags(day: &Scenario) -> String {
+/// The scenario as flags of `run`.
+pub fn run_flags(scenario: &Scenario) -> String {
     let mut flags = vec![
         "--scenario plain --bare".to_string(),
-        format!("--seed {} --seconds {}", day.seed, day.length / SECOND),
+        format!(
+            "--seed {} --seconds {}",
+            scenario.seed,
+            scenario.length / SECOND
+        ),
         format!(
             "--routers {} --hosts {} --rate {}",
-            day.routers, day.hosts, day.rate
+            scenario.routers, scenario.hosts, scenario.rate
         ),
     ];
-    if day.tells {
+    if scenario.tells {
         flags.push("--majority".into());
     }
-    flags.extend(day.builds.iter().skip(1).map(|b| format!("--build {b}")));
-    flags.extend(day.troubles.iter().map(|t| format!("--script {t}")));
-    let mut habit = |flag: &str, n: f64| {
-        if n > 0.0 {
-            flags.push(format!("--{flag} {n}"));
-        }
-    };
-    habit("burst", day.burst);
-    habit("cache-keys", f64::from(day.cache_keys));
-    habit(
-        "miss-cost",
-        if day.cache_keys > 0 {
-            day.miss_cost
-        } else {
-            0.0
-        },
-    );
-    habit("thrash", day.thrash);
-    habit("neighbours", f64::from(day.neighbours));
-    habit("steal", day.steal);
-    flags.push(format!("--key-skew {}", day.key_skew));
-    if day.cancel != CancelPolicy::Stops {
-        let cancel = serde_json::to_value(day.cancel).ok();
-        let cancel = cancel
-            .and_then(|c| c.as_str().map(str::to_string))
+    let builds = scenario.builds.iter().skip(1);
+    flags.extend(builds.map(|build| format!("--build {build}")));
+    let faults = scenario.troubles.iter();
+    flags.extend(faults.map(|fault| format!("--script {fault}")));
+    flags.extend(load_flags(scenario));
+    flags.push(format!("--key-skew {}", scenario.key_skew));
+    if scenario.cancel != CancelPolicy::Stops {
+        let policy = serde_json::to_value(scenario.cancel).ok();
+        let name = policy
+            .as_ref()
+            .and_then(serde_json::Value::as_str)
             .unwrap_or_default();
-        flags.push(format!("--cancel {cancel}"));
+        flags.push(format!("--cancel {name}"));
     }
     flags.join(" ")
 }
 
-/// What made of this day a hard one, in a few words.
-pub fn summary(day: &Scenario) -> String {
-    let flaws = day
+/// Flags of the load's features, but for those that it lacks.
+fn load_flags(scenario: &Scenario) -> Vec<String> {
+    let miss_cost = if scenario.cache_keys > 0 {
+        scenario.miss_cost
+    } else {
+        0.0
+    };
+    let features = [
+        ("burst", scenario.burst),
+        ("cache-keys", f64::from(scenario.cache_keys)),
+        ("miss-cost", miss_cost),
+        ("thrash", scenario.thrash),
+        ("neighbours", f64::from(scenario.neighbours)),
+        ("steal", scenario.steal),
+    ];
+    features
+        .into_iter()
+        .filter(|(_, value)| *value > 0.0)
+        .map(|(flag, value)| format!("--{flag} {value}"))
+        .collect()
+}
+
+/// What made this scenario a hard one, in a few words.
+pub fn summary(scenario: &Scenario) -> String {
+    let defects = scenario
         .builds
         .iter()
         .skip(1)
-        .filter(|b| b.flaw != BuildDefect::None)
-        .map(|b| format!("{:?}", b.flaw));
-    let troubles = day.troubles.iter().map(|t| t.kind.name());
-    let all: Vec<String> = flaws.chain(troubles).collect();
+        .filter(|build| build.flaw != BuildDefect::None)
+        .map(|build| format!("{:?}", build.flaw));
+    let faults = scenario.troubles.iter().map(|fault| fault.kind.name());
+    let all: Vec<String> = defects.chain(faults).collect();
     if all.is_empty() {
         "nothing".into()
     } else {
         all.join(" + ")
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use spokeflow_scenario::scenario::FaultKind;
-
-    #[test]
-    fn a_day_is_shrunk_to_what_matters() {
-        // What loses here is the bad build alone; a list that is late for a moment has no part in it.
-        let mut day = Scenario::only(FaultKind::BadBuild, 4, 40 * SECOND);
-        day.builds[1].flaw = BuildDefect::Wrong(0.9);
-        day.troubles
-            .push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
-        day.troubles
-            .push("give-up:at=31s:lasts=1s:size=0.9".parse().unwrap());
-        let found = judge(&day);
-        assert!(matches!(found, Found::Loss(l) if l > 0.0), "{found:?}");
-        let small = shrink(&day, found, 60);
-        assert!(
-            small.troubles.is_empty() && small.builds.len() == 2,
-            "{}",
-            flags(&small)
-        );
-        assert!(
-            flags(&small).contains("--build 2:at=4s:flaw=wrong:size=0.9"),
-            "{}",
-            flags(&small)
-        );
-    }
-}
--- a/crates/spokeflow-experiments/src/plan.rs
+++ b/crates/spokeflow-experiments/src/plan.rs
@@ -1,6 +1,7 @@
-//! What a sweep plays: scenario x seed x size x terms x who decides.
+//! What a sweep plays: scenario x seed x size x overrides x strategy.
 
 use std::fmt;
+use std::ops::RangeInclusive;
 use std::str::FromStr;
 
 use clap::{Args, ValueEnum};
@@ -8,134 +9,229 @@
 use spokeflow_scenario::scenario::{FaultKind, FleetSize, Scenario};
 use spokeflow_scenario::{Micros, SECOND};
 use spokeflow_simulator::StrategyKind;
+use thiserror::Error;
 
-/// A built-in day, or `only:KIND`.
+/// A shorter scenario ends before its first answers are counted.
+const LEAST_SECONDS: u64 = 5;
+
+/// Largest value of an override, whatever its unit.
+const LARGEST_OVERRIDE: f64 = 1e6;
+
+/// Names that [`ConfigOverrides`] knows.
+const OVERRIDE_NAMES: [&str; 9] = [
+    "bake",
+    "drain-grace",
+    "exposure-span",
+    "warm-within",
+    "exposure-free",
+    "slack",
+    "reported",
+    "retries",
+    "forward-only",
+];
+
+/// [`OVERRIDE_NAMES`] as messages show them.
+const OVERRIDE_NAMES_SHOWN: &str =
+    "bake, drain-grace, exposure-span, warm-within (times in s), exposure-free, slack, \
+                                    reported, retries, forward-only";
+
+/// What is wrong with a flag of a plan.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PlanError {
+    /// The text names no scenario.
+    #[error("'{0}' is not plain, bad-day, drawn or only:KIND")]
+    UnknownScenario(String),
+    /// The text after `only:` names no fault, as the scenario package says.
+    #[error("{0}")]
+    UnknownFault(String),
+    /// The text is no seed, and no range from a smaller to a larger one.
+    #[error("'{0}' is not a seed or FIRST-LAST")]
+    Seeds(String),
+    /// An override lacks its `=`.
+    #[error("'{0}' is not NAME=VALUE")]
+    NotAssignment(String),
+    /// The value of an override is no number.
+    #[error("'{0}': not a number")]
+    NotNumber(String),
+    /// The name of an override is unknown, or its value out of bounds.
+    #[error("'{0}' is not one of {OVERRIDE_NAMES_SHOWN}, from 0")]
+    Override(String),
+    /// `--seconds` is below its least.
+    #[error("--seconds: at least {LEAST_SECONDS}")]
+    TooShort,
+    /// A scenario cannot have this size, as the scenario package says.
+    #[error("{0}")]
+    Size(String),
+}
+
+/// A built-in scenario, or `only:KIND`: one with a single kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Which {
-    Built(BuiltInScenario),
+pub enum ScenarioChoice {
+    /// One of the scenarios with a name.
+    BuiltIn(BuiltInScenario),
+    /// A plain scenario with one kind of fault.
     Only(FaultKind),
 }
 
-impl fmt::Display for Which {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+impl fmt::Display for ScenarioChoice {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Which::Built(built) => f.write_str(&built.name()),
-            Which::Only(kind) => write!(f, "only:{}", kind.name()),
+            ScenarioChoice::BuiltIn(built_in) => formatter.write_str(&built_in.name()),
+            ScenarioChoice::Only(kind) => write!(formatter, "only:{}", kind.name()),
         }
     }
 }
 
-impl FromStr for Which {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Self, String> {
-        match text.strip_prefix("only:") {
-            Some(kind) => Ok(Which::Only(kind.parse()?)),
-            None => Ok(Which::Built(
-                BuiltInScenario::from_str(text, false)
-                    .map_err(|_| format!("'{text}' is not plain, bad-day, drawn or only:KIND"))?,
-            )),
+impl FromStr for ScenarioChoice {
+    type Err = PlanError;
+
+    fn from_str(text: &str) -> Result<Self, PlanError> {
+        if let Some(kind) = text.strip_prefix("only:") {
+            return match FaultKind::from_str(kind) {
+                Ok(kind) => Ok(ScenarioChoice::Only(kind)),
+                Err(error) => Err(PlanError::UnknownFault(error.to_string())),
+            };
         }
+        BuiltInScenario::from_str(text, false)
+            .map(ScenarioChoice::BuiltIn)
+            .map_err(|_| PlanError::UnknownScenario(text.to_string()))
     }
 }
 
-impl Which {
-    pub fn day(self, seed: u64, length: Micros) -> Scenario {
+impl ScenarioChoice {
+    /// The scenario that a seed makes, `length` microseconds long.
+    pub fn scenario(self, seed: u64, length: Micros) -> Scenario {
         match self {
-            Which::Only(kind) => Scenario::only(kind, seed, length),
-            Which::Built(BuiltInScenario::Plain) => Scenario::plain(seed, length),
-            Which::Built(BuiltInScenario::BadDay) => Scenario::bad_day(seed, length),
-            Which::Built(BuiltInScenario::Drawn) => Scenario::drawn(seed, length),
+            ScenarioChoice::Only(kind) => Scenario::only(kind, seed, length),
+            ScenarioChoice::BuiltIn(BuiltInScenario::Plain) => Scenario::plain(seed, length),
+            ScenarioChoice::BuiltIn(BuiltInScenario::BadDay) => Scenario::bad_day(seed, length),
+            ScenarioChoice::BuiltIn(BuiltInScenario::Drawn) => Scenario::drawn(seed, length),
         }
     }
 }
 
-/// Seeds as `7` or `1-20`.
+/// Seeds as `7` or `1-20`, the last among them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seeds(pub u64, pub u64);
+pub struct Seeds {
+    /// The smallest.
+    pub first: u64,
+    /// The largest, not below `first`.
+    pub last: u64,
+}
+
+impl Seeds {
+    /// Each seed, upwards.
+    pub fn iter(self) -> RangeInclusive<u64> {
+        self.first..=self.last
+    }
+}
 
 impl FromStr for Seeds {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Self, String> {
-        let fault = || format!("'{text}' is not a seed or FIRST-LAST");
+    type Err = PlanError;
+
+    fn from_str(text: &str) -> Result<Self, PlanError> {
+        let error = || PlanError::Seeds(text.to_string());
         let (first, last) = text.split_once('-').unwrap_or((text, text));
-        let seeds = Seeds(
-            first.parse().map_err(|_| fault())?,
-            last.parse().map_err(|_| fault())?,
-        );
-        (seeds.0 <= seeds.1).then_some(seeds).ok_or_else(fault)
+        let seeds = Seeds {
+            first: first.parse().map_err(|_| error())?,
+            last: last.parse().map_err(|_| error())?,
+        };
+        if seeds.first > seeds.last {
+            return Err(error());
+        }
+        Ok(seeds)
     }
 }
 
-/// Changes of a day's terms, joined by `+`; `usual` for none.
+/// One changed setting of a scenario. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms(String, Vec<(String, f64)>);
+struct Override {
+    name: &'static str,
+    value: f64,
+}
 
-const TERMS: &str =
-    "bake, drain-grace, exposure-span, warm-within (times in s), exposure-free, slack, reported, \
-                     retries, forward-only";
+impl FromStr for Override {
+    type Err = PlanError;
 
-impl FromStr for Terms {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Self, String> {
-        let mut changes = Vec::new();
-        for change in text.split('+').filter(|t| *t != "usual") {
-            let (name, value) = change
-                .split_once('=')
-                .ok_or(format!("'{change}' is not NAME=VALUE"))?;
-            let known = TERMS
-                .replace(" (times in s)", "")
-                .split(", ")
-                .any(|t| t == name);
-            let number: f64 = value
-                .strip_suffix('s')
-                .unwrap_or(value)
-                .parse()
-                .map_err(|_| format!("'{change}': not a number"))?;
-            if !known || !(0.0..=1e6).contains(&number) {
-                return Err(format!("'{change}' is not one of {TERMS}, from 0"));
-            }
-            changes.push((name.to_string(), number));
+    fn from_str(text: &str) -> Result<Self, PlanError> {
+        let (name, value) = text
+            .split_once('=')
+            .ok_or_else(|| PlanError::NotAssignment(text.to_string()))?;
+        let value: f64 = value
+            .strip_suffix('s')
+            .unwrap_or(value)
+            .parse()
+            .map_err(|_| PlanError::NotNumber(text.to_string()))?;
+        let known = OVERRIDE_NAMES.into_iter().find(|known| *known == name);
+        match known {
+            Some(name) if (0.0..=LARGEST_OVERRIDE).contains(&value) => Ok(Override { name, value }),
+            _ => Err(PlanError::Override(text.to_string())),
         }
-        Ok(Terms(text.to_string(), changes))
     }
 }
 
-impl fmt::Display for Terms {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(&self.0)
+/// Changes of a scenario's settings, joined by `+`; `usual` for none.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ConfigOverrides {
+    text: String,
+    changes: Vec<Override>,
+}
+
+impl FromStr for ConfigOverrides {
+    type Err = PlanError;
+
+    fn from_str(text: &str) -> Result<Self, PlanError> {
+        let changes = text
+            .split('+')
+            .filter(|change| *change != "usual")
+            .map(str::parse)
+            .collect::<Result<_, _>>()?;
+        Ok(ConfigOverrides {
+            text: text.to_string(),
+            changes,
+        })
+    }
+}
+
+impl fmt::Display for ConfigOverrides {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.text)
     }
 }
 
-impl Terms {
-    pub fn apply(&self, day: &mut Scenario) {
-        for (name, n) in &self.1 {
-            let time = (n * SECOND as f64) as Micros;
-            match name.as_str() {
-                "bake" => day.bake = time,
-                "drain-grace" => day.drain_grace = time,
-                "exposure-span" => day.exposure_span = time,
-                "warm-within" => day.warm_within = time,
-                "exposure-free" => day.exposure_free = *n,
-                "slack" => day.slack = *n,
-                "reported" => day.reported = n.min(1.0),
-                "retries" => day.retries = *n as u32,
-                _ => day.forward_only = *n > 0.0,
+impl ConfigOverrides {
+    /// Changes the scenario, in the order in which the changes were written.
+    pub fn apply(&self, scenario: &mut Scenario) {
+        for Override { name, value } in &self.changes {
+            let time = (value * SECOND as f64) as Micros;
+            match *name {
+                "bake" => scenario.bake = time,
+                "drain-grace" => scenario.drain_grace = time,
+                "exposure-span" => scenario.exposure_span = time,
+                "warm-within" => scenario.warm_within = time,
+                "exposure-free" => scenario.exposure_free = *value,
+                "slack" => scenario.slack = *value,
+                "reported" => scenario.reported = value.min(1.0),
+                "retries" => scenario.retries = *value as u32,
+                _ => scenario.forward_only = *value > 0.0,
             }
         }
     }
 }
 
+/// Flags that say what is played.
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "What is played")]
-pub struct MatrixFlags {
+pub struct PlanFlags {
     /// Days: plain, bad-day, drawn or only:KIND, split by commas
     #[arg(
+        value_name = "DAYS",
         long = "days",
         env = "SPOKEFLOW_LAB_DAYS",
         value_delimiter = ',',
         default_value = "bad-day"
     )]
-    pub days: Vec<Which>,
+    pub scenarios: Vec<ScenarioChoice>,
     /// Seeds: one, or FIRST-LAST; repeated or split by commas
     #[arg(
         long,
@@ -156,20 +252,22 @@
     /// Changes of the terms, each usual or NAME=VALUE joined by +, split by commas; NAME is bake, drain-grace,
     /// exposure-span, warm-within (times in s), exposure-free, slack, reported, retries or forward-only
     #[arg(
-        long,
+        value_name = "TERMS",
+        long = "terms",
         env = "SPOKEFLOW_LAB_TERMS",
         value_delimiter = ',',
         default_value = "usual"
     )]
-    pub terms: Vec<Terms>,
-    /// StrategyKind decides: engine, random, round-robin, two-choices, full-sight; split by commas
+    pub overrides: Vec<ConfigOverrides>,
+    /// Who decides: engine, random, round-robin, two-choices, full-sight; split by commas
     #[arg(
-        long,
+        value_name = "WHO",
+        long = "who",
         env = "SPOKEFLOW_LAB_WHO",
         value_delimiter = ',',
         default_value = "engine,random,two-choices,full-sight"
     )]
-    pub who: Vec<StrategyKind>,
+    pub strategies: Vec<StrategyKind>,
     /// Seconds in which commands are sent
     #[arg(long, env = "SPOKEFLOW_LAB_SECONDS", default_value_t = 120)]
     pub seconds: u64,
@@ -178,123 +276,99 @@
     pub majority: bool,
 }
 
-/// One day to play.
+/// One run to play.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    pub day: String,
+    /// As [`ScenarioChoice`] shows itself.
+    pub scenario_name: String,
+    /// By which the scenario was made.
     pub seed: u64,
+    /// Name of the size.
     pub size: String,
-    pub terms: String,
-    pub who: StrategyKind,
+    /// As [`ConfigOverrides`] shows itself.
+    pub overrides: String,
+    /// Who decides.
+    pub strategy: StrategyKind,
+    /// The scenario itself, with its size and overrides.
     pub scenario: Scenario,
 }
 
 impl Cell {
-    /// By which a result is known again: of what it depends on nothing is left out but the program itself.
+    /// The key of this run's result in a store. It holds all that the result depends on but the program itself.
     pub fn key(&self) -> String {
-        let day = serde_json::to_string(&self.scenario).unwrap_or_default();
+        let scenario = serde_json::to_string(&self.scenario).unwrap_or_default();
         format!(
             "{}|{}|{}|{}|{}|{:016x}",
-            self.day,
+            self.scenario_name,
             self.size,
-            self.terms,
-            self.who,
+            self.overrides,
+            self.strategy,
             self.seed,
-            mix(&day)
+            fnv1a(scenario.as_bytes())
         )
     }
 }
 
-/// FNV-1a, 64 bits: tells days apart, not adversaries.
-pub fn mix(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
-        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+/// FNV-1a, 64 bits (Fowler, Noll and Vo; RFC 9923): tells texts apart that nobody chose to collide.
+pub(crate) fn fnv1a(bytes: &[u8]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
     })
 }
 
-impl MatrixFlags {
-    /// All days, in a stated order. Errors: a flag and what is wrong with it.
-    pub fn cells(&self) -> Result<Vec<Cell>, String> {
-        if self.seconds < 5 {
-            return Err("--seconds: at least 5".into());
+impl PlanFlags {
+    /// All runs: by scenario, then size, overrides, seed and strategy, each in the order of its flag.
+    ///
+    /// # Errors
+    /// The runs are too short, or a scenario cannot have a size.
+    pub fn cells(&self) -> Result<Vec<Cell>, PlanError> {
+        if self.seconds < LEAST_SECONDS {
+            return Err(PlanError::TooShort);
         }
-        let length = self.seconds as Micros * SECOND;
-        let seeds: Vec<u64> = self.seeds.iter().flat_map(|s| s.0..=s.1).collect();
         let mut cells = Vec::new();
-        for which in &self.days {
+        for choice in &self.scenarios {
             for size in &self.sizes {
-                for terms in &self.terms {
-                    for seed in &seeds {
-                        let mut scenario = which.day(*seed, length);
-                        let sized = SizeFlags {
-                            size: Some(*size),
-                            majority: self.majority,
-                            ..SizeFlags::default()
-                        };
-                        scenario = sized.apply(scenario)?;
-                        terms.apply(&mut scenario);
-                        for who in &self.who {
-                            cells.push(Cell {
-                                day: which.to_string(),
-                                seed: *seed,
-                                size: size
-                                    .to_possible_value()
-                                    .map_or_else(String::new, |v| v.get_name().into()),
-                                terms: terms.to_string(),
-                                who: *who,
-                                scenario: scenario.clone(),
-                            });
-                        }
+                for overrides in &self.overrides {
+                    for seed in self.seeds.iter().flat_map(|seeds| seeds.iter()) {
+                        cells.extend(self.cells_of(*choice, seed, *size, overrides)?);
                     }
                 }
             }
         }
         Ok(cells)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use clap::Parser;
-
-    #[derive(Parser)]
-    struct Program {
-        #[command(flatten)]
-        matrix: MatrixFlags,
-    }
-
-    #[test]
-    fn a_matrix_has_each_day_once_and_keys_tell_all_apart() {
-        let flags = [
-            "x",
-            "--days=plain,only:cut",
-            "--seeds=1-3,9",
-            "--terms=usual,bake=4s+slack=2",
-            "--who=engine,random",
-        ];
-        let cells = Program::parse_from(flags).matrix.cells().unwrap();
-        assert_eq!(cells.len(), 2 * 4 * 2 * 2);
-        let keys: std::collections::BTreeSet<String> = cells.iter().map(Cell::key).collect();
-        assert_eq!(keys.len(), cells.len());
-        let changed = cells.iter().find(|c| c.terms != "usual").unwrap();
-        assert_eq!(
-            (changed.scenario.bake, changed.scenario.slack),
-            (4 * SECOND, 2.0)
-        );
-    }
 
-    #[test]
-    fn wrong_words_are_named() {
-        assert!("quake".parse::<Which>().unwrap_err().contains("only:KIND"));
-        assert!("only:quake"
-            .parse::<Which>()
-            .unwrap_err()
-            .contains("router-roll"));
-        assert!("5-2".parse::<Seeds>().is_err() && "a".parse::<Seeds>().is_err());
-        assert!("baking=2"
-            .parse::<Terms>()
-            .unwrap_err()
-            .contains("drain-grace"));
+    /// The runs of one scenario, one by strategy.
+    fn cells_of(
+        &self,
+        choice: ScenarioChoice,
+        seed: u64,
+        size: FleetSize,
+        overrides: &ConfigOverrides,
+    ) -> Result<Vec<Cell>, PlanError> {
+        let length = self.seconds as Micros * SECOND;
+        let sized = SizeFlags {
+            size: Some(size),
+            majority: self.majority,
+            ..SizeFlags::default()
+        };
+        let mut scenario = sized
+            .apply(choice.scenario(seed, length))
+            .map_err(|error| PlanError::Size(error.to_string()))?;
+        overrides.apply(&mut scenario);
+        let size_name = size.to_possible_value();
+        let cell = |strategy: &StrategyKind| Cell {
+            scenario_name: choice.to_string(),
+            seed,
+            size: size_name
+                .as_ref()
+                .map_or_else(String::new, |value| value.get_name().into()),
+            overrides: overrides.to_string(),
+            strategy: *strategy,
+            scenario: scenario.clone(),
+        };
+        Ok(self.strategies.iter().map(cell).collect())
     }
 }
--- a/crates/spokeflow-experiments/src/sweep.rs
+++ b/crates/spokeflow-experiments/src/sweep.rs
@@ -8,7 +8,7 @@
 use spokeflow_simulator::play;
 
 use crate::charts;
-use crate::plan::Cell;
+use crate::plan::{fnv1a, Cell};
 use crate::store::{Store, Stored};
 use crate::tables;
 
@@ -17,9 +17,7 @@
     let bytes = std::env::current_exe()
         .and_then(std::fs::read)
         .unwrap_or_default();
-    let sum = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
-        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
-    });
+    let sum = fnv1a(&bytes);
     format!("{}-{:08x}", env!("CARGO_PKG_VERSION"), sum >> 32)
 }
 
@@ -86,10 +84,10 @@
         .map(|c| {
             (
                 (
-                    c.day.clone(),
+                    c.scenario_name.clone(),
                     c.size.clone(),
-                    c.terms.clone(),
-                    c.who.to_string(),
+                    c.overrides.clone(),
+                    c.strategy.to_string(),
                     c.seed,
                 ),
                 (),
@@ -113,16 +111,16 @@
 }
 
 pub fn one(cell: &Cell, build: &str) -> Stored {
-    let mut report = play(&cell.scenario, cell.who, true).report;
+    let mut report = play(&cell.scenario, cell.strategy, true).report;
     // Curves are for single days; a sweep would keep megabytes of them.
     report.over_time.clear();
     Stored {
         build: build.to_string(),
-        day: cell.day.clone(),
+        day: cell.scenario_name.clone(),
         seed: cell.seed,
         size: cell.size.clone(),
-        terms: cell.terms.clone(),
-        who: cell.who.to_string(),
+        terms: cell.overrides.clone(),
+        who: cell.strategy.to_string(),
         report,
     }
 }
