--- a/crates/spokeflow-experiments/src/commands/compare.rs
+++ b/crates/spokeflow-experiments/src/commands/compare.rs
@@ -88,13 +88,13 @@
         .iter()
         .map(|difference| {
             serde_json::json!({
-                "figure": difference.what,
+                "figure": difference.figure,
                 "days": difference.days,
                 "first": difference.first,
                 "second": difference.second,
                 "difference": difference.mean,
-                "from": difference.low,
-                "to": difference.high,
+                "from": difference.interval.low,
+                "to": difference.interval.high,
             })
         })
         .collect();
--- a/crates/spokeflow-experiments/src/commands/error.rs
+++ b/crates/spokeflow-experiments/src/commands/error.rs
@@ -4,7 +4,12 @@
 use std::io;
 use std::path::PathBuf;
 
+use spokeflow_experiments::capacity::CapacityError;
+use spokeflow_experiments::charts::ChartError;
+use spokeflow_experiments::compare::CompareError;
 use spokeflow_experiments::plan::PlanError;
+use spokeflow_experiments::store::StoreError;
+use spokeflow_experiments::sweep::SweepError;
 use thiserror::Error;
 
 /// Why a subcommand could not be executed: exit code 2.
@@ -19,9 +24,21 @@
     /// Fake peers, routers or loads failed, as their package says.
     #[error("{0}")]
     Testbed(String),
-    /// Results, tables or charts failed.
+    /// The store of results failed.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// Results could not be played or written out.
+    #[error(transparent)]
+    Sweep(#[from] SweepError),
+    /// A chart could not be written.
+    #[error(transparent)]
+    Chart(#[from] ChartError),
+    /// Two sides cannot be compared.
+    #[error(transparent)]
+    Compare(#[from] CompareError),
+    /// The load measurement of the capacity page failed.
     #[error("{0}")]
-    Results(String),
+    MeasureLoad(String),
     /// `--seconds` of `hunt` is below its least.
     #[error("--seconds: at least {0}")]
     TooShort(u64),
@@ -46,7 +63,7 @@
     },
     /// An input of the capacity page is wrong.
     #[error(transparent)]
-    Capacity(#[from] spokeflow_experiments::capacity::CapacityError),
+    Capacity(#[from] CapacityError),
     /// The report could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -69,10 +86,3 @@
         CommandError::Testbed(message.to_string())
     }
 }
-
-/// From the modules that still answer a message.
-impl From<String> for CommandError {
-    fn from(message: String) -> Self {
-        CommandError::Results(message)
-    }
-}
--- a/crates/spokeflow-experiments/src/commands/hunt.rs
+++ b/crates/spokeflow-experiments/src/commands/hunt.rs
@@ -9,7 +9,7 @@
 
 use super::{CommandError, Outcome};
 
-/// Shorter scenarios end before their faults do.
+/// Shortest scenario, in seconds in which commands are sent: drawn faults need time to show.
 const LEAST_SECONDS: u64 = 10;
 
 /// Flags of `hunt`.
--- a/crates/spokeflow-experiments/src/commands/report.rs
+++ b/crates/spokeflow-experiments/src/commands/report.rs
@@ -72,7 +72,7 @@
 fn print_broken(stored: &Stored) {
     println!(
         "{} seed {} size {} terms {} by {}",
-        stored.day, stored.seed, stored.size, stored.terms, stored.who
+        stored.scenario, stored.seed, stored.size, stored.overrides, stored.strategy
     );
     for broken in stored.report.broken.iter().take(BREAKS_SHOWN) {
         println!(
--- a/crates/spokeflow-experiments/src/commands/sweep.rs
+++ b/crates/spokeflow-experiments/src/commands/sweep.rs
@@ -38,12 +38,12 @@
     print!("{}", sweep::write_out(&results, &flags.out, &flags.name)?);
     let broken: Vec<&Stored> = results
         .iter()
-        .filter(|stored| stored.who == "engine" && !stored.report.broken.is_empty())
+        .filter(|stored| stored.strategy == "engine" && !stored.report.broken.is_empty())
         .collect();
     for stored in &broken {
         eprintln!(
             "a rule is broken: {} seed {} size {} terms {}",
-            stored.day, stored.seed, stored.size, stored.terms
+            stored.scenario, stored.seed, stored.size, stored.overrides
         );
     }
     Ok(Outcome::from_kept(broken.is_empty()))
--- a/crates/spokeflow-experiments/src/compare.rs
+++ b/crates/spokeflow-experiments/src/compare.rs
@@ -1,116 +1,191 @@
-//! Two ways to play the same days: paired differences, with the interval that holds their mean 95 times in 100.
+//! Two ways to play the same scenarios: paired differences, with the interval that holds their mean 95 times in 100.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use thiserror::Error;
 
 use crate::store::Stored;
 
+/// Column heads of [`rows`].
+pub const HEAD: [&str; 7] = [
+    "figure",
+    "days",
+    "first",
+    "second",
+    "difference",
+    "from",
+    "to",
+];
+
+/// Resamples of an interval, of which a hundred lie beyond each end.
+const RESAMPLES: usize = 4000;
+
+/// Of the resampled means, one in so many lies below the interval, and one above.
+const ONE_OUTSIDE_IN: usize = 40;
+
+/// Any fixed seed: the same differences give the same interval.
+const RESAMPLING_SEED: u64 = 7;
+
+/// Why two sides cannot be compared.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum CompareError {
+    /// They have not played the same scenarios.
+    #[error("{first} and {second} days, {common} of them the same")]
+    DifferentRuns {
+        /// Runs of the first side.
+        first: usize,
+        /// Runs of the second side.
+        second: usize,
+        /// Runs that both have.
+        common: usize,
+    },
+}
+
+/// A figure of both sides, and its mean difference: the second less the first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    pub what: &'static str,
+    /// Name of the figure.
+    pub figure: &'static str,
+    /// Pairs of runs.
     pub days: usize,
+    /// Mean of the first side.
     pub first: f64,
+    /// Mean of the second side.
     pub second: f64,
+    /// Mean difference.
     pub mean: f64,
+    /// The interval of the mean difference.
+    pub interval: Interval,
+}
+
+/// Bounds that hold a mean 95 times in 100.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Interval {
+    /// Lower bound.
     pub low: f64,
+    /// Upper bound.
     pub high: f64,
 }
 
-const DRAWS: usize = 4000;
-
-/// By drawing the pairs anew, from a fixed seed: differences of days are neither alike nor normal.
-fn interval(differences: &[f64]) -> (f64, f64) {
-    let mut rng = StdRng::seed_from_u64(7);
-    let n = differences.len();
-    let mut means: Vec<f64> = (0..DRAWS)
-        .map(|_| {
-            (0..n)
-                .map(|_| differences[rng.random_range(0..n)])
-                .sum::<f64>()
-                / n as f64
-        })
-        .collect();
-    means.sort_by(f64::total_cmp);
-    (means[DRAWS / 40], means[DRAWS - 1 - DRAWS / 40])
+impl Interval {
+    /// Of the mean of the differences, by the percentile bootstrap (Efron, 1979): differences of runs are neither
+    /// alike nor normal.
+    pub fn of_mean(differences: &[f64]) -> Self {
+        let mut rng = StdRng::seed_from_u64(RESAMPLING_SEED);
+        let count = differences.len();
+        let mut means: Vec<f64> = (0..RESAMPLES)
+            .map(|_| {
+                let resample = (0..count).map(|_| differences[rng.random_range(0..count)]);
+                resample.sum::<f64>() / count as f64
+            })
+            .collect();
+        means.sort_by(f64::total_cmp);
+        Interval {
+            low: means[RESAMPLES / ONE_OUTSIDE_IN],
+            high: means[RESAMPLES - 1 - RESAMPLES / ONE_OUTSIDE_IN],
+        }
+    }
 }
 
-type Figure = (&'static str, fn(&Stored) -> f64);
+/// A figure that is compared.
+struct Figure {
+    name: &'static str,
+    value: fn(&Stored) -> f64,
+}
 
 const FIGURES: [Figure; 6] = [
-    ("service", |s| s.report.service),
-    ("worst 10 s", |s| s.report.worst_ten_seconds),
-    ("p99 ms", |s| s.report.p99_ms),
-    ("good builds sent back", |s| f64::from(s.report.false_backs)),
-    ("bad builds missed", |s| f64::from(s.report.misses)),
-    ("rules broken", |s| s.report.broken.len() as f64),
+    Figure {
+        name: "service",
+        value: |stored| stored.report.service,
+    },
+    Figure {
+        name: "worst 10 s",
+        value: |stored| stored.report.worst_ten_seconds,
+    },
+    Figure {
+        name: "p99 ms",
+        value: |stored| stored.report.p99_ms,
+    },
+    Figure {
+        name: "good builds sent back",
+        value: |stored| f64::from(stored.report.false_backs),
+    },
+    Figure {
+        name: "bad builds missed",
+        value: |stored| f64::from(stored.report.misses),
+    },
+    Figure {
+        name: "rules broken",
+        value: |stored| stored.report.broken.len() as f64,
+    },
 ];
 
-/// The second less the first, day by day. Errors: they have not played the same days.
-pub fn compare(first: &[Stored], second: &[Stored]) -> Result<Vec<Difference>, String> {
-    let day = |s: &Stored| (s.day.clone(), s.size.clone(), s.seed);
-    let pairs: Vec<(&Stored, &Stored)> = first
+/// The same scenario, played by both sides.
+struct Pair<'a> {
+    first: &'a Stored,
+    second: &'a Stored,
+}
+
+/// The second less the first, run by run.
+///
+/// # Errors
+/// They have not played the same scenarios, or none.
+pub fn compare(first: &[Stored], second: &[Stored]) -> Result<Vec<Difference>, CompareError> {
+    let pairs: Vec<Pair> = first
         .iter()
-        .filter_map(|a| Some((a, second.iter().find(|b| day(b) == day(a))?)))
+        .filter_map(|first| {
+            let second = second.iter().find(|second| is_same_run(first, second))?;
+            Some(Pair { first, second })
+        })
         .collect();
     if pairs.len() != first.len() || pairs.len() != second.len() || pairs.is_empty() {
-        return Err(format!(
-            "{} and {} days, {} of them the same",
-            first.len(),
-            second.len(),
-            pairs.len()
-        ));
+        return Err(CompareError::DifferentRuns {
+            first: first.len(),
+            second: second.len(),
+            common: pairs.len(),
+        });
     }
-    let n = pairs.len() as f64;
-    let difference = |(what, of): &Figure| {
-        let differences: Vec<f64> = pairs.iter().map(|(a, b)| of(b) - of(a)).collect();
-        let (low, high) = interval(&differences);
+    let difference = |figure: &Figure| figure.difference(&pairs);
+    Ok(FIGURES.iter().map(difference).collect())
+}
+
+/// Strategies and overrides are what is compared.
+fn is_same_run(first: &Stored, second: &Stored) -> bool {
+    first.scenario == second.scenario && first.size == second.size && first.seed == second.seed
+}
+
+impl Figure {
+    fn difference(&self, pairs: &[Pair]) -> Difference {
+        let count = pairs.len() as f64;
+        let value = self.value;
+        let differences: Vec<f64> = pairs
+            .iter()
+            .map(|pair| value(pair.second) - value(pair.first))
+            .collect();
         Difference {
-            what,
+            figure: self.name,
             days: pairs.len(),
-            first: pairs.iter().map(|p| of(p.0)).sum::<f64>() / n,
-            second: pairs.iter().map(|p| of(p.1)).sum::<f64>() / n,
-            mean: differences.iter().sum::<f64>() / n,
-            low,
-            high,
+            first: pairs.iter().map(|pair| value(pair.first)).sum::<f64>() / count,
+            second: pairs.iter().map(|pair| value(pair.second)).sum::<f64>() / count,
+            mean: differences.iter().sum::<f64>() / count,
+            interval: Interval::of_mean(&differences),
         }
-    };
-    Ok(FIGURES.iter().map(difference).collect())
+    }
 }
 
-pub const HEAD: [&str; 7] = [
-    "figure",
-    "days",
-    "first",
-    "second",
-    "difference",
-    "from",
-    "to",
-];
-
-pub fn rows(all: &[Difference]) -> Vec<Vec<String>> {
-    let number = |n: f64| format!("{n:.4}");
-    let row = |d: &Difference| {
-        let figures = [d.first, d.second, d.mean, d.low, d.high].map(number);
-        [
-            vec![d.what.to_string(), d.days.to_string()],
-            figures.to_vec(),
+/// The differences as rows under [`HEAD`].
+pub fn rows(differences: &[Difference]) -> Vec<Vec<String>> {
+    let row = |difference: &Difference| {
+        let number = |value: f64| format!("{value:.4}");
+        vec![
+            difference.figure.to_string(),
+            difference.days.to_string(),
+            number(difference.first),
+            number(difference.second),
+            number(difference.mean),
+            number(difference.interval.low),
+            number(difference.interval.high),
         ]
-        .concat()
     };
-    all.iter().map(row).collect()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_interval_holds_the_mean_and_narrows_with_more_days() {
-        let few: Vec<f64> = (0..8).map(|n| f64::from(n) - 3.0).collect();
-        let many: Vec<f64> = (0..200).map(|n| f64::from(n % 8) - 3.0).collect();
-        let (few, many) = (interval(&few), interval(&many));
-        assert!(few.0 < 0.5 && few.1 > 0.5 && many.0 < 0.5 && many.1 > 0.5);
-        assert!(many.1 - many.0 < 0.5 * (few.1 - few.0));
-        assert_eq!(interval(&[0.25; 5]), (0.25, 0.25));
-    }
+    differences.iter().map(row).collect()
 }
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -101,7 +101,8 @@
             eprintln!("{} records", capacity::measure_bytes(&flags)?);
         }
         Command::MeasureLoad(flags) => {
-            eprintln!("{} records", capacity::measure_load(&flags)?);
+            let records = capacity::measure_load(&flags).map_err(CommandError::MeasureLoad)?;
+            eprintln!("{records} records");
         }
         Command::Load(flags) => load(&flags).map_err(CommandError::testbed)?,
         Command::Router(_) | Command::ControlPlane(_) => {
--- a/crates/spokeflow-experiments/src/plan.rs
+++ b/crates/spokeflow-experiments/src/plan.rs
@@ -11,7 +11,7 @@
 use spokeflow_simulator::StrategyKind;
 use thiserror::Error;
 
-/// A shorter scenario ends before its first answers are counted.
+/// Shortest scenario, in seconds in which commands are sent.
 const LEAST_SECONDS: u64 = 5;
 
 /// Largest value of an override, whatever its unit.
--- a/crates/spokeflow-experiments/src/store.rs
+++ b/crates/spokeflow-experiments/src/store.rs
@@ -1,120 +1,166 @@
-//! Results in an embedded store: each is written whole with its build, day and seed before the next is begun, so
-//! that a sweep killed half-way goes on where it was.
+//! Results in an embedded store: each is written whole with its build, scenario and seed before the next is begun,
+//! so that a sweep killed half-way goes on where it was.
 
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use serde::{Deserialize, Serialize};
 use spokeflow_scenario::report::Report;
+use thiserror::Error;
 
+/// From `BUILD|KEY` to a [`Stored`] as JSON.
 const RESULTS: TableDefinition<&str, &[u8]> = TableDefinition::new("results-1");
 
+/// What is wrong with a store.
+#[derive(Debug, Error)]
+pub enum StoreError {
+    /// The folder of the file cannot be made.
+    #[error("--store {}: {source}", file.display())]
+    Folder {
+        /// The store's file.
+        file: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file cannot be made, is in use or is no store.
+    #[error("--store {}: {source}", file.display())]
+    Open {
+        /// The store's file.
+        file: PathBuf,
+        /// What the database says.
+        source: redb::Error,
+    },
+    /// Reading or writing failed: the disk is full or fails, or the file is damaged.
+    #[error(transparent)]
+    Database(#[from] redb::Error),
+    /// A result cannot be written as JSON.
+    #[error(transparent)]
+    Encode(serde_json::Error),
+    /// A result is damaged or of another version.
+    #[error("result '{key}': {source}")]
+    Decode {
+        /// By which it is stored.
+        key: String,
+        /// What does not fit.
+        source: serde_json::Error,
+    },
+}
+
+/// A result with all that says how it came about.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Stored {
     /// The program that played it.
     pub build: String,
-    pub day: String,
+    /// Name of the scenario.
+    #[serde(rename = "day")]
+    pub scenario: String,
+    /// By which the scenario was made.
     pub seed: u64,
+    /// Name of the size.
     pub size: String,
-    pub terms: String,
-    pub who: String,
+    /// Changed settings, as written.
+    #[serde(rename = "terms")]
+    pub overrides: String,
+    /// Who decided.
+    #[serde(rename = "who")]
+    pub strategy: String,
+    /// What came of it, without the curves over time.
     pub report: Report,
 }
 
+/// An open store; the file is locked while it lives.
 pub struct Store {
-    db: Database,
-}
-
-/// In one line: what went wrong with which file.
-fn fault(file: &Path, what: impl std::fmt::Display) -> String {
-    format!("--store {}: {what}", file.display())
+    database: Database,
 }
 
 impl Store {
-    /// Errors: the file cannot be made or is no store.
-    pub fn open(file: &Path) -> Result<Store, String> {
-        if let Some(folder) = file.parent().filter(|f| !f.as_os_str().is_empty()) {
-            std::fs::create_dir_all(folder).map_err(|e| fault(file, e))?;
+    /// Opens the file, and makes it and its folder where they are missing.
+    ///
+    /// # Errors
+    /// The file cannot be made, is in use or is no store.
+    pub fn open(file: &Path) -> Result<Store, StoreError> {
+        if let Some(folder) = file
+            .parent()
+            .filter(|folder| !folder.as_os_str().is_empty())
+        {
+            std::fs::create_dir_all(folder).map_err(|source| StoreError::Folder {
+                file: file.to_path_buf(),
+                source,
+            })?;
         }
-        let db = Database::create(file).map_err(|e| fault(file, e))?;
-        let write = db.begin_write().map_err(|e| fault(file, e))?;
-        write.open_table(RESULTS).map_err(|e| fault(file, e))?;
-        write.commit().map_err(|e| fault(file, e))?;
-        Ok(Store { db })
+        let database = Store::create(file).map_err(|source| StoreError::Open {
+            file: file.to_path_buf(),
+            source,
+        })?;
+        Ok(Store { database })
+    }
+
+    fn create(file: &Path) -> Result<Database, redb::Error> {
+        let database = Database::create(file)?;
+        let transaction = database.begin_write()?;
+        transaction.open_table(RESULTS)?;
+        transaction.commit()?;
+        Ok(database)
     }
 
-    fn key(build: &str, key: &str) -> String {
+    fn row_key(build: &str, key: &str) -> String {
         format!("{build}|{key}")
     }
 
-    pub fn has(&self, build: &str, key: &str) -> Result<bool, String> {
-        let read = self.db.begin_read().map_err(|e| e.to_string())?;
-        let table = read.open_table(RESULTS).map_err(|e| e.to_string())?;
-        Ok(table
-            .get(Store::key(build, key).as_str())
-            .map_err(|e| e.to_string())?
-            .is_some())
+    /// Whether the build has a result of this key.
+    ///
+    /// # Errors
+    /// The store cannot be read.
+    pub fn has(&self, build: &str, key: &str) -> Result<bool, StoreError> {
+        Ok(self.has_row(&Store::row_key(build, key))?)
     }
 
-    /// On the disk when this returns. Errors: the disk is full or fails.
-    pub fn put(&self, key: &str, stored: &Stored) -> Result<(), String> {
-        let bytes = serde_json::to_vec(stored).map_err(|e| e.to_string())?;
-        let write = self.db.begin_write().map_err(|e| e.to_string())?;
-        {
-            let mut table = write.open_table(RESULTS).map_err(|e| e.to_string())?;
-            table
-                .insert(Store::key(&stored.build, key).as_str(), bytes.as_slice())
-                .map_err(|e| e.to_string())?;
-        }
-        write.commit().map_err(|e| e.to_string())
+    fn has_row(&self, row_key: &str) -> Result<bool, redb::Error> {
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(RESULTS)?;
+        Ok(table.get(row_key)?.is_some())
+    }
+
+    /// Writes a result; it is on the disk when this returns.
+    ///
+    /// # Errors
+    /// The disk is full or fails.
+    pub fn put(&self, key: &str, stored: &Stored) -> Result<(), StoreError> {
+        let bytes = serde_json::to_vec(stored).map_err(StoreError::Encode)?;
+        Ok(self.put_row(&Store::row_key(&stored.build, key), &bytes)?)
     }
 
-    /// All results in the order of their keys. Errors: the store is damaged or of another version.
-    pub fn all(&self) -> Result<Vec<Stored>, String> {
-        let read = self.db.begin_read().map_err(|e| e.to_string())?;
-        let table = read.open_table(RESULTS).map_err(|e| e.to_string())?;
-        let mut all = Vec::with_capacity(table.len().map_err(|e| e.to_string())? as usize);
-        for row in table.iter().map_err(|e| e.to_string())? {
-            let (key, value) = row.map_err(|e| e.to_string())?;
-            let stored = serde_json::from_slice(value.value());
-            all.push(stored.map_err(|e| format!("result '{}': {e}", key.value()))?);
+    fn put_row(&self, row_key: &str, bytes: &[u8]) -> Result<(), redb::Error> {
+        let transaction = self.database.begin_write()?;
+        {
+            let mut table = transaction.open_table(RESULTS)?;
+            table.insert(row_key, bytes)?;
         }
-        Ok(all)
+        transaction.commit()?;
+        Ok(())
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use spokeflow_scenario::scenario::Scenario;
-    use spokeflow_scenario::SECOND;
-    use spokeflow_simulator::{play, StrategyKind};
+    /// All results in the order of their keys.
+    ///
+    /// # Errors
+    /// The store is damaged or of another version.
+    pub fn all(&self) -> Result<Vec<Stored>, StoreError> {
+        self.decoded_rows()?.into_iter().collect()
+    }
 
-    #[test]
-    fn what_was_put_is_there_after_another_opening_and_damage_is_named() {
-        let file =
-            std::env::temp_dir().join(format!("spokeflow-store-{}.redb", std::process::id()));
-        let report = play(&Scenario::plain(1, 5 * SECOND), StrategyKind::Engine, false).report;
-        let text = |t: &str| t.to_string();
-        let stored = Stored {
-            build: text("b1"),
-            day: text("plain"),
-            seed: 1,
-            size: text("small"),
-            terms: text("usual"),
-            who: text("engine"),
-            report,
-        };
-        {
-            let store = Store::open(&file).unwrap();
-            assert!(!store.has("b1", "k").unwrap());
-            store.put("k", &stored).unwrap();
-            assert!(store.has("b1", "k").unwrap() && !store.has("b2", "k").unwrap());
+    fn decoded_rows(&self) -> Result<Vec<Result<Stored, StoreError>>, redb::Error> {
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(RESULTS)?;
+        let mut rows = Vec::with_capacity(table.len()? as usize);
+        for row in table.iter()? {
+            let (key, value) = row?;
+            let decoded = serde_json::from_slice(value.value());
+            rows.push(decoded.map_err(|source| StoreError::Decode {
+                key: key.value().to_string(),
+                source,
+            }));
         }
-        assert_eq!(Store::open(&file).unwrap().all().unwrap(), [stored]);
-        std::fs::write(&file, b"not a store").unwrap();
-        let fault = Store::open(&file).err().unwrap();
-        assert!(fault.starts_with("--store"), "{fault}");
-        std::fs::remove_file(&file).unwrap();
+        Ok(rows)
     }
 }
--- a/crates/spokeflow-experiments/src/sweep.rs
+++ b/crates/spokeflow-experiments/src/sweep.rs
@@ -1,16 +1,47 @@
-//! Plays many days on all cores, writes each result as it comes, and goes on where an earlier sweep was cut off.
+//! Plays many runs on all cores, writes each result as it comes, and goes on where an earlier sweep was cut off.
 
-use std::path::Path;
+use std::collections::BTreeSet;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 
 use indicatif::{ProgressBar, ProgressStyle};
 use spokeflow_simulator::play;
+use thiserror::Error;
 
-use crate::charts;
+use crate::charts::{self, ChartError};
 use crate::plan::{fnv1a, Cell};
-use crate::store::{Store, Stored};
-use crate::tables;
+use crate::store::{Store, StoreError, Stored};
+use crate::tables::{self, GroupKey, TableError};
+
+/// Results on their way to the store: enough that players do not wait for one write to the disk.
+const RESULTS_QUEUED: usize = 64;
+
+/// Without a terminal, a line tells of the progress after so many runs.
+const RUNS_BETWEEN_LINES: usize = 50;
+
+/// Why a sweep ended early, or its files were not written.
+#[derive(Debug, Error)]
+pub enum SweepError {
+    /// The store failed.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// A table could not be made.
+    #[error(transparent)]
+    Table(#[from] TableError),
+    /// A chart could not be written.
+    #[error(transparent)]
+    Chart(#[from] ChartError),
+    /// A table could not be written.
+    #[error("--out {}: {source}", folder.display())]
+    Out {
+        /// Where it was to go.
+        folder: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+}
 
 /// The program that plays: its version and a number of its text, so that results of two builds are told apart.
 pub fn own_build() -> String {
@@ -21,126 +52,157 @@
     format!("{}-{:08x}", env!("CARGO_PKG_VERSION"), sum >> 32)
 }
 
-/// Plays what the store does not have. Answers the results of these cells, in their order. Errors: the store.
+/// Plays what the store does not have. Answers the results of these cells, in the order of the store.
+///
+/// # Errors
+/// The store cannot be read or written.
 pub fn sweep(
     store: &Store,
     build: &str,
     cells: &[Cell],
     jobs: usize,
-) -> Result<Vec<Stored>, String> {
+) -> Result<Vec<Stored>, StoreError> {
     let mut missing = Vec::new();
-    for (n, cell) in cells.iter().enumerate() {
+    for cell in cells {
         if !store.has(build, &cell.key())? {
-            missing.push(n);
+            missing.push(cell);
+        }
+    }
+    let stored = cells.len() - missing.len();
+    if stored > 0 {
+        eprintln!("{stored} of {} days are in the store", cells.len());
+    }
+    let mut progress = Progress::new(cells.len(), stored);
+    let written = play_into(store, build, &missing, jobs, &mut progress);
+    progress.bar.finish_and_clear();
+    written?;
+    let wanted: BTreeSet<RunId> = cells.iter().map(RunId::of_cell).collect();
+    let mut results = store.all()?;
+    results.retain(|stored| stored.build == build && wanted.contains(&RunId::of_stored(stored)));
+    Ok(results)
+}
+
+/// What tells the runs of one build apart.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RunId {
+    group: GroupKey,
+    seed: u64,
+}
+
+impl RunId {
+    fn of_cell(cell: &Cell) -> Self {
+        RunId {
+            group: GroupKey {
+                scenario: cell.scenario_name.clone(),
+                size: cell.size.clone(),
+                overrides: cell.overrides.clone(),
+                strategy: cell.strategy.to_string(),
+            },
+            seed: cell.seed,
+        }
+    }
+
+    fn of_stored(stored: &Stored) -> Self {
+        RunId {
+            group: GroupKey::of(stored),
+            seed: stored.seed,
         }
     }
-    if missing.len() < cells.len() {
-        eprintln!(
-            "{} of {} days are in the store",
-            cells.len() - missing.len(),
-            cells.len()
-        );
+}
+
+/// A bar on a terminal, lines elsewhere.
+struct Progress {
+    bar: ProgressBar,
+    done: usize,
+    total: usize,
+}
+
+impl Progress {
+    fn new(total: usize, done: usize) -> Self {
+        let bar = ProgressBar::new(total as u64);
+        let template = "{pos} of {len} days, {elapsed} gone, {eta} left {wide_msg}";
+        if let Ok(style) = ProgressStyle::with_template(template) {
+            bar.set_style(style);
+        }
+        bar.set_position(done as u64);
+        Progress { bar, done, total }
     }
-    let bar = ProgressBar::new(cells.len() as u64);
-    if let Ok(style) =
-        ProgressStyle::with_template("{pos} of {len} days, {elapsed} gone, {eta} left {wide_msg}")
-    {
-        bar.set_style(style);
+
+    fn add_run(&mut self) {
+        self.bar.inc(1);
+        self.done += 1;
+        let line_is_due = self.done % RUNS_BETWEEN_LINES == 0 || self.done == self.total;
+        if self.bar.is_hidden() && line_is_due {
+            eprintln!("{} of {} days", self.done, self.total);
+        }
     }
-    bar.set_position((cells.len() - missing.len()) as u64);
+}
+
+/// Plays the cells on `jobs` threads and writes their results on this one, until all are written or a write fails.
+fn play_into(
+    store: &Store,
+    build: &str,
+    cells: &[&Cell],
+    jobs: usize,
+    progress: &mut Progress,
+) -> Result<(), StoreError> {
     let next = AtomicUsize::new(0);
-    let (to, from) = mpsc::sync_channel::<(usize, Stored)>(64);
-    let (mut written, mut quiet) = (Ok(()), cells.len() - missing.len());
-    std::thread::scope(|s| {
-        for _ in 0..jobs.clamp(1, missing.len().max(1)) {
-            let (to, next, missing) = (to.clone(), &next, &missing);
-            s.spawn(move || {
-                while let Some(&n) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    if to.send((n, one(&cells[n], build))).is_err() {
+    let (sender, receiver) = mpsc::sync_channel::<(&Cell, Stored)>(RESULTS_QUEUED);
+    std::thread::scope(|scope| {
+        for _ in 0..jobs.clamp(1, cells.len().max(1)) {
+            let sender = sender.clone();
+            let next = &next;
+            scope.spawn(move || {
+                while let Some(cell) = cells.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    if sender.send((cell, play_cell(cell, build))).is_err() {
                         return;
                     }
                 }
             });
         }
-        drop(to);
-        for (n, stored) in &from {
-            written = store.put(&cells[n].key(), &stored);
-            if written.is_err() {
-                break;
-            }
-            bar.inc(1);
-            quiet += 1;
-            if bar.is_hidden() && (quiet % 50 == 0 || quiet == cells.len()) {
-                eprintln!("{quiet} of {} days", cells.len());
-            }
+        // The receiver ends when the last player has dropped its own.
+        drop(sender);
+        // By value: after a failed write it is dropped, and the players find nobody to send to and end.
+        for (cell, stored) in receiver {
+            store.put(&cell.key(), &stored)?;
+            progress.add_run();
         }
-        // Those that still play find nobody to hand their result to, and end.
-        drop(from);
-    });
-    bar.finish_and_clear();
-    written?;
-    let wanted: std::collections::BTreeMap<_, _> = cells
-        .iter()
-        .map(|c| {
-            (
-                (
-                    c.scenario_name.clone(),
-                    c.size.clone(),
-                    c.overrides.clone(),
-                    c.strategy.to_string(),
-                    c.seed,
-                ),
-                (),
-            )
-        })
-        .collect();
-    let all = store.all()?;
-    let of = |s: &Stored| {
-        (
-            s.day.clone(),
-            s.size.clone(),
-            s.terms.clone(),
-            s.who.clone(),
-            s.seed,
-        )
-    };
-    Ok(all
-        .into_iter()
-        .filter(|s| s.build == build && wanted.contains_key(&of(s)))
-        .collect())
+        Ok(())
+    })
 }
 
-pub fn one(cell: &Cell, build: &str) -> Stored {
+fn play_cell(cell: &Cell, build: &str) -> Stored {
     let mut report = play(&cell.scenario, cell.strategy, true).report;
-    // Curves are for single days; a sweep would keep megabytes of them.
+    // Curves are for single runs; a sweep would keep megabytes of them.
     report.over_time.clear();
     Stored {
         build: build.to_string(),
-        day: cell.scenario_name.clone(),
+        scenario: cell.scenario_name.clone(),
         seed: cell.seed,
         size: cell.size.clone(),
-        terms: cell.overrides.clone(),
-        who: cell.strategy.to_string(),
+        overrides: cell.overrides.clone(),
+        strategy: cell.strategy.to_string(),
         report,
     }
 }
 
-/// Tables and charts of results into a folder. Answers the table as text. Errors: a file cannot be written.
-pub fn write_out(all: &[Stored], folder: &Path, name: &str) -> Result<String, String> {
-    let fault = |e: std::io::Error| format!("--out {}: {e}", folder.display());
-    std::fs::create_dir_all(folder).map_err(fault)?;
-    let groups = tables::groups(all);
-    let (head, rows) = (tables::head(), tables::rows(&groups));
-    std::fs::write(
-        folder.join(format!("{name}.md")),
-        tables::markdown(&head, &rows),
-    )
-    .map_err(fault)?;
-    std::fs::write(
-        folder.join(format!("{name}.csv")),
-        tables::comma(&head, &rows)?,
-    )
-    .map_err(fault)?;
+/// Writes tables and charts of results into a folder: `name.md`, `name.csv`, `name.svg` and `name.png`. Answers
+/// the table as text.
+///
+/// # Errors
+/// A file cannot be written.
+pub fn write_out(results: &[Stored], folder: &Path, name: &str) -> Result<String, SweepError> {
+    let out_error = |source| SweepError::Out {
+        folder: folder.to_path_buf(),
+        source,
+    };
+    std::fs::create_dir_all(folder).map_err(out_error)?;
+    let groups = tables::groups(results);
+    let rows = tables::rows(&groups);
+    let markdown = tables::markdown(&tables::HEAD, &rows);
+    std::fs::write(folder.join(format!("{name}.md")), markdown).map_err(out_error)?;
+    let csv = tables::comma_separated(&tables::HEAD, &rows)?;
+    std::fs::write(folder.join(format!("{name}.csv")), csv).map_err(out_error)?;
     charts::services(folder, name, &groups)?;
-    Ok(tables::text(&head, &rows))
+    Ok(tables::text(&tables::HEAD, &rows))
 }
