--- a/crates/spokeflow-experiments/src/agree.rs
+++ b/crates/spokeflow-experiments/src/agree.rs
@@ -1,12 +1,8 @@
-//! How far a day in simulated time agrees with the same day on sockets.
+//! How far a run in simulated time agrees with the same run on sockets.
 
-use spokeflow_scenario::report::Report;
-
-pub struct Pair {
-    pub sockets: Report,
-    pub simulated: Report,
-}
+use spokeflow_scenario::report::{BuildSummary, Report};
 
+/// Column heads of [`rows`].
 pub const HEAD: [&str; 10] = [
     "day",
     "seed",
@@ -20,66 +16,118 @@
     "builds",
 ];
 
-fn both(sockets: String, simulated: String) -> String {
-    format!("{sockets} / {simulated}")
+/// Reports of the same scenario, played both ways.
+pub struct Pair {
+    /// With real routers.
+    pub sockets: Report,
+    /// By the engines alone.
+    pub simulated: Report,
 }
 
-/// Sockets before, simulated after the stroke; the last row holds the mean differences, simulated less sockets.
+/// A figure of a report, with the digits that are shown of it.
+struct Figure {
+    value: fn(&Report) -> f64,
+    digits: usize,
+}
+
+/// In the order of their columns.
+const FIGURES: [Figure; 6] = [
+    Figure {
+        value: |report| report.service,
+        digits: 3,
+    },
+    Figure {
+        value: |report| percent(report.acked, report),
+        digits: 1,
+    },
+    Figure {
+        value: |report| percent(report.nacked, report),
+        digits: 1,
+    },
+    Figure {
+        value: |report| percent(lost(report), report),
+        digits: 1,
+    },
+    Figure {
+        value: |report| report.p50_ms,
+        digits: 0,
+    },
+    Figure {
+        value: |report| report.p99_ms,
+        digits: 0,
+    },
+];
+
+fn percent(part: u64, report: &Report) -> f64 {
+    100.0 * part as f64 / report.commands.max(1) as f64
+}
+
+/// Commands without an answer.
+fn lost(report: &Report) -> u64 {
+    report.failed + report.given_up + report.unreachable
+}
+
+/// Rows under [`HEAD`], sockets before and simulated after the stroke; the last holds the mean differences, simulated
+/// less sockets.
 pub fn rows(pairs: &[Pair]) -> Vec<Vec<String>> {
-    let percent = |n: u64, r: &Report| 100.0 * n as f64 / r.commands.max(1) as f64;
-    let lost = |r: &Report| r.failed + r.given_up + r.unreachable;
-    let builds = |r: &Report| {
-        let end = |b: &spokeflow_scenario::report::BuildSummary| {
-            let after = b.after_s.map(|s| format!(" {s:.0} s")).unwrap_or_default();
-            let end = if b.end.starts_with("taken") {
-                "taken off"
-            } else {
-                b.end.as_str()
-            };
-            format!("{end}{after}")
-        };
-        r.builds.iter().map(end).collect::<Vec<_>>().join(", ")
-    };
-    type Figure<'a> = Box<dyn Fn(&Report) -> f64 + 'a>;
-    let figures: Vec<(Figure, usize)> = vec![
-        (Box::new(|r| r.service), 3),
-        (Box::new(|r| percent(r.acked, r)), 1),
-        (Box::new(|r| percent(r.nacked, r)), 1),
-        (Box::new(|r| percent(lost(r), r)), 1),
-        (Box::new(|r| r.p50_ms), 0),
-        (Box::new(|r| r.p99_ms), 0),
+    let mut rows: Vec<Vec<String>> = pairs.iter().map(row).collect();
+    rows.push(mean_row(pairs));
+    rows
+}
+
+fn row(pair: &Pair) -> Vec<String> {
+    let Pair { sockets, simulated } = pair;
+    let mut row = vec![
+        sockets.scenario.clone(),
+        sockets.seed.to_string(),
+        format!("{} / {}", sockets.commands, simulated.commands),
     ];
-    let mut rows: Vec<Vec<String>> = pairs
-        .iter()
-        .map(|p| {
-            let (a, b) = (&p.sockets, &p.simulated);
-            let mut row = vec![a.scenario.clone(), a.seed.to_string()];
-            row.push(both(a.commands.to_string(), b.commands.to_string()));
-            row.extend(
-                figures
-                    .iter()
-                    .map(|(f, n)| both(format!("{:.n$}", f(a)), format!("{:.n$}", f(b)))),
-            );
-            row.push(both(builds(a), builds(b)));
-            row
-        })
-        .collect();
-    let n = pairs.len().max(1) as f64;
-    let mut mean = vec!["mean difference".to_string(), String::new(), String::new()];
-    for (f, digits) in &figures {
-        let d = pairs
+    row.extend(FIGURES.iter().map(|Figure { value, digits }| {
+        format!(
+            "{:.digits$} / {:.digits$}",
+            value(sockets),
+            value(simulated)
+        )
+    }));
+    row.push(format!("{} / {}", builds(sockets), builds(simulated)));
+    row
+}
+
+/// How each build ended, and after how many seconds.
+fn builds(report: &Report) -> String {
+    let ends: Vec<String> = report.builds.iter().map(build_end).collect();
+    ends.join(", ")
+}
+
+fn build_end(build: &BuildSummary) -> String {
+    let after = build
+        .after_s
+        .map(|seconds| format!(" {seconds:.0} s"))
+        .unwrap_or_default();
+    let end = if build.end.starts_with("taken") {
+        "taken off"
+    } else {
+        build.end.as_str()
+    };
+    format!("{end}{after}")
+}
+
+fn mean_row(pairs: &[Pair]) -> Vec<String> {
+    let count = pairs.len().max(1) as f64;
+    let mut row = vec!["mean difference".to_string(), String::new(), String::new()];
+    for Figure { value, digits } in &FIGURES {
+        let differences: Vec<f64> = pairs
             .iter()
-            .map(|p| f(&p.simulated) - f(&p.sockets))
-            .sum::<f64>()
-            / n;
-        let size = pairs
+            .map(|pair| value(&pair.simulated) - value(&pair.sockets))
+            .collect();
+        let mean = differences.iter().sum::<f64>() / count;
+        let size = differences
             .iter()
-            .map(|p| (f(&p.simulated) - f(&p.sockets)).abs())
+            .map(|difference| difference.abs())
             .sum::<f64>()
-            / n;
-        mean.push(format!("{d:+.digits$} (size {size:.digits$})"));
+            / count;
+        row.push(format!("{mean:+.digits$} (size {size:.digits$})"));
     }
-    mean.push(String::new());
-    rows.push(mean);
-    rows
+    row.push(String::new());
+    row
 }
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -10,7 +10,7 @@
     RunFlags, SweepFlags,
 };
 use spokeflow_control_plane::ControlPlaneProgram;
-use spokeflow_experiments::{agreement, alone, capacity};
+use spokeflow_experiments::{agreement, capacity, solo_evidence};
 use spokeflow_router::RouterProgram;
 use spokeflow_testbed::load::{load, LoadFlags};
 
@@ -42,7 +42,7 @@
     /// Tables and charts of a store
     Report(ReportFlags),
     /// What routers that each judge alone could know of a build at best, and one that hears all of them
-    Alone(alone::AloneFlags),
+    Alone(solo_evidence::SoloEvidenceFlags),
     /// Prints what a target costs in each role, computed from measured lines, as a page in Markdown
     Capacity(capacity::CapacityFlags),
     /// Makes the measured lines that `capacity` reads from the raw runs of a folder
@@ -92,7 +92,7 @@
         Command::Agreement(flags) => {
             return Ok(Outcome::from_kept(agreement::agreement(&flags)));
         }
-        Command::Alone(flags) => print!("{}", alone::text(&flags)),
+        Command::Alone(flags) => print!("{}", solo_evidence::text(&flags)),
         Command::Capacity(flags) => print!("{}", capacity::capacity(&flags)?),
         Command::CollectSlopes(flags) => {
             eprintln!("{} lines", capacity::collect_slopes(&flags)?);
