--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -35,7 +35,7 @@
 use crate::transport::PlatformTransport;
 use crate::upstream::UpstreamConfig;
 
-/// Events that wait for the engine at most; a task whose event finds no room waits, and so does its peer.
+/// Events that wait for the engine at most; a task whose event finds the queue full waits, and so does its peer.
 const EVENT_QUEUE: usize = 4096;
 /// Numbers of the connections that back off, each with a generator of its own.
 const DISCOVERY_PEER: u64 = 0;
@@ -70,7 +70,7 @@
     },
 }
 
-/// What the tasks are started with that follow discovery and the release controller.
+/// What is shared by the tasks that follow discovery and the release controller.
 struct Sources {
     discovery: watch::Receiver<SocketAddr>,
     controller: watch::Receiver<SocketAddr>,
--- a/crates/spokeflow-router/src/migrate/check.rs
+++ b/crates/spokeflow-router/src/migrate/check.rs
@@ -117,7 +117,7 @@
     Ok(flags)
 }
 
-/// Parses one argument by itself: what is required beside it is not its fault. Errors: the parser's first line.
+/// Parses one argument by itself: what is required beside X. Errors: the parser's first line.
 fn check_argument(command: &Command, argument: &str) -> Result<(), String> {
     let matches = command.clone().try_get_matches_from([PROGRAM, argument]);
     match matches {
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -32,7 +32,7 @@
 use crate::transport::RouterTransport;
 use crate::RouterFlags;
 
-/// Events that wait for the engine at most; a task whose event finds no room waits, and so does its peer.
+/// Events that wait for the engine at most; a task whose event finds the queue full waits, and so does its peer.
 const EVENT_QUEUE: usize = 4096;
 /// Events taken in at one go, so that time is looked at often enough.
 const EVENTS_PER_BATCH: usize = 256;
