--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -257,14 +257,14 @@
             eprintln!("{records} records");
             true
         }),
-        What::Load(flags) => load(&flags).map(|()| true),
+        What::Load(flags) => load(&flags).map(|()| true).map_err(|e| e.to_string()),
         What::Pass { host } => {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build();
             let passed = runtime
                 .map_err(|e| e.to_string())
-                .and_then(|r| r.block_on(pass_through(&host)));
+                .and_then(|r| r.block_on(pass_through(&host)).map_err(|e| e.to_string()));
             passed.map(|()| true)
         }
     };
--- /dev/null
+++ b/crates/spokeflow-testbed/src/commands/pass.rs
@@ -0,0 +1,33 @@
+//! `pass`: the pass-through of the load, as a process of its own.
+
+use std::error::Error;
+use std::net::SocketAddr;
+use std::process::ExitCode;
+
+use clap::Args;
+use spokeflow_testbed::load::pass_through;
+
+/// Flags of `pass`.
+#[derive(Args)]
+pub(crate) struct PassFlags {
+    /// Address of a host; repeatable
+    #[arg(long)]
+    host: Vec<SocketAddr>,
+}
+
+/// Runs until it fails. Its exit code is that of a failure, not of wrong use.
+pub(crate) fn run_pass_through(flags: &PassFlags) -> ExitCode {
+    let run = || -> Result<(), Box<dyn Error>> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        Ok(runtime.block_on(pass_through(&flags.host))?)
+    };
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("spokeflow-testbed: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
