--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -1,75 +1,98 @@
-//! What troubles do to links, list, desk and clients while they last. What they do to hosts and routers is for
-//! whoever plays the day.
+//! What faults do to links, host list, release controller and clients while they last. What they do to hosts and
+//! routers is for whoever plays the run.
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::{Micros, MS, SECOND};
 
-/// Which links a cut or a slow way concerns.
+/// What the link between two sites carries; a cut may concern one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
+    /// Commands between routers and hosts.
     Hosts,
+    /// News of the host list and the release controller.
     ControlSite,
 }
 
-/// The site that list and desk stand in.
+/// The site of the host list and the release controller.
 pub const CONTROL_SITE: u16 = 0;
-/// One way between two sites.
+/// The delay one way between two sites.
 pub const BETWEEN_SITES: Micros = 2 * MS;
 /// How long a lost packet waits to be sent again.
 pub const RESENT_AFTER: Micros = 200 * MS;
 
+/// The faults that are active now; zero, false or none where one is not.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
+    /// The site cut off from the hosts of others.
     pub cut_hosts: Option<u16>,
+    /// The site cut off from the host list and the release controller.
     pub cut_control_site: Option<u16>,
+    /// A site whose links are slower, and by how much.
     pub slow_link: Option<(u16, Micros)>,
+    /// How much longer a connection takes to make.
     pub slow_connects: Micros,
+    /// The release controller does nothing.
     pub stalled_controller: bool,
+    /// The release controller refuses connections.
     pub refusing_controller: bool,
+    /// How much later the release controller's news come.
     pub controller_delay: Micros,
+    /// How much later the host list learns.
     pub list_delay: Micros,
+    /// The host list closes its connections.
     pub list_breaks: bool,
+    /// Part of the traffic that moves to one site.
     pub shift: f64,
+    /// How much more one tenant sends, as a part of its quota.
     pub worthless: f64,
+    /// After which part of their timeout hasty clients leave, 0 for none.
     pub give_up: f64,
+    /// Further retries of a client.
     pub repeats: f64,
+    /// Part of the traffic about one key.
     pub hot_key: f64,
     /// Part of the packets that are lost.
     pub loss: f64,
 }
 
 impl ActiveFaults {
-    /// Fault `n` of the day begins. `false`: it concerns hosts, routers or builds.
-    pub fn begin(&mut self, day: &Scenario, n: usize, trouble: &Fault) -> bool {
+    /// Fault `n` of the run begins. Returns false where it concerns hosts, routers or builds.
+    pub fn begin(&mut self, day: &Scenario, n: usize, fault: &Fault) -> bool {
         let site = (n as u64 + day.seed) as u16 % day.sites;
-        let seconds = (trouble.size * SECOND as f64) as Micros;
-        match trouble.kind {
-            FaultKind::Cut => (self.cut_hosts, self.cut_control_site) = (Some(site), Some(site)),
+        let seconds = (fault.size * SECOND as f64) as Micros;
+        match fault.kind {
+            FaultKind::Cut => {
+                self.cut_hosts = Some(site);
+                self.cut_control_site = Some(site);
+            }
             // The list's own site cut off leaves every other router without news.
             FaultKind::CutList => self.cut_control_site = Some(CONTROL_SITE),
             FaultKind::CutHosts => self.cut_hosts = Some(site),
             FaultKind::SlowLink => self.slow_link = Some((site, seconds)),
-            FaultKind::LossyLinks => self.loss = trouble.size.clamp(0.0, 0.9),
+            FaultKind::LossyLinks => self.loss = fault.size.clamp(0.0, 0.9),
             FaultKind::SlowConnects => self.slow_connects = seconds,
             FaultKind::StalledController => self.stalled_controller = true,
             FaultKind::RefusingController => self.refusing_controller = true,
             FaultKind::LateController => self.controller_delay = seconds,
             FaultKind::LateList => self.list_delay = seconds,
             FaultKind::ListBreaks => self.list_breaks = true,
-            FaultKind::Shift => self.shift = trouble.size.clamp(0.0, 1.0),
-            FaultKind::Worthless => self.worthless = trouble.size,
-            FaultKind::GiveUp => self.give_up = trouble.size.clamp(0.0, 1.0),
-            FaultKind::RepeatStorm => self.repeats = trouble.size,
-            FaultKind::HotKey => self.hot_key = trouble.size.clamp(0.0, 1.0),
+            FaultKind::Shift => self.shift = fault.size.clamp(0.0, 1.0),
+            FaultKind::Worthless => self.worthless = fault.size,
+            FaultKind::GiveUp => self.give_up = fault.size.clamp(0.0, 1.0),
+            FaultKind::RepeatStorm => self.repeats = fault.size,
+            FaultKind::HotKey => self.hot_key = fault.size.clamp(0.0, 1.0),
             _ => return false,
         }
         true
     }
 
-    /// `others`: troubles that still last, so that two of a kind which overlap end with the later one.
-    pub fn end(&mut self, day: &Scenario, trouble: &Fault, others: &[(usize, Fault)]) {
-        match trouble.kind {
-            FaultKind::Cut => (self.cut_hosts, self.cut_control_site) = (None, None),
+    /// A fault ends. `others` are those that still last, so that two of a kind which overlap end with the later one.
+    pub fn end(&mut self, day: &Scenario, fault: &Fault, others: &[(usize, Fault)]) {
+        match fault.kind {
+            FaultKind::Cut => {
+                self.cut_hosts = None;
+                self.cut_control_site = None;
+            }
             FaultKind::CutList => self.cut_control_site = None,
             FaultKind::CutHosts => self.cut_hosts = None,
             FaultKind::SlowLink => self.slow_link = None,
@@ -93,18 +116,19 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn delay(&self, a: u16, b: u16, way: LinkDirection) -> Option<Micros> {
-        let cut = if way == LinkDirection::Hosts {
-            self.cut_hosts
-        } else {
-            self.cut_control_site
+    pub fn delay(&self, from: u16, to: u16, direction: LinkDirection) -> Option<Micros> {
+        if from == to {
+            return Some(0);
+        }
+        let touches = |site: u16| site == from || site == to;
+        let cut = match direction {
+            LinkDirection::Hosts => self.cut_hosts,
+            LinkDirection::ControlSite => self.cut_control_site,
         };
-        if a != b && cut.is_some_and(|site| site == a || site == b) {
+        if cut.is_some_and(touches) {
             return None;
         }
-        let slow = self
-            .slow_link
-            .filter(|(site, _)| a != b && (*site == a || *site == b));
-        Some(if a == b { 0 } else { BETWEEN_SITES } + slow.map_or(0, |s| s.1))
+        let slow = self.slow_link.filter(|(site, _)| touches(*site));
+        Some(BETWEEN_SITES + slow.map_or(0, |(_, delay)| delay))
     }
 }
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -1,6 +1,7 @@
 //! A day as flags and environment variables: the same words for sockets and for simulated time.
 
 use clap::{Args, ValueEnum};
+use thiserror::Error;
 
 use crate::scenario::{Build, CancelPolicy, Fault, FaultKind, FleetSize, Scenario};
 use crate::{Micros, SECOND};
@@ -17,12 +18,14 @@
 }
 
 impl BuiltInScenario {
+    /// As it is written in a flag.
     pub fn name(self) -> String {
         self.to_possible_value()
             .map_or_else(String::new, |v| v.get_name().to_string())
     }
 }
 
+/// The flags that describe a run.
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "The day")]
 pub struct ScenarioFlags {
@@ -56,10 +59,12 @@
     /// Neither troubles nor builds but those of --script and --build
     #[arg(long, env = "SPOKEFLOW_DAY_BARE")]
     pub bare: bool,
+    /// Size and habits.
     #[command(flatten)]
     pub size: SizeFlags,
 }
 
+/// The flags for the size of a run and the habits of its clients and hosts.
 #[derive(Clone, Debug, Default, Args)]
 #[command(next_help_heading = "Its size and habits")]
 pub struct SizeFlags {
@@ -110,6 +115,7 @@
     pub cancel: Option<CancelFlag>,
 }
 
+/// [`CancelPolicy`] as a flag's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum CancelFlag {
     /// Drops it wherever it is
@@ -120,70 +126,152 @@
     Ignored,
 }
 
+/// A value that a flag does not take.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum ScenarioFlagError {
+    /// There must be one.
+    #[error("{flag}: at least {least}")]
+    TooSmall {
+        /// The flag.
+        flag: &'static str,
+        /// Its least value.
+        least: u64,
+    },
+    /// Zero, less, or not finite.
+    #[error("{flag}: more than 0")]
+    NotPositive {
+        /// The flag.
+        flag: &'static str,
+    },
+    /// Beyond what makes sense.
+    #[error("{flag}: 0 to {most}")]
+    OutOfRange {
+        /// The flag.
+        flag: &'static str,
+        /// Its greatest value.
+        most: f64,
+    },
+    /// Builds must be given in the order of their offers.
+    #[error("--build: numbers and times must rise")]
+    BuildsOutOfOrder,
+}
+
+/// For programs that show a refused flag as text.
+impl From<ScenarioFlagError> for String {
+    fn from(error: ScenarioFlagError) -> String {
+        error.to_string()
+    }
+}
+
+/// The shortest run, in seconds.
+const SHORTEST: u64 = 5;
+/// Rates closer than this are the same.
+const SAME_RATE: f64 = 1e-9;
+
+fn at_least(flag: &'static str, least: u64, value: u64) -> Result<(), ScenarioFlagError> {
+    if value < least {
+        return Err(ScenarioFlagError::TooSmall { flag, least });
+    }
+    Ok(())
+}
+
+/// Puts the flag's value in place of the scenario's.
+fn override_within(
+    flag: &'static str,
+    value: Option<f64>,
+    most: f64,
+    target: &mut f64,
+) -> Result<(), ScenarioFlagError> {
+    let Some(value) = value else {
+        return Ok(());
+    };
+    if !(0.0..=most).contains(&value) {
+        return Err(ScenarioFlagError::OutOfRange { flag, most });
+    }
+    *target = value;
+    Ok(())
+}
+
 impl SizeFlags {
-    /// Errors: a flag and what is wrong with it.
-    pub fn apply(&self, mut day: Scenario) -> Result<Scenario, String> {
+    /// The scenario at this size and with these habits.
+    ///
+    /// # Errors
+    /// Names the first flag with a value it does not take.
+    pub fn apply(&self, mut day: Scenario) -> Result<Scenario, ScenarioFlagError> {
         if let Some(size) = self.size {
             day = day.sized(size);
         }
-        let at_least_one =
-            |flag: &str, n: u64| (n > 0).then_some(()).ok_or(format!("{flag}: at least 1"));
-        at_least_one("--routers", self.routers.unwrap_or(1).into())?;
-        at_least_one("--hosts", self.hosts.unwrap_or(1).into())?;
-        at_least_one("--sites", self.sites.unwrap_or(1).into())?;
-        at_least_one("--cores", self.cores.unwrap_or(1).into())?;
+        at_least("--routers", 1, self.routers.unwrap_or(1).into())?;
+        at_least("--hosts", 1, self.hosts.unwrap_or(1).into())?;
+        at_least("--sites", 1, self.sites.unwrap_or(1).into())?;
+        at_least("--cores", 1, self.cores.unwrap_or(1).into())?;
         day.routers = self.routers.unwrap_or(day.routers);
         day.sites = self.sites.unwrap_or(day.sites);
-        let (hosts, cores) = (
-            self.hosts.unwrap_or(day.hosts),
-            self.cores.unwrap_or(day.cores),
-        );
-        let able = |hosts: u32, cores: u32| f64::from(hosts) * f64::from(cores);
-        let grown = day.rate * able(hosts, cores) / able(day.hosts, day.cores);
+        self.apply_capacity(&mut day)?;
+        if self.majority {
+            day = day.by_majority();
+        }
+        self.apply_habits(&mut day)?;
+        Ok(day)
+    }
+
+    /// Hosts, cores, and the rate that goes with them.
+    fn apply_capacity(&self, day: &mut Scenario) -> Result<(), ScenarioFlagError> {
+        let hosts = self.hosts.unwrap_or(day.hosts);
+        let cores = self.cores.unwrap_or(day.cores);
+        let capacity = |hosts: u32, cores: u32| f64::from(hosts) * f64::from(cores);
+        let grown = day.rate * capacity(hosts, cores) / capacity(day.hosts, day.cores);
         let rate = self.rate.unwrap_or(grown);
         if !(rate > 0.0 && rate.is_finite()) {
-            return Err("--rate: more than 0".into());
+            return Err(ScenarioFlagError::NotPositive { flag: "--rate" });
         }
-        (day.hosts, day.cores) = (hosts, cores);
-        if (rate - day.rate).abs() > 1e-9 {
+        day.hosts = hosts;
+        day.cores = cores;
+        if (rate - day.rate).abs() > SAME_RATE {
             day.at_rate(rate);
         }
-        if self.majority {
-            day = day.by_majority();
-        }
-        let not_negative = |flag: &str, n: Option<f64>, most: f64| match n {
-            Some(n) if !(0.0..=most).contains(&n) => Err(format!("{flag}: 0 to {most}")),
-            n => Ok(n),
-        };
-        day.burst = not_negative("--burst", self.burst, 100.0)?.unwrap_or(day.burst);
-        day.thrash = not_negative("--thrash", self.thrash, 10.0)?.unwrap_or(day.thrash);
-        day.miss_cost =
-            not_negative("--miss-cost", self.miss_cost, 100.0)?.unwrap_or(day.miss_cost);
-        day.key_skew = not_negative("--key-skew", self.key_skew, 10.0)?.unwrap_or(day.key_skew);
-        day.steal = not_negative("--steal", self.steal, 1.0)?.unwrap_or(day.steal);
+        Ok(())
+    }
+
+    /// How clients and hosts behave.
+    fn apply_habits(&self, day: &mut Scenario) -> Result<(), ScenarioFlagError> {
+        override_within("--burst", self.burst, 100.0, &mut day.burst)?;
+        override_within("--thrash", self.thrash, 10.0, &mut day.thrash)?;
+        override_within("--miss-cost", self.miss_cost, 100.0, &mut day.miss_cost)?;
+        override_within("--key-skew", self.key_skew, 10.0, &mut day.key_skew)?;
+        override_within("--steal", self.steal, 1.0, &mut day.steal)?;
         day.cache_keys = self.cache_keys.unwrap_or(day.cache_keys);
         day.neighbours = self.neighbours.unwrap_or(day.neighbours);
-        if let Some(cancel) = self.cancel {
-            day.cancel = match cancel {
-                CancelFlag::Stops => CancelPolicy::Stops,
-                CancelFlag::Waiting => CancelPolicy::Waiting,
-                CancelFlag::Ignored => CancelPolicy::Ignored,
-            };
+        day.cancel = self.cancel.map_or(day.cancel, CancelPolicy::from);
+        Ok(())
+    }
+}
+
+impl From<CancelFlag> for CancelPolicy {
+    fn from(flag: CancelFlag) -> CancelPolicy {
+        match flag {
+            CancelFlag::Stops => CancelPolicy::Stops,
+            CancelFlag::Waiting => CancelPolicy::Waiting,
+            CancelFlag::Ignored => CancelPolicy::Ignored,
         }
-        Ok(day)
     }
 }
 
 impl ScenarioFlags {
-    /// Errors: a flag and what is wrong with it.
-    pub fn day(&self) -> Result<Scenario, String> {
+    /// The scenario that the flags describe.
+    ///
+    /// # Errors
+    /// Names the first flag with a value it does not take.
+    pub fn day(&self) -> Result<Scenario, ScenarioFlagError> {
         self.with_seed(self.seed)
     }
 
-    pub fn with_seed(&self, seed: u64) -> Result<Scenario, String> {
-        if self.seconds < 5 {
-            return Err("--seconds: at least 5".into());
-        }
+    /// The same with another seed.
+    ///
+    /// # Errors
+    /// Names the first flag with a value it does not take.
+    pub fn with_seed(&self, seed: u64) -> Result<Scenario, ScenarioFlagError> {
+        at_least("--seconds", SHORTEST, self.seconds)?;
         let length = self.seconds as Micros * SECOND;
         let mut day = match (self.only, self.scenario) {
             (Some(kind), _) => Scenario::only(kind, seed, length),
@@ -194,15 +282,14 @@
         if !self.script.is_empty() || self.bare {
             day.name = "script".into();
             day.faults.clone_from(&self.script);
-            day.faults.sort_by_key(|t| t.at);
+            day.faults.sort_by_key(|fault| fault.at);
         }
         if !self.builds.is_empty() || self.bare {
-            if self
-                .builds
-                .windows(2)
-                .any(|w| w[0].offered > w[1].offered || w[0].number >= w[1].number)
-            {
-                return Err("--build: numbers and times must rise".into());
+            let rises = |builds: &[Build]| {
+                builds[0].offered <= builds[1].offered && builds[0].number < builds[1].number
+            };
+            if !self.builds.windows(2).all(rises) {
+                return Err(ScenarioFlagError::BuildsOutOfOrder);
             }
             day.builds.truncate(1);
             day.builds.extend(&self.builds);
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host.rs
@@ -12,39 +12,51 @@
 /// A delivery as the host holds it. `from` is any number that leads back to who sent it.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// The connection it came by.
     pub from: u64,
+    /// The router's number of the delivery.
     pub delivery: u64,
+    /// The client's attempt.
     pub tried: u64,
+    /// The client's command.
     pub command: u64,
+    /// Index of the operation.
     pub op: usize,
+    /// The sticky key, 0 for none.
     pub key: u64,
+    /// The idempotency key, 0 for none.
     pub mark: u64,
+    /// When nobody waits for it any more.
     pub expires: Micros,
 }
 
+/// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobOutcome {
+    /// Acknowledged.
     Acked {
+        /// The answer is wrong.
         wrong: bool,
     },
+    /// An error.
     Error,
     /// Nothing is said: the host hangs.
     Silent,
 }
 
-/// The marks that all hosts together remember.
+/// The idempotency keys that all hosts together remember, and when each last came.
 #[derive(Default)]
 pub struct DeduplicationTable {
-    seen: HashMap<u64, Micros>,
+    last_seen: HashMap<u64, Micros>,
 }
 
 impl DeduplicationTable {
-    /// Whether this is the first of its mark within its memory.
-    fn first(&mut self, mark: u64, memory: Micros, now: Micros) -> bool {
-        if self.seen.len() > 100_000 {
-            self.seen.retain(|_, at| now - *at < memory);
+    /// Whether this is the first of its idempotency key within its memory.
+    fn first(&mut self, key: u64, memory: Micros, now: Micros) -> bool {
+        if self.last_seen.len() > DEDUPLICATION_SWEEP {
+            self.last_seen.retain(|_, at| now - *at < memory);
         }
-        let before = self.seen.insert(mark, now);
+        let before = self.last_seen.insert(key, now);
         before.is_none_or(|at| now - at >= memory)
     }
 }
@@ -52,8 +64,11 @@
 /// What troubles do to a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostFault {
+    /// It takes commands and says nothing.
     pub hangs: bool,
+    /// Factor on all work.
     pub slower: f64,
+    /// Probability of an error, at once.
     pub fails: f64,
     /// An op type that needs more work, and how much.
     pub slow_op: (usize, f64),
@@ -79,20 +94,67 @@
 /// What beginning a job has led to, for the tap.
 #[derive(Debug, PartialEq)]
 pub struct StartedJob {
+    /// The client's attempt.
     pub tried: u64,
+    /// The client's command.
     pub command: u64,
+    /// Index of the operation.
     pub op: usize,
     /// False where a repeat was dropped.
     pub effect: bool,
 }
 
+/// A job on a core.
+struct RunningJob {
+    ends: Micros,
+    outcome: JobOutcome,
+    job: Job,
+}
+
+/// Work that has reached a host.
+struct ReachedWork {
+    at: Micros,
+    /// Seconds of one core.
+    work: f64,
+}
+
+/// What faults and the build's defect do to one job.
+struct JobConditions {
+    /// Factor on the work.
+    slowdown: f64,
+    /// Probability of an error.
+    failure: f64,
+    /// Whether the answer is wrong.
+    wrong: bool,
+}
+
+/// Jobs that wait for each core at most.
+const QUEUE_PER_CORE: usize = 24;
+/// Of its budget, how much a cold host may have been sent and still have room for a few more.
+const HEADROOM: f64 = 0.6;
+/// Work of a repeat that is dropped, in microseconds.
+const DROPPED_REPEAT_WORK: f64 = 1000.0;
+/// The longest that a job which fails fast takes, in microseconds.
+const FAST_FAILURE: f64 = 5_000.0;
+/// Waiting jobs from which on a build that fails under load does so.
+const LOADED_QUEUE: usize = 2;
+/// How long after its host's start a build with a late defect shows it.
+const LATE_DEFECT_AFTER: Micros = 5 * SECOND;
+/// Keys remembered before those past their memory are dropped.
+const DEDUPLICATION_SWEEP: usize = 100_000;
+
+/// A host of a run.
 pub struct Host {
+    /// What is wrong with its build.
     pub defect: BuildDefect,
+    /// Its speed, 1 for that of the first build.
     pub speed: f64,
+    /// What faults do to it.
     pub fault: HostFault,
+    /// It was sent more than it can bear while it was cold, and is down.
     pub fallen: bool,
     cores: usize,
-    queue_most: usize,
+    queue_limit: usize,
     started: Option<Micros>,
     cold_from: f64,
     warm_within: Micros,
@@ -100,35 +162,34 @@
     fall_span: Micros,
     ops: Vec<Op>,
     waiting: VecDeque<Job>,
-    /// Ends at, how, and for whom.
-    running: Vec<(Micros, JobOutcome, Job)>,
+    running: Vec<RunningJob>,
     /// Work that has reached it lately, for the budget of a cold start.
-    reached: VecDeque<(Micros, f64)>,
+    reached: VecDeque<ReachedWork>,
     /// Keys whose data is at hand, the longest unused first; of a host with room for all of them, none.
-    at_hand: VecDeque<u64>,
+    cached_keys: VecDeque<u64>,
     cache_keys: usize,
     miss_cost: f64,
     thrash: f64,
     cancel: CancelPolicy,
-    chance: StdRng,
+    rng: StdRng,
 }
 
 impl Host {
     /// `started` is `None` for a host that has been up long.
     pub fn new(
         day: &Scenario,
-        flaw: BuildDefect,
+        defect: BuildDefect,
         speed: f64,
         started: Option<Micros>,
         seed: u64,
     ) -> Host {
         Host {
-            defect: flaw,
+            defect,
             speed,
             fault: HostFault::default(),
             fallen: false,
             cores: day.cores as usize,
-            queue_most: 24 * day.cores as usize,
+            queue_limit: QUEUE_PER_CORE * day.cores as usize,
             started,
             cold_from: day.cold_from,
             warm_within: day.warm_within,
@@ -138,12 +199,12 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             reached: VecDeque::new(),
-            at_hand: VecDeque::new(),
+            cached_keys: VecDeque::new(),
             cache_keys: day.cache_keys as usize,
             miss_cost: day.miss_cost,
             thrash: day.thrash,
             cancel: day.cancel,
-            chance: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
@@ -155,14 +216,15 @@
         self.cold_from + (1.0 - self.cold_from) * age as f64 / self.warm_within as f64
     }
 
+    /// Jobs that it has, waiting and running.
     pub fn queued(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// A delivery has arrived. `false`: not looked at, the queue is full.
+    /// A delivery has arrived. Returns false where it was not looked at, since the queue is full.
     pub fn arrive(&mut self, now: Micros, job: Job) -> bool {
         self.bear(now, job.op);
-        if self.waiting.len() >= self.queue_most {
+        if self.waiting.len() >= self.queue_limit {
             return false;
         }
         self.waiting.push_back(job);
@@ -171,34 +233,39 @@
 
     /// All work that reaches a cold host counts, also what it refuses.
     fn bear(&mut self, now: Micros, op: usize) {
-        let cold = self.started.is_some_and(|at| now - at < self.warm_within);
-        if !cold {
+        if !self.is_cold(now) {
             return self.reached.clear();
         }
+        let horizon = now - self.fall_span;
         while self
             .reached
-            .front()
-            .is_some_and(|r| r.0 <= now - self.fall_span)
-        {
-            self.reached.pop_front();
-        }
-        self.reached
-            .push_back((now, self.ops[op].work as f64 / SECOND as f64));
-        let sent: f64 = self.reached.iter().map(|r| r.1).sum();
+            .pop_front_if(|work| work.at <= horizon)
+            .is_some()
+        {}
+        self.reached.push_back(ReachedWork {
+            at: now,
+            work: self.ops[op].work as f64 / SECOND as f64,
+        });
+        let sent: f64 = self.reached.iter().map(|work| work.work).sum();
         self.fallen |= sent > self.budget(now) + self.chance_beyond(now);
     }
 
+    fn is_cold(&self, now: Micros) -> bool {
+        self.started.is_some_and(|at| now - at < self.warm_within)
+    }
+
     /// Whether it would bear a few more now without falling over.
     pub fn has_headroom(&self, now: Micros) -> bool {
-        if self.started.is_none_or(|at| now - at >= self.warm_within) {
+        if !self.is_cold(now) {
             return true;
         }
-        let recent = self.reached.iter().filter(|r| r.0 > now - self.fall_span);
-        let sent: f64 = recent.map(|r| r.1).sum();
-        sent < 0.6 * self.budget(now)
+        let horizon = now - self.fall_span;
+        let recent = self.reached.iter().filter(|work| work.at > horizon);
+        let sent: f64 = recent.map(|work| work.work).sum();
+        sent < HEADROOM * self.budget(now)
     }
 
-    /// Seconds of work that the told multiple allows over the told span.
+    /// Seconds of work that the multiple of its capacity allows over the span.
     fn budget(&self, now: Micros) -> f64 {
         let can = self.warmth(now) * self.cores as f64 * self.speed;
         self.fall_multiple * can * self.fall_span as f64 / SECOND as f64
@@ -219,73 +286,82 @@
         (3.0 * (self.budget(now) / mean).sqrt() + 3.0) * mean
     }
 
-    /// Begins what a core is free for. Answers what was begun.
+    /// Begins what a core is free for. Returns what was begun.
     pub fn begin(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
         let mut begun = Vec::new();
         while self.running.len() < self.cores {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            if now >= job.expires {
-                // Nobody waits for it any more.
-                continue;
+            // Nobody waits any more for what has expired.
+            if now < job.expires {
+                begun.push(self.run(now, job, marks));
             }
-            let crowded = self.waiting.len() >= 2;
-            let (slower, fails, wrong) = self.flaw_of(&job, now, crowded);
-            let repeat = self.ops[job.op].repeat;
-            let effect = match repeat {
-                Repeat::Deduplicated(memory) if job.mark != 0 => marks.first(job.mark, memory, now),
-                _ => true,
-            };
-            let failed = self.chance.random_bool(fails.clamp(0.0, 1.0));
-            let work = if effect {
-                let mean = self.ops[job.op].work as f64;
-                // Bounded, so that a single draw does not hold a core for the rest of a short day.
-                let drawn = 0.4 * mean
-                    + 0.6 * Exp::new(1.0 / mean).map_or(mean, |d| d.sample(&mut self.chance));
-                drawn.min(6.0 * mean)
-            } else {
-                1000.0
-            };
-            let beyond = self.waiting.len().saturating_sub(2 * self.cores) as f64;
-            let slower = slower * self.fetch(job.key) * (1.0 + self.thrash * beyond);
-            let took = work * slower / (self.speed * self.warmth(now));
-            let done = match (failed, wrong) {
-                (true, _) => JobOutcome::Error,
-                (false, wrong) => JobOutcome::Acked { wrong },
-            };
-            // What fails fast fails at once, and may have had its effect all the same.
-            let took = if failed && self.fault.fails > 0.0 {
-                took.min(5_000.0)
-            } else {
-                took
-            };
-            begun.push(StartedJob {
-                tried: job.tried,
-                command: job.command,
-                op: job.op,
-                effect,
-            });
-            self.running
-                .push((now + took.max(1.0) as Micros, done, job));
         }
         begun
     }
 
+    fn run(&mut self, now: Micros, job: Job, marks: &mut DeduplicationTable) -> StartedJob {
+        let conditions = self.conditions(&job, now);
+        let effect = match self.ops[job.op].repeat {
+            Repeat::Deduplicated(memory) if job.mark != 0 => marks.first(job.mark, memory, now),
+            _ => true,
+        };
+        let failed = self.rng.random_bool(conditions.failure.clamp(0.0, 1.0));
+        let work = if effect {
+            self.draw_work(job.op)
+        } else {
+            DROPPED_REPEAT_WORK
+        };
+        let beyond = self.waiting.len().saturating_sub(2 * self.cores) as f64;
+        let slowdown = conditions.slowdown * self.fetch(job.key) * (1.0 + self.thrash * beyond);
+        let mut took = work * slowdown / (self.speed * self.warmth(now));
+        // What fails fast fails at once, and may have had its effect all the same.
+        if failed && self.fault.fails > 0.0 {
+            took = took.min(FAST_FAILURE);
+        }
+        let outcome = if failed {
+            JobOutcome::Error
+        } else {
+            JobOutcome::Acked {
+                wrong: conditions.wrong,
+            }
+        };
+        let started = StartedJob {
+            tried: job.tried,
+            command: job.command,
+            op: job.op,
+            effect,
+        };
+        self.running.push(RunningJob {
+            ends: now + took.max(1.0) as Micros,
+            outcome,
+            job,
+        });
+        started
+    }
+
+    /// Microseconds of work, bounded, so that a single draw does not hold a core for the rest of a short run.
+    fn draw_work(&mut self, op: usize) -> f64 {
+        let mean = self.ops[op].work as f64;
+        let drawn = Exp::new(1.0 / mean).map_or(mean, |work| work.sample(&mut self.rng));
+        (0.4 * mean + 0.6 * drawn).min(6.0 * mean)
+    }
+
     /// Uses the key's data. Returns by how much the work grows where it is not at hand.
     pub fn fetch(&mut self, key: u64) -> f64 {
         if self.cache_keys == 0 || key == 0 {
             return 1.0;
         }
-        let had = self.at_hand.iter().position(|k| *k == key);
-        if let Some(at) = had {
-            self.at_hand.remove(at);
+        let cached = self.cached_keys.iter().position(|known| *known == key);
+        if let Some(index) = cached {
+            self.cached_keys.remove(index);
         }
-        self.at_hand.push_back(key);
-        if self.at_hand.len() > self.cache_keys {
-            self.at_hand.pop_front();
+        self.cached_keys.push_back(key);
+        if self.cached_keys.len() > self.cache_keys {
+            self.cached_keys.pop_front();
         }
-        if had.is_some() {
+        if cached.is_some() {
             1.0
         } else {
             self.miss_cost
@@ -302,61 +378,82 @@
         let waiting: f64 = self
             .waiting
             .iter()
-            .map(|j| self.ops[j.op].work as f64)
+            .map(|job| self.ops[job.op].work as f64)
+            .sum();
+        let running: f64 = self
+            .running
+            .iter()
+            .map(|running| (running.ends - now).max(0) as f64)
             .sum();
-        let running: f64 = self.running.iter().map(|r| (r.0 - now).max(0) as f64).sum();
         (waiting + running) / self.cores as f64
     }
 
-    fn flaw_of(&mut self, job: &Job, now: Micros, crowded: bool) -> (f64, f64, bool) {
-        let ail = self.fault;
-        let mut slower = ail.slower * ail.drag * ail.neighbours;
-        if job.op == ail.slow_op.0 {
-            slower *= ail.slow_op.1;
+    fn conditions(&mut self, job: &Job, now: Micros) -> JobConditions {
+        let fault = self.fault;
+        let (slow_operation, slow_factor) = fault.slow_op;
+        let mut slowdown = fault.slower * fault.drag * fault.neighbours;
+        if job.op == slow_operation {
+            slowdown *= slow_factor;
         }
-        let mut fails = ail.fails;
+        let mut failure = fault.fails;
         let mut wrong = false;
+        let last_operation = job.op == self.ops.len() - 1;
+        let loaded = self.waiting.len() >= LOADED_QUEUE;
+        let late = self.started.is_some_and(|at| now - at > LATE_DEFECT_AFTER);
         match self.defect {
-            BuildDefect::None | BuildDefect::Shared(_) => {}
-            BuildDefect::Errors(part) => fails = fails.max(part),
-            BuildDefect::OneOp(part) if job.op == self.ops.len() - 1 => fails = fails.max(part),
-            BuildDefect::OneOp(_) => {}
-            BuildDefect::Slow(times) => slower *= times,
-            BuildDefect::UnderLoad(part) if crowded => {
-                (slower, fails) = (slower * 2.0, fails.max(part))
+            BuildDefect::Errors(part) => failure = failure.max(part),
+            BuildDefect::OneOp(part) if last_operation => failure = failure.max(part),
+            BuildDefect::Slow(factor) => slowdown *= factor,
+            BuildDefect::UnderLoad(part) if loaded => {
+                slowdown *= 2.0;
+                failure = failure.max(part);
             }
-            BuildDefect::UnderLoad(_) => {}
-            BuildDefect::Late(part) if self.started.is_some_and(|at| now - at > 5 * SECOND) => {
-                (slower, fails) = (slower * 1.8, fails.max(part));
+            BuildDefect::Late(part) if late => {
+                slowdown *= 1.8;
+                failure = failure.max(part);
             }
-            BuildDefect::Late(_) => {}
-            BuildDefect::Wrong(part) => wrong = self.chance.random_bool(part),
+            BuildDefect::Wrong(part) => wrong = self.rng.random_bool(part),
+            BuildDefect::None
+            | BuildDefect::OneOp(_)
+            | BuildDefect::UnderLoad(_)
+            | BuildDefect::Late(_)
+            | BuildDefect::Shared(_) => {}
+        }
+        JobConditions {
+            slowdown,
+            failure,
+            wrong,
         }
-        (slower, fails, wrong)
     }
 
+    /// When the next job ends.
     pub fn next(&self) -> Option<Micros> {
-        self.running.iter().map(|r| r.0).min()
+        self.running.iter().map(|running| running.ends).min()
     }
 
     /// What has ended by now, in the order of its ends.
     pub fn ended(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
-        let mut ended: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
-        ended.sort_by_key(|r| (r.0, r.2.delivery));
+        let mut ended: Vec<_> = self
+            .running
+            .extract_if(.., |running| running.ends <= now)
+            .collect();
+        ended.sort_by_key(|running| (running.ends, running.job.delivery));
         let hangs = self.fault.hangs;
+        let outcome = |outcome| if hangs { JobOutcome::Silent } else { outcome };
         ended
             .into_iter()
-            .map(|(_, done, job)| (job, if hangs { JobOutcome::Silent } else { done }))
+            .map(|running| (running.job, outcome(running.outcome)))
             .collect()
     }
 
+    /// The router `from` no longer wants this delivery.
     pub fn cancel(&mut self, from: u64, delivery: u64) {
-        let same = |j: &Job| j.from == from && j.delivery == delivery;
+        let same = |job: &Job| job.from == from && job.delivery == delivery;
         if self.cancel != CancelPolicy::Ignored {
-            self.waiting.retain(|j| !same(j));
+            self.waiting.retain(|job| !same(job));
         }
         if self.cancel == CancelPolicy::Stops {
-            self.running.retain(|r| !same(&r.2));
+            self.running.retain(|running| !same(&running.job));
         }
     }
 }
--- a/crates/spokeflow-scenario/src/router_picker.rs
+++ b/crates/spokeflow-scenario/src/router_picker.rs
@@ -1,4 +1,4 @@
-//! The plain front of each site that spreads commands over its routers and notices late that one is down.
+//! The load balancer of each site: it spreads commands over its routers and notices late that one is down.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,18 +6,27 @@
 use crate::scenario::Scenario;
 use crate::{Micros, MS};
 
+/// Tells these draws from others with the run's seed.
+const PICKER_SEED: u64 = 0xf407;
+/// A site notices that a router is down after this at the soonest,
+const NOTICE_LEAST: Micros = 1500 * MS;
+/// and before this.
+const NOTICE_MOST: Micros = 3600 * MS;
+
+/// Picks the router for each attempt.
 pub struct RouterPicker {
     routers: usize,
     sites: usize,
-    /// By site, how long its front goes on sending to a router that is down.
+    /// By site, how long it goes on sending to a router that is down.
     notice: Vec<Micros>,
 }
 
 impl RouterPicker {
+    /// Draws how late each site notices.
     pub fn new(day: &Scenario) -> RouterPicker {
-        let mut rng = StdRng::seed_from_u64(day.seed ^ 0xf407);
+        let mut rng = StdRng::seed_from_u64(day.seed ^ PICKER_SEED);
         let notice = (0..day.sites)
-            .map(|_| rng.random_range(1500 * MS..3600 * MS))
+            .map(|_| rng.random_range(NOTICE_LEAST..NOTICE_MOST))
             .collect();
         RouterPicker {
             routers: day.routers as usize,
@@ -26,8 +35,8 @@
         }
     }
 
-    /// The router for try `n` (from 0) of a command whose first is drawn by `drawn`: a first try goes to one of
-    /// the site's own, a retry to the next door.
+    /// The router for attempt `n` (from 0) at a command whose first is drawn by `drawn`: a first attempt goes to one
+    /// of the site's own, a retry to the next one.
     pub fn router_for(
         &self,
         site: u16,
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -1,5 +1,5 @@
 //! What clients ask: an open loop with waves and bursts, customers by share, keys by Zipf; and how one client
-//! goes on after a try: patience, retries, back-off.
+//! goes on after a try: timeout, retries, back-off.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,13 +10,20 @@
 use crate::scenario::{Repeat, Scenario};
 use crate::{Micros, MS, SECOND};
 
+/// A command that a client will ask for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedCommand {
+    /// Index of the operation.
     pub op: usize,
+    /// Index of the tenant.
     pub customer: usize,
+    /// The client's site.
     pub site: u16,
+    /// The sticky key.
     pub key: u64,
+    /// When the client asks first.
     pub due: Micros,
+    /// What the client's chance comes from.
     pub seed: u64,
 }
 
@@ -30,6 +37,7 @@
 }
 
 impl Traffic {
+    /// `start` is when the first command may be due.
     pub fn new(day: &Scenario, start: Micros) -> Traffic {
         let rng = StdRng::seed_from_u64(day.seed ^ 0xc0de);
         let keys = Zipf::new(day.keys.max(1) as f64, day.key_skew)
@@ -92,8 +100,8 @@
 }
 
 fn pick(rng: &mut StdRng, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let whole: f64 = weights.clone().sum();
-    let mut at = rng.random_range(0.0..whole.max(1e-9));
+    let total: f64 = weights.clone().sum();
+    let mut at = rng.random_range(0.0..total.max(1e-9));
     let mut last = 0;
     for (n, weight) in weights.enumerate() {
         if at < weight {
@@ -105,14 +113,19 @@
     last
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryEnd {
+    /// Acknowledged.
     Acked {
+        /// The build that answered.
         build: u16,
+        /// The client found the answer wrong.
         wrong: bool,
     },
+    /// Refused, and after how long the client may come back.
     Nacked(Option<Micros>),
+    /// The host answered with an error.
     Failed,
     /// Never written to a router.
     Unreachable,
@@ -123,7 +136,7 @@
 }
 
 impl TryEnd {
-    /// What the command has come to when this try is its last, and the build that answered.
+    /// What the command has come to when this attempt is its last, and the build that answered.
     pub fn last(self) -> (End, u16) {
         match self {
             TryEnd::Acked { build, wrong } => (if wrong { End::Wrong } else { End::Acked }, build),
@@ -137,17 +150,21 @@
 
 /// One client with one command.
 pub struct Client {
+    /// What it asks for.
     pub command: PlannedCommand,
+    /// Attempts begun.
     pub tries: u32,
+    /// The client's chance.
     pub rng: StdRng,
 }
 
-/// Below this it makes no sense to ask.
-const LEAST_PATIENCE: Micros = 150 * MS;
-/// A client goes so long after its patience is over.
+/// With less time than this left a client makes no further attempt.
+const LEAST_TIMEOUT: Micros = 150 * MS;
+/// A client goes so long after its timeout.
 pub const LEAVES_AFTER: Micros = 20 * MS;
 
 impl Client {
+    /// A client before its first attempt.
     pub fn new(wanted: PlannedCommand) -> Client {
         Client {
             command: wanted,
@@ -156,7 +173,7 @@
         }
     }
 
-    /// Begins a try: how long the client says that it waits, and how long it does. `None`: no time is left.
+    /// Begins an attempt: how long the client says that it waits, and how long it does. `None`: no time is left.
     pub fn try_again(
         &mut self,
         day: &Scenario,
@@ -167,18 +184,18 @@
         self.tries += 1;
         let [least, most] = day.try_part;
         let left = self.command.due + op.timeout - now;
-        let patience =
+        let timeout =
             ((op.timeout as f64 * self.rng.random_range(least..=most)) as Micros).min(left);
-        if patience < LEAST_PATIENCE {
+        if timeout < LEAST_TIMEOUT {
             return None;
         }
         let hasty = faults.give_up > 0.0 && self.rng.random_bool(0.5);
         let waits = if hasty {
-            (patience as f64 * faults.give_up) as Micros
+            (timeout as f64 * faults.give_up) as Micros
         } else {
-            patience + LEAVES_AFTER
+            timeout + LEAVES_AFTER
         };
-        Some((patience, waits))
+        Some((timeout, waits))
     }
 
     /// After how long the client tries again; `None`: this end is the last.
--- a/crates/spokeflow-scenario/tests/flags.rs
+++ b/crates/spokeflow-scenario/tests/flags.rs
@@ -11,7 +11,8 @@
 }
 
 fn day(flags: &[&str]) -> Result<Scenario, String> {
-    Program::parse_from([&["x"], flags].concat()).day.day()
+    let program = Program::parse_from([&["x"], flags].concat());
+    program.day.day().map_err(|error| error.to_string())
 }
 
 #[test]
