--- a/crates/spokeflow-scenario/src/check/mod.rs
+++ b/crates/spokeflow-scenario/src/check/mod.rs
@@ -7,13 +7,13 @@
 //! are taken one by one and forgotten when they can decide nothing more: runs of any length fit into memory.
 
 mod answers;
-mod cold_hosts;
 mod config;
 mod draining;
 mod effects;
 mod explain;
 mod exposure;
 mod retention;
+mod slow_start;
 mod state;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/spokeflow-scenario/src/host.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -1,109 +1,18 @@
 //! One host: cores, a queue, cold start, falling over, and what its build does wrong. No I/O; time is handed in.
 
-use std::collections::{HashMap, VecDeque};
+mod job;
+
+use std::collections::VecDeque;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
+pub use job::{DeduplicationTable, HostFault, Job, JobOutcome, StartedJob};
+
 use crate::scenario::{BuildDefect, CancelPolicy, Op, Repeat, Scenario};
 use crate::{Micros, SECOND};
 
-/// A delivery as the host holds it. `from` is any number that leads back to who sent it.
-#[derive(Clone, Debug)]
-pub struct Job {
-    /// The connection it came by.
-    pub from: u64,
-    /// The router's number of the delivery.
-    pub delivery: u64,
-    /// The client's attempt.
-    pub tried: u64,
-    /// The client's command.
-    pub command: u64,
-    /// Index of the operation.
-    pub op: usize,
-    /// The sticky key, 0 for none.
-    pub key: u64,
-    /// The idempotency key, 0 for none.
-    pub mark: u64,
-    /// When nobody waits for it any more.
-    pub expires: Micros,
-}
-
-/// How a job ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum JobOutcome {
-    /// Acknowledged.
-    Acked {
-        /// The answer is wrong.
-        wrong: bool,
-    },
-    /// An error.
-    Error,
-    /// Nothing is said: the host hangs.
-    Silent,
-}
-
-/// The idempotency keys that all hosts together remember, and when each last came.
-#[derive(Default)]
-pub struct DeduplicationTable {
-    last_seen: HashMap<u64, Micros>,
-}
-
-impl DeduplicationTable {
-    /// Whether this is the first of its idempotency key within its memory.
-    fn first(&mut self, key: u64, memory: Micros, now: Micros) -> bool {
-        if self.last_seen.len() > DEDUPLICATION_SWEEP {
-            self.last_seen.retain(|_, at| now - *at < memory);
-        }
-        let before = self.last_seen.insert(key, now);
-        before.is_none_or(|at| now - at >= memory)
-    }
-}
-
-/// What troubles do to a host.
-#[derive(Clone, Copy, Debug)]
-pub struct HostFault {
-    /// It takes commands and says nothing.
-    pub hangs: bool,
-    /// Factor on all work.
-    pub slower: f64,
-    /// Probability of an error, at once.
-    pub fails: f64,
-    /// An op type that needs more work, and how much.
-    pub slow_op: (usize, f64),
-    /// What a build that slows all hosts does.
-    pub drag: f64,
-    /// What busy hosts on the same machine do.
-    pub neighbours: f64,
-}
-
-impl Default for HostFault {
-    fn default() -> Self {
-        HostFault {
-            hangs: false,
-            slower: 1.0,
-            fails: 0.0,
-            slow_op: (usize::MAX, 1.0),
-            drag: 1.0,
-            neighbours: 1.0,
-        }
-    }
-}
-
-/// What beginning a job has led to, for the tap.
-#[derive(Debug, PartialEq)]
-pub struct StartedJob {
-    /// The client's attempt.
-    pub tried: u64,
-    /// The client's command.
-    pub command: u64,
-    /// Index of the operation.
-    pub op: usize,
-    /// False where a repeat was dropped.
-    pub effect: bool,
-}
-
 /// A job on a core.
 struct RunningJob {
     ends: Micros,
@@ -140,8 +49,6 @@
 const LOADED_QUEUE: usize = 2;
 /// How long after its host's start a build with a late defect shows it.
 const LATE_DEFECT_AFTER: Micros = 5 * SECOND;
-/// Keys remembered before those past their memory are dropped.
-const DEDUPLICATION_SWEEP: usize = 100_000;
 
 /// A host of a run.
 pub struct Host {
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -107,7 +107,7 @@
     /// The fleet's slots.
     pub slots: Vec<HostSlot>,
     /// By stage, the fraction of slots that run the new build.
-    shares: Vec<f64>,
+    fractions: Vec<f64>,
     /// By stage, the exposure cap.
     caps: Vec<f64>,
     gate: Gate,
@@ -140,7 +140,7 @@
 impl ReleaseController {
     /// The controller at the start: build 1 is released and runs in all slots.
     pub fn new(day: &Scenario) -> ReleaseController {
-        let places = (0..day.hosts)
+        let slots = (0..day.hosts)
             .map(|host| HostSlot {
                 host,
                 build: 1,
@@ -155,8 +155,8 @@
                 cap: 1.0,
                 since: 0,
             },
-            slots: places,
-            shares: day.stage_fractions.clone(),
+            slots,
+            fractions: day.stage_fractions.clone(),
             caps: (0..day.stage_fractions.len()).map(|s| day.cap(s)).collect(),
             gate: day.gate,
             bake: day.bake,
@@ -202,16 +202,16 @@
     /// Starts successors until the stage has its fraction of slots.
     fn launch(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let build = self.state.build;
-        let share = self.shares[usize::from(self.state.stage)];
-        let wanted =
-            ((share * self.slots.len() as f64).round() as usize).clamp(1, self.slots.len());
+        let fraction = self.fractions[usize::from(self.state.stage)];
+        let target =
+            ((fraction * self.slots.len() as f64).round() as usize).clamp(1, self.slots.len());
         let have = self
             .slots
             .iter()
             .filter(|slot| slot.build == build || slot.next.is_some())
             .count();
         self.replace(
-            wanted.saturating_sub(have),
+            target.saturating_sub(have),
             build,
             |slot| slot.build != build,
             orders,
@@ -388,7 +388,7 @@
     fn promote(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let next = self.state.stage + 1;
         self.state.since = now;
-        if usize::from(next) == self.shares.len() {
+        if usize::from(next) == self.fractions.len() {
             self.state.rollout = RolloutState::Released;
             self.state.cap = 1.0;
         } else {
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -12,7 +12,7 @@
 /// Tells the draws of [`Scenario::drawn`] from those of the other scenarios with the same seed.
 const DRAWN_SEED: u64 = 0xd4a3;
 /// Kinds at the end of [`FaultKind::ALL`] that stand for a whole scenario and are not drawn as faults.
-const WHOLE_SCENARIOS: usize = 3;
+const SCENARIO_KINDS: usize = 3;
 const CANCEL_POLICIES: [CancelPolicy; 3] = [
     CancelPolicy::Stops,
     CancelPolicy::Waiting,
@@ -68,7 +68,7 @@
             ops: operations(),
             customers: tenants(),
             keys: 600,
-            builds: vec![sound_build(1, 0)],
+            builds: vec![good_build(1, 0)],
             stage_fractions: vec![0.04, 0.1, 0.25, 0.55, 1.0],
             slack: 1.4,
             gate: Gate::Single,
@@ -112,11 +112,11 @@
         };
         let mut rng = StdRng::seed_from_u64(seed);
         let second_is_bad = rng.random_bool(0.5);
-        let flaw = draw_defect_if(second_is_bad, &mut rng);
+        let defect = draw_defect_if(second_is_bad, &mut rng);
         scenario.builds.push(Build {
             number: 2,
             offered: length / 12,
-            defect: flaw,
+            defect,
             speed: rng.random_range(0.9..1.1),
         });
         scenario.builds.push(Build {
@@ -146,13 +146,13 @@
         let offered = length / 10;
         scenario.builds.push(Build {
             defect: draw_defect_if(kind == FaultKind::BadBuild, &mut rng),
-            ..sound_build(2, offered)
+            ..good_build(2, offered)
         });
         let window = match kind {
             FaultKind::BadBuild | FaultKind::None => return scenario,
             FaultKind::TakeBack => {
                 // Each stage takes some five seconds: by then the last one has begun.
-                let next = sound_build(3, offered + 24 * SECOND);
+                let next = good_build(3, offered + 24 * SECOND);
                 scenario.builds.push(next);
                 return scenario;
             }
@@ -192,11 +192,11 @@
         let mut offered = rng.random_range(length / 20..length / 4);
         for number in 2..2 + rng.random_range(0..3) {
             let defective = rng.random_bool(0.4);
-            let flaw = draw_defect_if(defective, &mut rng);
+            let defect = draw_defect_if(defective, &mut rng);
             scenario.builds.push(Build {
                 number,
                 offered,
-                defect: flaw,
+                defect,
                 speed: rng.random_range(0.85..1.2),
             });
             offered += rng.random_range(length / 8..length / 2);
@@ -256,7 +256,7 @@
 }
 
 /// A build without defects, at the speed of the first.
-fn sound_build(number: u16, offered: Micros) -> Build {
+fn good_build(number: u16, offered: Micros) -> Build {
     Build {
         number,
         offered,
@@ -275,7 +275,7 @@
 
 /// Any fault, at any time and from a third to less than twice its common size.
 fn draw_fault(rng: &mut StdRng, length: Micros) -> Fault {
-    let kind = FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len() - WHOLE_SCENARIOS)];
+    let kind = FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len() - SCENARIO_KINDS)];
     let typical = Fault::typical(kind);
     let factor = |rng: &mut StdRng| rng.random_range(0.3..1.7);
     Fault {
