--- a/crates/spokeflow-simulator/src/plain.rs
+++ b/crates/spokeflow-simulator/src/baseline.rs
@@ -10,14 +10,14 @@
     RolloutUpdate, ToClient, ToController, ToHost, ToList, VoteChoice,
 };
 
-use crate::brain::{RoutingStrategy, StrategyKind, Wiring};
+use crate::strategy::{RoutingStrategy, StrategyKind, Wiring};
 
-const WAKE: Micros = 50_000;
-const LEAST_LEFT: Micros = 100_000;
-const DELIVERIES: usize = 4;
-const VOTE_AGAIN: Micros = 2_000_000;
+const TIMER_INTERVAL: Micros = 50_000;
+const RETRY_MARGIN: Micros = 100_000;
+const MAX_DELIVERIES: usize = 4;
+const VOTE_INTERVAL: Micros = 2_000_000;
 /// Hosts that full sight weighs for one command.
-const WEIGHED: usize = 96;
+const FULL_SIGHT_CANDIDATES: usize = 96;
 
 struct Known {
     build: u16,
@@ -36,21 +36,21 @@
 }
 
 pub struct BaselineStrategy {
-    who: StrategyKind,
-    terms: EngineConfig,
+    kind: StrategyKind,
+    config: EngineConfig,
     now: Micros,
-    chance: Rng,
+    rng: Rng,
     hosts: BTreeMap<u32, Known>,
-    held: HashMap<u64, Held>,
+    commands: HashMap<u64, Held>,
     /// By delivery: command, host and when sent.
-    out: HashMap<u64, (u64, u32, Micros)>,
-    due: BTreeSet<(Micros, u64)>,
-    next: u64,
+    deliveries: HashMap<u64, (u64, u32, Micros)>,
+    deadlines: BTreeSet<(Micros, u64)>,
+    next_delivery: u64,
     turn: usize,
-    news: Option<RolloutUpdate>,
+    rollout: Option<RolloutUpdate>,
     stage_began: Micros,
     voted_at: Micros,
-    taken: VecDeque<Micros>,
+    accepted: VecDeque<Micros>,
     exposed: VecDeque<Micros>,
     answered_by: HashMap<u64, u16>,
     closing: bool,
@@ -61,30 +61,30 @@
 impl BaselineStrategy {
     pub fn new(who: StrategyKind, terms: EngineConfig, seed: u64, now: Micros) -> BaselineStrategy {
         BaselineStrategy {
-            who,
-            terms,
+            kind: who,
+            config: terms,
             now,
-            chance: Rng::new(seed),
+            rng: Rng::new(seed),
             hosts: BTreeMap::new(),
-            held: HashMap::new(),
-            out: HashMap::new(),
-            due: BTreeSet::new(),
-            next: 1,
+            commands: HashMap::new(),
+            deliveries: HashMap::new(),
+            deadlines: BTreeSet::new(),
+            next_delivery: 1,
             turn: 0,
-            news: None,
+            rollout: None,
             stage_began: now,
             voted_at: Micros::MIN / 2,
-            taken: VecDeque::new(),
+            accepted: VecDeque::new(),
             exposed: VecDeque::new(),
             answered_by: HashMap::new(),
             closing: false,
-            wake_at: now + WAKE,
+            wake_at: now + TIMER_INTERVAL,
             version: None,
         }
     }
 
     fn on_trial(&self, build: u16) -> bool {
-        match &self.news {
+        match &self.rollout {
             None => self.hosts.values().any(|h| h.ready && h.build < build),
             Some(n) => build > n.build || build == n.build && n.phase != RolloutPhase::Released,
         }
@@ -94,40 +94,40 @@
         let back = |n: &RolloutUpdate| {
             matches!(n.phase, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
         };
-        self.news
+        self.rollout
             .as_ref()
             .is_some_and(|n| n.build == build && back(n))
     }
 
     fn room(&mut self, build: u16) -> bool {
-        let from = self.now - self.terms.service.exposure_window;
-        while self.taken.pop_front_if(|at| *at <= from).is_some() {}
+        let from = self.now - self.config.service.exposure_window;
+        while self.accepted.pop_front_if(|at| *at <= from).is_some() {}
         while self.exposed.pop_front_if(|at| *at <= from).is_some() {}
         let first = self
-            .terms
+            .config
             .service
             .stage_caps
             .first()
             .copied()
             .unwrap_or(0.0);
         let cap = self
-            .news
+            .rollout
             .as_ref()
             .filter(|n| n.build == build)
             .map_or(first, |n| f64::from(n.exposure_cap));
-        let may = self.terms.service.exposure_allowance + cap * self.taken.len() as f64;
+        let may = self.config.service.exposure_allowance + cap * self.accepted.len() as f64;
         cap > 0.0 && self.exposed.len() as f64 + 1.0 <= may
     }
 
     fn choose(&mut self, id: u64, wiring: &dyn Wiring) -> Option<u32> {
-        let held = &self.held[&id];
+        let held = &self.commands[&id];
         let (key, op) = (held.command.key, usize::from(held.command.op));
         let floor = self
             .answered_by
             .get(&key)
             .copied()
             .filter(|b| key != 0 && !self.sent_back(*b));
-        let one_way = self.terms.service.forward_only;
+        let one_way = self.config.service.forward_only;
         let tried = held.hosts.clone();
         let newest = self
             .hosts
@@ -152,41 +152,41 @@
             return None;
         }
         let flight = |h: u32| self.hosts[&h].in_flight;
-        match self.who {
+        match self.kind {
             StrategyKind::RoundRobin => {
                 self.turn += 1;
                 Some(pool[self.turn % pool.len()])
             }
             StrategyKind::TwoChoices => {
                 let (a, b) = (
-                    pool[self.chance.below(pool.len())],
-                    pool[self.chance.below(pool.len())],
+                    pool[self.rng.below(pool.len())],
+                    pool[self.rng.below(pool.len())],
                 );
                 Some(if flight(b) < flight(a) { b } else { a })
             }
             StrategyKind::FullSight => {
-                while pool.len() > WEIGHED {
-                    let at = self.chance.below(pool.len());
+                while pool.len() > FULL_SIGHT_CANDIDATES {
+                    let at = self.rng.below(pool.len());
                     pool.swap_remove(at);
                 }
                 let weigh = |h: &u32| {
                     let look = wiring.look(HostId(*h));
-                    let way = look.way? as f64;
-                    let sound = look.up && look.bears && look.speed > 0.0;
+                    let way = look.delay? as f64;
+                    let sound = look.up && look.has_headroom && look.speed > 0.0;
                     let bad = wiring.is_bad(BuildId(self.hosts[h].build)) && floor.is_none();
-                    let own = 200_000.0 * self.terms.service.ops[op].latency_objective as f64
+                    let own = 200_000.0 * self.config.service.ops[op].latency_objective as f64
                         / 1_200_000.0;
                     let wait = (look.work_before + own) / look.speed + 2.0 * way;
-                    sound.then_some(wait + 4e6 * look.fails + if bad { 2e6 } else { 0.0 })
+                    sound.then_some(wait + 4e6 * look.failure_rate + if bad { 2e6 } else { 0.0 })
                 };
                 let best = pool.iter().filter_map(|h| Some((weigh(h)?, *h)));
                 let best = best.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-                // What would be late anyway is refused, so that it does not make others late.
-                let target = self.terms.service.ops[op].latency_objective as f64;
+                // Event would be late anyway is refused, so that it does not make others late.
+                let target = self.config.service.ops[op].latency_objective as f64;
                 best.filter(|b| !tried.is_empty() || floor.is_some() || b.0 <= target)
                     .map(|b| b.1)
             }
-            _ => Some(pool[self.chance.below(pool.len())]),
+            _ => Some(pool[self.rng.below(pool.len())]),
         }
     }
 
@@ -198,9 +198,9 @@
         if self.on_trial(build) {
             self.exposed.push_back(self.now);
         }
-        let delivery = self.next;
-        self.next += 1;
-        let Some(held) = self.held.get_mut(&id) else {
+        let delivery = self.next_delivery;
+        self.next_delivery += 1;
+        let Some(held) = self.commands.get_mut(&id) else {
             return;
         };
         if held.hosts.is_empty() {
@@ -218,7 +218,7 @@
             body: c.body.clone(),
         };
         let until = held.until;
-        self.out.insert(delivery, (id, host, self.now));
+        self.deliveries.insert(delivery, (id, host, self.now));
         self.hosts.entry(host).and_modify(|h| h.in_flight += 1);
         if !wiring.to_host(HostId(host), message, until) {
             self.ended(delivery, false, wiring);
@@ -226,11 +226,11 @@
     }
 
     fn close(&mut self, delivery: u64) -> Option<u64> {
-        let (id, host, _) = self.out.remove(&delivery)?;
+        let (id, host, _) = self.deliveries.remove(&delivery)?;
         self.hosts
             .entry(host)
             .and_modify(|h| h.in_flight = h.in_flight.saturating_sub(1));
-        self.held.contains_key(&id).then_some(id)
+        self.commands.contains_key(&id).then_some(id)
     }
 
     /// A delivery ended without an ack.
@@ -238,19 +238,20 @@
         let Some(id) = self.close(delivery) else {
             return;
         };
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(held) = self.commands.get_mut(&id) else {
             return;
         };
         held.may_have_run |= may_have_run;
-        let op = &self.terms.service.ops[usize::from(held.command.op)];
+        let op = &self.config.service.ops[usize::from(held.command.op)];
         let again = match op.repeat {
             Repeat::Idempotent => true,
             Repeat::Deduplicated => {
-                !held.may_have_run || self.now + WAKE < held.first_sent + op.deduplication_window
+                !held.may_have_run
+                    || self.now + TIMER_INTERVAL < held.first_sent + op.deduplication_window
             }
             Repeat::AtMostOnce => !held.may_have_run,
         };
-        if again && held.hosts.len() < DELIVERIES && held.until - self.now > LEAST_LEFT {
+        if again && held.hosts.len() < MAX_DELIVERIES && held.until - self.now > RETRY_MARGIN {
             self.route(id, wiring);
         } else {
             self.give_up(id, wiring);
@@ -258,12 +259,12 @@
     }
 
     fn give_up(&mut self, id: u64, wiring: &mut dyn Wiring) {
-        let Some(held) = self.held.get(&id) else {
+        let Some(held) = self.commands.get(&id) else {
             return;
         };
         let harmless =
-            self.terms.service.ops[usize::from(held.command.op)].repeat != Repeat::AtMostOnce;
-        let out = self.out.values().any(|o| o.0 == id);
+            self.config.service.ops[usize::from(held.command.op)].repeat != Repeat::AtMostOnce;
+        let out = self.deliveries.values().any(|o| o.0 == id);
         let (id, come_back_us) = (held.command.id, Some(200_000));
         let message = if harmless || !held.may_have_run && !out {
             ToClient::Nacked {
@@ -277,10 +278,10 @@
     }
 
     fn answer(&mut self, id: u64, message: ToClient, wiring: &mut dyn Wiring) {
-        let Some(held) = self.held.remove(&id) else {
+        let Some(held) = self.commands.remove(&id) else {
             return;
         };
-        self.due.remove(&(held.until, id));
+        self.deadlines.remove(&(held.until, id));
         wiring.to_client(held.conn, message);
     }
 
@@ -312,25 +313,25 @@
     }
 
     fn vote(&mut self, wiring: &mut dyn Wiring) {
-        let Some(news) = self.news else { return };
-        let bad = self.who == StrategyKind::FullSight && wiring.is_bad(BuildId(news.build));
+        let Some(news) = self.rollout else { return };
+        let bad = self.kind == StrategyKind::FullSight && wiring.is_bad(BuildId(news.build));
         let on = news.phase == RolloutPhase::Canary;
-        let baked = self.now - self.stage_began > self.terms.service.stage_bake + 1_000_000;
+        let baked = self.now - self.stage_began > self.config.service.stage_bake + 1_000_000;
         let verdict = match (bad, on) {
             (true, _) if on || news.phase == RolloutPhase::Released => VoteChoice::RollBack,
             (false, true) if baked => VoteChoice::Promote,
             _ => return,
         };
-        if self.now - self.voted_at > VOTE_AGAIN {
+        if self.now - self.voted_at > VOTE_INTERVAL {
             self.voted_at = self.now;
             let (build, stage) = (news.build, news.stage);
             wiring.to_controller(ToController::Vote {
-                ballot: self.next,
+                ballot: self.next_delivery,
                 build,
                 stage,
                 choice: verdict,
             });
-            self.next += 1;
+            self.next_delivery += 1;
         }
     }
 }
@@ -340,7 +341,7 @@
         self.now = self.now.max(now);
         match input {
             Input::Command { conn, command } => {
-                let left = command.left_us.min(1 << 40) as Micros - self.terms.answer_margin;
+                let left = command.left_us.min(1 << 40) as Micros - self.config.answer_margin;
                 let id = command.id;
                 if self.closing || left <= 0 {
                     return wiring.to_client(
@@ -351,9 +352,9 @@
                         },
                     );
                 }
-                self.taken.push_back(self.now);
+                self.accepted.push_back(self.now);
                 let until = self.now + left;
-                self.due.insert((until, id));
+                self.deadlines.insert((until, id));
                 let held = Held {
                     conn,
                     command,
@@ -362,24 +363,24 @@
                     first_sent: self.now,
                     may_have_run: false,
                 };
-                self.held.insert(id, held);
+                self.commands.insert(id, held);
                 self.route(id, wiring);
             }
             Input::Abandon { id, .. } => {
-                if let Some(held) = self.held.remove(&id) {
-                    self.due.remove(&(held.until, id));
+                if let Some(held) = self.commands.remove(&id) {
+                    self.deadlines.remove(&(held.until, id));
                 }
             }
             Input::FromHost { host, message } => match message {
                 FromHost::Acked { delivery, body } => {
-                    let Some(&(_, _, sent)) = self.out.get(&delivery) else {
+                    let Some(&(_, _, sent)) = self.deliveries.get(&delivery) else {
                         return;
                     };
                     let Some(id) = self.close(delivery) else {
                         return;
                     };
                     let build = self.hosts.get(&host).map_or(0, |h| h.build);
-                    let key = self.held[&id].command.key;
+                    let key = self.commands[&id].command.key;
                     if key != 0 && !self.sent_back(build) {
                         let newest = self.answered_by.entry(key).or_insert(build);
                         *newest = build.max(*newest);
@@ -442,7 +443,7 @@
             Input::ListUnavailable => drop(wiring.to_list(ToList::Watch { have: self.version })),
             Input::FromController(FromController::RolloutUpdate(news)) => {
                 let same = self
-                    .news
+                    .rollout
                     .is_some_and(|n| (n.build, n.stage) == (news.build, news.stage));
                 if !same {
                     (self.stage_began, self.voted_at) =
@@ -454,15 +455,17 @@
                 ) {
                     self.answered_by.retain(|_, b| *b != news.build);
                 }
-                self.news = Some(news);
+                self.rollout = Some(news);
             }
             Input::Close => self.closing = true,
             Input::Timer => {
-                while let Some((_, id)) = self.due.first().copied().filter(|d| d.0 <= self.now) {
+                while let Some((_, id)) =
+                    self.deadlines.first().copied().filter(|d| d.0 <= self.now)
+                {
                     self.give_up(id, wiring);
                 }
                 if self.now >= self.wake_at {
-                    self.wake_at = self.now + WAKE;
+                    self.wake_at = self.now + TIMER_INTERVAL;
                     self.vote(wiring);
                 }
             }
@@ -471,12 +474,12 @@
     }
 
     fn next_wake(&self) -> Micros {
-        self.due
+        self.deadlines
             .first()
             .map_or(self.wake_at, |d| d.0.min(self.wake_at))
     }
 
     fn held(&self) -> usize {
-        self.held.len()
+        self.commands.len()
     }
 }
--- a/crates/spokeflow-simulator/src/agreement.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -6,8 +6,8 @@
 
 mod event;
 mod faults;
-mod keepers;
-mod people;
+mod nodes;
+mod operators;
 mod routers;
 
 use std::cmp::Reverse;
@@ -21,14 +21,14 @@
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistentState, RaftConfig};
 
-use self::event::What;
-use self::keepers::KeeperNode;
+use self::event::Event;
+use self::nodes::ControlPlaneNode;
 use self::routers::Router;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 /// How often a router acts.
-const ACTS: Micros = 50 * MS;
+const ROUTER_ACTION_INTERVAL: Micros = 50 * MS;
 
 #[derive(Clone, Copy, Debug)]
 pub struct ControlPlaneScenario {
@@ -63,21 +63,21 @@
 }
 
 struct World {
-    day: ControlPlaneScenario,
-    terms: CoordinatorConfig,
+    scenario: ControlPlaneScenario,
+    config: CoordinatorConfig,
     now: Micros,
-    chance: StdRng,
-    keepers: Vec<KeeperNode>,
+    rng: StdRng,
+    nodes: Vec<ControlPlaneNode>,
     routers: Vec<Router>,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
-    whats: HashMap<u64, What>,
+    events: HashMap<u64, Event>,
     planned: u64,
     /// Cut ways by number of the cut; keepers come first, then routers.
     cuts: Vec<(u64, usize, usize)>,
     /// By revision, when a keeper first knew of it, and when one first had it in force.
-    told: BTreeMap<u64, Micros>,
-    forced: BTreeMap<u64, Micros>,
-    offer: Option<Proposal>,
+    first_known: BTreeMap<u64, Micros>,
+    first_in_force: BTreeMap<u64, Micros>,
+    pending_proposal: Option<Proposal>,
     played: ControlPlaneRun,
 }
 
@@ -104,94 +104,90 @@
     let mut chance = StdRng::seed_from_u64(day.seed);
     let spread = 1.0 - day.drift..=1.0 + day.drift;
     // Two more than vote at first: they are taken in for others.
-    let keepers = (0..day.keepers + 2).map(|_| KeeperNode {
+    let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
         core: None,
         start: 0,
         disk: PersistentState::default(),
-        wrote: 0,
+        last_persisted: 0,
         stopped: false,
-        kept: Vec::new(),
-        rate: chance.random_range(spread.clone()),
-        wakes: Micros::MAX,
+        postponed: Vec::new(),
+        clock_rate: chance.random_range(spread.clone()),
+        timer_at: Micros::MAX,
     });
-    let keepers: Vec<KeeperNode> = keepers.collect();
+    let keepers: Vec<ControlPlaneNode> = keepers.collect();
     let routers = (0..day.routers).map(|n| Router {
         lease_holder: LeaseHolder::new(terms.lease, u64::from(n), n),
         start: 0,
         stopped: false,
-        kept: Vec::new(),
-        rate: chance.random_range(spread.clone()),
-        keeper: (n % day.keepers) as usize,
-        answered: 0,
+        postponed: Vec::new(),
+        clock_rate: chance.random_range(spread.clone()),
+        node: (n % day.keepers) as usize,
+        last_response: 0,
     });
     let routers: Vec<Router> = routers.collect();
     let mut world = World {
-        day,
-        terms,
+        scenario: day,
+        config: terms,
         now: 10 * SECOND,
-        chance,
-        keepers,
+        rng: chance,
+        nodes: keepers,
         routers,
         due: BinaryHeap::new(),
-        whats: HashMap::new(),
+        events: HashMap::new(),
         planned: 0,
         cuts: Vec::new(),
-        told: BTreeMap::new(),
-        forced: BTreeMap::new(),
-        offer: None,
+        first_known: BTreeMap::new(),
+        first_in_force: BTreeMap::new(),
+        pending_proposal: None,
         played: ControlPlaneRun::default(),
     };
-    (0..world.keepers.len()).for_each(|n| world.start(n));
+    (0..world.nodes.len()).for_each(|n| world.start(n));
     for router in 0..world.routers.len() {
-        let after = world.chance.random_range(0..SECOND);
-        world.plan(after, What::RouterAsks { router, start: 0 });
-        world.plan(after, What::Acts { router, start: 0 });
+        let after = world.rng.random_range(0..SECOND);
+        world.plan(after, Event::LeaseRenewal { router, start: 0 });
+        world.plan(after, Event::RouterActs { router, start: 0 });
     }
-    world.plan(2 * SECOND, What::Offers);
+    world.plan(2 * SECOND, Event::ProposalDue);
     if day.faulty {
-        world.plan(2 * SECOND, What::Fault);
-        world.plan(5 * SECOND, What::Change);
+        world.plan(2 * SECOND, Event::Fault);
+        world.plan(5 * SECOND, Event::MembershipChange);
     }
     world.run();
     world.finish()
 }
 
 impl World {
-    fn plan(&mut self, after: Micros, what: What) {
+    fn plan(&mut self, after: Micros, what: Event) {
         self.planned += 1;
-        self.whats.insert(self.planned, what);
+        self.events.insert(self.planned, what);
         self.due.push(Reverse((self.now + after, self.planned)));
     }
 
     fn run(&mut self) {
-        let end = self.now + self.day.length;
+        let end = self.now + self.scenario.length;
         while self.played.broken.is_none() {
             let Some(Reverse((at, n))) = self.due.pop().filter(|d| d.0 .0 <= end) else {
                 return;
             };
             self.now = at;
             self.played.events += 1;
-            if let Some(what) = self.whats.remove(&n) {
-                self.happens(what);
+            if let Some(what) = self.events.remove(&n) {
+                self.handle(what);
             }
         }
     }
 
     fn finish(mut self) -> ControlPlaneRun {
         let waits = self
-            .forced
+            .first_in_force
             .iter()
-            .filter_map(|(n, at)| Some(at - self.told.get(n)?));
+            .filter_map(|(n, at)| Some(at - self.first_known.get(n)?));
         self.played.waits = waits.collect();
-        for core in self.keepers.iter().filter_map(|s| s.core.as_ref()) {
+        for core in self.nodes.iter().filter_map(|s| s.core.as_ref()) {
             self.played.terms = self.played.terms.max(core.raft().term().0);
             self.played.kept_entries = self.played.kept_entries.max(core.raft().log_len());
         }
-        let state = self
-            .keepers
-            .iter()
-            .map(|s| s.disk.snapshot.state.len())
-            .max();
+        let state = self.nodes.iter().map(|s| s.disk.snapshot.state.len()).max();
         self.played.kept_state = state.unwrap_or(0);
         self.played
     }
@@ -201,53 +197,57 @@
     }
 
     /// `from` and `to` count keepers first, then routers.
-    fn send(&mut self, from: usize, to: usize, what: impl Fn() -> What) {
-        let faulty = self.day.faulty;
+    fn send(&mut self, from: usize, to: usize, what: impl Fn() -> Event) {
+        let faulty = self.scenario.faulty;
         let (lost, twice, late) = if faulty {
             (0.02, 0.02, 0.02)
         } else {
             (0.0, 0.0, 0.0)
         };
-        if self.cuts.iter().any(|c| (c.1, c.2) == (from, to)) || self.chance.random_bool(lost) {
+        if self.cuts.iter().any(|c| (c.1, c.2) == (from, to)) || self.rng.random_bool(lost) {
             return;
         }
-        for _ in 0..1 + usize::from(self.chance.random_bool(twice)) {
-            let most = if self.chance.random_bool(late) {
+        for _ in 0..1 + usize::from(self.rng.random_bool(twice)) {
+            let most = if self.rng.random_bool(late) {
                 4 * SECOND
             } else {
                 15 * MS
             };
-            let after = self.chance.random_range(MS..most);
+            let after = self.rng.random_range(MS..most);
             self.plan(after, what());
         }
     }
 
-    fn happens(&mut self, what: What) {
-        // What reaches a process that is stopped waits until it goes on.
+    fn handle(&mut self, what: Event) {
+        // Event reaches a process that is stopped waits until it goes on.
         let keeper = match &what {
-            What::Quorum { to, .. } | What::Asks { to, .. } => Some(*to),
-            What::Synced { keeper, .. } | What::Wake { keeper, .. } => Some(*keeper),
-            What::Answers { conn, .. } if conn >> 63 == 1 => Some((*conn as u32 >> 2) as usize),
+            Event::RaftMessage { to, .. } | Event::RequestArrives { to, .. } => Some(*to),
+            Event::Persisted { keeper, .. } | Event::NodeTimer { keeper, .. } => Some(*keeper),
+            Event::ResponseArrives { conn, .. } if conn >> 63 == 1 => {
+                Some((*conn as u32 >> 2) as usize)
+            }
             _ => None,
         };
-        if let Some(node) = keeper.map(|n| &mut self.keepers[n]).filter(|s| s.stopped) {
-            return node.kept.push(what);
+        if let Some(node) = keeper.map(|n| &mut self.nodes[n]).filter(|s| s.stopped) {
+            return node.postponed.push(what);
         }
         let router = match &what {
-            What::RouterAsks { router, .. } | What::Acts { router, .. } => Some(*router),
-            What::Answers { conn, .. } if conn >> 63 == 0 => Some((*conn as u32 >> 1) as usize),
+            Event::LeaseRenewal { router, .. } | Event::RouterActs { router, .. } => Some(*router),
+            Event::ResponseArrives { conn, .. } if conn >> 63 == 0 => {
+                Some((*conn as u32 >> 1) as usize)
+            }
             _ => None,
         };
         if let Some(router) = router.map(|n| &mut self.routers[n]).filter(|r| r.stopped) {
-            return router.kept.push(what);
+            return router.postponed.push(what);
         }
         match what {
-            What::Quorum { to, from, message } => {
+            Event::RaftMessage { to, from, message } => {
                 self.call(to, |k, now, step| {
                     k.on_message(now, NodeId(from as u32), message, step)
                 });
             }
-            What::Asks {
+            Event::RequestArrives {
                 to,
                 conn,
                 number,
@@ -260,64 +260,63 @@
                 };
                 self.call(to, |k, now, step| k.on_request(now, asker, ask, step));
             }
-            What::Answers {
+            Event::ResponseArrives {
                 conn,
                 number,
                 answer,
             } if conn >> 63 == 1 => {
                 let n = (conn as u32 >> 2) as usize;
-                if self.keepers[n].start == (conn >> 32) as u32 & 0x7fff_ffff {
+                if self.nodes[n].start == (conn >> 32) as u32 & 0x7fff_ffff {
                     self.call(n, |k, _, step| k.on_forward_response(number, answer, step));
                 }
             }
-            What::Answers {
+            Event::ResponseArrives {
                 conn,
                 number,
                 answer,
             } => self.answered(conn, number, answer),
-            What::Synced {
+            Event::Persisted {
                 keeper,
                 start,
                 write,
             } => self.on_persisted(keeper, start, write),
             // One that was planned before a sooner one has been overtaken by it.
-            What::Wake { keeper, start }
-                if start == self.keepers[keeper].start
-                    && self.now == self.keepers[keeper].wakes =>
+            Event::NodeTimer { keeper, start }
+                if start == self.nodes[keeper].start && self.now == self.nodes[keeper].timer_at =>
             {
-                self.keepers[keeper].wakes = Micros::MAX;
+                self.nodes[keeper].timer_at = Micros::MAX;
                 self.call(keeper, |k, now, step| {
                     if k.next_wake(now) <= now {
                         k.on_timer(now, step);
                     }
                 });
             }
-            What::RouterAsks { router, start } if start == self.routers[router].start => {
+            Event::LeaseRenewal { router, start } if start == self.routers[router].start => {
                 self.router_asks(router)
             }
-            What::Acts { router, start } if start == self.routers[router].start => {
-                self.plan(ACTS, What::Acts { router, start });
+            Event::RouterActs { router, start } if start == self.routers[router].start => {
+                self.plan(ROUTER_ACTION_INTERVAL, Event::RouterActs { router, start });
                 self.acts(router);
             }
-            What::Offers => self.offers(),
-            What::Fault => self.fault(),
-            What::Mend(cut) => self.cuts.retain(|c| c.0 != cut),
-            What::KeeperGoes { keeper, start } if start == self.keepers[keeper].start => {
-                self.keepers[keeper].stopped = false;
-                for what in std::mem::take(&mut self.keepers[keeper].kept) {
-                    self.happens(what);
+            Event::ProposalDue => self.offers(),
+            Event::Fault => self.fault(),
+            Event::CutEnds(cut) => self.cuts.retain(|c| c.0 != cut),
+            Event::NodeResumes { keeper, start } if start == self.nodes[keeper].start => {
+                self.nodes[keeper].stopped = false;
+                for what in std::mem::take(&mut self.nodes[keeper].postponed) {
+                    self.handle(what);
                 }
-                self.keepers[keeper].wakes = Micros::MAX;
+                self.nodes[keeper].timer_at = Micros::MAX;
                 self.wake(keeper);
             }
-            What::RouterGoes { router, start } if start == self.routers[router].start => {
+            Event::RouterResumes { router, start } if start == self.routers[router].start => {
                 self.routers[router].stopped = false;
-                for what in std::mem::take(&mut self.routers[router].kept) {
-                    self.happens(what);
+                for what in std::mem::take(&mut self.routers[router].postponed) {
+                    self.handle(what);
                 }
             }
-            What::Start { keeper } if self.keepers[keeper].core.is_none() => self.start(keeper),
-            What::Change => self.change(),
+            Event::NodeStarts { keeper } if self.nodes[keeper].core.is_none() => self.start(keeper),
+            Event::MembershipChange => self.change(),
             _ => {}
         }
     }
--- a/crates/spokeflow-simulator/src/agreement/event.rs
+++ b/crates/spokeflow-simulator/src/control_plane/event.rs
@@ -1,10 +1,10 @@
-//! What is to come, and the numbers of the connections that answers go to.
+//! Event is to come, and the numbers of the connections that answers go to.
 
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_raft::{Message, PersistRequest};
 
 /// Whom an answer goes to, as the number of a connection: a keeper that passed on, a router's process, a person.
-pub(super) const PERSON: u64 = 0;
+pub(super) const OPERATOR: u64 = 0;
 
 pub(super) fn router_conn(router: usize, start: u32) -> u64 {
     1 | (router as u64) << 1 | u64::from(start) << 32
@@ -14,54 +14,54 @@
     2 | (keeper as u64) << 2 | u64::from(start) << 32 | 1 << 63
 }
 
-pub(super) enum What {
+pub(super) enum Event {
     /// Also of a process that is dead by now.
-    Quorum {
+    RaftMessage {
         to: usize,
         from: usize,
         message: Message,
     },
-    Asks {
+    RequestArrives {
         to: usize,
         conn: u64,
         number: u64,
         ask: Request,
     },
-    Answers {
+    ResponseArrives {
         conn: u64,
         number: u64,
         answer: Response,
     },
-    Synced {
+    Persisted {
         keeper: usize,
         start: u32,
         write: Box<PersistRequest>,
     },
-    Wake {
+    NodeTimer {
         keeper: usize,
         start: u32,
     },
-    RouterAsks {
+    LeaseRenewal {
         router: usize,
         start: u32,
     },
-    Acts {
+    RouterActs {
         router: usize,
         start: u32,
     },
-    Offers,
+    ProposalDue,
     Fault,
-    Mend(u64),
-    KeeperGoes {
+    CutEnds(u64),
+    NodeResumes {
         keeper: usize,
         start: u32,
     },
-    RouterGoes {
+    RouterResumes {
         router: usize,
         start: u32,
     },
-    Start {
+    NodeStarts {
         keeper: usize,
     },
-    Change,
+    MembershipChange,
 }
--- a/crates/spokeflow-simulator/src/agreement/keepers.rs
+++ b/crates/spokeflow-simulator/src/control_plane/nodes.rs
@@ -6,37 +6,37 @@
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 
-use super::event::{keeper_conn, What, PERSON};
+use super::event::{keeper_conn, Event, OPERATOR};
 use super::{World, MS};
 
-pub(super) struct KeeperNode {
+pub(super) struct ControlPlaneNode {
     pub(super) core: Option<Coordinator>,
     pub(super) start: u32,
     pub(super) disk: PersistentState,
-    pub(super) wrote: u64,
+    pub(super) last_persisted: u64,
     pub(super) stopped: bool,
-    pub(super) kept: Vec<What>,
-    pub(super) rate: f64,
+    pub(super) postponed: Vec<Event>,
+    pub(super) clock_rate: f64,
     /// For which instant its wake-up is planned.
-    pub(super) wakes: Micros,
+    pub(super) timer_at: Micros,
 }
 
 impl World {
     pub(super) fn start(&mut self, n: usize) {
-        let now = self.clock(self.keepers[n].rate);
-        let seed = self.chance.random();
+        let now = self.clock(self.nodes[n].clock_rate);
+        let seed = self.rng.random();
         let own = NodeId(n as u32);
         let mut terms = CoordinatorConfig {
             id: own,
-            ..self.terms.clone()
+            ..self.config.clone()
         };
-        if n >= self.day.keepers as usize {
+        if n >= self.scenario.keepers as usize {
             terms.raft.voters.clear();
         }
-        let node = &mut self.keepers[n];
+        let node = &mut self.nodes[n];
         node.start += 1;
-        (node.stopped, node.wrote, node.wakes) = (false, 0, Micros::MAX);
-        node.kept.clear();
+        (node.stopped, node.last_persisted, node.timer_at) = (false, 0, Micros::MAX);
+        node.postponed.clear();
         match Coordinator::new(terms, seed, node.disk.clone(), now) {
             Ok(core) => node.core = Some(core),
             Err(what) => self.played.broken = Some(format!("keeper {n} does not start: {what}")),
@@ -45,17 +45,17 @@
     }
 
     pub(super) fn wake(&mut self, n: usize) {
-        let node = &self.keepers[n];
+        let node = &self.nodes[n];
         let Some(core) = &node.core else { return };
-        let now = self.clock(node.rate);
-        let after = ((core.next_wake(now) - now).max(0) as f64 / node.rate) as Micros + 1;
+        let now = self.clock(node.clock_rate);
+        let after = ((core.next_wake(now) - now).max(0) as f64 / node.clock_rate) as Micros + 1;
         // One that is planned for sooner plans the next by itself.
-        if node.wakes <= self.now + after && node.wakes > self.now {
+        if node.timer_at <= self.now + after && node.timer_at > self.now {
             return;
         }
         let start = node.start;
-        self.keepers[n].wakes = self.now + after;
-        self.plan(after, What::Wake { keeper: n, start });
+        self.nodes[n].timer_at = self.now + after;
+        self.plan(after, Event::NodeTimer { keeper: n, start });
     }
 
     pub(super) fn call(
@@ -63,32 +63,36 @@
         n: usize,
         act: impl FnOnce(&mut Coordinator, Micros, &mut Effects),
     ) {
-        let now = self.clock(self.keepers[n].rate);
+        let now = self.clock(self.nodes[n].clock_rate);
         let mut step = Effects::default();
-        let Some(core) = &mut self.keepers[n].core else {
+        let Some(core) = &mut self.nodes[n].core else {
             return;
         };
         act(core, now, &mut step);
-        let start = self.keepers[n].start;
+        let start = self.nodes[n].start;
         if step.config_changed {
-            let ledger = self.keepers[n].core.as_ref().map(Coordinator::config);
+            let ledger = self.nodes[n].core.as_ref().map(Coordinator::config);
             let known = ledger
                 .map(|l| (l.newest().0, l.in_force.number.0))
                 .unwrap_or_default();
             for r in 1..=known.0 {
-                self.told.entry(r).or_insert(self.now);
+                self.first_known.entry(r).or_insert(self.now);
             }
             for r in 1..=known.1 {
-                self.forced.entry(r).or_insert(self.now);
+                self.first_in_force.entry(r).or_insert(self.now);
             }
         }
         for write in step.persist_requests {
-            let after = self
-                .chance
-                .random_range(MS..if self.day.faulty { 20 * MS } else { 3 * MS });
+            let after = self.rng.random_range(
+                MS..if self.scenario.faulty {
+                    20 * MS
+                } else {
+                    3 * MS
+                },
+            );
             self.plan(
                 after,
-                What::Synced {
+                Event::Persisted {
                     keeper: n,
                     start,
                     write: Box::new(write),
@@ -103,7 +107,7 @@
                     request: ask,
                 } => {
                     let conn = keeper_conn(n, start);
-                    self.send(n, to, || What::Asks {
+                    self.send(n, to, || Event::RequestArrives {
                         to,
                         conn,
                         number,
@@ -112,7 +116,7 @@
                 }
                 ToNode::Hello { .. } => {}
                 ToNode::Raft(message) => {
-                    self.send(n, to, || What::Quorum {
+                    self.send(n, to, || Event::RaftMessage {
                         to,
                         from: n,
                         message: message.clone(),
@@ -127,15 +131,15 @@
     }
 
     fn answer(&mut self, from: usize, conn: u64, number: u64, answer: Response) {
-        if conn == PERSON {
+        if conn == OPERATOR {
             // At once: when a person hears of it says nothing of the routers.
             return self.heard_by_person(answer);
         }
         let to = match conn >> 63 {
             1 => (conn as u32 >> 2) as usize,
-            _ => self.keepers.len() + (conn as u32 >> 1) as usize,
+            _ => self.nodes.len() + (conn as u32 >> 1) as usize,
         };
-        self.send(from, to, || What::Answers {
+        self.send(from, to, || Event::ResponseArrives {
             conn,
             number,
             answer: answer.clone(),
@@ -144,19 +148,19 @@
 
     fn heard_by_person(&mut self, answer: Response) {
         if matches!(answer, Response::Proposed(_) | Response::Invalid(_)) {
-            self.offer = None;
+            self.pending_proposal = None;
         }
     }
 
     pub(super) fn on_persisted(&mut self, keeper: usize, start: u32, write: Box<PersistRequest>) {
-        let node = &mut self.keepers[keeper];
+        let node = &mut self.nodes[keeper];
         if start != node.start || node.core.is_none() {
             return;
         }
-        if write.sequence != node.wrote + 1 {
+        if write.sequence != node.last_persisted + 1 {
             return self.plan(
                 MS,
-                What::Synced {
+                Event::Persisted {
                     keeper,
                     start,
                     write,
@@ -164,7 +168,7 @@
             );
         }
         node.disk.apply(&write);
-        node.wrote = write.sequence;
+        node.last_persisted = write.sequence;
         self.call(keeper, |k, now, step| {
             k.on_persisted(now, write.sequence, step)
         });
--- a/crates/spokeflow-simulator/src/agreement/people.rs
+++ b/crates/spokeflow-simulator/src/control_plane/operators.rs
@@ -1,27 +1,27 @@
-//! What people do: they offer revisions, and take keepers in and out.
+//! Event people do: they offer revisions, and take keepers in and out.
 
 use rand::RngExt;
 use spokeflow_coordination::wire::Request;
 use spokeflow_coordination::{Overrides, Proposal, RequestOrigin, RevisionNumber};
 use spokeflow_raft::NodeId;
 
-use super::event::{What, PERSON};
+use super::event::{Event, OPERATOR};
 use super::{World, MS, SECOND};
 
 impl World {
     pub(super) fn offers(&mut self) {
-        let after = self.chance.random_range(300 * MS..2 * SECOND);
-        self.plan(after, What::Offers);
-        let newest = self.told.last_key_value().map_or(0, |t| *t.0);
+        let after = self.rng.random_range(300 * MS..2 * SECOND);
+        self.plan(after, Event::ProposalDue);
+        let newest = self.first_known.last_key_value().map_or(0, |t| *t.0);
         // One that was not clear is offered again, as it was.
-        let offer = self.offer.take().unwrap_or_else(|| {
-            let stale = self.chance.random_bool(0.1);
+        let offer = self.pending_proposal.take().unwrap_or_else(|| {
+            let stale = self.rng.random_bool(0.1);
             let against = RevisionNumber(if stale {
                 newest.saturating_sub(1)
             } else {
                 newest
             });
-            let token = self.chance.random();
+            let token = self.rng.random();
             let (who, why) = ("p".to_string(), String::new());
             Proposal {
                 token,
@@ -32,14 +32,14 @@
                 values: Overrides::new(),
             }
         });
-        self.offer = Some(offer.clone());
-        let to = self.chance.random_range(0..self.keepers.len());
+        self.pending_proposal = Some(offer.clone());
+        let to = self.rng.random_range(0..self.nodes.len());
         let asker = RequestOrigin {
-            connection: PERSON,
+            connection: OPERATOR,
             number: 0,
             forwarded: false,
         };
-        if !self.keepers[to].stopped {
+        if !self.nodes[to].stopped {
             self.call(to, |k, now, step| {
                 k.on_request(now, asker, Request::Propose(offer), step)
             });
@@ -48,29 +48,29 @@
 
     /// Takes a spare keeper in, or one out.
     pub(super) fn change(&mut self) {
-        let after = self.chance.random_range(SECOND..4 * SECOND);
-        self.plan(after, What::Change);
-        let drawn = NodeId(self.chance.random_range(0..self.keepers.len() as u32));
-        for n in 0..self.keepers.len() {
-            let Some(core) = self.keepers[n]
+        let after = self.rng.random_range(SECOND..4 * SECOND);
+        self.plan(after, Event::MembershipChange);
+        let drawn = NodeId(self.rng.random_range(0..self.nodes.len() as u32));
+        for n in 0..self.nodes.len() {
+            let Some(core) = self.nodes[n]
                 .core
                 .as_ref()
-                .filter(|_| !self.keepers[n].stopped)
+                .filter(|_| !self.nodes[n].stopped)
             else {
                 continue;
             };
             let mut members = core.raft().voters().to_vec();
-            if !members.contains(&drawn) && members.len() < self.day.keepers as usize + 1 {
+            if !members.contains(&drawn) && members.len() < self.scenario.keepers as usize + 1 {
                 members.push(drawn);
-            } else if members.len() > self.day.keepers as usize {
+            } else if members.len() > self.scenario.keepers as usize {
                 members.retain(|m| *m != drawn);
             }
             let leads = core
                 .raft()
-                .has_leader_lease(self.clock(self.keepers[n].rate));
+                .has_leader_lease(self.clock(self.nodes[n].clock_rate));
             if leads {
                 let asker = RequestOrigin {
-                    connection: PERSON,
+                    connection: OPERATOR,
                     number: 0,
                     forwarded: false,
                 };
--- a/crates/spokeflow-simulator/src/agreement/routers.rs
+++ b/crates/spokeflow-simulator/src/control_plane/routers.rs
@@ -1,52 +1,52 @@
-//! Routers: they ask for leases, and act. What must hold is checked at each act.
+//! Routers: they ask for leases, and act. Event must hold is checked at each act.
 
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_coordination::{LeaseHolder, LeaseRequest};
 use spokeflow_core::Micros;
 
-use super::event::{router_conn, What};
+use super::event::{router_conn, Event};
 use super::{World, MS};
 
-const PATIENCE: Micros = 500 * MS;
+const RESPONSE_TIMEOUT: Micros = 500 * MS;
 
 pub(super) struct Router {
     pub(super) lease_holder: LeaseHolder,
     pub(super) start: u32,
     pub(super) stopped: bool,
-    pub(super) kept: Vec<What>,
-    pub(super) rate: f64,
-    pub(super) keeper: usize,
-    pub(super) answered: Micros,
+    pub(super) postponed: Vec<Event>,
+    pub(super) clock_rate: f64,
+    pub(super) node: usize,
+    pub(super) last_response: Micros,
 }
 
 impl World {
     pub(super) fn router_asks(&mut self, router: usize) {
-        let now = self.clock(self.routers[router].rate);
-        let waited = self.now - self.routers[router].answered;
-        let (n, many) = (self.keepers.len(), self.keepers.len());
+        let now = self.clock(self.routers[router].clock_rate);
+        let waited = self.now - self.routers[router].last_response;
+        let (n, many) = (self.nodes.len(), self.nodes.len());
         let r = &mut self.routers[router];
-        if waited > r.lease_holder.renewal_interval() + PATIENCE {
-            (r.keeper, r.answered) = ((r.keeper + 1) % many, self.now);
+        if waited > r.lease_holder.renewal_interval() + RESPONSE_TIMEOUT {
+            (r.node, r.last_response) = ((r.node + 1) % many, self.now);
         }
         let (number, asked): (u64, LeaseRequest) = r.lease_holder.request(now);
         let (to, start, every) = (
-            r.keeper,
+            r.node,
             r.start,
-            (r.lease_holder.renewal_interval() as f64 / r.rate) as Micros,
+            (r.lease_holder.renewal_interval() as f64 / r.clock_rate) as Micros,
         );
         let conn = router_conn(router, start);
-        self.send(n + router, to, || What::Asks {
+        self.send(n + router, to, || Event::RequestArrives {
             to,
             conn,
             number,
             ask: Request::Lease(asked.clone()),
         });
-        self.plan(every, What::RouterAsks { router, start });
+        self.plan(every, Event::LeaseRenewal { router, start });
     }
 
     pub(super) fn answered(&mut self, conn: u64, number: u64, answer: Response) {
         let router = (conn as u32 >> 1) as usize;
-        let many = self.keepers.len();
+        let many = self.nodes.len();
         let r = &mut self.routers[router];
         if r.start != (conn >> 32) as u32 {
             return;
@@ -54,20 +54,20 @@
         match answer {
             Response::Granted(grant) => {
                 self.played.grants += 1;
-                r.answered = self.now;
+                r.last_response = self.now;
                 if r.lease_holder.on_grant(number, *grant) {
                     let newest = r.lease_holder.newest();
                     r.lease_holder.set_applied_revision(newest);
                 }
             }
-            _ => (r.keeper, r.answered) = ((r.keeper + 1) % many, self.now),
+            _ => (r.node, r.last_response) = ((r.node + 1) % many, self.now),
         }
     }
 
-    /// What must hold at each act under a lease.
+    /// Event must hold at each act under a lease.
     pub(super) fn acts(&mut self, router: usize) {
         let r = &self.routers[router];
-        let now = self.clock(r.rate);
+        let now = self.clock(r.clock_rate);
         if r.lease_holder.expires_at().is_none_or(|until| now >= until) {
             self.played.unleased += 1;
             return;
@@ -78,26 +78,26 @@
             r.lease_holder.newest().0,
         );
         let unknown = self
-            .told
+            .first_known
             .range(newest + 1..)
             .next()
             .map(|(n, at)| (*n, *at, "is known of"));
         let unforced = self
-            .forced
+            .first_in_force
             .range(in_force + 1..)
             .next()
             .map(|(n, at)| (*n, *at, "is in force"));
         for (revision, at, how) in unknown.into_iter().chain(unforced) {
             let since = self.now - at;
             self.played.longest_contradiction = self.played.longest_contradiction.max(since);
-            if since > self.day.lease {
+            if since > self.scenario.lease {
                 let what = format!(
                     "router {router} acts on {in_force}/{newest}, and revision {revision} {how} for {since} us"
                 );
                 self.played.broken.get_or_insert(what);
             }
         }
-        if self.forced.range(newest + 1..).next().is_some() {
+        if self.first_in_force.range(newest + 1..).next().is_some() {
             let what = format!(
                 "router {router} acts on {newest} and has not heard of one that is in force"
             );
--- a/crates/spokeflow-simulator/src/pair.rs
+++ b/crates/spokeflow-simulator/src/host_link.rs
@@ -5,15 +5,15 @@
 
 // The defaults of the router's flags.
 pub const CONNECT_TIMEOUT: Micros = 250 * MS;
-pub const FIRST_PAUSE: Micros = 50 * MS;
-pub const LONGEST_PAUSE: Micros = 2 * SECOND;
-pub const IDLE: Micros = 30 * SECOND;
-pub const WAY_TIMEOUT: Micros = SECOND;
-pub const QUEUE: usize = 256;
+pub const FIRST_BACKOFF: Micros = 50 * MS;
+pub const LONGEST_BACKOFF: Micros = 2 * SECOND;
+pub const IDLE_TIMEOUT: Micros = 30 * SECOND;
+pub const LINK_TIMEOUT: Micros = SECOND;
+pub const QUEUE_LIMIT: usize = 256;
 
 /// The pause after so many failures in a row; `drawn` is from 0.5 to 1.
 pub fn pause(failures: u32, drawn: f64) -> Micros {
-    let whole = (FIRST_PAUSE << failures.min(16)).min(LONGEST_PAUSE);
+    let whole = (FIRST_BACKOFF << failures.min(16)).min(LONGEST_BACKOFF);
     (whole as f64 * drawn) as Micros
 }
 
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
     pub delivery: u64,
-    pub tried: u64,
+    pub attempt: u64,
     pub command: u64,
     pub op: u16,
     pub key: u64,
-    pub mark: u64,
+    pub idempotency_key: u64,
     pub left: Micros,
     pub leave_by: Micros,
 }
@@ -50,16 +50,16 @@
     pub failures: u32,
     pub not_before: Micros,
     pub up_since: Micros,
-    pub used: Micros,
+    pub last_used: Micros,
     pub quiet_since: Micros,
     pub pinged: bool,
-    pub listens: bool,
+    pub silence_watched: bool,
     /// When the last message each way arrives: none overtakes another.
     pub last_to: Micros,
     pub last_from: Micros,
     pub waiting: Vec<Message>,
     /// Left and unanswered.
-    pub out: Vec<u64>,
+    pub in_flight: Vec<u64>,
     /// Cancelled after they left, with the ping whose answer shows that they have arrived.
     pub cancelled: Vec<(u64, u64)>,
     pub pings: u64,
@@ -76,25 +76,25 @@
     }
 
     pub fn idle(&self) -> bool {
-        self.out.is_empty() && self.cancelled.is_empty()
+        self.in_flight.is_empty() && self.cancelled.is_empty()
     }
 
     /// Whether a ping is to be sent for what was cancelled since the last one.
-    pub fn ask(&mut self) -> bool {
+    pub fn start_ping(&mut self) -> bool {
         let asks = self.pings == self.pongs && self.cancelled.iter().any(|c| c.1 > self.pings);
         self.pings += u64::from(asks);
         asks
     }
 
-    pub fn pong(&mut self) {
+    pub fn on_pong(&mut self) {
         self.pongs = (self.pongs + 1).min(self.pings);
         let heard = self.pongs;
         self.cancelled.retain(|c| c.1 > heard);
     }
 
     /// The connection is no more. Answers what never left and what may have run.
-    pub fn broken(&mut self, now: Micros, drawn: f64) -> (Vec<Message>, Vec<u64>) {
-        self.failures = if now - self.up_since > LONGEST_PAUSE {
+    pub fn on_broken(&mut self, now: Micros, drawn: f64) -> (Vec<Message>, Vec<u64>) {
+        self.failures = if now - self.up_since > LONGEST_BACKOFF {
             0
         } else {
             self.failures + 1
@@ -111,7 +111,7 @@
         (self.last_to, self.last_from) = (0, 0);
         (
             std::mem::take(&mut self.waiting),
-            std::mem::take(&mut self.out),
+            std::mem::take(&mut self.in_flight),
         )
     }
 }
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -2,15 +2,15 @@
 //! clients and troubles of `spokeflow-scenario` around them. No I/O, no clock; discrete events in whole
 //! microseconds, those of one microsecond in the order in which they were planned. Equal days give equal bytes.
 
-mod agreement;
-mod brain;
-mod pair;
-mod plain;
+mod baseline;
+mod control_plane;
+mod engine_config;
+mod host_link;
 mod play;
-mod terms;
+mod strategy;
 mod world;
 
-pub use agreement::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
-pub use brain::{HostView, RoutingStrategy, StrategyKind, Wiring};
+pub use control_plane::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
+pub use engine_config::engine_terms;
 pub use play::{play, play_with, ScenarioRun, Watch};
-pub use terms::engine_terms;
+pub use strategy::{HostView, RoutingStrategy, StrategyKind, Wiring};
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -6,10 +6,10 @@
 use spokeflow_scenario::scenario::Scenario;
 use spokeflow_scenario::Micros;
 
-use crate::brain::StrategyKind;
+use crate::strategy::StrategyKind;
 use crate::world::World;
 
-/// What is told of a day while it is played.
+/// Event is told of a day while it is played.
 pub trait Watch {
     fn passed(&mut self, _at: Micros) {}
     fn seen(&mut self, _at: Micros, _seen: &Observation) {}
--- a/crates/spokeflow-simulator/src/brain.rs
+++ b/crates/spokeflow-simulator/src/strategy.rs
@@ -1,4 +1,4 @@
-//! What decides in a router's place: the engine, or a baseline behind the same interface.
+//! Event decides in a router's place: the engine, or a baseline behind the same interface.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use spokeflow_core::{BuildId, HostId, Micros};
 use spokeflow_engine::{Engine, EngineConfig, Input, Transport};
 
-use crate::plain::BaselineStrategy;
+use crate::baseline::BaselineStrategy;
 
-/// What a router with full sight would know of a host.
+/// Event a router with full sight would know of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView {
     pub up: bool,
     /// Work before a command that is sent now, in microseconds, and the delay one way; `None`: cut off.
     pub work_before: f64,
-    pub way: Option<Micros>,
-    /// What it does by now of what a warm and well host does.
+    pub delay: Option<Micros>,
+    /// Event it does by now of what a warm and well host does.
     pub speed: f64,
     /// Part of the commands that fail there.
-    pub fails: f64,
+    pub failure_rate: f64,
     /// Whether it bears one more while it is cold.
-    pub bears: bool,
+    pub has_headroom: bool,
 }
 
 /// The way out of a router, and, for full sight alone, what nobody can see.
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -30,57 +30,57 @@
 use spokeflow_scenario::traffic::Traffic;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
-use self::clients::{Asking, Trying};
-use self::event::{Due, What};
-use self::hosts::Seat;
-use self::routers::RouterSeat;
-use crate::brain::StrategyKind;
-use crate::pair::HostLink;
+use self::clients::{OpenAttempt, OpenCommand};
+use self::event::{Event, ScheduledEvent};
+use self::hosts::HostSlot;
+use self::routers::RouterSlot;
+use crate::host_link::HostLink;
 use crate::play::{ScenarioRun, Watch};
+use crate::strategy::StrategyKind;
 
 /// Before the first command, so that routers have a list and news.
-const LEAD: Micros = SECOND;
+const WARM_UP: Micros = SECOND;
 /// One way within a site, and between a client and its router.
-const LOCAL_WAY: Micros = 60;
-const DESK_TICK: Micros = 10 * MS;
+const LOCAL_DELAY: Micros = 60;
+const CONTROLLER_TICK: Micros = 10 * MS;
 const SLOW_TICK: Micros = 50 * MS;
 
 pub struct World {
     day: Scenario,
-    who: StrategyKind,
+    strategy: StrategyKind,
     now: Micros,
     start: Micros,
     end: Micros,
-    seq: u64,
-    queue: BinaryHeap<Reverse<Due>>,
-    /// What has met a cut, until it ends.
-    blocked: Vec<What>,
+    last_sequence: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Event has met a cut, until it ends.
+    blocked: Vec<Event>,
     faults: ActiveFaults,
     rng: StdRng,
     number: u64,
-    routers: Vec<RouterSeat>,
-    seats: Slab<Seat>,
-    seat_of: HashMap<u32, usize>,
+    routers: Vec<RouterSlot>,
+    host_slots: Slab<HostSlot>,
+    slot_of: HashMap<u32, usize>,
     /// By seat and router.
-    pairs: Vec<HostLink>,
-    marks: DeduplicationTable,
-    board: EndpointRegistry,
-    desk: ReleaseController,
+    host_links: Vec<HostLink>,
+    deduplication: DeduplicationTable,
+    registry: EndpointRegistry,
+    controller: ReleaseController,
     offers: Vec<Build>,
-    front: RouterPicker,
+    router_picker: RouterPicker,
     traffic: Traffic,
-    clients: Slab<Asking>,
-    tries: Slab<Trying>,
-    struck: BTreeMap<usize, Vec<u32>>,
-    lasting: Vec<(usize, Fault)>,
+    clients: Slab<OpenCommand>,
+    attempts: Slab<OpenAttempt>,
+    affected: BTreeMap<usize, Vec<u32>>,
+    active: Vec<(usize, Fault)>,
     record: Option<RunRecorder>,
-    seen: Vec<(Micros, Observation)>,
+    observations: Vec<(Micros, Observation)>,
     most: [usize; 3],
 }
 
 impl World {
     pub fn new(day: Scenario, who: StrategyKind) -> World {
-        let start = LEAD;
+        let start = WARM_UP;
         let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
         let offers = day
             .builds
@@ -89,32 +89,32 @@
             .filter(|b| b.number > 1)
             .collect();
         World {
-            who,
+            strategy: who,
             now: 0,
             start,
             end: start + day.length + longest + SECOND,
-            seq: 0,
+            last_sequence: 0,
             queue: BinaryHeap::new(),
             blocked: Vec::new(),
             faults: ActiveFaults::default(),
             rng: StdRng::seed_from_u64(day.seed ^ 0x57a6e),
             number: 0,
             routers: Vec::new(),
-            seats: Slab::new(),
-            seat_of: HashMap::new(),
-            pairs: Vec::new(),
-            marks: DeduplicationTable::default(),
-            board: EndpointRegistry::default(),
-            desk: ReleaseController::new(&day),
+            host_slots: Slab::new(),
+            slot_of: HashMap::new(),
+            host_links: Vec::new(),
+            deduplication: DeduplicationTable::default(),
+            registry: EndpointRegistry::default(),
+            controller: ReleaseController::new(&day),
             offers,
-            front: RouterPicker::new(&day),
+            router_picker: RouterPicker::new(&day),
             traffic: Traffic::new(&day, start),
             clients: Slab::new(),
-            tries: Slab::new(),
-            struck: BTreeMap::new(),
-            lasting: Vec::new(),
+            attempts: Slab::new(),
+            affected: BTreeMap::new(),
+            active: Vec::new(),
             record: Some(RunRecorder::new(&day, start)),
-            seen: Vec::new(),
+            observations: Vec::new(),
             most: [0; 3],
             day,
         }
@@ -125,30 +125,33 @@
             self.seat(host, 1, None);
             self.run_host(host);
         }
-        self.board.tick(self.now);
+        self.registry.tick(self.now);
         for router in 0..self.day.routers {
             let site = (router % u32::from(self.day.sites)) as u16;
-            self.routers.push(RouterSeat::new(router, site));
+            self.routers.push(RouterSlot::new(router, site));
         }
         for router in 0..self.day.routers {
             self.start_router(router);
         }
-        self.plan(DESK_TICK, What::DeskTick);
-        self.plan(SLOW_TICK, What::SlowTick);
+        self.plan(CONTROLLER_TICK, Event::ControllerTick);
+        self.plan(SLOW_TICK, Event::SlowTick);
         for (n, trouble) in self.day.faults.clone().iter().enumerate() {
-            self.plan_at(self.start + trouble.at, What::Begin(n));
+            self.plan_at(self.start + trouble.at, Event::FaultBegins(n));
         }
         let first = self.traffic.next(&self.day, &self.faults);
-        self.plan_at(first.due, What::Ask(first));
+        self.plan_at(first.due, Event::CommandDue(first));
         let (mut events, mut told) = (0, 0);
-        while let Some(Reverse(Due { at, what, .. })) = self.queue.pop() {
+        while let Some(Reverse(ScheduledEvent {
+            at, event: what, ..
+        })) = self.queue.pop()
+        {
             if at > self.end {
                 break;
             }
             self.now = at;
             events += 1;
-            self.happen(what);
-            for (at, seen) in std::mem::take(&mut self.seen) {
+            self.handle(what);
+            for (at, seen) in std::mem::take(&mut self.observations) {
                 watch.seen(at, &seen);
             }
             if self.now >= told + SECOND {
@@ -171,19 +174,19 @@
         if let Some(record) = &mut self.record {
             record.see(self.now, &seen);
         }
-        self.seen.push((self.now, seen));
+        self.observations.push((self.now, seen));
     }
 
-    fn plan(&mut self, after: Micros, what: What) {
+    fn plan(&mut self, after: Micros, what: Event) {
         self.plan_at(self.now + after, what);
     }
 
-    fn plan_at(&mut self, at: Micros, what: What) {
-        self.seq += 1;
-        self.queue.push(Reverse(Due {
+    fn plan_at(&mut self, at: Micros, what: Event) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent {
             at,
-            seq: self.seq,
-            what,
+            sequence: self.last_sequence,
+            event: what,
         }));
     }
 
@@ -192,32 +195,32 @@
         self.number
     }
 
-    fn happen(&mut self, what: What) {
+    fn handle(&mut self, what: Event) {
         match what {
-            What::Ask(wanted) => self.ask(wanted),
-            What::Try(client) => self.try_again(client),
-            What::AtRouter { tried, left } => self.at_router(tried, left),
-            What::AtClient {
+            Event::CommandDue(wanted) => self.ask(wanted),
+            Event::RetryDue(client) => self.try_again(client),
+            Event::CommandAtRouter { tried, left } => self.at_router(tried, left),
+            Event::AnswerAtClient {
                 tried,
                 end,
                 receipt,
             } => self.at_client(tried, end, receipt),
-            What::Leaves { tried } => self.leaves(tried),
-            What::LeaveAt { tried, by } => {
+            Event::ClientLeaves { tried } => self.leaves(tried),
+            Event::AbandonAtRouter { tried, by } => {
                 let conn = u64::from(by.router);
                 self.give(by, Input::Abandon { conn, id: tried });
             }
-            What::DisputedAt { by, receipt } => {
+            Event::WrongAnswerAtRouter { by, receipt } => {
                 self.give(by, Input::WrongAnswer { conn: 0, receipt })
             }
-            What::Wake { by, at } => {
+            Event::RouterTimer { by, at } => {
                 let seat = &mut self.routers[by.router as usize];
                 if seat.process == by && seat.wake_at == at {
                     seat.wake_at = Micros::MAX;
                     self.give(by, Input::Timer);
                 }
             }
-            What::Lost {
+            Event::DeliveryFailed {
                 by,
                 host,
                 delivery,
@@ -232,34 +235,34 @@
                     },
                 );
             }
-            What::ToHost { pair, epoch, word } => self.reaches_host(pair, epoch, word),
-            What::FromHost { pair, epoch, word } => self.reaches_router(pair, epoch, word),
-            What::Connect { pair, epoch, fails } => self.connected(pair, epoch, fails),
-            What::Silence { pair, epoch } => self.silence(pair, epoch),
-            What::HostDue {
+            Event::MessageAtHost { pair, epoch, word } => self.reaches_host(pair, epoch, word),
+            Event::MessageAtRouter { pair, epoch, word } => self.reaches_router(pair, epoch, word),
+            Event::ConnectEnds { pair, epoch, fails } => self.connected(pair, epoch, fails),
+            Event::SilenceCheck { pair, epoch } => self.silence(pair, epoch),
+            Event::HostTimer {
                 seat,
                 incarnation,
                 at,
             } => self.host_due(seat, incarnation, at),
-            What::Boot(host) => self.boot(host),
-            What::Stop(host) => self.stop(host),
-            What::Revive(host) => {
-                let Some(&seat) = self.seat_of.get(&host) else {
+            Event::HostStarts(host) => self.boot(host),
+            Event::HostStops(host) => self.stop(host),
+            Event::HostRestarts(host) => {
+                let Some(&seat) = self.slot_of.get(&host) else {
                     return;
                 };
-                if !self.seats[seat].draining && self.seats[seat].process.is_none() {
-                    self.seats[seat].started = Some(self.now);
+                if !self.host_slots[seat].draining && self.host_slots[seat].process.is_none() {
+                    self.host_slots[seat].started = Some(self.now);
                     self.run_host(host);
                 }
             }
-            What::Free(host) => self.free(host),
-            What::BoardTick => self.board_tick(),
-            What::ListAsk { by, link, have } => self.list_ask(by, link, have),
-            What::ListTo { by, link, message } => self.list_to(by, link, &message),
-            What::ListRenew { by, link } => self.list_renew(by, link),
-            What::ListOpen { by, link } => self.list_open(by, link),
-            What::NewsTo { by, state } => self.news_to(by, state),
-            What::VoteAt {
+            Event::SlotFreed(host) => self.free(host),
+            Event::RegistryTick => self.board_tick(),
+            Event::ListRequest { by, link, have } => self.list_ask(by, link, have),
+            Event::ListAtRouter { by, link, message } => self.list_to(by, link, &message),
+            Event::ListReconnects { by, link } => self.list_renew(by, link),
+            Event::ListConnected { by, link } => self.list_open(by, link),
+            Event::RolloutAtRouter { by, state } => self.news_to(by, state),
+            Event::VoteAtController {
                 by,
                 ballot,
                 build,
@@ -268,21 +271,23 @@
             } => {
                 self.vote_at(by, ballot, build, stage, verdict);
             }
-            What::VotedTo { by, ballot, result } => {
+            Event::VoteResultAtRouter { by, ballot, result } => {
                 let site = self.routers[by.router as usize].site;
                 if self
                     .faults
                     .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
                     .is_none()
                 {
-                    return self.blocked.push(What::VotedTo { by, ballot, result });
+                    return self
+                        .blocked
+                        .push(Event::VoteResultAtRouter { by, ballot, result });
                 }
                 self.give(
                     by,
                     Input::FromController(FromController::Voted { ballot, result }),
                 );
             }
-            What::Told { by, from, text } => {
+            Event::GossipAtRouter { by, from, text } => {
                 self.give(
                     by,
                     Input::Gossip {
@@ -291,28 +296,28 @@
                     },
                 );
             }
-            What::DeskTick => self.desk_tick(),
-            What::SlowTick => self.slow_tick(),
-            What::Begin(n) => self.begin(n),
-            What::End(n) => self.end_trouble(n),
-            What::Roll {
+            Event::ControllerTick => self.desk_tick(),
+            Event::SlowTick => self.slow_tick(),
+            Event::FaultBegins(n) => self.begin(n),
+            Event::FaultEnds(n) => self.end_trouble(n),
+            Event::RouterRoll {
                 routers,
                 nth,
                 down,
                 apart,
             } => self.roll(routers, nth, down, apart),
-            What::Ended {
+            Event::RouterEnds {
                 router,
                 by,
                 asked,
                 next,
             } => self.router_ended(router, by, asked, next),
-            What::Start { router, then } => {
+            Event::RouterStarts { router, then } => {
                 self.start_again(router);
                 if let Some((routers, nth, down, apart)) = then {
                     self.plan(
                         (apart - down).max(0),
-                        What::Roll {
+                        Event::RouterRoll {
                             routers,
                             nth,
                             down,
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -10,21 +10,21 @@
 use spokeflow_scenario::traffic::{Client, PlannedCommand, TryEnd};
 use spokeflow_scenario::{Micros, SECOND};
 
-use super::event::What;
-use super::{World, LOCAL_WAY};
+use super::event::Event;
+use super::{World, LOCAL_DELAY};
 
 /// Low bits of a try's number are its place among those that are open.
 const PLACE: u32 = 24;
 
-pub(super) struct Asking {
+pub(super) struct OpenCommand {
     pub(super) client: Client,
     pub(super) number: u64,
 }
 
-pub(super) struct Trying {
-    pub(super) tried: u64,
+pub(super) struct OpenAttempt {
+    pub(super) attempt: u64,
     pub(super) client: usize,
-    pub(super) by: Process,
+    pub(super) router: Process,
     pub(super) answered: bool,
 }
 
@@ -48,10 +48,10 @@
     pub(super) fn ask(&mut self, wanted: PlannedCommand) {
         let next = self.traffic.next(&self.day, &self.faults);
         if next.due < self.start + self.day.length {
-            self.plan_at(next.due, What::Ask(next));
+            self.plan_at(next.due, Event::CommandDue(next));
         }
         let number = self.number();
-        let client = self.clients.insert(Asking {
+        let client = self.clients.insert(OpenCommand {
             client: Client::new(wanted),
             number,
         });
@@ -70,22 +70,22 @@
         let (number, nth) = (asking.number, asking.client.tries - 1);
         let down = |r: usize| self.routers[r].down_since;
         let router = self
-            .front
+            .router_picker
             .router_for(wanted.site, wanted.seed, nth, self.now, down);
         let by = self.routers[router].process;
         if self.routers[router].down_since.is_some() {
             return self.ended(key, TryEnd::Unreachable);
         }
         let counted = self.number();
-        let entry = self.tries.vacant_entry();
+        let entry = self.attempts.vacant_entry();
         let tried = counted << PLACE | entry.key() as u64;
-        entry.insert(Trying {
-            tried,
+        entry.insert(OpenAttempt {
+            attempt: tried,
             client: key,
-            by,
+            router: by,
             answered: false,
         });
-        self.most[1] = self.most[1].max(self.tries.len());
+        self.most[1] = self.most[1].max(self.attempts.len());
         let op = wanted.op as u16;
         self.note(Observation::Taken {
             by,
@@ -96,24 +96,24 @@
             timeout: patience,
         });
         self.plan(
-            LOCAL_WAY,
-            What::AtRouter {
+            LOCAL_DELAY,
+            Event::CommandAtRouter {
                 tried,
                 left: patience,
             },
         );
-        self.plan(waits, What::Leaves { tried });
+        self.plan(waits, Event::ClientLeaves { tried });
     }
 
-    fn trying(&mut self, tried: u64) -> Option<&mut Trying> {
-        self.tries
+    fn trying(&mut self, tried: u64) -> Option<&mut OpenAttempt> {
+        self.attempts
             .get_mut((tried & ((1 << PLACE) - 1)) as usize)
-            .filter(|t| t.tried == tried)
+            .filter(|t| t.attempt == tried)
     }
 
     pub(super) fn at_router(&mut self, tried: u64, left: Micros) {
         let Some(t) = self.trying(tried) else { return };
-        let (by, client) = (t.by, t.client);
+        let (by, client) = (t.router, t.client);
         let Some(asking) = self.clients.get(client) else {
             return;
         };
@@ -134,7 +134,7 @@
 
     pub(super) fn at_client(&mut self, tried: u64, end: TryEnd, receipt: u64) {
         let Some(t) = self.trying(tried) else { return };
-        let (by, client) = (t.by, t.client);
+        let (by, client) = (t.router, t.client);
         let kind = match end {
             TryEnd::Acked { .. } => Some(AnswerKind::Acked),
             TryEnd::Nacked(_) => Some(AnswerKind::Nacked),
@@ -161,7 +161,7 @@
         if matches!(end, TryEnd::Acked { wrong: true, .. })
             && self.rng.random_bool(self.day.reported)
         {
-            self.plan(LOCAL_WAY, What::DisputedAt { by, receipt });
+            self.plan(LOCAL_DELAY, Event::WrongAnswerAtRouter { by, receipt });
         }
         self.ended(client, end);
     }
@@ -169,16 +169,16 @@
     /// The client's patience is over, or it goes before.
     pub(super) fn leaves(&mut self, tried: u64) {
         let Some(t) = self.trying(tried) else { return };
-        let (by, client, answered) = (t.by, t.client, t.answered);
+        let (by, client, answered) = (t.router, t.client, t.answered);
         if answered {
             // Kept until now, so that a second answer would have been seen.
-            self.tries.remove((tried & ((1 << PLACE) - 1)) as usize);
+            self.attempts.remove((tried & ((1 << PLACE) - 1)) as usize);
             return;
         }
         t.answered = true;
         self.note(Observation::Left { attempt: tried });
-        self.plan(LOCAL_WAY, What::LeaveAt { tried, by });
-        self.plan(SECOND, What::Leaves { tried });
+        self.plan(LOCAL_DELAY, Event::AbandonAtRouter { tried, by });
+        self.plan(SECOND, Event::ClientLeaves { tried });
         self.ended(client, TryEnd::GivenUp);
     }
 
@@ -187,7 +187,7 @@
             return;
         };
         match asking.client.after(&self.day, &self.faults, self.now, end) {
-            Some(pause) => self.plan(pause, What::Try(key)),
+            Some(pause) => self.plan(pause, Event::RetryDue(key)),
             None => self.command_ended(key, end),
         }
     }
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -9,9 +9,9 @@
 use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
 
-use super::event::{HostWord, RouterWord, What};
-use super::{World, LOCAL_WAY};
-use crate::pair::{pause, Link, Message, CONNECT_TIMEOUT, WAY_TIMEOUT};
+use super::event::{Event, HostMessage, RouterMessage};
+use super::{World, LOCAL_DELAY};
+use crate::host_link::{pause, Link, Message, CONNECT_TIMEOUT, LINK_TIMEOUT};
 
 impl World {
     pub(super) fn ends_of(&self, pair: usize) -> (usize, u32) {
@@ -25,16 +25,19 @@
 
     pub(super) fn way(&self, pair: usize) -> Option<Micros> {
         let (seat, router) = self.ends_of(pair);
-        let (a, b) = (self.seats[seat].site, self.routers[router as usize].site);
+        let (a, b) = (
+            self.host_slots[seat].site,
+            self.routers[router as usize].site,
+        );
         self.faults
             .delay(a, b, LinkDirection::Hosts)
-            .map(|way| way.max(LOCAL_WAY))
+            .map(|way| way.max(LOCAL_DELAY))
     }
 
     /// The delay of one message, with what is lost on it; the cut is met on arrival.
     fn crossing(&mut self, pair: usize) -> Micros {
         let (seat, router) = self.ends_of(pair);
-        let between = self.seats[seat].site != self.routers[router as usize].site;
+        let between = self.host_slots[seat].site != self.routers[router as usize].site;
         let mut late = 0;
         while between
             && self.faults.loss > 0.0
@@ -46,29 +49,29 @@
         self.way(pair).unwrap_or(2 * MS) + late
     }
 
-    pub(super) fn send(&mut self, pair: usize, word: HostWord) {
-        let at = (self.now + self.crossing(pair)).max(self.pairs[pair].last_to);
-        self.pairs[pair].last_to = at;
-        let epoch = self.pairs[pair].epoch;
-        self.plan_at(at, What::ToHost { pair, epoch, word });
+    pub(super) fn send(&mut self, pair: usize, word: HostMessage) {
+        let at = (self.now + self.crossing(pair)).max(self.host_links[pair].last_to);
+        self.host_links[pair].last_to = at;
+        let epoch = self.host_links[pair].epoch;
+        self.plan_at(at, Event::MessageAtHost { pair, epoch, word });
     }
 
     pub(super) fn deliver(&mut self, pair: usize, parcel: Message) {
         let (seat, router) = self.ends_of(pair);
-        let (host, build) = (self.seats[seat].host, self.seats[seat].build);
+        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
         let from = self.routers[router as usize].process;
-        let p = &mut self.pairs[pair];
-        p.used = self.now;
+        let p = &mut self.host_links[pair];
+        p.last_used = self.now;
         if p.idle() {
             (p.quiet_since, p.pinged) = (self.now, false);
         }
-        p.out.push(parcel.delivery);
-        let listens = std::mem::replace(&mut p.listens, true);
+        p.in_flight.push(parcel.delivery);
+        let listens = std::mem::replace(&mut p.silence_watched, true);
         let epoch = p.epoch;
         if !listens {
-            self.plan(WAY_TIMEOUT / 2, What::Silence { pair, epoch });
+            self.plan(LINK_TIMEOUT / 2, Event::SilenceCheck { pair, epoch });
         }
-        let (tried, delivery) = (parcel.tried, parcel.delivery);
+        let (tried, delivery) = (parcel.attempt, parcel.delivery);
         self.note(Observation::Delivered {
             host,
             build,
@@ -76,7 +79,7 @@
             attempt: tried,
             delivery,
         });
-        self.send(pair, HostWord::Deliver(parcel));
+        self.send(pair, HostMessage::Deliver(parcel));
     }
 
     pub(super) fn lose(
@@ -86,11 +89,14 @@
         end: TransportFailure,
     ) {
         let (seat, router) = self.ends_of(pair);
-        let (host, by) = (self.seats[seat].host, self.routers[router as usize].process);
+        let (host, by) = (
+            self.host_slots[seat].host,
+            self.routers[router as usize].process,
+        );
         for delivery in deliveries {
             self.plan(
                 0,
-                What::Lost {
+                Event::DeliveryFailed {
                     by,
                     host,
                     delivery,
@@ -102,11 +108,11 @@
 
     pub(super) fn connect(&mut self, pair: usize) {
         let (seat, _) = self.ends_of(pair);
-        let runs = self.seats[seat]
+        let runs = self.host_slots[seat]
             .process
             .as_ref()
             .is_some_and(|p| !p.model.fallen);
-        let p = &mut self.pairs[pair];
+        let p = &mut self.host_links[pair];
         p.epoch += 1;
         p.link = Link::Connecting;
         let epoch = p.epoch;
@@ -118,16 +124,16 @@
         let fails = took >= CONNECT_TIMEOUT;
         self.plan(
             took.min(CONNECT_TIMEOUT),
-            What::Connect { pair, epoch, fails },
+            Event::ConnectEnds { pair, epoch, fails },
         );
     }
 
     pub(super) fn connected(&mut self, pair: usize, epoch: u32, fails: bool) {
-        if self.pairs[pair].epoch != epoch || self.pairs[pair].link != Link::Connecting {
+        if self.host_links[pair].epoch != epoch || self.host_links[pair].link != Link::Connecting {
             return;
         }
         let (seat, router) = self.ends_of(pair);
-        let process = self.seats[seat]
+        let process = self.host_slots[seat]
             .process
             .as_ref()
             .filter(|p| !p.model.fallen && !fails);
@@ -135,7 +141,7 @@
         if process.is_none() || self.way(pair).is_none() {
             let drawn = self.rng.random_range(0.5..1.0);
             let now = self.now;
-            let p = &mut self.pairs[pair];
+            let p = &mut self.host_links[pair];
             p.not_before = now + pause(p.failures, drawn);
             p.failures += 1;
             let (unsent, _) = p.drop_link();
@@ -145,15 +151,15 @@
                 TransportFailure::NotConnected,
             );
         }
-        let (host, build) = (self.seats[seat].host, self.seats[seat].build);
-        let p = &mut self.pairs[pair];
-        (p.link, p.up_since, p.used) = (Link::Up, self.now, self.now);
-        (p.quiet_since, p.pinged, p.listens) = (self.now, false, false);
+        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
+        let p = &mut self.host_links[pair];
+        (p.link, p.up_since, p.last_used) = (Link::Up, self.now, self.now);
+        (p.quiet_since, p.pinged, p.silence_watched) = (self.now, false, false);
         let waiting = std::mem::take(&mut p.waiting);
         let known = p.incarnation == incarnation;
         let up_us = (self.now - began) as u64;
         let by = self.routers[router as usize].process;
-        // What waits was meant for another process, maybe another build.
+        // Event waits was meant for another process, maybe another build.
         if known {
             for parcel in waiting {
                 if self.now >= parcel.leave_by {
@@ -180,7 +186,7 @@
 
     fn broken(&mut self, pair: usize, end: TransportFailure) {
         let drawn = self.rng.random_range(0.5..1.0);
-        let (unsent, sent) = self.pairs[pair].broken(self.now, drawn);
+        let (unsent, sent) = self.host_links[pair].on_broken(self.now, drawn);
         self.lose(
             pair,
             unsent.into_iter().map(|w| w.delivery),
@@ -190,42 +196,44 @@
     }
 
     pub(super) fn silence(&mut self, pair: usize, epoch: u32) {
-        let p = &mut self.pairs[pair];
+        let p = &mut self.host_links[pair];
         if p.epoch != epoch || p.link != Link::Up {
             return;
         }
         if p.idle() {
-            p.listens = false;
+            p.silence_watched = false;
             return;
         }
         let until = p.quiet_since
             + if p.pinged {
-                WAY_TIMEOUT
+                LINK_TIMEOUT
             } else {
-                WAY_TIMEOUT / 2
+                LINK_TIMEOUT / 2
             };
         if self.now < until {
-            return self.plan_at(until, What::Silence { pair, epoch });
+            return self.plan_at(until, Event::SilenceCheck { pair, epoch });
         }
         if p.pinged {
             return self.broken(pair, TransportFailure::Unresponsive);
         }
         p.pinged = true;
         p.pings += 1;
-        let until = p.quiet_since + WAY_TIMEOUT;
-        self.send(pair, HostWord::Ping);
-        self.plan_at(until, What::Silence { pair, epoch });
+        let until = p.quiet_since + LINK_TIMEOUT;
+        self.send(pair, HostMessage::Ping);
+        self.plan_at(until, Event::SilenceCheck { pair, epoch });
     }
 
-    pub(super) fn reaches_host(&mut self, pair: usize, epoch: u32, word: HostWord) {
-        if self.pairs[pair].epoch != epoch {
+    pub(super) fn reaches_host(&mut self, pair: usize, epoch: u32, word: HostMessage) {
+        if self.host_links[pair].epoch != epoch {
             return;
         }
         if self.way(pair).is_none() {
-            return self.blocked.push(What::ToHost { pair, epoch, word });
+            return self
+                .blocked
+                .push(Event::MessageAtHost { pair, epoch, word });
         }
         let (seat, _) = self.ends_of(pair);
-        let Some(process) = self.seats[seat]
+        let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
             .filter(|p| !p.model.fallen)
@@ -234,15 +242,15 @@
         };
         let from = (pair as u64) << 32 | u64::from(epoch);
         match word {
-            HostWord::Ping => return self.reply(pair, epoch, RouterWord::Pong),
-            HostWord::Cancel(delivery) => process.model.cancel(from, delivery),
-            HostWord::Deliver(p) => {
+            HostMessage::Ping => return self.reply(pair, epoch, RouterMessage::Pong),
+            HostMessage::Cancel(delivery) => process.model.cancel(from, delivery),
+            HostMessage::Deliver(p) => {
                 let Message {
                     delivery,
-                    tried,
+                    attempt: tried,
                     command,
                     key,
-                    mark,
+                    idempotency_key: mark,
                     left,
                     ..
                 } = p;
@@ -263,61 +271,66 @@
                     return self.fell(seat);
                 }
                 if !taken {
-                    let host = self.seats[seat].host;
+                    let host = self.host_slots[seat].host;
                     self.note(Observation::Replied {
                         host,
                         attempt: tried,
                         delivery,
                         kind: ReplyKind::Full,
                     });
-                    self.reply(pair, epoch, RouterWord::Full(delivery));
+                    self.reply(pair, epoch, RouterMessage::Full(delivery));
                 }
             }
         }
         self.pump(seat);
     }
 
-    pub(super) fn reply(&mut self, pair: usize, epoch: u32, word: RouterWord) {
-        if self.pairs[pair].epoch != epoch {
+    pub(super) fn reply(&mut self, pair: usize, epoch: u32, word: RouterMessage) {
+        if self.host_links[pair].epoch != epoch {
             return;
         }
-        let at = (self.now + self.crossing(pair)).max(self.pairs[pair].last_from);
-        self.pairs[pair].last_from = at;
-        self.plan_at(at, What::FromHost { pair, epoch, word });
+        let at = (self.now + self.crossing(pair)).max(self.host_links[pair].last_from);
+        self.host_links[pair].last_from = at;
+        self.plan_at(at, Event::MessageAtRouter { pair, epoch, word });
     }
 
-    pub(super) fn reaches_router(&mut self, pair: usize, epoch: u32, word: RouterWord) {
-        if self.pairs[pair].epoch != epoch {
+    pub(super) fn reaches_router(&mut self, pair: usize, epoch: u32, word: RouterMessage) {
+        if self.host_links[pair].epoch != epoch {
             return;
         }
         if self.way(pair).is_none() {
-            return self.blocked.push(What::FromHost { pair, epoch, word });
+            return self
+                .blocked
+                .push(Event::MessageAtRouter { pair, epoch, word });
         }
         let (seat, router) = self.ends_of(pair);
-        let p = &mut self.pairs[pair];
+        let p = &mut self.host_links[pair];
         (p.quiet_since, p.pinged) = (self.now, false);
         let (delivery, message) = match word {
-            RouterWord::Broken => return self.broken(pair, TransportFailure::Reset),
-            RouterWord::Pong => {
-                p.pong();
-                if p.ask() {
-                    self.send(pair, HostWord::Ping);
+            RouterMessage::Broken => return self.broken(pair, TransportFailure::Reset),
+            RouterMessage::Pong => {
+                p.on_pong();
+                if p.start_ping() {
+                    self.send(pair, HostMessage::Ping);
                 }
                 return;
             }
-            RouterWord::Acked { delivery, wrong } => {
+            RouterMessage::Acked { delivery, wrong } => {
                 let body = Bytes::from_static(if wrong { b"wrong" } else { b"right" });
                 (delivery, FromHost::Acked { delivery, body })
             }
-            RouterWord::Error(delivery) => (delivery, FromHost::Error { delivery }),
-            RouterWord::Full(delivery) => (delivery, FromHost::Full { delivery }),
+            RouterMessage::Error(delivery) => (delivery, FromHost::Error { delivery }),
+            RouterMessage::Full(delivery) => (delivery, FromHost::Full { delivery }),
         };
-        p.used = self.now;
-        if let Some(at) = p.out.iter().position(|d| *d == delivery) {
-            p.out.remove(at);
+        p.last_used = self.now;
+        if let Some(at) = p.in_flight.iter().position(|d| *d == delivery) {
+            p.in_flight.remove(at);
         }
         p.cancelled.retain(|c| c.0 != delivery);
-        let (host, by) = (self.seats[seat].host, self.routers[router as usize].process);
+        let (host, by) = (
+            self.host_slots[seat].host,
+            self.routers[router as usize].process,
+        );
         self.give(by, Input::FromHost { host, message });
     }
 }
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -1,4 +1,4 @@
-//! What is to come, in the order of its time.
+//! Event is to come, in the order of its time.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
 use spokeflow_scenario::traffic::{PlannedCommand, TryEnd};
 use spokeflow_scenario::Micros;
 
-use crate::pair::Message;
+use crate::host_link::Message;
 
 #[derive(Clone)]
-pub(super) enum HostWord {
+pub(super) enum HostMessage {
     Deliver(Message),
     Cancel(u64),
     Ping,
 }
 
 #[derive(Clone, Copy)]
-pub(super) enum RouterWord {
+pub(super) enum RouterMessage {
     Acked { delivery: u64, wrong: bool },
     Error(u64),
     Full(u64),
@@ -28,153 +28,153 @@
     Broken,
 }
 
-/// What is due. Each carries what tells it from one that has been overtaken.
+/// Event is due. Each carries what tells it from one that has been overtaken.
 #[derive(Clone)]
-pub(super) enum What {
-    Ask(PlannedCommand),
-    Try(usize),
-    AtRouter {
+pub(super) enum Event {
+    CommandDue(PlannedCommand),
+    RetryDue(usize),
+    CommandAtRouter {
         tried: u64,
         left: Micros,
     },
-    AtClient {
+    AnswerAtClient {
         tried: u64,
         end: TryEnd,
         receipt: u64,
     },
-    Leaves {
+    ClientLeaves {
         tried: u64,
     },
-    LeaveAt {
+    AbandonAtRouter {
         tried: u64,
         by: Process,
     },
-    DisputedAt {
+    WrongAnswerAtRouter {
         by: Process,
         receipt: u64,
     },
-    Wake {
+    RouterTimer {
         by: Process,
         at: Micros,
     },
-    Lost {
+    DeliveryFailed {
         by: Process,
         host: u32,
         delivery: u64,
         end: TransportFailure,
     },
-    ToHost {
+    MessageAtHost {
         pair: usize,
         epoch: u32,
-        word: HostWord,
+        word: HostMessage,
     },
-    FromHost {
+    MessageAtRouter {
         pair: usize,
         epoch: u32,
-        word: RouterWord,
+        word: RouterMessage,
     },
-    Connect {
+    ConnectEnds {
         pair: usize,
         epoch: u32,
         fails: bool,
     },
-    Silence {
+    SilenceCheck {
         pair: usize,
         epoch: u32,
     },
-    HostDue {
+    HostTimer {
         seat: usize,
         incarnation: u64,
         at: Micros,
     },
-    Boot(u32),
-    Stop(u32),
-    Revive(u32),
-    Free(u32),
-    BoardTick,
-    ListAsk {
+    HostStarts(u32),
+    HostStops(u32),
+    HostRestarts(u32),
+    SlotFreed(u32),
+    RegistryTick,
+    ListRequest {
         by: Process,
         link: u32,
         have: Option<u64>,
     },
-    ListTo {
+    ListAtRouter {
         by: Process,
         link: u32,
         message: Rc<FromList>,
     },
-    ListRenew {
+    ListReconnects {
         by: Process,
         link: u32,
     },
-    ListOpen {
+    ListConnected {
         by: Process,
         link: u32,
     },
-    NewsTo {
+    RolloutAtRouter {
         by: Process,
         state: State,
     },
-    VoteAt {
+    VoteAtController {
         by: Process,
         ballot: u64,
         build: u16,
         stage: u8,
         verdict: ControllerVote,
     },
-    VotedTo {
+    VoteResultAtRouter {
         by: Process,
         ballot: u64,
         result: VoteResult,
     },
-    Told {
+    GossipAtRouter {
         by: Process,
         from: u32,
         text: Rc<Vec<u8>>,
     },
-    DeskTick,
+    ControllerTick,
     SlowTick,
-    Begin(usize),
-    End(usize),
-    Roll {
+    FaultBegins(usize),
+    FaultEnds(usize),
+    RouterRoll {
         routers: Rc<Vec<u32>>,
         nth: usize,
         down: Micros,
         apart: Micros,
     },
-    Ended {
+    RouterEnds {
         router: u32,
         by: Process,
         asked: Micros,
         next: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
     },
-    Start {
+    RouterStarts {
         router: u32,
         then: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
     },
 }
 
-pub(super) struct Due {
+pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
-    pub(super) seq: u64,
-    pub(super) what: What,
+    pub(super) sequence: u64,
+    pub(super) event: Event,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        self.seq == other.seq
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> Ordering {
-        (self.at, self.seq).cmp(&(other.at, other.seq))
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong on a day: its faults begin and end, and hosts slow each other down.
+//! Event goes wrong on a day: its faults begin and end, and hosts slow each other down.
 
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
 use spokeflow_scenario::{Micros, SECOND};
 
-use super::event::What;
-use super::hosts::Seat;
-use super::{World, LEAD, LOCAL_WAY, SLOW_TICK};
+use super::event::Event;
+use super::hosts::HostSlot;
+use super::{World, LOCAL_DELAY, SLOW_TICK, WARM_UP};
 
 impl World {
     pub(super) fn slow_tick(&mut self) {
-        self.plan(SLOW_TICK, What::SlowTick);
+        self.plan(SLOW_TICK, Event::SlowTick);
         let (mut held, mut cold, mut running) = (0, 0, 0);
         let mut drags = 0.0;
         let flawed = |build: u16| {
@@ -24,7 +24,7 @@
                 .find(|b| b.number == build)
                 .map(|b| b.defect)
         };
-        for (_, seat) in &self.seats {
+        for (_, seat) in &self.host_slots {
             let Some(process) = &seat.process else {
                 continue;
             };
@@ -43,20 +43,20 @@
         let mut busy = vec![
             (0.0, 0.0);
             if group > 1 {
-                self.pairs.len() / self.day.routers as usize / group + 1
+                self.host_links.len() / self.day.routers as usize / group + 1
             } else {
                 0
             }
         ];
         if group > 1 {
-            for (n, seat) in &self.seats {
+            for (n, seat) in &self.host_slots {
                 if let Some(process) = &seat.process {
                     let of = &mut busy[n / group];
                     *of = (of.0 + process.model.busy(), of.1 + 1.0);
                 }
             }
         }
-        for (n, seat) in &mut self.seats {
+        for (n, seat) in &mut self.host_slots {
             let Some(process) = &mut seat.process else {
                 continue;
             };
@@ -69,15 +69,15 @@
             }
         }
         let at = self.now;
-        if let Some(record) = self.record.as_mut().filter(|_| at >= LEAD) {
+        if let Some(record) = self.record.as_mut().filter(|_| at >= WARM_UP) {
             record.on_fleet_state(at, held, cold);
         }
     }
 
     fn strike(&mut self, n: usize, part: f64) -> Vec<u32> {
-        let runs = |s: &&Seat| s.process.is_some() && !s.draining;
+        let runs = |s: &&HostSlot| s.process.is_some() && !s.draining;
         let mut running: Vec<u32> = self
-            .seats
+            .host_slots
             .iter()
             .map(|s| s.1)
             .filter(runs)
@@ -86,21 +86,21 @@
         running.sort_unstable();
         running.shuffle(&mut self.rng);
         running.truncate(((running.len() as f64 * part).round() as usize).max(1));
-        self.struck.insert(n, running.clone());
+        self.affected.insert(n, running.clone());
         running
     }
 
     fn ail(&mut self, hosts: &[u32], ail: impl Fn(&mut HostFault)) {
         for host in hosts {
-            let seat = self.seat_of.get(host).copied();
-            if let Some(process) = seat.and_then(|s| self.seats[s].process.as_mut()) {
+            let seat = self.slot_of.get(host).copied();
+            if let Some(process) = seat.and_then(|s| self.host_slots[s].process.as_mut()) {
                 ail(&mut process.model.fault);
             }
         }
     }
 
     fn all_hosts(&self) -> Vec<u32> {
-        self.seats.iter().map(|s| s.1.host).collect()
+        self.host_slots.iter().map(|s| s.1.host).collect()
     }
 
     pub(super) fn begin(&mut self, n: usize) {
@@ -108,8 +108,8 @@
         self.note(Observation::Fault {
             what: format!("begins: {trouble}"),
         });
-        self.lasting.push((n, trouble));
-        self.plan(trouble.lasts, What::End(n));
+        self.active.push((n, trouble));
+        self.plan(trouble.lasts, Event::FaultEnds(n));
         if self.faults.begin(&self.day, n, &trouble) {
             if self.faults.list_breaks {
                 let up: Vec<Process> = self
@@ -127,14 +127,14 @@
             FaultKind::Kill | FaultKind::LoneHost => {
                 for (nth, host) in self.strike(n, trouble.part).into_iter().enumerate() {
                     let (incarnation, late) = (self.incarnation(host), self.late());
-                    if let Some(&seat) = self.seat_of.get(&host) {
+                    if let Some(&seat) = self.slot_of.get(&host) {
                         self.kill_host(seat);
                     }
                     self.list(host, Phase::Gone, incarnation, late);
                     let first = trouble.kind == FaultKind::LoneHost && nth == 0;
                     self.plan(
                         if first { seconds } else { trouble.lasts },
-                        What::Revive(host),
+                        Event::HostRestarts(host),
                     );
                 }
             }
@@ -162,7 +162,7 @@
                     let apart = trouble.lasts / all.len() as Micros;
                     let routers = Rc::new(all);
                     // Of a large fleet many end at a time, so that the roll takes as long as it lasts.
-                    return self.happen(What::Roll {
+                    return self.handle(Event::RouterRoll {
                         routers,
                         nth: 0,
                         down: seconds,
@@ -173,7 +173,7 @@
                     let by = self.routers[router as usize].process;
                     if self.routers[router as usize].brain.is_some() {
                         self.stop_router(router, Observation::RouterKilled(by));
-                        self.plan(trouble.lasts, What::Start { router, then: None });
+                        self.plan(trouble.lasts, Event::RouterStarts { router, then: None });
                     }
                 }
             }
@@ -186,12 +186,12 @@
         self.note(Observation::Fault {
             what: format!("ends: {}", trouble.kind.name()),
         });
-        self.lasting.retain(|l| l.0 != n);
-        let others = self.lasting.clone();
+        self.active.retain(|l| l.0 != n);
+        let others = self.active.clone();
         let day = std::mem::take(&mut self.day.faults);
         self.faults.end(&self.day, &trouble, &others);
         self.day.faults = day;
-        let struck = self.struck.remove(&n).unwrap_or_default();
+        let struck = self.affected.remove(&n).unwrap_or_default();
         match trouble.kind {
             FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
             FaultKind::Slow => self.ail(&struck, |a| a.slower = 1.0),
@@ -202,9 +202,9 @@
             }
             _ => {}
         }
-        // What met a cut or a stall goes on now, or meets the next one.
+        // Event met a cut or a stall goes on now, or meets the next one.
         for what in std::mem::take(&mut self.blocked) {
-            self.plan(LOCAL_WAY, what);
+            self.plan(LOCAL_DELAY, what);
         }
     }
 }
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -10,24 +10,24 @@
 use spokeflow_scenario::observation::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
-use super::event::What;
-use super::{World, LOCAL_WAY};
-use crate::pair::pause;
+use super::event::Event;
+use super::{World, LOCAL_DELAY};
+use crate::host_link::pause;
 
 const LIST_RENEW: Micros = 5 * SECOND;
 
 impl World {
     pub(super) fn board_tick(&mut self) {
-        let before = self.board.version();
-        self.board.tick(self.now);
-        if self.board.version() == before {
+        let before = self.registry.version();
+        self.registry.tick(self.now);
+        if self.registry.version() == before {
             return;
         }
         for router in 0..self.routers.len() {
             let seat = &self.routers[router];
             if seat.watches
                 && seat.list_up
-                && seat.list_held.is_some_and(|v| v < self.board.version())
+                && seat.list_held.is_some_and(|v| v < self.registry.version())
             {
                 let (by, link, held) = (seat.process, seat.list_link, seat.list_held);
                 self.tell_list(by, link, held);
@@ -37,7 +37,7 @@
 
     fn tell_list(&mut self, by: Process, link: u32, have: Option<u64>) {
         let now = self.now;
-        let (whole, entries) = self.board.since(have);
+        let (whole, entries) = self.registry.since(have);
         let line = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: String::new(),
@@ -52,7 +52,7 @@
             incarnation: e.incarnation,
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
-        let (version, lines) = (self.board.version(), entries.iter().map(line).collect());
+        let (version, lines) = (self.registry.version(), entries.iter().map(line).collect());
         let message = if whole {
             FromList::Complete {
                 version,
@@ -65,7 +65,7 @@
             }
         };
         self.routers[by.router as usize].list_held = Some(version);
-        self.tell_router(by, |by| What::ListTo {
+        self.tell_router(by, |by| Event::ListAtRouter {
             by,
             link,
             message: Rc::new(message),
@@ -73,25 +73,25 @@
     }
 
     /// From list or desk to a router, in order.
-    pub(super) fn tell_router(&mut self, by: Process, what: impl FnOnce(Process) -> What) {
+    pub(super) fn tell_router(&mut self, by: Process, what: impl FnOnce(Process) -> Event) {
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
             .delay(CONTROL_SITE, seat.site, LinkDirection::ControlSite)
             .unwrap_or(2 * MS)
-            .max(LOCAL_WAY);
+            .max(LOCAL_DELAY);
         let at = (self.now + way).max(seat.office_last[0]);
         self.routers[by.router as usize].office_last[0] = at;
         self.plan_at(at, what(by));
     }
 
-    pub(super) fn ask_office(&mut self, by: Process, what: impl FnOnce(Process) -> What) {
+    pub(super) fn ask_office(&mut self, by: Process, what: impl FnOnce(Process) -> Event) {
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
             .delay(seat.site, CONTROL_SITE, LinkDirection::ControlSite)
             .unwrap_or(2 * MS)
-            .max(LOCAL_WAY);
+            .max(LOCAL_DELAY);
         let at = (self.now + way).max(seat.office_last[1]);
         self.routers[by.router as usize].office_last[1] = at;
         self.plan_at(at, what(by));
@@ -114,7 +114,7 @@
             return;
         }
         if self.office_cut(by) {
-            return self.blocked.push(What::ListAsk { by, link, have });
+            return self.blocked.push(Event::ListRequest { by, link, have });
         }
         self.routers[by.router as usize].watches = true;
         self.tell_list(by, link, have);
@@ -125,7 +125,7 @@
             return;
         }
         if self.office_cut(by) {
-            return self.blocked.push(What::ListTo {
+            return self.blocked.push(Event::ListAtRouter {
                 by,
                 link,
                 message: message.clone(),
@@ -169,7 +169,7 @@
         let seat = &mut self.routers[by.router as usize];
         let due = seat.list_heard + LIST_RENEW;
         if self.now < due {
-            return self.plan_at(due, What::ListRenew { by, link });
+            return self.plan_at(due, Event::ListReconnects { by, link });
         }
         seat.list_unheard += 1;
         if seat.list_unheard > 3 {
@@ -177,8 +177,8 @@
         }
         seat.list_heard = self.now;
         let have = seat.list_held;
-        self.ask_office(by, |by| What::ListAsk { by, link, have });
-        self.plan(LIST_RENEW, What::ListRenew { by, link });
+        self.ask_office(by, |by| Event::ListRequest { by, link, have });
+        self.plan(LIST_RENEW, Event::ListReconnects { by, link });
     }
 
     pub(super) fn list_lost(&mut self, by: Process) {
@@ -188,7 +188,7 @@
         (seat.list_up, seat.watches) = (false, false);
         seat.list_failures += 1;
         let (link, after) = (seat.list_link, pause(seat.list_failures - 1, drawn));
-        self.plan(after, What::ListOpen { by, link });
+        self.plan(after, Event::ListConnected { by, link });
         self.give(by, Input::ListUnavailable);
     }
 
@@ -203,7 +203,7 @@
         (seat.list_up, seat.list_failures) = (true, 0);
         (seat.list_heard, seat.list_unheard) = (self.now, 0);
         let have = seat.list_held;
-        self.ask_office(by, |by| What::ListAsk { by, link, have });
-        self.plan(LIST_RENEW, What::ListRenew { by, link });
+        self.ask_office(by, |by| Event::ListRequest { by, link, have });
+        self.plan(LIST_RENEW, Event::ListReconnects { by, link });
     }
 }
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -8,11 +8,11 @@
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
 use spokeflow_scenario::{Micros, MS, SECOND};
 
-use super::event::{RouterWord, What};
+use super::event::{Event, RouterMessage};
 use super::World;
-use crate::pair::{HostLink, Link};
+use crate::host_link::{HostLink, Link};
 
-/// What a seat of a host that is gone for good is kept for.
+/// Event a seat of a host that is gone for good is kept for.
 const SEAT_KEPT: Micros = 90 * SECOND;
 
 pub(super) struct HostProcess {
@@ -22,7 +22,7 @@
     pub(super) due: Micros,
 }
 
-pub(super) struct Seat {
+pub(super) struct HostSlot {
     pub(super) host: u32,
     pub(super) site: u16,
     pub(super) build: u16,
@@ -34,7 +34,7 @@
 impl World {
     pub(super) fn seat(&mut self, host: u32, build: u16, started: Option<Micros>) {
         let site = (host % u32::from(self.day.sites)) as u16;
-        let seat = self.seats.insert(Seat {
+        let seat = self.host_slots.insert(HostSlot {
             host,
             site,
             build,
@@ -42,26 +42,26 @@
             process: None,
             draining: false,
         });
-        self.seat_of.insert(host, seat);
-        self.most[2] = self.most[2].max(self.seats.len());
+        self.slot_of.insert(host, seat);
+        self.most[2] = self.most[2].max(self.host_slots.len());
         let pairs = (seat + 1) * self.day.routers as usize;
-        if self.pairs.len() < pairs {
-            self.pairs.resize_with(pairs, HostLink::default);
+        if self.host_links.len() < pairs {
+            self.host_links.resize_with(pairs, HostLink::default);
         }
     }
 
     pub(super) fn run_host(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else {
+        let Some(&seat) = self.slot_of.get(&host) else {
             return;
         };
         let incarnation = self.number();
-        let (build, started) = (self.seats[seat].build, self.seats[seat].started);
+        let (build, started) = (self.host_slots[seat].build, self.host_slots[seat].started);
         let made = self.day.builds.iter().find(|b| b.number == build);
         let (flaw, speed) = made.map_or((BuildDefect::None, 1.0), |b| (b.defect, b.speed));
         let seed = self.day.seed ^ u64::from(host) << 20 ^ incarnation << 40;
         let mut model = Host::new(&self.day, flaw, speed, started, seed);
         if let Some((_, t)) = self
-            .lasting
+            .active
             .iter()
             .find(|(_, t)| t.kind == FaultKind::SlowOp)
         {
@@ -73,7 +73,7 @@
             began: self.now,
             due: Micros::MAX,
         };
-        self.seats[seat].process = Some(process);
+        self.host_slots[seat].process = Some(process);
         let late = if started.is_none() { 0 } else { self.late() };
         self.list(host, Phase::Ready, incarnation, late);
     }
@@ -84,15 +84,15 @@
     }
 
     pub(super) fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
-        let Some(&seat) = self.seat_of.get(&host) else {
+        let Some(&seat) = self.slot_of.get(&host) else {
             return;
         };
-        let Seat {
+        let HostSlot {
             site,
             build,
             started,
             ..
-        } = self.seats[seat];
+        } = self.host_slots[seat];
         let address = String::new();
         let entry = Entry {
             host,
@@ -103,82 +103,82 @@
             incarnation,
             started,
         };
-        let at = self.board.know_at(self.now + late, entry);
+        let at = self.registry.know_at(self.now + late, entry);
         if at > self.now {
-            self.plan_at(at, What::BoardTick);
+            self.plan_at(at, Event::RegistryTick);
         }
     }
 
     pub(super) fn incarnation(&self, host: u32) -> u64 {
-        let seat = self.seat_of.get(&host).map(|s| &self.seats[*s]);
+        let seat = self.slot_of.get(&host).map(|s| &self.host_slots[*s]);
         seat.and_then(|s| s.process.as_ref())
             .map_or(0, |p| p.incarnation)
     }
 
     /// The process of a host is no more: its connections break.
     pub(super) fn kill_host(&mut self, seat: usize) {
-        self.seats[seat].process = None;
+        self.host_slots[seat].process = None;
         for router in 0..self.day.routers {
             let pair = self.pair_of(seat, router);
-            if self.pairs[pair].link == Link::Up {
-                let epoch = self.pairs[pair].epoch;
-                self.reply(pair, epoch, RouterWord::Broken);
+            if self.host_links[pair].link == Link::Up {
+                let epoch = self.host_links[pair].epoch;
+                self.reply(pair, epoch, RouterMessage::Broken);
             }
         }
     }
 
     pub(super) fn fell(&mut self, seat: usize) {
-        let host = self.seats[seat].host;
+        let host = self.host_slots[seat].host;
         self.note(Observation::Fell { host });
         for router in 0..self.day.routers {
             let pair = self.pair_of(seat, router);
-            if self.pairs[pair].link == Link::Up {
-                let epoch = self.pairs[pair].epoch;
-                self.reply(pair, epoch, RouterWord::Broken);
+            if self.host_links[pair].link == Link::Up {
+                let epoch = self.host_links[pair].epoch;
+                self.reply(pair, epoch, RouterMessage::Broken);
             }
         }
     }
 
     pub(super) fn boot(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else {
+        let Some(&seat) = self.slot_of.get(&host) else {
             return;
         };
-        if self.seats[seat].draining {
+        if self.host_slots[seat].draining {
             return;
         }
-        self.seats[seat].started = Some(self.now);
+        self.host_slots[seat].started = Some(self.now);
         self.run_host(host);
         let mut orders = Vec::new();
-        self.desk.runs(self.now, host, &mut orders);
+        self.controller.runs(self.now, host, &mut orders);
         self.carry_out(orders);
     }
 
     pub(super) fn stop(&mut self, host: u32) {
-        let Some(&seat) = self.seat_of.get(&host) else {
+        let Some(&seat) = self.slot_of.get(&host) else {
             return;
         };
         // It goes on while it has work, for some time.
-        let busy = self.seats[seat]
+        let busy = self.host_slots[seat]
             .process
             .as_ref()
             .is_some_and(|p| p.model.queued() > 0 && !p.model.fallen);
         if busy {
-            return self.plan(100 * MS, What::Stop(host));
+            return self.plan(100 * MS, Event::HostStops(host));
         }
         let (incarnation, late) = (self.incarnation(host), self.late());
         self.kill_host(seat);
         self.list(host, Phase::Gone, incarnation, late);
-        self.plan(late + SEAT_KEPT, What::Free(host));
+        self.plan(late + SEAT_KEPT, Event::SlotFreed(host));
     }
 
     pub(super) fn free(&mut self, host: u32) {
-        let Some(seat) = self.seat_of.remove(&host) else {
+        let Some(seat) = self.slot_of.remove(&host) else {
             return;
         };
-        self.seats.remove(seat);
+        self.host_slots.remove(seat);
         for router in 0..self.day.routers {
             let pair = self.pair_of(seat, router);
-            self.pairs[pair].reset();
+            self.host_links[pair].reset();
         }
     }
 
@@ -189,19 +189,19 @@
                     let [least, most] = self.day.boot;
                     self.seat(host, build, Some(self.now));
                     let after = self.rng.random_range(least..most);
-                    self.plan(after, What::Boot(host));
+                    self.plan(after, Event::HostStarts(host));
                 }
                 FleetOrder::Drain { host } => {
-                    let Some(&seat) = self.seat_of.get(&host) else {
+                    let Some(&seat) = self.slot_of.get(&host) else {
                         continue;
                     };
-                    self.seats[seat].draining = true;
-                    if self.seats[seat].process.is_some() {
+                    self.host_slots[seat].draining = true;
+                    if self.host_slots[seat].process.is_some() {
                         let (incarnation, late) = (self.incarnation(host), self.late());
                         self.list(host, Phase::Draining, incarnation, late);
-                        self.plan(late + self.day.drain, What::Stop(host));
+                        self.plan(late + self.day.drain, Event::HostStops(host));
                     } else {
-                        self.plan(SEAT_KEPT, What::Free(host));
+                        self.plan(SEAT_KEPT, Event::SlotFreed(host));
                     }
                 }
             }
@@ -210,8 +210,8 @@
 
     /// Ends what has ended and begins what can begin.
     pub(super) fn pump(&mut self, seat: usize) {
-        let (host, build) = (self.seats[seat].host, self.seats[seat].build);
-        let Some(process) = self.seats[seat]
+        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
+        let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
             .filter(|p| !p.model.fallen)
@@ -219,14 +219,14 @@
             return;
         };
         let ended = process.model.ended(self.now);
-        let begun = process.model.begin(self.now, &mut self.marks);
+        let begun = process.model.begin(self.now, &mut self.deduplication);
         let next = process.model.next();
         let incarnation = process.incarnation;
         if let Some(at) = next.filter(|at| *at < process.due) {
             process.due = at;
             self.plan_at(
                 at,
-                What::HostDue {
+                Event::HostTimer {
                     seat,
                     incarnation,
                     at,
@@ -237,9 +237,9 @@
             let (delivery, tried) = (job.delivery, job.tried);
             let (word, kind) = match done {
                 JobOutcome::Acked { wrong } => {
-                    (RouterWord::Acked { delivery, wrong }, ReplyKind::Acked)
+                    (RouterMessage::Acked { delivery, wrong }, ReplyKind::Acked)
                 }
-                JobOutcome::Error => (RouterWord::Error(delivery), ReplyKind::Error),
+                JobOutcome::Error => (RouterMessage::Error(delivery), ReplyKind::Error),
                 JobOutcome::Silent => continue,
             };
             self.note(Observation::Replied {
@@ -263,7 +263,10 @@
     }
 
     pub(super) fn host_due(&mut self, seat: usize, incarnation: u64, at: Micros) {
-        let process = self.seats.get_mut(seat).and_then(|s| s.process.as_mut());
+        let process = self
+            .host_slots
+            .get_mut(seat)
+            .and_then(|s| s.process.as_mut());
         let Some(process) = process.filter(|p| p.incarnation == incarnation) else {
             return;
         };
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -13,29 +13,29 @@
 use spokeflow_scenario::Micros;
 
 use super::clients::read_body;
-use super::event::{HostWord, What};
-use super::{World, LOCAL_WAY};
-use crate::brain::{HostView, Wiring};
-use crate::pair::{Link, Message, IDLE, QUEUE};
+use super::event::{Event, HostMessage};
+use super::{World, LOCAL_DELAY};
+use crate::host_link::{Link, Message, IDLE_TIMEOUT, QUEUE_LIMIT};
+use crate::strategy::{HostView, Wiring};
 
 /// The links of one router, for as long as its brain is asked.
-pub(super) struct Wires<'a> {
+pub(super) struct RouterTransport<'a> {
     pub(super) world: &'a mut World,
     pub(super) router: u32,
 }
 
-impl Wires<'_> {
+impl RouterTransport<'_> {
     fn by(&self) -> Process {
         self.world.routers[self.router as usize].process
     }
 
     fn pair(&self, host: HostId) -> Option<usize> {
-        let seat = self.world.seat_of.get(&host.0)?;
+        let seat = self.world.slot_of.get(&host.0)?;
         Some(self.world.pair_of(*seat, self.router))
     }
 }
 
-impl Transport for Wires<'_> {
+impl Transport for RouterTransport<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
         let (tried, end, receipt) = match message {
             ToClient::Acked {
@@ -59,8 +59,8 @@
             _ => return,
         };
         self.world.plan(
-            LOCAL_WAY,
-            What::AtClient {
+            LOCAL_DELAY,
+            Event::AnswerAtClient {
                 tried,
                 end,
                 receipt,
@@ -77,7 +77,7 @@
                 let end = TransportFailure::NotConnected;
                 self.world.plan(
                     0,
-                    What::Lost {
+                    Event::DeliveryFailed {
                         by,
                         host: host.0,
                         delivery,
@@ -101,23 +101,23 @@
                 let left = left_us.min(1 << 40) as Micros;
                 let parcel = Message {
                     delivery,
-                    tried,
+                    attempt: tried,
                     command,
                     op,
                     key,
-                    mark,
+                    idempotency_key: mark,
                     left,
                     leave_by,
                 };
-                let p = &mut self.world.pairs[pair];
-                if p.waiting.len() >= QUEUE {
+                let p = &mut self.world.host_links[pair];
+                if p.waiting.len() >= QUEUE_LIMIT {
                     return false;
                 }
                 if !p.open {
                     self.world.lose(pair, [delivery], TransportFailure::NotSent);
                     return true;
                 }
-                if p.link == Link::Up && p.idle() && now - p.used > IDLE {
+                if p.link == Link::Up && p.idle() && now - p.last_used > IDLE_TIMEOUT {
                     p.drop_link();
                 }
                 match p.link {
@@ -134,17 +134,17 @@
                 }
             }
             ToHost::Cancel { delivery } => {
-                let p = &mut self.world.pairs[pair];
+                let p = &mut self.world.host_links[pair];
                 if let Some(at) = p.waiting.iter().position(|w| w.delivery == delivery) {
                     p.waiting.remove(at);
                     self.world.lose(pair, [delivery], TransportFailure::NotSent);
-                } else if let Some(at) = p.out.iter().position(|d| *d == delivery) {
-                    p.out.remove(at);
+                } else if let Some(at) = p.in_flight.iter().position(|d| *d == delivery) {
+                    p.in_flight.remove(at);
                     p.cancelled.push((delivery, p.pings + 1));
-                    let asks = p.ask();
-                    self.world.send(pair, HostWord::Cancel(delivery));
+                    let asks = p.start_ping();
+                    self.world.send(pair, HostMessage::Cancel(delivery));
                     if asks {
-                        self.world.send(pair, HostWord::Ping);
+                        self.world.send(pair, HostMessage::Ping);
                     }
                 }
             }
@@ -166,7 +166,7 @@
             None
         };
         self.world
-            .ask_office(by, |by| What::ListAsk { by, link, have });
+            .ask_office(by, |by| Event::ListRequest { by, link, have });
         true
     }
 
@@ -185,7 +185,7 @@
                 VoteChoice::Hold => ControllerVote::Hold,
                 VoteChoice::RollBack => ControllerVote::Back,
             };
-            self.world.ask_office(by, |by| What::VoteAt {
+            self.world.ask_office(by, |by| Event::VoteAtController {
                 by,
                 ballot,
                 build,
@@ -209,25 +209,27 @@
                 continue;
             };
             let (by, site) = (seat.process, seat.site);
-            // What meets a cut is not kept: old evidence is no evidence.
+            // Event meets a cut is not kept: old evidence is no evidence.
             if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
                 let text = text.clone();
-                self.world
-                    .plan(way.max(LOCAL_WAY), What::Told { by, from, text });
+                self.world.plan(
+                    way.max(LOCAL_DELAY),
+                    Event::GossipAtRouter { by, from, text },
+                );
             }
         }
     }
 
     fn host_open(&mut self, host: HostId, _address: &str, incarnation: u64) {
         if let Some(pair) = self.pair(host) {
-            let p = &mut self.world.pairs[pair];
+            let p = &mut self.world.host_links[pair];
             (p.open, p.incarnation) = (true, incarnation);
         }
     }
 
     fn host_closed(&mut self, host: HostId, gone: bool) {
         let Some(pair) = self.pair(host) else { return };
-        let p = &mut self.world.pairs[pair];
+        let p = &mut self.world.host_links[pair];
         p.open = false;
         let unsent = std::mem::take(&mut p.waiting);
         if gone && p.idle() && p.link == Link::Up {
@@ -241,21 +243,21 @@
     }
 }
 
-impl Wiring for Wires<'_> {
+impl Wiring for RouterTransport<'_> {
     fn look(&self, host: HostId) -> HostView {
         let none = HostView {
             up: false,
             work_before: 0.0,
-            way: None,
+            delay: None,
             speed: 0.0,
-            fails: 0.0,
-            bears: false,
+            failure_rate: 0.0,
+            has_headroom: false,
         };
         let Some(pair) = self.pair(host) else {
             return none;
         };
         let (seat, _) = self.world.ends_of(pair);
-        let seat = &self.world.seats[seat];
+        let seat = &self.world.host_slots[seat];
         let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
             return none;
         };
@@ -263,10 +265,10 @@
         HostView {
             up: !model.fault.hangs,
             work_before: model.work_before(now),
-            way: self.world.way(pair),
+            delay: self.world.way(pair),
             speed: model.speed * model.warmth(now) / (model.fault.slower * model.fault.drag),
-            fails: model.fault.fails,
-            bears: model.has_headroom(now),
+            failure_rate: model.fault.fails,
+            has_headroom: model.has_headroom(now),
         }
     }
 
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -6,28 +6,28 @@
 use spokeflow_scenario::observation::{Observation, Process, RolloutState};
 use spokeflow_scenario::release_controller::{ControllerVote, State, VoteOutcome};
 
-use super::event::What;
-use super::{World, DESK_TICK};
+use super::event::Event;
+use super::{World, CONTROLLER_TICK};
 
 impl World {
     pub(super) fn desk_tick(&mut self) {
-        self.plan(DESK_TICK, What::DeskTick);
+        self.plan(CONTROLLER_TICK, Event::ControllerTick);
         if self.faults.stalled_controller {
             return;
         }
         let mut orders = Vec::new();
-        let before = self.desk.state;
+        let before = self.controller.state;
         if let Some(next) = self
             .offers
             .first()
             .filter(|b| self.now - self.start >= b.offered)
         {
-            if self.desk.offer(self.now, next.number, &mut orders) {
+            if self.controller.offer(self.now, next.number, &mut orders) {
                 self.offers.remove(0);
             }
         }
-        self.desk.tick(self.now, &mut orders);
-        let state = self.desk.state;
+        self.controller.tick(self.now, &mut orders);
+        let state = self.controller.state;
         if state != before {
             let State {
                 build,
@@ -61,7 +61,7 @@
             let at = (self.now + late + self.faults.controller_delay).max(seat.news_last);
             (seat.told, seat.told_at, seat.news_last) = (Some(state), self.now, at);
             let by = seat.process;
-            self.plan_at(at, What::NewsTo { by, state });
+            self.plan_at(at, Event::RolloutAtRouter { by, state });
         }
     }
 
@@ -70,7 +70,7 @@
             return;
         }
         if self.faults.stalled_controller || self.office_cut(by) {
-            return self.blocked.push(What::NewsTo { by, state });
+            return self.blocked.push(Event::RolloutAtRouter { by, state });
         }
         let State {
             build,
@@ -115,7 +115,7 @@
         verdict: ControllerVote,
     ) {
         if self.office_cut(by) {
-            return self.blocked.push(What::VoteAt {
+            return self.blocked.push(Event::VoteAtController {
                 by,
                 ballot,
                 build,
@@ -137,7 +137,9 @@
             if !counts {
                 return;
             }
-            let counted = self.desk.vote(self.now, by.router, build, stage, verdict);
+            let counted = self
+                .controller
+                .vote(self.now, by.router, build, stage, verdict);
             if self.faults.stalled_controller {
                 return;
             }
@@ -147,6 +149,6 @@
                 VoteOutcome::TooMany => VoteResult::RateLimited,
             }
         };
-        self.tell_router(by, |by| What::VotedTo { by, ballot, result });
+        self.tell_router(by, |by| Event::VoteResultAtRouter { by, ballot, result });
     }
 }
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -8,16 +8,16 @@
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
-use super::event::What;
-use super::links::Wires;
-use super::{World, LOCAL_WAY};
-use crate::brain::RoutingStrategy;
-use crate::terms::engine_terms;
+use super::event::Event;
+use super::links::RouterTransport;
+use super::{World, LOCAL_DELAY};
+use crate::engine_config::engine_terms;
+use crate::strategy::RoutingStrategy;
 
 /// After SIGTERM.
 const ENDS_WITHIN: Micros = 15 * SECOND;
 
-pub(super) struct RouterSeat {
+pub(super) struct RouterSlot {
     pub(super) process: Process,
     pub(super) brain: Option<Box<dyn RoutingStrategy>>,
     pub(super) site: u16,
@@ -38,9 +38,9 @@
     pub(super) office_last: [Micros; 2],
 }
 
-impl RouterSeat {
-    pub(super) fn new(router: u32, site: u16) -> RouterSeat {
-        RouterSeat {
+impl RouterSlot {
+    pub(super) fn new(router: u32, site: u16) -> RouterSlot {
+        RouterSlot {
             process: Process { router, start: 0 },
             brain: None,
             site,
@@ -69,12 +69,12 @@
         let seed = day.seed.wrapping_mul(31).wrapping_add(u64::from(router));
         let process = self.routers[router as usize].process;
         self.note(Observation::RouterUp(process));
-        let who = self.who;
+        let who = self.strategy;
         let brain = who.start(
             terms,
             seed,
             now,
-            &mut Wires {
+            &mut RouterTransport {
                 world: self,
                 router,
             },
@@ -84,13 +84,13 @@
             (Some(brain), Micros::MAX, None, false);
         self.wake_later(router);
         let link = self.routers[router as usize].list_link;
-        self.plan(0, What::ListOpen { by: process, link });
+        self.plan(0, Event::ListConnected { by: process, link });
     }
 
     pub(super) fn start_again(&mut self, router: u32) {
         let site = self.routers[router as usize].site;
         let start = self.routers[router as usize].process.start + 1;
-        let mut fresh = RouterSeat::new(router, site);
+        let mut fresh = RouterSlot::new(router, site);
         fresh.process.start = start;
         self.routers[router as usize] = fresh;
         self.start_router(router);
@@ -103,19 +103,19 @@
         seat.brain = None;
         seat.down_since = seat.down_since.or(Some(self.now));
         let of_router = self.day.routers as usize;
-        for pair in (router as usize..self.pairs.len()).step_by(of_router) {
-            self.pairs[pair].reset();
+        for pair in (router as usize..self.host_links.len()).step_by(of_router) {
+            self.host_links[pair].reset();
         }
         let open: Vec<u64> = self
-            .tries
+            .attempts
             .iter()
-            .filter(|(_, t)| t.by.router == router && !t.answered)
-            .map(|(_, t)| t.tried)
+            .filter(|(_, t)| t.router.router == router && !t.answered)
+            .map(|(_, t)| t.attempt)
             .collect();
         for tried in open {
             self.plan(
-                LOCAL_WAY,
-                What::AtClient {
+                LOCAL_DELAY,
+                Event::AnswerAtClient {
                     tried,
                     end: TryEnd::Broken,
                     receipt: 0,
@@ -134,7 +134,7 @@
             // Another trouble has it.
             return self.plan(
                 apart,
-                What::Roll {
+                Event::RouterRoll {
                     routers: next.map(|n| n.0).unwrap_or_default(),
                     nth: nth + 1,
                     down,
@@ -148,7 +148,7 @@
         self.give(by, Input::Close);
         self.plan(
             0,
-            What::Ended {
+            Event::RouterEnds {
                 router,
                 by,
                 asked: self.now,
@@ -173,7 +173,7 @@
         if held > 0 && self.now - asked < ENDS_WITHIN {
             return self.plan(
                 20 * MS,
-                What::Ended {
+                Event::RouterEnds {
                     router,
                     by,
                     asked,
@@ -185,7 +185,7 @@
             self.stop_router(router, Observation::RouterEnded(by));
         }
         let down = next.as_ref().map_or(SECOND, |n| n.2);
-        self.plan(down, What::Start { router, then: next });
+        self.plan(down, Event::RouterStarts { router, then: next });
     }
 
     /// Gives a router what has reached it.
@@ -200,7 +200,7 @@
         brain.take(
             self.now,
             input,
-            &mut Wires {
+            &mut RouterTransport {
                 world: self,
                 router: by.router,
             },
@@ -216,7 +216,7 @@
         if at < seat.wake_at {
             seat.wake_at = at;
             let by = seat.process;
-            self.plan_at(at, What::Wake { by, at });
+            self.plan_at(at, Event::RouterTimer { by, at });
         }
     }
 }
