--- a/crates/spokeflow-experiments/src/capacity/collect.rs
+++ b/crates/spokeflow-experiments/src/capacity/collect.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use super::error::CapacityError;
-use super::records::{read_records, Held, Record};
+use super::records::{read_records, FixedParameters, Record};
 use super::slopes::{Line, Point, Slopes};
 
 /// What records of one line have in common.
@@ -16,8 +16,8 @@
     phase: String,
     per: String,
     unit: String,
-    /// Sizes that were held, as text: JSON values have no order.
-    held: Vec<String>,
+    /// Sizes that were fixed, as text: JSON values have no order.
+    fixed: Vec<String>,
 }
 
 /// What tells two sweeps over one size apart; other entries of `held` may differ from point to point.
@@ -95,36 +95,37 @@
         phase: record.phase.clone(),
         per: record.size_of.clone(),
         unit: record.unit.clone(),
-        held: held_sizes(record),
+        fixed: fixed_sizes(record),
     }
 }
 
-fn held_sizes(record: &Record) -> Vec<String> {
+fn fixed_sizes(record: &Record) -> Vec<String> {
     let changing = record.size_of.replace('-', "_");
-    let held = SWEEP_SIZES
+    let fixed = SWEEP_SIZES
         .iter()
-        .filter_map(|name| Some((*name, record.held.get(*name)?)));
+        .filter_map(|name| Some((*name, record.fixed.get(*name)?)));
     // The size that changes is told again under its own name.
     let others =
-        held.filter(|(name, value)| *name != changing || value.as_f64() != Some(record.size));
+        fixed.filter(|(name, value)| *name != changing || value.as_f64() != Some(record.size));
     others
         .map(|(name, value)| format!("{name} {value}"))
         .collect()
 }
 
 /// What all records have alike, except the size that changes.
-fn held_by_all(records: &[Record]) -> Held {
+fn fixed_in_all(records: &[Record]) -> FixedParameters {
     let Some(first) = records.first() else {
-        return Held::new();
+        return FixedParameters::new();
     };
     let alike = |name: &str, value: &serde_json::Value| {
-        records.iter().all(|r| r.held.get(name) == Some(value))
+        records.iter().all(|r| r.fixed.get(name) == Some(value))
     };
-    let held = first
-        .held
+    let fixed = first
+        .fixed
         .iter()
         .filter(|(name, value)| **name != first.size_of && alike(name, value));
-    held.map(|(name, value)| (name.clone(), value.clone()))
+    fixed
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
@@ -141,7 +142,7 @@
         unit: key.unit,
         per: key.per,
         phase: key.phase,
-        held: held_by_all(&records),
+        fixed: fixed_in_all(&records),
         command: first.command.clone(),
         date: first.date.clone(),
         run: key.run,
@@ -179,11 +180,11 @@
     }
 }
 
-/// Lines that differ only in what was held, or in their unit, get a number behind their id.
+/// Lines that differ only in what was fixed, or in their unit, get a number behind their id.
 fn number_equal_ids(lines: &mut [Line]) {
-    let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+    let mut count_by_id: BTreeMap<String, usize> = BTreeMap::new();
     for line in lines {
-        let count = seen.entry(line.id.clone()).or_default();
+        let count = count_by_id.entry(line.id.clone()).or_default();
         *count += 1;
         if *count > 1 {
             line.id = format!("{} ({count})", line.id);
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -1,4 +1,4 @@
-//! Measures, by the real codecs and the real ledger, how many bytes each message and each kept record takes.
+//! Measures, by the real codecs and the real state, how many bytes each message and each kept record takes.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,24 @@
 use spokeflow_proto::{EndpointPhase, EndpointRecord, FrameCodec, FromList};
 use spokeflow_raft::{Entry, LogIndex, Message, Payload, Term};
 
-use super::records::{Held, Record, Role};
+use super::records::{FixedParameters, Record, Role};
 
-pub const PHASE: &str = "encoded";
-pub const COMMAND: &str = "spokeflow-experiments measure-bytes --out docs/capacity/runs/bytes.json";
+pub(super) const PHASE: &str = "encoded";
+pub(super) const COMMAND: &str =
+    "spokeflow-experiments measure-bytes --out docs/capacity/runs/bytes.json";
 
-pub const LIST_GRANT: &str = "grant with the whole host list";
-pub const HOST_GRANT: &str = "grant with a change of one host";
-pub const LIST_MESSAGE: &str = "message with the whole host list";
-pub const HOST_MESSAGE: &str = "message with a change of one host";
-pub const HOST_ENTRY: &str = "log entry with a change of one host";
-pub const LIST_STATE: &str = "host list in the ledger";
-pub const TENANT_OFFER: &str = "offer that changes one tenant's share";
-pub const TENANT_GRANT: &str = "grant with a change of one tenant's share";
-pub const TENANT_ENTRY: &str = "log entry with a change of one tenant's share";
-pub const TENANT_RECORD: &str = "ledger's growth by a change of one tenant's share";
-pub const RENEWAL_REQUEST: &str = "lease renewal, request";
-pub const RENEWAL_ANSWER: &str = "lease renewal, answer";
+pub(super) const LIST_GRANT: &str = "grant with the whole host list";
+pub(super) const HOST_GRANT: &str = "grant with a change of one host";
+pub(super) const LIST_MESSAGE: &str = "message with the whole host list";
+pub(super) const HOST_MESSAGE: &str = "message with a change of one host";
+pub(super) const HOST_ENTRY: &str = "log entry with a change of one host";
+pub(super) const LIST_STATE: &str = "host list in the ledger";
+pub(super) const TENANT_OFFER: &str = "offer that changes one tenant's share";
+pub(super) const TENANT_GRANT: &str = "grant with a change of one tenant's share";
+pub(super) const TENANT_ENTRY: &str = "log entry with a change of one tenant's share";
+pub(super) const TENANT_RECORD: &str = "ledger's growth by a change of one tenant's share";
+pub(super) const RENEWAL_REQUEST: &str = "lease renewal, request";
+pub(super) const RENEWAL_ANSWER: &str = "lease renewal, answer";
 
 const HOSTS: [u32; 4] = [300, 1000, 4000, 12_000];
 const TENANTS: [u32; 4] = [100, 1000, 10_000, 33_000];
@@ -45,10 +46,10 @@
 const PROCESS: u64 = 0x9d3c_5a71_e20b_4f86;
 const REQUEST: u64 = 100_000;
 /// Mark of the voters' addresses, as their checksum gives it.
-const SEATS_MARK: u64 = 0x9abc_def1;
+const VOTERS_FINGERPRINT: u64 = 0x9abc_def1;
 
 /// All records, in a fixed order; equal but for the date whenever the codecs are.
-pub fn measure(date: &str) -> Vec<Record> {
+pub(super) fn measure(date: &str) -> Vec<Record> {
     let mut records = Vec::new();
     for hosts in HOSTS {
         records.extend(host_records(hosts));
@@ -71,7 +72,7 @@
     size_of: &str,
     size: u32,
     bytes: usize,
-    held: Held,
+    fixed: FixedParameters,
 ) -> Record {
     Record {
         role,
@@ -85,20 +86,20 @@
         max: None,
         spread_of: None,
         runs: None,
-        held,
+        fixed,
         command: COMMAND.into(),
         date: String::new(),
     }
 }
 
 fn host_records(hosts: u32) -> Vec<Record> {
-    let held = || {
-        Held::from([
+    let fixed = || {
+        FixedParameters::from([
             ("tenants".to_string(), json!(0)),
             ("routers".to_string(), json!(1300)),
         ])
     };
-    let whole = SourceUpdate {
+    let complete = SourceUpdate {
         version: 1,
         complete: true,
         hosts: (0..hosts).map(listed_host).collect(),
@@ -112,52 +113,52 @@
         complete: false,
         hosts: vec![drained],
     };
-    let mut ledger = ConfigState::default();
-    let empty = ledger.encode().len();
-    ledger.apply(LogCommand::UpdateList(whole.clone()));
-    let state = ledger.encode().len() - empty;
-    let whole_grant = grant_frame(&ledger, Some(ListVersion(0)));
-    let before = ledger.list.version;
-    ledger.apply(LogCommand::UpdateList(change.clone()));
-    let change_grant = grant_frame(&ledger, Some(before));
+    let mut state = ConfigState::default();
+    let empty = state.encode().len();
+    state.apply(LogCommand::UpdateList(complete.clone()));
+    let state_growth = state.encode().len() - empty;
+    let complete_grant = grant_frame(&state, Some(ListVersion(0)));
+    let before = state.list.version;
+    state.apply(LogCommand::UpdateList(change.clone()));
+    let change_grant = grant_frame(&state, Some(before));
     let entry = append_frame(&LogCommand::UpdateList(change.clone()));
-    let whole_message = list_frame(whole);
+    let complete_message = list_frame(complete);
     let change_message = list_frame(change);
-    let of = |role, quantity, bytes| record(role, quantity, "hosts", hosts, bytes, held());
+    let of = |role, quantity, bytes| record(role, quantity, "hosts", hosts, bytes, fixed());
     vec![
-        of(Role::Voter, LIST_GRANT, whole_grant),
+        of(Role::Voter, LIST_GRANT, complete_grant),
         of(Role::Voter, HOST_GRANT, change_grant),
         of(Role::Voter, HOST_ENTRY, entry),
-        of(Role::Voter, LIST_STATE, state),
-        of(Role::ListSource, LIST_MESSAGE, whole_message),
+        of(Role::Voter, LIST_STATE, state_growth),
+        of(Role::ListSource, LIST_MESSAGE, complete_message),
         of(Role::ListSource, HOST_MESSAGE, change_message),
     ]
 }
 
 fn tenant_records(tenants: u32) -> Vec<Record> {
-    let held = || {
-        Held::from([
+    let fixed = || {
+        FixedParameters::from([
             ("hosts".to_string(), json!(0)),
             ("routers".to_string(), json!(1300)),
         ])
     };
     let (before, after) = (tenant_offer(tenants, 0, 0), tenant_offer(tenants, 1, 1));
-    let mut ledger = ConfigState::default();
-    take(&mut ledger, before, 1);
-    let state_before = ledger.encode().len();
+    let mut state = ConfigState::default();
+    take(&mut state, before, 1);
+    let state_before = state.encode().len();
     let offer = frame(&ToNode::Request {
         number: REQUEST,
         request: Request::Propose(after.clone()),
     });
     let entry = append_frame(&LogCommand::Propose(after.clone()));
-    ledger.apply(LogCommand::Propose(after));
-    let grant = grant_frame(&ledger, None);
-    ledger.apply(LogCommand::PutInForce {
+    state.apply(LogCommand::Propose(after));
+    let grant = grant_frame(&state, None);
+    state.apply(LogCommand::PutInForce {
         revision: RevisionNumber(2),
         at_s: 1_800_000_000,
     });
-    let growth = ledger.encode().len() - state_before;
-    let of = |role, quantity, bytes| record(role, quantity, "tenants", tenants, bytes, held());
+    let growth = state.encode().len() - state_before;
+    let of = |role, quantity, bytes| record(role, quantity, "tenants", tenants, bytes, fixed());
     vec![
         of(Role::Tool, TENANT_OFFER, offer),
         of(Role::Voter, TENANT_GRANT, grant),
@@ -167,26 +168,26 @@
 }
 
 fn renewal_records(routers: u32) -> Vec<Record> {
-    let held = || {
-        Held::from([
+    let fixed = || {
+        FixedParameters::from([
             ("hosts".to_string(), json!(0)),
             ("tenants".to_string(), json!(0)),
         ])
     };
-    let ledger = ConfigState::default();
-    let mut granter = LeaseGranter::new(LEASE, 0);
+    let state = ConfigState::default();
+    let mut lease_granter = LeaseGranter::new(LEASE, 0);
     let mut last = (0, 0);
     for router in 0..routers {
-        let own = asked(&ledger, Some(ledger.list.version));
-        let asked = LeaseRequest {
+        let own = lease_request(&state, Some(state.list.version));
+        let lease_request = LeaseRequest {
             router,
             process: PROCESS - u64::from(router),
             ..own
         };
-        let grant = granter.grant(1, &asked, &ledger, &seats());
+        let grant = lease_granter.grant(1, &lease_request, &state, &voter_addresses());
         let request = frame(&ToNode::Request {
             number: REQUEST,
-            request: Request::Lease(asked),
+            request: Request::Lease(lease_request),
         });
         let answer = Response::Granted(Box::new(grant));
         last = (
@@ -197,7 +198,7 @@
             }),
         );
     }
-    let of = |role, quantity, bytes| record(role, quantity, "routers", routers, bytes, held());
+    let of = |role, quantity, bytes| record(role, quantity, "routers", routers, bytes, fixed());
     vec![
         of(Role::RouterControl, RENEWAL_REQUEST, last.0),
         of(Role::Voter, RENEWAL_ANSWER, last.1),
@@ -205,9 +206,9 @@
 }
 
 /// Announces an offer and puts it in force.
-fn take(ledger: &mut ConfigState, offer: Proposal, number: u64) {
-    ledger.apply(LogCommand::Propose(offer));
-    ledger.apply(LogCommand::PutInForce {
+fn take(state: &mut ConfigState, offer: Proposal, number: u64) {
+    state.apply(LogCommand::Propose(offer));
+    state.apply(LogCommand::PutInForce {
         revision: RevisionNumber(number),
         at_s: 1_800_000_000,
     });
@@ -235,13 +236,13 @@
     )
 }
 
-/// An offer that names all tenants' shares, as the flag does; `changed` differs between two of them.
+/// An offer that names all tenants' quotas, as the flag does; `changed` differs between two of them.
 fn tenant_offer(tenants: u32, against: u64, changed: u32) -> Proposal {
-    let share = |tenant: u32| if tenant == 0 { 12 + changed } else { 11 };
-    let shares: Vec<String> = (0..tenants)
-        .map(|t| format!("tenant-{t:05}={}.82", share(t)))
+    let quota = |tenant: u32| if tenant == 0 { 12 + changed } else { 11 };
+    let quotas: Vec<String> = (0..tenants)
+        .map(|tenant| format!("tenant-{tenant:05}={}.82", quota(tenant)))
         .collect();
-    let values: Overrides = BTreeMap::from([("customer".to_string(), shares.join(","))]);
+    let values: Overrides = BTreeMap::from([("customer".to_string(), quotas.join(","))]);
     let token = PROCESS - u64::from(changed);
     let (who, why) = (
         "operator@example.org".to_string(),
@@ -258,8 +259,8 @@
 }
 
 /// What a router asks with that has what is in force, and the list up to `list`.
-fn asked(ledger: &ConfigState, list: Option<ListVersion>) -> LeaseRequest {
-    let known = ledger.in_force.number;
+fn lease_request(state: &ConfigState, list: Option<ListVersion>) -> LeaseRequest {
+    let known = state.in_force.number;
     LeaseRequest {
         process: PROCESS,
         router: 1299,
@@ -268,20 +269,25 @@
             newest: known,
         },
         applied_revision: known,
-        voters_fingerprint: SEATS_MARK,
+        voters_fingerprint: VOTERS_FINGERPRINT,
         list,
     }
 }
 
-fn seats() -> VoterAddresses {
+fn voter_addresses() -> VoterAddresses {
     VoterAddresses {
-        fingerprint: SEATS_MARK,
+        fingerprint: VOTERS_FINGERPRINT,
         addresses: Vec::new(),
     }
 }
 
-fn grant_frame(ledger: &ConfigState, list: Option<ListVersion>) -> usize {
-    let grant = LeaseGranter::new(LEASE, 0).grant(1, &asked(ledger, list), ledger, &seats());
+fn grant_frame(state: &ConfigState, list: Option<ListVersion>) -> usize {
+    let grant = LeaseGranter::new(LEASE, 0).grant(
+        1,
+        &lease_request(state, list),
+        state,
+        &voter_addresses(),
+    );
     frame(&FromNode::Response {
         number: REQUEST,
         response: Response::Granted(Box::new(grant)),
@@ -305,23 +311,23 @@
     frame(&ToNode::Raft(append))
 }
 
-fn list_frame(news: SourceUpdate) -> usize {
-    let line = |h: ListedHost| EndpointRecord {
-        host: h.host,
-        address: h.address,
-        build: h.build,
-        cell: h.cell,
-        zone: h.zone,
-        phase: if h.state == HostState::Draining {
+fn list_frame(update: SourceUpdate) -> usize {
+    let line = |host: ListedHost| EndpointRecord {
+        host: host.host,
+        address: host.address,
+        build: host.build,
+        cell: host.cell,
+        zone: host.zone,
+        phase: if host.state == HostState::Draining {
             EndpointPhase::Draining
         } else {
             EndpointPhase::Ready
         },
-        incarnation: h.incarnation,
-        up_us: h.up_us,
+        incarnation: host.incarnation,
+        up_us: host.up_us,
     };
-    let (version, lines) = (news.version, news.hosts.into_iter().map(line).collect());
-    frame(&if news.complete {
+    let (version, lines) = (update.version, update.hosts.into_iter().map(line).collect());
+    frame(&if update.complete {
         FromList::Complete {
             version,
             endpoints: lines,
--- a/crates/spokeflow-experiments/src/capacity/ends.rs
+++ b/crates/spokeflow-experiments/src/capacity/ends.rs
@@ -42,13 +42,13 @@
     /// The same for the largest service: it has as large a part of the routers and the traffic as of the hosts.
     pub fn largest_service(target: &Target) -> End {
         let (fleet, hosts) = (&target.fleet, target.assumptions.largest_service_hosts);
-        let share = hosts / fleet.hosts;
+        let fraction = hosts / fleet.hosts;
         End {
             name: "routers of its own, the largest service",
             services_per_router: 1.0,
-            routers_per_service: (fleet.routers * share).floor().max(1.0),
+            routers_per_service: (fleet.routers * fraction).floor().max(1.0),
             hosts_per_router: hosts,
-            traffic_share: share,
+            traffic_share: fraction,
         }
     }
 
--- a/crates/spokeflow-experiments/src/capacity/estimate.rs
+++ b/crates/spokeflow-experiments/src/capacity/estimate.rs
@@ -9,7 +9,7 @@
 
 /// What a figure needs to have been measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
+pub(super) struct Need {
     pub role: Role,
     pub quantity: &'static str,
     pub phase: &'static str,
@@ -17,7 +17,7 @@
 }
 
 impl Need {
-    fn is_met_by(&self, line: &Line) -> bool {
+    fn is_measured_by(&self, line: &Line) -> bool {
         let named =
             line.quantity == self.quantity && line.phase == self.phase && line.per == self.per;
         named && line.role == self.role
@@ -34,7 +34,7 @@
 
 /// A figure, the lines that it rests on, and the lines that are missing for it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Estimate {
+pub(super) struct Estimate {
     /// `None`: not measured.
     pub value: Option<f64>,
     /// Ids of lines.
@@ -50,7 +50,7 @@
 
 impl Estimate {
     /// Follows from the target or from a limit of the programs; nothing was measured for it.
-    pub fn given(value: f64) -> Estimate {
+    pub(super) fn given(value: f64) -> Estimate {
         Estimate {
             value: Some(value),
             ..Estimate::default()
@@ -58,7 +58,7 @@
     }
 
     /// What the lines say of `need` at `size`.
-    pub fn measured(slopes: &Slopes, need: Need, size: f64) -> Estimate {
+    pub(super) fn measured(slopes: &Slopes, need: Need, size: f64) -> Estimate {
         let reading = best_line(slopes, need).and_then(|line| Some((line, line.at(size)?)));
         match reading {
             Some((line, reading)) => Estimate {
@@ -75,21 +75,21 @@
         }
     }
 
-    pub fn times(self, factor: f64) -> Estimate {
+    pub(super) fn times(self, factor: f64) -> Estimate {
         Estimate {
             value: self.value.map(|value| value * factor),
             ..self
         }
     }
 
-    pub fn plus(self, other: Estimate) -> Estimate {
+    pub(super) fn plus(self, other: Estimate) -> Estimate {
         let value = self.value.zip(other.value).map(|(a, b)| a + b);
         self.joined(other, value)
     }
 
     /// The greatest of those that are measured: each was measured with the other sizes held, so that all together
     /// may cost more.
-    pub fn greatest(all: impl IntoIterator<Item = Estimate>) -> Estimate {
+    pub(super) fn greatest(all: impl IntoIterator<Item = Estimate>) -> Estimate {
         let dearest = Estimate::dearest(all);
         Estimate {
             at_least: dearest.value.is_some(),
@@ -98,7 +98,7 @@
     }
 
     /// The greatest of those that are measured, where only one of them happens at a time.
-    pub fn dearest(all: impl IntoIterator<Item = Estimate>) -> Estimate {
+    pub(super) fn dearest(all: impl IntoIterator<Item = Estimate>) -> Estimate {
         let mut dearest: Option<Estimate> = None;
         let mut missing = BTreeSet::new();
         for estimate in all {
@@ -131,7 +131,7 @@
 
 /// Of several runs: not of a text before a change, then the one with the most sizes, then the latest.
 fn best_line(slopes: &Slopes, need: Need) -> Option<&Line> {
-    let matching = slopes.lines.iter().filter(|line| need.is_met_by(line));
+    let matching = slopes.lines.iter().filter(|line| need.is_measured_by(line));
     matching.max_by_key(|line| {
         (
             !line.run.contains("before"),
--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -12,7 +12,7 @@
 /// Answers that convict at the least.
 pub const CONVICTS: f64 = SEND_BACK_AT / (LATE_WEIGHT * (2.0 - LATE_MARGIN));
 /// Part of the cap that the lane of trial keys takes, and how far it may go ahead of or follow the trial hosts.
-pub const LANE_OF_CAP: f64 = 0.7;
+pub const CANARY_OF_CAP: f64 = 0.7;
 pub const REPIN_OF_CAP: f64 = 0.9;
 pub const AHEAD: f64 = 1.25;
 /// Seconds after the bake time before a router votes to go on.
@@ -44,14 +44,14 @@
 
 /// Every stage of a release of one service at the mean traffic.
 pub fn stages(target: &Target, end: &End, fleet_requests: f64) -> Vec<StageEvidence> {
-    (0..target.terms.stage_shares.len())
+    (0..target.terms.stage_fractions.len())
         .map(|stage| of_stage(target, end, fleet_requests, stage))
         .collect()
 }
 
 fn of_stage(target: &Target, end: &End, fleet_requests: f64, stage: usize) -> StageEvidence {
     let terms = &target.terms;
-    let trial_traffic = trial_traffic(terms.stage_shares[stage], terms.stage_caps[stage]);
+    let trial_traffic = trial_traffic(terms.stage_fractions[stage], terms.stage_caps[stage]);
     let answers_per_second = end.service_requests(fleet_requests) * trial_traffic;
     let lasts = lasts(target, end, fleet_requests, stage);
     let answers = answers_per_second * lasts;
@@ -75,10 +75,10 @@
 fn lasts(target: &Target, end: &End, fleet_requests: f64, stage: usize) -> f64 {
     let terms = &target.terms;
     let (share, shortest) = (
-        terms.stage_shares[stage],
+        terms.stage_fractions[stage],
         terms.stage_bake_seconds + AFTER_BAKE,
     );
-    let Some(next) = terms.stage_shares.get(stage + 1) else {
+    let Some(next) = terms.stage_fractions.get(stage + 1) else {
         let large = end.routers_per_service > spokeflow_core::ROUTERS_PER_HOST;
         return if large { LONGER * shortest } else { shortest };
     };
@@ -89,7 +89,10 @@
 /// As the module grows its lane in a rolling release, with as many trial hosts as the stage asks for.
 fn trial_traffic(share: f64, cap: f64) -> f64 {
     let follow = share.min(if cap < 1.0 { REPIN_OF_CAP * cap } else { 1.0 });
-    (LANE_OF_CAP * cap).min(AHEAD * share).max(follow).min(cap)
+    (CANARY_OF_CAP * cap)
+        .min(AHEAD * share)
+        .max(follow)
+        .min(cap)
 }
 
 /// The chance of at least `count` events where `mean` come on the average (Poisson).
--- a/crates/spokeflow-experiments/src/capacity/lease.rs
+++ b/crates/spokeflow-experiments/src/capacity/lease.rs
@@ -9,7 +9,7 @@
 
 /// All in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LeaseBounds {
+pub(super) struct LeaseBounds {
     pub lease: f64,
     /// For which a router holds a grant, by its own clock.
     pub held: f64,
@@ -25,7 +25,7 @@
 }
 
 impl LeaseBounds {
-    pub fn of(target: &Target) -> LeaseBounds {
+    pub(super) fn of(target: &Target) -> LeaseBounds {
         let terms = &target.terms;
         let lease = LeaseConfig {
             duration: (terms.lease_seconds * MICROS) as i64,
--- a/crates/spokeflow-experiments/src/capacity/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/mod.rs
@@ -1,6 +1,7 @@
 //! What a target costs in each role: measured lines, the loads that a target makes, and the page that puts both
 //! together (`docs/CAPACITY.md`).
 
+mod bounds;
 mod collect;
 mod commands;
 mod encoded;
--- a/crates/spokeflow-experiments/src/capacity/page/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/mod.rs
@@ -2,13 +2,14 @@
 
 mod roles;
 mod sections;
+mod target;
 
 use super::row::Row;
 use super::slopes::Slopes;
 use super::target::Target;
 
 /// What sections are written from.
-pub struct Page<'a> {
+pub(super) struct Page<'a> {
     pub target: &'a Target,
     pub slopes: &'a Slopes,
     pub rows: &'a [Row],
@@ -18,7 +19,7 @@
 
 impl Page<'_> {
     /// The whole page.
-    pub fn text(&self) -> String {
+    pub(super) fn text(&self) -> String {
         let sections = [
             self.opening(),
             self.over_budget(),
--- a/crates/spokeflow-experiments/src/capacity/page/roles.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/roles.rs
@@ -3,7 +3,7 @@
 use super::super::estimate::Estimate;
 use super::super::records::Role;
 use super::super::remedy::{by_ratio, candidates, Candidate};
-use super::super::row::{plain, ratio_text, Row, Unit};
+use super::super::row::{format_number, ratio_text, Row, Unit};
 use super::super::situation::Situation;
 use super::{table, Page};
 
@@ -54,7 +54,7 @@
         text += &format!(
             "**{}**, ratio {}.\n\n",
             sentence_case(first.remedy.name()),
-            plain(first.ratio)
+            format_number(first.ratio)
         );
         text += &format!("{}\n\n{}\n", first.remedy.text(), reason(first, all.get(1)));
         let next: Vec<&Candidate> = all.iter().skip(1).take(NEXT).collect();
@@ -70,7 +70,7 @@
             text += &format!(
                 "{}. **{name}**, ratio {}: {}. {what}\n",
                 n + 1,
-                plain(candidate.ratio),
+                format_number(candidate.ratio),
                 first_row(candidate)
             );
         }
@@ -83,7 +83,7 @@
             "Rates are counted over windows of {} s, the time in which a change has to be in force. In brackets: ratio to the \
              budget. `>=`: measured over one size with the others held, so that all together may cost more. `!`: a line is \
              used beyond four times its largest measured size. `~`: a line of fewer than four sizes.\n",
-            plain(self.target.load.change_bound_seconds)
+            format_number(self.target.load.change_bound_seconds)
         );
         for role in ROLES {
             let rows: Vec<&Row> = self.rows.iter().filter(|row| row.role == role).collect();
@@ -154,7 +154,7 @@
         ""
     };
     Some([
-        plain(ratio),
+        format_number(ratio),
         row.role.to_string(),
         format!("{}{note}", row.quantity),
         cell.situation.to_string(),
@@ -178,7 +178,7 @@
     text += &match second {
         Some(second) => format!(
             "; no row of another mechanism exceeds ratio {}.",
-            plain(second.ratio)
+            format_number(second.ratio)
         ),
         None => "; no row of another mechanism is over its budget.".to_string(),
     };
@@ -214,7 +214,7 @@
         cell.situation,
         marked(&cell.estimate, row.unit),
         row.unit.text(budget),
-        plain(ratio)
+        format_number(ratio)
     )
 }
 
@@ -256,7 +256,7 @@
 fn cell_text(row: &Row, cell: &super::super::row::Cell) -> String {
     let value = marked(&cell.estimate, row.unit);
     match row.ratio(cell) {
-        Some(ratio) if ratio > 1.0 => format!("**{value} ({})**", plain(ratio)),
+        Some(ratio) if ratio > 1.0 => format!("**{value} ({})**", format_number(ratio)),
         Some(ratio) => format!("{value} ({})", ratio_text(ratio)),
         None => value,
     }
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -4,8 +4,8 @@
 use super::super::evidence::{self, StageEvidence};
 use super::super::fit::Form;
 use super::super::lease::LeaseBounds;
-use super::super::placement::{place, voters_to_spare};
-use super::super::row::{plain, Unit};
+use super::super::placement::{assign_machines, tolerated_voter_losses};
+use super::super::row::{format_number, Unit};
 use super::super::slopes::{Line, Point, ENOUGH_POINTS, FAR};
 use super::{table, Page};
 
@@ -24,87 +24,12 @@
         )
     }
 
-    pub(super) fn target_and_assumptions(&self) -> String {
-        let (t, a) = (self.target, &self.target.assumptions);
-        let (fleet, load, budget, faults) = (&t.fleet, &t.load, &t.budget, &t.faults);
-        let row = |what: &str, value: String| [what.to_string(), value];
-        let told = vec![
-            row(
-                "routers, hosts, services",
-                join([fleet.routers, fleet.hosts, fleet.services]),
-            ),
-            row("routes, tenants", join([fleet.routes, fleet.tenants])),
-            row(
-                "regions, zones, control machines",
-                join([fleet.regions, fleet.zones, fleet.control_machines]),
-            ),
-            row(
-                "requests a second at the peak",
-                plain(load.peak_requests_per_second),
-            ),
-            row(
-                "changes a day, in force everywhere within",
-                format!(
-                    "{}, {} s",
-                    plain(load.changes_per_day),
-                    plain(load.change_bound_seconds)
-                ),
-            ),
-            row(
-                "time added to 99 of 100 requests",
-                format!("{} ms", plain(budget.added_milliseconds)),
-            ),
-            row(
-                "control of one router: core, memory, bytes",
-                format!(
-                    "{}%, {} MB, {} KB/s",
-                    plain(budget.control_core_share * 100.0),
-                    plain(budget.control_memory_mb),
-                    plain(budget.control_kb_per_second)
-                ),
-            ),
-            row(
-                "machines that fail, are restarted or replaced a day",
-                join([
-                    faults.machines_failed_per_day,
-                    faults.machines_restarted_per_day,
-                ]),
-            ),
-            row(
-                "racks, zones lost a year",
-                join([faults.racks_lost_per_year, faults.zones_lost_per_year]),
-            ),
-            row(
-                "hours for which regions lose each other",
-                plain(faults.region_apart_hours),
-            ),
-        ];
-        let assumed = vec![
-            row("mean requests over those at the peak", plain(a.mean_share_of_peak)),
-            row("changes in the busiest minute; each changes one tenant's share", plain(a.changes_in_busiest_minute)),
-            row("hours of a day in which machines are restarted", plain(a.restart_hours)),
-            row("machines in a rack", plain(a.machines_per_rack)),
-            row("releases of each host a day", plain(a.releases_per_host_per_day)),
-            row("host restarts in the busiest minute", plain(a.host_restarts_in_busiest_minute)),
-            row("list lines of a planned restart, of a failure", join([a.list_lines_per_restart, a.list_lines_per_failure])),
-            row("time of a host's answer", format!("{} ms", plain(a.answer_milliseconds))),
-            row("hosts of the largest service", plain(a.largest_service_hosts)),
-            row("cores for a router's deciding task, for a voter's thread", join([a.router_cores, a.voter_cores])),
-            row("memory and network of a control machine", format!("{} MB, {} MB/s", plain(a.control_machine_mb), plain(a.control_machine_mb_per_second))),
-            row("machines that fail are routers and hosts by their numbers; a zone and a rack hold their part of both", "-".into()),
-        ];
-        format!(
-            "## The target\n\n{}\nAssumed, since the target does not say it:\n\n{}",
-            table(["what", "value"], told),
-            table(["assumption", "value"], assumed)
-        )
-    }
-
     /// Sizes of the target that today's settings have no word for.
     pub(super) fn not_carried(&self) -> String {
         let fleet = &self.target.fleet;
-        let row =
-            |size: &str, count: f64, why: &str| [size.to_string(), plain(count), why.to_string()];
+        let row = |size: &str, count: f64, why: &str| {
+            [size.to_string(), format_number(count), why.to_string()]
+        };
         let rows = vec![
             row(
                 "services",
@@ -121,7 +46,7 @@
     }
 
     pub(super) fn control_machines(&self) -> String {
-        let placed = place(self.target);
+        let placed = assign_machines(self.target);
         let rows = placed.iter().map(|p| {
             let duty = p.duty.name().to_string();
             [
@@ -143,11 +68,17 @@
     fn losses(&self) -> Vec<[String; 3]> {
         let (terms, fleet) = (&self.target.terms, &self.target.fleet);
         let bounds = LeaseBounds::of(self.target);
-        let (voters, spare) = (plain(terms.voters), plain(voters_to_spare(terms.voters)));
-        let beyond = plain(voters_to_spare(terms.voters) + 1.0);
-        let routers = plain((fleet.routers / fleet.regions).ceil());
-        let (election, held) = (plain(2.0 * terms.silence_seconds), plain(bounds.held));
-        let in_force = plain(bounds.in_force_with_election);
+        let (voters, spare) = (
+            format_number(terms.voters),
+            format_number(tolerated_voter_losses(terms.voters)),
+        );
+        let beyond = format_number(tolerated_voter_losses(terms.voters) + 1.0);
+        let routers = format_number((fleet.routers / fleet.regions).ceil());
+        let (election, held) = (
+            format_number(2.0 * terms.silence_seconds),
+            format_number(bounds.held),
+        );
+        let in_force = format_number(bounds.in_force_with_election);
         let row = |lost: String, cost: String, by: &str| [lost, cost, by.to_string()];
         vec![
             row(
@@ -189,7 +120,7 @@
                 format!(
                     "voters start from their stores and elect within about {election} s; {} routers start from their list files \
                      and ask for everything at once (rows \"power loss\")",
-                    plain(fleet.routers)
+                    format_number(fleet.routers)
                 ),
                 "`Store`; `--list-file`",
             ),
@@ -203,8 +134,8 @@
             [
                 what.to_string(),
                 how.to_string(),
-                format!("{} s", plain(seconds)),
-                plain(seconds / allowed),
+                format!("{} s", format_number(seconds)),
+                format_number(seconds / allowed),
             ]
         };
         let rows = vec![
@@ -240,8 +171,8 @@
             "## How long two routers may contradict each other\n\nThe argument is in `docs/agreement.md`, \"The bound\". A region \
              that is apart acts on no lease after one lease, so that the bound holds in it too; but no change reaches it before \
              it is back, {} h at the longest. What an act needs to reach a host comes on top.\n\n{}",
-            plain(self.target.faults.region_apart_hours),
-            table(["what", "how", "time", &format!("of {} s allowed", plain(allowed))], rows)
+            format_number(self.target.faults.region_apart_hours),
+            table(["what", "how", "time", &format!("of {} s allowed", format_number(allowed))], rows)
         )
     }
 
@@ -253,9 +184,9 @@
         let rows = End::all(self.target).into_iter().map(|end| {
             [
                 end.name.to_string(),
-                plain(end.services_per_router),
-                plain(end.routers_per_service),
-                plain(end.hosts_per_router),
+                format_number(end.services_per_router),
+                format_number(end.routers_per_service),
+                format_number(end.hosts_per_router),
                 Unit::PerSecond.text(end.service_requests(mean)),
                 Unit::PerSecond.text(end.service_requests(peak)),
                 Unit::PerSecond.text(end.router_requests(peak)),
@@ -284,16 +215,16 @@
              `Router::verdict` waits where one vote is enough: the bake time and a second ({} s), up to three times that where \
              a mean router has too few answers. Mean traffic; routers by a Poisson count. Counts of the release controller, \
              where it tells them, add to this (`docs/design.md`).\n",
-            plain(evidence::ENOUGH_ANSWERS),
-            plain(evidence::CONVICTS),
-            plain(self.target.terms.stage_bake_seconds + evidence::AFTER_BAKE)
+            format_number(evidence::ENOUGH_ANSWERS),
+            format_number(evidence::CONVICTS),
+            format_number(self.target.terms.stage_bake_seconds + evidence::AFTER_BAKE)
         );
         for end in End::all(self.target) {
             let stages = evidence::stages(self.target, &end, self.target.mean_requests());
             text += &format!(
                 "\n{} ({} routers):\n\n",
                 end.name,
-                plain(end.routers_per_service)
+                format_number(end.routers_per_service)
             );
             let head = [
                 "stage",
@@ -318,7 +249,7 @@
             "## Measured lines\n\nPoints from runs; the fit is computed here, its residual is the largest share by which it misses \
              a point. A measured size is read as measured, any other by the fit. Fewer than {ENOUGH_POINTS} sizes and uses beyond \
              {} times the largest are marked where they are used.\n\n",
-            plain(FAR)
+            format_number(FAR)
         );
         if self.slopes.lines.is_empty() {
             return text + "None yet.\n";
@@ -369,8 +300,8 @@
     }
 }
 
-fn join<const N: usize>(values: [f64; N]) -> String {
-    values.map(plain).join(", ")
+pub(super) fn join<const N: usize>(values: [f64; N]) -> String {
+    values.map(format_number).join(", ")
 }
 
 /// A number of routers on the average.
@@ -378,16 +309,16 @@
     if routers < LEAST_ROUTERS {
         return format!("under {LEAST_ROUTERS}");
     }
-    plain(routers)
+    format_number(routers)
 }
 
 fn stage_row(stage: &StageEvidence) -> [String; 11] {
     [
         stage.stage.to_string(),
-        plain(stage.trial_traffic),
-        plain(stage.answers_per_second),
-        plain(stage.fleet_answers_per_second),
-        plain(stage.answers),
+        format_number(stage.trial_traffic),
+        format_number(stage.answers_per_second),
+        format_number(stage.fleet_answers_per_second),
+        format_number(stage.answers),
         Unit::Seconds.text(stage.lasts),
         Unit::Seconds.text(stage.enough_after),
         Unit::Seconds.text(stage.convicts_after),
@@ -403,8 +334,8 @@
     let caution = line
         .caution()
         .map_or(String::new(), |caution| format!("; {caution}"));
-    let held: Vec<String> = line
-        .held
+    let fixed: Vec<String> = line
+        .fixed
         .iter()
         .map(|(name, value)| format!("{name} {value}"))
         .collect();
@@ -418,9 +349,9 @@
             .join("; "),
         form + &caution,
         fit.map_or("-".into(), |fit| {
-            format!("{}%", plain(fit.residual * 100.0))
+            format!("{}%", format_number(fit.residual * 100.0))
         }),
-        held.join(", "),
+        fixed.join(", "),
         format!("`{}`", line.command),
         format!("`runs/{}`", line.run),
         line.date.clone(),
@@ -429,19 +360,33 @@
 
 fn point_text(point: &Point) -> String {
     let spread = match (point.min, point.max) {
-        (Some(min), Some(max)) if min < max => format!(" ({}-{})", plain(min), plain(max)),
+        (Some(min), Some(max)) if min < max => {
+            format!(" ({}-{})", format_number(min), format_number(max))
+        }
         _ => String::new(),
     };
-    format!("{}: {}{spread}", plain(point.size), plain(point.value))
+    format!(
+        "{}: {}{spread}",
+        format_number(point.size),
+        format_number(point.value)
+    )
 }
 
 fn form_text(form: Form, per: &str) -> String {
     match form {
         Form::Linear { intercept, slope } => {
-            format!("{} + {} x {per}", plain(intercept), plain(slope))
+            format!(
+                "{} + {} x {per}",
+                format_number(intercept),
+                format_number(slope)
+            )
         }
         Form::Power { factor, exponent } => {
-            format!("{} x {per}^{}", plain(factor), plain(exponent))
+            format!(
+                "{} x {per}^{}",
+                format_number(factor),
+                format_number(exponent)
+            )
         }
     }
 }
--- a/crates/spokeflow-experiments/src/capacity/placement.rs
+++ b/crates/spokeflow-experiments/src/capacity/placement.rs
@@ -4,40 +4,40 @@
 
 /// What a control machine is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub(super) enum Duty {
     Voter,
     Relay,
     ListSource,
     ReleaseController,
-    Spare,
+    Standby,
 }
 
 impl Duty {
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Duty::Voter => "voter",
             Duty::Relay => "relay (missing: idle until there is one)",
             Duty::ListSource => "list source",
             Duty::ReleaseController => "release controller, operator's tool",
-            Duty::Spare => "spare",
+            Duty::Standby => "spare",
         }
     }
 
     /// What carries it today.
-    pub fn mechanism(self) -> &'static str {
+    pub(super) fn mechanism(self) -> &'static str {
         match self {
             Duty::Voter => "`spokeflow-control-plane`",
             Duty::Relay => "missing",
             Duty::ListSource => "the operators' own; `spokeflow-control-plane --list` reads it",
             Duty::ReleaseController => "the operators' own; `spokeflowctl`",
-            Duty::Spare => "`spokeflow-control-plane --join`, to replace a voter",
+            Duty::Standby => "`spokeflow-control-plane --join`, to replace a voter",
         }
     }
 }
 
 /// Machines of one duty in one region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub(super) struct Placed {
     /// From 1.
     pub region: usize,
     pub duty: Duty,
@@ -46,19 +46,19 @@
 
 /// Places the control machines: voters in as many regions as there are, then what reads and steers in the regions that
 /// have fewest machines, then a relay in each region while machines last, then spares.
-pub fn place(target: &Target) -> Vec<Placed> {
+pub(super) fn assign_machines(target: &Target) -> Vec<Placed> {
     let regions = target.fleet.regions as usize;
     let machines = target.fleet.control_machines as usize;
     let voters = target.terms.voters as usize;
     let mut left = machines - voters.min(machines);
     let mut duties = vec![Duty::Voter; voters.min(machines)];
-    let wanted = [
+    let requested = [
         (Duty::ListSource, 1),
         (Duty::ReleaseController, 1),
         (Duty::Relay, regions),
-        (Duty::Spare, left),
+        (Duty::Standby, left),
     ];
-    for (duty, count) in wanted {
+    for (duty, count) in requested {
         let given = count.min(left);
         duties.extend(vec![duty; given]);
         left -= given;
@@ -96,6 +96,6 @@
 }
 
 /// Voters that may be lost while the others still form a majority.
-pub fn voters_to_spare(voters: f64) -> f64 {
+pub(super) fn tolerated_voter_losses(voters: f64) -> f64 {
     ((voters - 1.0) / 2.0).floor()
 }
--- a/crates/spokeflow-experiments/src/capacity/records.rs
+++ b/crates/spokeflow-experiments/src/capacity/records.rs
@@ -61,7 +61,7 @@
 }
 
 /// What was kept alike while one size changed.
-pub type Held = BTreeMap<String, serde_json::Value>;
+pub(super) type FixedParameters = BTreeMap<String, serde_json::Value>;
 
 /// One measured value at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -85,7 +85,9 @@
     /// Runs that the value is of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runs: Option<u32>,
-    pub held: Held,
+    /// Parameters that stay the same over the sizes.
+    #[serde(rename = "held")]
+    pub fixed: FixedParameters,
     pub command: String,
     pub date: String,
 }
@@ -146,26 +148,26 @@
 /// Part of a value by which a mean of equal numbers may miss them.
 const ROUNDING: f64 = 1e-9;
 /// What is wanted of a spread.
-pub const SPREAD: &str = "min from 0 to value, and max from value to 1e15";
+pub(super) const SPREAD: &str = "min from 0 to value, and max from value to 1e15";
 
 /// Whether something can be measured at this size.
-pub fn is_size(size: f64) -> bool {
+pub(super) fn is_size(size: f64) -> bool {
     size > 0.0 && size <= SANE
 }
 
-pub fn is_value(value: f64) -> bool {
+pub(super) fn is_value(value: f64) -> bool {
     (0.0..=SANE).contains(&value)
 }
 
 /// Whether a value lies within its spread, as far as that is told.
-pub fn is_spread(min: Option<f64>, value: f64, max: Option<f64>) -> bool {
+pub(super) fn is_spread(min: Option<f64>, value: f64, max: Option<f64>) -> bool {
     let rounding = value * ROUNDING;
     min.is_none_or(|min| (0.0..=value + rounding).contains(&min))
         && max.is_none_or(|max| (value - rounding..=SANE).contains(&max))
 }
 
 /// Reads JSON and names the entry that does not fit.
-pub fn parse_json<T: serde::de::DeserializeOwned>(
+pub(super) fn parse_json<T: serde::de::DeserializeOwned>(
     file: &Path,
     text: &str,
 ) -> Result<T, CapacityError> {
--- a/crates/spokeflow-experiments/src/capacity/remedy.rs
+++ b/crates/spokeflow-experiments/src/capacity/remedy.rs
@@ -7,10 +7,11 @@
 /// A mechanism that is not there yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Remedy {
+pub(super) enum Remedy {
     ChangesByTenant,
     ListInParts,
-    KeptFigures,
+    #[serde(rename = "kept-figures")]
+    IncrementalFigures,
     RelayPerRegion,
     LeaseInBatches,
     OneListReader,
@@ -19,11 +20,11 @@
 }
 
 impl Remedy {
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Remedy::ChangesByTenant => "changes that carry only what changed",
             Remedy::ListInParts => "the host list in parts",
-            Remedy::KeptFigures => "figures kept in the decision module",
+            Remedy::IncrementalFigures => "figures kept in the decision module",
             Remedy::RelayPerRegion => "a relay in each region",
             Remedy::LeaseInBatches => "leases renewed for many routers at once",
             Remedy::OneListReader => "one reader of the list source",
@@ -32,7 +33,7 @@
         }
     }
 
-    pub fn text(self) -> &'static str {
+    pub(super) fn text(self) -> &'static str {
         match self {
             Remedy::ChangesByTenant => {
                 "Offers, log entries, grants and the ledger name the settings that change (one tenant's share) instead of \
@@ -42,7 +43,7 @@
                 "A router that starts, or lags far, gets the host list in several grants, each within the frame limit, and \
                  only the hosts of the services that it serves."
             }
-            Remedy::KeptFigures => {
+            Remedy::IncrementalFigures => {
                 "The module keeps counts, sums and orders of hosts as they change, in place of walks over all hosts for each \
                  command and beat."
             }
@@ -71,7 +72,7 @@
 
 /// A mechanism with the rows over budget that wait for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Candidate<'a> {
+pub(super) struct Candidate<'a> {
     pub remedy: Remedy,
     /// The largest ratio of a row that today's programs reach.
     pub ratio: f64,
@@ -80,7 +81,7 @@
 }
 
 /// Mechanisms by the largest ratio over budget among the rows that today's programs reach.
-pub fn candidates(rows: &[Row]) -> Vec<Candidate<'_>> {
+pub(super) fn candidates(rows: &[Row]) -> Vec<Candidate<'_>> {
     let mut found: Vec<Candidate> = Vec::new();
     for row in by_ratio(rows) {
         let (Some(remedy), Some((_, ratio))) = (row.remedy, row.worst()) else {
@@ -112,7 +113,7 @@
 }
 
 /// Rows over their budget, the largest ratio first.
-pub fn by_ratio(rows: &[Row]) -> Vec<&Row> {
+pub(super) fn by_ratio(rows: &[Row]) -> Vec<&Row> {
     let worst = |row: &Row| row.worst().map_or(0.0, |(_, ratio)| ratio);
     let mut over: Vec<&Row> = rows.iter().filter(|row| worst(row) > 1.0).collect();
     over.sort_by(|a, b| worst(b).total_cmp(&worst(a)));
--- a/crates/spokeflow-experiments/src/capacity/row.rs
+++ b/crates/spokeflow-experiments/src/capacity/row.rs
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Unit {
+pub(super) enum Unit {
     Bytes,
     BytesPerSecond,
     /// Messages or changes a second.
@@ -22,14 +22,14 @@
 
 impl Unit {
     /// A value for people.
-    pub fn text(self, value: f64) -> String {
+    pub(super) fn text(self, value: f64) -> String {
         match self {
             Unit::Bytes => bytes(value),
             Unit::BytesPerSecond => format!("{}/s", bytes(value)),
-            Unit::PerSecond => format!("{}/s", plain(value)),
-            Unit::Cores => format!("{} cores", plain(value)),
+            Unit::PerSecond => format!("{}/s", format_number(value)),
+            Unit::Cores => format!("{} cores", format_number(value)),
             Unit::Seconds => seconds(value),
-            Unit::Count => plain(value),
+            Unit::Count => format_number(value),
         }
     }
 }
@@ -38,8 +38,8 @@
     let steps = [(1e9, "GB"), (1e6, "MB"), (1e3, "KB")];
     let step = steps.iter().find(|(size, _)| value >= *size);
     step.map_or_else(
-        || format!("{} B", plain(value)),
-        |(size, name)| format!("{} {name}", plain(value / size)),
+        || format!("{} B", format_number(value)),
+        |(size, name)| format!("{} {name}", format_number(value / size)),
     )
 }
 
@@ -47,8 +47,8 @@
     let steps = [(1.0, "s"), (1e-3, "ms"), (1e-6, "us")];
     let step = steps.iter().find(|(size, _)| value >= *size);
     step.map_or_else(
-        || format!("{} s", plain(value)),
-        |(size, name)| format!("{} {name}", plain(value / size)),
+        || format!("{} s", format_number(value)),
+        |(size, name)| format!("{} {name}", format_number(value / size)),
     )
 }
 
@@ -60,7 +60,7 @@
 const DIGITS: i32 = 3;
 
 /// Three digits that count, and all of a whole number below a million.
-pub fn plain(value: f64) -> String {
+pub(super) fn format_number(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() < 1e6 {
         return format!("{value:.0}");
     }
@@ -72,23 +72,23 @@
 }
 
 /// A ratio of a value to its budget.
-pub fn ratio_text(ratio: f64) -> String {
+pub(super) fn ratio_text(ratio: f64) -> String {
     if ratio > 0.0 && ratio < LEAST_RATIO {
         return format!("under {LEAST_RATIO}");
     }
-    plain(ratio)
+    format_number(ratio)
 }
 
 /// What a value is held against.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Budget {
+pub(super) struct Budget {
     pub value: f64,
     /// Where it comes from.
     pub source: String,
 }
 
 impl Budget {
-    pub fn new(value: f64, source: impl Into<String>) -> Option<Budget> {
+    pub(super) fn new(value: f64, source: impl Into<String>) -> Option<Budget> {
         Some(Budget {
             value,
             source: source.into(),
@@ -97,14 +97,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Cell {
+pub(super) struct Cell {
     pub situation: Situation,
     pub estimate: Estimate,
 }
 
 /// One quantity of one role.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
+pub(super) struct Row {
     pub role: Role,
     pub quantity: String,
     pub unit: Unit,
@@ -120,12 +120,17 @@
 
 impl Row {
     /// A row with the same estimate in every situation.
-    pub fn steady(role: Role, quantity: impl Into<String>, unit: Unit, estimate: Estimate) -> Row {
+    pub(super) fn steady(
+        role: Role,
+        quantity: impl Into<String>,
+        unit: Unit,
+        estimate: Estimate,
+    ) -> Row {
         Row::varying(role, quantity, unit, |_| estimate.clone())
     }
 
     /// A row with an estimate for each situation.
-    pub fn varying(
+    pub(super) fn varying(
         role: Role,
         quantity: impl Into<String>,
         unit: Unit,
@@ -149,22 +154,22 @@
         }
     }
 
-    pub fn within(self, budget: Option<Budget>) -> Row {
+    pub(super) fn within(self, budget: Option<Budget>) -> Row {
         Row { budget, ..self }
     }
 
-    pub fn by(self, mechanism: &'static str) -> Row {
+    pub(super) fn by(self, mechanism: &'static str) -> Row {
         Row { mechanism, ..self }
     }
 
-    pub fn mended_by(self, remedy: Remedy) -> Row {
+    pub(super) fn mended_by(self, remedy: Remedy) -> Row {
         Row {
             remedy: Some(remedy),
             ..self
         }
     }
 
-    pub fn reached_after(self, what: &'static str) -> Row {
+    pub(super) fn reached_after(self, what: &'static str) -> Row {
         Row {
             reached_after: Some(what),
             ..self
@@ -172,12 +177,12 @@
     }
 
     /// The estimate over the budget, where there are both.
-    pub fn ratio(&self, cell: &Cell) -> Option<f64> {
+    pub(super) fn ratio(&self, cell: &Cell) -> Option<f64> {
         Some(cell.estimate.value? / self.budget.as_ref()?.value)
     }
 
     /// The cell with the largest ratio, the first of equal ones.
-    pub fn worst(&self) -> Option<(&Cell, f64)> {
+    pub(super) fn worst(&self) -> Option<(&Cell, f64)> {
         let rated = self
             .cells
             .iter()
@@ -186,7 +191,7 @@
     }
 
     /// Situations in which it is over its budget.
-    pub fn over(&self) -> Vec<Situation> {
+    pub(super) fn over(&self) -> Vec<Situation> {
         let over = self
             .cells
             .iter()
@@ -195,7 +200,7 @@
     }
 
     /// Whether nothing was measured for it in any situation.
-    pub fn is_unmeasured(&self) -> bool {
+    pub(super) fn is_unmeasured(&self) -> bool {
         self.cells.iter().all(|cell| cell.estimate.value.is_none())
     }
 }
--- a/crates/spokeflow-experiments/src/capacity/rows/control.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/control.rs
@@ -12,39 +12,28 @@
     "`spokeflow-router`, `ControlPlaneLink`; `spokeflow-coordination`, `LeaseHolder`";
 /// One to a voter, one to the list source, one to the release controller.
 const CONNECTIONS: f64 = 3.0;
-pub const OFFER_FITS: &str = "an offer of this size is accepted";
+pub(super) const OFFER_FITS: &str = "an offer of this size is accepted";
 
-pub fn rows(inputs: &Inputs) -> Vec<Row> {
-    let target = inputs.target;
-    let budget = &target.budget;
+pub(super) fn rows(inputs: &Inputs) -> Vec<Row> {
+    let mut rows = byte_rows(inputs);
+    rows.extend(message_rows(inputs));
+    rows.extend(process_rows(inputs));
+    rows.extend(time_rows(inputs));
+    rows
+}
+
+/// Bytes on the link and in memory, computed from encoded sizes.
+fn byte_rows(inputs: &Inputs) -> Vec<Row> {
     let bytes = Budget::new(
-        budget.control_kb_per_second * BYTES_PER_KB,
+        inputs.target.budget.control_kb_per_second * BYTES_PER_KB,
         "control bytes a second of a router",
     );
-    let memory = Budget::new(
-        budget.control_memory_mb * BYTES_PER_MB,
-        "control memory of a router",
-    );
-    let cores = Budget::new(
-        budget.control_core_share,
-        "share of a core for a router's control",
-    );
-    let bound = Budget::new(
-        target.load.change_bound_seconds,
-        "a change is in force everywhere",
-    );
-    let frame = || {
-        Budget::new(
-            limits::CALLER_FRAME,
-            "frame limit between a voter and a router",
-        )
-    };
     vec![
         Row::varying(
             Role::RouterControl,
             "bytes without changes of settings",
             Unit::BytesPerSecond,
-            |s| inputs.per_second(without_changes(inputs, &inputs.load(s))),
+            |situation| inputs.per_second(without_changes(inputs, &inputs.load(situation))),
         )
         .within(bytes.clone())
         .by(LINK)
@@ -53,7 +42,7 @@
             Role::RouterControl,
             "bytes of changes of one tenant each",
             Unit::BytesPerSecond,
-            |s| inputs.per_second(changes(inputs, &inputs.load(s))),
+            |situation| inputs.per_second(changes(inputs, &inputs.load(situation))),
         )
         .within(bytes)
         .by(LINK)
@@ -66,9 +55,22 @@
             inputs.list_grant().plus(inputs.change_grant()),
         )
         .by(LINK),
-        Row::varying(Role::RouterControl, "messages", Unit::PerSecond, |s| {
-            Estimate::given(messages(inputs, &inputs.load(s)))
-        })
+    ]
+}
+
+/// Messages, and the largest of them.
+fn message_rows(inputs: &Inputs) -> Vec<Row> {
+    let frame = Budget::new(
+        limits::CALLER_FRAME,
+        "frame limit between a voter and a router",
+    );
+    vec![
+        Row::varying(
+            Role::RouterControl,
+            "messages",
+            Unit::PerSecond,
+            |situation| Estimate::given(messages(inputs, &inputs.load(situation))),
+        )
         .by(LINK),
         Row::steady(
             Role::RouterControl,
@@ -76,7 +78,7 @@
             Unit::Bytes,
             inputs.list_grant(),
         )
-        .within(frame())
+        .within(frame.clone())
         .by(LINK)
         .mended_by(Remedy::ListInParts),
         Row::steady(
@@ -85,18 +87,36 @@
             Unit::Bytes,
             inputs.change_grant(),
         )
-        .within(frame())
+        .within(frame.clone())
         .by(LINK)
         .mended_by(Remedy::ChangesByTenant)
         .reached_after(OFFER_FITS),
-        Row::varying(Role::RouterControl, "processor", Unit::Cores, |s| {
-            process(inputs, "processor_share", s)
+    ]
+}
+
+/// What the scale runs measured of processes.
+fn process_rows(inputs: &Inputs) -> Vec<Row> {
+    let bytes = Budget::new(
+        inputs.target.budget.control_kb_per_second * BYTES_PER_KB,
+        "control bytes a second of a router",
+    );
+    let memory = Budget::new(
+        inputs.target.budget.control_memory_mb * BYTES_PER_MB,
+        "control memory of a router",
+    );
+    let cores = Budget::new(
+        inputs.target.budget.control_core_share,
+        "share of a core for a router's control",
+    );
+    vec![
+        Row::varying(Role::RouterControl, "processor", Unit::Cores, |situation| {
+            process(inputs, "processor_share", situation)
         })
         .within(cores.clone())
         .by(LINK)
         .mended_by(Remedy::CheckedOnce),
-        Row::varying(Role::RouterControl, "memory", Unit::Bytes, |s| {
-            process(inputs, "memory_peak", s)
+        Row::varying(Role::RouterControl, "memory", Unit::Bytes, |situation| {
+            process(inputs, "memory_peak", situation)
         })
         .within(memory)
         .by(LINK)
@@ -105,14 +125,14 @@
             Role::RouterControl,
             "memory of a real router's whole process, without requests",
             Unit::Bytes,
-            |s| scale_run(inputs, Role::RealRouter, "memory_peak", s),
+            |situation| scale_run(inputs, Role::RealRouter, "memory_peak", situation),
         )
         .by("`spokeflow-router`"),
         Row::varying(
             Role::RouterControl,
             "processor of a real router's whole process, without requests",
             Unit::Cores,
-            |s| scale_run(inputs, Role::RealRouter, "processor_share", s),
+            |situation| scale_run(inputs, Role::RealRouter, "processor_share", situation),
         )
         .within(cores.clone())
         .by("`spokeflow-router`, `ControlPlaneLink::act`")
@@ -121,19 +141,32 @@
             Role::RouterControl,
             "bytes measured on the link, both ways",
             Unit::BytesPerSecond,
-            |s| process(inputs, "bytes_sent", s).plus(process(inputs, "bytes_received", s)),
+            |situation| {
+                process(inputs, "bytes_sent", situation).plus(process(
+                    inputs,
+                    "bytes_received",
+                    situation,
+                ))
+            },
         )
-        .within(Budget::new(
-            budget.control_kb_per_second * BYTES_PER_KB,
-            "control bytes a second of a router",
-        ))
+        .within(bytes)
         .by(LINK)
         .mended_by(Remedy::ListInParts),
+    ]
+}
+
+/// Times until a router may act, and its connections.
+fn time_rows(inputs: &Inputs) -> Vec<Row> {
+    let bound = Budget::new(
+        inputs.target.load.change_bound_seconds,
+        "a change is in force everywhere",
+    );
+    vec![
         Row::varying(
             Role::RouterControl,
             "time from offer to in force, worst",
             Unit::Seconds,
-            |s| in_force(inputs, s),
+            |situation| in_force(inputs, situation),
         )
         .within(bound.clone())
         .by("`spokeflow-coordination`, `LeaseGranter::ready_revision`")
@@ -142,7 +175,7 @@
             Role::RouterControl,
             "time to ready after a start, worst",
             Unit::Seconds,
-            |s| fleet_time(inputs, "time_to_ready_worst", s),
+            |situation| fleet_time(inputs, "time_to_ready_worst", situation),
         )
         .within(bound)
         .by(LINK)
@@ -171,13 +204,15 @@
 /// where it starts or was apart.
 fn without_changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
     let renewals = inputs.renewals_per_second() * inputs.target.load.change_bound_seconds;
-    let both_ways = inputs
+    let renewals_both_ways = inputs
         .renewal_request()
         .plus(inputs.renewal_answer())
         .times(renewals);
-    let lines = load.host_lines + load.missed_host_lines.min(limits::LIST_CHANGES_KEPT);
-    let whole = inputs.list_grant().times(starts(inputs, load));
-    both_ways.plus(inputs.line_grants(lines)).plus(whole)
+    let lines = load.host_lines + load.missed_host_lines.min(limits::MAX_LIST_CHANGES);
+    let complete_list = inputs.list_grant().times(starts(inputs, load));
+    renewals_both_ways
+        .plus(inputs.line_grants(lines))
+        .plus(complete_list)
 }
 
 /// Bytes in a window at one router: each change, and the newest revision where it starts or was apart.
@@ -212,7 +247,7 @@
 }
 
 /// The greatest of what the scale run measured over routers, hosts and tenants, the others held.
-pub fn scale_run(
+pub(super) fn scale_run(
     inputs: &Inputs,
     role: Role,
     quantity: &'static str,
--- a/crates/spokeflow-experiments/src/capacity/rows/data.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/data.rs
@@ -2,7 +2,7 @@
 
 use super::super::ends::End;
 use super::super::estimate::{Estimate, Need};
-use super::super::limits::BEATS_PER_SECOND;
+use super::super::limits::TICKS_PER_SECOND;
 use super::super::records::Role;
 use super::super::remedy::Remedy;
 use super::super::row::{Budget, Row, Unit};
@@ -14,22 +14,29 @@
 const SECONDS_PER_MICROSECOND: f64 = 1e-6;
 const SECONDS_PER_MILLISECOND: f64 = 1e-3;
 
-pub fn rows(inputs: &Inputs) -> Vec<Row> {
+pub(super) fn rows(inputs: &Inputs) -> Vec<Row> {
     let ends = End::all(inputs.target);
     ends.iter().flat_map(|end| end_rows(inputs, end)).collect()
 }
 
 fn end_rows(inputs: &Inputs, end: &End) -> Vec<Row> {
-    let target = inputs.target;
-    let name = |what: &str| format!("{what}; {}", end.name);
-    let cores = Budget::new(
-        target.assumptions.router_cores,
-        "cores that one deciding task can use (assumed)",
-    );
-    let added = Budget::new(
-        target.budget.added_milliseconds * SECONDS_PER_MILLISECOND,
+    let mut rows = process_rows(inputs, end);
+    rows.extend(module_rows(inputs, end));
+    rows.extend(request_rows(inputs, end));
+    rows
+}
+
+/// Of the time that a router may add to a request.
+fn added_budget(inputs: &Inputs) -> Option<Budget> {
+    Budget::new(
+        inputs.target.budget.added_milliseconds * SECONDS_PER_MILLISECOND,
         "time added to 99 of 100 requests, of which this is a part",
-    );
+    )
+}
+
+/// What was measured of a whole process on sockets.
+fn process_rows(inputs: &Inputs, end: &End) -> Vec<Row> {
+    let name = |what: &str| format!("{what}; {}", end.name);
     vec![
         Row::steady(
             Role::RouterData,
@@ -38,7 +45,7 @@
             over_sockets(inputs, served::PHASE, served::ADDED_P99, end)
                 .times(SECONDS_PER_MILLISECOND),
         )
-        .within(added.clone())
+        .within(added_budget(inputs))
         .by("`spokeflow-router`"),
         Row::steady(
             Role::RouterData,
@@ -52,10 +59,10 @@
             Role::RouterData,
             name("processor of the whole process"),
             Unit::Cores,
-            |s| {
+            |situation| {
                 let request = over_sockets(inputs, served::PHASE, served::PROCESSOR, end)
                     .times(SECONDS_PER_MICROSECOND);
-                request.times(requests_per_second(inputs, end, s))
+                request.times(requests_per_second(inputs, end, situation))
             },
         )
         .by("`spokeflow-router`"),
@@ -66,34 +73,55 @@
             over_sockets(inputs, served::PHASE, served::RESIDENT, end),
         )
         .by("`spokeflow-router`"),
+    ]
+}
+
+/// What was measured of the decision module alone.
+fn module_rows(inputs: &Inputs, end: &End) -> Vec<Row> {
+    let name = |what: &str| format!("{what}; {}", end.name);
+    let cores = Budget::new(
+        inputs.target.assumptions.router_cores,
+        "cores that one deciding task can use (assumed)",
+    );
+    vec![
         Row::varying(
             Role::RouterData,
             name("processor of the module"),
             Unit::Cores,
-            |s| processor(inputs, end, s),
+            |situation| processor(inputs, end, situation),
         )
         .within(cores)
         .by(MODULE)
-        .mended_by(Remedy::KeptFigures),
+        .mended_by(Remedy::IncrementalFigures),
         Row::varying(
             Role::RouterData,
             name("work of the module for one request"),
             Unit::Seconds,
-            |s| work(inputs, end, s),
+            |situation| work(inputs, end, situation),
         )
-        .within(added)
+        .within(added_budget(inputs))
         .by(MODULE)
-        .mended_by(Remedy::KeptFigures),
+        .mended_by(Remedy::IncrementalFigures),
         Row::varying(
             Role::RouterData,
             name("memory of the module's state"),
             Unit::Bytes,
-            |s| memory(inputs, end, s),
+            |situation| memory(inputs, end, situation),
         )
         .by(MODULE),
-        Row::varying(Role::RouterData, name("requests"), Unit::PerSecond, |s| {
-            requests(inputs, end, s)
-        })
+    ]
+}
+
+/// What follows from the target alone.
+fn request_rows(inputs: &Inputs, end: &End) -> Vec<Row> {
+    let name = |what: &str| format!("{what}; {}", end.name);
+    vec![
+        Row::varying(
+            Role::RouterData,
+            name("requests"),
+            Unit::PerSecond,
+            |situation| requests(inputs, end, situation),
+        )
         .by("`spokeflow-router`, `serve`"),
         Row::steady(
             Role::RouterData,
@@ -166,7 +194,7 @@
 
 fn processor(inputs: &Inputs, end: &End, situation: Situation) -> Estimate {
     let commands = work(inputs, end, situation).times(requests_per_second(inputs, end, situation));
-    let beats = module_work(inputs, "work per wake-up", end, situation).times(BEATS_PER_SECOND);
+    let beats = module_work(inputs, "work per wake-up", end, situation).times(TICKS_PER_SECOND);
     commands.plus(beats)
 }
 
--- a/crates/spokeflow-experiments/src/capacity/rows/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/mod.rs
@@ -18,13 +18,13 @@
 const BYTES_PER_MB: f64 = 1e6;
 
 /// What rows are computed from.
-pub struct Inputs<'a> {
+pub(super) struct Inputs<'a> {
     pub target: &'a Target,
     pub slopes: &'a Slopes,
 }
 
 /// All rows, by role.
-pub fn rows(target: &Target, slopes: &Slopes) -> Vec<Row> {
+pub(super) fn rows(target: &Target, slopes: &Slopes) -> Vec<Row> {
     let inputs = Inputs { target, slopes };
     let mut rows = data::rows(&inputs);
     rows.extend(control::rows(&inputs));
--- a/crates/spokeflow-experiments/src/capacity/rows/others.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/others.rs
@@ -10,7 +10,7 @@
 use super::control::OFFER_FITS;
 use super::{Inputs, BYTES_PER_MB};
 
-pub fn rows(inputs: &Inputs) -> Vec<Row> {
+pub(super) fn rows(inputs: &Inputs) -> Vec<Row> {
     let mut rows = relay_rows(inputs);
     rows.extend(source_rows(inputs));
     rows.extend(controller_rows(inputs));
@@ -27,8 +27,8 @@
             Role::Relay,
             "host list lines into one region, to each router",
             Unit::BytesPerSecond,
-            |s| {
-                let load = inputs.load(s);
+            |situation| {
+                let load = inputs.load(situation);
                 let starts = inputs.list_grant().times(load.starting_routers / regions);
                 inputs.per_second(
                     inputs
@@ -42,8 +42,8 @@
             Role::Relay,
             "the same to one relay",
             Unit::BytesPerSecond,
-            |s| {
-                let load = inputs.load(s);
+            |situation| {
+                let load = inputs.load(situation);
                 let start = if load.starting_routers >= inputs.target.fleet.routers {
                     1.0
                 } else {
@@ -59,14 +59,17 @@
 fn source_rows(inputs: &Inputs) -> Vec<Row> {
     let target = inputs.target;
     let network = target.assumptions.control_machine_mb_per_second * BYTES_PER_MB;
-    let whole = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
+    let complete_list = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
     let watchers = target.fleet.routers + 1.0;
     const LINKS: &str =
         "`spokeflow-router`, `ListProtocol`; `spokeflow-control-plane`, `ListLink`; the source is not ours";
     vec![
-        Row::varying(Role::ListSource, "bytes sent", Unit::BytesPerSecond, |s| {
-            inputs.per_second(source_sends(inputs, &inputs.load(s), watchers))
-        })
+        Row::varying(
+            Role::ListSource,
+            "bytes sent",
+            Unit::BytesPerSecond,
+            |situation| inputs.per_second(source_sends(inputs, &inputs.load(situation), watchers)),
+        )
         .within(Budget::new(
             network,
             "network of a control machine (assumed)",
@@ -77,7 +80,7 @@
             Role::ListSource,
             "message with the whole host list",
             Unit::Bytes,
-            whole,
+            complete_list,
         )
         .within(Budget::new(
             limits::LIST_FRAME,
@@ -89,7 +92,7 @@
             Role::ListSource,
             "messages, each changed line told by itself",
             Unit::PerSecond,
-            |s| Estimate::given(source_messages(inputs, &inputs.load(s), watchers)),
+            |situation| Estimate::given(source_messages(inputs, &inputs.load(situation), watchers)),
         )
         .by(LINKS),
         Row::steady(
@@ -111,10 +114,10 @@
 
 /// The leader reads the whole list again and again; each router watches it beside the list of the voters.
 fn source_sends(inputs: &Inputs, load: &WindowLoad, watchers: f64) -> Estimate {
-    let whole = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
+    let complete_list = inputs.per_hosts(Role::ListSource, encoded::LIST_MESSAGE);
     let line = inputs.per_hosts(Role::ListSource, encoded::HOST_MESSAGE);
-    let readings = inputs.target.load.change_bound_seconds / limits::WHOLE_LIST_EVERY;
-    whole
+    let readings = inputs.target.load.change_bound_seconds / limits::FULL_SYNC_SECONDS;
+    complete_list
         .times(readings + load.starting_routers)
         .plus(line.times(load.host_lines * watchers))
 }
@@ -122,7 +125,7 @@
 /// Each changed line to each watcher, each watch renewed, and the leader's readings, asked and answered.
 fn source_messages(inputs: &Inputs, load: &WindowLoad, watchers: f64) -> f64 {
     let changes = load.host_lines * watchers / inputs.target.load.change_bound_seconds;
-    changes + 2.0 * watchers / limits::WATCH_RENEWED_EVERY + 2.0 / limits::WHOLE_LIST_EVERY
+    changes + 2.0 * watchers / limits::WATCH_RENEWAL_SECONDS + 2.0 / limits::FULL_SYNC_SECONDS
 }
 
 fn controller_rows(inputs: &Inputs) -> Vec<Row> {
@@ -151,7 +154,7 @@
 fn tool_rows(inputs: &Inputs) -> Vec<Row> {
     let offer = inputs.per_tenants(Role::Tool, encoded::TENANT_OFFER);
     let record = inputs.per_tenants(Role::Voter, encoded::TENANT_RECORD);
-    let status = record.times(limits::REVISIONS_KEPT);
+    let status = record.times(limits::MAX_REVISIONS);
     let frame = || {
         Budget::new(
             limits::CALLER_FRAME,
--- a/crates/spokeflow-experiments/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/voter.rs
@@ -10,14 +10,14 @@
 use super::control::{scale_run, OFFER_FITS};
 use super::{Inputs, BYTES_PER_MB};
 
-const KEEPER: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Coordinator`";
-const GRANTER: &str = "`spokeflow-coordination`, `LeaseGranter`";
+const CONTROL_PLANE: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Coordinator`";
+const LEASE_GRANTER: &str = "`spokeflow-coordination`, `LeaseGranter`";
 const LEDGER: &str = "`spokeflow-coordination`, `ConfigState`";
 const LOG: &str = "`spokeflow-raft`, `RaftNode`";
 /// The part of a second that changes may be under way, one at a time.
 const ALL_THE_TIME: f64 = 1.0;
 
-pub fn rows(inputs: &Inputs) -> Vec<Row> {
+pub(super) fn rows(inputs: &Inputs) -> Vec<Row> {
     let mut rows = link_rows(inputs);
     rows.extend(state_rows(inputs));
     rows.extend(process_rows(inputs));
@@ -25,36 +25,37 @@
 }
 
 fn link_rows(inputs: &Inputs) -> Vec<Row> {
-    let target = inputs.target;
+    let mut rows = byte_rows(inputs);
+    rows.extend(message_rows(inputs));
+    rows.extend(caller_rows(inputs));
+    rows.extend(limit_rows(inputs));
+    rows
+}
+
+/// Bytes on the links of the leader.
+fn byte_rows(inputs: &Inputs) -> Vec<Row> {
     let network = || {
-        let bytes = target.assumptions.control_machine_mb_per_second * BYTES_PER_MB;
+        let bytes = inputs.target.assumptions.control_machine_mb_per_second * BYTES_PER_MB;
         Budget::new(bytes, "network of a control machine (assumed)")
     };
-    let callers = Budget::new(
-        target.terms.callers_at_most,
-        "callers of one voter, `--callers-at-most`",
-    );
-    let leases = Budget::new(limits::LEASES_KEPT, "leases that a leader keeps in mind");
-    let voters = Budget::new(limits::VOTER_FRAME, "frame limit between voters");
-    let connections = target.fleet.routers + 2.0 * (target.terms.voters - 1.0);
     vec![
         Row::varying(
             Role::VoterLeader,
             "bytes sent without changes of settings",
             Unit::BytesPerSecond,
-            |s| inputs.per_second(sent_without_changes(inputs, &inputs.load(s))),
+            |situation| inputs.per_second(sent_without_changes(inputs, &inputs.load(situation))),
         )
         .within(network())
-        .by(GRANTER)
+        .by(LEASE_GRANTER)
         .mended_by(Remedy::RelayPerRegion),
         Row::varying(
             Role::VoterLeader,
             "bytes sent for changes of one tenant each",
             Unit::BytesPerSecond,
-            |s| inputs.per_second(sent_for_changes(inputs, &inputs.load(s))),
+            |situation| inputs.per_second(sent_for_changes(inputs, &inputs.load(situation))),
         )
         .within(network())
-        .by(GRANTER)
+        .by(LEASE_GRANTER)
         .mended_by(Remedy::ChangesByTenant)
         .reached_after(OFFER_FITS),
         Row::steady(
@@ -64,48 +65,68 @@
             received(inputs),
         )
         .within(network())
-        .by(GRANTER)
+        .by(LEASE_GRANTER)
         .mended_by(Remedy::LeaseInBatches),
+    ]
+}
+
+/// Messages of leases, and the work for them.
+fn message_rows(inputs: &Inputs) -> Vec<Row> {
+    let target = inputs.target;
+    vec![
         Row::varying(
             Role::VoterLeader,
             "messages of leases",
             Unit::PerSecond,
-            |s| {
-                let changes = inputs.load(s).changes / target.load.change_bound_seconds;
+            |situation| {
+                let changes = inputs.load(situation).changes / target.load.change_bound_seconds;
                 Estimate::given(
                     2.0 * target.fleet.routers * (inputs.renewals_per_second() + changes),
                 )
             },
         )
-        .by(GRANTER),
+        .by(LEASE_GRANTER),
         Row::steady(
             Role::VoterLeader,
             "instructions of the granter for renewals",
             Unit::PerSecond,
-            granter_work(inputs),
+            lease_granter_instructions(inputs),
         )
-        .by(GRANTER),
+        .by(LEASE_GRANTER),
         Row::steady(
             Role::VoterFollower,
             "messages of leases, its own callers' and to the leader",
             Unit::PerSecond,
-            Estimate::given(passed_on(inputs)),
+            Estimate::given(forwarded_messages(inputs)),
         )
         .by("`spokeflow-coordination`, `Coordinator::forward`"),
+    ]
+}
+
+/// Connections, and the largest message between voters.
+fn caller_rows(inputs: &Inputs) -> Vec<Row> {
+    let target = inputs.target;
+    let callers = Budget::new(
+        inputs.target.terms.callers_at_most,
+        "callers of one voter, `--callers-at-most`",
+    );
+    let voters = Budget::new(limits::VOTER_FRAME, "frame limit between voters");
+    let connections = target.fleet.routers + 2.0 * (target.terms.voters - 1.0);
+    vec![
         Row::steady(
             Role::VoterFollower,
             "connections",
             Unit::Count,
-            Estimate::given(callers_of_one(inputs) + 2.0 * others(inputs)),
+            Estimate::given(routers_of_one_voter(inputs) + 2.0 * others(inputs)),
         )
         .within(callers.clone())
-        .by(KEEPER),
+        .by(CONTROL_PLANE),
         Row::varying(
             Role::VoterLeader,
             "one message that catches a voter up",
             Unit::Bytes,
-            |s| {
-                let load = inputs.load(s);
+            |situation| {
+                let load = inputs.load(situation);
                 let entries = load
                     .changes
                     .max(load.missed_changes)
@@ -125,8 +146,16 @@
             Estimate::given(connections),
         )
         .within(callers)
-        .by(KEEPER)
+        .by(CONTROL_PLANE)
         .mended_by(Remedy::RelayPerRegion),
+    ]
+}
+
+/// Limits of the leader.
+fn limit_rows(inputs: &Inputs) -> Vec<Row> {
+    let target = inputs.target;
+    let leases = Budget::new(limits::MAX_LEASES, "leases that a leader keeps in mind");
+    vec![
         Row::steady(
             Role::VoterLeader,
             "leases kept",
@@ -134,13 +163,13 @@
             Estimate::given(target.fleet.routers),
         )
         .within(leases)
-        .by(GRANTER)
+        .by(LEASE_GRANTER)
         .mended_by(Remedy::LeaseInBatches),
         Row::varying(
             Role::VoterLeader,
             "part of the time that a change is under way",
             Unit::Count,
-            |s| Estimate::given(change_time_share(inputs, &inputs.load(s))),
+            |situation| Estimate::given(change_time_fraction(inputs, &inputs.load(situation))),
         )
         .within(Budget::new(
             ALL_THE_TIME,
@@ -194,7 +223,7 @@
             Role::Voter,
             "bytes synced to disk by changes of one tenant each",
             Unit::BytesPerSecond,
-            |s| inputs.per_second(entry(inputs).times(inputs.load(s).changes)),
+            |situation| inputs.per_second(entry(inputs).times(inputs.load(situation).changes)),
         )
         .by("`spokeflow-control-plane`, `Store`")
         .reached_after(OFFER_FITS),
@@ -205,35 +234,35 @@
     let assumed = &inputs.target.assumptions;
     let rows = [Role::VoterLeader, Role::VoterFollower].map(|role| {
         [
-            Row::varying(role, "processor", Unit::Cores, |s| {
-                scale_run(inputs, role, "processor_share", s)
+            Row::varying(role, "processor", Unit::Cores, |situation| {
+                scale_run(inputs, role, "processor_share", situation)
             })
             .within(Budget::new(
                 assumed.voter_cores,
                 "cores that a voter's one thread can use (assumed)",
             ))
-            .by(KEEPER)
+            .by(CONTROL_PLANE)
             .mended_by(Remedy::RelayPerRegion),
-            Row::varying(role, "memory", Unit::Bytes, |s| {
-                scale_run(inputs, role, "memory_peak", s)
+            Row::varying(role, "memory", Unit::Bytes, |situation| {
+                scale_run(inputs, role, "memory_peak", situation)
             })
             .within(Budget::new(
                 assumed.control_machine_mb * BYTES_PER_MB,
                 "memory of a control machine (assumed)",
             ))
-            .by(KEEPER)
+            .by(CONTROL_PLANE)
             .mended_by(Remedy::RelayPerRegion),
             Row::varying(
                 role,
                 "bytes sent, measured on its links",
                 Unit::BytesPerSecond,
-                |s| scale_run(inputs, role, "bytes_sent", s),
+                |situation| scale_run(inputs, role, "bytes_sent", situation),
             )
             .within(Budget::new(
                 assumed.control_machine_mb_per_second * BYTES_PER_MB,
                 "network of a control machine (assumed)",
             ))
-            .by(KEEPER)
+            .by(CONTROL_PLANE)
             .mended_by(Remedy::RelayPerRegion),
         ]
     });
@@ -249,7 +278,7 @@
         .line_grants(load.host_lines)
         .times(target.fleet.routers);
     let starts = inputs.list_grant().times(load.starting_routers);
-    let missed_lines = inputs.line_grants(load.missed_host_lines.min(limits::LIST_CHANGES_KEPT));
+    let missed_lines = inputs.line_grants(load.missed_host_lines.min(limits::MAX_LIST_CHANGES));
     let log = inputs
         .per_hosts(Role::Voter, encoded::HOST_ENTRY)
         .times(load.host_lines * others(inputs));
@@ -283,13 +312,13 @@
 fn ledger_state(inputs: &Inputs) -> Estimate {
     let record = inputs.per_tenants(Role::Voter, encoded::TENANT_RECORD);
     // The revision in force is kept beside its record.
-    let revisions = record.times(limits::REVISIONS_KEPT + 1.0);
+    let revisions = record.times(limits::MAX_REVISIONS + 1.0);
     inputs
         .per_hosts(Role::Voter, encoded::LIST_STATE)
         .plus(revisions)
 }
 
-fn granter_work(inputs: &Inputs) -> Estimate {
+fn lease_granter_instructions(inputs: &Inputs) -> Estimate {
     let quantity = "processor work of one lease request in Granter::ask";
     let need = Need {
         role: Role::Voter,
@@ -304,13 +333,13 @@
 }
 
 /// Routers that ask one voter, where each voter has as many.
-fn callers_of_one(inputs: &Inputs) -> f64 {
+fn routers_of_one_voter(inputs: &Inputs) -> f64 {
     (inputs.target.fleet.routers / inputs.target.terms.voters).ceil()
 }
 
 /// A request and an answer from and to a router, and the same to and from the leader.
-fn passed_on(inputs: &Inputs) -> f64 {
-    4.0 * callers_of_one(inputs) * inputs.renewals_per_second()
+fn forwarded_messages(inputs: &Inputs) -> f64 {
+    4.0 * routers_of_one_voter(inputs) * inputs.renewals_per_second()
 }
 
 /// Voters beside the leader.
@@ -319,7 +348,7 @@
 }
 
 /// At the longest: each change waits for one lease.
-fn change_time_share(inputs: &Inputs, load: &WindowLoad) -> f64 {
+fn change_time_fraction(inputs: &Inputs, load: &WindowLoad) -> f64 {
     let terms = &inputs.target.terms;
     let longest = terms.lease_seconds * (1.0 + terms.clock_drift);
     load.changes * longest / inputs.target.load.change_bound_seconds
--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -6,21 +6,21 @@
 use spokeflow_testbed::load::{put, Follows, Load, Measured};
 use spokeflow_testbed::routers::Starting;
 
-use super::records::{Held, Record, Role};
+use super::records::{FixedParameters, Record, Role};
 
 /// Quantities of a run, named for their unit.
-pub const ADDED_P99: &str = "time added to 99 of 100 requests";
-pub const ADDED_P50: &str = "time added to half of the requests";
-pub const PROCESSOR: &str = "processor time of the process for a request";
-pub const RESIDENT: &str = "resident memory of the process under load";
-pub const PHASE: &str = "router, quiet";
-pub const PASS_PHASE: &str = "pass-through, quiet";
+pub(super) const ADDED_P99: &str = "time added to 99 of 100 requests";
+pub(super) const ADDED_P50: &str = "time added to half of the requests";
+pub(super) const PROCESSOR: &str = "processor time of the process for a request";
+pub(super) const RESIDENT: &str = "resident memory of the process under load";
+pub(super) const PHASE: &str = "router, quiet";
+pub(super) const PASS_PHASE: &str = "pass-through, quiet";
 const BYTES_PER_KIB: f64 = 1024.0;
 const CONNECTIONS: u32 = 20;
 
 /// What is put on the router at each number of hosts.
 #[derive(Clone, Debug)]
-pub struct ServedTerms {
+pub(super) struct ServedTerms {
     pub hosts: Vec<u32>,
     /// Requests a second.
     pub rate: u64,
@@ -30,7 +30,7 @@
 }
 
 /// What was measured, and why it ended before the last run.
-pub struct Served {
+pub(super) struct Served {
     pub records: Vec<Record>,
     pub fault: Option<String>,
 }
@@ -39,7 +39,7 @@
 /// before stays.
 ///
 /// Errors: nothing could be begun.
-pub fn measure(terms: &ServedTerms, date: &str) -> Result<Served, String> {
+pub(super) fn measure(terms: &ServedTerms, date: &str) -> Result<Served, String> {
     let starting = Starting::own().map_err(|e| e.to_string())?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -123,14 +123,14 @@
         max: None,
         spread_of: None,
         runs: None,
-        held: held(terms, measured),
+        fixed: fixed(terms, measured),
         command: command(terms),
         date: date.into(),
     }
 }
 
-fn held(terms: &ServedTerms, measured: &Measured) -> Held {
-    Held::from([
+fn fixed(terms: &ServedTerms, measured: &Measured) -> FixedParameters {
+    FixedParameters::from([
         ("commands_per_s".to_string(), json!(terms.rate)),
         (
             "answer_after_ms".to_string(),
--- a/crates/spokeflow-experiments/src/capacity/situation.rs
+++ b/crates/spokeflow-experiments/src/capacity/situation.rs
@@ -12,7 +12,7 @@
 /// An ordinary time, or one of the target's faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Situation {
+pub(super) enum Situation {
     /// The mean of a day.
     Mean,
     /// The busiest minute.
@@ -30,7 +30,7 @@
 }
 
 impl Situation {
-    pub const ALL: [Situation; 7] = [
+    pub(super) const ALL: [Situation; 7] = [
         Situation::Mean,
         Situation::Peak,
         Situation::Restarts,
@@ -57,7 +57,7 @@
 
 /// What happens within one window, which is as long as a change may take to be in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WindowLoad {
+pub(super) struct WindowLoad {
     pub situation: Situation,
     /// Requests a second of the whole fleet.
     pub requests_per_second: f64,
@@ -76,7 +76,7 @@
 
 impl WindowLoad {
     /// What this situation asks for at this target.
-    pub fn of(target: &Target, situation: Situation) -> WindowLoad {
+    pub(super) fn of(target: &Target, situation: Situation) -> WindowLoad {
         let day = Day::of(target);
         let mean = day.mean(target);
         let (fleet, faults) = (&target.fleet, &target.faults);
--- a/crates/spokeflow-experiments/src/capacity/slopes.rs
+++ b/crates/spokeflow-experiments/src/capacity/slopes.rs
@@ -6,12 +6,12 @@
 
 use super::error::{read_text, CapacityError};
 use super::fit::Fit;
-use super::records::{is_size, is_spread, is_value, parse_json, Held, Role, SPREAD};
+use super::records::{is_size, is_spread, is_value, parse_json, FixedParameters, Role, SPREAD};
 
 /// Sizes that a line is measured at, at least.
-pub const ENOUGH_POINTS: usize = 4;
+pub(super) const ENOUGH_POINTS: usize = 4;
 /// A line that is used beyond so many times its largest measured size says so.
-pub const FAR: f64 = 4.0;
+pub(super) const FAR: f64 = 4.0;
 
 /// A value at a size, with its spread where the run was repeated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,9 @@
     /// The size that it grows with.
     pub per: String,
     pub phase: String,
-    pub held: Held,
+    /// Parameters that stay the same over the sizes.
+    #[serde(rename = "held")]
+    pub fixed: FixedParameters,
     /// By rising size, each size once.
     pub points: Vec<Point>,
     pub command: String,
@@ -129,8 +131,8 @@
         for (n, line) in self.lines.iter().enumerate() {
             check_line(file, n, line)?;
             if self.lines[..n].iter().any(|other| other.id == line.id) {
-                let wanted = format!("'{}' is given twice, each id once wanted", line.id);
-                return Err(CapacityError::new(file, format!("lines[{n}].id"), wanted));
+                let expected = format!("'{}' is given twice, each id once wanted", line.id);
+                return Err(CapacityError::new(file, format!("lines[{n}].id"), expected));
             }
         }
         Ok(())
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -325,7 +325,7 @@
     assert_eq!(terms.callers_at_most, voter.max_connections as f64);
     let router =
         Router::parse_from(["router", "--op=any:redeliverable:target=1s:timeout=60s"]).flags;
-    assert_eq!(terms.stage_shares, router.stage_shares);
+    assert_eq!(terms.stage_fractions, router.stage_shares);
     assert_eq!(terms.stage_caps, router.stage_caps);
     assert_eq!(terms.stage_bake_seconds, router.stage_bake.as_secs_f64());
 }
@@ -343,19 +343,19 @@
         (
             "crates/spokeflow-coordination/src/config_state.rs",
             "const MAX_RETAINED_RECORDS: usize = 500;",
-            limits::REVISIONS_KEPT,
+            limits::MAX_REVISIONS,
             500.0,
         ),
         (
             "crates/spokeflow-coordination/src/lease_granter.rs",
             "const MAX_TRACKED_LEASES: usize = 8192;",
-            limits::LEASES_KEPT,
+            limits::MAX_LEASES,
             8192.0,
         ),
         (
             "crates/spokeflow-coordination/src/endpoint_list.rs",
             "const MAX_RETAINED_CHANGES: usize = 4096;",
-            limits::LIST_CHANGES_KEPT,
+            limits::MAX_LIST_CHANGES,
             4096.0,
         ),
         (
@@ -367,7 +367,7 @@
         (
             "crates/spokeflow-control-plane/src/list.rs",
             "const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);",
-            limits::WHOLE_LIST_EVERY,
+            limits::FULL_SYNC_SECONDS,
             2.0,
         ),
         (
@@ -379,7 +379,7 @@
         (
             "crates/spokeflow-core/src/router/timers.rs",
             "const TICK: Micros = 20 * MILLISECOND;",
-            limits::BEATS_PER_SECOND,
+            limits::TICKS_PER_SECOND,
             50.0,
         ),
         (
@@ -409,7 +409,7 @@
         (
             "crates/spokeflow-core/src/router/canary.rs",
             "const CANARY_FRACTION_OF_CAP: f64 = 0.7;",
-            evidence::LANE_OF_CAP,
+            evidence::CANARY_OF_CAP,
             0.7,
         ),
         (
--- a/crates/spokeflow-experiments/tests/capacity_fits.rs
+++ b/crates/spokeflow-experiments/tests/capacity_fits.rs
@@ -17,7 +17,7 @@
         unit: text(),
         per: "hosts".into(),
         phase: text(),
-        held: Default::default(),
+        fixed: Default::default(),
         points: points.iter().map(point).collect(),
         command: text(),
         run: text(),
