--- a/crates/spokeflow-experiments/src/capacity/collect.rs
+++ b/crates/spokeflow-experiments/src/capacity/collect.rs
@@ -35,7 +35,8 @@
 
 /// Reads every raw run of a folder, in the order of their names, and makes the lines of it.
 ///
-/// Errors: the folder or a file in it, with the entry that does not fit.
+/// # Errors
+/// The folder or a file in it, with the entry that does not fit.
 pub fn collect(runs: &Path) -> Result<Slopes, CapacityError> {
     let mut lines = Vec::new();
     for file in run_files(runs)? {
--- a/crates/spokeflow-experiments/src/capacity/commands.rs
+++ b/crates/spokeflow-experiments/src/capacity/commands.rs
@@ -8,13 +8,14 @@
 
 use super::collect::collect;
 use super::encoded;
-use super::error::CapacityError;
+use super::error::{CapacityError, MeasureLoadError};
 use super::page::Page;
 use super::rows::rows;
 use super::served::{self, ServedTerms};
 use super::slopes::Slopes;
 use super::target::Target;
 
+/// Flags of `capacity`.
 #[derive(Args)]
 pub struct CapacityFlags {
     /// The target, as TOML
@@ -36,6 +37,7 @@
     json: bool,
 }
 
+/// Flags of `collect-slopes`.
 #[derive(Args)]
 pub struct CollectFlags {
     /// Folder of raw runs
@@ -50,6 +52,7 @@
     out: PathBuf,
 }
 
+/// Flags of `measure-bytes`.
 #[derive(Args)]
 pub struct MeasureBytesFlags {
     /// Where the records go
@@ -60,6 +63,7 @@
     date: Option<String>,
 }
 
+/// Flags of `measure-load`.
 #[derive(Args)]
 pub struct MeasureLoadFlags {
     /// Numbers of hosts, split by commas
@@ -83,10 +87,10 @@
 }
 
 impl MeasureLoadFlags {
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), MeasureLoadError> {
         let needed = [self.rate, self.seconds, u64::from(self.runs)];
         if self.hosts.is_empty() || self.hosts.contains(&0) || needed.contains(&0) {
-            return Err("--hosts, --rate, --seconds, --runs: at least 1".into());
+            return Err(MeasureLoadError::Flags);
         }
         Ok(())
     }
@@ -94,7 +98,8 @@
 
 /// Prints the page, or its rows as JSON.
 ///
-/// Errors: the target or the lines, with the entry that does not fit.
+/// # Errors
+/// The target or the lines, with the entry that does not fit.
 pub fn capacity(flags: &CapacityFlags) -> Result<String, CapacityError> {
     let target = Target::read(&flags.target)?;
     let slopes = Slopes::read(&flags.slopes)?;
@@ -118,7 +123,8 @@
 
 /// Makes the measured lines from raw runs and writes them. Answers how many lines there are.
 ///
-/// Errors: a raw run, with the entry that does not fit, or the file that cannot be written.
+/// # Errors
+/// A raw run, with the entry that does not fit, or the file that cannot be written.
 pub fn collect_slopes(flags: &CollectFlags) -> Result<usize, CapacityError> {
     let slopes = collect(&flags.runs)?;
     write_json(&flags.out, &slopes)?;
@@ -127,7 +133,8 @@
 
 /// Measures encoded sizes and writes their records. Answers how many records there are.
 ///
-/// Errors: the file that cannot be written.
+/// # Errors
+/// The file that cannot be written.
 pub fn measure_bytes(flags: &MeasureBytesFlags) -> Result<usize, CapacityError> {
     let records = encoded::measure(&flags.date.clone().unwrap_or_else(today));
     write_json(&flags.out, &records)?;
@@ -136,8 +143,9 @@
 
 /// Measures what a real router adds to a request and writes the records. Answers how many there are.
 ///
-/// Errors: wrong use, a router that does not start, or the file that cannot be written.
-pub fn measure_load(flags: &MeasureLoadFlags) -> Result<usize, String> {
+/// # Errors
+/// Wrong use, a router that does not start, or the file that cannot be written.
+pub fn measure_load(flags: &MeasureLoadFlags) -> Result<usize, MeasureLoadError> {
     flags.check()?;
     let MeasureLoadFlags {
         hosts,
@@ -156,13 +164,13 @@
         answer_after: *answer_after,
     };
     let served = served::measure(&terms, &today())?;
-    write_json(out, &served.records).map_err(|e| e.to_string())?;
-    match served.fault {
-        Some(fault) => Err(format!(
-            "{fault}; the {} records before are in {}",
-            served.records.len(),
-            out.display()
-        )),
+    write_json(out, &served.records)?;
+    match served.failure {
+        Some(failure) => Err(MeasureLoadError::Incomplete {
+            failure,
+            records: served.records.len(),
+            file: out.clone(),
+        }),
         None => Ok(served.records.len()),
     }
 }
--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -1,19 +1,24 @@
 //! What a router can know of a build on trial by its own answers. The constants are the decision module's
-//! (`crates/spokeflow-core/src/router.rs`); a test holds them against its source.
+//! (`crates/spokeflow-core/src/router/`); a test holds them against its source.
 
 use super::ends::End;
 use super::target::Target;
 
 /// Answers that a router needs from a build before it votes it back.
 pub const ENOUGH_ANSWERS: f64 = 3.0;
+/// Evidence against a build at which a router votes it back.
 pub const SEND_BACK_AT: f64 = 4.0;
+/// Weight of a late answer over that of a failed one.
 pub const LATE_WEIGHT: f64 = 0.4;
+/// Lateness below which an answer weighs nothing.
 pub const LATE_MARGIN: f64 = 0.6;
 /// Answers that convict at the least.
 pub const CONVICTS: f64 = SEND_BACK_AT / (LATE_WEIGHT * (2.0 - LATE_MARGIN));
-/// Part of the cap that the lane of trial keys takes, and how far it may go ahead of or follow the trial hosts.
+/// Part of the exposure cap that the canary fraction takes.
 pub const CANARY_OF_CAP: f64 = 0.7;
+/// Part of the exposure cap up to which the canary fraction follows the trial hosts.
 pub const REPIN_OF_CAP: f64 = 0.9;
+/// How far the canary fraction may go ahead of the trial hosts, as a factor.
 pub const AHEAD: f64 = 1.25;
 /// Seconds after the bake time before a router votes to go on.
 pub const AFTER_BAKE: f64 = 1.0;
@@ -27,18 +32,21 @@
     pub stage: usize,
     /// Part of the service's traffic that goes to the build on trial.
     pub trial_traffic: f64,
-    /// Answers of the trial build a second, at one router and at all routers of the service.
+    /// Answers of the trial build a second, at one router.
     pub answers_per_second: f64,
+    /// The same at all routers of the service.
     pub fleet_answers_per_second: f64,
     /// Seconds of the stage before a router votes to go on.
     pub lasts: f64,
     /// Answers at one router while it lasts.
     pub answers: f64,
-    /// Seconds until a router has enough answers to vote, and until it has as many as convict.
+    /// Seconds until a router has enough answers to vote.
     pub enough_after: f64,
+    /// Seconds until it has as many as convict.
     pub convicts_after: f64,
-    /// Routers of the service that have enough, or as many as convict, by the end of the stage, on the average.
+    /// Routers of the service that have enough by the end of the stage, on the average.
     pub routers_with_enough: f64,
+    /// Routers that have as many as convict by then, on the average.
     pub routers_that_convict: f64,
 }
 
--- a/crates/spokeflow-experiments/src/capacity/fit.rs
+++ b/crates/spokeflow-experiments/src/capacity/fit.rs
@@ -9,9 +9,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Form {
     /// `intercept + slope * size`
-    Linear { intercept: f64, slope: f64 },
+    Linear {
+        /// Value at size 0.
+        intercept: f64,
+        /// Growth by one.
+        slope: f64,
+    },
     /// `factor * size ^ exponent`
-    Power { factor: f64, exponent: f64 },
+    Power {
+        /// Value at size 1.
+        factor: f64,
+        /// 1 grows as the size does.
+        exponent: f64,
+    },
 }
 
 impl Form {
@@ -24,10 +34,12 @@
     }
 }
 
-/// A form with the largest share by which it misses a measured point.
+/// A form, and how far it misses a measured point at the most.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// What was fitted.
     pub form: Form,
+    /// The largest relative miss of a measured point.
     pub residual: f64,
 }
 
--- a/crates/spokeflow-experiments/src/capacity/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/mod.rs
@@ -28,7 +28,7 @@
     capacity, collect_slopes, measure_bytes, measure_load, CapacityFlags, CollectFlags,
     MeasureBytesFlags, MeasureLoadFlags,
 };
-pub use error::CapacityError;
+pub use error::{CapacityError, MeasureLoadError, RunFailure};
 pub use fit::{Fit, Form};
 pub use records::{read_records, Record, Role};
 pub use slopes::{Line, Point, Reading, Slopes};
--- a/crates/spokeflow-experiments/src/capacity/records.rs
+++ b/crates/spokeflow-experiments/src/capacity/records.rs
@@ -11,28 +11,40 @@
 /// Who has a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
+    /// A router as it carries requests.
     #[serde(rename = "router data side", alias = "router_data_side")]
     RouterData,
+    /// A router as it follows the control plane.
     #[serde(rename = "router control side", alias = "router_control_side")]
     RouterControl,
+    /// A router of the scale run, with its control side alone.
     #[serde(rename = "hollow router", alias = "hollow_router")]
     HollowRouter,
+    /// A whole router process of the scale run.
     #[serde(rename = "real router", alias = "real_router")]
     RealRouter,
+    /// A control-plane node that votes, leader or not.
     #[serde(rename = "voter")]
     Voter,
+    /// The leading voter.
     #[serde(rename = "voter leader", alias = "voter_leader")]
     VoterLeader,
+    /// A voter that follows.
     #[serde(rename = "voter follower", alias = "voter_follower")]
     VoterFollower,
+    /// What would stand between voters and routers.
     #[serde(rename = "relay or cache", alias = "relay_or_cache")]
     Relay,
+    /// The source of the host list.
     #[serde(rename = "list source", alias = "list_source")]
     ListSource,
+    /// What steers releases.
     #[serde(rename = "release controller", alias = "release_controller")]
     ReleaseController,
+    /// The operator's command line.
     #[serde(rename = "operator's tool")]
     Tool,
+    /// All routers together.
     #[serde(rename = "fleet")]
     Fleet,
     /// What measures, on the same machine.
@@ -67,17 +79,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
+    /// Who has the cost.
     pub role: Role,
+    /// What was measured.
     pub quantity: String,
+    /// Of the value.
     pub unit: String,
     /// What went on meanwhile, such as `quiet`.
     pub phase: String,
     /// What `size` counts, such as `hosts`.
     pub size_of: String,
+    /// At which the value was measured.
     pub size: f64,
+    /// The measured value.
     pub value: f64,
-    /// Spread over repeated runs; none where the run was not repeated.
+    /// Smallest of repeated runs; none where the run was not repeated.
     pub min: Option<f64>,
+    /// Largest of repeated runs.
     pub max: Option<f64>,
     /// What the spread is taken over, such as the processes of one run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -88,7 +106,9 @@
     /// Parameters that stay the same over the sizes.
     #[serde(rename = "held")]
     pub fixed: FixedParameters,
+    /// The command that measured it.
     pub command: String,
+    /// Of the run, YYYY-MM-DD.
     pub date: String,
 }
 
@@ -100,7 +120,8 @@
 
 /// Reads one run's records, as a list or within its report.
 ///
-/// Errors: the file, and the entry that is missing, unknown, of a wrong type or out of its limits.
+/// # Errors
+/// The file, and the entry that is missing, unknown, of a wrong type or out of its limits.
 pub fn read_records(file: &Path) -> Result<Vec<Record>, CapacityError> {
     let text = read_text(file)?;
     let records = match text.trim_start().starts_with('{') {
--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -6,6 +6,7 @@
 use spokeflow_testbed::load::{put, Follows, Load, Measured};
 use spokeflow_testbed::routers::Starting;
 
+use super::error::{MeasureLoadError, RunFailure};
 use super::records::{FixedParameters, Record, Role};
 
 /// Quantities of a run, named for their unit.
@@ -32,20 +33,21 @@
 /// What was measured, and why it ended before the last run.
 pub(super) struct Served {
     pub records: Vec<Record>,
-    pub fault: Option<String>,
+    pub failure: Option<RunFailure>,
 }
 
 /// Plays all runs and gives their records, one for each run and quantity. A run that fails ends it; what was measured
 /// before stays.
 ///
-/// Errors: nothing could be begun.
-pub(super) fn measure(terms: &ServedTerms, date: &str) -> Result<Served, String> {
-    let starting = Starting::own().map_err(|e| e.to_string())?;
+/// # Errors
+/// Nothing could be begun.
+pub(super) fn measure(terms: &ServedTerms, date: &str) -> Result<Served, MeasureLoadError> {
+    let starting = Starting::own().map_err(|error| MeasureLoadError::Testbed(error.to_string()))?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = runtime.map_err(MeasureLoadError::Runtime)?;
     let mut records = Vec::new();
     for &hosts in &terms.hosts {
         for pass in (0..terms.runs).flat_map(|_| [true, false]) {
@@ -55,10 +57,13 @@
             );
             match runtime.block_on(put(&load(terms, hosts, pass), &starting)) {
                 Ok(measured) => records.extend(of_run(terms, &measured, date)),
-                Err(fault) => {
+                Err(error) => {
                     return Ok(Served {
                         records,
-                        fault: Some(format!("at {hosts} hosts: {fault}")),
+                        failure: Some(RunFailure {
+                            hosts,
+                            message: error.to_string(),
+                        }),
                     })
                 }
             }
@@ -66,7 +71,7 @@
     }
     Ok(Served {
         records,
-        fault: None,
+        failure: None,
     })
 }
 
--- a/crates/spokeflow-experiments/src/capacity/slopes.rs
+++ b/crates/spokeflow-experiments/src/capacity/slopes.rs
@@ -17,9 +17,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
+    /// Of the deployment.
     pub size: f64,
+    /// Median of the runs.
     pub value: f64,
+    /// Smallest of the runs.
     pub min: Option<f64>,
+    /// Largest of the runs.
     pub max: Option<f64>,
 }
 
@@ -27,27 +31,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
+    /// Unique among all lines.
     pub id: String,
+    /// Who has the cost.
     pub role: Role,
+    /// What was measured.
     pub quantity: String,
+    /// Of the values.
     pub unit: String,
     /// The size that it grows with.
     pub per: String,
+    /// What went on meanwhile, such as `quiet`.
     pub phase: String,
     /// Parameters that stay the same over the sizes.
     #[serde(rename = "held")]
     pub fixed: FixedParameters,
     /// By rising size, each size once.
     pub points: Vec<Point>,
+    /// The command that measured it.
     pub command: String,
     /// Raw file of the run.
     pub run: String,
+    /// Of the run, YYYY-MM-DD.
     pub date: String,
 }
 
 /// What a line says at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
+    /// Measured or fitted.
     pub value: f64,
     /// Beyond `FAR` times the largest measured size.
     pub far: bool,
@@ -65,10 +77,12 @@
         Fit::of(&self.pairs())
     }
 
+    /// The smallest measured size; 0 where there is none.
     pub fn smallest(&self) -> f64 {
         self.points.first().map_or(0.0, |p| p.size)
     }
 
+    /// The largest measured size; 0 where there is none.
     pub fn largest(&self) -> f64 {
         self.points.last().map_or(0.0, |p| p.size)
     }
@@ -111,13 +125,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
+    /// In the order of the file.
     pub lines: Vec<Line>,
 }
 
 impl Slopes {
     /// Reads and checks measured lines.
     ///
-    /// Errors: the first entry that is missing, unknown, of a wrong type or out of its limits.
+    /// # Errors
+    /// The first entry that is missing, unknown, of a wrong type or out of its limits.
     pub fn read(file: &Path) -> Result<Slopes, CapacityError> {
         let slopes: Slopes = parse_json(file, &read_text(file)?)?;
         slopes.check(file)?;
@@ -126,7 +142,8 @@
 
     /// Checks lines as they are read from this file.
     ///
-    /// Errors: the first entry that is out of its limits.
+    /// # Errors
+    /// The first entry that is out of its limits.
     pub fn check(&self, file: &Path) -> Result<(), CapacityError> {
         for (n, line) in self.lines.iter().enumerate() {
             check_line(file, n, line)?;
--- a/crates/spokeflow-experiments/src/capacity/target.rs
+++ b/crates/spokeflow-experiments/src/capacity/target.rs
@@ -107,19 +107,27 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
+    /// As the page names it.
     pub name: String,
+    /// Sizes of the deployment.
     pub fleet: Fleet,
+    /// What is asked of it.
     pub load: Load,
+    /// What one router may cost.
     pub budget: Budget,
+    /// What fails, and how often.
     pub faults: Faults,
+    /// What the target does not say.
     pub assumptions: Assumptions,
+    /// Flags of today's programs.
     pub terms: Terms,
 }
 
 impl Target {
     /// Reads and checks a target.
     ///
-    /// Errors: the first entry that is missing, unknown, of a wrong type or out of its limits.
+    /// # Errors
+    /// The first entry that is missing, unknown, of a wrong type or out of its limits.
     pub fn read(file: &Path) -> Result<Target, CapacityError> {
         let text = read_text(file)?;
         let wrong = |fault: toml::de::Error| CapacityError::new(file, "", fault.message());
--- a/crates/spokeflow-experiments/src/commands/error.rs
+++ b/crates/spokeflow-experiments/src/commands/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use spokeflow_experiments::capacity::CapacityError;
+use spokeflow_experiments::capacity::{CapacityError, MeasureLoadError};
 use spokeflow_experiments::charts::ChartError;
 use spokeflow_experiments::compare::CompareError;
 use spokeflow_experiments::plan::PlanError;
@@ -37,8 +37,8 @@
     #[error(transparent)]
     Compare(#[from] CompareError),
     /// The load measurement of the capacity page failed.
-    #[error("{0}")]
-    MeasureLoad(String),
+    #[error(transparent)]
+    MeasureLoad(#[from] MeasureLoadError),
     /// `--seconds` of `hunt` is below its least.
     #[error("--seconds: at least {0}")]
     TooShort(u64),
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -101,8 +101,7 @@
             eprintln!("{} records", capacity::measure_bytes(&flags)?);
         }
         Command::MeasureLoad(flags) => {
-            let records = capacity::measure_load(&flags).map_err(CommandError::MeasureLoad)?;
-            eprintln!("{records} records");
+            eprintln!("{} records", capacity::measure_load(&flags)?);
         }
         Command::Load(flags) => load(&flags).map_err(CommandError::testbed)?,
         Command::Router(_) | Command::ControlPlane(_) => {
--- a/crates/spokeflow-experiments/src/sweep.rs
+++ b/crates/spokeflow-experiments/src/sweep.rs
@@ -131,7 +131,7 @@
     fn add_run(&mut self) {
         self.bar.inc(1);
         self.done += 1;
-        let line_is_due = self.done % RUNS_BETWEEN_LINES == 0 || self.done == self.total;
+        let line_is_due = self.done.is_multiple_of(RUNS_BETWEEN_LINES) || self.done == self.total;
         if self.bar.is_hidden() && line_is_due {
             eprintln!("{} of {} days", self.done, self.total);
         }
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -330,102 +330,104 @@
     assert_eq!(terms.stage_bake_seconds, router.stage_bake.as_secs_f64());
 }
 
+/// A file, the line of it that defines a constant, our copy and its value.
+const COPIED_CONSTANTS: &[(&str, &str, f64, f64)] = &[
+    (
+        "crates/spokeflow-control-plane/src/inbound.rs",
+        "const REQUEST_LIMIT: usize = 64 << 10;",
+        limits::CALLER_FRAME,
+        65_536.0,
+    ),
+    (
+        "crates/spokeflow-coordination/src/config_state.rs",
+        "const MAX_RETAINED_RECORDS: usize = 500;",
+        limits::MAX_REVISIONS,
+        500.0,
+    ),
+    (
+        "crates/spokeflow-coordination/src/lease_granter.rs",
+        "const MAX_TRACKED_LEASES: usize = 8192;",
+        limits::MAX_LEASES,
+        8192.0,
+    ),
+    (
+        "crates/spokeflow-coordination/src/endpoint_list.rs",
+        "const MAX_RETAINED_CHANGES: usize = 4096;",
+        limits::MAX_LIST_CHANGES,
+        4096.0,
+    ),
+    (
+        "crates/spokeflow-coordination/src/lease_holder.rs",
+        "const RENEWALS_PER_LEASE: Micros = 3;",
+        limits::RENEWALS_PER_LEASE,
+        3.0,
+    ),
+    (
+        "crates/spokeflow-control-plane/src/list.rs",
+        "const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);",
+        limits::FULL_SYNC_SECONDS,
+        2.0,
+    ),
+    (
+        "crates/spokeflow-raft/src/node/replication.rs",
+        "const MAX_ENTRIES_PER_MESSAGE: usize = 64;",
+        limits::ENTRIES_PER_MESSAGE,
+        64.0,
+    ),
+    (
+        "crates/spokeflow-core/src/router/timers.rs",
+        "const TICK: Micros = 20 * MILLISECOND;",
+        limits::TICKS_PER_SECOND,
+        50.0,
+    ),
+    (
+        "crates/spokeflow-core/src/router/voting.rs",
+        "const MIN_ANSWERS_TO_VOTE: u32 = 3;",
+        evidence::ENOUGH_ANSWERS,
+        3.0,
+    ),
+    (
+        "crates/spokeflow-core/src/router/evidence.rs",
+        "const ROLLBACK_EVIDENCE: f64 = 4.0;",
+        evidence::SEND_BACK_AT,
+        4.0,
+    ),
+    (
+        "crates/spokeflow-core/src/router/analysis.rs",
+        "const SLOWNESS_WEIGHT: f64 = 0.4;",
+        evidence::LATE_WEIGHT,
+        0.4,
+    ),
+    (
+        "crates/spokeflow-core/src/router/analysis.rs",
+        "const SLOWNESS_MARGIN: f64 = 0.6;",
+        evidence::LATE_MARGIN,
+        0.6,
+    ),
+    (
+        "crates/spokeflow-core/src/router/canary.rs",
+        "const CANARY_FRACTION_OF_CAP: f64 = 0.7;",
+        evidence::CANARY_OF_CAP,
+        0.7,
+    ),
+    (
+        "crates/spokeflow-core/src/router/canary.rs",
+        "const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;",
+        evidence::REPIN_OF_CAP,
+        0.9,
+    ),
+    (
+        "crates/spokeflow-core/src/router/canary.rs",
+        "const CANARY_LEAD: f64 = 1.25;",
+        evidence::AHEAD,
+        1.25,
+    ),
+];
+
 /// Limits that other crates keep to themselves are copied: their source has to say the same.
 #[test]
 fn copied_constants_are_those_of_the_source() {
-    let says = [
-        (
-            "crates/spokeflow-control-plane/src/inbound.rs",
-            "const REQUEST_LIMIT: usize = 64 << 10;",
-            limits::CALLER_FRAME,
-            65_536.0,
-        ),
-        (
-            "crates/spokeflow-coordination/src/config_state.rs",
-            "const MAX_RETAINED_RECORDS: usize = 500;",
-            limits::MAX_REVISIONS,
-            500.0,
-        ),
-        (
-            "crates/spokeflow-coordination/src/lease_granter.rs",
-            "const MAX_TRACKED_LEASES: usize = 8192;",
-            limits::MAX_LEASES,
-            8192.0,
-        ),
-        (
-            "crates/spokeflow-coordination/src/endpoint_list.rs",
-            "const MAX_RETAINED_CHANGES: usize = 4096;",
-            limits::MAX_LIST_CHANGES,
-            4096.0,
-        ),
-        (
-            "crates/spokeflow-coordination/src/lease_holder.rs",
-            "const RENEWALS_PER_LEASE: Micros = 3;",
-            limits::RENEWALS_PER_LEASE,
-            3.0,
-        ),
-        (
-            "crates/spokeflow-control-plane/src/list.rs",
-            "const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);",
-            limits::FULL_SYNC_SECONDS,
-            2.0,
-        ),
-        (
-            "crates/spokeflow-raft/src/node/replication.rs",
-            "const MAX_ENTRIES_PER_MESSAGE: usize = 64;",
-            limits::ENTRIES_PER_MESSAGE,
-            64.0,
-        ),
-        (
-            "crates/spokeflow-core/src/router/timers.rs",
-            "const TICK: Micros = 20 * MILLISECOND;",
-            limits::TICKS_PER_SECOND,
-            50.0,
-        ),
-        (
-            "crates/spokeflow-core/src/router/voting.rs",
-            "const MIN_ANSWERS_TO_VOTE: u32 = 3;",
-            evidence::ENOUGH_ANSWERS,
-            3.0,
-        ),
-        (
-            "crates/spokeflow-core/src/router/evidence.rs",
-            "const ROLLBACK_EVIDENCE: f64 = 4.0;",
-            evidence::SEND_BACK_AT,
-            4.0,
-        ),
-        (
-            "crates/spokeflow-core/src/router/analysis.rs",
-            "const SLOWNESS_WEIGHT: f64 = 0.4;",
-            evidence::LATE_WEIGHT,
-            0.4,
-        ),
-        (
-            "crates/spokeflow-core/src/router/analysis.rs",
-            "const SLOWNESS_MARGIN: f64 = 0.6;",
-            evidence::LATE_MARGIN,
-            0.6,
-        ),
-        (
-            "crates/spokeflow-core/src/router/canary.rs",
-            "const CANARY_FRACTION_OF_CAP: f64 = 0.7;",
-            evidence::CANARY_OF_CAP,
-            0.7,
-        ),
-        (
-            "crates/spokeflow-core/src/router/canary.rs",
-            "const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;",
-            evidence::REPIN_OF_CAP,
-            0.9,
-        ),
-        (
-            "crates/spokeflow-core/src/router/canary.rs",
-            "const CANARY_LEAD: f64 = 1.25;",
-            evidence::AHEAD,
-            1.25,
-        ),
-    ];
-    for (file, text, copied, value) in says {
+    for (file, text, copied, value) in COPIED_CONSTANTS.iter().copied() {
         assert!(read(file).contains(text), "{file} does not say '{text}'");
         assert_eq!(copied, value, "{text}");
     }
--- a/crates/spokeflow-experiments/tests/capacity_inputs.rs
+++ b/crates/spokeflow-experiments/tests/capacity_inputs.rs
@@ -57,168 +57,158 @@
     ]
 }
 
+/// What is replaced in the target, by what, and what the message holds.
+const TARGET_CASES: &[(&str, &str, &[&str])] = &[
+    // Missing.
+    (
+        "routers = 1300\n",
+        "",
+        &["fleet", "missing field `routers`"],
+    ),
+    (
+        "voter_cores = 1\n",
+        "",
+        &["assumptions", "missing field `voter_cores`"],
+    ),
+    ("name = \"two years out\"\n", "", &["missing field `name`"]),
+    // Unknown.
+    (
+        "routers = 1300",
+        "routers = 1300\nrooters = 3",
+        &["fleet.rooters", "unknown field"],
+    ),
+    ("[budget]", "[extra]\n[budget]", &["extra", "unknown field"]),
+    // Of a wrong type.
+    (
+        "routers = 1300",
+        "routers = \"many\"",
+        &["fleet.routers", "invalid type", "f64"],
+    ),
+    // Negative, or zero where it divides.
+    (
+        "hosts = 12000",
+        "hosts = -12000",
+        &["fleet.hosts", "-12000 found", "from 1 to"],
+    ),
+    (
+        "routers = 1300",
+        "routers = 0",
+        &["fleet.routers", "0 found", "from 1 to"],
+    ),
+    (
+        "services = 320",
+        "services = 0",
+        &["fleet.services", "from 1 to"],
+    ),
+    (
+        "regions = 6",
+        "regions = 0",
+        &["fleet.regions", "from 1 to"],
+    ),
+    ("zones = 15", "zones = 0", &["fleet.zones", "from 1 to"]),
+    (
+        "change_bound_seconds = 15",
+        "change_bound_seconds = 0",
+        &["load.change_bound_seconds", "from 0.1"],
+    ),
+    (
+        "control_core_share = 0.014",
+        "control_core_share = 0",
+        &["budget.control_core_share", "a number from"],
+    ),
+    (
+        "control_memory_mb = 128",
+        "control_memory_mb = -1",
+        &["budget.control_memory_mb"],
+    ),
+    (
+        "restart_hours = 8",
+        "restart_hours = 0",
+        &["assumptions.restart_hours", "from 0.1 to 24"],
+    ),
+    (
+        "lease_seconds = 3",
+        "lease_seconds = 0",
+        &["terms.lease_seconds", "from 0.1"],
+    ),
+    // Not finite, or beyond all sense.
+    (
+        "peak_requests_per_second = 390000",
+        "peak_requests_per_second = inf",
+        &["load.peak_requests_per_second", "inf found"],
+    ),
+    (
+        "answer_milliseconds = 150",
+        "answer_milliseconds = nan",
+        &["assumptions.answer_milliseconds", "NaN found"],
+    ),
+    (
+        "tenants = 33000",
+        "tenants = 1e300",
+        &["fleet.tenants", "to 10000000"],
+    ),
+    (
+        "clock_drift = 0.01",
+        "clock_drift = 0.9",
+        &["terms.clock_drift", "to 0.5"],
+    ),
+    // A part of a machine.
+    (
+        "routers = 1300",
+        "routers = 12.5",
+        &["fleet.routers", "a whole number"],
+    ),
+    // Entries that do not fit each other.
+    ("voters = 5", "voters = 4", &["terms.voters", "3, 5 or 7"]),
+    (
+        "control_machines = 14",
+        "control_machines = 3",
+        &["terms.voters", "3 control machines"],
+    ),
+    (
+        "zones = 15",
+        "zones = 5",
+        &["fleet.zones", "each of 6 regions"],
+    ),
+    (
+        "services = 320",
+        "services = 20000",
+        &["fleet.services", "12000 hosts"],
+    ),
+    (
+        "largest_service_hosts = 1000",
+        "largest_service_hosts = 13000",
+        &["assumptions.largest_service_hosts"],
+    ),
+    (
+        "stage_caps = [0.07, ",
+        "stage_caps = [",
+        &["terms.stage_caps", "one for each of 4 stages"],
+    ),
+    (
+        "stage_shares = [0.05",
+        "stage_shares = [0.0",
+        &["terms.stage_shares", "above 0"],
+    ),
+    (
+        "stage_shares = [0.05, 0.2",
+        "stage_shares = [0.2, 0.05",
+        &["terms.stage_shares", "none below"],
+    ),
+    // Not TOML.
+    ("[fleet]", "[fleet", &["target-file"]),
+];
+
 #[test]
 fn a_target_that_does_not_fit_is_refused() {
     let whole = std::fs::read_to_string(root().join(TARGET)).unwrap();
-    let cases = [
-        // Missing.
-        (
-            "routers = 1300\n",
-            "",
-            vec!["fleet", "missing field `routers`"],
-        ),
-        (
-            "voter_cores = 1\n",
-            "",
-            vec!["assumptions", "missing field `voter_cores`"],
-        ),
-        (
-            "name = \"two years out\"\n",
-            "",
-            vec!["missing field `name`"],
-        ),
-        // Unknown.
-        (
-            "routers = 1300",
-            "routers = 1300\nrooters = 3",
-            vec!["fleet.rooters", "unknown field"],
-        ),
-        (
-            "[budget]",
-            "[extra]\n[budget]",
-            vec!["extra", "unknown field"],
-        ),
-        // Of a wrong type.
-        (
-            "routers = 1300",
-            "routers = \"many\"",
-            vec!["fleet.routers", "invalid type", "f64"],
-        ),
-        // Negative, or zero where it divides.
-        (
-            "hosts = 12000",
-            "hosts = -12000",
-            vec!["fleet.hosts", "-12000 found", "from 1 to"],
-        ),
-        (
-            "routers = 1300",
-            "routers = 0",
-            vec!["fleet.routers", "0 found", "from 1 to"],
-        ),
-        (
-            "services = 320",
-            "services = 0",
-            vec!["fleet.services", "from 1 to"],
-        ),
-        (
-            "regions = 6",
-            "regions = 0",
-            vec!["fleet.regions", "from 1 to"],
-        ),
-        ("zones = 15", "zones = 0", vec!["fleet.zones", "from 1 to"]),
-        (
-            "change_bound_seconds = 15",
-            "change_bound_seconds = 0",
-            vec!["load.change_bound_seconds", "from 0.1"],
-        ),
-        (
-            "control_core_share = 0.014",
-            "control_core_share = 0",
-            vec!["budget.control_core_share", "a number from"],
-        ),
-        (
-            "control_memory_mb = 128",
-            "control_memory_mb = -1",
-            vec!["budget.control_memory_mb"],
-        ),
-        (
-            "restart_hours = 8",
-            "restart_hours = 0",
-            vec!["assumptions.restart_hours", "from 0.1 to 24"],
-        ),
-        (
-            "lease_seconds = 3",
-            "lease_seconds = 0",
-            vec!["terms.lease_seconds", "from 0.1"],
-        ),
-        // Not finite, or beyond all sense.
-        (
-            "peak_requests_per_second = 390000",
-            "peak_requests_per_second = inf",
-            vec!["load.peak_requests_per_second", "inf found"],
-        ),
-        (
-            "answer_milliseconds = 150",
-            "answer_milliseconds = nan",
-            vec!["assumptions.answer_milliseconds", "NaN found"],
-        ),
-        (
-            "tenants = 33000",
-            "tenants = 1e300",
-            vec!["fleet.tenants", "to 10000000"],
-        ),
-        (
-            "clock_drift = 0.01",
-            "clock_drift = 0.9",
-            vec!["terms.clock_drift", "to 0.5"],
-        ),
-        // A part of a machine.
-        (
-            "routers = 1300",
-            "routers = 12.5",
-            vec!["fleet.routers", "a whole number"],
-        ),
-        // Entries that do not fit each other.
-        (
-            "voters = 5",
-            "voters = 4",
-            vec!["terms.voters", "3, 5 or 7"],
-        ),
-        (
-            "control_machines = 14",
-            "control_machines = 3",
-            vec!["terms.voters", "3 control machines"],
-        ),
-        (
-            "zones = 15",
-            "zones = 5",
-            vec!["fleet.zones", "each of 6 regions"],
-        ),
-        (
-            "services = 320",
-            "services = 20000",
-            vec!["fleet.services", "12000 hosts"],
-        ),
-        (
-            "largest_service_hosts = 1000",
-            "largest_service_hosts = 13000",
-            vec!["assumptions.largest_service_hosts"],
-        ),
-        (
-            "stage_caps = [0.07, ",
-            "stage_caps = [",
-            vec!["terms.stage_caps", "one for each of 4 stages"],
-        ),
-        (
-            "stage_shares = [0.05",
-            "stage_shares = [0.0",
-            vec!["terms.stage_shares", "above 0"],
-        ),
-        (
-            "stage_shares = [0.05, 0.2",
-            "stage_shares = [0.2, 0.05",
-            vec!["terms.stage_shares", "none below"],
-        ),
-        // Not TOML.
-        ("[fleet]", "[fleet", vec!["target-file"]),
-    ];
-    for (from, to, named) in cases {
+    for (from, to, named) in TARGET_CASES.iter().copied() {
         assert!(whole.contains(from), "{from}");
         refused(
             "target-file.toml",
             &whole.replacen(from, to, 1),
             with_target,
-            &named,
+            named,
         );
     }
 }
@@ -227,95 +217,97 @@
   "phase": "encoded", "held": {}, "points": [{"size": 1, "value": 2, "min": null, "max": null},
   {"size": 3, "value": 4, "min": 3, "max": 5}], "command": "c", "run": "r.json", "date": "2000-01-01"}]}"#;
 
+/// What is replaced in the lines, by what, and what the message holds.
+const LINE_CASES: &[(&str, &str, &[&str])] = &[
+    (
+        r#""run": "r.json", "#,
+        "",
+        &["lines[0]", "missing field `run`"],
+    ),
+    (
+        r#""phase": "encoded", "#,
+        "",
+        &["lines[0]", "missing field `phase`"],
+    ),
+    (
+        r#""id": "a""#,
+        r#""id": "a", "slope": 7"#,
+        &["lines[0].slope", "unknown field"],
+    ),
+    (
+        r#""role": "voter""#,
+        r#""role": "ruler""#,
+        &["lines[0].role", "unknown variant `ruler`"],
+    ),
+    (
+        r#""size": 3"#,
+        r#""size": "three""#,
+        &["lines[0].points[1].size", "invalid type"],
+    ),
+    (
+        r#""size": 1"#,
+        r#""size": 0"#,
+        &["lines[0].points[0].size", "above 0"],
+    ),
+    (
+        r#""size": 1"#,
+        r#""size": -1"#,
+        &["lines[0].points[0].size", "above 0"],
+    ),
+    (
+        r#""size": 3"#,
+        r#""size": 1"#,
+        &["lines[0].points[1].size", "rise"],
+    ),
+    (
+        r#""value": 2"#,
+        r#""value": -2"#,
+        &["lines[0].points[0].value", "from 0"],
+    ),
+    (
+        r#""value": 2"#,
+        r#""value": 1e16"#,
+        &["lines[0].points[0].value", "to 1e15"],
+    ),
+    (
+        r#""value": 2"#,
+        r#""value": 1e400"#,
+        &["lines[0].points[0].value", "number out of range"],
+    ),
+    (
+        r#""value": 2"#,
+        r#""value": NaN"#,
+        &["lines[0].points[0].value"],
+    ),
+    (
+        r#""min": 3"#,
+        r#""min": 4.5"#,
+        &["lines[0].points[1].min", "from 0 to value"],
+    ),
+    (
+        r#""max": 5"#,
+        r#""max": 3.5"#,
+        &["lines[0].points[1].min", "from value"],
+    ),
+    (
+        r#""command": "c""#,
+        r#""command": " ""#,
+        &["lines[0].command", "a text wanted"],
+    ),
+    (r#""2000-01-01"}]}"#, r#""2000-01-01"}]"#, &["EOF"]),
+    (
+        r#""2000-01-01"}]}"#,
+        r#""2000-01-01"}]} more"#,
+        &["trailing characters"],
+    ),
+];
+
 #[test]
 fn lines_that_do_not_fit_are_refused() {
-    let cases = [
-        (
-            r#""run": "r.json", "#,
-            "",
-            vec!["lines[0]", "missing field `run`"],
-        ),
-        (
-            r#""phase": "encoded", "#,
-            "",
-            vec!["lines[0]", "missing field `phase`"],
-        ),
-        (
-            r#""id": "a""#,
-            r#""id": "a", "slope": 7"#,
-            vec!["lines[0].slope", "unknown field"],
-        ),
-        (
-            r#""role": "voter""#,
-            r#""role": "ruler""#,
-            vec!["lines[0].role", "unknown variant `ruler`"],
-        ),
-        (
-            r#""size": 3"#,
-            r#""size": "three""#,
-            vec!["lines[0].points[1].size", "invalid type"],
-        ),
-        (
-            r#""size": 1"#,
-            r#""size": 0"#,
-            vec!["lines[0].points[0].size", "above 0"],
-        ),
-        (
-            r#""size": 1"#,
-            r#""size": -1"#,
-            vec!["lines[0].points[0].size", "above 0"],
-        ),
-        (
-            r#""size": 3"#,
-            r#""size": 1"#,
-            vec!["lines[0].points[1].size", "rise"],
-        ),
-        (
-            r#""value": 2"#,
-            r#""value": -2"#,
-            vec!["lines[0].points[0].value", "from 0"],
-        ),
-        (
-            r#""value": 2"#,
-            r#""value": 1e16"#,
-            vec!["lines[0].points[0].value", "to 1e15"],
-        ),
-        (
-            r#""value": 2"#,
-            r#""value": 1e400"#,
-            vec!["lines[0].points[0].value", "number out of range"],
-        ),
-        (
-            r#""value": 2"#,
-            r#""value": NaN"#,
-            vec!["lines[0].points[0].value"],
-        ),
-        (
-            r#""min": 3"#,
-            r#""min": 4.5"#,
-            vec!["lines[0].points[1].min", "from 0 to value"],
-        ),
-        (
-            r#""max": 5"#,
-            r#""max": 3.5"#,
-            vec!["lines[0].points[1].min", "from value"],
-        ),
-        (
-            r#""command": "c""#,
-            r#""command": " ""#,
-            vec!["lines[0].command", "a text wanted"],
-        ),
-        (r#""2000-01-01"}]}"#, r#""2000-01-01"}]"#, vec!["EOF"]),
-        (
-            r#""2000-01-01"}]}"#,
-            r#""2000-01-01"}]} more"#,
-            vec!["trailing characters"],
-        ),
-    ];
-    for (from, to, named) in cases {
+    for (from, to, named) in LINE_CASES.iter().copied() {
         let text = LINE.replacen(from, to, 1);
         assert_ne!(text, LINE, "{from}");
-        refused("slopes-file.json", &text, with_slopes, &named);
+        refused("slopes-file.json", &text, with_slopes, named);
     }
 }
 
