--- a/crates/spokeflow-experiments/src/capacity/error.rs
+++ b/crates/spokeflow-experiments/src/capacity/error.rs
@@ -1,20 +1,26 @@
-//! The one-line error of this module's commands.
+//! The one-line errors of this module's commands.
 
 use std::fmt;
+use std::io;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with an input file: the file, the entry in it, and what is wanted there.
+use thiserror::Error;
+
+/// What is wrong with a file: the file, the entry in it, and the problem there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityError {
+    /// The input or output file.
     pub file: PathBuf,
     /// Path of the entry, such as `fleet.routers`; empty where the whole file is meant.
     pub entry: String,
-    pub wanted: String,
+    /// What is wrong with it, in one line.
+    pub problem: String,
 }
 
 impl CapacityError {
-    pub fn new(file: &Path, entry: impl Into<String>, wanted: impl fmt::Display) -> Self {
-        let wanted = wanted
+    /// Takes the problem as one line, whatever its text holds.
+    pub fn new(file: &Path, entry: impl Into<String>, problem: impl fmt::Display) -> Self {
+        let problem = problem
             .to_string()
             .split_whitespace()
             .collect::<Vec<_>>()
@@ -22,7 +28,7 @@
         CapacityError {
             file: file.to_path_buf(),
             entry: entry.into(),
-            wanted,
+            problem,
         }
     }
 }
@@ -30,8 +36,8 @@
 impl fmt::Display for CapacityError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.entry.as_str() {
-            "" | "." => write!(f, "{}: {}", self.file.display(), self.wanted),
-            entry => write!(f, "{}: {entry}: {}", self.file.display(), self.wanted),
+            "" | "." => write!(f, "{}: {}", self.file.display(), self.problem),
+            entry => write!(f, "{}: {entry}: {}", self.file.display(), self.problem),
         }
     }
 }
@@ -40,7 +46,45 @@
 
 /// Reads a file as text.
 ///
-/// Errors: the file is missing, unreadable or not text.
-pub fn read_text(file: &Path) -> Result<String, CapacityError> {
+/// # Errors
+/// The file is missing, unreadable or not text.
+pub(super) fn read_text(file: &Path) -> Result<String, CapacityError> {
     std::fs::read_to_string(file).map_err(|fault| CapacityError::new(file, "", fault))
 }
+
+/// Why a measurement over sockets gave no records, or not all.
+#[derive(Debug, Error)]
+pub enum MeasureLoadError {
+    /// A flag is 0.
+    #[error("--hosts, --rate, --seconds, --runs: at least 1")]
+    Flags,
+    /// The testbed could not begin, as it says.
+    #[error("{0}")]
+    Testbed(String),
+    /// No runtime could be started.
+    #[error("{0}")]
+    Runtime(#[source] io::Error),
+    /// The records cannot be written.
+    #[error(transparent)]
+    File(#[from] CapacityError),
+    /// A run failed; what was measured before is written.
+    #[error("{failure}; the {records} records before are in {}", file.display())]
+    Incomplete {
+        /// The run that failed.
+        failure: RunFailure,
+        /// Records written.
+        records: usize,
+        /// Where they are.
+        file: PathBuf,
+    },
+}
+
+/// A run of the testbed that failed.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("at {hosts} hosts: {message}")]
+pub struct RunFailure {
+    /// Hosts of the run.
+    pub hosts: u32,
+    /// As the testbed says.
+    pub message: String,
+}
--- a/crates/spokeflow-experiments/src/capacity/records.rs
+++ b/crates/spokeflow-experiments/src/capacity/records.rs
@@ -11,28 +11,40 @@
 /// Who has a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
+    /// A router as it carries requests.
     #[serde(rename = "router data side", alias = "router_data_side")]
     RouterData,
+    /// A router as it follows the control plane.
     #[serde(rename = "router control side", alias = "router_control_side")]
     RouterControl,
+    /// A router of the scale run, with its control side alone.
     #[serde(rename = "hollow router", alias = "hollow_router")]
     HollowRouter,
+    /// A whole router process of the scale run.
     #[serde(rename = "real router", alias = "real_router")]
     RealRouter,
+    /// A control-plane node that votes, leader or not.
     #[serde(rename = "voter")]
     Voter,
+    /// The leading voter.
     #[serde(rename = "voter leader", alias = "voter_leader")]
     VoterLeader,
+    /// A voter that follows.
     #[serde(rename = "voter follower", alias = "voter_follower")]
     VoterFollower,
+    /// What would stand between voters and routers.
     #[serde(rename = "relay or cache", alias = "relay_or_cache")]
     Relay,
+    /// The source of the host list.
     #[serde(rename = "list source", alias = "list_source")]
     ListSource,
+    /// What steers releases.
     #[serde(rename = "release controller", alias = "release_controller")]
     ReleaseController,
+    /// The operator's command line.
     #[serde(rename = "operator's tool")]
     Tool,
+    /// All routers together.
     #[serde(rename = "fleet")]
     Fleet,
     /// What measures, on the same machine.
@@ -61,23 +73,29 @@
 }
 
 /// What was kept alike while one size changed.
-pub type Held = BTreeMap<String, serde_json::Value>;
+pub(super) type FixedParameters = BTreeMap<String, serde_json::Value>;
 
 /// One measured value at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
+    /// Who has the cost.
     pub role: Role,
+    /// What was measured.
     pub quantity: String,
+    /// Of the value.
     pub unit: String,
     /// What went on meanwhile, such as `quiet`.
     pub phase: String,
     /// What `size` counts, such as `hosts`.
     pub size_of: String,
+    /// At which the value was measured.
     pub size: f64,
+    /// The measured value.
     pub value: f64,
-    /// Spread over repeated runs; none where the run was not repeated.
+    /// Smallest of repeated runs; none where the run was not repeated.
     pub min: Option<f64>,
+    /// Largest of repeated runs.
     pub max: Option<f64>,
     /// What the spread is taken over, such as the processes of one run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -85,8 +103,12 @@
     /// Runs that the value is of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runs: Option<u32>,
-    pub held: Held,
+    /// Parameters that stay the same over the sizes.
+    #[serde(rename = "held")]
+    pub fixed: FixedParameters,
+    /// The command that measured it.
     pub command: String,
+    /// Of the run, YYYY-MM-DD.
     pub date: String,
 }
 
@@ -98,7 +120,8 @@
 
 /// Reads one run's records, as a list or within its report.
 ///
-/// Errors: the file, and the entry that is missing, unknown, of a wrong type or out of its limits.
+/// # Errors
+/// The file, and the entry that is missing, unknown, of a wrong type or out of its limits.
 pub fn read_records(file: &Path) -> Result<Vec<Record>, CapacityError> {
     let text = read_text(file)?;
     let records = match text.trim_start().starts_with('{') {
@@ -146,26 +169,26 @@
 /// Part of a value by which a mean of equal numbers may miss them.
 const ROUNDING: f64 = 1e-9;
 /// What is wanted of a spread.
-pub const SPREAD: &str = "min from 0 to value, and max from value to 1e15";
+pub(super) const SPREAD: &str = "min from 0 to value, and max from value to 1e15";
 
 /// Whether something can be measured at this size.
-pub fn is_size(size: f64) -> bool {
+pub(super) fn is_size(size: f64) -> bool {
     size > 0.0 && size <= SANE
 }
 
-pub fn is_value(value: f64) -> bool {
+pub(super) fn is_value(value: f64) -> bool {
     (0.0..=SANE).contains(&value)
 }
 
 /// Whether a value lies within its spread, as far as that is told.
-pub fn is_spread(min: Option<f64>, value: f64, max: Option<f64>) -> bool {
+pub(super) fn is_spread(min: Option<f64>, value: f64, max: Option<f64>) -> bool {
     let rounding = value * ROUNDING;
     min.is_none_or(|min| (0.0..=value + rounding).contains(&min))
         && max.is_none_or(|max| (value - rounding..=SANE).contains(&max))
 }
 
 /// Reads JSON and names the entry that does not fit.
-pub fn parse_json<T: serde::de::DeserializeOwned>(
+pub(super) fn parse_json<T: serde::de::DeserializeOwned>(
     file: &Path,
     text: &str,
 ) -> Result<T, CapacityError> {
