--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -1,4 +1,4 @@
-//! What a commit of three keepers costs, against bare syncs of the same disk in the same run.
+//! What a commit of three nodes costs, against bare syncs of the same disk in the same run.
 
 use std::collections::HashMap;
 use std::io::Write as _;
@@ -12,12 +12,22 @@
 use spokeflow_control_plane::client::send_request;
 use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode, LIMIT};
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
-use spokeflow_proto::FrameCodec;
-use tokio::net::TcpStream;
+use spokeflow_proto::{FrameCodec, FrameError};
+use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-use crate::routers::{RouterProcess, Starting};
+use crate::routers::{RouterProcess, StartError, Starting};
 
+/// Nodes that commit: the smallest control plane that survives a failure.
+const NODES: usize = 3;
+/// About the size of a log entry with a small revision.
+const BARE_RECORD: [u8; 128] = [7; 128];
+/// Within which the nodes elect a leader.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Significant figures of the latencies.
+const LATENCY_DIGITS: u8 = 3;
+
+/// Flags of the measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CommitFlags {
     /// Where the stores are put
@@ -34,142 +44,210 @@
     pub runs: u32,
 }
 
-fn text(what: &str, times: &Histogram<u64>, span: Duration) -> String {
-    let ms = |q: f64| times.value_at_quantile(q) as f64 / 1000.0;
+/// Why commits cannot be measured.
+#[derive(Debug, thiserror::Error)]
+pub enum CommitsError {
+    /// The directory of the stores, or a file in it, cannot be written.
+    #[error("cannot write to {}: {source}", path.display())]
+    Write {
+        /// The directory.
+        path: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// This program cannot be started once more.
+    #[error("cannot find this program: {0}")]
+    OwnProgram(#[source] std::io::Error),
+    /// No loopback port can be had.
+    #[error("cannot listen on loopback: {0}")]
+    Listen(#[source] std::io::Error),
+    /// A node does not start.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The nodes elect no leader.
+    #[error("no leader within 10 s")]
+    NoLeader,
+    /// The leader cannot be reached.
+    #[error("cannot connect: {0}")]
+    Connect(#[source] std::io::Error),
+    /// A frame cannot be sent or read.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The leader ended the connection.
+    #[error("the connection ended")]
+    Disconnected,
+    /// The leader sent something else than the outcome of a proposal.
+    #[error("not an answer to a proposal: {0:?}")]
+    UnexpectedMessage(Box<FromNode>),
+}
+
+/// Starts three nodes, measures and prints.
+///
+/// # Errors
+///
+/// Something cannot be started, or the leader answers otherwise than expected.
+pub async fn commits(flags: &CommitFlags) -> Result<(), CommitsError> {
+    let directory = flags.stores.clone().unwrap_or_else(|| {
+        std::env::temp_dir().join(format!("spokeflow-commits-{}", std::process::id()))
+    });
+    let write_error = |source| CommitsError::Write {
+        path: directory.clone(),
+        source,
+    };
+    std::fs::create_dir_all(&directory).map_err(write_error)?;
+    let addresses = free_addresses().await.map_err(CommitsError::Listen)?;
+    let mut nodes = start_nodes(&directory, &addresses).await?;
+    let leader = find_leader(&addresses).await?;
+    let length = Duration::from_secs(flags.seconds);
+    println!("what                     a second    p50 ms    p99 ms");
+    for _ in 0..flags.runs {
+        let latencies = sync_bare_records(&directory, length).map_err(write_error)?;
+        println!("{}", row("bare syncs", &latencies, length));
+        for &out in &flags.out {
+            let start = Instant::now();
+            let latencies = commit_proposals(leader, out.max(1), length).await?;
+            let name = format!("commits, {out} out");
+            println!("{}", row(&name, &latencies, start.elapsed()));
+        }
+    }
+    for node in &mut nodes {
+        node.kill().await;
+    }
+    if flags.stores.is_none() {
+        // Temporary files: what cannot be removed now is the system's to remove.
+        let _ = std::fs::remove_dir_all(&directory);
+    }
+    Ok(())
+}
+
+fn latency_histogram() -> Histogram<u64> {
+    Histogram::new(LATENCY_DIGITS).expect("this many digits are supported")
+}
+
+/// Records the time since an instant; out of range only beyond hours.
+fn record_since(latencies: &mut Histogram<u64>, start: Instant) {
+    let _ = latencies.record(start.elapsed().as_micros() as u64);
+}
+
+fn row(name: &str, latencies: &Histogram<u64>, length: Duration) -> String {
+    let ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1000.0;
+    let per_second = latencies.len() as f64 / length.as_secs_f64();
     format!(
-        "{what:24} {:9.0} {:9.2} {:9.2}",
-        times.len() as f64 / span.as_secs_f64(),
+        "{name:24} {per_second:9.0} {:9.2} {:9.2}",
         ms(0.5),
         ms(0.99)
     )
 }
 
-/// One write of a small record after the other, each synced.
-fn bare(folder: &Path, span: Duration) -> std::io::Result<Histogram<u64>> {
-    let mut times = Histogram::<u64>::new(3).map_err(std::io::Error::other)?;
-    let mut file = std::fs::File::create(folder.join("bare"))?;
+/// Writes one small record after the other, each synced.
+fn sync_bare_records(directory: &Path, length: Duration) -> std::io::Result<Histogram<u64>> {
+    let mut latencies = latency_histogram();
+    let mut file = std::fs::File::create(directory.join("bare"))?;
     let start = Instant::now();
-    while start.elapsed() < span {
-        let begun = Instant::now();
-        file.write_all(&[7; 128])?;
+    while start.elapsed() < length {
+        let written_at = Instant::now();
+        file.write_all(&BARE_RECORD)?;
         file.sync_data()?;
-        let _ = times.record(begun.elapsed().as_micros() as u64);
+        record_since(&mut latencies, written_at);
+    }
+    Ok(latencies)
+}
+
+/// Addresses that were free a moment ago: each node must know those of all others before it starts.
+async fn free_addresses() -> std::io::Result<Vec<SocketAddr>> {
+    let mut addresses = Vec::new();
+    for _ in 0..NODES {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        addresses.push(listener.local_addr()?);
+    }
+    Ok(addresses)
+}
+
+/// Starts the nodes on empty stores, numbered by their addresses.
+async fn start_nodes(
+    directory: &Path,
+    addresses: &[SocketAddr],
+) -> Result<Vec<RouterProcess>, CommitsError> {
+    let starting = Starting {
+        first: vec!["keeper".into()],
+        ..Starting::own().map_err(CommitsError::OwnProgram)?
+    };
+    let mut nodes = Vec::new();
+    for (id, address) in addresses.iter().enumerate() {
+        let name = format!("keeper-{id}");
+        let store = directory.join(format!("{name}.redb"));
+        // Of an earlier run in the same directory, if any.
+        let _ = std::fs::remove_file(&store);
+        let mut flags = vec![
+            format!("--id={id}"),
+            format!("--listen={address}"),
+            format!("--store={}", store.display()),
+        ];
+        let members = addresses.iter().enumerate();
+        flags.extend(members.map(|(member, address)| format!("--member={member}={address}")));
+        nodes.push(RouterProcess::start(&starting, &flags, &name).await?);
+    }
+    Ok(nodes)
+}
+
+async fn find_leader(addresses: &[SocketAddr]) -> Result<SocketAddr, CommitsError> {
+    match send_request(addresses, Request::Status, LEADER_TIMEOUT).await {
+        Ok(Response::Status(status)) => Ok(addresses[status.leader.0 as usize]),
+        _ => Err(CommitsError::NoLeader),
     }
-    Ok(times)
 }
 
-/// Offers against a revision that is not the newest: each is an entry of the log, answered once it is committed.
-async fn offers(leader: SocketAddr, out: usize, span: Duration) -> Result<Histogram<u64>, String> {
-    let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
+/// A proposal whose base is not the newest revision: it is an entry of the log, answered once that is committed, and
+/// changes nothing.
+fn stale_proposal() -> Proposal {
+    Proposal {
+        token: rand::rng().random(),
+        base: RevisionNumber(u64::MAX),
+        who: "load".into(),
+        why: "load".into(),
+        at_s: 0,
+        values: Overrides::new(),
+    }
+}
+
+/// Keeps so many proposals out at a time, and measures each until its outcome.
+async fn commit_proposals(
+    leader: SocketAddr,
+    out: usize,
+    length: Duration,
+) -> Result<Histogram<u64>, CommitsError> {
+    let mut latencies = latency_histogram();
     let stream = TcpStream::connect(leader)
         .await
-        .map_err(|e| e.to_string())?;
+        .map_err(CommitsError::Connect)?;
     let _ = stream.set_nodelay(true);
     let mut link = Framed::new(stream, FrameCodec::<FromNode, ToNode>::new(LIMIT));
-    link.send(ToNode::hello(Caller::Operator))
-        .await
-        .map_err(|e| e.to_string())?;
-    let (mut waits, mut number, start) = (HashMap::new(), 0, Instant::now());
+    link.send(ToNode::hello(Caller::Operator)).await?;
+    let mut sent_at = HashMap::new();
+    let mut number = 0;
+    let start = Instant::now();
     loop {
-        while waits.len() < out && start.elapsed() < span {
+        while sent_at.len() < out && start.elapsed() < length {
             number += 1;
-            let token = rand::rng().random();
-            let (who, why) = ("load".to_string(), "load".to_string());
-            let offer = Proposal {
-                token,
-                base: RevisionNumber(u64::MAX),
-                who,
-                why,
-                at_s: 0,
-                values: Overrides::new(),
-            };
-            waits.insert(number, Instant::now());
-            link.feed(ToNode::Request {
-                number,
-                request: Request::Propose(offer),
-            })
-            .await
-            .map_err(|e| e.to_string())?;
+            let request = Request::Propose(stale_proposal());
+            sent_at.insert(number, Instant::now());
+            link.feed(ToNode::Request { number, request }).await?;
         }
-        link.flush().await.map_err(|e| e.to_string())?;
-        if waits.is_empty() {
-            return Ok(times);
+        link.flush().await?;
+        if sent_at.is_empty() {
+            return Ok(latencies);
         }
-        match link.next().await {
-            Some(Ok(FromNode::Response {
+        match link.next().await.ok_or(CommitsError::Disconnected)?? {
+            FromNode::Response {
                 number,
                 response: Response::Proposed(_),
-            })) => {
-                if let Some(begun) = waits.remove(&number) {
-                    let _ = times.record(begun.elapsed().as_micros() as u64);
+            } => {
+                if let Some(sent_at) = sent_at.remove(&number) {
+                    record_since(&mut latencies, sent_at);
                 }
             }
-            Some(Ok(FromNode::Welcome { .. })) => {}
-            other => return Err(format!("not an answer to an offer: {other:?}")),
-        }
-    }
-}
-
-/// Starts three keepers and measures. Errors: something cannot be started, or a keeper answers otherwise.
-pub async fn commits(flags: &CommitFlags) -> Result<(), String> {
-    let folder = flags.stores.clone().unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("spokeflow-commits-{}", std::process::id()))
-    });
-    std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
-    let starting = Starting {
-        first: vec!["keeper".into()],
-        ..Starting::own().map_err(|e| e.to_string())?
-    };
-    let port = || async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .map_err(|e| e.to_string())?;
-        listener.local_addr().map_err(|e| e.to_string())
-    };
-    let seats = [port().await?, port().await?, port().await?];
-    let mut keepers = Vec::new();
-    for (n, seat) in seats.iter().enumerate() {
-        let store = folder.join(format!("keeper-{n}.redb"));
-        let _ = std::fs::remove_file(&store);
-        let mut all = vec![
-            format!("--id={n}"),
-            format!("--listen={seat}"),
-            format!("--store={}", store.display()),
-        ];
-        all.extend(
-            seats
-                .iter()
-                .enumerate()
-                .map(|(k, s)| format!("--member={k}={s}")),
-        );
-        let started = RouterProcess::start(&starting, &all, &format!("keeper-{n}")).await;
-        keepers.push(started.map_err(|e| e.to_string())?);
-    }
-    let Ok(Response::Status(view)) =
-        send_request(&seats, Request::Status, Duration::from_secs(10)).await
-    else {
-        return Err("no leader within 10 s".into());
-    };
-    let leader = seats[view.leader.0 as usize];
-    let span = Duration::from_secs(flags.seconds);
-    println!("what                     a second    p50 ms    p99 ms");
-    for _ in 0..flags.runs {
-        let times = bare(&folder, span).map_err(|e| e.to_string())?;
-        println!("{}", text("bare syncs", &times, span));
-        for &out in &flags.out {
-            let begun = Instant::now();
-            let times = offers(leader, out.max(1), span).await?;
-            println!(
-                "{}",
-                text(&format!("commits, {out} out"), &times, begun.elapsed())
-            );
+            FromNode::Welcome { .. } => {}
+            other => return Err(CommitsError::UnexpectedMessage(Box::new(other))),
         }
     }
-    for keeper in &mut keepers {
-        keeper.kill().await;
-    }
-    if flags.stores.is_none() {
-        let _ = std::fs::remove_dir_all(&folder);
-    }
-    Ok(())
 }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -2,6 +2,8 @@
 //! answer after a fixed time: what the router adds, and what it holds.
 
 mod clients;
+mod error;
+mod flags;
 mod pass_through;
 mod peers;
 
@@ -12,10 +14,11 @@
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use spokeflow_proto::{FrameError, ToClient};
 use tokio::time::{sleep, timeout};
 
 use self::clients::{connect, send_without_reading, Client, Measurements, Schedule};
+pub use self::error::LoadError;
+pub use self::flags::LoadFlags;
 pub use self::pass_through::pass_through;
 use self::peers::{
     start_hosts, start_list, start_node, start_release_controller, start_unresponsive_node,
@@ -35,44 +38,6 @@
 /// Significant figures of the latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Why a load cannot be measured.
-#[derive(Debug, thiserror::Error)]
-pub enum LoadError {
-    /// A count that must not be 0 is.
-    #[error("--hosts, --rate, --connections, --seconds: at least 1")]
-    ZeroCount,
-    /// This program cannot be started once more.
-    #[error("cannot find this program: {0}")]
-    OwnProgram(#[source] std::io::Error),
-    /// The runtime cannot be built.
-    #[error("cannot start the runtime: {0}")]
-    Runtime(#[source] std::io::Error),
-    /// No loopback port can be had.
-    #[error("cannot listen on loopback: {0}")]
-    Listen(#[source] std::io::Error),
-    /// A process does not start.
-    #[error(transparent)]
-    Start(#[from] StartError),
-    /// A connection cannot be made.
-    #[error("cannot connect: {0}")]
-    Connect(#[source] std::io::Error),
-    /// A frame cannot be sent or read.
-    #[error(transparent)]
-    Frame(#[from] FrameError),
-    /// The router ended a client's connection before its welcome.
-    #[error("no welcome: the connection ended")]
-    Disconnected,
-    /// The router sent something else than its welcome.
-    #[error("no welcome but {0:?}")]
-    NotWelcome(Box<ToClient>),
-    /// The router sent no welcome in time.
-    #[error("no welcome in time")]
-    WelcomeTimedOut,
-    /// A report cannot be written.
-    #[error("cannot write the report: {0}")]
-    Report(#[from] serde_json::Error),
-}
-
 /// What a router under load follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Follows {
@@ -143,86 +108,6 @@
     pub resident_end_kib: u64,
 }
 
-/// Flags of the load command.
-#[derive(Clone, Debug, clap::Args)]
-pub struct LoadFlags {
-    /// Hosts, each answering after --answer-after
-    #[arg(long, default_value_t = 20)]
-    pub hosts: u32,
-    /// Commands a second
-    #[arg(long, default_value_t = 2000)]
-    pub rate: u64,
-    /// Seconds measured, after four that are not
-    #[arg(long, default_value_t = 5)]
-    pub seconds: u64,
-    /// Connections that send
-    #[arg(long, default_value_t = 20)]
-    pub connections: u32,
-    /// Client connections that are only open
-    #[arg(long, default_value_t = 0)]
-    pub idle: u32,
-    /// Milliseconds until a host answers
-    #[arg(long, default_value_t = 2)]
-    pub answer_after: u64,
-    /// Runs of each, in turn
-    #[arg(long, default_value_t = 3)]
-    pub runs: u32,
-    /// One more client sends 60 kB commands and never reads
-    #[arg(long)]
-    pub stalled: bool,
-    /// A quarter of the hosts run a canary build
-    #[arg(long = "canary", alias = "trial")]
-    pub canary: bool,
-    /// Hosts hang, err, reset or slow down in turn, a fifth of them at a time; the pass-through's stay well
-    #[arg(long = "faulty-hosts", alias = "bad")]
-    pub faulty_hosts: bool,
-    /// Runs the router also with a control-plane node to follow and with an unresponsive one, in turn
-    #[arg(long = "nodes", alias = "keepers")]
-    pub nodes: bool,
-    /// Prints one JSON value for each run
-    #[arg(long)]
-    pub json: bool,
-}
-
-/// What one run is put on.
-#[derive(Clone, Copy)]
-enum Target {
-    PassThrough,
-    Router(Follows),
-}
-
-impl LoadFlags {
-    /// What the runs are put on, in turn.
-    fn targets(&self) -> Vec<Target> {
-        let mut targets = vec![Target::PassThrough, Target::Router(Follows::Nothing)];
-        if self.nodes {
-            targets.push(Target::Router(Follows::Node));
-            targets.push(Target::Router(Follows::UnresponsiveNode));
-        }
-        targets
-    }
-
-    fn load(&self, target: Target) -> Load {
-        let (pass, follows) = match target {
-            Target::PassThrough => (true, Follows::Nothing),
-            Target::Router(follows) => (false, follows),
-        };
-        Load {
-            hosts: self.hosts,
-            rate: self.rate,
-            seconds: self.seconds,
-            connections: self.connections,
-            idle: self.idle,
-            answer_after: Duration::from_millis(self.answer_after),
-            pass,
-            follows,
-            stalled: self.stalled,
-            trial: self.canary,
-            bad: self.faulty_hosts && !pass,
-        }
-    }
-}
-
 /// Measures the pass-through and the router in turn, and prints each run.
 ///
 /// # Errors
--- a/crates/spokeflow-testbed/src/scale/bounds.rs
+++ b/crates/spokeflow-testbed/src/scale/bounds.rs
@@ -32,7 +32,9 @@
 /// What a run takes, or is expected to take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Demand {
+    /// Processes, this one with them.
     pub processes: u32,
+    /// Resident memory of all processes.
     pub memory_bytes: u64,
     /// Descriptors of the process that needs most of them: this one, through which all connections pass.
     pub descriptors: u64,
@@ -64,7 +66,9 @@
 /// What the machine gives, and the bounds that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Machine {
+    /// Cores on which this process may run.
     pub cores: usize,
+    /// Memory of the machine.
     pub memory_bytes: u64,
     /// Descriptors that one process may have.
     pub descriptors: u64,
--- a/crates/spokeflow-testbed/src/scale/flags.rs
+++ b/crates/spokeflow-testbed/src/scale/flags.rs
@@ -40,10 +40,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum SizeOf {
+    /// Routers, real and hollow.
     Routers,
+    /// Hosts in the replicated list.
     Hosts,
+    /// Customers in the settings of routers.
     Tenants,
+    /// Nodes that vote.
     Voters,
+    /// Revisions proposed a minute.
     ChangesPerMinute,
 }
 
@@ -52,6 +57,7 @@
         .map_err(|e| format!("{e}; a time with its unit, such as 250ms or 10s"))
 }
 
+/// Flags of a scale run.
 #[derive(Args, Clone, Debug)]
 pub struct ScaleFlags {
     /// Routers, real and hollow together
@@ -66,7 +72,7 @@
     /// Keepers that vote: 3, 5 or 7
     #[arg(long, default_value_t = 3)]
     pub voters: u32,
-    /// Hosts in the agreed list; 0: routers take no list from the keepers
+    /// Hosts in the replicated list; 0: routers take no list from the nodes
     #[arg(long, default_value_t = 300)]
     pub hosts: u32,
     /// Customers in every router's settings; each revision then names all of them, one with another share
@@ -134,75 +140,99 @@
     pub log: String,
 }
 
+/// Flags that do not fit together.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", .0.join("; "))]
+pub struct FlagsError(Vec<String>);
+
+/// Elections take a good part of a shorter one.
+const SHORTEST_LEASE: Duration = Duration::from_millis(500);
+
+fn is_positive(number: f64) -> bool {
+    number.is_finite() && number > 0.0
+}
+
 impl ScaleFlags {
-    /// Errors: every flag that does not fit, one after the other.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks the flags against each other.
+    ///
+    /// # Errors
+    ///
+    /// Every flag that does not fit, one after the other.
+    pub fn check(&self) -> Result<(), FlagsError> {
         let mut faults = Vec::new();
-        let mut when = |wrong: bool, what: String| {
-            if wrong {
-                faults.push(what);
-            }
-        };
-        when(self.routers == 0, "--routers: at least 1".into());
-        when(
-            self.real > self.routers,
-            format!("--real {}: more than --routers {}", self.real, self.routers),
-        );
-        when(
-            self.hollow_per_process == 0,
-            "--hollow-per-process: at least 1".into(),
-        );
-        when(
-            ![3, 5, 7].contains(&self.voters),
-            format!("--voters {}: 3, 5 or 7", self.voters),
-        );
-        when(self.regions == 0, "--regions: at least 1".into());
-        when(
-            self.zones < self.regions,
-            format!(
-                "--zones {}: fewer than --regions {}",
-                self.zones, self.regions
-            ),
-        );
+        self.check_sizes(&mut faults);
+        self.check_times(&mut faults);
+        self.check_budgets(&mut faults);
+        if self.phases.contains(&Phase::Stalled) && self.hollow() == 0 {
+            faults.push("--phase stalled: needs a hollow router".into());
+        }
+        match faults.is_empty() {
+            true => Ok(()),
+            false => Err(FlagsError(faults)),
+        }
+    }
+
+    fn check_sizes(&self, faults: &mut Vec<String>) {
+        let routers = self.routers;
+        if routers == 0 {
+            faults.push("--routers: at least 1".into());
+        }
+        if self.real > routers {
+            faults.push(format!(
+                "--real {}: more than --routers {routers}",
+                self.real
+            ));
+        }
+        if self.hollow_per_process == 0 {
+            faults.push("--hollow-per-process: at least 1".into());
+        }
+        if ![3, 5, 7].contains(&self.voters) {
+            faults.push(format!("--voters {}: 3, 5 or 7", self.voters));
+        }
+        if self.regions == 0 {
+            faults.push("--regions: at least 1".into());
+        }
+        if self.zones < self.regions {
+            let regions = self.regions;
+            faults.push(format!(
+                "--zones {}: fewer than --regions {regions}",
+                self.zones
+            ));
+        }
+    }
+
+    fn check_times(&self, faults: &mut Vec<String>) {
         let rate = self.changes_per_minute;
-        when(
-            !rate.is_finite() || rate <= 0.0,
-            format!("--changes-per-minute {rate}: above 0"),
-        );
-        let spans = [
+        if !is_positive(rate) {
+            faults.push(format!("--changes-per-minute {rate}: above 0"));
+        }
+        let times = [
             ("quiet-lasts", self.quiet_lasts),
             ("changes-last", self.changes_last),
             ("away-lasts", self.away_lasts),
             ("ready-within", self.ready_within),
             ("in-force-within", self.in_force_within),
         ];
-        for (flag, lasts) in spans {
-            when(lasts.is_zero(), format!("--{flag}: above 0s"));
+        for (flag, time) in times {
+            if time.is_zero() {
+                faults.push(format!("--{flag}: above 0s"));
+            }
         }
-        when(
-            self.lease < Duration::from_millis(500),
-            "--lease: at least 500ms".into(),
-        );
+        if self.lease < SHORTEST_LEASE {
+            faults.push("--lease: at least 500ms".into());
+        }
+    }
+
+    fn check_budgets(&self, faults: &mut Vec<String>) {
         let budgets = [
             ("router-bytes-per-second", self.router_bytes_per_second),
             ("router-processor-share", self.router_processor_share),
             ("router-memory-mb", self.router_memory_mb),
         ];
         for (flag, budget) in budgets {
-            when(
-                !budget.is_finite() || budget <= 0.0,
-                format!("--{flag} {budget}: above 0"),
-            );
-        }
-        let hollow = self.hollow();
-        let stalls = self.phases.contains(&Phase::Stalled);
-        when(
-            stalls && hollow == 0,
-            "--phase stalled: needs a hollow router".into(),
-        );
-        match faults.is_empty() {
-            true => Ok(()),
-            false => Err(faults.join("; ")),
+            if !is_positive(budget) {
+                faults.push(format!("--{flag} {budget}: above 0"));
+            }
         }
     }
 
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! A process of hollow routers: each is the control side of a router, its link to the keepers, its leases, revisions
-//! and agreed list, over real sockets and without an engine, clients and hosts.
+//! A process of hollow routers: each is the control side of a router, its link to the nodes, its leases, revisions
+//! and replicated list, over real sockets and without an engine, clients and hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-use super::settings::{customers, RouterSettings, Surroundings};
+use super::settings::{customers, RouterPeers, RouterSettings};
 
 /// What the process says on standard output once its routers are to start.
-pub const STARTED: &str = "hollow routers start";
-/// Arrivals that wait for one router at most; its link waits meanwhile.
-const ARRIVALS: usize = 64;
+pub(super) const STARTED: &str = "hollow routers start";
+/// Events that wait for one router at most; its link waits meanwhile.
+const EVENT_QUEUE: usize = 64;
 
 /// What a hollow process is told on standard input, one JSON value a line. At its end the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,6 +33,7 @@
     Return(BTreeSet<u32>),
 }
 
+/// Flags of a process of hollow routers.
 #[derive(Args, Clone, Debug)]
 pub struct HollowFlags {
     /// Number of the first router
@@ -53,6 +54,7 @@
     /// The host list comes from the control plane
     #[arg(long, alias = "agreed-list")]
     pub replicated_list: bool,
+    /// Draws the timing of the routers
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Which lines are logged
@@ -66,13 +68,13 @@
     terms: RouterFlags,
 }
 
-/// What an agreed list leaves behind in a router: lines by host.
+/// What a replicated list leaves behind in a router: endpoints by host.
 #[derive(Default)]
-struct ToldHosts(BTreeMap<u32, EndpointRecord>);
+struct EndpointTable(BTreeMap<u32, EndpointRecord>);
 
-impl ToldHosts {
-    fn hear(&mut self, whole: bool, hosts: Vec<EndpointRecord>) {
-        if whole {
+impl EndpointTable {
+    fn update(&mut self, complete: bool, hosts: Vec<EndpointRecord>) {
+        if complete {
             self.0.clear();
         }
         for line in hosts {
@@ -97,19 +99,19 @@
             ..self.terms.clone()
         };
         let seed = self.seed.wrapping_mul(31).wrapping_add(u64::from(index));
-        let (core, arrivals) = mpsc::channel(ARRIVALS);
-        let (acts_on, applied) = watch::channel(RevisionNumber(0));
+        let (core, events) = mpsc::channel(EVENT_QUEUE);
+        let (applied_sender, applied) = watch::channel(RevisionNumber(0));
         let link = ControlPlaneLink::new(&terms, seed, Clock::starting_now(), core, applied);
         // Both end together when the task is dropped.
         let router = async move {
-            tokio::join!(link.run(), take(arrivals, acts_on));
+            tokio::join!(link.run(), take(events, applied_sender));
         };
         if let Some(before) = self.running.insert(index, tokio::spawn(router)) {
             before.abort();
         }
     }
 
-    fn obey(&mut self, command: HollowCommand) {
+    fn execute(&mut self, command: HollowCommand) {
         match command {
             HollowCommand::Leave(routers) => {
                 for router in routers {
@@ -126,16 +128,19 @@
 }
 
 /// Stands in for the task that owns a router's engine.
-async fn take(mut arrivals: mpsc::Receiver<EngineEvent>, acts_on: watch::Sender<RevisionNumber>) {
-    let mut told = ToldHosts::default();
-    while let Some(arrival) = arrivals.recv().await {
+async fn take(
+    mut events: mpsc::Receiver<EngineEvent>,
+    applied_sender: watch::Sender<RevisionNumber>,
+) {
+    let mut endpoints = EndpointTable::default();
+    while let Some(arrival) = events.recv().await {
         match arrival {
             EngineEvent::Input(Input::ReplicatedList {
                 complete: whole,
                 hosts,
-            }) => told.hear(whole, hosts),
+            }) => endpoints.update(whole, hosts),
             EngineEvent::LeaseGranted { revision, .. } => {
-                acts_on.send_if_modified(|r| std::mem::replace(r, revision) != revision);
+                applied_sender.send_if_modified(|r| std::mem::replace(r, revision) != revision);
             }
             _ => {}
         }
@@ -145,17 +150,17 @@
 /// The settings of a router of this process. Errors: they do not fit.
 fn terms(flags: &HollowFlags) -> Result<RouterFlags, String> {
     let settings = RouterSettings {
-        keepers: flags.control_plane.clone(),
+        nodes: flags.control_plane.clone(),
         fleet_size: flags.fleet_size,
         tenants: flags.tenants,
-        agreed_list: flags.replicated_list,
+        replicated_list: flags.replicated_list,
         seed: flags.seed,
     };
     // Required by the flags; a hollow router calls neither.
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    let around = Surroundings {
+    let around = RouterPeers {
         list: nowhere,
-        desk: nowhere,
+        release_controller: nowhere,
     };
     let line = std::iter::once("router".to_string()).chain(settings.flags(flags.first, 0, around));
     let mut terms = RouterLine::try_parse_from(line)
@@ -179,7 +184,7 @@
     let mut commands = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = commands.next_line().await {
         match serde_json::from_str(&line) {
-            Ok(command) => hollow.obey(command),
+            Ok(command) => hollow.execute(command),
             Err(e) => {
                 eprintln!("spokeflow-testbed hollow: a command cannot be read: {e}");
                 return;
--- a/crates/spokeflow-testbed/src/scale/list.rs
+++ b/crates/spokeflow-testbed/src/scale/list.rs
@@ -35,14 +35,14 @@
     }
 }
 
-pub struct ListSource {
+pub(super) struct ListSource {
     lines: Mutex<Lines>,
     version: watch::Sender<u64>,
 }
 
 impl ListSource {
     /// A list of `hosts` hosts that are ready, each in the zone that `zone` tells.
-    pub fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
+    pub(super) fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
         let line = |host| EndpointRecord {
             host,
             address: address(host),
@@ -67,12 +67,12 @@
     }
 
     /// These hosts are gone, all with one version.
-    pub fn remove(&self, hosts: &[u32]) {
+    pub(super) fn remove(&self, hosts: &[u32]) {
         self.change(hosts, |line| line.phase = EndpointPhase::Gone);
     }
 
     /// These hosts are back as new processes, all with one version.
-    pub fn bring_back(&self, hosts: &[u32]) {
+    pub(super) fn bring_back(&self, hosts: &[u32]) {
         self.change(hosts, |line| {
             line.phase = EndpointPhase::Ready;
             line.incarnation += 1;
@@ -97,7 +97,7 @@
     }
 
     /// Takes connections. Errors: no port can be had.
-    pub async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
+    pub(super) async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let source = self.clone();
--- a/crates/spokeflow-testbed/src/scale/measure.rs
+++ b/crates/spokeflow-testbed/src/scale/measure.rs
@@ -62,14 +62,14 @@
 
 /// Which budgets of routers hold in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub(super) enum Judged {
     /// Of memory alone: rates over the moments in which all processes start say nothing of a fleet that runs.
     Memory,
     All,
 }
 
 /// Adds the figures of one phase, and a finding for each budget that a router exceeded in it.
-pub fn measure(
+pub(super) fn measure(
     report: &mut Report,
     flags: &ScaleFlags,
     phase: &str,
@@ -216,7 +216,7 @@
 }
 
 /// Adds median, 99th percentile and worst of some times in microseconds. Answers the worst in seconds.
-pub fn times(
+pub(super) fn times(
     report: &mut Report,
     phase: &str,
     quantity: &str,
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -18,7 +18,7 @@
 /// Every voter in turn fails with an offer so often: none will take it. A voter that is not there fails alone.
 const ROUNDS_AT_MOST: usize = 2;
 
-pub struct Offers {
+pub(super) struct Offers {
     rig: Arc<Rig>,
     random: StdRng,
     newest: RevisionNumber,
@@ -28,7 +28,7 @@
 }
 
 impl Offers {
-    pub fn new(rig: Arc<Rig>) -> Self {
+    pub(super) fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed);
         Offers {
             rig,
@@ -40,7 +40,7 @@
     }
 
     /// Offers one revision until it is announced. Answers its number, or `None` where none was or will be taken.
-    pub async fn offer(&mut self) -> Option<u64> {
+    pub(super) async fn offer(&mut self) -> Option<u64> {
         if self.refused.is_some() {
             return None;
         }
@@ -49,7 +49,7 @@
         match self.announce().await {
             Ok(number) => {
                 self.newest = number;
-                self.rig.tap.seen().propagation.offered(number.0, at);
+                self.rig.tap.record().propagation.offered(number.0, at);
                 Some(number.0)
             }
             Err(what) => {
@@ -103,7 +103,7 @@
     }
 
     /// Offers at the rate of the flags for this time. Answers the numbers of the revisions that were taken.
-    pub async fn at_rate(&mut self, lasts: Duration) -> Vec<u64> {
+    pub(super) async fn at_rate(&mut self, lasts: Duration) -> Vec<u64> {
         let mut numbers = Vec::new();
         let every = Duration::from_secs_f64(60.0 / self.rig.flags.changes_per_minute);
         let until = Instant::now() + lasts;
--- a/crates/spokeflow-testbed/src/scale/phases.rs
+++ b/crates/spokeflow-testbed/src/scale/phases.rs
@@ -23,7 +23,7 @@
 
 /// What only the phase of the killed leader measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Election {
+pub(super) struct Election {
     /// From the kill to the first message of the next leader.
     pub leaderless: Option<Micros>,
     /// From the kill to the first lease after that.
@@ -31,7 +31,7 @@
 }
 
 /// Plays phases on a rig.
-pub struct Phases {
+pub(super) struct Phases {
     rig: Arc<Rig>,
     random: StdRng,
     /// Numbers of the revisions that were taken in this phase.
@@ -40,7 +40,7 @@
 }
 
 impl Phases {
-    pub fn new(rig: Arc<Rig>) -> Self {
+    pub(super) fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed ^ 0x5ca1e);
         Phases {
             rig,
@@ -51,7 +51,7 @@
     }
 
     /// Plays one phase. Errors: a process that cannot be started, or has ended.
-    pub async fn play(&mut self, phase: Phase, offers: &mut Offers) -> Result<(), String> {
+    pub(super) async fn play(&mut self, phase: Phase, offers: &mut Offers) -> Result<(), String> {
         let flags = self.rig.flags.clone();
         match phase {
             Phase::Quiet => sleep(flags.quiet_lasts).await,
@@ -146,12 +146,12 @@
 
     async fn leader(&mut self, offers: &mut Offers) -> Result<(), String> {
         let rig = self.rig.clone();
-        let before = rig.tap.seen().leadership;
+        let before = rig.tap.record().leadership;
         let killed = rig.tap.now();
         rig.kill_voter(before.voter).await;
         self.offer(offers).await;
         sleep(rig.flags.away_lasts).await;
-        let after = rig.tap.seen().leadership;
+        let after = rig.tap.record().leadership;
         let led = after.term > before.term;
         let since = |at: Option<Micros>| at.filter(|_| led).map(|at| at - killed);
         let (leaderless, first_grant) = (since(Some(after.since)), since(after.first_grant));
@@ -191,35 +191,35 @@
     }
 
     fn absent(&self, routers: &BTreeSet<u32>) {
-        let (now, mut seen) = (self.rig.tap.now(), self.rig.tap.seen());
+        let (now, mut record) = (self.rig.tap.now(), self.rig.tap.record());
         routers
             .iter()
-            .for_each(|router| seen.propagation.left(now, *router));
+            .for_each(|router| record.propagation.left(now, *router));
     }
 
     fn present(&self, routers: &BTreeSet<u32>) {
-        let (now, mut seen) = (self.rig.tap.now(), self.rig.tap.seen());
+        let (now, mut record) = (self.rig.tap.now(), self.rig.tap.record());
         routers
             .iter()
-            .for_each(|router| seen.propagation.returned(now, *router));
+            .for_each(|router| record.propagation.returned(now, *router));
     }
 }
 
 /// Waits until every router that was started is ready, for the time that the flags allow.
-pub async fn until_ready(rig: &Rig) {
+pub(super) async fn until_ready(rig: &Rig) {
     let until = Instant::now() + rig.flags.ready_within;
-    while Instant::now() < until && !rig.tap.seen().propagation.starting().is_empty() {
+    while Instant::now() < until && !rig.tap.record().propagation.starting().is_empty() {
         sleep(LOOK_EVERY).await;
     }
 }
 
 /// Waits until every router that is there has all revisions, for the time that the flags allow.
-pub async fn until_in_force(rig: &Rig) {
+pub(super) async fn until_in_force(rig: &Rig) {
     let until = Instant::now() + rig.flags.in_force_within;
     while Instant::now() < until
         && !rig
             .tap
-            .seen()
+            .record()
             .propagation
             .missing(rig.flags.routers)
             .is_empty()
--- a/crates/spokeflow-testbed/src/scale/roster.rs
+++ b/crates/spokeflow-testbed/src/scale/processes.rs
@@ -3,9 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
+use crate::locked;
+
 /// What a process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub(super) enum ProcessKind {
     Voter(u32),
     /// So many hollow routers.
     Hollow(u32),
@@ -16,46 +18,41 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Member {
+pub(super) struct ProcessEntry {
     pub pid: i32,
-    pub kind: Kind,
+    pub kind: ProcessKind,
 }
 
 /// Processes by name, shared between the rig that starts them and the sampler that reads them.
 #[derive(Clone, Debug, Default)]
-pub struct Roster(Arc<Mutex<BTreeMap<String, Member>>>);
+pub(super) struct ProcessTable(Arc<Mutex<BTreeMap<String, ProcessEntry>>>);
 
-impl Roster {
+impl ProcessTable {
     /// A process is there from now on.
-    pub fn add(&self, name: &str, pid: Option<u32>, kind: Kind) {
+    pub(super) fn add(&self, name: &str, pid: Option<u32>, kind: ProcessKind) {
         let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) else {
             return;
         };
-        self.0
-            .lock()
-            .expect("no holder panics")
-            .insert(name.to_string(), Member { pid, kind });
+        locked(&self.0).insert(name.to_string(), ProcessEntry { pid, kind });
     }
 
     /// A process is about to be ended: that it is no more is expected.
-    pub fn remove(&self, name: &str) {
-        self.0.lock().expect("no holder panics").remove(name);
+    pub(super) fn remove(&self, name: &str) {
+        locked(&self.0).remove(name);
     }
 
-    pub fn members(&self) -> Vec<(String, Member)> {
-        let members = self.0.lock().expect("no holder panics");
-        members
+    pub(super) fn members(&self) -> Vec<(String, ProcessEntry)> {
+        let entries = locked(&self.0);
+        entries
             .iter()
-            .map(|(name, member)| (name.clone(), *member))
+            .map(|(name, entry)| (name.clone(), *entry))
             .collect()
     }
 
     /// Whether this very process is still expected to be there.
-    pub fn has(&self, name: &str, pid: i32) -> bool {
-        self.0
-            .lock()
-            .expect("no holder panics")
+    pub(super) fn has(&self, name: &str, pid: i32) -> bool {
+        locked(&self.0)
             .get(name)
-            .is_some_and(|member| member.pid == pid)
+            .is_some_and(|entry| entry.pid == pid)
     }
 }
--- a/crates/spokeflow-testbed/src/scale/propagation.rs
+++ b/crates/spokeflow-testbed/src/scale/propagation.rs
@@ -15,23 +15,24 @@
     to: Option<Micros>,
 }
 
-/// How long one revision took, over the routers that were there.
+/// How long one revision took, over the routers that were there. Times are in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Spread {
     /// From the offer, or the router's return where that came later, to the grant that told the router of it.
-    pub told: Vec<Micros>,
+    pub granted: Vec<Micros>,
     /// The same, to the router's next request, which names it as in force.
     pub confirmed: Vec<Micros>,
     /// Routers that are there and have not confirmed it.
     pub missing: BTreeSet<u32>,
 }
 
+/// Which router learned of which revision, and when.
 #[derive(Debug, Default)]
 pub struct Propagation {
     offered: BTreeMap<u64, Micros>,
-    told: BTreeMap<u64, Arrivals>,
+    granted: BTreeMap<u64, Arrivals>,
     confirmed: BTreeMap<u64, Arrivals>,
-    newest_told: BTreeMap<u32, u64>,
+    newest_granted: BTreeMap<u32, u64>,
     newest_confirmed: BTreeMap<u32, u64>,
     absences: BTreeMap<u32, Vec<Absence>>,
     /// Routers that were started and have no lease and list yet, and when they were started.
@@ -61,7 +62,7 @@
     }
 
     /// A grant that names the revision in force was handed on to a router.
-    pub fn told(
+    pub fn granted(
         &mut self,
         at: Micros,
         router: u32,
@@ -69,7 +70,13 @@
         with_list: bool,
         needs_list: bool,
     ) {
-        arrived(at, router, number, &mut self.newest_told, &mut self.told);
+        arrived(
+            at,
+            router,
+            number,
+            &mut self.newest_granted,
+            &mut self.granted,
+        );
         if with_list || !needs_list {
             if let Some(started) = self.starting.remove(&router) {
                 self.ready.push(at - started);
@@ -103,6 +110,7 @@
         std::mem::take(&mut self.ready)
     }
 
+    /// A router is away from now on.
     pub fn left(&mut self, at: Micros, router: u32) {
         self.starting.remove(&router);
         self.absences
@@ -111,6 +119,7 @@
             .push(Absence { from: at, to: None });
     }
 
+    /// A router is there again.
     pub fn returned(&mut self, at: Micros, router: u32) {
         let last = self
             .absences
@@ -159,7 +168,7 @@
             !confirmed.is_some_and(|c| c.contains_key(router)) && !self.is_away(*router)
         };
         Some(Spread {
-            told: self.times(offered, self.told.get(&number)),
+            granted: self.times(offered, self.granted.get(&number)),
             confirmed: self.times(offered, confirmed),
             missing: (0..routers).filter(lacks).collect(),
         })
--- a/crates/spokeflow-testbed/src/scale/report.rs
+++ b/crates/spokeflow-testbed/src/scale/report.rs
@@ -128,7 +128,7 @@
 }
 
 /// The value below which this part of the sorted values lies; 0 of none.
-pub fn quantile(sorted: &[f64], part: f64) -> f64 {
+pub(super) fn quantile(sorted: &[f64], part: f64) -> f64 {
     let place = (sorted.len() as f64 * part) as usize;
     sorted
         .get(place.min(sorted.len().saturating_sub(1)))
@@ -139,17 +139,24 @@
 /// A bound that was exceeded, or something else that must not happen.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
+    /// The phase in which it happened.
     pub phase: String,
+    /// Name of the bound.
     pub bound: String,
+    /// What was measured and what is allowed.
     pub text: String,
 }
 
 /// Whether the control plane knows of a size that was asked for.
 #[derive(Clone, Debug, Serialize)]
 pub struct Carried {
+    /// Name of the size.
     pub size: String,
+    /// The size by the flags.
     pub asked: u32,
+    /// Whether it is known of.
     pub carried: bool,
+    /// How, or why not.
     pub how: String,
 }
 
@@ -189,30 +196,44 @@
     ]
 }
 
+/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
+    /// All bounds were kept.
     Kept,
+    /// A bound was exceeded, or the run had to stop.
     Exceeded,
 }
 
+/// All that a run measured.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// How the run ended.
     pub outcome: Outcome,
+    /// What was exceeded.
     pub findings: Vec<Finding>,
     /// Why the run ended before its last phase.
     pub stopped: Option<String>,
+    /// The command as typed, without paths of this machine.
     pub command: String,
+    /// When the run began, by RFC 3339.
     pub date: String,
+    /// On which the run was made.
     pub machine: Machine,
     /// What was expected before the run.
     pub demand: Demand,
+    /// All bounds, one line each.
     pub bounds: Vec<String>,
     /// Load of the machine over the last minute before the run, in running processes.
     pub load_before: f64,
+    /// Phases of the run.
     pub phases: Vec<Phase>,
+    /// Whether each size was known of.
     pub carried: Vec<Carried>,
+    /// How figures are taken, by their name.
     pub notes: BTreeMap<String, String>,
+    /// All figures.
     pub figures: Vec<Figure>,
     #[serde(skip)]
     flags: Held,
@@ -240,6 +261,7 @@
 }
 
 impl Report {
+    /// The report of a run that begins.
     pub fn new(flags: &ScaleFlags, machine: Machine, demand: Demand, command: String) -> Report {
         use procfs::Current;
         Report {
@@ -261,6 +283,7 @@
         }
     }
 
+    /// Adds a figure.
     pub fn figure(
         &mut self,
         phase: &str,
@@ -288,6 +311,7 @@
         });
     }
 
+    /// Adds a finding: the bounds are exceeded.
     pub fn find(&mut self, phase: &str, bound: &str, text: String) {
         self.outcome = Outcome::Exceeded;
         self.findings.push(Finding {
@@ -339,7 +363,7 @@
 }
 
 /// All bounds of a run, one a line.
-pub fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
+pub(super) fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
     let mut bounds = machine.bounds();
     bounds.push(format!(
         "a revision in force everywhere within {:?} of its offer",
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -18,17 +18,17 @@
 use super::flags::ScaleFlags;
 use super::hollow::{HollowCommand, STARTED};
 use super::list::ListSource;
-use super::roster::{Kind, Roster};
-use super::settings::{RouterSettings, Surroundings};
+use super::processes::{ProcessKind, ProcessTable};
+use super::settings::{RouterPeers, RouterSettings};
 use super::tap::Tap;
 use crate::fleet::peers::Peers;
 use crate::routers::{RouterProcess, Starting};
 
 /// A process of hollow routers says that they start within this time.
 const HOLLOW_STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// Of the lease: an election takes two silences, and has to end well within a lease.
-const SILENCES_IN_LEASE: u32 = 6;
-const BEATS_IN_SILENCE: u32 = 5;
+/// Of the lease: an election takes two of these timeouts, and has to end well within a lease.
+const ELECTION_TIMEOUTS_IN_LEASE: u32 = 6;
+const HEARTBEATS_IN_ELECTION_TIMEOUT: u32 = 5;
 
 struct HollowProcess {
     name: String,
@@ -49,17 +49,17 @@
     }
 }
 
-pub struct Rig {
+pub(super) struct Rig {
     pub flags: ScaleFlags,
     pub tap: Arc<Tap>,
     pub list: Arc<ListSource>,
-    pub roster: Roster,
+    pub processes: ProcessTable,
     /// Addresses of the voters at the tap.
     pub voters_at: Vec<SocketAddr>,
     starting: Starting,
     stores: PathBuf,
     list_at: SocketAddr,
-    around: Surroundings,
+    around: RouterPeers,
     voters: Mutex<BTreeMap<u32, RouterProcess>>,
     real: Mutex<BTreeMap<u32, RouterProcess>>,
     hollow: Mutex<Vec<HollowProcess>>,
@@ -75,7 +75,7 @@
 
 impl Rig {
     /// Opens what surrounds the processes and starts none. Errors: a port or a folder cannot be had.
-    pub async fn open(
+    pub(super) async fn open(
         flags: ScaleFlags,
         starting: Starting,
         stores: PathBuf,
@@ -95,26 +95,25 @@
         for id in 1..=flags.voters {
             voters_at.push(tap.open(id).await.map_err(port)?);
         }
-        let roster = Roster::default();
-        roster.add("harness", Some(std::process::id()), Kind::Harness);
-        let around = Surroundings {
+        let processes = ProcessTable::default();
+        processes.add("harness", Some(std::process::id()), ProcessKind::Harness);
+        let around = RouterPeers {
             list: peer_addresses.silent_list,
-            desk: peer_addresses.release_controller,
+            release_controller: peer_addresses.release_controller,
         };
-        let (voters, real, hollow) = Default::default();
         let rig = Rig {
             flags,
             tap,
             list,
-            roster,
+            processes,
             voters_at,
             starting,
             stores,
             list_at,
             around,
-            voters,
-            real,
-            hollow,
+            voters: Mutex::default(),
+            real: Mutex::default(),
+            hollow: Mutex::default(),
         };
         Ok(Arc::new(rig))
     }
@@ -125,16 +124,16 @@
 
     fn settings(&self) -> RouterSettings {
         RouterSettings {
-            keepers: self.voters_at.clone(),
+            nodes: self.voters_at.clone(),
             fleet_size: self.flags.routers,
             tenants: self.flags.tenants,
-            agreed_list: self.with_list(),
+            replicated_list: self.with_list(),
             seed: self.flags.seed,
         }
     }
 
     /// Starts all processes, each router as started at the beginning. Errors: which does not start, and why.
-    pub async fn launch(&self) -> Result<(), String> {
+    pub(super) async fn launch(&self) -> Result<(), String> {
         for id in 1..=self.flags.voters {
             self.start_voter(id).await?;
         }
@@ -151,9 +150,9 @@
     }
 
     /// Errors: it does not start.
-    pub async fn start_voter(&self, id: u32) -> Result<(), String> {
+    pub(super) async fn start_voter(&self, id: u32) -> Result<(), String> {
         let name = voter_name(id);
-        let silence = self.flags.lease / SILENCES_IN_LEASE;
+        let election_timeout = self.flags.lease / ELECTION_TIMEOUTS_IN_LEASE;
         let mut flags = vec![
             format!("--id={id}"),
             "--listen=127.0.0.1:0".into(),
@@ -161,10 +160,10 @@
                 "--store={}",
                 self.stores.join(format!("{name}.redb")).display()
             ),
-            format!("--election-timeout={}us", silence.as_micros()),
+            format!("--election-timeout={}us", election_timeout.as_micros()),
             format!(
                 "--heartbeat-interval={}us",
-                (silence / BEATS_IN_SILENCE).as_micros()
+                (election_timeout / HEARTBEATS_IN_ELECTION_TIMEOUT).as_micros()
             ),
             format!("--lease={}us", self.flags.lease.as_micros()),
         ];
@@ -179,15 +178,16 @@
         };
         let process = RouterProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
-        self.roster.add(&name, process.pid(), Kind::Voter(id));
+        self.processes
+            .add(&name, process.pid(), ProcessKind::Voter(id));
         self.tap.target(id, Some(process.address));
         self.voters.lock().await.insert(id, process);
         Ok(())
     }
 
     /// As by `kill -9`.
-    pub async fn kill_voter(&self, id: u32) {
-        self.roster.remove(&voter_name(id));
+    pub(super) async fn kill_voter(&self, id: u32) {
+        self.processes.remove(&voter_name(id));
         self.tap.target(id, None);
         let process = self.voters.lock().await.remove(&id);
         if let Some(mut process) = process {
@@ -204,10 +204,11 @@
             first: vec!["router".into()],
             ..self.starting.clone()
         };
-        self.tap.seen().started(self.tap.now(), router);
+        self.tap.record().started(self.tap.now(), router);
         let process = RouterProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
-        self.roster.add(&name, process.pid(), Kind::Real(router));
+        self.processes
+            .add(&name, process.pid(), ProcessKind::Real(router));
         self.real.lock().await.insert(router, process);
         Ok(())
     }
@@ -219,55 +220,25 @@
         let end = first
             .saturating_add(self.flags.hollow_per_process)
             .min(self.flags.routers);
-        let settings = self.settings();
-        let mut command = Command::new(&self.starting.program);
-        command.args([
-            "hollow",
-            &format!("--first={first}"),
-            &format!("--count={}", end - first),
-        ]);
-        command.arg(format!("--fleet-size={}", settings.fleet_size));
-        command.arg(format!("--tenants={}", settings.tenants));
-        command.arg(format!("--seed={}", settings.seed));
-        command.arg(format!("--log={}", self.starting.log));
-        command.args(
-            settings
-                .keepers
-                .iter()
-                .map(|keeper| format!("--control-plane={keeper}")),
-        );
-        if settings.agreed_list {
-            command.arg("--replicated-list");
-        }
-        let variables = std::env::vars().filter(|(name, _)| name.starts_with("SPOKEFLOW_"));
-        variables.for_each(|(name, _)| {
-            command.env_remove(name);
-        });
-        command
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .stderr(self.log_of(&name)?)
-            .kill_on_drop(true);
+        let mut command = self.hollow_command(first, end - first);
+        command.stderr(self.log_of(&name)?);
         let routers: BTreeSet<u32> = (first..end).collect();
         self.note_started(&routers);
         let mut child = command.spawn().map_err(|e| fault(e.to_string()))?;
-        let (Some(commands), Some(out)) = (child.stdin.take(), child.stdout.take()) else {
+        let (Some(commands), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
             return Err(fault("it has no standard input or output".into()));
         };
         let mut line = String::new();
-        let said = timeout(
-            HOLLOW_STARTS_WITHIN,
-            BufReader::new(out).read_line(&mut line),
-        )
-        .await;
-        if !matches!(said, Ok(Ok(_))) || line.trim() != STARTED {
+        let mut output = BufReader::new(output);
+        let read = timeout(HOLLOW_STARTS_WITHIN, output.read_line(&mut line)).await;
+        if !matches!(read, Ok(Ok(_))) || line.trim() != STARTED {
             return Err(fault(format!(
                 "it did not say that its routers start, but '{}'",
                 line.trim()
             )));
         }
-        self.roster
-            .add(&name, child.id(), Kind::Hollow(end - first));
+        self.processes
+            .add(&name, child.id(), ProcessKind::Hollow(end - first));
         Ok(HollowProcess {
             name,
             child,
@@ -276,6 +247,36 @@
         })
     }
 
+    /// The command of a process of so many hollow routers.
+    fn hollow_command(&self, first: u32, count: u32) -> Command {
+        let settings = self.settings();
+        let mut command = Command::new(&self.starting.program);
+        command
+            .arg("hollow")
+            .arg(format!("--first={first}"))
+            .arg(format!("--count={count}"))
+            .arg(format!("--fleet-size={}", settings.fleet_size))
+            .arg(format!("--tenants={}", settings.tenants))
+            .arg(format!("--seed={}", settings.seed))
+            .arg(format!("--log={}", self.starting.log));
+        let nodes = settings.nodes.iter();
+        command.args(nodes.map(|node| format!("--control-plane={node}")));
+        if settings.replicated_list {
+            command.arg("--replicated-list");
+        }
+        // No variable of the caller's is taken for a flag.
+        for (name, _) in std::env::vars() {
+            if name.starts_with("SPOKEFLOW_") {
+                command.env_remove(name);
+            }
+        }
+        command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .kill_on_drop(true);
+        command
+    }
+
     fn log_of(&self, name: &str) -> Result<Stdio, String> {
         let Some(folder) = &self.starting.logs else {
             return Ok(Stdio::null());
@@ -289,21 +290,25 @@
     }
 
     fn note_started(&self, routers: &BTreeSet<u32>) {
-        let (now, mut seen) = (self.tap.now(), self.tap.seen());
-        routers.iter().for_each(|router| seen.started(now, *router));
+        let now = self.tap.now();
+        let mut record = self.tap.record();
+        routers
+            .iter()
+            .for_each(|router| record.started(now, *router));
     }
 
     /// These routers end at once, real ones as by `kill -9`. Errors: a hollow process has ended.
-    pub async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
         {
-            let (now, mut seen) = (self.tap.now(), self.tap.seen());
+            let now = self.tap.now();
+            let mut record = self.tap.record();
             routers
                 .iter()
-                .for_each(|router| seen.propagation.left(now, *router));
+                .for_each(|router| record.propagation.left(now, *router));
         }
         self.tell_hollow(routers, HollowCommand::Leave).await?;
         for router in routers.range(..self.flags.real) {
-            self.roster.remove(&real_name(*router));
+            self.processes.remove(&real_name(*router));
             let process = self.real.lock().await.remove(router);
             if let Some(mut process) = process {
                 process.kill().await;
@@ -313,12 +318,13 @@
     }
 
     /// These routers start, all at once. Errors: which does not start, and why.
-    pub async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
         {
-            let (now, mut seen) = (self.tap.now(), self.tap.seen());
+            let now = self.tap.now();
+            let mut record = self.tap.record();
             for router in routers {
-                seen.propagation.returned(now, *router);
-                seen.started(now, *router);
+                record.propagation.returned(now, *router);
+                record.started(now, *router);
             }
         }
         self.tell_hollow(routers, HollowCommand::Return).await?;
@@ -343,7 +349,7 @@
     }
 
     /// Stops the last process of hollow routers as by SIGSTOP, or lets it go on. Answers its routers.
-    pub async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
+    pub(super) async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
         let hollow = self.hollow.lock().await;
         let Some(process) = hollow.last() else {
             return BTreeSet::new();
@@ -360,17 +366,17 @@
     }
 
     /// Ends all processes, and takes away what they wrote. None is left when this returns.
-    pub async fn end(&self) {
+    pub(super) async fn end(&self) {
         for process in self.hollow.lock().await.iter_mut() {
-            self.roster.remove(&process.name);
+            self.processes.remove(&process.name);
             let _ = process.child.kill().await;
         }
         for (router, process) in self.real.lock().await.iter_mut() {
-            self.roster.remove(&real_name(*router));
+            self.processes.remove(&real_name(*router));
             process.kill().await;
         }
         for (id, process) in self.voters.lock().await.iter_mut() {
-            self.roster.remove(&voter_name(*id));
+            self.processes.remove(&voter_name(*id));
             process.kill().await;
         }
         let _ = std::fs::remove_dir_all(&self.stores);
--- a/crates/spokeflow-testbed/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -76,7 +76,7 @@
 
 /// Plays a run and answers its report. Errors: wrong use, or a run that this machine does not bear; nothing was started.
 pub fn scale(flags: &ScaleFlags) -> Result<Report, String> {
-    flags.check()?;
+    flags.check().map_err(|e| e.to_string())?;
     let machine = Machine::here()?;
     let demand = Demand::of(flags);
     bounds(flags, &machine)
@@ -139,7 +139,7 @@
 async fn play(rig: &Arc<Rig>, machine: Machine, report: &mut Report) {
     let (stop, mut stopped) = watch::channel(None);
     let sampler = Sampler::new(
-        rig.roster.clone(),
+        rig.processes.clone(),
         rig.tap.clone(),
         machine,
         rig.flags.real,
@@ -169,7 +169,7 @@
     rig.launch().await?;
     until_ready(rig).await;
     judge(rig, report, LAUNCH, &[], &sampler.take());
-    let starting = rig.tap.seen().propagation.starting().len();
+    let starting = rig.tap.record().propagation.starting().len();
     if starting > 0 {
         return Err(format!(
             "{starting} of {} routers were not ready in time",
@@ -201,17 +201,25 @@
 
 /// Figures and findings of one phase.
 fn judge(rig: &Rig, report: &mut Report, phase: &str, revisions: &[u64], samples: &PhaseSamples) {
-    let flags = &rig.flags;
-    let judged = if phase == LAUNCH {
-        Judged::Memory
-    } else {
-        Judged::All
+    let judged = match phase {
+        LAUNCH => Judged::Memory,
+        _ => Judged::All,
     };
-    measure(report, flags, phase, judged, samples);
-    let mut seen = rig.tap.seen();
-    let (mut told, mut confirmed, mut everywhere) = (Vec::new(), Vec::new(), Vec::new());
+    measure(report, &rig.flags, phase, judged, samples);
+    judge_revisions(rig, report, phase, revisions);
+    judge_starts(rig, report, phase);
+    report_lapses(rig, report, phase);
+}
+
+/// How long revisions took to the routers, and which did not arrive.
+fn judge_revisions(rig: &Rig, report: &mut Report, phase: &str, revisions: &[u64]) {
+    let flags = &rig.flags;
+    let mut granted = Vec::new();
+    let mut confirmed = Vec::new();
+    let mut everywhere = Vec::new();
     for number in revisions {
-        let Some(spread) = seen.propagation.spread(*number, flags.routers) else {
+        let spread = rig.tap.record().propagation.spread(*number, flags.routers);
+        let Some(spread) = spread else {
             continue;
         };
         if let Some(first) = spread.missing.first() {
@@ -222,49 +230,45 @@
             report.find(phase, "in force", text);
         }
         everywhere.extend(spread.confirmed.iter().max());
-        told.extend(spread.told);
+        granted.extend(spread.granted);
         confirmed.extend(spread.confirmed);
     }
     if !revisions.is_empty() {
-        let taken = Spread::one(revisions.len() as f64);
+        let count = Spread::one(revisions.len() as f64);
         report.figure(
             phase,
             Role::Fleet,
             "revisions",
             "revisions",
-            taken,
+            count,
             SpreadOf::One,
         );
     }
-    times(report, phase, "offer_to_told", &told, SpreadOf::Arrivals);
+    let arrivals = SpreadOf::Arrivals;
+    times(report, phase, "offer_to_told", &granted, arrivals);
     times(
         report,
         phase,
         "offer_to_in_force_everywhere",
         &everywhere,
-        SpreadOf::Arrivals,
-    );
-    let worst = times(
-        report,
-        phase,
-        "offer_to_in_force",
-        &confirmed,
-        SpreadOf::Arrivals,
+        arrivals,
     );
+    let worst = times(report, phase, "offer_to_in_force", &confirmed, arrivals);
     let within = flags.in_force_within.as_secs_f64();
     if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(
-            phase,
-            "in force",
-            format!("{worst:.3} s at the slowest router, {within} s allowed"),
-        );
+        report.find(phase, "in force", slowest_router(worst, within));
     }
-    let ready = seen.propagation.take_ready();
+}
+
+/// How long routers took to be ready, and which are not.
+fn judge_starts(rig: &Rig, report: &mut Report, phase: &str) {
+    let mut record = rig.tap.record();
+    let ready = record.propagation.take_ready();
     let worst = times(report, phase, "time_to_ready", &ready, SpreadOf::Starts);
-    let within = flags.ready_within.as_secs_f64();
-    let not_ready = seen.propagation.starting();
+    let within = rig.flags.ready_within.as_secs_f64();
+    let not_ready = record.propagation.starting();
     if let Some(first) = not_ready.first() {
-        let traffic = seen
+        let traffic = record
             .traffic
             .get(&Participant::Router(*first))
             .copied()
@@ -278,13 +282,17 @@
         );
         report.find(phase, "ready", text);
     } else if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(
-            phase,
-            "ready",
-            format!("{worst:.3} s at the slowest router, {within} s allowed"),
-        );
+        report.find(phase, "ready", slowest_router(worst, within));
     }
-    let lapses = std::mem::take(&mut seen.lapses);
+}
+
+fn slowest_router(worst: f64, within: f64) -> String {
+    format!("{worst:.3} s at the slowest router, {within} s allowed")
+}
+
+/// Grants that came after the last lease was over.
+fn report_lapses(rig: &Rig, report: &mut Report, phase: &str) {
+    let lapses = std::mem::take(&mut rig.tap.record().lapses);
     let count = Spread::one(lapses.count as f64);
     report.figure(
         phase,
--- a/crates/spokeflow-testbed/src/scale/sample.rs
+++ b/crates/spokeflow-testbed/src/scale/sample.rs
@@ -12,7 +12,7 @@
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
 use super::bounds::{Demand, Machine};
-use super::roster::{Kind, Member, Roster};
+use super::processes::{ProcessEntry, ProcessKind, ProcessTable};
 use super::tap::Tap;
 use super::traffic::NodeTraffic;
 use crate::fleet::Participant;
@@ -23,10 +23,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
+    /// The node that leads.
     VoterLeader,
+    /// Any other node.
     VoterFollower,
     /// Figures of its process divided by the routers in it.
     HollowRouter,
+    /// A router process.
     RealRouter,
     /// The tap and the measuring, on the same machine.
     Harness,
@@ -36,7 +39,7 @@
 
 /// One look at a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usage {
+pub(super) struct Usage {
     pub processor_seconds: f64,
     pub resident_bytes: u64,
     pub descriptors: u64,
@@ -82,7 +85,7 @@
 
 /// What one process took while it had one role.
 #[derive(Clone, Debug, Default)]
-pub struct ProcessSamples {
+pub(super) struct ProcessSamples {
     pub processor_seconds: f64,
     pub observed_seconds: f64,
     pub resident_bytes: Vec<u64>,
@@ -94,14 +97,14 @@
 
 /// What crossed the links of one voter or router while it had one role.
 #[derive(Clone, Debug, Default)]
-pub struct LinkSamples {
+pub(super) struct LinkSamples {
     pub traffic: NodeTraffic,
     pub observed_seconds: f64,
 }
 
 /// All samples of a phase.
 #[derive(Clone, Debug, Default)]
-pub struct PhaseSamples {
+pub(super) struct PhaseSamples {
     pub processes: BTreeMap<(Role, String), ProcessSamples>,
     pub links: BTreeMap<(Role, Participant), LinkSamples>,
     pub memory_peak_bytes: u64,
@@ -109,7 +112,7 @@
 }
 
 struct State {
-    roster: Roster,
+    process_table: ProcessTable,
     tap: Arc<Tap>,
     machine: Machine,
     real: u32,
@@ -123,13 +126,13 @@
 
 /// Samples in the background, and at each end of a phase.
 #[derive(Clone)]
-pub struct Sampler(Arc<Mutex<State>>);
+pub(super) struct Sampler(Arc<Mutex<State>>);
 
 impl Sampler {
     /// Routers below `real` are real ones. `stop` is told why the run has to stop: a bound of the machine, or a process
     /// that has ended by itself.
-    pub fn new(
-        roster: Roster,
+    pub(super) fn new(
+        process_table: ProcessTable,
         tap: Arc<Tap>,
         machine: Machine,
         real: u32,
@@ -142,7 +145,7 @@
             Instant::now(),
         );
         let state = State {
-            roster,
+            process_table,
             tap,
             machine,
             real,
@@ -156,7 +159,7 @@
     }
 
     /// Samples until it is dropped.
-    pub async fn run(self) {
+    pub(super) async fn run(self) {
         let mut ticks = interval(SAMPLE_EVERY);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -166,11 +169,11 @@
     }
 
     /// What was sampled since this was asked last, up to this moment, with what each process would give back.
-    pub fn take(&self) -> PhaseSamples {
+    pub(super) fn take(&self) -> PhaseSamples {
         let mut state = self.state();
         state.sample();
         let mut samples = std::mem::take(&mut state.phase);
-        for (name, member) in state.roster.members() {
+        for (name, member) in state.process_table.members() {
             let bytes = proportional_bytes(member.pid);
             let of_name = samples
                 .processes
@@ -191,10 +194,10 @@
         let now = Instant::now();
         let seconds = (now - self.last_at).as_secs_f64();
         self.last_at = now;
-        let leader = self.tap.seen().leadership.voter;
+        let leader = self.tap.record().leadership.voter;
         let memory_bytes = self.sample_processes(leader, seconds);
         self.sample_links(leader, seconds);
-        let processes = self.roster.members().len() as u32;
+        let processes = self.process_table.members().len() as u32;
         self.phase.memory_peak_bytes = self.phase.memory_peak_bytes.max(memory_bytes);
         self.phase.process_count = self.phase.process_count.max(processes);
         if let Err(what) = self.machine.bears(&Demand {
@@ -218,14 +221,14 @@
     fn sample_processes(&mut self, leader: u32, seconds: f64) -> u64 {
         let mut memory_bytes = 0;
         let mut present = BTreeMap::new();
-        for (name, member) in self.roster.members() {
+        for (name, member) in self.process_table.members() {
             match usage(member.pid) {
                 Ok(usage) => {
                     memory_bytes += usage.resident_bytes;
                     present.insert(member.pid, usage);
                     self.note_process(&name, member, usage, leader, seconds);
                 }
-                Err(Gone::Ended) if self.roster.has(&name, member.pid) => {
+                Err(Gone::Ended) if self.process_table.has(&name, member.pid) => {
                     self.stop(format!(
                         "{name} (process {}) has ended by itself",
                         member.pid
@@ -241,7 +244,7 @@
     fn note_process(
         &mut self,
         name: &str,
-        member: Member,
+        member: ProcessEntry,
         usage: Usage,
         leader: u32,
         seconds: f64,
@@ -251,11 +254,11 @@
             return;
         };
         let (role, routers) = match member.kind {
-            Kind::Voter(id) if id == leader => (Role::VoterLeader, 1),
-            Kind::Voter(_) => (Role::VoterFollower, 1),
-            Kind::Hollow(routers) => (Role::HollowRouter, routers),
-            Kind::Real(_) => (Role::RealRouter, 1),
-            Kind::Harness => (Role::Harness, 1),
+            ProcessKind::Voter(id) if id == leader => (Role::VoterLeader, 1),
+            ProcessKind::Voter(_) => (Role::VoterFollower, 1),
+            ProcessKind::Hollow(routers) => (Role::HollowRouter, routers),
+            ProcessKind::Real(_) => (Role::RealRouter, 1),
+            ProcessKind::Harness => (Role::Harness, 1),
         };
         let samples = self
             .phase
@@ -271,7 +274,7 @@
     }
 
     fn sample_links(&mut self, leader: u32, seconds: f64) {
-        let traffic = self.tap.seen().traffic.clone();
+        let traffic = self.tap.record().traffic.clone();
         for (node, now) in &traffic {
             let role = match node {
                 Participant::Node(id) if *id == leader => Role::VoterLeader,
--- a/crates/spokeflow-testbed/src/scale/settings.rs
+++ b/crates/spokeflow-testbed/src/scale/settings.rs
@@ -8,23 +8,23 @@
 /// One argument of a program may be no longer than this on Linux, less some room.
 const ARGUMENT_AT_MOST: usize = 100_000;
 /// Every customer's commands a second at the start.
-const SHARE: u32 = 10;
+const TENANT_QUOTA: u32 = 10;
 
 /// What all routers of a run are told alike.
 #[derive(Clone, Debug)]
-pub struct RouterSettings {
-    pub keepers: Vec<SocketAddr>,
+pub(super) struct RouterSettings {
+    pub nodes: Vec<SocketAddr>,
     pub fleet_size: u32,
     pub tenants: u32,
-    pub agreed_list: bool,
+    pub replicated_list: bool,
     pub seed: u64,
 }
 
 /// Where a real router finds what surrounds it.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings {
+pub(super) struct RouterPeers {
     pub list: SocketAddr,
-    pub desk: SocketAddr,
+    pub release_controller: SocketAddr,
 }
 
 fn tenant(number: u32) -> String {
@@ -32,11 +32,11 @@
 }
 
 /// Customers of a run, with their quotas.
-pub fn customers(tenants: u32) -> Vec<CustomerFlag> {
+pub(super) fn customers(tenants: u32) -> Vec<CustomerFlag> {
     (0..tenants)
         .map(|number| CustomerFlag {
             name: tenant(number),
-            quota: f64::from(SHARE),
+            quota: f64::from(TENANT_QUOTA),
         })
         .collect()
 }
@@ -47,7 +47,13 @@
     let mut values = Overrides::from([("exposure-free".to_string(), (1000 + number).to_string())]);
     if tenants > 0 {
         let changed = number % tenants;
-        let share = |n: u32| if n == changed { SHARE + 1 } else { SHARE };
+        let share = |n: u32| {
+            if n == changed {
+                TENANT_QUOTA + 1
+            } else {
+                TENANT_QUOTA
+            }
+        };
         let list: Vec<String> = (0..tenants)
             .map(|n| format!("{}={}", tenant(n), share(n)))
             .collect();
@@ -58,11 +64,11 @@
 
 impl RouterSettings {
     /// Flags of one router, without its customers.
-    pub fn flags(&self, index: u32, site: u16, around: Surroundings) -> Vec<String> {
+    pub(super) fn flags(&self, index: u32, site: u16, peers: RouterPeers) -> Vec<String> {
         let mut flags = vec![
             "--listen=127.0.0.1:0".to_string(),
-            format!("--list={}", around.list),
-            format!("--release-controller={}", around.desk),
+            format!("--list={}", peers.list),
+            format!("--release-controller={}", peers.release_controller),
             format!("--index={index}"),
             format!("--site={site}"),
             format!("--fleet-size={}", self.fleet_size),
@@ -74,18 +80,18 @@
             ),
         ];
         flags.extend(
-            self.keepers
+            self.nodes
                 .iter()
-                .map(|keeper| format!("--control-plane={keeper}")),
+                .map(|node| format!("--control-plane={node}")),
         );
-        if self.agreed_list {
+        if self.replicated_list {
             flags.push("--replicated-list".into());
         }
         flags
     }
 
     /// Flags that name the customers, as many to one flag as fit.
-    pub fn customer_flags(&self) -> Vec<String> {
+    pub(super) fn customer_flags(&self) -> Vec<String> {
         let mut flags: Vec<String> = Vec::new();
         for customer in customers(self.tenants) {
             let named = format!("{}={}", customer.name, customer.quota);
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-use super::traffic::Seen;
-use super::wire::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
+use super::traffic::TapRecord;
+use super::wire::{from_node_head, to_node_head, FromNodeHead, ToNodeHead};
 use crate::fleet::Participant;
 use crate::Micros;
 
@@ -32,7 +32,7 @@
         .new_codec()
 }
 
-pub struct Tap {
+pub(super) struct Tap {
     start: Instant,
     /// How long a router may act on a grant, from the sending of its request.
     held: Micros,
@@ -42,7 +42,7 @@
     targets: Mutex<BTreeMap<u32, SocketAddr>>,
     /// Routers from and to which nothing passes.
     cut: watch::Sender<Arc<BTreeSet<u32>>>,
-    seen: Mutex<Seen>,
+    record: Mutex<TapRecord>,
 }
 
 /// One connection, counted as open while it lives.
@@ -56,9 +56,9 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        let mut seen = self.tap.seen();
-        seen.closed(self.caller);
-        seen.closed(self.voter);
+        let mut record = self.tap.record();
+        record.closed(self.caller);
+        record.closed(self.voter);
     }
 }
 
@@ -69,29 +69,29 @@
 }
 
 impl Tap {
-    pub fn new(held: Micros, with_list: bool) -> Arc<Tap> {
-        let (targets, seen) = Default::default();
+    pub(super) fn new(held: Micros, with_list: bool) -> Arc<Tap> {
+        let (targets, record) = Default::default();
         Arc::new(Tap {
             start: Instant::now(),
             held,
             with_list,
             targets,
             cut: watch::Sender::default(),
-            seen,
+            record,
         })
     }
 
     /// Microseconds since the start of the run.
-    pub fn now(&self) -> Micros {
+    pub(super) fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().expect("no holder panics")
+    pub(super) fn record(&self) -> MutexGuard<'_, TapRecord> {
+        self.record.lock().expect("no holder panics")
     }
 
     /// Where a voter listens from now on; `None`: nowhere.
-    pub fn target(&self, voter: u32, address: Option<SocketAddr>) {
+    pub(super) fn target(&self, voter: u32, address: Option<SocketAddr>) {
         let mut targets = self.targets.lock().expect("no holder panics");
         match address {
             Some(address) => targets.insert(voter, address),
@@ -100,25 +100,25 @@
     }
 
     /// From now on nothing passes from and to these routers, and all others pass.
-    pub fn cut(&self, routers: BTreeSet<u32>) {
+    pub(super) fn cut(&self, routers: BTreeSet<u32>) {
         self.cut.send_replace(Arc::new(routers));
     }
 
     /// Opens the address of one voter. Errors: no port can be had.
-    pub async fn open(self: &Arc<Self>, voter: u32) -> std::io::Result<SocketAddr> {
+    pub(super) async fn open(self: &Arc<Self>, voter: u32) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let tap = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(tap.clone().carry(voter, stream));
+                tokio::spawn(tap.clone().forward_connection(voter, stream));
             }
         });
         Ok(address)
     }
 
     /// Waits while a router is cut off.
-    async fn until_passes(&self, node: Participant) {
+    async fn wait_until_connected(&self, node: Participant) {
         let Participant::Router(router) = node else {
             return;
         };
@@ -129,7 +129,7 @@
             .await;
     }
 
-    async fn carry(self: Arc<Self>, voter: u32, caller: TcpStream) {
+    async fn forward_connection(self: Arc<Self>, voter: u32, caller: TcpStream) {
         let _ = caller.set_nodelay(true);
         let (caller_in, caller_out) = caller.into_split();
         let (mut caller_in, mut caller_out) = (
@@ -149,7 +149,7 @@
         };
         // A connection that is given up while it is held up never reaches the voter.
         tokio::select! {
-            () = self.until_passes(node) => {}
+            () = self.wait_until_connected(node) => {}
             _ = ended(caller_in.get_mut()), if matches!(node, Participant::Router(_)) => return,
         }
         let target = self
@@ -173,21 +173,21 @@
         if voter_out.send(first.freeze()).await.is_err() {
             return;
         }
-        self.seen()
+        self.record()
             .passed(node, connection.voter, length + LENGTH_BYTES);
         tokio::select! {
             () = connection.pump(Direction::ToVoter, &mut caller_in, &mut voter_out) => {}
             () = connection.pump(Direction::FromVoter, &mut voter_in, &mut caller_out) => {}
         }
         // That it has ended is not known at the other side of a cut.
-        self.until_passes(node).await;
+        self.wait_until_connected(node).await;
     }
 
     fn connection(self: Arc<Self>, caller: Participant, voter: Participant) -> Connection {
         {
-            let mut seen = self.seen();
-            seen.opened(caller);
-            seen.opened(voter);
+            let mut record = self.record();
+            record.opened(caller);
+            record.opened(voter);
         }
         Connection {
             tap: self,
@@ -213,42 +213,45 @@
             Direction::FromVoter => (self.voter, self.caller),
         };
         while let Some(Ok(body)) = input.next().await {
-            self.tap.until_passes(self.caller).await;
+            self.tap.wait_until_connected(self.caller).await;
             let length = body.len() as u64 + LENGTH_BYTES;
             let (request, answer) = match direction {
-                Direction::ToVoter => (to_keeper(&body), FromKeeperHead::Other),
-                Direction::FromVoter => (ToKeeperHead::Other, from_keeper(&body)),
+                Direction::ToVoter => (to_node_head(&body), FromNodeHead::Other),
+                Direction::FromVoter => (ToNodeHead::Other, from_node_head(&body)),
             };
             // Noted before it is handed on: its answer cannot come first.
             self.note_request(request);
             if output.send(body.freeze()).await.is_err() {
                 return;
             }
-            self.tap.seen().passed(from, to, length);
+            self.tap.record().passed(from, to, length);
             self.note_answer(answer);
         }
     }
 
-    fn note_request(&self, request: ToKeeperHead) {
+    fn note_request(&self, request: ToNodeHead) {
         let now = self.tap.now();
         match (request, self.caller) {
-            (ToKeeperHead::Lease { number, in_force }, Participant::Router(router)) => {
+            (ToNodeHead::Lease { number, in_force }, Participant::Router(router)) => {
                 let mut requests = self.requests.lock().expect("no holder panics");
                 requests.push_back((number, now));
                 if requests.len() > REQUESTS_KEPT {
                     requests.pop_front();
                 }
-                self.tap.seen().propagation.confirmed(now, router, in_force);
+                self.tap
+                    .record()
+                    .propagation
+                    .confirmed(now, router, in_force);
             }
-            (ToKeeperHead::Leads { term }, Participant::Node(voter)) => {
-                self.tap.seen().led(now, voter, term)
+            (ToNodeHead::Leads { term }, Participant::Node(voter)) => {
+                self.tap.record().led(now, voter, term)
             }
             _ => {}
         }
     }
 
-    fn note_answer(&self, answer: FromKeeperHead) {
-        let FromKeeperHead::Granted {
+    fn note_answer(&self, answer: FromNodeHead) {
+        let FromNodeHead::Granted {
             number,
             in_force,
             with_list,
@@ -267,9 +270,10 @@
                 .and_then(|place| requests.remove(place))
                 .map_or(now, |(_, at)| at)
         };
-        let mut seen = self.tap.seen();
-        seen.granted(now, router, asked, self.tap.held);
-        seen.propagation
-            .told(now, router, in_force, with_list, self.tap.with_list);
+        let mut record = self.tap.record();
+        record.granted(now, router, asked, self.tap.held);
+        record
+            .propagation
+            .granted(now, router, in_force, with_list, self.tap.with_list);
     }
 }
--- a/crates/spokeflow-testbed/src/scale/traffic.rs
+++ b/crates/spokeflow-testbed/src/scale/traffic.rs
@@ -57,32 +57,41 @@
 /// How often and how long routers were without a lease, by the sending of the request that the last grant answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lapses {
+    /// How often.
     pub count: u64,
+    /// The longest, in microseconds.
     pub longest: Micros,
 }
 
-/// All that the tap notes.
+/// All that the tap records.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct TapRecord {
+    /// By participant.
     pub traffic: BTreeMap<Participant, NodeTraffic>,
+    /// Of the newest term.
     pub leadership: Leadership,
+    /// Of all routers.
     pub lapses: Lapses,
+    /// Of the revisions to the routers.
     pub propagation: Propagation,
     lease_until: BTreeMap<u32, Micros>,
 }
 
-impl Seen {
+impl TapRecord {
+    /// A connection of a participant was opened.
     pub fn opened(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections_opened += 1;
         traffic.connections += 1;
     }
 
+    /// A connection of a participant was closed.
     pub fn closed(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections = traffic.connections.saturating_sub(1);
     }
 
+    /// A frame of so many bytes was forwarded.
     pub fn passed(&mut self, from: Participant, to: Participant, bytes: u64) {
         let sender = self.traffic.entry(from).or_default();
         sender.bytes_sent += bytes;
--- a/crates/spokeflow-testbed/src/scale/wire.rs
+++ b/crates/spokeflow-testbed/src/scale/wire.rs
@@ -1,4 +1,4 @@
-//! Reads the beginning of a frame on a link to a keeper, as far as the tap needs it. A grant may carry a list of thousands
+//! Reads the beginning of a frame on a link to a node, as far as the tap needs it. A grant may carry a list of thousands
 //! of hosts: it is not decoded. Postcard writes a variant as its number and fields one after the other, so that
 //! the leading fields of a message are read as a tuple; `tests/scale_wire.rs` holds this against the messages.
 
@@ -6,38 +6,46 @@
 use spokeflow_coordination::{LeaseRequest, RevisionRef, VoterAddresses};
 
 /// Numbers of variants, in the order of `spokeflow_coordination::wire` and `spokeflow_raft::Message`.
-const TO_KEEPER_QUORUM: u32 = 1;
-const TO_KEEPER_ASK: u32 = 2;
-const ASK_LEASE: u32 = 0;
+const TO_NODE_RAFT: u32 = 1;
+const TO_NODE_REQUEST: u32 = 2;
+const REQUEST_LEASE: u32 = 0;
 const MESSAGE_APPEND: u32 = 3;
 const MESSAGE_INSTALL: u32 = 5;
-const FROM_KEEPER_ANSWER: u32 = 2;
-const ANSWER_GRANTED: u32 = 0;
+const FROM_NODE_RESPONSE: u32 = 2;
+const RESPONSE_GRANTED: u32 = 0;
 
-/// What a caller sends to a keeper.
+/// What a caller sends to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToKeeperHead {
+pub enum ToNodeHead {
     /// A router asks for a lease and names the revision that it has in force.
     Lease {
+        /// Number of the request.
         number: u64,
+        /// Number of the revision.
         in_force: u64,
     },
     /// Only the leader of a term sends this.
     Leads {
+        /// The term.
         term: u64,
     },
+    /// Any other message.
     Other,
 }
 
-/// What a keeper sends to a caller.
+/// What a node sends to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FromKeeperHead {
+pub enum FromNodeHead {
     /// A lease, the revision in force, and whether a part of the host list comes with it.
     Granted {
+        /// Number of the request.
         number: u64,
+        /// Number of the revision.
         in_force: u64,
+        /// Whether endpoints come with it.
         with_list: bool,
     },
+    /// Any other message.
     Other,
 }
 
@@ -46,43 +54,43 @@
 }
 
 /// Reads a frame's body that a caller sent, after its opening message.
-pub fn to_keeper(body: &[u8]) -> ToKeeperHead {
-    read_to_keeper(body).unwrap_or(ToKeeperHead::Other)
+pub fn to_node_head(body: &[u8]) -> ToNodeHead {
+    read_to_node_head(body).unwrap_or(ToNodeHead::Other)
 }
 
-fn read_to_keeper(body: &[u8]) -> Option<ToKeeperHead> {
+fn read_to_node_head(body: &[u8]) -> Option<ToNodeHead> {
     let (kind, rest) = take::<u32>(body)?;
-    if kind == TO_KEEPER_QUORUM {
+    if kind == TO_NODE_RAFT {
         let ((message, term), _) = take::<(u32, u64)>(rest)?;
         let leads = [MESSAGE_APPEND, MESSAGE_INSTALL].contains(&message);
-        return leads.then_some(ToKeeperHead::Leads { term });
+        return leads.then_some(ToNodeHead::Leads { term });
     }
-    if kind != TO_KEEPER_ASK {
+    if kind != TO_NODE_REQUEST {
         return None;
     }
-    let ((number, ask), rest) = take::<(u64, u32)>(rest)?;
-    if ask != ASK_LEASE {
+    let ((number, request), rest) = take::<(u64, u32)>(rest)?;
+    if request != REQUEST_LEASE {
         return None;
     }
-    let (asked, _) = take::<LeaseRequest>(rest)?;
-    Some(ToKeeperHead::Lease {
+    let (lease_request, _) = take::<LeaseRequest>(rest)?;
+    Some(ToNodeHead::Lease {
         number,
-        in_force: asked.known_revisions.in_force.0,
+        in_force: lease_request.known_revisions.in_force.0,
     })
 }
 
-/// Reads a frame's body that a keeper sent.
-pub fn from_keeper(body: &[u8]) -> FromKeeperHead {
-    read_from_keeper(body).unwrap_or(FromKeeperHead::Other)
+/// Reads a frame's body that a node sent.
+pub fn from_node_head(body: &[u8]) -> FromNodeHead {
+    read_from_node_head(body).unwrap_or(FromNodeHead::Other)
 }
 
-fn read_from_keeper(body: &[u8]) -> Option<FromKeeperHead> {
+fn read_from_node_head(body: &[u8]) -> Option<FromNodeHead> {
     let (kind, rest) = take::<u32>(body)?;
-    if kind != FROM_KEEPER_ANSWER {
+    if kind != FROM_NODE_RESPONSE {
         return None;
     }
-    let ((number, answer), rest) = take::<(u64, u32)>(rest)?;
-    if answer != ANSWER_GRANTED {
+    let ((number, response), rest) = take::<(u64, u32)>(rest)?;
+    if response != RESPONSE_GRANTED {
         return None;
     }
     type Head = (
@@ -92,7 +100,7 @@
         bool,
     );
     let ((in_force, _, _, with_list), _) = take::<Head>(rest)?;
-    Some(FromKeeperHead::Granted {
+    Some(FromNodeHead::Granted {
         number,
         in_force: in_force.number.0,
         with_list,
--- a/crates/spokeflow-testbed/tests/scale.rs
+++ b/crates/spokeflow-testbed/tests/scale.rs
@@ -75,6 +75,39 @@
     wanted.map(|f| f["value"].as_f64().unwrap()).collect()
 }
 
+/// Every role has its figures of memory, processor time and traffic.
+fn check_figures_of_roles(report: &Value) {
+    for role in [
+        "voter_leader",
+        "voter_follower",
+        "hollow_router",
+        "real_router",
+    ] {
+        // Launch and three phases.
+        for quantity in ["memory_steady", "memory_peak"] {
+            let bytes = values(report, role, quantity);
+            assert!(
+                bytes.len() == 4 && bytes.iter().all(|b| *b > 10_000.0),
+                "{role} {quantity}: {bytes:?}"
+            );
+        }
+        let seconds = values(report, role, "processor_share");
+        assert!(seconds.len() >= 3, "{role}: {seconds:?}");
+        for quantity in [
+            "bytes_sent",
+            "bytes_received",
+            "frames_sent",
+            "frames_received",
+        ] {
+            let rates = values(report, role, quantity);
+            assert!(
+                rates.len() >= 3 && rates.iter().all(|r| *r > 0.0),
+                "{role} {quantity}: {rates:?}"
+            );
+        }
+    }
+}
+
 #[test]
 fn a_small_fleet_keeps_its_bounds_while_it_changes_and_loses_its_leader() {
     let json = report_file("small");
@@ -110,35 +143,7 @@
         (&report["outcome"], &report["findings"]),
         (&"kept".into(), &Value::Array(Vec::new()))
     );
-    for role in [
-        "voter_leader",
-        "voter_follower",
-        "hollow_router",
-        "real_router",
-    ] {
-        // Launch and three phases.
-        for quantity in ["memory_steady", "memory_peak"] {
-            let bytes = values(&report, role, quantity);
-            assert!(
-                bytes.len() == 4 && bytes.iter().all(|b| *b > 10_000.0),
-                "{role} {quantity}: {bytes:?}"
-            );
-        }
-        let seconds = values(&report, role, "processor_share");
-        assert!(seconds.len() >= 3, "{role}: {seconds:?}");
-        for quantity in [
-            "bytes_sent",
-            "bytes_received",
-            "frames_sent",
-            "frames_received",
-        ] {
-            let rates = values(&report, role, quantity);
-            assert!(
-                rates.len() >= 3 && rates.iter().all(|r| *r > 0.0),
-                "{role} {quantity}: {rates:?}"
-            );
-        }
-    }
+    check_figures_of_roles(&report);
     // A router asks for its lease three times in a lease of 3 s; before there is a leader it asks one after the other.
     let asks = values(&report, "hollow_router", "frames_sent");
     assert!(
@@ -271,53 +276,55 @@
     );
 }
 
+/// Flags that do not fit, and what the error says of them.
+const WRONG_USE: [(&[&str], &str); 15] = [
+    (&["--routers=0"], "--routers: at least 1"),
+    (
+        &["--routers=2", "--real=3"],
+        "--real 3: more than --routers 2",
+    ),
+    (
+        &["--hollow-per-process=0"],
+        "--hollow-per-process: at least 1",
+    ),
+    (&["--voters=4"], "--voters 4: 3, 5 or 7"),
+    (&["--regions=0"], "--regions: at least 1"),
+    (
+        &["--zones=2", "--regions=3"],
+        "--zones 2: fewer than --regions 3",
+    ),
+    (
+        &["--changes-per-minute=0"],
+        "--changes-per-minute 0: above 0",
+    ),
+    (
+        &["--changes-per-minute=inf"],
+        "--changes-per-minute inf: above 0",
+    ),
+    (&["--quiet-lasts=0s"], "--quiet-lasts: above 0s"),
+    (&["--lease=100ms"], "--lease: at least 500ms"),
+    (&["--router-memory-mb=-1"], "--router-memory-mb -1: above 0"),
+    (
+        &["--phase=stalled", "--routers=1", "--real=1"],
+        "--phase stalled: needs a hollow router",
+    ),
+    (
+        &["--json=/does/not/exist.json"],
+        "--json /does/not/exist.json: ",
+    ),
+    (
+        &["--routers=1000", "--hollow-per-process=1"],
+        "processes, 200 at most: raise --hollow-per-process",
+    ),
+    (
+        &["--routers=100000", "--hollow-per-process=5000"],
+        "descriptors in one process",
+    ),
+];
+
 #[test]
 fn wrong_use_is_told_in_one_line_before_anything_starts() {
-    let wrong: [(&[&str], &str); 15] = [
-        (&["--routers=0"], "--routers: at least 1"),
-        (
-            &["--routers=2", "--real=3"],
-            "--real 3: more than --routers 2",
-        ),
-        (
-            &["--hollow-per-process=0"],
-            "--hollow-per-process: at least 1",
-        ),
-        (&["--voters=4"], "--voters 4: 3, 5 or 7"),
-        (&["--regions=0"], "--regions: at least 1"),
-        (
-            &["--zones=2", "--regions=3"],
-            "--zones 2: fewer than --regions 3",
-        ),
-        (
-            &["--changes-per-minute=0"],
-            "--changes-per-minute 0: above 0",
-        ),
-        (
-            &["--changes-per-minute=inf"],
-            "--changes-per-minute inf: above 0",
-        ),
-        (&["--quiet-lasts=0s"], "--quiet-lasts: above 0s"),
-        (&["--lease=100ms"], "--lease: at least 500ms"),
-        (&["--router-memory-mb=-1"], "--router-memory-mb -1: above 0"),
-        (
-            &["--phase=stalled", "--routers=1", "--real=1"],
-            "--phase stalled: needs a hollow router",
-        ),
-        (
-            &["--json=/does/not/exist.json"],
-            "--json /does/not/exist.json: ",
-        ),
-        (
-            &["--routers=1000", "--hollow-per-process=1"],
-            "processes, 200 at most: raise --hollow-per-process",
-        ),
-        (
-            &["--routers=100000", "--hollow-per-process=5000"],
-            "descriptors in one process",
-        ),
-    ];
-    for (arguments, what) in wrong {
+    for (arguments, what) in WRONG_USE {
         let mut command = Command::new(PROGRAM);
         let output = command
             .arg("scale")
--- a/crates/spokeflow-testbed/tests/scale_propagation.rs
+++ b/crates/spokeflow-testbed/tests/scale_propagation.rs
@@ -11,11 +11,11 @@
     let mut propagation = Propagation::default();
     propagation.offered(1, 100);
     for router in 0..ROUTERS {
-        propagation.told(200, router, 1, false, false);
+        propagation.granted(200, router, 1, false, false);
         propagation.confirmed(300 + i64::from(router), router, 1);
     }
     let spread = propagation.spread(1, ROUTERS).unwrap();
-    assert_eq!(spread.told, [100, 100, 100]);
+    assert_eq!(spread.granted, [100, 100, 100]);
     assert_eq!(spread.confirmed, [200, 201, 202]);
     assert!(spread.missing.is_empty());
     assert!(propagation.missing(ROUTERS).is_empty());
@@ -26,10 +26,10 @@
 fn a_router_that_is_there_and_says_nothing_is_missing() {
     let mut propagation = Propagation::default();
     propagation.offered(1, 100);
-    propagation.told(200, 0, 1, false, false);
+    propagation.granted(200, 0, 1, false, false);
     propagation.confirmed(300, 0, 1);
     // Told is not confirmed.
-    propagation.told(200, 1, 1, false, false);
+    propagation.granted(200, 1, 1, false, false);
     assert_eq!(
         propagation.spread(1, ROUTERS).unwrap().missing,
         BTreeSet::from([1, 2])
@@ -86,10 +86,10 @@
     let mut propagation = Propagation::default();
     propagation.started(100, 0);
     propagation.started(100, 1);
-    propagation.told(150, 0, 0, false, true);
+    propagation.granted(150, 0, 0, false, true);
     assert_eq!(propagation.starting(), BTreeSet::from([0, 1]));
-    propagation.told(160, 0, 0, true, true);
-    propagation.told(170, 1, 0, false, false);
+    propagation.granted(160, 0, 0, true, true);
+    propagation.granted(170, 1, 0, false, false);
     assert!(propagation.starting().is_empty());
     assert_eq!(propagation.take_ready(), [60, 70]);
     assert!(propagation.take_ready().is_empty());
--- a/crates/spokeflow-testbed/tests/scale_traffic.rs
+++ b/crates/spokeflow-testbed/tests/scale_traffic.rs
@@ -1,12 +1,12 @@
 //! Leases that were over before the next grant came, and who leads, by what the tap notes.
 
-use spokeflow_testbed::scale::{Lapses, Seen};
+use spokeflow_testbed::scale::{Lapses, TapRecord};
 
 const LEASE: i64 = 3000;
 
 #[test]
 fn a_grant_after_the_end_of_the_last_lease_is_a_lapse() {
-    let mut seen = Seen::default();
+    let mut seen = TapRecord::default();
     seen.granted(110, 0, 100, LEASE);
     seen.granted(1110, 0, 1100, LEASE);
     assert_eq!(seen.lapses, Lapses::default());
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_lease_of_an_earlier_process_is_not_the_routers_own() {
-    let mut seen = Seen::default();
+    let mut seen = TapRecord::default();
     seen.granted(110, 0, 100, LEASE);
     seen.propagation.left(200, 0);
     seen.propagation.returned(1200, 0);
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_router_that_is_cut_off_has_no_lapse_of_its_own() {
-    let mut seen = Seen::default();
+    let mut seen = TapRecord::default();
     seen.granted(110, 0, 100, LEASE);
     seen.propagation.left(2000, 0);
     seen.propagation.returned(9000, 0);
@@ -54,7 +54,7 @@
 
 #[test]
 fn only_a_later_term_changes_who_leads() {
-    let mut seen = Seen::default();
+    let mut seen = TapRecord::default();
     seen.led(100, 2, 5);
     seen.granted(150, 0, 140, LEASE);
     seen.led(200, 1, 4);
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -7,14 +7,14 @@
     VoterAddresses,
 };
 use spokeflow_raft::{AppendOutcome, LogIndex, Message, Snapshot, Term};
-use spokeflow_testbed::scale::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
+use spokeflow_testbed::scale::{from_node_head, to_node_head, FromNodeHead, ToNodeHead};
 
-fn up(message: &ToNode) -> ToKeeperHead {
-    to_keeper(&postcard::to_stdvec(message).unwrap())
+fn up(message: &ToNode) -> ToNodeHead {
+    to_node_head(&postcard::to_stdvec(message).unwrap())
 }
 
-fn down(message: &FromNode) -> FromKeeperHead {
-    from_keeper(&postcard::to_stdvec(message).unwrap())
+fn down(message: &FromNode) -> FromNodeHead {
+    from_node_head(&postcard::to_stdvec(message).unwrap())
 }
 
 fn asked(in_force: u64) -> LeaseRequest {
@@ -38,7 +38,7 @@
             number,
             request: Request::Lease(asked(in_force)),
         };
-        assert_eq!(up(&message), ToKeeperHead::Lease { number, in_force });
+        assert_eq!(up(&message), ToNodeHead::Lease { number, in_force });
     }
 }
 
@@ -59,10 +59,7 @@
         round: 1,
     };
     for message in [append, install] {
-        assert_eq!(
-            up(&ToNode::Raft(message)),
-            ToKeeperHead::Leads { term: 700 }
-        );
+        assert_eq!(up(&ToNode::Raft(message)), ToNodeHead::Leads { term: 700 });
     }
     let others = [
         Message::PreVote {
@@ -89,18 +86,14 @@
     for message in others {
         assert_eq!(
             up(&ToNode::Raft(message.clone())),
-            ToKeeperHead::Other,
+            ToNodeHead::Other,
             "{message:?}"
         );
     }
 }
 
-#[test]
-fn a_grant_is_read_without_its_list() {
-    let revision = Revision {
-        number: RevisionNumber(130),
-        values: Overrides::from([("customer".into(), "a=1".into())]),
-    };
+/// A list of a thousand hosts.
+fn long_list() -> EndpointListUpdate {
     let host = ListedHost {
         host: 1,
         address: "127.0.0.1:9".into(),
@@ -111,14 +104,25 @@
         incarnation: 1,
         up_us: None,
     };
-    let list = EndpointListUpdate {
+    EndpointListUpdate {
         version: ListVersion(2),
         complete: true,
         hosts: vec![host; 1000],
-    };
-    let seats = VoterAddresses {
+    }
+}
+
+fn voter_addresses() -> VoterAddresses {
+    VoterAddresses {
         fingerprint: 7,
         addresses: vec!["127.0.0.1:7500".into()],
+    }
+}
+
+#[test]
+fn a_grant_is_read_without_its_list() {
+    let revision = Revision {
+        number: RevisionNumber(130),
+        values: Overrides::from([("customer".into(), "a=1".into())]),
     };
     let whole = RevisionRef {
         number: RevisionNumber(130),
@@ -133,7 +137,7 @@
             LeaseGrant {
                 in_force: known.clone(),
                 pending: Some(whole.clone()),
-                voters: Some(seats),
+                voters: Some(voter_addresses()),
                 list: None,
             },
             129,
@@ -144,7 +148,7 @@
                 in_force: whole,
                 pending: None,
                 voters: None,
-                list: Some(list),
+                list: Some(long_list()),
             },
             130,
             true,
@@ -167,7 +171,7 @@
         };
         assert_eq!(
             down(&message),
-            FromKeeperHead::Granted {
+            FromNodeHead::Granted {
                 number: 200,
                 in_force,
                 with_list
@@ -198,7 +202,7 @@
         },
     ];
     ups.iter()
-        .for_each(|message| assert_eq!(up(message), ToKeeperHead::Other, "{message:?}"));
+        .for_each(|message| assert_eq!(up(message), ToNodeHead::Other, "{message:?}"));
     let downs = [
         Response::NoLeader,
         Response::Indeterminate,
@@ -210,11 +214,11 @@
                 number: 1,
                 response: answer
             }),
-            FromKeeperHead::Other
+            FromNodeHead::Other
         );
     }
     for damaged in [&[][..], &[2], &[2, 1], &[2, 1, 0], &[255; 20]] {
-        assert_eq!(to_keeper(damaged), ToKeeperHead::Other);
-        assert_eq!(from_keeper(damaged), FromKeeperHead::Other);
+        assert_eq!(to_node_head(damaged), ToNodeHead::Other);
+        assert_eq!(from_node_head(damaged), FromNodeHead::Other);
     }
 }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -14,24 +14,45 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-pub const SAFE: u16 = 0;
-pub const ONCE: u16 = 1;
-pub const SOON: Duration = Duration::from_secs(5);
+pub(crate) const SAFE: u16 = 0;
+pub(crate) const ONCE: u16 = 1;
+pub(crate) const SOON: Duration = Duration::from_secs(5);
 
-pub type Client = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
-pub type Router = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
+pub(crate) type Client = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
+pub(crate) type Router = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
 
 /// A router with a scripted list and a desk that has released build 1.
-pub struct Scene {
-    pub address: SocketAddr,
+pub(crate) struct Scene {
+    pub(crate) address: SocketAddr,
     list: mpsc::UnboundedSender<FromList>,
     end: Option<oneshot::Sender<()>>,
-    pub ended: JoinHandle<Result<(), ServeError>>,
+    pub(crate) ended: JoinHandle<Result<(), ServeError>>,
     version: u64,
 }
 
+/// Tells one router that its build is released.
+async fn serve_release_controller(desk_port: TcpListener) {
+    let (stream, _) = desk_port.accept().await.unwrap();
+    let mut link: Framed<_, FrameCodec<ToController, FromController>> =
+        Framed::new(stream, FrameCodec::new(WORK_LIMIT));
+    link.next().await;
+    link.send(FromController::Welcome).await.unwrap();
+    let standing = RolloutPhase::Released;
+    let news = RolloutUpdate {
+        build: 1,
+        stage: 0,
+        phase: standing,
+        exposure_cap: 1.0,
+        age_us: 0,
+    };
+    link.send(FromController::RolloutUpdate(news))
+        .await
+        .unwrap();
+    while let Some(Ok(_)) = link.next().await {}
+}
+
 impl Scene {
-    pub async fn open(more: &[&str]) -> Scene {
+    pub(crate) async fn open(more: &[&str]) -> Scene {
         let list_port = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let desk_port = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut flags: Vec<String> = vec![
@@ -66,25 +87,7 @@
                 }
             }
         });
-        tokio::spawn(async move {
-            let (stream, _) = desk_port.accept().await.unwrap();
-            let mut link: Framed<_, FrameCodec<ToController, FromController>> =
-                Framed::new(stream, FrameCodec::new(WORK_LIMIT));
-            link.next().await;
-            link.send(FromController::Welcome).await.unwrap();
-            let standing = RolloutPhase::Released;
-            let news = RolloutUpdate {
-                build: 1,
-                stage: 0,
-                phase: standing,
-                exposure_cap: 1.0,
-                age_us: 0,
-            };
-            link.send(FromController::RolloutUpdate(news))
-                .await
-                .unwrap();
-            while let Some(Ok(_)) = link.next().await {}
-        });
+        tokio::spawn(serve_release_controller(desk_port));
         Scene {
             address,
             list,
@@ -95,7 +98,7 @@
     }
 
     /// Tells the router of hosts, and waits until it has heard.
-    pub async fn list(&mut self, hosts: &[(u32, SocketAddr, EndpointPhase)]) {
+    pub(crate) async fn list(&mut self, hosts: &[(u32, SocketAddr, EndpointPhase)]) {
         self.version += 1;
         let line = |(host, address, phase): &(u32, SocketAddr, EndpointPhase)| EndpointRecord {
             host: *host,
@@ -117,11 +120,11 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 
-    pub fn end(&mut self) {
+    pub(crate) fn end(&mut self) {
         let _ = self.end.take().unwrap().send(());
     }
 
-    pub async fn client(&self) -> Client {
+    pub(crate) async fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).await.unwrap();
         let mut link = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
         link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0)))
@@ -132,7 +135,7 @@
     }
 }
 
-pub async fn heard(client: &mut Client) -> ToClient {
+pub(crate) async fn heard(client: &mut Client) -> ToClient {
     timeout(SOON, client.next())
         .await
         .expect("in time")
@@ -140,7 +143,7 @@
         .expect("a whole frame")
 }
 
-pub fn command(id: u64, op: u16, body: usize) -> FromClient {
+pub(crate) fn command(id: u64, op: u16, body: usize) -> FromClient {
     let body = Bytes::from(vec![id as u8; body]);
     FromClient::Command(Command {
         id,
@@ -154,7 +157,7 @@
 }
 
 /// A port on which a test plays a host, with little room for what it has not read.
-pub fn host_port() -> (TcpListener, SocketAddr) {
+pub(crate) fn host_port() -> (TcpListener, SocketAddr) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -164,12 +167,12 @@
 }
 
 /// A port that nobody listens on.
-pub fn closed_port() -> SocketAddr {
+pub(crate) fn closed_port() -> SocketAddr {
     host_port().1
 }
 
 /// Takes one connection of the router and welcomes it.
-pub async fn welcome(port: &TcpListener, host: u32) -> Router {
+pub(crate) async fn welcome(port: &TcpListener, host: u32) -> Router {
     let (stream, _) = timeout(SOON, port.accept())
         .await
         .expect("in time")
@@ -188,7 +191,7 @@
 }
 
 /// A host that acks all it gets, and says how many that were when asked.
-pub fn good_host(port: TcpListener, host: u32) -> mpsc::UnboundedReceiver<u64> {
+pub(crate) fn good_host(port: TcpListener, host: u32) -> mpsc::UnboundedReceiver<u64> {
     let (tell, got) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         loop {
