--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -1,7 +1,7 @@
-//! Keepers and routers that follow them, in simulated time: the cores of `spokeflow-coordination` unchanged, with drawn faults
+//! Control-plane nodes and the routers that hold their leases, in simulated time: the cores of `spokeflow-coordination` unchanged, with drawn faults
 //! between them. Messages are lost, doubled, held for seconds and overtake each other; ways are cut alone, one way and in
-//! part; keepers are stopped, killed with what they had not synced, and replaced; routers are stopped and started anew;
-//! every clock runs up to the told drift off. At each act of a router it is checked that no revision which it
+//! part; nodes are stopped, killed with what they had not synced, and replaced; routers are stopped and started anew;
+//! every clock runs up to the configured drift off. At each act of a router it is checked that no revision which it
 //! contradicts has been known for longer than one lease.
 
 mod event;
@@ -30,35 +30,51 @@
 /// How often a router acts.
 const ROUTER_ACTION_INTERVAL: Micros = 50 * MS;
 
+/// What a run of the control plane is made of.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlPlaneScenario {
+    /// Routers.
     pub routers: u32,
+    /// Nodes that vote at first.
     pub keepers: u32,
+    /// What all chance comes from.
     pub seed: u64,
+    /// Simulated time of the run.
     pub length: Micros,
+    /// Duration of a lease.
     pub lease: Micros,
+    /// The election timeout.
     pub silence: Micros,
+    /// How far clocks may be off, a fraction.
     pub drift: f64,
     /// Whether anything fails.
     pub faulty: bool,
 }
 
+/// What came of a run.
 #[derive(Clone, Debug, Default)]
 pub struct ControlPlaneRun {
     /// The first thing that did not hold.
     pub broken: Option<String>,
+    /// Events handled.
     pub events: u64,
+    /// Faults drawn.
     pub faults: u32,
+    /// The highest Raft term.
     pub terms: u64,
+    /// Leases granted.
     pub grants: u64,
     /// Of each revision: from the first that knew of it to its coming into force.
     pub waits: Vec<Micros>,
+    /// The longest that a router acted on what a later revision contradicts.
     pub longest_contradiction: Micros,
-    /// Acts under a lease, and without one.
+    /// Acts under a lease.
     pub leased: u64,
+    /// Acts without a lease.
     pub unleased: u64,
-    /// Entries and snapshot bytes that a keeper keeps at the end, the most of all.
+    /// Log entries that a node keeps at the end, the most of all.
     pub kept_entries: usize,
+    /// Bytes of the largest snapshot.
     pub kept_state: usize,
 }
 
@@ -72,16 +88,16 @@
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     events: HashMap<u64, Event>,
     planned: u64,
-    /// Cut ways by number of the cut; keepers come first, then routers.
+    /// Cut ways by number of the cut; nodes come first, then routers.
     cuts: Vec<(u64, usize, usize)>,
-    /// By revision, when a keeper first knew of it, and when one first had it in force.
+    /// By revision, when a node first knew of it, and when one first had it in force.
     first_known: BTreeMap<u64, Micros>,
     first_in_force: BTreeMap<u64, Micros>,
     pending_proposal: Option<Proposal>,
     played: ControlPlaneRun,
 }
 
-/// Plays a day. Equal days give equal results.
+/// Runs a scenario. Equal scenarios give equal results.
 pub fn play_agreement(day: ControlPlaneScenario) -> ControlPlaneRun {
     let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
     let terms = CoordinatorConfig {
@@ -196,7 +212,7 @@
         (self.now as f64 * rate) as Micros
     }
 
-    /// `from` and `to` count keepers first, then routers.
+    /// `from` and `to` count nodes first, then routers.
     fn send(&mut self, from: usize, to: usize, what: impl Fn() -> Event) {
         let faulty = self.scenario.faulty;
         let (lost, twice, late) = if faulty {
--- a/crates/spokeflow-simulator/src/control_plane/faults.rs
+++ b/crates/spokeflow-simulator/src/control_plane/faults.rs
@@ -34,7 +34,8 @@
                 let process = self.rng.random();
                 let router = &mut self.routers[r];
                 router.start += 1;
-                (router.stopped, router.last_response) = (false, self.now);
+                router.stopped = false;
+                router.last_response = self.now;
                 router.postponed.clear();
                 router.lease_holder = LeaseHolder::new(self.config.lease, process, r as u32);
                 let start = router.start;
@@ -43,7 +44,8 @@
             }
             5 if self.rng.random_bool(0.2) => {
                 for n in 0..many {
-                    (self.nodes[n].core, self.nodes[n].stopped) = (None, false);
+                    self.nodes[n].core = None;
+                    self.nodes[n].stopped = false;
                     let apart = self.rng.random_range(0..SECOND);
                     self.plan(lasts + apart, Event::NodeStarts { keeper: n });
                 }
--- a/crates/spokeflow-simulator/src/control_plane/nodes.rs
+++ b/crates/spokeflow-simulator/src/control_plane/nodes.rs
@@ -1,4 +1,4 @@
-//! Processes of keepers: their start, their disk, and what they send.
+//! Control-plane nodes: their start, their disk, and what they send.
 
 use rand::RngExt;
 use spokeflow_coordination::wire::{Response, ToNode};
@@ -35,11 +35,13 @@
         }
         let node = &mut self.nodes[n];
         node.start += 1;
-        (node.stopped, node.last_persisted, node.timer_at) = (false, 0, Micros::MAX);
+        node.stopped = false;
+        node.last_persisted = 0;
+        node.timer_at = Micros::MAX;
         node.postponed.clear();
         match Coordinator::new(terms, seed, node.disk.clone(), now) {
             Ok(core) => node.core = Some(core),
-            Err(what) => self.played.broken = Some(format!("keeper {n} does not start: {what}")),
+            Err(what) => self.played.broken = Some(format!("node {n} does not start: {what}")),
         }
         self.wake(n);
     }
--- a/crates/spokeflow-simulator/src/control_plane/operators.rs
+++ b/crates/spokeflow-simulator/src/control_plane/operators.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes a spare keeper in, or one out.
+    /// Adds a spare node, or removes one.
     pub(super) fn change(&mut self) {
         let after = self.rng.random_range(SECOND..4 * SECOND);
         self.plan(after, Event::MembershipChange);
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! A whole deployment in simulated time: many engines of `spokeflow-engine` unchanged, with the hosts, list, desk,
-//! clients and troubles of `spokeflow-scenario` around them. No I/O, no clock; discrete events in whole
-//! microseconds, those of one microsecond in the order in which they were planned. Equal days give equal bytes.
+//! A whole deployment in simulated time: many engines of `spokeflow-engine` unchanged, with the hosts, host list,
+//! release controller, clients and faults of `spokeflow-scenario` around them. No I/O, no clock; discrete events in whole
+//! microseconds, those of one microsecond in the order in which they were planned. Equal scenarios give equal bytes.
 
 mod baseline;
 mod control_plane;
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a day, and gives what came of it.
+//! Runs a scenario, and gives what came of it.
 
 use spokeflow_scenario::check::{check, RuleConfig};
 use spokeflow_scenario::observation::Observation;
@@ -11,7 +11,9 @@
 
 /// Event is told of a day while it is played.
 pub trait Watch {
+    /// A second has passed; `at` counts from the first command.
     fn passed(&mut self, _at: Micros) {}
+    /// Something was observed.
     fn seen(&mut self, _at: Micros, _seen: &Observation) {}
 }
 
@@ -24,17 +26,20 @@
     }
 }
 
+/// What came of a run.
 pub struct ScenarioRun {
+    /// The report.
     pub report: Report,
+    /// Events handled.
     pub events: u64,
     /// Simulated microseconds, lead and last answers among them.
     pub span: Micros,
-    /// The most events, tries and hosts' seats kept at a time.
+    /// The most events, attempts and hosts' slots kept at a time.
     pub most_kept: [usize; 3],
 }
 
-/// Plays a day to its end. Only the first breaks of a rule carry messages, where `explain` says so: the day is
-/// then played a second time, which gives the same.
+/// Runs a scenario to its end. Only the first breaks of a rule carry messages, where `explain` says so: the scenario
+/// is then run a second time, which gives the same.
 pub fn play(day: &Scenario, who: StrategyKind, explain: bool) -> ScenarioRun {
     let mut played = play_with(day, who, &mut ());
     if explain && !played.report.broken.is_empty() {
@@ -48,6 +53,7 @@
     played
 }
 
+/// Runs a scenario once and tells `watch` of it.
 pub fn play_with(day: &Scenario, who: StrategyKind, watch: &mut dyn Watch) -> ScenarioRun {
     World::new(day.clone(), who).run(watch)
 }
--- a/crates/spokeflow-simulator/src/strategy.rs
+++ b/crates/spokeflow-simulator/src/strategy.rs
@@ -11,9 +11,11 @@
 /// Event a router with full sight would know of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView {
+    /// It answers.
     pub up: bool,
-    /// Work before a command that is sent now, in microseconds, and the delay one way; `None`: cut off.
+    /// Work before a command that is sent now, in microseconds.
     pub work_before: f64,
+    /// The delay one way; `None` while it is cut off.
     pub delay: Option<Micros>,
     /// Event it does by now of what a warm and well host does.
     pub speed: f64,
@@ -25,12 +27,17 @@
 
 /// The way out of a router, and, for full sight alone, what nobody can see.
 pub trait Wiring: Transport {
+    /// The host as it is now.
     fn look(&self, host: HostId) -> HostView;
+    /// Whether the build has a defect.
     fn is_bad(&self, build: BuildId) -> bool;
 }
 
+/// Decides in a router's place.
 pub trait RoutingStrategy {
+    /// Takes one input.
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring);
+    /// When it wants [`Input::Timer`] next.
     fn next_wake(&self) -> Micros;
     /// Commands that are owed an answer.
     fn held(&self) -> usize;
@@ -50,18 +57,23 @@
     }
 }
 
+/// What decides in a router's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StrategyKind {
+    /// The engine of `spokeflow-engine`.
     Engine,
+    /// Any host.
     Random,
+    /// Hosts one after the other.
     RoundRobin,
-    /// The better of two random choices by own commands in flight, without pins.
+    /// The better of two random choices by own commands in flight, without sticky assignments.
     TwoChoices,
     /// Sees hosts and builds as they are: an upper bound.
     FullSight,
 }
 
 impl StrategyKind {
+    /// All kinds, in the order of their declaration.
     pub const ALL: [StrategyKind; 5] = [
         StrategyKind::Engine,
         StrategyKind::Random,
