--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -99,8 +99,26 @@
 
 /// Runs a scenario. Equal scenarios give equal results.
 pub fn play_agreement(day: ControlPlaneScenario) -> ControlPlaneRun {
+    let mut world = World::new(day);
+    (0..world.nodes.len()).for_each(|n| world.start(n));
+    for router in 0..world.routers.len() {
+        let after = world.rng.random_range(0..SECOND);
+        world.plan(after, Event::LeaseRenewal { router, start: 0 });
+        world.plan(after, Event::RouterActs { router, start: 0 });
+    }
+    world.plan(2 * SECOND, Event::ProposalDue);
+    if day.faulty {
+        world.plan(2 * SECOND, Event::Fault);
+        world.plan(5 * SECOND, Event::MembershipChange);
+    }
+    world.run();
+    world.finish()
+}
+
+/// The configuration of all nodes; each puts its own number in.
+fn coordinator_config(day: &ControlPlaneScenario) -> CoordinatorConfig {
     let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
-    let terms = CoordinatorConfig {
+    CoordinatorConfig {
         id: NodeId(0),
         raft: RaftConfig {
             voters: members,
@@ -116,60 +134,53 @@
             .map(|n| (NodeId(n), n.to_string()))
             .collect(),
         check: |_| Ok(()),
-    };
-    let mut chance = StdRng::seed_from_u64(day.seed);
-    let spread = 1.0 - day.drift..=1.0 + day.drift;
-    // Two more than vote at first: they are taken in for others.
-    let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
-        core: None,
-        start: 0,
-        disk: PersistentState::default(),
-        last_persisted: 0,
-        stopped: false,
-        postponed: Vec::new(),
-        clock_rate: chance.random_range(spread.clone()),
-        timer_at: Micros::MAX,
-    });
-    let keepers: Vec<ControlPlaneNode> = keepers.collect();
-    let routers = (0..day.routers).map(|n| Router {
-        lease_holder: LeaseHolder::new(terms.lease, u64::from(n), n),
-        start: 0,
-        stopped: false,
-        postponed: Vec::new(),
-        clock_rate: chance.random_range(spread.clone()),
-        node: (n % day.keepers) as usize,
-        last_response: 0,
-    });
-    let routers: Vec<Router> = routers.collect();
-    let mut world = World {
-        scenario: day,
-        config: terms,
-        now: 10 * SECOND,
-        rng: chance,
-        nodes: keepers,
-        routers,
-        due: BinaryHeap::new(),
-        events: HashMap::new(),
-        planned: 0,
-        cuts: Vec::new(),
-        first_known: BTreeMap::new(),
-        first_in_force: BTreeMap::new(),
-        pending_proposal: None,
-        played: ControlPlaneRun::default(),
-    };
-    (0..world.nodes.len()).for_each(|n| world.start(n));
-    for router in 0..world.routers.len() {
-        let after = world.rng.random_range(0..SECOND);
-        world.plan(after, Event::LeaseRenewal { router, start: 0 });
-        world.plan(after, Event::RouterActs { router, start: 0 });
     }
-    world.plan(2 * SECOND, Event::ProposalDue);
-    if day.faulty {
-        world.plan(2 * SECOND, Event::Fault);
-        world.plan(5 * SECOND, Event::MembershipChange);
+}
+
+impl World {
+    fn new(day: ControlPlaneScenario) -> World {
+        let terms = coordinator_config(&day);
+        let mut chance = StdRng::seed_from_u64(day.seed);
+        let spread = 1.0 - day.drift..=1.0 + day.drift;
+        // Two more than vote at first: they are taken in for others.
+        let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
+            core: None,
+            start: 0,
+            disk: PersistentState::default(),
+            last_persisted: 0,
+            stopped: false,
+            postponed: Vec::new(),
+            clock_rate: chance.random_range(spread.clone()),
+            timer_at: Micros::MAX,
+        });
+        let keepers: Vec<ControlPlaneNode> = keepers.collect();
+        let routers = (0..day.routers).map(|n| Router {
+            lease_holder: LeaseHolder::new(terms.lease, u64::from(n), n),
+            start: 0,
+            stopped: false,
+            postponed: Vec::new(),
+            clock_rate: chance.random_range(spread.clone()),
+            node: (n % day.keepers) as usize,
+            last_response: 0,
+        });
+        let routers: Vec<Router> = routers.collect();
+        World {
+            scenario: day,
+            config: terms,
+            now: 10 * SECOND,
+            rng: chance,
+            nodes: keepers,
+            routers,
+            due: BinaryHeap::new(),
+            events: HashMap::new(),
+            planned: 0,
+            cuts: Vec::new(),
+            first_known: BTreeMap::new(),
+            first_in_force: BTreeMap::new(),
+            pending_proposal: None,
+            played: ControlPlaneRun::default(),
+        }
     }
-    world.run();
-    world.finish()
 }
 
 impl World {
--- a/crates/spokeflow-simulator/src/control_plane/routers.rs
+++ b/crates/spokeflow-simulator/src/control_plane/routers.rs
@@ -19,23 +19,28 @@
     pub(super) last_response: Micros,
 }
 
+impl Router {
+    fn try_next_node(&mut self, nodes: usize, now: Micros) {
+        self.node = (self.node + 1) % nodes;
+        self.last_response = now;
+    }
+}
+
 impl World {
     pub(super) fn router_asks(&mut self, router: usize) {
         let now = self.clock(self.routers[router].clock_rate);
         let waited = self.now - self.routers[router].last_response;
-        let (n, many) = (self.nodes.len(), self.nodes.len());
+        let many = self.nodes.len();
         let r = &mut self.routers[router];
         if waited > r.lease_holder.renewal_interval() + RESPONSE_TIMEOUT {
-            (r.node, r.last_response) = ((r.node + 1) % many, self.now);
+            r.try_next_node(many, self.now);
         }
         let (number, asked): (u64, LeaseRequest) = r.lease_holder.request(now);
-        let (to, start, every) = (
-            r.node,
-            r.start,
-            (r.lease_holder.renewal_interval() as f64 / r.clock_rate) as Micros,
-        );
+        let to = r.node;
+        let start = r.start;
+        let every = (r.lease_holder.renewal_interval() as f64 / r.clock_rate) as Micros;
         let conn = router_conn(router, start);
-        self.send(n + router, to, || Event::RequestArrives {
+        self.send(many + router, to, || Event::RequestArrives {
             to,
             conn,
             number,
@@ -60,7 +65,7 @@
                     r.lease_holder.set_applied_revision(newest);
                 }
             }
-            _ => (r.node, r.last_response) = ((r.node + 1) % many, self.now),
+            _ => r.try_next_node(many, self.now),
         }
     }
 
@@ -73,10 +78,8 @@
             return;
         }
         self.played.leased += 1;
-        let (in_force, newest) = (
-            r.lease_holder.in_force().number.0,
-            r.lease_holder.newest().0,
-        );
+        let in_force = r.lease_holder.in_force().number.0;
+        let newest = r.lease_holder.newest().0;
         let unknown = self
             .first_known
             .range(newest + 1..)
--- a/crates/spokeflow-simulator/src/host_link.rs
+++ b/crates/spokeflow-simulator/src/host_link.rs
@@ -107,8 +107,10 @@
         self.epoch += 1;
         self.link = Link::Closed;
         self.cancelled.clear();
-        (self.pings, self.pongs) = (0, 0);
-        (self.last_to, self.last_from) = (0, 0);
+        self.pings = 0;
+        self.pongs = 0;
+        self.last_to = 0;
+        self.last_from = 0;
         (
             std::mem::take(&mut self.waiting),
             std::mem::take(&mut self.in_flight),
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -56,22 +56,23 @@
         self.plan_at(at, Event::MessageAtHost { pair, epoch, word });
     }
 
-    pub(super) fn deliver(&mut self, pair: usize, parcel: Message) {
+    pub(super) fn deliver(&mut self, pair: usize, message: Message) {
         let (seat, router) = self.ends_of(pair);
         let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
         let from = self.routers[router as usize].process;
         let p = &mut self.host_links[pair];
         p.last_used = self.now;
         if p.idle() {
-            (p.quiet_since, p.pinged) = (self.now, false);
+            p.quiet_since = self.now;
+            p.pinged = false;
         }
-        p.in_flight.push(parcel.delivery);
+        p.in_flight.push(message.delivery);
         let listens = std::mem::replace(&mut p.silence_watched, true);
         let epoch = p.epoch;
         if !listens {
             self.plan(LINK_TIMEOUT / 2, Event::SilenceCheck { pair, epoch });
         }
-        let (tried, delivery) = (parcel.attempt, parcel.delivery);
+        let (tried, delivery) = (message.attempt, message.delivery);
         self.note(Observation::Delivered {
             host,
             build,
@@ -79,7 +80,7 @@
             attempt: tried,
             delivery,
         });
-        self.send(pair, HostMessage::Deliver(parcel));
+        self.send(pair, HostMessage::Deliver(message));
     }
 
     pub(super) fn lose(
@@ -153,19 +154,23 @@
         }
         let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
         let p = &mut self.host_links[pair];
-        (p.link, p.up_since, p.last_used) = (Link::Up, self.now, self.now);
-        (p.quiet_since, p.pinged, p.silence_watched) = (self.now, false, false);
+        p.link = Link::Up;
+        p.up_since = self.now;
+        p.last_used = self.now;
+        p.quiet_since = self.now;
+        p.pinged = false;
+        p.silence_watched = false;
         let waiting = std::mem::take(&mut p.waiting);
         let known = p.incarnation == incarnation;
         let up_us = (self.now - began) as u64;
         let by = self.routers[router as usize].process;
         // Event waits was meant for another process, maybe another build.
         if known {
-            for parcel in waiting {
-                if self.now >= parcel.leave_by {
-                    self.lose(pair, [parcel.delivery], TransportFailure::NotSent);
+            for message in waiting {
+                if self.now >= message.leave_by {
+                    self.lose(pair, [message.delivery], TransportFailure::NotSent);
                 } else {
-                    self.deliver(pair, parcel);
+                    self.deliver(pair, message);
                 }
             }
         } else {
@@ -305,7 +310,8 @@
         }
         let (seat, router) = self.ends_of(pair);
         let p = &mut self.host_links[pair];
-        (p.quiet_since, p.pinged) = (self.now, false);
+        p.quiet_since = self.now;
+        p.pinged = false;
         let (delivery, message) = match word {
             RouterMessage::Broken => return self.broken(pair, TransportFailure::Reset),
             RouterMessage::Pong => {
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -18,7 +18,10 @@
 use crate::host_link::{Link, Message, IDLE_TIMEOUT, QUEUE_LIMIT};
 use crate::strategy::{HostView, Wiring};
 
-/// The links of one router, for as long as its brain is asked.
+/// Longer times left are taken for this, so that sums of times stay in range.
+const MAX_LEFT_US: u64 = 1 << 40;
+
+/// The links of one router, while its strategy decides.
 pub(super) struct RouterTransport<'a> {
     pub(super) world: &'a mut World,
     pub(super) router: u32,
@@ -35,6 +38,61 @@
     }
 }
 
+impl RouterTransport<'_> {
+    /// Returns false where too many messages wait for the connection.
+    fn deliver(&mut self, pair: usize, message: Message) -> bool {
+        let now = self.world.now;
+        let delivery = message.delivery;
+        let link = &mut self.world.host_links[pair];
+        if link.waiting.len() >= QUEUE_LIMIT {
+            return false;
+        }
+        if !link.open {
+            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+            return true;
+        }
+        if link.link == Link::Up && link.idle() && now - link.last_used > IDLE_TIMEOUT {
+            link.drop_link();
+        }
+        match link.link {
+            Link::Up => self.world.deliver(pair, message),
+            Link::Connecting => link.waiting.push(message),
+            Link::Closed if now < link.not_before => {
+                self.world
+                    .lose(pair, [delivery], TransportFailure::NotConnected);
+            }
+            Link::Closed => {
+                link.waiting.push(message);
+                self.world.connect(pair);
+            }
+        }
+        true
+    }
+
+    fn cancel(&mut self, pair: usize, delivery: u64) {
+        let link = &mut self.world.host_links[pair];
+        let waiting = link
+            .waiting
+            .iter()
+            .position(|message| message.delivery == delivery);
+        if let Some(index) = waiting {
+            link.waiting.remove(index);
+            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+            return;
+        }
+        let Some(index) = link.in_flight.iter().position(|sent| *sent == delivery) else {
+            return;
+        };
+        link.in_flight.remove(index);
+        link.cancelled.push((delivery, link.pings + 1));
+        let pings = link.start_ping();
+        self.world.send(pair, HostMessage::Cancel(delivery));
+        if pings {
+            self.world.send(pair, HostMessage::Ping);
+        }
+    }
+}
+
 impl Transport for RouterTransport<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
         let (tried, end, receipt) = match message {
@@ -70,7 +128,6 @@
 
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
         let by = self.by();
-        let now = self.world.now;
         let Some(pair) = self.pair(host) else {
             // Gone for long: nothing answers there.
             if let ToHost::Deliver { delivery, .. } = message {
@@ -92,62 +149,25 @@
                 delivery,
                 op,
                 key,
-                idempotency_key: mark,
+                idempotency_key,
                 left_us,
                 body,
                 ..
             } => {
-                let (tried, command) = read_body(&body);
-                let left = left_us.min(1 << 40) as Micros;
-                let parcel = Message {
+                let (attempt, command) = read_body(&body);
+                let message = Message {
                     delivery,
-                    attempt: tried,
+                    attempt,
                     command,
                     op,
                     key,
-                    idempotency_key: mark,
-                    left,
+                    idempotency_key,
+                    left: left_us.min(MAX_LEFT_US) as Micros,
                     leave_by,
                 };
-                let p = &mut self.world.host_links[pair];
-                if p.waiting.len() >= QUEUE_LIMIT {
-                    return false;
-                }
-                if !p.open {
-                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
-                    return true;
-                }
-                if p.link == Link::Up && p.idle() && now - p.last_used > IDLE_TIMEOUT {
-                    p.drop_link();
-                }
-                match p.link {
-                    Link::Up => self.world.deliver(pair, parcel),
-                    Link::Connecting => p.waiting.push(parcel),
-                    Link::Closed if now < p.not_before => {
-                        self.world
-                            .lose(pair, [delivery], TransportFailure::NotConnected);
-                    }
-                    Link::Closed => {
-                        p.waiting.push(parcel);
-                        self.world.connect(pair);
-                    }
-                }
-            }
-            ToHost::Cancel { delivery } => {
-                let p = &mut self.world.host_links[pair];
-                if let Some(at) = p.waiting.iter().position(|w| w.delivery == delivery) {
-                    p.waiting.remove(at);
-                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
-                } else if let Some(at) = p.in_flight.iter().position(|d| *d == delivery) {
-                    p.in_flight.remove(at);
-                    p.cancelled.push((delivery, p.pings + 1));
-                    let asks = p.start_ping();
-                    self.world.send(pair, HostMessage::Cancel(delivery));
-                    if asks {
-                        self.world.send(pair, HostMessage::Ping);
-                    }
-                }
+                return self.deliver(pair, message);
             }
+            ToHost::Cancel { delivery } => self.cancel(pair, delivery),
             _ => {}
         }
         true
@@ -223,7 +243,8 @@
     fn host_open(&mut self, host: HostId, _address: &str, incarnation: u64) {
         if let Some(pair) = self.pair(host) {
             let p = &mut self.world.host_links[pair];
-            (p.open, p.incarnation) = (true, incarnation);
+            p.open = true;
+            p.incarnation = incarnation;
         }
     }
 
