--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -1,7 +1,7 @@
-//! Keepers and routers that follow them, in simulated time: the cores of `spokeflow-coordination` unchanged, with drawn faults
+//! Control-plane nodes and the routers that hold their leases, in simulated time: the cores of `spokeflow-coordination` unchanged, with drawn faults
 //! between them. Messages are lost, doubled, held for seconds and overtake each other; ways are cut alone, one way and in
-//! part; keepers are stopped, killed with what they had not synced, and replaced; routers are stopped and started anew;
-//! every clock runs up to the told drift off. At each act of a router it is checked that no revision which it
+//! part; nodes are stopped, killed with what they had not synced, and replaced; routers are stopped and started anew;
+//! every clock runs up to the configured drift off. At each act of a router it is checked that no revision which it
 //! contradicts has been known for longer than one lease.
 
 mod event;
@@ -30,35 +30,51 @@
 /// How often a router acts.
 const ROUTER_ACTION_INTERVAL: Micros = 50 * MS;
 
+/// What a run of the control plane is made of.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlPlaneScenario {
+    /// Routers.
     pub routers: u32,
+    /// Nodes that vote at first.
     pub keepers: u32,
+    /// What all chance comes from.
     pub seed: u64,
+    /// Simulated time of the run.
     pub length: Micros,
+    /// Duration of a lease.
     pub lease: Micros,
+    /// The election timeout.
     pub silence: Micros,
+    /// How far clocks may be off, a fraction.
     pub drift: f64,
     /// Whether anything fails.
     pub faulty: bool,
 }
 
+/// What came of a run.
 #[derive(Clone, Debug, Default)]
 pub struct ControlPlaneRun {
     /// The first thing that did not hold.
     pub broken: Option<String>,
+    /// Events handled.
     pub events: u64,
+    /// Faults drawn.
     pub faults: u32,
+    /// The highest Raft term.
     pub terms: u64,
+    /// Leases granted.
     pub grants: u64,
     /// Of each revision: from the first that knew of it to its coming into force.
     pub waits: Vec<Micros>,
+    /// The longest that a router acted on what a later revision contradicts.
     pub longest_contradiction: Micros,
-    /// Acts under a lease, and without one.
+    /// Acts under a lease.
     pub leased: u64,
+    /// Acts without a lease.
     pub unleased: u64,
-    /// Entries and snapshot bytes that a keeper keeps at the end, the most of all.
+    /// Log entries that a node keeps at the end, the most of all.
     pub kept_entries: usize,
+    /// Bytes of the largest snapshot.
     pub kept_state: usize,
 }
 
@@ -72,19 +88,37 @@
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     events: HashMap<u64, Event>,
     planned: u64,
-    /// Cut ways by number of the cut; keepers come first, then routers.
+    /// Cut ways by number of the cut; nodes come first, then routers.
     cuts: Vec<(u64, usize, usize)>,
-    /// By revision, when a keeper first knew of it, and when one first had it in force.
+    /// By revision, when a node first knew of it, and when one first had it in force.
     first_known: BTreeMap<u64, Micros>,
     first_in_force: BTreeMap<u64, Micros>,
     pending_proposal: Option<Proposal>,
     played: ControlPlaneRun,
 }
 
-/// Plays a day. Equal days give equal results.
+/// Runs a scenario. Equal scenarios give equal results.
 pub fn play_agreement(day: ControlPlaneScenario) -> ControlPlaneRun {
+    let mut world = World::new(day);
+    (0..world.nodes.len()).for_each(|n| world.start(n));
+    for router in 0..world.routers.len() {
+        let after = world.rng.random_range(0..SECOND);
+        world.plan(after, Event::LeaseRenewal { router, start: 0 });
+        world.plan(after, Event::RouterActs { router, start: 0 });
+    }
+    world.plan(2 * SECOND, Event::ProposalDue);
+    if day.faulty {
+        world.plan(2 * SECOND, Event::Fault);
+        world.plan(5 * SECOND, Event::MembershipChange);
+    }
+    world.run();
+    world.finish()
+}
+
+/// The configuration of all nodes; each puts its own number in.
+fn coordinator_config(day: &ControlPlaneScenario) -> CoordinatorConfig {
     let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
-    let terms = CoordinatorConfig {
+    CoordinatorConfig {
         id: NodeId(0),
         raft: RaftConfig {
             voters: members,
@@ -100,60 +134,53 @@
             .map(|n| (NodeId(n), n.to_string()))
             .collect(),
         check: |_| Ok(()),
-    };
-    let mut chance = StdRng::seed_from_u64(day.seed);
-    let spread = 1.0 - day.drift..=1.0 + day.drift;
-    // Two more than vote at first: they are taken in for others.
-    let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
-        core: None,
-        start: 0,
-        disk: PersistentState::default(),
-        last_persisted: 0,
-        stopped: false,
-        postponed: Vec::new(),
-        clock_rate: chance.random_range(spread.clone()),
-        timer_at: Micros::MAX,
-    });
-    let keepers: Vec<ControlPlaneNode> = keepers.collect();
-    let routers = (0..day.routers).map(|n| Router {
-        lease_holder: LeaseHolder::new(terms.lease, u64::from(n), n),
-        start: 0,
-        stopped: false,
-        postponed: Vec::new(),
-        clock_rate: chance.random_range(spread.clone()),
-        node: (n % day.keepers) as usize,
-        last_response: 0,
-    });
-    let routers: Vec<Router> = routers.collect();
-    let mut world = World {
-        scenario: day,
-        config: terms,
-        now: 10 * SECOND,
-        rng: chance,
-        nodes: keepers,
-        routers,
-        due: BinaryHeap::new(),
-        events: HashMap::new(),
-        planned: 0,
-        cuts: Vec::new(),
-        first_known: BTreeMap::new(),
-        first_in_force: BTreeMap::new(),
-        pending_proposal: None,
-        played: ControlPlaneRun::default(),
-    };
-    (0..world.nodes.len()).for_each(|n| world.start(n));
-    for router in 0..world.routers.len() {
-        let after = world.rng.random_range(0..SECOND);
-        world.plan(after, Event::LeaseRenewal { router, start: 0 });
-        world.plan(after, Event::RouterActs { router, start: 0 });
     }
-    world.plan(2 * SECOND, Event::ProposalDue);
-    if day.faulty {
-        world.plan(2 * SECOND, Event::Fault);
-        world.plan(5 * SECOND, Event::MembershipChange);
+}
+
+impl World {
+    fn new(day: ControlPlaneScenario) -> World {
+        let terms = coordinator_config(&day);
+        let mut chance = StdRng::seed_from_u64(day.seed);
+        let spread = 1.0 - day.drift..=1.0 + day.drift;
+        // Two more than vote at first: they are taken in for others.
+        let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
+            core: None,
+            start: 0,
+            disk: PersistentState::default(),
+            last_persisted: 0,
+            stopped: false,
+            postponed: Vec::new(),
+            clock_rate: chance.random_range(spread.clone()),
+            timer_at: Micros::MAX,
+        });
+        let keepers: Vec<ControlPlaneNode> = keepers.collect();
+        let routers = (0..day.routers).map(|n| Router {
+            lease_holder: LeaseHolder::new(terms.lease, u64::from(n), n),
+            start: 0,
+            stopped: false,
+            postponed: Vec::new(),
+            clock_rate: chance.random_range(spread.clone()),
+            node: (n % day.keepers) as usize,
+            last_response: 0,
+        });
+        let routers: Vec<Router> = routers.collect();
+        World {
+            scenario: day,
+            config: terms,
+            now: 10 * SECOND,
+            rng: chance,
+            nodes: keepers,
+            routers,
+            due: BinaryHeap::new(),
+            events: HashMap::new(),
+            planned: 0,
+            cuts: Vec::new(),
+            first_known: BTreeMap::new(),
+            first_in_force: BTreeMap::new(),
+            pending_proposal: None,
+            played: ControlPlaneRun::default(),
+        }
     }
-    world.run();
-    world.finish()
 }
 
 impl World {
@@ -196,7 +223,7 @@
         (self.now as f64 * rate) as Micros
     }
 
-    /// `from` and `to` count keepers first, then routers.
+    /// `from` and `to` count nodes first, then routers.
     fn send(&mut self, from: usize, to: usize, what: impl Fn() -> Event) {
         let faulty = self.scenario.faulty;
         let (lost, twice, late) = if faulty {
