--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -98,7 +98,7 @@
     }
 
     /// The standard error output of a process.
-    fn log_output(&self, name: &str) -> Result<Stdio, StartError> {
+    pub(crate) fn log_output(&self, name: &str) -> Result<Stdio, StartError> {
         let Some(directory) = &self.logs else {
             return Ok(Stdio::null());
         };
--- a/crates/spokeflow-testbed/src/scale/bounds.rs
+++ b/crates/spokeflow-testbed/src/scale/bounds.rs
@@ -4,6 +4,7 @@
 use procfs::Current;
 use serde::Serialize;
 
+use super::error::ScaleError;
 use super::flags::ScaleFlags;
 
 /// Processes of a run at most, this one included.
@@ -63,6 +64,11 @@
     }
 }
 
+/// Bounds that a run exceeds, and what to change.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", .0.join("; "))]
+pub struct ExceededBounds(Vec<String>);
+
 /// What the machine gives, and the bounds that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Machine {
@@ -75,13 +81,14 @@
 }
 
 impl Machine {
-    /// Errors: the system does not tell.
-    pub fn here() -> Result<Machine, String> {
-        let memory_bytes = procfs::Meminfo::current()
-            .map_err(|e| format!("/proc/meminfo: {e}"))?
-            .mem_total;
-        let (descriptors, _) =
-            getrlimit(Resource::RLIMIT_NOFILE).map_err(|e| format!("ulimit -n: {e}"))?;
+    /// The machine on which this program runs.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell.
+    pub fn here() -> Result<Machine, ScaleError> {
+        let memory_bytes = procfs::Meminfo::current()?.mem_total;
+        let (descriptors, _) = getrlimit(Resource::RLIMIT_NOFILE)?;
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
         Ok(Machine {
             cores,
@@ -111,8 +118,12 @@
         ]
     }
 
-    /// Errors: which bounds a run of this demand exceeds, in one line.
-    pub fn bears(&self, demand: &Demand) -> Result<(), String> {
+    /// Whether a run of a demand keeps all bounds.
+    ///
+    /// # Errors
+    ///
+    /// The bounds that it exceeds.
+    pub fn check(&self, demand: &Demand) -> Result<(), ExceededBounds> {
         let mut faults = Vec::new();
         if demand.processes > PROCESSES_AT_MOST {
             faults.push(format!(
@@ -135,7 +146,7 @@
         }
         match faults.is_empty() {
             true => Ok(()),
-            false => Err(faults.join("; ")),
+            false => Err(ExceededBounds(faults)),
         }
     }
 }
--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -147,8 +147,17 @@
     }
 }
 
+/// Why the settings of hollow routers do not fit.
+#[derive(Debug, thiserror::Error)]
+enum HollowError {
+    #[error(transparent)]
+    Parse(#[from] clap::Error),
+    #[error(transparent)]
+    Check(#[from] spokeflow_config::ConfigErrors),
+}
+
 /// The settings of a router of this process. Errors: they do not fit.
-fn terms(flags: &HollowFlags) -> Result<RouterFlags, String> {
+fn terms(flags: &HollowFlags) -> Result<RouterFlags, HollowError> {
     let settings = RouterSettings {
         nodes: flags.control_plane.clone(),
         fleet_size: flags.fleet_size,
@@ -163,11 +172,9 @@
         release_controller: nowhere,
     };
     let line = std::iter::once("router".to_string()).chain(settings.flags(flags.first, 0, around));
-    let mut terms = RouterLine::try_parse_from(line)
-        .map_err(|e| e.to_string())?
-        .terms;
+    let mut terms = RouterLine::try_parse_from(line)?.terms;
     terms.service.customers = customers(flags.tenants);
-    terms.check().map_err(|faults| faults.to_string())?;
+    terms.check()?;
     Ok(terms)
 }
 
--- a/crates/spokeflow-testbed/src/scale/list.rs
+++ b/crates/spokeflow-testbed/src/scale/list.rs
@@ -1,4 +1,4 @@
-//! The source of the host list: lines that change, told whole or as what changed.
+//! The source of the host list: endpoints that change, sent complete or as what changed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 }
 
 impl ListSource {
-    /// A list of `hosts` hosts that are ready, each in the zone that `zone` tells.
+    /// A list of `hosts` hosts that are ready, each in the zone that `zone` gives.
     pub(super) fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
         let line = |host| EndpointRecord {
             host,
@@ -114,15 +114,15 @@
         let codec = FrameCodec::<ToList, FromList>::new(LIST_LIMIT);
         let mut link = Framed::new(stream, codec);
         let mut version = self.version.subscribe();
-        let mut told = None;
+        let mut sent_version = None;
         loop {
             let answer = tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(ToList::Hello(_))) => FromList::Welcome,
-                    Some(Ok(_)) => self.whole(&mut told),
+                    Some(Ok(_)) => self.complete(&mut sent_version),
                     _ => return,
                 },
-                Ok(()) = version.changed(), if told.is_some() => self.changes(&mut told),
+                Ok(()) = version.changed(), if sent_version.is_some() => self.changes(&mut sent_version),
             };
             if link.send(answer).await.is_err() {
                 return;
@@ -130,9 +130,9 @@
         }
     }
 
-    fn whole(&self, told: &mut Option<u64>) -> FromList {
+    fn complete(&self, sent_version: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
-        *told = Some(lines.version);
+        *sent_version = Some(lines.version);
         let there = lines
             .lines
             .values()
@@ -143,10 +143,10 @@
         }
     }
 
-    fn changes(&self, told: &mut Option<u64>) -> FromList {
+    fn changes(&self, sent_version: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
-        let changed = lines.since(told.unwrap_or(0));
-        *told = Some(lines.version);
+        let changed = lines.since(sent_version.unwrap_or(0));
+        *sent_version = Some(lines.version);
         FromList::Changes {
             version: lines.version,
             endpoints: changed,
--- a/crates/spokeflow-testbed/src/scale/measure.rs
+++ b/crates/spokeflow-testbed/src/scale/measure.rs
@@ -225,7 +225,8 @@
 ) -> Option<f64> {
     let mut seconds: Vec<f64> = micros.iter().map(|t| *t as f64 / MICROS).collect();
     seconds.sort_by(f64::total_cmp);
-    let (min, max) = (*seconds.first()?, *seconds.last()?);
+    let min = *seconds.first()?;
+    let max = *seconds.last()?;
     for (name, value) in [
         ("p50", quantile(&seconds, 0.5)),
         ("p99", quantile(&seconds, 0.99)),
--- a/crates/spokeflow-testbed/src/scale/mod.rs
+++ b/crates/spokeflow-testbed/src/scale/mod.rs
@@ -3,6 +3,7 @@
 //! operators' page.
 
 mod bounds;
+mod error;
 mod flags;
 mod hollow;
 mod list;
@@ -20,7 +21,9 @@
 mod traffic;
 mod wire;
 
+pub use bounds::ExceededBounds;
 pub use bounds::{Demand, Machine};
+pub use error::ScaleError;
 pub use flags::{FlagsError, Phase, ScaleFlags, SizeOf};
 pub use hollow::{hollow, HollowCommand, HollowFlags};
 pub use propagation::{Propagation, Spread};
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -1,4 +1,4 @@
-//! Offers revisions to the voters as a person's tool does, and notes when each was offered first.
+//! Offers revisions to the voters as an operator's tool does, and notes when each was offered first.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,29 @@
 /// Every voter in turn fails with an offer so often: none will take it. A voter that is not there fails alone.
 const ROUNDS_AT_MOST: usize = 2;
 
+/// Why a revision is not taken.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ProposeError {
+    #[error("an offer of {bytes} bytes is refused: {reason}")]
+    Refused { bytes: usize, reason: String },
+    #[error(
+        "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
+    )]
+    NotAnnounced {
+        bytes: usize,
+        within: Duration,
+        /// The last answer or failure.
+        last: String,
+    },
+}
+
 pub(super) struct Offers {
     rig: Arc<Rig>,
     random: StdRng,
     newest: RevisionNumber,
     offered: u32,
     /// Why a revision was not taken: no further one is offered.
-    pub refused: Option<String>,
+    pub refused: Option<ProposeError>,
 }
 
 impl Offers {
@@ -52,14 +68,14 @@
                 self.rig.tap.record().propagation.offered(number.0, at);
                 Some(number.0)
             }
-            Err(what) => {
-                self.refused = Some(what);
+            Err(error) => {
+                self.refused = Some(error);
                 None
             }
         }
     }
 
-    async fn announce(&mut self) -> Result<RevisionNumber, String> {
+    async fn announce(&mut self) -> Result<RevisionNumber, ProposeError> {
         let within = self.rig.flags.in_force_within;
         let until = Instant::now() + within;
         let mut offer = Proposal {
@@ -72,34 +88,40 @@
         };
         let bytes = postcard::to_stdvec(&offer).map_or(0, |bytes| bytes.len());
         let failures_at_most = ROUNDS_AT_MOST * self.rig.voters_at.len();
-        let (mut failures, mut last) = (0, String::new());
+        let mut failures = 0;
+        let mut last = String::new();
         for voter in self.rig.voters_at.clone().into_iter().cycle() {
             if Instant::now() >= until || failures >= failures_at_most {
                 break;
             }
-            let asked = send_request_to(voter, Request::Propose(offer.clone())).await;
-            failures = if asked.is_ok() { 0 } else { failures + 1 };
-            match asked {
+            let response = send_request_to(voter, Request::Propose(offer.clone())).await;
+            failures = if response.is_ok() { 0 } else { failures + 1 };
+            match response {
                 Ok(Response::Proposed(ProposalOutcome::Pending(number))) => return Ok(number),
                 Ok(Response::Proposed(ProposalOutcome::Stale { newest })) => {
-                    (offer.base, offer.token) = (newest, self.random.random());
+                    offer.base = newest;
+                    offer.token = self.random.random();
                     continue;
                 }
                 Ok(Response::Proposed(ProposalOutcome::Busy { pending: announced })) => {
-                    (offer.base, offer.token) = (announced, self.random.random());
+                    offer.base = announced;
+                    offer.token = self.random.random();
                     last = format!("revision {} was still not in force", announced.0);
                 }
                 Ok(Response::Invalid(what)) => {
-                    return Err(format!("an offer of {bytes} bytes is refused: {what}"))
+                    let reason = what.to_string();
+                    return Err(ProposeError::Refused { bytes, reason });
                 }
                 Ok(answer) => last = format!("{answer:?}"),
                 Err(error) => last = error.to_string(),
             }
             sleep(PAUSE).await;
         }
-        Err(format!(
-            "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
-        ))
+        Err(ProposeError::NotAnnounced {
+            bytes,
+            within,
+            last,
+        })
     }
 
     /// Offers at the rate of the flags for this time. Answers the numbers of the revisions that were taken.
--- a/crates/spokeflow-testbed/src/scale/phases.rs
+++ b/crates/spokeflow-testbed/src/scale/phases.rs
@@ -9,6 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::{sleep, Instant};
 
+use super::error::RunError;
 use super::flags::Phase;
 use super::offers::Offers;
 use super::rig::Rig;
@@ -51,7 +52,7 @@
     }
 
     /// Plays one phase. Errors: a process that cannot be started, or has ended.
-    pub(super) async fn play(&mut self, phase: Phase, offers: &mut Offers) -> Result<(), String> {
+    pub(super) async fn play(&mut self, phase: Phase, offers: &mut Offers) -> Result<(), RunError> {
         let flags = self.rig.flags.clone();
         match phase {
             Phase::Quiet => sleep(flags.quiet_lasts).await,
@@ -89,7 +90,7 @@
         }
     }
 
-    async fn churn(&mut self, offers: &mut Offers, lasts: Duration) -> Result<(), String> {
+    async fn churn(&mut self, offers: &mut Offers, lasts: Duration) -> Result<(), RunError> {
         let rig = self.rig.clone();
         let until = Instant::now() + lasts;
         let churning = async {
@@ -109,15 +110,15 @@
         churned
     }
 
-    async fn zone(&mut self, offers: &mut Offers) -> Result<(), String> {
+    async fn zone(&mut self, offers: &mut Offers) -> Result<(), RunError> {
         let rig = self.rig.clone();
         let flags = &rig.flags;
         let lost = self.random.random_range(0..flags.zones);
         let routers: BTreeSet<u32> = (0..flags.routers)
-            .filter(|r| flags.zone(*r) == lost)
+            .filter(|router| flags.zone(*router) == lost)
             .collect();
         let hosts: Vec<u32> = (0..flags.hosts)
-            .filter(|h| flags.zone(*h) == lost)
+            .filter(|host| flags.zone(*host) == lost)
             .collect();
         let losing = async {
             rig.list.remove(&hosts);
@@ -133,7 +134,7 @@
         lost
     }
 
-    async fn start(&mut self, offers: &mut Offers) -> Result<(), String> {
+    async fn start(&mut self, offers: &mut Offers) -> Result<(), RunError> {
         let all: BTreeSet<u32> = (0..self.rig.flags.routers).collect();
         self.rig.leave(&all).await?;
         sleep(ALL_DOWN).await;
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    async fn leader(&mut self, offers: &mut Offers) -> Result<(), String> {
+    async fn leader(&mut self, offers: &mut Offers) -> Result<(), RunError> {
         let rig = self.rig.clone();
         let before = rig.tap.record().leadership;
         let killed = rig.tap.now();
@@ -154,10 +155,9 @@
         let after = rig.tap.record().leadership;
         let led = after.term > before.term;
         let since = |at: Option<Micros>| at.filter(|_| led).map(|at| at - killed);
-        let (leaderless, first_grant) = (since(Some(after.since)), since(after.first_grant));
         self.election = Some(Election {
-            leaderless,
-            first_grant,
+            leaderless: since(Some(after.since)),
+            first_grant: since(after.first_grant),
         });
         rig.start_voter(before.voter).await?;
         sleep(rig.flags.away_lasts).await;
@@ -191,14 +191,16 @@
     }
 
     fn absent(&self, routers: &BTreeSet<u32>) {
-        let (now, mut record) = (self.rig.tap.now(), self.rig.tap.record());
+        let now = self.rig.tap.now();
+        let mut record = self.rig.tap.record();
         routers
             .iter()
             .for_each(|router| record.propagation.left(now, *router));
     }
 
     fn present(&self, routers: &BTreeSet<u32>) {
-        let (now, mut record) = (self.rig.tap.now(), self.rig.tap.record());
+        let now = self.rig.tap.now();
+        let mut record = self.rig.tap.record();
         routers
             .iter()
             .for_each(|router| record.propagation.returned(now, *router));
--- a/crates/spokeflow-testbed/src/scale/propagation.rs
+++ b/crates/spokeflow-testbed/src/scale/propagation.rs
@@ -135,20 +135,22 @@
         let absences = self.absences.get(&router).into_iter().flatten();
         !absences
             .clone()
-            .any(|a| a.from <= to && a.to.is_none_or(|end| end >= from))
+            .any(|absence| absence.from <= to && absence.to.is_none_or(|end| end >= from))
     }
 
     fn is_away(&self, router: u32) -> bool {
         self.absences
             .get(&router)
-            .and_then(|a| a.last())
-            .is_some_and(|a| a.to.is_none())
+            .and_then(|absences| absences.last())
+            .is_some_and(|absence| absence.to.is_none())
     }
 
     /// From when on a router's time counts for a revision offered at `offered` that it had at `arrived`.
     fn counts_from(&self, router: u32, offered: Micros, arrived: Micros) -> Micros {
         let absences = self.absences.get(&router).into_iter().flatten();
-        let ends = absences.filter(|a| a.from <= arrived).filter_map(|a| a.to);
+        let ends = absences
+            .filter(|absence| absence.from <= arrived)
+            .filter_map(|absence| absence.to);
         ends.filter(|end| *end <= arrived)
             .fold(offered, Micros::max)
     }
@@ -165,7 +167,8 @@
         let offered = *self.offered.get(&number)?;
         let confirmed = self.confirmed.get(&number);
         let lacks = |router: &u32| {
-            !confirmed.is_some_and(|c| c.contains_key(router)) && !self.is_away(*router)
+            !confirmed.is_some_and(|arrivals| arrivals.contains_key(router))
+                && !self.is_away(*router)
         };
         Some(Spread {
             granted: self.times(offered, self.granted.get(&number)),
--- a/crates/spokeflow-testbed/src/scale/report.rs
+++ b/crates/spokeflow-testbed/src/scale/report.rs
@@ -8,8 +8,8 @@
 use super::flags::{Phase, ScaleFlags, SizeOf};
 use super::sample::Role;
 
-/// Quantities that are told to people at the end of a run; the file has all.
-const TOLD: [&str; 6] = [
+/// Quantities that are printed at the end of a run; the file has all.
+const PRINTED: [&str; 6] = [
     "time_to_ready_worst",
     "offer_to_in_force_p50",
     "offer_to_in_force_p99",
@@ -48,14 +48,15 @@
     pub max: f64,
     pub spread_of: SpreadOf,
     /// All sizes of the run.
-    pub held: Held,
+    #[serde(rename = "held")]
+    pub sizes: RunSizes,
     pub command: String,
     pub date: String,
 }
 
 /// The sizes of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Held {
+pub struct RunSizes {
     pub routers: u32,
     pub real: u32,
     pub hollow_per_process: u32,
@@ -66,9 +67,9 @@
     pub lease_seconds: f64,
 }
 
-impl Held {
-    pub fn of(flags: &ScaleFlags) -> Held {
-        Held {
+impl RunSizes {
+    pub fn of(flags: &ScaleFlags) -> RunSizes {
+        RunSizes {
             routers: flags.routers,
             real: flags.real,
             hollow_per_process: flags.hollow_per_process,
@@ -100,7 +101,8 @@
 
     /// The mean, the least and the greatest; `None` of no values.
     pub fn mean(values: &[f64]) -> Option<Spread> {
-        let (min, max) = (least(values)?, greatest(values)?);
+        let min = least(values)?;
+        let max = greatest(values)?;
         Some(Spread {
             value: values.iter().sum::<f64>() / values.len() as f64,
             min,
@@ -110,7 +112,8 @@
 
     /// The greatest, with the spread of all.
     pub fn greatest(values: &[f64]) -> Option<Spread> {
-        let (min, max) = (least(values)?, greatest(values)?);
+        let min = least(values)?;
+        let max = greatest(values)?;
         Some(Spread {
             value: max,
             min,
@@ -129,9 +132,9 @@
 
 /// The value below which this part of the sorted values lies; 0 of none.
 pub(super) fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let place = (sorted.len() as f64 * part) as usize;
+    let index = (sorted.len() as f64 * part) as usize;
     sorted
-        .get(place.min(sorted.len().saturating_sub(1)))
+        .get(index.min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
@@ -153,7 +156,8 @@
     /// Name of the size.
     pub size: String,
     /// The size by the flags.
-    pub asked: u32,
+    #[serde(rename = "asked")]
+    pub requested: u32,
     /// Whether it is known of.
     pub carried: bool,
     /// How, or why not.
@@ -161,9 +165,9 @@
 }
 
 fn carried(flags: &ScaleFlags) -> Vec<Carried> {
-    let of = |size: &str, asked, carried, how: &str| Carried {
+    let of = |size: &str, requested, carried, how: &str| Carried {
         size: size.into(),
-        asked,
+        requested,
         carried,
         how: how.into(),
     };
@@ -236,7 +240,7 @@
     /// All figures.
     pub figures: Vec<Figure>,
     #[serde(skip)]
-    flags: Held,
+    sizes: RunSizes,
     #[serde(skip)]
     size: (SizeOf, f64),
 }
@@ -278,7 +282,7 @@
             carried: carried(flags),
             notes: notes(),
             figures: Vec::new(),
-            flags: Held::of(flags),
+            sizes: RunSizes::of(flags),
             size: (flags.size_of, flags.size()),
         }
     }
@@ -305,7 +309,7 @@
             min,
             max,
             spread_of: of,
-            held: self.flags.clone(),
+            sizes: self.sizes.clone(),
             command: self.command.clone(),
             date: self.date.clone(),
         });
@@ -330,10 +334,10 @@
     /// A few lines for people: what took how long, what is not carried, what was exceeded, the verdict.
     pub fn text(&self) -> String {
         let mut lines = Vec::new();
-        let told = |figure: &&Figure| {
-            figure.role == Role::Fleet && TOLD.contains(&figure.quantity.as_str())
+        let is_printed = |figure: &&Figure| {
+            figure.role == Role::Fleet && PRINTED.contains(&figure.quantity.as_str())
         };
-        for figure in self.figures.iter().filter(told) {
+        for figure in self.figures.iter().filter(is_printed) {
             let Figure {
                 phase,
                 quantity,
@@ -346,13 +350,15 @@
         let left_out = self
             .carried
             .iter()
-            .filter(|size| !size.carried && size.asked > 0);
-        lines.extend(left_out.map(|size| format!("{} {}: {}", size.size, size.asked, size.how)));
-        lines.extend(
-            self.findings
-                .iter()
-                .map(|f| format!("EXCEEDED {} in {}: {}", f.bound, f.phase, f.text)),
-        );
+            .filter(|size| !size.carried && size.requested > 0);
+        lines
+            .extend(left_out.map(|size| format!("{} {}: {}", size.size, size.requested, size.how)));
+        lines.extend(self.findings.iter().map(|finding| {
+            format!(
+                "EXCEEDED {} in {}: {}",
+                finding.bound, finding.phase, finding.text
+            )
+        }));
         lines.extend(self.stopped.iter().map(|why| format!("STOPPED {why}")));
         lines.push(match self.outcome {
             Outcome::Kept => "bounds kept".into(),
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -15,6 +15,7 @@
 use tokio::sync::Mutex;
 use tokio::time::{timeout, Instant};
 
+use super::error::{RunError, ScaleError};
 use super::flags::ScaleFlags;
 use super::hollow::{HollowCommand, STARTED};
 use super::list::ListSource;
@@ -22,7 +23,7 @@
 use super::settings::{RouterPeers, RouterSettings};
 use super::tap::Tap;
 use crate::fleet::peers::Peers;
-use crate::routers::{RouterProcess, Starting};
+use crate::routers::{RouterProcess, StartError, Starting};
 
 /// A process of hollow routers says that they start within this time.
 const HOLLOW_STARTS_WITHIN: Duration = Duration::from_secs(20);
@@ -39,13 +40,16 @@
 
 impl HollowProcess {
     /// Errors: the process has ended.
-    async fn tell(&mut self, command: &HollowCommand) -> Result<(), String> {
-        let mut line = serde_json::to_string(command).map_err(|e| e.to_string())?;
-        line.push('\n');
-        self.commands
-            .write_all(line.as_bytes())
-            .await
-            .map_err(|e| format!("{}: {e}", self.name))
+    async fn tell(&mut self, command: &HollowCommand) -> Result<(), RunError> {
+        let write = async {
+            let mut line = serde_json::to_string(command)?;
+            line.push('\n');
+            self.commands.write_all(line.as_bytes()).await
+        };
+        write.await.map_err(|source| RunError::SendCommand {
+            name: self.name.clone(),
+            source,
+        })
     }
 }
 
@@ -79,9 +83,12 @@
         flags: ScaleFlags,
         starting: Starting,
         stores: PathBuf,
-    ) -> Result<Arc<Rig>, String> {
-        std::fs::create_dir_all(&stores).map_err(|e| format!("{}: {e}", stores.display()))?;
-        let port = |e: std::io::Error| format!("no port on loopback: {e}");
+    ) -> Result<Arc<Rig>, ScaleError> {
+        std::fs::create_dir_all(&stores).map_err(|source| ScaleError::CreateStores {
+            directory: stores.clone(),
+            source,
+        })?;
+        let port = ScaleError::Listen;
         let drift = 0.01;
         let held = (flags.lease.as_micros() as f64 * (1.0 - drift)) as crate::Micros;
         let tap = Tap::new(held, flags.hosts > 0);
@@ -133,7 +140,7 @@
     }
 
     /// Starts all processes, each router as started at the beginning. Errors: which does not start, and why.
-    pub(super) async fn launch(&self) -> Result<(), String> {
+    pub(super) async fn launch(&self) -> Result<(), RunError> {
         for id in 1..=self.flags.voters {
             self.start_voter(id).await?;
         }
@@ -141,16 +148,16 @@
         join_all(real)
             .await
             .into_iter()
-            .collect::<Result<Vec<()>, String>>()?;
+            .collect::<Result<Vec<()>, RunError>>()?;
         let step = self.flags.hollow_per_process as usize;
         let firsts = (self.flags.real..self.flags.routers).step_by(step);
         let started = join_all(firsts.map(|first| self.start_hollow(first))).await;
-        *self.hollow.lock().await = started.into_iter().collect::<Result<Vec<_>, String>>()?;
+        *self.hollow.lock().await = started.into_iter().collect::<Result<Vec<_>, RunError>>()?;
         Ok(())
     }
 
     /// Errors: it does not start.
-    pub(super) async fn start_voter(&self, id: u32) -> Result<(), String> {
+    pub(super) async fn start_voter(&self, id: u32) -> Result<(), RunError> {
         let name = voter_name(id);
         let election_timeout = self.flags.lease / ELECTION_TIMEOUTS_IN_LEASE;
         let mut flags = vec![
@@ -177,7 +184,10 @@
             ..self.starting.clone()
         };
         let process = RouterProcess::start(&starting, &flags, &name).await;
-        let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
+        let process = process.map_err(|source| RunError::Start {
+            name: name.clone(),
+            source,
+        })?;
         self.processes
             .add(&name, process.pid(), ProcessKind::Voter(id));
         self.tap.target(id, Some(process.address));
@@ -195,7 +205,7 @@
         }
     }
 
-    async fn start_real(&self, router: u32) -> Result<(), String> {
+    async fn start_real(&self, router: u32) -> Result<(), RunError> {
         let name = real_name(router);
         let settings = self.settings();
         let mut flags = settings.flags(router, self.flags.zone(router), self.around);
@@ -206,7 +216,10 @@
         };
         self.tap.record().started(self.tap.now(), router);
         let process = RouterProcess::start(&starting, &flags, &name).await;
-        let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
+        let process = process.map_err(|source| RunError::Start {
+            name: name.clone(),
+            source,
+        })?;
         self.processes
             .add(&name, process.pid(), ProcessKind::Real(router));
         self.real.lock().await.insert(router, process);
@@ -214,28 +227,35 @@
     }
 
     /// Starts one process of hollow routers. Errors: it does not start.
-    async fn start_hollow(&self, first: u32) -> Result<HollowProcess, String> {
+    async fn start_hollow(&self, first: u32) -> Result<HollowProcess, RunError> {
         let name = format!("hollow-{first}");
-        let fault = |what: String| format!("{name} cannot be started: {what}");
+        let start_error = |source| RunError::Start {
+            name: name.clone(),
+            source,
+        };
         let end = first
             .saturating_add(self.flags.hollow_per_process)
             .min(self.flags.routers);
         let mut command = self.hollow_command(first, end - first);
-        command.stderr(self.log_of(&name)?);
+        let log = self.starting.log_output(&name);
+        command.stderr(log.map_err(start_error)?);
         let routers: BTreeSet<u32> = (first..end).collect();
         self.note_started(&routers);
-        let mut child = command.spawn().map_err(|e| fault(e.to_string()))?;
+        let mut child = command.spawn().map_err(|source| {
+            start_error(StartError::Spawn {
+                program: self.starting.program.clone(),
+                source,
+            })
+        })?;
         let (Some(commands), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(fault("it has no standard input or output".into()));
+            return Err(start_error(StartError::NoOutput));
         };
         let mut line = String::new();
         let mut output = BufReader::new(output);
         let read = timeout(HOLLOW_STARTS_WITHIN, output.read_line(&mut line)).await;
         if !matches!(read, Ok(Ok(_))) || line.trim() != STARTED {
-            return Err(fault(format!(
-                "it did not say that its routers start, but '{}'",
-                line.trim()
-            )));
+            let line = line.trim().to_string();
+            return Err(RunError::StartHollow { name, line });
         }
         self.processes
             .add(&name, child.id(), ProcessKind::Hollow(end - first));
@@ -277,18 +297,6 @@
         command
     }
 
-    fn log_of(&self, name: &str) -> Result<Stdio, String> {
-        let Some(folder) = &self.starting.logs else {
-            return Ok(Stdio::null());
-        };
-        let file = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(folder.join(format!("{name}.log")));
-        file.map(Stdio::from)
-            .map_err(|e| format!("--logs {}: {e}", folder.display()))
-    }
-
     fn note_started(&self, routers: &BTreeSet<u32>) {
         let now = self.tap.now();
         let mut record = self.tap.record();
@@ -298,7 +306,7 @@
     }
 
     /// These routers end at once, real ones as by `kill -9`. Errors: a hollow process has ended.
-    pub(super) async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
             let now = self.tap.now();
             let mut record = self.tap.record();
@@ -318,7 +326,7 @@
     }
 
     /// These routers start, all at once. Errors: which does not start, and why.
-    pub(super) async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
             let now = self.tap.now();
             let mut record = self.tap.record();
@@ -338,7 +346,7 @@
         &self,
         routers: &BTreeSet<u32>,
         command: impl Fn(BTreeSet<u32>) -> HollowCommand,
-    ) -> Result<(), String> {
+    ) -> Result<(), RunError> {
         for process in self.hollow.lock().await.iter_mut() {
             let own: BTreeSet<u32> = process.routers.intersection(routers).copied().collect();
             if !own.is_empty() {
--- a/crates/spokeflow-testbed/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -9,6 +9,7 @@
 use tokio::time::Instant;
 
 use super::bounds::{Demand, Machine};
+use super::error::{RunError, ScaleError};
 use super::flags::{Phase, ScaleFlags};
 use super::measure::{measure, times, Judged};
 use super::offers::Offers;
@@ -74,20 +75,26 @@
     words.join(" ")
 }
 
-/// Plays a run and answers its report. Errors: wrong use, or a run that this machine does not bear; nothing was started.
-pub fn scale(flags: &ScaleFlags) -> Result<Report, String> {
-    flags.check().map_err(|e| e.to_string())?;
+/// Makes a run and returns its report.
+///
+/// # Errors
+///
+/// Wrong use, or a run that is too large for this machine; nothing was started.
+pub fn scale(flags: &ScaleFlags) -> Result<Report, ScaleError> {
+    flags.check()?;
     let machine = Machine::here()?;
     let demand = Demand::of(flags);
     bounds(flags, &machine)
         .iter()
         .for_each(|bound| eprintln!("bound: {bound}"));
-    machine
-        .bears(&demand)
-        .map_err(|what| format!("this run needs {what}"))?;
-    let mut starting = Starting::own().map_err(|e| e.to_string())?;
+    machine.check(&demand)?;
+    let mut starting = Starting::own().map_err(ScaleError::OwnProgram)?;
     if let Some(folder) = &flags.logs {
-        std::fs::create_dir_all(folder).map_err(|e| format!("--logs {}: {e}", folder.display()))?;
+        std::fs::create_dir_all(folder).map_err(|source| ScaleError::Path {
+            flag: "--logs",
+            path: folder.clone(),
+            source,
+        })?;
     }
     starting.logs.clone_from(&flags.logs);
     starting.log.clone_from(&flags.log);
@@ -99,27 +106,28 @@
         .worker_threads(3)
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = runtime.map_err(ScaleError::Runtime)?;
     let mut report = Report::new(flags, machine, demand, command());
     let stores = std::env::temp_dir().join(format!("spokeflow-scale-{}", std::process::id()));
     runtime.block_on(async {
         let rig = Rig::open(flags.clone(), starting, stores).await?;
         play(&rig, machine, &mut report).await;
         rig.end().await;
-        Ok::<(), String>(())
+        Ok::<(), ScaleError>(())
     })?;
     runtime.shutdown_background();
     if let Some(file) = &flags.json {
-        write(
-            file,
-            &serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?,
-        )?;
+        write(file, &serde_json::to_string_pretty(&report)?)?;
     }
     Ok(report)
 }
 
-fn write(file: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(file, text).map_err(|e| format!("--json {}: {e}", file.display()))
+fn write(file: &Path, text: &str) -> Result<(), ScaleError> {
+    std::fs::write(file, text).map_err(|source| ScaleError::Path {
+        flag: "--json",
+        path: file.to_path_buf(),
+        source,
+    })
 }
 
 /// Resolves once someone tells this program to end. Errors of the signal's handler leave it waiting.
@@ -147,7 +155,7 @@
     );
     let sampling = tokio::spawn(sampler.clone().run());
     let ended = tokio::select! {
-        played = phases(rig, &sampler, report) => played.err(),
+        played = phases(rig, &sampler, report) => played.err().map(|error| error.to_string()),
         why = interrupted() => Some(why),
         why = async {
             match stopped.wait_for(Option::is_some).await {
@@ -162,7 +170,7 @@
     }
 }
 
-async fn phases(rig: &Arc<Rig>, sampler: &Sampler, report: &mut Report) -> Result<(), String> {
+async fn phases(rig: &Arc<Rig>, sampler: &Sampler, report: &mut Report) -> Result<(), RunError> {
     let played = rig.flags.played();
     let progress = Progress::new(played.len());
     progress.say(LAUNCH);
@@ -171,10 +179,10 @@
     judge(rig, report, LAUNCH, &[], &sampler.take());
     let starting = rig.tap.record().propagation.starting().len();
     if starting > 0 {
-        return Err(format!(
-            "{starting} of {} routers were not ready in time",
-            rig.flags.routers
-        ));
+        return Err(RunError::NotReady {
+            starting,
+            routers: rig.flags.routers,
+        });
     }
     let mut offers = Offers::new(rig.clone());
     let mut phases = Phases::new(rig.clone());
@@ -187,8 +195,8 @@
         until_in_force(rig).await;
         let revisions = std::mem::take(&mut phases.revisions);
         judge(rig, report, &name, &revisions, &sampled);
-        if let Some(what) = offers.refused.take() {
-            report.find(&name, "revision refused", what);
+        if let Some(error) = offers.refused.take() {
+            report.find(&name, "revision refused", error.to_string());
         }
         judge_election(report, &name, &mut phases);
         if phase == Phase::Stalled {
--- a/crates/spokeflow-testbed/src/scale/sample.rs
+++ b/crates/spokeflow-testbed/src/scale/sample.rs
@@ -138,21 +138,15 @@
         real: u32,
         stop: watch::Sender<Option<String>>,
     ) -> Sampler {
-        let (phase, last_usage, last_traffic, last_at) = (
-            PhaseSamples::default(),
-            BTreeMap::new(),
-            BTreeMap::new(),
-            Instant::now(),
-        );
         let state = State {
             process_table,
             tap,
             machine,
             real,
-            phase,
-            last_usage,
-            last_traffic,
-            last_at,
+            phase: PhaseSamples::default(),
+            last_usage: BTreeMap::new(),
+            last_traffic: BTreeMap::new(),
+            last_at: Instant::now(),
             stop,
         };
         Sampler(Arc::new(Mutex::new(state)))
@@ -200,7 +194,7 @@
         let processes = self.process_table.members().len() as u32;
         self.phase.memory_peak_bytes = self.phase.memory_peak_bytes.max(memory_bytes);
         self.phase.process_count = self.phase.process_count.max(processes);
-        if let Err(what) = self.machine.bears(&Demand {
+        if let Err(what) = self.machine.check(&Demand {
             processes,
             memory_bytes,
             descriptors: 0,
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -132,10 +132,8 @@
     async fn forward_connection(self: Arc<Self>, voter: u32, caller: TcpStream) {
         let _ = caller.set_nodelay(true);
         let (caller_in, caller_out) = caller.into_split();
-        let (mut caller_in, mut caller_out) = (
-            Input::new(caller_in, codec()),
-            Output::new(caller_out, codec()),
-        );
+        let mut caller_in = Input::new(caller_in, codec());
+        let mut caller_out = Output::new(caller_out, codec());
         let Some(Ok(first)) = caller_in.next().await else {
             return;
         };
@@ -164,10 +162,8 @@
         };
         let _ = called.set_nodelay(true);
         let (voter_in, voter_out) = called.into_split();
-        let (mut voter_in, mut voter_out) = (
-            Input::new(voter_in, codec()),
-            Output::new(voter_out, codec()),
-        );
+        let mut voter_in = Input::new(voter_in, codec());
+        let mut voter_out = Output::new(voter_out, codec());
         let connection = self.clone().connection(node, Participant::Node(voter));
         let length = first.len() as u64;
         if voter_out.send(first.freeze()).await.is_err() {
