--- a/crates/spokeflow-experiments/src/capacity/collect.rs
+++ b/crates/spokeflow-experiments/src/capacity/collect.rs
@@ -55,7 +55,7 @@
 }
 
 fn run_files(runs: &Path) -> Result<Vec<PathBuf>, CapacityError> {
-    let fault = |e: std::io::Error| CapacityError::new(runs, "", e);
+    let fault = |error: std::io::Error| CapacityError::new(runs, "", error);
     let mut files = Vec::new();
     for entry in std::fs::read_dir(runs).map_err(fault)? {
         let file = entry.map_err(fault)?.path();
@@ -119,7 +119,9 @@
         return FixedParameters::new();
     };
     let alike = |name: &str, value: &serde_json::Value| {
-        records.iter().all(|r| r.fixed.get(name) == Some(value))
+        records
+            .iter()
+            .all(|record| record.fixed.get(name) == Some(value))
     };
     let fixed = first
         .fixed
@@ -153,26 +155,34 @@
 
 /// One point for each size: the median of its records, and the spread of all.
 fn points(records: &[Record]) -> Vec<Point> {
-    let mut sizes: Vec<f64> = records.iter().map(|r| r.size).collect();
+    let mut sizes: Vec<f64> = records.iter().map(|record| record.size).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
     sizes
         .into_iter()
-        .map(|size| point(size, records.iter().filter(|r| r.size == size).collect()))
+        .map(|size| {
+            point(
+                size,
+                records
+                    .iter()
+                    .filter(|record| record.size == size)
+                    .collect(),
+            )
+        })
         .collect()
 }
 
 fn point(size: f64, records: Vec<&Record>) -> Point {
-    let mut values: Vec<f64> = records.iter().map(|r| r.value).collect();
+    let mut values: Vec<f64> = records.iter().map(|record| record.value).collect();
     values.sort_by(f64::total_cmp);
     let value = values[(values.len() - 1) / 2];
     let repeated = values.len() > 1;
     let lows = records
         .iter()
-        .filter_map(|r| r.min.or(repeated.then_some(r.value)));
+        .filter_map(|record| record.min.or(repeated.then_some(record.value)));
     let highs = records
         .iter()
-        .filter_map(|r| r.max.or(repeated.then_some(r.value)));
+        .filter_map(|record| record.max.or(repeated.then_some(record.value)));
     Point {
         size,
         value,
--- a/crates/spokeflow-experiments/src/capacity/commands.rs
+++ b/crates/spokeflow-experiments/src/capacity/commands.rs
@@ -108,9 +108,10 @@
         let text = serde_json::to_string_pretty(&rows);
         return text
             .map(|text| text + "\n")
-            .map_err(|e| CapacityError::new(&flags.slopes, "", e));
+            .map_err(|error| CapacityError::new(&flags.slopes, "", error));
     }
-    let (of, by) = (flags.target.display(), flags.slopes.display());
+    let of = flags.target.display();
+    let by = flags.slopes.display();
     let command = format!("spokeflow-experiments capacity --target {of} --slopes {by}");
     Ok(Page {
         target: &target,
@@ -155,7 +156,9 @@
         answer_after,
         out,
     } = flags;
-    let (hosts, rate, seconds) = (hosts.clone(), *rate, *seconds);
+    let hosts = hosts.clone();
+    let rate = *rate;
+    let seconds = *seconds;
     let terms = ServedTerms {
         hosts,
         rate,
@@ -181,7 +184,7 @@
 }
 
 fn write_json(file: &Path, value: &impl Serialize) -> Result<(), CapacityError> {
-    let fault = |e: &dyn std::fmt::Display| CapacityError::new(file, "", e);
-    let text = serde_json::to_string_pretty(value).map_err(|e| fault(&e))?;
-    std::fs::write(file, text + "\n").map_err(|e| fault(&e))
+    let fault = |error: &dyn std::fmt::Display| CapacityError::new(file, "", error);
+    let text = serde_json::to_string_pretty(value).map_err(|error| fault(&error))?;
+    std::fs::write(file, text + "\n").map_err(|error| fault(&error))
 }
--- a/crates/spokeflow-experiments/src/capacity/encoded.rs
+++ b/crates/spokeflow-experiments/src/capacity/encoded.rs
@@ -142,7 +142,8 @@
             ("routers".to_string(), json!(1300)),
         ])
     };
-    let (before, after) = (tenant_offer(tenants, 0, 0), tenant_offer(tenants, 1, 1));
+    let before = tenant_offer(tenants, 0, 0);
+    let after = tenant_offer(tenants, 1, 1);
     let mut state = ConfigState::default();
     take(&mut state, before, 1);
     let state_before = state.encode().len();
@@ -175,7 +176,7 @@
         ])
     };
     let state = ConfigState::default();
-    let mut lease_granter = LeaseGranter::new(LEASE, 0);
+    let mut leases = LeaseGranter::new(LEASE, 0);
     let mut last = (0, 0);
     for router in 0..routers {
         let own = lease_request(&state, Some(state.list.version));
@@ -184,7 +185,7 @@
             process: PROCESS - u64::from(router),
             ..own
         };
-        let grant = lease_granter.grant(1, &lease_request, &state, &voter_addresses());
+        let grant = leases.grant(1, &lease_request, &state, &voter_addresses());
         let request = frame(&ToNode::Request {
             number: REQUEST,
             request: Request::Lease(lease_request),
@@ -244,10 +245,8 @@
         .collect();
     let values: Overrides = BTreeMap::from([("customer".to_string(), quotas.join(","))]);
     let token = PROCESS - u64::from(changed);
-    let (who, why) = (
-        "operator@example.org".to_string(),
-        "larger share for one tenant".to_string(),
-    );
+    let who = "operator@example.org".to_string();
+    let why = "larger share for one tenant".to_string();
     Proposal {
         token,
         base: RevisionNumber(against),
@@ -295,7 +294,8 @@
 }
 
 fn append_frame(act: &LogCommand) -> usize {
-    let (term, before) = (Term(12), LogIndex(REQUEST));
+    let term = Term(12);
+    let before = LogIndex(REQUEST);
     let entries = vec![Entry {
         term,
         payload: Payload::Command(act.encode()),
@@ -326,7 +326,8 @@
         incarnation: host.incarnation,
         up_us: host.up_us,
     };
-    let (version, lines) = (update.version, update.hosts.into_iter().map(line).collect());
+    let version = update.version;
+    let lines = update.hosts.into_iter().map(line).collect();
     frame(&if update.complete {
         FromList::Complete {
             version,
--- a/crates/spokeflow-experiments/src/capacity/ends.rs
+++ b/crates/spokeflow-experiments/src/capacity/ends.rs
@@ -41,7 +41,8 @@
 
     /// The same for the largest service: it has as large a part of the routers and the traffic as of the hosts.
     pub fn largest_service(target: &Target) -> End {
-        let (fleet, hosts) = (&target.fleet, target.assumptions.largest_service_hosts);
+        let fleet = &target.fleet;
+        let hosts = target.assumptions.largest_service_hosts;
         let fraction = hosts / fleet.hosts;
         End {
             name: "routers of its own, the largest service",
--- a/crates/spokeflow-experiments/src/capacity/error.rs
+++ b/crates/spokeflow-experiments/src/capacity/error.rs
@@ -34,10 +34,15 @@
 }
 
 impl fmt::Display for CapacityError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self.entry.as_str() {
-            "" | "." => write!(f, "{}: {}", self.file.display(), self.problem),
-            entry => write!(f, "{}: {entry}: {}", self.file.display(), self.problem),
+            "" | "." => write!(formatter, "{}: {}", self.file.display(), self.problem),
+            entry => write!(
+                formatter,
+                "{}: {entry}: {}",
+                self.file.display(),
+                self.problem
+            ),
         }
     }
 }
--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -82,15 +82,14 @@
 /// the part of the fleet that follows, and before the release of a large fleet.
 fn lasts(target: &Target, end: &End, fleet_requests: f64, stage: usize) -> f64 {
     let terms = &target.terms;
-    let (share, shortest) = (
-        terms.stage_fractions[stage],
-        terms.stage_bake_seconds + AFTER_BAKE,
-    );
+    let fraction = terms.stage_fractions[stage];
+    let shortest = terms.stage_bake_seconds + AFTER_BAKE;
     let Some(next) = terms.stage_fractions.get(stage + 1) else {
         let large = end.routers_per_service > spokeflow_core::ROUTERS_PER_HOST;
         return if large { LONGER * shortest } else { shortest };
     };
-    let enough_after = CONVICTS * (next - share) / (end.service_requests(fleet_requests) * share);
+    let enough_after =
+        CONVICTS * (next - fraction) / (end.service_requests(fleet_requests) * fraction);
     enough_after.clamp(shortest, LONGER * shortest)
 }
 
--- a/crates/spokeflow-experiments/src/capacity/lease.rs
+++ b/crates/spokeflow-experiments/src/capacity/lease.rs
@@ -12,7 +12,7 @@
 pub(super) struct LeaseBounds {
     pub lease: f64,
     /// For which a router holds a grant, by its own clock.
-    pub held: f64,
+    pub holds: f64,
     /// For which the leader waits, by its own clock.
     pub waits: f64,
     pub longest_contradiction: f64,
@@ -32,16 +32,14 @@
             max_clock_drift: terms.clock_drift,
         };
         let seconds = |micros: i64| micros as f64 / MICROS;
-        let (held, waits) = (
-            seconds(lease.holder_duration()),
-            seconds(lease.granter_duration()),
-        );
+        let holds = seconds(lease.holder_duration());
+        let waits = seconds(lease.granter_duration());
         LeaseBounds {
             lease: terms.lease_seconds,
-            held,
+            holds,
             waits,
             longest_contradiction: seconds(lease.longest_contradiction()),
-            renewal: held / super::limits::RENEWALS_PER_LEASE,
+            renewal: holds / super::limits::RENEWALS_PER_LEASE,
             in_force: waits,
             in_force_with_election: waits + 2.0 * terms.silence_seconds + waits,
         }
--- a/crates/spokeflow-experiments/src/capacity/page/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/mod.rs
@@ -1,5 +1,6 @@
 //! The page in Markdown.
 
+mod losses;
 mod roles;
 mod sections;
 mod target;
@@ -25,7 +26,7 @@
             self.over_budget(),
             self.what_to_build_first(),
             self.target_and_assumptions(),
-            self.not_carried(),
+            self.sizes_without_mechanism(),
             self.roles(),
             self.control_machines(),
             self.lease_bounds(),
--- a/crates/spokeflow-experiments/src/capacity/page/roles.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/roles.rs
@@ -63,10 +63,8 @@
         }
         text += "\nThen:\n\n";
         for (n, candidate) in next.iter().enumerate() {
-            let (name, what) = (
-                sentence_case(candidate.remedy.name()),
-                candidate.remedy.text(),
-            );
+            let name = sentence_case(candidate.remedy.name());
+            let what = candidate.remedy.text();
             text += &format!(
                 "{}. **{name}**, ratio {}: {}. {what}\n",
                 n + 1,
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -4,7 +4,7 @@
 use super::super::evidence::{self, StageEvidence};
 use super::super::fit::Form;
 use super::super::lease::LeaseBounds;
-use super::super::placement::{assign_machines, tolerated_voter_losses};
+use super::super::placement::assign_machines;
 use super::super::row::{format_number, Unit};
 use super::super::slopes::{Line, Point, ENOUGH_POINTS, FAR};
 use super::{table, Page};
@@ -25,7 +25,7 @@
     }
 
     /// Sizes of the target that today's settings have no word for.
-    pub(super) fn not_carried(&self) -> String {
+    pub(super) fn sizes_without_mechanism(&self) -> String {
         let fleet = &self.target.fleet;
         let row = |size: &str, count: f64, why: &str| {
             [size.to_string(), format_number(count), why.to_string()]
@@ -47,13 +47,13 @@
 
     pub(super) fn control_machines(&self) -> String {
         let placed = assign_machines(self.target);
-        let rows = placed.iter().map(|p| {
-            let duty = p.duty.name().to_string();
+        let rows = placed.iter().map(|group| {
+            let duty = group.duty.name().to_string();
             [
-                p.region.to_string(),
+                group.region.to_string(),
                 duty,
-                p.machines.to_string(),
-                p.duty.mechanism().to_string(),
+                group.machines.to_string(),
+                group.duty.mechanism().to_string(),
             ]
         });
         let mut text = String::from("## The control machines\n\n");
@@ -65,68 +65,6 @@
         text + &table(["lost", "cost", "mechanism"], self.losses())
     }
 
-    fn losses(&self) -> Vec<[String; 3]> {
-        let (terms, fleet) = (&self.target.terms, &self.target.fleet);
-        let bounds = LeaseBounds::of(self.target);
-        let (voters, spare) = (
-            format_number(terms.voters),
-            format_number(tolerated_voter_losses(terms.voters)),
-        );
-        let beyond = format_number(tolerated_voter_losses(terms.voters) + 1.0);
-        let routers = format_number((fleet.routers / fleet.regions).ceil());
-        let (election, held) = (
-            format_number(2.0 * terms.silence_seconds),
-            format_number(bounds.held),
-        );
-        let in_force = format_number(bounds.in_force_with_election);
-        let row = |lost: String, cost: String, by: &str| [lost, cost, by.to_string()];
-        vec![
-            row(
-                "a voter that follows".into(),
-                format!("nothing; {spare} of {voters} may be lost. Its routers ask the next one"),
-                "`RaftNode`; `ControlPlaneLink`",
-            ),
-            row(
-                "the voter that leads".into(),
-                format!("no leases for about {election} s, which leases of {held} s bridge; a change under way is in force within {in_force} s"),
-                "`RaftNode`, `LeaseGranter`",
-            ),
-            row(
-                format!("{beyond} voters"),
-                format!("no changes; after {held} s every router serves by the standing build alone"),
-                "`LeaseHolder`, engine",
-            ),
-            row(
-                "a region, or the way to it".into(),
-                format!(
-                    "its {routers} routers serve by the standing build alone and get no change until it is back; a majority of \
-                     voters elsewhere goes on"
-                ),
-                "`LeaseHolder`, `RaftNode`",
-            ),
-            row(
-                "the list source".into(),
-                "the agreed list stays as it was; hosts that start meanwhile get nothing".into(),
-                "`spokeflow-coordination`, `AgreedList`",
-            ),
-            row(
-                "the release controller".into(),
-                "builds stay in their stage; routers serve on".into(),
-                "`spokeflow-router`, `desk`",
-            ),
-            row("a relay".into(), "not defined: there is none".into(), "missing"),
-            row(
-                "all power".into(),
-                format!(
-                    "voters start from their stores and elect within about {election} s; {} routers start from their list files \
-                     and ask for everything at once (rows \"power loss\")",
-                    format_number(fleet.routers)
-                ),
-                "`Store`; `--list-file`",
-            ),
-        ]
-    }
-
     pub(super) fn lease_bounds(&self) -> String {
         let bounds = LeaseBounds::of(self.target);
         let allowed = self.target.load.change_bound_seconds;
@@ -143,7 +81,7 @@
             row(
                 "a router holds a grant",
                 "T x (1 - drift), by its clock, from the request",
-                bounds.held,
+                bounds.holds,
             ),
             row("it asks again after", "a third of that", bounds.renewal),
             row(
@@ -177,10 +115,8 @@
     }
 
     pub(super) fn services_and_routers(&self) -> String {
-        let (mean, peak) = (
-            self.target.mean_requests(),
-            self.target.load.peak_requests_per_second,
-        );
+        let mean = self.target.mean_requests();
+        let peak = self.target.load.peak_requests_per_second;
         let rows = End::all(self.target).into_iter().map(|end| {
             [
                 end.name.to_string(),
--- a/crates/spokeflow-experiments/src/capacity/placement.rs
+++ b/crates/spokeflow-experiments/src/capacity/placement.rs
@@ -73,15 +73,15 @@
         let count = |region: usize, of: Option<Duty>| -> usize {
             let here = placed
                 .iter()
-                .filter(|p| p.region == region && of.is_none_or(|duty| p.duty == duty));
-            here.map(|p| p.machines).sum()
+                .filter(|group| group.region == region && of.is_none_or(|duty| group.duty == duty));
+            here.map(|group| group.machines).sum()
         };
         let region = (1..=regions)
-            .min_by_key(|r| (count(*r, Some(duty)), count(*r, None), *r))
+            .min_by_key(|region| (count(*region, Some(duty)), count(*region, None), *region))
             .unwrap_or(1);
         match placed
             .iter_mut()
-            .find(|p| p.region == region && p.duty == duty)
+            .find(|group| group.region == region && group.duty == duty)
         {
             Some(known) => known.machines += 1,
             None => placed.push(Placed {
@@ -91,7 +91,7 @@
             }),
         }
     }
-    placed.sort_by_key(|p| p.region);
+    placed.sort_by_key(|group| group.region);
     placed
 }
 
--- a/crates/spokeflow-experiments/src/capacity/records.rs
+++ b/crates/spokeflow-experiments/src/capacity/records.rs
@@ -53,8 +53,8 @@
 }
 
 impl fmt::Display for Role {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
             Role::RouterData => "router data side",
             Role::RouterControl => "router control side",
             Role::HollowRouter => "hollow router",
--- a/crates/spokeflow-experiments/src/capacity/remedy.rs
+++ b/crates/spokeflow-experiments/src/capacity/remedy.rs
@@ -108,7 +108,7 @@
         }
     }
     found.retain(|candidate| candidate.ratio > 1.0);
-    found.sort_by(|a, b| b.ratio.total_cmp(&a.ratio));
+    found.sort_by(|left, right| right.ratio.total_cmp(&left.ratio));
     found
 }
 
@@ -116,6 +116,6 @@
 pub(super) fn by_ratio(rows: &[Row]) -> Vec<&Row> {
     let worst = |row: &Row| row.worst().map_or(0.0, |(_, ratio)| ratio);
     let mut over: Vec<&Row> = rows.iter().filter(|row| worst(row) > 1.0).collect();
-    over.sort_by(|a, b| worst(b).total_cmp(&worst(a)));
+    over.sort_by(|left, right| worst(right).total_cmp(&worst(left)));
     over
 }
--- a/crates/spokeflow-experiments/src/capacity/row.rs
+++ b/crates/spokeflow-experiments/src/capacity/row.rs
@@ -141,7 +141,9 @@
             estimate: estimate(situation),
         };
         let cells = Situation::ALL.into_iter().map(cell).collect();
-        let (budget, remedy, reached_after) = (None, None, None);
+        let budget = None;
+        let remedy = None;
+        let reached_after = None;
         Row {
             role,
             quantity: quantity.into(),
--- a/crates/spokeflow-experiments/src/capacity/rows/control.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/control.rs
@@ -204,13 +204,13 @@
 /// where it starts or was apart.
 fn without_changes(inputs: &Inputs, load: &WindowLoad) -> Estimate {
     let renewals = inputs.renewals_per_second() * inputs.target.load.change_bound_seconds;
-    let renewals_both_ways = inputs
+    let renewal_bytes = inputs
         .renewal_request()
         .plus(inputs.renewal_answer())
         .times(renewals);
     let lines = load.host_lines + load.missed_host_lines.min(limits::MAX_LIST_CHANGES);
     let complete_list = inputs.list_grant().times(starts(inputs, load));
-    renewals_both_ways
+    renewal_bytes
         .plus(inputs.line_grants(lines))
         .plus(complete_list)
 }
--- a/crates/spokeflow-experiments/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/voter.rs
@@ -11,7 +11,7 @@
 use super::{Inputs, BYTES_PER_MB};
 
 const CONTROL_PLANE: &str = "`spokeflow-control-plane`; `spokeflow-coordination`, `Coordinator`";
-const LEASE_GRANTER: &str = "`spokeflow-coordination`, `LeaseGranter`";
+const LEASES: &str = "`spokeflow-coordination`, `LeaseGranter`";
 const LEDGER: &str = "`spokeflow-coordination`, `ConfigState`";
 const LOG: &str = "`spokeflow-raft`, `RaftNode`";
 /// The part of a second that changes may be under way, one at a time.
@@ -46,7 +46,7 @@
             |situation| inputs.per_second(sent_without_changes(inputs, &inputs.load(situation))),
         )
         .within(network())
-        .by(LEASE_GRANTER)
+        .by(LEASES)
         .mended_by(Remedy::RelayPerRegion),
         Row::varying(
             Role::VoterLeader,
@@ -55,7 +55,7 @@
             |situation| inputs.per_second(sent_for_changes(inputs, &inputs.load(situation))),
         )
         .within(network())
-        .by(LEASE_GRANTER)
+        .by(LEASES)
         .mended_by(Remedy::ChangesByTenant)
         .reached_after(OFFER_FITS),
         Row::steady(
@@ -65,7 +65,7 @@
             received(inputs),
         )
         .within(network())
-        .by(LEASE_GRANTER)
+        .by(LEASES)
         .mended_by(Remedy::LeaseInBatches),
     ]
 }
@@ -85,14 +85,14 @@
                 )
             },
         )
-        .by(LEASE_GRANTER),
+        .by(LEASES),
         Row::steady(
             Role::VoterLeader,
             "instructions of the granter for renewals",
             Unit::PerSecond,
-            lease_granter_instructions(inputs),
+            renewal_instructions(inputs),
         )
-        .by(LEASE_GRANTER),
+        .by(LEASES),
         Row::steady(
             Role::VoterFollower,
             "messages of leases, its own callers' and to the leader",
@@ -163,7 +163,7 @@
             Estimate::given(target.fleet.routers),
         )
         .within(leases)
-        .by(LEASE_GRANTER)
+        .by(LEASES)
         .mended_by(Remedy::LeaseInBatches),
         Row::varying(
             Role::VoterLeader,
@@ -318,7 +318,7 @@
         .plus(revisions)
 }
 
-fn lease_granter_instructions(inputs: &Inputs) -> Estimate {
+fn renewal_instructions(inputs: &Inputs) -> Estimate {
     let quantity = "processor work of one lease request in Granter::ask";
     let need = Need {
         role: Role::Voter,
--- a/crates/spokeflow-experiments/src/capacity/situation.rs
+++ b/crates/spokeflow-experiments/src/capacity/situation.rs
@@ -42,8 +42,8 @@
 }
 
 impl fmt::Display for Situation {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
             Situation::Mean => "mean",
             Situation::Peak => "peak",
             Situation::Restarts => "daily restarts",
@@ -79,7 +79,8 @@
     pub(super) fn of(target: &Target, situation: Situation) -> WindowLoad {
         let day = Day::of(target);
         let mean = day.mean(target);
-        let (fleet, faults) = (&target.fleet, &target.faults);
+        let fleet = &target.fleet;
+        let faults = &target.faults;
         match situation {
             Situation::Mean => mean,
             Situation::Peak => day.peak(target),
@@ -121,7 +122,8 @@
                 }
             }
             Situation::PowerLoss => {
-                let (host_lines, starting_routers) = (fleet.hosts, fleet.routers);
+                let host_lines = fleet.hosts;
+                let starting_routers = fleet.routers;
                 WindowLoad {
                     situation,
                     host_lines,
@@ -145,13 +147,13 @@
 
 impl Day {
     fn of(target: &Target) -> Day {
-        let (fleet, faults, assumed) = (&target.fleet, &target.faults, &target.assumptions);
+        let fleet = &target.fleet;
+        let faults = &target.faults;
+        let assumed = &target.assumptions;
         let hosts = fleet.hosts / target.machines();
         let routers = fleet.routers / target.machines();
-        let (failed, restarted) = (
-            faults.machines_failed_per_day / DAY,
-            faults.machines_restarted_per_day / DAY,
-        );
+        let failed = faults.machines_failed_per_day / DAY;
+        let restarted = faults.machines_restarted_per_day / DAY;
         let released = fleet.hosts * assumed.releases_per_host_per_day / DAY;
         Day {
             window: target.load.change_bound_seconds,
--- a/crates/spokeflow-experiments/src/capacity/slopes.rs
+++ b/crates/spokeflow-experiments/src/capacity/slopes.rs
@@ -69,7 +69,10 @@
 
 impl Line {
     fn pairs(&self) -> Vec<(f64, f64)> {
-        self.points.iter().map(|p| (p.size, p.value)).collect()
+        self.points
+            .iter()
+            .map(|point| (point.size, point.value))
+            .collect()
     }
 
     /// `None`: fewer than two sizes.
@@ -79,19 +82,19 @@
 
     /// The smallest measured size; 0 where there is none.
     pub fn smallest(&self) -> f64 {
-        self.points.first().map_or(0.0, |p| p.size)
+        self.points.first().map_or(0.0, |point| point.size)
     }
 
     /// The largest measured size; 0 where there is none.
     pub fn largest(&self) -> f64 {
-        self.points.last().map_or(0.0, |p| p.size)
+        self.points.last().map_or(0.0, |point| point.size)
     }
 
     /// The measured value where the size was measured, else the fit's; `None` where a single size was measured and
     /// another is asked for, and where a fit that falls has come to nothing, which no cost does.
     pub fn at(&self, size: f64) -> Option<Reading> {
         let few = self.points.len() < ENOUGH_POINTS;
-        if let Some(point) = self.points.iter().find(|p| p.size == size) {
+        if let Some(point) = self.points.iter().find(|point| point.size == size) {
             return Some(Reading {
                 value: point.value,
                 far: false,
@@ -99,7 +102,8 @@
             });
         }
         let value = self.fit()?.form.at(size);
-        let nothing = value < 0.0 || value == 0.0 && self.points.iter().any(|p| p.value > 0.0);
+        let nothing =
+            value < 0.0 || value == 0.0 && self.points.iter().any(|point| point.value > 0.0);
         if nothing {
             return None;
         }
--- a/crates/spokeflow-experiments/src/capacity/target.rs
+++ b/crates/spokeflow-experiments/src/capacity/target.rs
@@ -151,8 +151,12 @@
     }
 
     fn check_stages(&self, file: &Path) -> Result<(), CapacityError> {
-        let (shares, caps) = (&self.terms.stage_fractions, &self.terms.stage_caps);
-        for (entry, values) in [("terms.stage_shares", shares), ("terms.stage_caps", caps)] {
+        let fractions = &self.terms.stage_fractions;
+        let caps = &self.terms.stage_caps;
+        for (entry, values) in [
+            ("terms.stage_shares", fractions),
+            ("terms.stage_caps", caps),
+        ] {
             let valid = |value: &f64| value.is_finite() && *value > 0.0 && *value <= 1.0;
             if values.is_empty() || !values.iter().all(valid) || !values.is_sorted() {
                 let expected =
@@ -160,11 +164,11 @@
                 return Err(CapacityError::new(file, entry, expected));
             }
         }
-        if shares.len() != caps.len() {
+        if fractions.len() != caps.len() {
             let expected = format!(
                 "{} caps found, one for each of {} stages wanted",
                 caps.len(),
-                shares.len()
+                fractions.len()
             );
             return Err(CapacityError::new(file, "terms.stage_caps", expected));
         }
@@ -173,7 +177,8 @@
 
     fn check_together(&self, file: &Path) -> Result<(), CapacityError> {
         let fault = |entry: &str, expected: String| Err(CapacityError::new(file, entry, expected));
-        let (fleet, largest) = (&self.fleet, self.assumptions.largest_service_hosts);
+        let fleet = &self.fleet;
+        let largest = self.assumptions.largest_service_hosts;
         if self.terms.voters % 2.0 == 0.0 {
             return fault(
                 "terms.voters",
--- a/crates/spokeflow-experiments/src/commands/hunt.rs
+++ b/crates/spokeflow-experiments/src/commands/hunt.rs
@@ -65,7 +65,7 @@
     for candidate in candidates.iter().take(flags.worst) {
         print_shrunk(candidate, flags.most_played);
     }
-    Ok(Outcome::from_kept(broken == 0))
+    Ok(Outcome::from_soundness(broken == 0))
 }
 
 /// Prints how many were played, and what they lost. Answers in how many a rule is broken.
--- a/crates/spokeflow-experiments/src/commands/mod.rs
+++ b/crates/spokeflow-experiments/src/commands/mod.rs
@@ -30,8 +30,8 @@
 
 impl Outcome {
     /// [`Outcome::Success`] where all rules were kept.
-    pub(crate) fn from_kept(all_kept: bool) -> Self {
-        if all_kept {
+    pub(crate) fn from_soundness(is_sound: bool) -> Self {
+        if is_sound {
             Outcome::Success
         } else {
             Outcome::RuleBroken
--- a/crates/spokeflow-experiments/src/commands/run.rs
+++ b/crates/spokeflow-experiments/src/commands/run.rs
@@ -66,7 +66,7 @@
     } else {
         print!("{}", report.text());
     }
-    Ok(Outcome::from_kept(report.sound()))
+    Ok(Outcome::from_soundness(report.sound()))
 }
 
 /// Prints to standard error how fast the run was played and the most that it held at a time.
--- a/crates/spokeflow-experiments/src/commands/sweep.rs
+++ b/crates/spokeflow-experiments/src/commands/sweep.rs
@@ -46,5 +46,5 @@
             stored.scenario, stored.seed, stored.size, stored.overrides
         );
     }
-    Ok(Outcome::from_kept(broken.is_empty()))
+    Ok(Outcome::from_soundness(broken.is_empty()))
 }
--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -8,13 +8,13 @@
 use spokeflow_simulator::{play, StrategyKind};
 
 /// A smaller scenario shows the same loss where it has this part of it: leaving anything out costs a little.
-const LOSS_KEPT: f64 = 0.75;
+const LOSS_FRACTION: f64 = 0.75;
 
 /// Time left after the last fault or build, in which its effects show; also the least length.
 const AFTERMATH: Micros = 10 * SECOND;
 
 /// Skew of keys in a scenario without one of its own.
-const PLAIN_KEY_SKEW: f64 = 0.7;
+const DEFAULT_KEY_SKEW: f64 = 0.7;
 
 /// What a scenario was found for. Its `Debug` form is printed.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -83,7 +83,7 @@
                 .iter()
                 .any(|broken| broken.rule == rule),
             Finding::Loss(loss) => {
-                matches!(evaluate(scenario), Finding::Loss(still) if still >= LOSS_KEPT * loss)
+                matches!(evaluate(scenario), Finding::Loss(still) if still >= LOSS_FRACTION * loss)
             }
         }
     }
@@ -170,7 +170,7 @@
                 scenario.steal = 0.0;
             },
             |scenario| scenario.cancel = CancelPolicy::Stops,
-            |scenario| scenario.key_skew = PLAIN_KEY_SKEW,
+            |scenario| scenario.key_skew = DEFAULT_KEY_SKEW,
         ];
         let mut any = false;
         for drop_feature in DROPS {
@@ -195,8 +195,8 @@
         let shorter = (last_event + AFTERMATH)
             .max(self.best.length * 2 / 3)
             .max(AFTERMATH);
-        let whole_seconds = shorter / SECOND * SECOND;
-        whole_seconds < self.best.length && self.attempt(|scenario| scenario.length = whole_seconds)
+        let rounded = shorter / SECOND * SECOND;
+        rounded < self.best.length && self.attempt(|scenario| scenario.length = rounded)
     }
 }
 
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -90,7 +90,7 @@
         Command::Report(flags) => return commands::report(&flags),
         Command::Pass(flags) => return commands::serve_pass_through(&flags),
         Command::Agreement(flags) => {
-            return Ok(Outcome::from_kept(agreement::agreement(&flags)));
+            return Ok(Outcome::from_soundness(agreement::agreement(&flags)));
         }
         Command::Alone(flags) => print!("{}", solo_evidence::text(&flags)),
         Command::Capacity(flags) => print!("{}", capacity::capacity(&flags)?),
--- a/crates/spokeflow-experiments/src/sweep.rs
+++ b/crates/spokeflow-experiments/src/sweep.rs
@@ -76,9 +76,9 @@
     let written = play_into(store, build, &missing, jobs, &mut progress);
     progress.bar.finish_and_clear();
     written?;
-    let wanted: BTreeSet<RunId> = cells.iter().map(RunId::of_cell).collect();
+    let planned: BTreeSet<RunId> = cells.iter().map(RunId::of_cell).collect();
     let mut results = store.all()?;
-    results.retain(|stored| stored.build == build && wanted.contains(&RunId::of_stored(stored)));
+    results.retain(|stored| stored.build == build && planned.contains(&RunId::of_stored(stored)));
     Ok(results)
 }
 
