--- a/crates/spokeflow-experiments/tests/program.rs
+++ b/crates/spokeflow-experiments/tests/program.rs
@@ -252,3 +252,17 @@
         );
     }
 }
+
+#[test]
+fn former_names_of_a_subcommand_and_a_flag_are_still_read() {
+    let control_plane = run(&["keeper", "--help"]);
+    assert_eq!(control_plane.status.code(), Some(0));
+    let args = ["--days=1", "--seconds=5", "--routers=3", "--keepers=3"];
+    let agreement = run(&[&["agreement"], &args[..]].concat());
+    assert_eq!(
+        agreement.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&agreement.stderr)
+    );
+}
