--- a/crates/spokeflow-simulator/src/baseline/mod.rs
+++ b/crates/spokeflow-simulator/src/baseline/mod.rs
@@ -52,7 +52,7 @@
     may_have_run: bool,
 }
 
-pub struct BaselineStrategy {
+pub(crate) struct BaselineStrategy {
     kind: StrategyKind,
     config: EngineConfig,
     now: Micros,
@@ -75,7 +75,12 @@
 }
 
 impl BaselineStrategy {
-    pub fn new(who: StrategyKind, terms: EngineConfig, seed: u64, now: Micros) -> BaselineStrategy {
+    pub(crate) fn new(
+        who: StrategyKind,
+        terms: EngineConfig,
+        seed: u64,
+        now: Micros,
+    ) -> BaselineStrategy {
         BaselineStrategy {
             kind: who,
             config: terms,
--- a/crates/spokeflow-simulator/src/control_plane/event.rs
+++ b/crates/spokeflow-simulator/src/control_plane/event.rs
@@ -3,14 +3,14 @@
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_raft::{Message, PersistRequest};
 
-/// Whom an answer goes to, as the number of a connection: a keeper that passed on, a router's process, a person.
+/// Whom an answer goes to, as the number of a connection: a node that forwarded, a router's process, an operator.
 pub(super) const OPERATOR: u64 = 0;
 
-pub(super) fn router_conn(router: usize, start: u32) -> u64 {
+pub(super) fn router_connection(router: usize, start: u32) -> u64 {
     1 | (router as u64) << 1 | u64::from(start) << 32
 }
 
-pub(super) fn keeper_conn(keeper: usize, start: u32) -> u64 {
+pub(super) fn node_connection(keeper: usize, start: u32) -> u64 {
     2 | (keeper as u64) << 2 | u64::from(start) << 32 | 1 << 63
 }
 
--- a/crates/spokeflow-simulator/src/control_plane/nodes.rs
+++ b/crates/spokeflow-simulator/src/control_plane/nodes.rs
@@ -6,7 +6,7 @@
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, PersistRequest, PersistentState};
 
-use super::event::{keeper_conn, Event, OPERATOR};
+use super::event::{node_connection, Event, OPERATOR};
 use super::{World, MS};
 
 pub(super) struct ControlPlaneNode {
@@ -73,16 +73,7 @@
         act(core, now, &mut step);
         let start = self.nodes[n].start;
         if step.config_changed {
-            let ledger = self.nodes[n].core.as_ref().map(Coordinator::config);
-            let known = ledger
-                .map(|l| (l.newest().0, l.in_force.number.0))
-                .unwrap_or_default();
-            for r in 1..=known.0 {
-                self.first_known.entry(r).or_insert(self.now);
-            }
-            for r in 1..=known.1 {
-                self.first_in_force.entry(r).or_insert(self.now);
-            }
+            self.record_revisions(n);
         }
         for write in step.persist_requests {
             let after = self.rng.random_range(
@@ -102,29 +93,7 @@
             );
         }
         for NodeMessage { to, message } in step.messages {
-            let to = to.0 as usize;
-            match message {
-                ToNode::Request {
-                    number,
-                    request: ask,
-                } => {
-                    let conn = keeper_conn(n, start);
-                    self.send(n, to, || Event::RequestArrives {
-                        to,
-                        conn,
-                        number,
-                        ask: ask.clone(),
-                    });
-                }
-                ToNode::Hello { .. } => {}
-                ToNode::Raft(message) => {
-                    self.send(n, to, || Event::RaftMessage {
-                        to,
-                        from: n,
-                        message: message.clone(),
-                    });
-                }
-            }
+            self.send_to_node(n, to.0 as usize, message);
         }
         for answer in step.responses {
             self.answer(n, answer.connection, answer.number, answer.response);
@@ -132,6 +101,47 @@
         self.wake(n);
     }
 
+    /// Node `n` has another state of the configuration: when its revisions were first known and in force.
+    fn record_revisions(&mut self, n: usize) {
+        let Some(core) = &self.nodes[n].core else {
+            return;
+        };
+        let config = core.config();
+        let newest = config.newest().0;
+        let in_force = config.in_force.number.0;
+        for revision in 1..=newest {
+            self.first_known.entry(revision).or_insert(self.now);
+        }
+        for revision in 1..=in_force {
+            self.first_in_force.entry(revision).or_insert(self.now);
+        }
+    }
+
+    fn send_to_node(&mut self, from: usize, to: usize, message: ToNode) {
+        match message {
+            ToNode::Request {
+                number,
+                request: ask,
+            } => {
+                let conn = node_connection(from, self.nodes[from].start);
+                self.send(from, to, || Event::RequestArrives {
+                    to,
+                    conn,
+                    number,
+                    ask: ask.clone(),
+                });
+            }
+            ToNode::Hello { .. } => {}
+            ToNode::Raft(message) => {
+                self.send(from, to, || Event::RaftMessage {
+                    to,
+                    from,
+                    message: message.clone(),
+                });
+            }
+        }
+    }
+
     fn answer(&mut self, from: usize, conn: u64, number: u64, answer: Response) {
         if conn == OPERATOR {
             // At once: when a person hears of it says nothing of the routers.
--- a/crates/spokeflow-simulator/src/control_plane/routers.rs
+++ b/crates/spokeflow-simulator/src/control_plane/routers.rs
@@ -4,7 +4,7 @@
 use spokeflow_coordination::{LeaseHolder, LeaseRequest};
 use spokeflow_core::Micros;
 
-use super::event::{router_conn, Event};
+use super::event::{router_connection, Event};
 use super::{World, MS};
 
 const RESPONSE_TIMEOUT: Micros = 500 * MS;
@@ -39,7 +39,7 @@
         let to = r.node;
         let start = r.start;
         let every = (r.lease_holder.renewal_interval() as f64 / r.clock_rate) as Micros;
-        let conn = router_conn(router, start);
+        let conn = router_connection(router, start);
         self.send(many + router, to, || Event::RequestArrives {
             to,
             conn,
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -45,7 +45,7 @@
 const CONTROLLER_TICK: Micros = 10 * MS;
 const SLOW_TICK: Micros = 50 * MS;
 
-pub struct World {
+pub(crate) struct World {
     day: Scenario,
     strategy: StrategyKind,
     now: Micros,
@@ -79,7 +79,7 @@
 }
 
 impl World {
-    pub fn new(day: Scenario, who: StrategyKind) -> World {
+    pub(crate) fn new(day: Scenario, who: StrategyKind) -> World {
         let start = WARM_UP;
         let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
         let offers = day
@@ -120,7 +120,7 @@
         }
     }
 
-    pub fn run(mut self, watch: &mut dyn Watch) -> ScenarioRun {
+    pub(crate) fn run(mut self, watch: &mut dyn Watch) -> ScenarioRun {
         for host in 0..self.day.hosts {
             self.seat(host, 1, None);
             self.run_host(host);
