--- a/crates/spokeflow-experiments/src/capacity/collect.rs
+++ b/crates/spokeflow-experiments/src/capacity/collect.rs
@@ -105,7 +105,7 @@
     let fixed = SWEEP_SIZES
         .iter()
         .filter_map(|name| Some((*name, record.fixed.get(*name)?)));
-    // The size that changes is told again under its own name.
+    // The size that changes is listed again under its own name.
     let others =
         fixed.filter(|(name, value)| *name != changing || value.as_f64() != Some(record.size));
     others
--- a/crates/spokeflow-experiments/src/capacity/limits.rs
+++ b/crates/spokeflow-experiments/src/capacity/limits.rs
@@ -12,17 +12,17 @@
 pub const MAX_REVISIONS: f64 = 500.0;
 /// Leases that the leader tracks (`crates/spokeflow-coordination/src/lease_granter.rs`, `MAX_TRACKED_LEASES`).
 pub const MAX_LEASES: f64 = 8192.0;
-/// Changes of the host list that a lagging router is told one by one (`crates/spokeflow-coordination/src/hosts.rs`,
-/// `MAX_RETAINED_CHANGES`).
+/// Changes of the host list that a lagging router gets one by one
+/// (`crates/spokeflow-coordination/src/endpoint_list.rs`, `MAX_RETAINED_CHANGES`).
 pub const MAX_LIST_CHANGES: f64 = 4096.0;
 /// Seconds between two readings of the whole list by the leader (`crates/spokeflow-control-plane/src/list.rs`,
 /// `FULL_SYNC_INTERVAL`).
 pub const FULL_SYNC_SECONDS: f64 = 2.0;
 /// Seconds after which a router renews its watch on a list that tells nothing (`--list-renew`).
 pub const WATCH_RENEWAL_SECONDS: f64 = 5.0;
-/// Entries in one message between voters (`crates/spokeflow-raft/src/member.rs`, `AT_ONCE`).
+/// Entries in one message between voters (`crates/spokeflow-raft/src/node/replication.rs`).
 pub const ENTRIES_PER_MESSAGE: f64 = 64.0;
 /// Renewals of a lease within one (`crates/spokeflow-coordination/src/lease_holder.rs`, `LeaseHolder::renewal_interval`).
 pub const RENEWALS_PER_LEASE: f64 = 3.0;
-/// Wake-ups of the decision module a second (`crates/spokeflow-core/src/router.rs`, `BEAT`).
+/// Timer ticks of the decision module a second (`crates/spokeflow-core/src/router/timers.rs`).
 pub const TICKS_PER_SECOND: f64 = 50.0;
--- a/crates/spokeflow-experiments/src/capacity/placement.rs
+++ b/crates/spokeflow-experiments/src/capacity/placement.rs
@@ -1,4 +1,4 @@
-//! Where the control machines stand, what each does, and what the loss of one costs.
+//! Where the control machines are, what each does, and what the loss of one costs.
 
 use super::target::Target;
 
--- a/crates/spokeflow-experiments/src/capacity/records.rs
+++ b/crates/spokeflow-experiments/src/capacity/records.rs
@@ -32,7 +32,7 @@
     /// A voter that follows.
     #[serde(rename = "voter follower", alias = "voter_follower")]
     VoterFollower,
-    /// What would stand between voters and routers.
+    /// A relay between voters and routers; there is none yet.
     #[serde(rename = "relay or cache", alias = "relay_or_cache")]
     Relay,
     /// The source of the host list.
@@ -180,7 +180,7 @@
     (0.0..=SANE).contains(&value)
 }
 
-/// Whether a value lies within its spread, as far as that is told.
+/// Whether a value lies within its spread, as far as that is known.
 pub(super) fn is_spread(min: Option<f64>, value: f64, max: Option<f64>) -> bool {
     let rounding = value * ROUNDING;
     min.is_none_or(|min| (0.0..=value + rounding).contains(&min))
--- a/crates/spokeflow-experiments/src/capacity/rows/voter.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/voter.rs
@@ -1,4 +1,4 @@
-//! The leading voter: leases, the log, the ledger.
+//! The leading voter: leases, the log, the replicated state.
 
 use super::super::encoded;
 use super::super::estimate::{Estimate, Need};
--- a/crates/spokeflow-experiments/src/commands/agree.rs
+++ b/crates/spokeflow-experiments/src/commands/agree.rs
@@ -74,7 +74,7 @@
     Ok(Outcome::Success)
 }
 
-/// Plays the scenarios at the same time; the reports stand in their order.
+/// Plays the scenarios at the same time; the reports are in their order.
 fn play_on_sockets(
     runtime: &Runtime,
     starting: &Starting,
--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -44,7 +44,7 @@
     Finding::Loss(full_sight.service - engine.service)
 }
 
-/// Evaluates all scenarios, `jobs` at a time. The worst stand first, equals by their seeds.
+/// Evaluates all scenarios, `jobs` at a time. The worst come first, equals by their seeds.
 pub fn search(scenarios: &[Scenario], jobs: usize) -> Vec<Candidate> {
     let next = AtomicUsize::new(0);
     let evaluate_next = || {
--- a/crates/spokeflow-experiments/src/main.rs
+++ b/crates/spokeflow-experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: parses the subcommand and its flags, and dispatches. What each does stands in `commands`.
+//! The program: parses the subcommand and its flags, and dispatches. What each does is in `commands`.
 
 mod commands;
 
