--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -141,9 +141,9 @@
 
     fn drop_faults(&mut self) -> bool {
         let mut any = false;
-        for index in (0..self.best.troubles.len()).rev() {
+        for index in (0..self.best.faults.len()).rev() {
             any |= self.attempt(|scenario| {
-                scenario.troubles.remove(index);
+                scenario.faults.remove(index);
             });
         }
         any
@@ -185,11 +185,7 @@
 
     /// To two thirds, as long as the last fault and build have their aftermath.
     fn shorten(&mut self) -> bool {
-        let faults_end = self
-            .best
-            .troubles
-            .iter()
-            .map(|fault| fault.at + fault.lasts);
+        let faults_end = self.best.faults.iter().map(|fault| fault.at + fault.lasts);
         let builds_offered = self.best.builds.iter().map(|build| build.offered);
         let last_event = faults_end.chain(builds_offered).max().unwrap_or(0);
         let shorter = (last_event + AFTERMATH)
@@ -223,7 +219,7 @@
     }
     let builds = scenario.builds.iter().skip(1);
     flags.extend(builds.map(|build| format!("--build {build}")));
-    let faults = scenario.troubles.iter();
+    let faults = scenario.faults.iter();
     flags.extend(faults.map(|fault| format!("--script {fault}")));
     flags.extend(load_flags(scenario));
     flags.push(format!("--key-skew {}", scenario.key_skew));
@@ -266,9 +262,9 @@
         .builds
         .iter()
         .skip(1)
-        .filter(|build| build.flaw != BuildDefect::None)
-        .map(|build| format!("{:?}", build.flaw));
-    let faults = scenario.troubles.iter().map(|fault| fault.kind.name());
+        .filter(|build| build.defect != BuildDefect::None)
+        .map(|build| format!("{:?}", build.defect));
+    let faults = scenario.faults.iter().map(|fault| fault.kind.name());
     let all: Vec<String> = defects.chain(faults).collect();
     if all.is_empty() {
         "nothing".into()
--- a/crates/spokeflow-experiments/tests/hunt.rs
+++ b/crates/spokeflow-experiments/tests/hunt.rs
@@ -8,12 +8,12 @@
 fn a_day_is_shrunk_to_what_matters() {
     // What loses here is the bad build alone; a list that is late for a moment has no part in it.
     let mut scenario = Scenario::only(FaultKind::BadBuild, 4, 40 * SECOND);
-    scenario.builds[1].flaw = BuildDefect::Wrong(0.9);
+    scenario.builds[1].defect = BuildDefect::Wrong(0.9);
     scenario
-        .troubles
+        .faults
         .push("late-list:at=30s:lasts=1s:size=0.1".parse().unwrap());
     scenario
-        .troubles
+        .faults
         .push("give-up:at=31s:lasts=1s:size=0.9".parse().unwrap());
     let finding = evaluate(&scenario);
     assert!(
@@ -22,7 +22,7 @@
     );
     let small = shrink(&scenario, finding, 60);
     assert!(
-        small.troubles.is_empty() && small.builds.len() == 2,
+        small.faults.is_empty() && small.builds.len() == 2,
         "{}",
         run_flags(&small)
     );
--- a/crates/spokeflow-simulator/src/brain.rs
+++ b/crates/spokeflow-simulator/src/strategy.rs
@@ -1,4 +1,4 @@
-//! What decides in a router's place: the engine, or a baseline behind the same interface.
+//! Event decides in a router's place: the engine, or a baseline behind the same interface.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,31 +6,38 @@
 use spokeflow_core::{BuildId, HostId, Micros};
 use spokeflow_engine::{Engine, EngineConfig, Input, Transport};
 
-use crate::plain::BaselineStrategy;
+use crate::baseline::BaselineStrategy;
 
-/// What a router with full sight would know of a host.
+/// Event a router with full sight would know of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView {
+    /// It answers.
     pub up: bool,
-    /// Work before a command that is sent now, in microseconds, and the delay one way; `None`: cut off.
+    /// Work before a command that is sent now, in microseconds.
     pub work_before: f64,
-    pub way: Option<Micros>,
-    /// What it does by now of what a warm and well host does.
+    /// The delay one way; `None` while it is cut off.
+    pub delay: Option<Micros>,
+    /// Event it does by now of what a warm and well host does.
     pub speed: f64,
     /// Part of the commands that fail there.
-    pub fails: f64,
+    pub failure_rate: f64,
     /// Whether it bears one more while it is cold.
-    pub bears: bool,
+    pub has_headroom: bool,
 }
 
 /// The way out of a router, and, for full sight alone, what nobody can see.
 pub trait Wiring: Transport {
+    /// The host as it is now.
     fn look(&self, host: HostId) -> HostView;
+    /// Whether the build has a defect.
     fn is_bad(&self, build: BuildId) -> bool;
 }
 
+/// Decides in a router's place.
 pub trait RoutingStrategy {
+    /// Takes one input.
     fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring);
+    /// When it wants [`Input::Timer`] next.
     fn next_wake(&self) -> Micros;
     /// Commands that are owed an answer.
     fn held(&self) -> usize;
@@ -50,18 +57,23 @@
     }
 }
 
+/// What decides in a router's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StrategyKind {
+    /// The engine of `spokeflow-engine`.
     Engine,
+    /// Any host.
     Random,
+    /// Hosts one after the other.
     RoundRobin,
-    /// The better of two random choices by own commands in flight, without pins.
+    /// The better of two random choices by own commands in flight, without sticky assignments.
     TwoChoices,
     /// Sees hosts and builds as they are: an upper bound.
     FullSight,
 }
 
 impl StrategyKind {
+    /// All kinds, in the order of their declaration.
     pub const ALL: [StrategyKind; 5] = [
         StrategyKind::Engine,
         StrategyKind::Random,
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -5,37 +5,95 @@
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
-use spokeflow_scenario::desk::ControllerVote;
-use spokeflow_scenario::faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::observation::Process;
+use spokeflow_scenario::release_controller::ControllerVote;
 use spokeflow_scenario::scenario::BuildDefect;
-use spokeflow_scenario::seen::Process;
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::Micros;
 
 use super::clients::read_body;
-use super::event::{HostWord, What};
-use super::{World, LOCAL_WAY};
-use crate::brain::{HostView, Wiring};
-use crate::pair::{Link, Message, IDLE, QUEUE};
+use super::event::{Event, HostMessage};
+use super::{World, LOCAL_DELAY};
+use crate::host_link::{Link, Message, IDLE_TIMEOUT, QUEUE_LIMIT};
+use crate::strategy::{HostView, Wiring};
 
-/// The links of one router, for as long as its brain is asked.
-pub(super) struct Wires<'a> {
+/// Longer times left are taken for this, so that sums of times stay in range.
+const MAX_LEFT_US: u64 = 1 << 40;
+
+/// The links of one router, while its strategy decides.
+pub(super) struct RouterTransport<'a> {
     pub(super) world: &'a mut World,
     pub(super) router: u32,
 }
 
-impl Wires<'_> {
+impl RouterTransport<'_> {
     fn by(&self) -> Process {
         self.world.routers[self.router as usize].process
     }
 
     fn pair(&self, host: HostId) -> Option<usize> {
-        let seat = self.world.seat_of.get(&host.0)?;
+        let seat = self.world.slot_of.get(&host.0)?;
         Some(self.world.pair_of(*seat, self.router))
     }
 }
 
-impl Transport for Wires<'_> {
+impl RouterTransport<'_> {
+    /// Returns false where too many messages wait for the connection.
+    fn deliver(&mut self, pair: usize, message: Message) -> bool {
+        let now = self.world.now;
+        let delivery = message.delivery;
+        let link = &mut self.world.host_links[pair];
+        if link.waiting.len() >= QUEUE_LIMIT {
+            return false;
+        }
+        if !link.open {
+            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+            return true;
+        }
+        if link.link == Link::Up && link.idle() && now - link.last_used > IDLE_TIMEOUT {
+            link.drop_link();
+        }
+        match link.link {
+            Link::Up => self.world.deliver(pair, message),
+            Link::Connecting => link.waiting.push(message),
+            Link::Closed if now < link.not_before => {
+                self.world
+                    .lose(pair, [delivery], TransportFailure::NotConnected);
+            }
+            Link::Closed => {
+                link.waiting.push(message);
+                self.world.connect(pair);
+            }
+        }
+        true
+    }
+
+    fn cancel(&mut self, pair: usize, delivery: u64) {
+        let link = &mut self.world.host_links[pair];
+        let waiting = link
+            .waiting
+            .iter()
+            .position(|message| message.delivery == delivery);
+        if let Some(index) = waiting {
+            link.waiting.remove(index);
+            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+            return;
+        }
+        let Some(index) = link.in_flight.iter().position(|sent| *sent == delivery) else {
+            return;
+        };
+        link.in_flight.remove(index);
+        link.cancelled.push((delivery, link.pings + 1));
+        let pings = link.start_ping();
+        self.world.send(pair, HostMessage::Cancel(delivery));
+        if pings {
+            self.world.send(pair, HostMessage::Ping);
+        }
+    }
+}
+
+impl Transport for RouterTransport<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
         let (tried, end, receipt) = match message {
             ToClient::Acked {
@@ -59,8 +117,8 @@
             _ => return,
         };
         self.world.plan(
-            LOCAL_WAY,
-            What::AtClient {
+            LOCAL_DELAY,
+            Event::AnswerAtClient {
                 tried,
                 end,
                 receipt,
@@ -70,14 +128,13 @@
 
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
         let by = self.by();
-        let now = self.world.now;
         let Some(pair) = self.pair(host) else {
             // Gone for long: nothing answers there.
             if let ToHost::Deliver { delivery, .. } = message {
                 let end = TransportFailure::NotConnected;
                 self.world.plan(
                     0,
-                    What::Lost {
+                    Event::DeliveryFailed {
                         by,
                         host: host.0,
                         delivery,
@@ -92,62 +149,25 @@
                 delivery,
                 op,
                 key,
-                idempotency_key: mark,
+                idempotency_key,
                 left_us,
                 body,
                 ..
             } => {
-                let (tried, command) = read_body(&body);
-                let left = left_us.min(1 << 40) as Micros;
-                let parcel = Message {
+                let (attempt, command) = read_body(&body);
+                let message = Message {
                     delivery,
-                    tried,
+                    attempt,
                     command,
                     op,
                     key,
-                    mark,
-                    left,
+                    idempotency_key,
+                    left: left_us.min(MAX_LEFT_US) as Micros,
                     leave_by,
                 };
-                let p = &mut self.world.pairs[pair];
-                if p.waiting.len() >= QUEUE {
-                    return false;
-                }
-                if !p.open {
-                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
-                    return true;
-                }
-                if p.link == Link::Up && p.idle() && now - p.used > IDLE {
-                    p.drop_link();
-                }
-                match p.link {
-                    Link::Up => self.world.deliver(pair, parcel),
-                    Link::Connecting => p.waiting.push(parcel),
-                    Link::Closed if now < p.not_before => {
-                        self.world
-                            .lose(pair, [delivery], TransportFailure::NotConnected);
-                    }
-                    Link::Closed => {
-                        p.waiting.push(parcel);
-                        self.world.connect(pair);
-                    }
-                }
-            }
-            ToHost::Cancel { delivery } => {
-                let p = &mut self.world.pairs[pair];
-                if let Some(at) = p.waiting.iter().position(|w| w.delivery == delivery) {
-                    p.waiting.remove(at);
-                    self.world.lose(pair, [delivery], TransportFailure::NotSent);
-                } else if let Some(at) = p.out.iter().position(|d| *d == delivery) {
-                    p.out.remove(at);
-                    p.cancelled.push((delivery, p.pings + 1));
-                    let asks = p.ask();
-                    self.world.send(pair, HostWord::Cancel(delivery));
-                    if asks {
-                        self.world.send(pair, HostWord::Ping);
-                    }
-                }
+                return self.deliver(pair, message);
             }
+            ToHost::Cancel { delivery } => self.cancel(pair, delivery),
             _ => {}
         }
         true
@@ -166,7 +186,7 @@
             None
         };
         self.world
-            .ask_office(by, |by| What::ListAsk { by, link, have });
+            .ask_office(by, |by| Event::ListRequest { by, link, have });
         true
     }
 
@@ -185,7 +205,7 @@
                 VoteChoice::Hold => ControllerVote::Hold,
                 VoteChoice::RollBack => ControllerVote::Back,
             };
-            self.world.ask_office(by, |by| What::VoteAt {
+            self.world.ask_office(by, |by| Event::VoteAtController {
                 by,
                 ballot,
                 build,
@@ -209,25 +229,28 @@
                 continue;
             };
             let (by, site) = (seat.process, seat.site);
-            // What meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.way(own, site, LinkDirection::Hosts) {
+            // Event meets a cut is not kept: old evidence is no evidence.
+            if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
                 let text = text.clone();
-                self.world
-                    .plan(way.max(LOCAL_WAY), What::Told { by, from, text });
+                self.world.plan(
+                    way.max(LOCAL_DELAY),
+                    Event::GossipAtRouter { by, from, text },
+                );
             }
         }
     }
 
     fn host_open(&mut self, host: HostId, _address: &str, incarnation: u64) {
         if let Some(pair) = self.pair(host) {
-            let p = &mut self.world.pairs[pair];
-            (p.open, p.incarnation) = (true, incarnation);
+            let p = &mut self.world.host_links[pair];
+            p.open = true;
+            p.incarnation = incarnation;
         }
     }
 
     fn host_closed(&mut self, host: HostId, gone: bool) {
         let Some(pair) = self.pair(host) else { return };
-        let p = &mut self.world.pairs[pair];
+        let p = &mut self.world.host_links[pair];
         p.open = false;
         let unsent = std::mem::take(&mut p.waiting);
         if gone && p.idle() && p.link == Link::Up {
@@ -241,32 +264,32 @@
     }
 }
 
-impl Wiring for Wires<'_> {
+impl Wiring for RouterTransport<'_> {
     fn look(&self, host: HostId) -> HostView {
         let none = HostView {
             up: false,
             work_before: 0.0,
-            way: None,
+            delay: None,
             speed: 0.0,
-            fails: 0.0,
-            bears: false,
+            failure_rate: 0.0,
+            has_headroom: false,
         };
         let Some(pair) = self.pair(host) else {
             return none;
         };
         let (seat, _) = self.world.ends_of(pair);
-        let seat = &self.world.seats[seat];
+        let seat = &self.world.host_slots[seat];
         let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
             return none;
         };
         let (model, now) = (&process.model, self.world.now);
         HostView {
-            up: !model.ailment.hangs,
+            up: !model.fault.hangs,
             work_before: model.work_before(now),
-            way: self.world.way(pair),
-            speed: model.speed * model.warmth(now) / (model.ailment.slower * model.ailment.drag),
-            fails: model.ailment.fails,
-            bears: model.bears(now),
+            delay: self.world.way(pair),
+            speed: model.speed * model.warmth(now) / (model.fault.slower * model.fault.drag),
+            failure_rate: model.fault.fails,
+            has_headroom: model.has_headroom(now),
         }
     }
 
@@ -275,6 +298,6 @@
             .day
             .builds
             .iter()
-            .any(|b| b.number == build.0 && b.flaw != BuildDefect::None)
+            .any(|b| b.number == build.0 && b.defect != BuildDefect::None)
     }
 }
--- a/crates/spokeflow-testbed/src/scale/bounds.rs
+++ b/crates/spokeflow-testbed/src/scale/bounds.rs
@@ -4,6 +4,7 @@
 use procfs::Current;
 use serde::Serialize;
 
+use super::error::ScaleError;
 use super::flags::ScaleFlags;
 
 /// Processes of a run at most, this one included.
@@ -32,7 +33,9 @@
 /// What a run takes, or is expected to take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Demand {
+    /// Processes, this one with them.
     pub processes: u32,
+    /// Resident memory of all processes.
     pub memory_bytes: u64,
     /// Descriptors of the process that needs most of them: this one, through which all connections pass.
     pub descriptors: u64,
@@ -61,23 +64,31 @@
     }
 }
 
+/// Bounds that a run exceeds, and what to change.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", .0.join("; "))]
+pub struct ExceededBounds(Vec<String>);
+
 /// What the machine gives, and the bounds that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Machine {
+    /// Cores on which this process may run.
     pub cores: usize,
+    /// Memory of the machine.
     pub memory_bytes: u64,
     /// Descriptors that one process may have.
     pub descriptors: u64,
 }
 
 impl Machine {
-    /// Errors: the system does not tell.
-    pub fn here() -> Result<Machine, String> {
-        let memory_bytes = procfs::Meminfo::current()
-            .map_err(|e| format!("/proc/meminfo: {e}"))?
-            .mem_total;
-        let (descriptors, _) =
-            getrlimit(Resource::RLIMIT_NOFILE).map_err(|e| format!("ulimit -n: {e}"))?;
+    /// The machine on which this program runs.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell.
+    pub fn here() -> Result<Machine, ScaleError> {
+        let memory_bytes = procfs::Meminfo::current()?.mem_total;
+        let (descriptors, _) = getrlimit(Resource::RLIMIT_NOFILE)?;
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
         Ok(Machine {
             cores,
@@ -107,8 +118,12 @@
         ]
     }
 
-    /// Errors: which bounds a run of this demand exceeds, in one line.
-    pub fn bears(&self, demand: &Demand) -> Result<(), String> {
+    /// Whether a run of a demand keeps all bounds.
+    ///
+    /// # Errors
+    ///
+    /// The bounds that it exceeds.
+    pub fn check(&self, demand: &Demand) -> Result<(), ExceededBounds> {
         let mut faults = Vec::new();
         if demand.processes > PROCESSES_AT_MOST {
             faults.push(format!(
@@ -131,7 +146,7 @@
         }
         match faults.is_empty() {
             true => Ok(()),
-            false => Err(faults.join("; ")),
+            false => Err(ExceededBounds(faults)),
         }
     }
 }
--- a/crates/spokeflow-testbed/src/scale/list.rs
+++ b/crates/spokeflow-testbed/src/scale/list.rs
@@ -1,4 +1,4 @@
-//! The source of the host list: lines that change, told whole or as what changed.
+//! The source of the host list: endpoints that change, sent complete or as what changed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,14 +35,14 @@
     }
 }
 
-pub struct ListSource {
+pub(super) struct ListSource {
     lines: Mutex<Lines>,
     version: watch::Sender<u64>,
 }
 
 impl ListSource {
-    /// A list of `hosts` hosts that are ready, each in the zone that `zone` tells.
-    pub fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
+    /// A list of `hosts` hosts that are ready, each in the zone that `zone` gives.
+    pub(super) fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
         let line = |host| EndpointRecord {
             host,
             address: address(host),
@@ -67,12 +67,12 @@
     }
 
     /// These hosts are gone, all with one version.
-    pub fn remove(&self, hosts: &[u32]) {
+    pub(super) fn remove(&self, hosts: &[u32]) {
         self.change(hosts, |line| line.phase = EndpointPhase::Gone);
     }
 
     /// These hosts are back as new processes, all with one version.
-    pub fn bring_back(&self, hosts: &[u32]) {
+    pub(super) fn bring_back(&self, hosts: &[u32]) {
         self.change(hosts, |line| {
             line.phase = EndpointPhase::Ready;
             line.incarnation += 1;
@@ -97,7 +97,7 @@
     }
 
     /// Takes connections. Errors: no port can be had.
-    pub async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
+    pub(super) async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let source = self.clone();
@@ -114,15 +114,15 @@
         let codec = FrameCodec::<ToList, FromList>::new(LIST_LIMIT);
         let mut link = Framed::new(stream, codec);
         let mut version = self.version.subscribe();
-        let mut told = None;
+        let mut sent_version = None;
         loop {
             let answer = tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(ToList::Hello(_))) => FromList::Welcome,
-                    Some(Ok(_)) => self.whole(&mut told),
+                    Some(Ok(_)) => self.complete(&mut sent_version),
                     _ => return,
                 },
-                Ok(()) = version.changed(), if told.is_some() => self.changes(&mut told),
+                Ok(()) = version.changed(), if sent_version.is_some() => self.changes(&mut sent_version),
             };
             if link.send(answer).await.is_err() {
                 return;
@@ -130,9 +130,9 @@
         }
     }
 
-    fn whole(&self, told: &mut Option<u64>) -> FromList {
+    fn complete(&self, sent_version: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
-        *told = Some(lines.version);
+        *sent_version = Some(lines.version);
         let there = lines
             .lines
             .values()
@@ -143,10 +143,10 @@
         }
     }
 
-    fn changes(&self, told: &mut Option<u64>) -> FromList {
+    fn changes(&self, sent_version: &mut Option<u64>) -> FromList {
         let lines = self.lines.lock().expect("no holder panics");
-        let changed = lines.since(told.unwrap_or(0));
-        *told = Some(lines.version);
+        let changed = lines.since(sent_version.unwrap_or(0));
+        *sent_version = Some(lines.version);
         FromList::Changes {
             version: lines.version,
             endpoints: changed,
--- a/crates/spokeflow-testbed/src/scale/mod.rs
+++ b/crates/spokeflow-testbed/src/scale/mod.rs
@@ -3,16 +3,17 @@
 //! operators' page.
 
 mod bounds;
+mod error;
 mod flags;
 mod hollow;
 mod list;
 mod measure;
 mod offers;
 mod phases;
+mod processes;
 mod propagation;
 mod report;
 mod rig;
-mod roster;
 mod run;
 mod sample;
 mod settings;
@@ -20,13 +21,15 @@
 mod traffic;
 mod wire;
 
+pub use bounds::ExceededBounds;
 pub use bounds::{Demand, Machine};
-pub use flags::{Phase, ScaleFlags, SizeOf};
+pub use error::ScaleError;
+pub use flags::{FlagsError, Phase, ScaleFlags, SizeOf};
 pub use hollow::{hollow, HollowCommand, HollowFlags};
 pub use propagation::{Propagation, Spread};
 pub use report::{Finding, Outcome, Report};
 pub use run::scale;
 pub use sample::Role;
 pub use settings::revision;
-pub use traffic::{Lapses, Seen};
-pub use wire::{from_keeper, to_keeper, FromKeeperHead, ToKeeperHead};
+pub use traffic::{Lapses, TapRecord};
+pub use wire::{from_node_head, to_node_head, FromNodeHead, ToNodeHead};
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -1,4 +1,4 @@
-//! Offers revisions to the voters as a person's tool does, and notes when each was offered first.
+//! Offers revisions to the voters as an operator's tool does, and notes when each was offered first.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +18,33 @@
 /// Every voter in turn fails with an offer so often: none will take it. A voter that is not there fails alone.
 const ROUNDS_AT_MOST: usize = 2;
 
-pub struct Offers {
+/// Why a revision is not taken.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ProposeError {
+    #[error("an offer of {bytes} bytes is refused: {reason}")]
+    Refused { bytes: usize, reason: String },
+    #[error(
+        "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
+    )]
+    NotAnnounced {
+        bytes: usize,
+        within: Duration,
+        /// The last answer or failure.
+        last: String,
+    },
+}
+
+pub(super) struct Offers {
     rig: Arc<Rig>,
     random: StdRng,
     newest: RevisionNumber,
     offered: u32,
     /// Why a revision was not taken: no further one is offered.
-    pub refused: Option<String>,
+    pub refused: Option<ProposeError>,
 }
 
 impl Offers {
-    pub fn new(rig: Arc<Rig>) -> Self {
+    pub(super) fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed);
         Offers {
             rig,
@@ -40,7 +56,7 @@
     }
 
     /// Offers one revision until it is announced. Answers its number, or `None` where none was or will be taken.
-    pub async fn offer(&mut self) -> Option<u64> {
+    pub(super) async fn offer(&mut self) -> Option<u64> {
         if self.refused.is_some() {
             return None;
         }
@@ -49,17 +65,17 @@
         match self.announce().await {
             Ok(number) => {
                 self.newest = number;
-                self.rig.tap.seen().propagation.offered(number.0, at);
+                self.rig.tap.record().propagation.offered(number.0, at);
                 Some(number.0)
             }
-            Err(what) => {
-                self.refused = Some(what);
+            Err(error) => {
+                self.refused = Some(error);
                 None
             }
         }
     }
 
-    async fn announce(&mut self) -> Result<RevisionNumber, String> {
+    async fn announce(&mut self) -> Result<RevisionNumber, ProposeError> {
         let within = self.rig.flags.in_force_within;
         let until = Instant::now() + within;
         let mut offer = Proposal {
@@ -72,38 +88,44 @@
         };
         let bytes = postcard::to_stdvec(&offer).map_or(0, |bytes| bytes.len());
         let failures_at_most = ROUNDS_AT_MOST * self.rig.voters_at.len();
-        let (mut failures, mut last) = (0, String::new());
+        let mut failures = 0;
+        let mut last = String::new();
         for voter in self.rig.voters_at.clone().into_iter().cycle() {
             if Instant::now() >= until || failures >= failures_at_most {
                 break;
             }
-            let asked = send_request_to(voter, Request::Propose(offer.clone())).await;
-            failures = if asked.is_ok() { 0 } else { failures + 1 };
-            match asked {
+            let response = send_request_to(voter, Request::Propose(offer.clone())).await;
+            failures = if response.is_ok() { 0 } else { failures + 1 };
+            match response {
                 Ok(Response::Proposed(ProposalOutcome::Pending(number))) => return Ok(number),
                 Ok(Response::Proposed(ProposalOutcome::Stale { newest })) => {
-                    (offer.base, offer.token) = (newest, self.random.random());
+                    offer.base = newest;
+                    offer.token = self.random.random();
                     continue;
                 }
                 Ok(Response::Proposed(ProposalOutcome::Busy { pending: announced })) => {
-                    (offer.base, offer.token) = (announced, self.random.random());
+                    offer.base = announced;
+                    offer.token = self.random.random();
                     last = format!("revision {} was still not in force", announced.0);
                 }
                 Ok(Response::Invalid(what)) => {
-                    return Err(format!("an offer of {bytes} bytes is refused: {what}"))
+                    let reason = what.to_string();
+                    return Err(ProposeError::Refused { bytes, reason });
                 }
                 Ok(answer) => last = format!("{answer:?}"),
                 Err(error) => last = error.to_string(),
             }
             sleep(PAUSE).await;
         }
-        Err(format!(
-            "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
-        ))
+        Err(ProposeError::NotAnnounced {
+            bytes,
+            within,
+            last,
+        })
     }
 
     /// Offers at the rate of the flags for this time. Answers the numbers of the revisions that were taken.
-    pub async fn at_rate(&mut self, lasts: Duration) -> Vec<u64> {
+    pub(super) async fn at_rate(&mut self, lasts: Duration) -> Vec<u64> {
         let mut numbers = Vec::new();
         let every = Duration::from_secs_f64(60.0 / self.rig.flags.changes_per_minute);
         let until = Instant::now() + lasts;
--- a/crates/spokeflow-testbed/src/scale/report.rs
+++ b/crates/spokeflow-testbed/src/scale/report.rs
@@ -8,8 +8,8 @@
 use super::flags::{Phase, ScaleFlags, SizeOf};
 use super::sample::Role;
 
-/// Quantities that are told to people at the end of a run; the file has all.
-const TOLD: [&str; 6] = [
+/// Quantities that are printed at the end of a run; the file has all.
+const PRINTED: [&str; 6] = [
     "time_to_ready_worst",
     "offer_to_in_force_p50",
     "offer_to_in_force_p99",
@@ -48,14 +48,15 @@
     pub max: f64,
     pub spread_of: SpreadOf,
     /// All sizes of the run.
-    pub held: Held,
+    #[serde(rename = "held")]
+    pub sizes: RunSizes,
     pub command: String,
     pub date: String,
 }
 
 /// The sizes of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Held {
+pub struct RunSizes {
     pub routers: u32,
     pub real: u32,
     pub hollow_per_process: u32,
@@ -66,9 +67,9 @@
     pub lease_seconds: f64,
 }
 
-impl Held {
-    pub fn of(flags: &ScaleFlags) -> Held {
-        Held {
+impl RunSizes {
+    pub fn of(flags: &ScaleFlags) -> RunSizes {
+        RunSizes {
             routers: flags.routers,
             real: flags.real,
             hollow_per_process: flags.hollow_per_process,
@@ -100,7 +101,8 @@
 
     /// The mean, the least and the greatest; `None` of no values.
     pub fn mean(values: &[f64]) -> Option<Spread> {
-        let (min, max) = (least(values)?, greatest(values)?);
+        let min = least(values)?;
+        let max = greatest(values)?;
         Some(Spread {
             value: values.iter().sum::<f64>() / values.len() as f64,
             min,
@@ -110,7 +112,8 @@
 
     /// The greatest, with the spread of all.
     pub fn greatest(values: &[f64]) -> Option<Spread> {
-        let (min, max) = (least(values)?, greatest(values)?);
+        let min = least(values)?;
+        let max = greatest(values)?;
         Some(Spread {
             value: max,
             min,
@@ -128,10 +131,10 @@
 }
 
 /// The value below which this part of the sorted values lies; 0 of none.
-pub fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let place = (sorted.len() as f64 * part) as usize;
+pub(super) fn quantile(sorted: &[f64], part: f64) -> f64 {
+    let index = (sorted.len() as f64 * part) as usize;
     sorted
-        .get(place.min(sorted.len().saturating_sub(1)))
+        .get(index.min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
@@ -139,24 +142,32 @@
 /// A bound that was exceeded, or something else that must not happen.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
+    /// The phase in which it happened.
     pub phase: String,
+    /// Name of the bound.
     pub bound: String,
+    /// What was measured and what is allowed.
     pub text: String,
 }
 
 /// Whether the control plane knows of a size that was asked for.
 #[derive(Clone, Debug, Serialize)]
 pub struct Carried {
+    /// Name of the size.
     pub size: String,
-    pub asked: u32,
+    /// The size by the flags.
+    #[serde(rename = "asked")]
+    pub requested: u32,
+    /// Whether it is known of.
     pub carried: bool,
+    /// How, or why not.
     pub how: String,
 }
 
 fn carried(flags: &ScaleFlags) -> Vec<Carried> {
-    let of = |size: &str, asked, carried, how: &str| Carried {
+    let of = |size: &str, requested, carried, how: &str| Carried {
         size: size.into(),
-        asked,
+        requested,
         carried,
         how: how.into(),
     };
@@ -189,33 +200,47 @@
     ]
 }
 
+/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
+    /// All bounds were kept.
     Kept,
+    /// A bound was exceeded, or the run had to stop.
     Exceeded,
 }
 
+/// All that a run measured.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// How the run ended.
     pub outcome: Outcome,
+    /// What was exceeded.
     pub findings: Vec<Finding>,
     /// Why the run ended before its last phase.
     pub stopped: Option<String>,
+    /// The command as typed, without paths of this machine.
     pub command: String,
+    /// When the run began, by RFC 3339.
     pub date: String,
+    /// On which the run was made.
     pub machine: Machine,
     /// What was expected before the run.
     pub demand: Demand,
+    /// All bounds, one line each.
     pub bounds: Vec<String>,
     /// Load of the machine over the last minute before the run, in running processes.
     pub load_before: f64,
+    /// Phases of the run.
     pub phases: Vec<Phase>,
+    /// Whether each size was known of.
     pub carried: Vec<Carried>,
+    /// How figures are taken, by their name.
     pub notes: BTreeMap<String, String>,
+    /// All figures.
     pub figures: Vec<Figure>,
     #[serde(skip)]
-    flags: Held,
+    sizes: RunSizes,
     #[serde(skip)]
     size: (SizeOf, f64),
 }
@@ -240,6 +265,7 @@
 }
 
 impl Report {
+    /// The report of a run that begins.
     pub fn new(flags: &ScaleFlags, machine: Machine, demand: Demand, command: String) -> Report {
         use procfs::Current;
         Report {
@@ -256,11 +282,12 @@
             carried: carried(flags),
             notes: notes(),
             figures: Vec::new(),
-            flags: Held::of(flags),
+            sizes: RunSizes::of(flags),
             size: (flags.size_of, flags.size()),
         }
     }
 
+    /// Adds a figure.
     pub fn figure(
         &mut self,
         phase: &str,
@@ -282,12 +309,13 @@
             min,
             max,
             spread_of: of,
-            held: self.flags.clone(),
+            sizes: self.sizes.clone(),
             command: self.command.clone(),
             date: self.date.clone(),
         });
     }
 
+    /// Adds a finding: the bounds are exceeded.
     pub fn find(&mut self, phase: &str, bound: &str, text: String) {
         self.outcome = Outcome::Exceeded;
         self.findings.push(Finding {
@@ -306,10 +334,10 @@
     /// A few lines for people: what took how long, what is not carried, what was exceeded, the verdict.
     pub fn text(&self) -> String {
         let mut lines = Vec::new();
-        let told = |figure: &&Figure| {
-            figure.role == Role::Fleet && TOLD.contains(&figure.quantity.as_str())
+        let is_printed = |figure: &&Figure| {
+            figure.role == Role::Fleet && PRINTED.contains(&figure.quantity.as_str())
         };
-        for figure in self.figures.iter().filter(told) {
+        for figure in self.figures.iter().filter(is_printed) {
             let Figure {
                 phase,
                 quantity,
@@ -322,13 +350,15 @@
         let left_out = self
             .carried
             .iter()
-            .filter(|size| !size.carried && size.asked > 0);
-        lines.extend(left_out.map(|size| format!("{} {}: {}", size.size, size.asked, size.how)));
-        lines.extend(
-            self.findings
-                .iter()
-                .map(|f| format!("EXCEEDED {} in {}: {}", f.bound, f.phase, f.text)),
-        );
+            .filter(|size| !size.carried && size.requested > 0);
+        lines
+            .extend(left_out.map(|size| format!("{} {}: {}", size.size, size.requested, size.how)));
+        lines.extend(self.findings.iter().map(|finding| {
+            format!(
+                "EXCEEDED {} in {}: {}",
+                finding.bound, finding.phase, finding.text
+            )
+        }));
         lines.extend(self.stopped.iter().map(|why| format!("STOPPED {why}")));
         lines.push(match self.outcome {
             Outcome::Kept => "bounds kept".into(),
@@ -339,7 +369,7 @@
 }
 
 /// All bounds of a run, one a line.
-pub fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
+pub(super) fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
     let mut bounds = machine.bounds();
     bounds.push(format!(
         "a revision in force everywhere within {:?} of its offer",
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -15,20 +15,21 @@
 use tokio::sync::Mutex;
 use tokio::time::{timeout, Instant};
 
+use super::error::{RunError, ScaleError};
 use super::flags::ScaleFlags;
 use super::hollow::{HollowCommand, STARTED};
 use super::list::ListSource;
-use super::roster::{Kind, Roster};
-use super::settings::{RouterSettings, Surroundings};
+use super::processes::{ProcessKind, ProcessTable};
+use super::settings::{RouterPeers, RouterSettings};
 use super::tap::Tap;
-use crate::fleet::peers::{Noted, Peers};
-use crate::routers::{RouterProcess, Starting};
+use crate::fleet::peers::Peers;
+use crate::routers::{RouterProcess, StartError, Starting};
 
 /// A process of hollow routers says that they start within this time.
 const HOLLOW_STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// Of the lease: an election takes two silences, and has to end well within a lease.
-const SILENCES_IN_LEASE: u32 = 6;
-const BEATS_IN_SILENCE: u32 = 5;
+/// Of the lease: an election takes two of these timeouts, and has to end well within a lease.
+const ELECTION_TIMEOUTS_IN_LEASE: u32 = 6;
+const HEARTBEATS_IN_ELECTION_TIMEOUT: u32 = 5;
 
 struct HollowProcess {
     name: String,
@@ -39,27 +40,30 @@
 
 impl HollowProcess {
     /// Errors: the process has ended.
-    async fn tell(&mut self, command: &HollowCommand) -> Result<(), String> {
-        let mut line = serde_json::to_string(command).map_err(|e| e.to_string())?;
-        line.push('\n');
-        self.commands
-            .write_all(line.as_bytes())
-            .await
-            .map_err(|e| format!("{}: {e}", self.name))
+    async fn tell(&mut self, command: &HollowCommand) -> Result<(), RunError> {
+        let write = async {
+            let mut line = serde_json::to_string(command)?;
+            line.push('\n');
+            self.commands.write_all(line.as_bytes()).await
+        };
+        write.await.map_err(|source| RunError::SendCommand {
+            name: self.name.clone(),
+            source,
+        })
     }
 }
 
-pub struct Rig {
+pub(super) struct Rig {
     pub flags: ScaleFlags,
     pub tap: Arc<Tap>,
     pub list: Arc<ListSource>,
-    pub roster: Roster,
+    pub processes: ProcessTable,
     /// Addresses of the voters at the tap.
     pub voters_at: Vec<SocketAddr>,
     starting: Starting,
     stores: PathBuf,
     list_at: SocketAddr,
-    around: Surroundings,
+    around: RouterPeers,
     voters: Mutex<BTreeMap<u32, RouterProcess>>,
     real: Mutex<BTreeMap<u32, RouterProcess>>,
     hollow: Mutex<Vec<HollowProcess>>,
@@ -75,49 +79,48 @@
 
 impl Rig {
     /// Opens what surrounds the processes and starts none. Errors: a port or a folder cannot be had.
-    pub async fn open(
+    pub(super) async fn open(
         flags: ScaleFlags,
         starting: Starting,
         stores: PathBuf,
-    ) -> Result<Arc<Rig>, String> {
-        std::fs::create_dir_all(&stores).map_err(|e| format!("{}: {e}", stores.display()))?;
-        let port = |e: std::io::Error| format!("no port on loopback: {e}");
+    ) -> Result<Arc<Rig>, ScaleError> {
+        std::fs::create_dir_all(&stores).map_err(|source| ScaleError::CreateStores {
+            directory: stores.clone(),
+            source,
+        })?;
+        let port = ScaleError::Listen;
         let drift = 0.01;
         let held = (flags.lease.as_micros() as f64 * (1.0 - drift)) as crate::Micros;
         let tap = Tap::new(held, flags.hosts > 0);
         let zones = flags.clone();
         let list = ListSource::new(flags.hosts, |host| zones.zone(host));
         let list_at = list.open().await.map_err(port)?;
-        let peers = Arc::new(Peers {
-            start: Instant::now(),
-            list: tokio::sync::watch::Sender::new((0, Vec::new())),
-            noted: std::sync::Mutex::new(Noted::default()),
-            doors: std::sync::Mutex::default(),
-            lag: std::sync::Mutex::default(),
-        });
+        let peers = Peers::new(Instant::now(), 0);
         // Own lists of real routers say nothing: hosts come from the voters.
-        let [_, desk, silent] = peers.open(0).await.map_err(port)?;
+        let peer_addresses = peers.open(0).await.map_err(port)?;
         let mut voters_at = Vec::new();
         for id in 1..=flags.voters {
             voters_at.push(tap.open(id).await.map_err(port)?);
         }
-        let roster = Roster::default();
-        roster.add("harness", Some(std::process::id()), Kind::Harness);
-        let around = Surroundings { list: silent, desk };
-        let (voters, real, hollow) = Default::default();
+        let processes = ProcessTable::default();
+        processes.add("harness", Some(std::process::id()), ProcessKind::Harness);
+        let around = RouterPeers {
+            list: peer_addresses.silent_list,
+            release_controller: peer_addresses.release_controller,
+        };
         let rig = Rig {
             flags,
             tap,
             list,
-            roster,
+            processes,
             voters_at,
             starting,
             stores,
             list_at,
             around,
-            voters,
-            real,
-            hollow,
+            voters: Mutex::default(),
+            real: Mutex::default(),
+            hollow: Mutex::default(),
         };
         Ok(Arc::new(rig))
     }
@@ -128,16 +131,16 @@
 
     fn settings(&self) -> RouterSettings {
         RouterSettings {
-            keepers: self.voters_at.clone(),
+            nodes: self.voters_at.clone(),
             fleet_size: self.flags.routers,
             tenants: self.flags.tenants,
-            agreed_list: self.with_list(),
+            replicated_list: self.with_list(),
             seed: self.flags.seed,
         }
     }
 
     /// Starts all processes, each router as started at the beginning. Errors: which does not start, and why.
-    pub async fn launch(&self) -> Result<(), String> {
+    pub(super) async fn launch(&self) -> Result<(), RunError> {
         for id in 1..=self.flags.voters {
             self.start_voter(id).await?;
         }
@@ -145,18 +148,18 @@
         join_all(real)
             .await
             .into_iter()
-            .collect::<Result<Vec<()>, String>>()?;
+            .collect::<Result<Vec<()>, RunError>>()?;
         let step = self.flags.hollow_per_process as usize;
         let firsts = (self.flags.real..self.flags.routers).step_by(step);
         let started = join_all(firsts.map(|first| self.start_hollow(first))).await;
-        *self.hollow.lock().await = started.into_iter().collect::<Result<Vec<_>, String>>()?;
+        *self.hollow.lock().await = started.into_iter().collect::<Result<Vec<_>, RunError>>()?;
         Ok(())
     }
 
     /// Errors: it does not start.
-    pub async fn start_voter(&self, id: u32) -> Result<(), String> {
+    pub(super) async fn start_voter(&self, id: u32) -> Result<(), RunError> {
         let name = voter_name(id);
-        let silence = self.flags.lease / SILENCES_IN_LEASE;
+        let election_timeout = self.flags.lease / ELECTION_TIMEOUTS_IN_LEASE;
         let mut flags = vec![
             format!("--id={id}"),
             "--listen=127.0.0.1:0".into(),
@@ -164,10 +167,10 @@
                 "--store={}",
                 self.stores.join(format!("{name}.redb")).display()
             ),
-            format!("--election-timeout={}us", silence.as_micros()),
+            format!("--election-timeout={}us", election_timeout.as_micros()),
             format!(
                 "--heartbeat-interval={}us",
-                (silence / BEATS_IN_SILENCE).as_micros()
+                (election_timeout / HEARTBEATS_IN_ELECTION_TIMEOUT).as_micros()
             ),
             format!("--lease={}us", self.flags.lease.as_micros()),
         ];
@@ -181,16 +184,20 @@
             ..self.starting.clone()
         };
         let process = RouterProcess::start(&starting, &flags, &name).await;
-        let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
-        self.roster.add(&name, process.pid(), Kind::Voter(id));
+        let process = process.map_err(|source| RunError::Start {
+            name: name.clone(),
+            source,
+        })?;
+        self.processes
+            .add(&name, process.pid(), ProcessKind::Voter(id));
         self.tap.target(id, Some(process.address));
         self.voters.lock().await.insert(id, process);
         Ok(())
     }
 
     /// As by `kill -9`.
-    pub async fn kill_voter(&self, id: u32) {
-        self.roster.remove(&voter_name(id));
+    pub(super) async fn kill_voter(&self, id: u32) {
+        self.processes.remove(&voter_name(id));
         self.tap.target(id, None);
         let process = self.voters.lock().await.remove(&id);
         if let Some(mut process) = process {
@@ -198,7 +205,7 @@
         }
     }
 
-    async fn start_real(&self, router: u32) -> Result<(), String> {
+    async fn start_real(&self, router: u32) -> Result<(), RunError> {
         let name = real_name(router);
         let settings = self.settings();
         let mut flags = settings.flags(router, self.flags.zone(router), self.around);
@@ -207,70 +214,51 @@
             first: vec!["router".into()],
             ..self.starting.clone()
         };
-        self.tap.seen().started(self.tap.now(), router);
+        self.tap.record().started(self.tap.now(), router);
         let process = RouterProcess::start(&starting, &flags, &name).await;
-        let process = process.map_err(|what| format!("{name} cannot be started: {what}"))?;
-        self.roster.add(&name, process.pid(), Kind::Real(router));
+        let process = process.map_err(|source| RunError::Start {
+            name: name.clone(),
+            source,
+        })?;
+        self.processes
+            .add(&name, process.pid(), ProcessKind::Real(router));
         self.real.lock().await.insert(router, process);
         Ok(())
     }
 
     /// Starts one process of hollow routers. Errors: it does not start.
-    async fn start_hollow(&self, first: u32) -> Result<HollowProcess, String> {
+    async fn start_hollow(&self, first: u32) -> Result<HollowProcess, RunError> {
         let name = format!("hollow-{first}");
-        let fault = |what: String| format!("{name} cannot be started: {what}");
+        let start_error = |source| RunError::Start {
+            name: name.clone(),
+            source,
+        };
         let end = first
             .saturating_add(self.flags.hollow_per_process)
             .min(self.flags.routers);
-        let settings = self.settings();
-        let mut command = Command::new(&self.starting.program);
-        command.args([
-            "hollow",
-            &format!("--first={first}"),
-            &format!("--count={}", end - first),
-        ]);
-        command.arg(format!("--fleet-size={}", settings.fleet_size));
-        command.arg(format!("--tenants={}", settings.tenants));
-        command.arg(format!("--seed={}", settings.seed));
-        command.arg(format!("--log={}", self.starting.log));
-        command.args(
-            settings
-                .keepers
-                .iter()
-                .map(|keeper| format!("--control-plane={keeper}")),
-        );
-        if settings.agreed_list {
-            command.arg("--replicated-list");
-        }
-        let variables = std::env::vars().filter(|(name, _)| name.starts_with("SPOKEFLOW_"));
-        variables.for_each(|(name, _)| {
-            command.env_remove(name);
-        });
-        command
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .stderr(self.log_of(&name)?)
-            .kill_on_drop(true);
+        let mut command = self.hollow_command(first, end - first);
+        let log = self.starting.log_output(&name);
+        command.stderr(log.map_err(start_error)?);
         let routers: BTreeSet<u32> = (first..end).collect();
         self.note_started(&routers);
-        let mut child = command.spawn().map_err(|e| fault(e.to_string()))?;
-        let (Some(commands), Some(out)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(fault("it has no standard input or output".into()));
+        let mut child = command.spawn().map_err(|source| {
+            start_error(StartError::Spawn {
+                program: self.starting.program.clone(),
+                source,
+            })
+        })?;
+        let (Some(commands), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
+            return Err(start_error(StartError::NoOutput));
         };
         let mut line = String::new();
-        let said = timeout(
-            HOLLOW_STARTS_WITHIN,
-            BufReader::new(out).read_line(&mut line),
-        )
-        .await;
-        if !matches!(said, Ok(Ok(_))) || line.trim() != STARTED {
-            return Err(fault(format!(
-                "it did not say that its routers start, but '{}'",
-                line.trim()
-            )));
+        let mut output = BufReader::new(output);
+        let read = timeout(HOLLOW_STARTS_WITHIN, output.read_line(&mut line)).await;
+        if !matches!(read, Ok(Ok(_))) || line.trim() != STARTED {
+            let line = line.trim().to_string();
+            return Err(RunError::StartHollow { name, line });
         }
-        self.roster
-            .add(&name, child.id(), Kind::Hollow(end - first));
+        self.processes
+            .add(&name, child.id(), ProcessKind::Hollow(end - first));
         Ok(HollowProcess {
             name,
             child,
@@ -279,34 +267,56 @@
         })
     }
 
-    fn log_of(&self, name: &str) -> Result<Stdio, String> {
-        let Some(folder) = &self.starting.logs else {
-            return Ok(Stdio::null());
-        };
-        let file = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(folder.join(format!("{name}.log")));
-        file.map(Stdio::from)
-            .map_err(|e| format!("--logs {}: {e}", folder.display()))
+    /// The command of a process of so many hollow routers.
+    fn hollow_command(&self, first: u32, count: u32) -> Command {
+        let settings = self.settings();
+        let mut command = Command::new(&self.starting.program);
+        command
+            .arg("hollow")
+            .arg(format!("--first={first}"))
+            .arg(format!("--count={count}"))
+            .arg(format!("--fleet-size={}", settings.fleet_size))
+            .arg(format!("--tenants={}", settings.tenants))
+            .arg(format!("--seed={}", settings.seed))
+            .arg(format!("--log={}", self.starting.log));
+        let nodes = settings.nodes.iter();
+        command.args(nodes.map(|node| format!("--control-plane={node}")));
+        if settings.replicated_list {
+            command.arg("--replicated-list");
+        }
+        // No variable of the caller's is taken for a flag.
+        for (name, _) in std::env::vars() {
+            if name.starts_with("SPOKEFLOW_") {
+                command.env_remove(name);
+            }
+        }
+        command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .kill_on_drop(true);
+        command
     }
 
     fn note_started(&self, routers: &BTreeSet<u32>) {
-        let (now, mut seen) = (self.tap.now(), self.tap.seen());
-        routers.iter().for_each(|router| seen.started(now, *router));
+        let now = self.tap.now();
+        let mut record = self.tap.record();
+        routers
+            .iter()
+            .for_each(|router| record.started(now, *router));
     }
 
     /// These routers end at once, real ones as by `kill -9`. Errors: a hollow process has ended.
-    pub async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
-            let (now, mut seen) = (self.tap.now(), self.tap.seen());
+            let now = self.tap.now();
+            let mut record = self.tap.record();
             routers
                 .iter()
-                .for_each(|router| seen.propagation.left(now, *router));
+                .for_each(|router| record.propagation.left(now, *router));
         }
         self.tell_hollow(routers, HollowCommand::Leave).await?;
         for router in routers.range(..self.flags.real) {
-            self.roster.remove(&real_name(*router));
+            self.processes.remove(&real_name(*router));
             let process = self.real.lock().await.remove(router);
             if let Some(mut process) = process {
                 process.kill().await;
@@ -316,12 +326,13 @@
     }
 
     /// These routers start, all at once. Errors: which does not start, and why.
-    pub async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), String> {
+    pub(super) async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
-            let (now, mut seen) = (self.tap.now(), self.tap.seen());
+            let now = self.tap.now();
+            let mut record = self.tap.record();
             for router in routers {
-                seen.propagation.returned(now, *router);
-                seen.started(now, *router);
+                record.propagation.returned(now, *router);
+                record.started(now, *router);
             }
         }
         self.tell_hollow(routers, HollowCommand::Return).await?;
@@ -335,7 +346,7 @@
         &self,
         routers: &BTreeSet<u32>,
         command: impl Fn(BTreeSet<u32>) -> HollowCommand,
-    ) -> Result<(), String> {
+    ) -> Result<(), RunError> {
         for process in self.hollow.lock().await.iter_mut() {
             let own: BTreeSet<u32> = process.routers.intersection(routers).copied().collect();
             if !own.is_empty() {
@@ -346,7 +357,7 @@
     }
 
     /// Stops the last process of hollow routers as by SIGSTOP, or lets it go on. Answers its routers.
-    pub async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
+    pub(super) async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
         let hollow = self.hollow.lock().await;
         let Some(process) = hollow.last() else {
             return BTreeSet::new();
@@ -363,17 +374,17 @@
     }
 
     /// Ends all processes, and takes away what they wrote. None is left when this returns.
-    pub async fn end(&self) {
+    pub(super) async fn end(&self) {
         for process in self.hollow.lock().await.iter_mut() {
-            self.roster.remove(&process.name);
+            self.processes.remove(&process.name);
             let _ = process.child.kill().await;
         }
         for (router, process) in self.real.lock().await.iter_mut() {
-            self.roster.remove(&real_name(*router));
+            self.processes.remove(&real_name(*router));
             process.kill().await;
         }
         for (id, process) in self.voters.lock().await.iter_mut() {
-            self.roster.remove(&voter_name(*id));
+            self.processes.remove(&voter_name(*id));
             process.kill().await;
         }
         let _ = std::fs::remove_dir_all(&self.stores);
--- a/crates/spokeflow-testbed/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -9,6 +9,7 @@
 use tokio::time::Instant;
 
 use super::bounds::{Demand, Machine};
+use super::error::{RunError, ScaleError};
 use super::flags::{Phase, ScaleFlags};
 use super::measure::{measure, times, Judged};
 use super::offers::Offers;
@@ -16,7 +17,7 @@
 use super::report::{bounds, Report, Spread, SpreadOf};
 use super::rig::Rig;
 use super::sample::{PhaseSamples, Role, Sampler};
-use crate::fleet::Node;
+use crate::fleet::Participant;
 use crate::routers::Starting;
 
 /// The phase in which all processes are started.
@@ -74,20 +75,26 @@
     words.join(" ")
 }
 
-/// Plays a run and answers its report. Errors: wrong use, or a run that this machine does not bear; nothing was started.
-pub fn scale(flags: &ScaleFlags) -> Result<Report, String> {
+/// Makes a run and returns its report.
+///
+/// # Errors
+///
+/// Wrong use, or a run that is too large for this machine; nothing was started.
+pub fn scale(flags: &ScaleFlags) -> Result<Report, ScaleError> {
     flags.check()?;
     let machine = Machine::here()?;
     let demand = Demand::of(flags);
     bounds(flags, &machine)
         .iter()
         .for_each(|bound| eprintln!("bound: {bound}"));
-    machine
-        .bears(&demand)
-        .map_err(|what| format!("this run needs {what}"))?;
-    let mut starting = Starting::own().map_err(|e| e.to_string())?;
+    machine.check(&demand)?;
+    let mut starting = Starting::own().map_err(ScaleError::OwnProgram)?;
     if let Some(folder) = &flags.logs {
-        std::fs::create_dir_all(folder).map_err(|e| format!("--logs {}: {e}", folder.display()))?;
+        std::fs::create_dir_all(folder).map_err(|source| ScaleError::Path {
+            flag: "--logs",
+            path: folder.clone(),
+            source,
+        })?;
     }
     starting.logs.clone_from(&flags.logs);
     starting.log.clone_from(&flags.log);
@@ -99,27 +106,28 @@
         .worker_threads(3)
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = runtime.map_err(ScaleError::Runtime)?;
     let mut report = Report::new(flags, machine, demand, command());
     let stores = std::env::temp_dir().join(format!("spokeflow-scale-{}", std::process::id()));
     runtime.block_on(async {
         let rig = Rig::open(flags.clone(), starting, stores).await?;
         play(&rig, machine, &mut report).await;
         rig.end().await;
-        Ok::<(), String>(())
+        Ok::<(), ScaleError>(())
     })?;
     runtime.shutdown_background();
     if let Some(file) = &flags.json {
-        write(
-            file,
-            &serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?,
-        )?;
+        write(file, &serde_json::to_string_pretty(&report)?)?;
     }
     Ok(report)
 }
 
-fn write(file: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(file, text).map_err(|e| format!("--json {}: {e}", file.display()))
+fn write(file: &Path, text: &str) -> Result<(), ScaleError> {
+    std::fs::write(file, text).map_err(|source| ScaleError::Path {
+        flag: "--json",
+        path: file.to_path_buf(),
+        source,
+    })
 }
 
 /// Resolves once someone tells this program to end. Errors of the signal's handler leave it waiting.
@@ -139,7 +147,7 @@
 async fn play(rig: &Arc<Rig>, machine: Machine, report: &mut Report) {
     let (stop, mut stopped) = watch::channel(None);
     let sampler = Sampler::new(
-        rig.roster.clone(),
+        rig.processes.clone(),
         rig.tap.clone(),
         machine,
         rig.flags.real,
@@ -147,7 +155,7 @@
     );
     let sampling = tokio::spawn(sampler.clone().run());
     let ended = tokio::select! {
-        played = phases(rig, &sampler, report) => played.err(),
+        played = phases(rig, &sampler, report) => played.err().map(|error| error.to_string()),
         why = interrupted() => Some(why),
         why = async {
             match stopped.wait_for(Option::is_some).await {
@@ -162,19 +170,19 @@
     }
 }
 
-async fn phases(rig: &Arc<Rig>, sampler: &Sampler, report: &mut Report) -> Result<(), String> {
+async fn phases(rig: &Arc<Rig>, sampler: &Sampler, report: &mut Report) -> Result<(), RunError> {
     let played = rig.flags.played();
     let progress = Progress::new(played.len());
     progress.say(LAUNCH);
     rig.launch().await?;
     until_ready(rig).await;
     judge(rig, report, LAUNCH, &[], &sampler.take());
-    let starting = rig.tap.seen().propagation.starting().len();
+    let starting = rig.tap.record().propagation.starting().len();
     if starting > 0 {
-        return Err(format!(
-            "{starting} of {} routers were not ready in time",
-            rig.flags.routers
-        ));
+        return Err(RunError::NotReady {
+            starting,
+            routers: rig.flags.routers,
+        });
     }
     let mut offers = Offers::new(rig.clone());
     let mut phases = Phases::new(rig.clone());
@@ -187,8 +195,8 @@
         until_in_force(rig).await;
         let revisions = std::mem::take(&mut phases.revisions);
         judge(rig, report, &name, &revisions, &sampled);
-        if let Some(what) = offers.refused.take() {
-            report.find(&name, "revision refused", what);
+        if let Some(error) = offers.refused.take() {
+            report.find(&name, "revision refused", error.to_string());
         }
         judge_election(report, &name, &mut phases);
         if phase == Phase::Stalled {
@@ -201,17 +209,25 @@
 
 /// Figures and findings of one phase.
 fn judge(rig: &Rig, report: &mut Report, phase: &str, revisions: &[u64], samples: &PhaseSamples) {
-    let flags = &rig.flags;
-    let judged = if phase == LAUNCH {
-        Judged::Memory
-    } else {
-        Judged::All
+    let judged = match phase {
+        LAUNCH => Judged::Memory,
+        _ => Judged::All,
     };
-    measure(report, flags, phase, judged, samples);
-    let mut seen = rig.tap.seen();
-    let (mut told, mut confirmed, mut everywhere) = (Vec::new(), Vec::new(), Vec::new());
+    measure(report, &rig.flags, phase, judged, samples);
+    judge_revisions(rig, report, phase, revisions);
+    judge_starts(rig, report, phase);
+    report_lapses(rig, report, phase);
+}
+
+/// How long revisions took to the routers, and which did not arrive.
+fn judge_revisions(rig: &Rig, report: &mut Report, phase: &str, revisions: &[u64]) {
+    let flags = &rig.flags;
+    let mut granted = Vec::new();
+    let mut confirmed = Vec::new();
+    let mut everywhere = Vec::new();
     for number in revisions {
-        let Some(spread) = seen.propagation.spread(*number, flags.routers) else {
+        let spread = rig.tap.record().propagation.spread(*number, flags.routers);
+        let Some(spread) = spread else {
             continue;
         };
         if let Some(first) = spread.missing.first() {
@@ -222,51 +238,47 @@
             report.find(phase, "in force", text);
         }
         everywhere.extend(spread.confirmed.iter().max());
-        told.extend(spread.told);
+        granted.extend(spread.granted);
         confirmed.extend(spread.confirmed);
     }
     if !revisions.is_empty() {
-        let taken = Spread::one(revisions.len() as f64);
+        let count = Spread::one(revisions.len() as f64);
         report.figure(
             phase,
             Role::Fleet,
             "revisions",
             "revisions",
-            taken,
+            count,
             SpreadOf::One,
         );
     }
-    times(report, phase, "offer_to_told", &told, SpreadOf::Arrivals);
+    let arrivals = SpreadOf::Arrivals;
+    times(report, phase, "offer_to_told", &granted, arrivals);
     times(
         report,
         phase,
         "offer_to_in_force_everywhere",
         &everywhere,
-        SpreadOf::Arrivals,
-    );
-    let worst = times(
-        report,
-        phase,
-        "offer_to_in_force",
-        &confirmed,
-        SpreadOf::Arrivals,
+        arrivals,
     );
+    let worst = times(report, phase, "offer_to_in_force", &confirmed, arrivals);
     let within = flags.in_force_within.as_secs_f64();
     if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(
-            phase,
-            "in force",
-            format!("{worst:.3} s at the slowest router, {within} s allowed"),
-        );
+        report.find(phase, "in force", slowest_router(worst, within));
     }
-    let ready = seen.propagation.take_ready();
+}
+
+/// How long routers took to be ready, and which are not.
+fn judge_starts(rig: &Rig, report: &mut Report, phase: &str) {
+    let mut record = rig.tap.record();
+    let ready = record.propagation.take_ready();
     let worst = times(report, phase, "time_to_ready", &ready, SpreadOf::Starts);
-    let within = flags.ready_within.as_secs_f64();
-    let not_ready = seen.propagation.starting();
+    let within = rig.flags.ready_within.as_secs_f64();
+    let not_ready = record.propagation.starting();
     if let Some(first) = not_ready.first() {
-        let traffic = seen
+        let traffic = record
             .traffic
-            .get(&Node::Router(*first))
+            .get(&Participant::Router(*first))
             .copied()
             .unwrap_or_default();
         let text = format!(
@@ -278,13 +290,17 @@
         );
         report.find(phase, "ready", text);
     } else if let Some(worst) = worst.filter(|worst| *worst > within) {
-        report.find(
-            phase,
-            "ready",
-            format!("{worst:.3} s at the slowest router, {within} s allowed"),
-        );
+        report.find(phase, "ready", slowest_router(worst, within));
     }
-    let lapses = std::mem::take(&mut seen.lapses);
+}
+
+fn slowest_router(worst: f64, within: f64) -> String {
+    format!("{worst:.3} s at the slowest router, {within} s allowed")
+}
+
+/// Grants that came after the last lease was over.
+fn report_lapses(rig: &Rig, report: &mut Report, phase: &str) {
+    let lapses = std::mem::take(&mut rig.tap.record().lapses);
     let count = Spread::one(lapses.count as f64);
     report.figure(
         phase,
