--- a/crates/spokeflow-testbed/tests/scale.rs
+++ b/crates/spokeflow-testbed/tests/scale.rs
@@ -45,8 +45,13 @@
 
 /// Processes whose command line has this word.
 fn processes_with(word: &str) -> Vec<i32> {
+    let program = std::fs::canonicalize(env!("CARGO_BIN_EXE_spokeflow-testbed")).unwrap();
     let of = |entry: std::fs::DirEntry| {
         let pid: i32 = entry.file_name().to_str()?.parse().ok()?;
+        // The same test may run from another build folder on this machine: its processes are not ours.
+        if std::fs::read_link(entry.path().join("exe")).ok()? != program {
+            return None;
+        }
         let line = std::fs::read(entry.path().join("cmdline")).ok()?;
         let words = line.split(|byte| *byte == 0).map(String::from_utf8_lossy);
         words.into_iter().any(|w| w == word).then_some(pid)
