--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -357,7 +357,7 @@
     vec![
         ("FromList::Welcome", FromList::Welcome),
         ("FromList::Refused", FromList::Refused(refused())),
-        ("FromList::Complete", whole),
+        ("FromList::Whole", whole),
         ("FromList::Changes/Gone", changes(EndpointPhase::Gone)),
         ("FromList::Changes/Ready", changes(EndpointPhase::Ready)),
         (
@@ -373,7 +373,7 @@
     match message {
         FromList::Welcome => "FromList::Welcome",
         FromList::Refused(_) => "FromList::Refused",
-        FromList::Complete { .. } => "FromList::Complete",
+        FromList::Complete { .. } => "FromList::Whole",
         FromList::Changes {
             endpoints: lines, ..
         } => match lines[0].phase {
