--- a/crates/spokeflow-config/src/check.rs
+++ b/crates/spokeflow-config/src/check.rs
@@ -28,7 +28,7 @@
     fn check_operations(&self, errors: &mut ConfigErrors) {
         for op in &self.ops {
             let mut check = |wrong: bool, fault: &str| {
-                errors.check(wrong, "op", format!("op type '{}': {fault}", op.name));
+                errors.add_if(wrong, "op", format!("op type '{}': {fault}", op.name));
             };
             check(op.target.is_zero(), "target= is missing or nothing");
             check(op.timeout < op.target, "timeout= is shorter than target=");
@@ -48,53 +48,53 @@
         for customer in &self.customers {
             let wrong = customer.quota.is_nan() || customer.quota <= 0.0;
             let fault = format!("'{}': the share must be above 0", customer.name);
-            errors.check(wrong, "customer", fault);
+            errors.add_if(wrong, "customer", fault);
         }
     }
 
     fn check_fleet(&self, errors: &mut ConfigErrors) {
-        errors.check(self.fleet_size == 0, "fleet-size", "at least 1");
-        errors.check(self.delivery_cap == 0, "delivery-cap", "at least 1");
+        errors.add_if(self.fleet_size == 0, "fleet-size", "at least 1");
+        errors.add_if(self.delivery_cap == 0, "delivery-cap", "at least 1");
     }
 
     fn check_hosts(&self, errors: &mut ConfigErrors) {
         let bad_start = !is_fraction(self.cold_from) || self.cold_from == 0.0;
-        errors.check(bad_start, "cold-from", "above 0 and at most 1");
+        errors.add_if(bad_start, "cold-from", "above 0 and at most 1");
         let bad_multiple = self.fall_multiple.is_nan() || self.fall_multiple < 1.0;
-        errors.check(bad_multiple, "fall-multiple", "at least 1");
-        errors.check(self.fall_span.is_zero(), "fall-span", "above 0s");
+        errors.add_if(bad_multiple, "fall-multiple", "at least 1");
+        errors.add_if(self.fall_span.is_zero(), "fall-span", "above 0s");
     }
 
     fn check_exposure(&self, errors: &mut ConfigErrors) {
-        errors.check(self.exposure_span.is_zero(), "exposure-span", "above 0s");
+        errors.add_if(self.exposure_span.is_zero(), "exposure-span", "above 0s");
         let bad_free = !self.exposure_free.is_finite() || self.exposure_free < 0.0;
-        errors.check(bad_free, "exposure-free", "0 or more");
+        errors.add_if(bad_free, "exposure-free", "0 or more");
         let bad_fraction = !is_fraction(self.complaint_share);
-        errors.check(bad_fraction, "complaint-share", "0 to 1");
+        errors.add_if(bad_fraction, "complaint-share", "0 to 1");
     }
 
     fn check_stages(&self, errors: &mut ConfigErrors) {
         const RISING: &str = "each 0 to 1, none below the one before";
         let bad_sizes = !rises_within_fractions(&self.stage_shares);
-        errors.check(bad_sizes, "stage-share", RISING);
+        errors.add_if(bad_sizes, "stage-share", RISING);
         let bad_caps = !rises_within_fractions(&self.stage_caps);
-        errors.check(bad_caps, "stage-cap", RISING);
+        errors.add_if(bad_caps, "stage-cap", RISING);
         let caps = self.stage_caps.len();
         let sizes = self.stage_shares.len();
         let unequal = format!("{caps} stages, but --stage-share has {sizes}");
-        errors.check(caps != sizes, "stage-cap", unequal);
+        errors.add_if(caps != sizes, "stage-cap", unequal);
         let guarded = usize::from(self.guarded_stages);
         let beyond = format!("{guarded} of {caps} stages");
-        errors.check(guarded > caps, "guarded-stages", beyond);
+        errors.add_if(guarded > caps, "guarded-stages", beyond);
     }
 
     fn check_votes(&self, errors: &mut ConfigErrors) {
         let votes = self.back_votes;
         let beyond = format!("{votes} of {} routers", self.fleet_size);
-        errors.check(votes > self.fleet_size, "back-votes", beyond);
+        errors.add_if(votes > self.fleet_size, "back-votes", beyond);
         let bad_rate = self.votes_a_second.is_nan() || self.votes_a_second <= 0.0;
-        errors.check(bad_rate, "votes-a-second", "above 0");
+        errors.add_if(bad_rate, "votes-a-second", "above 0");
         let too_long = format!("shorter than --vote-lifetime {:?}", self.vote_lifetime);
-        errors.check(self.vote_wait >= self.vote_lifetime, "vote-wait", too_long);
+        errors.add_if(self.vote_wait >= self.vote_lifetime, "vote-wait", too_long);
     }
 }
--- a/crates/spokeflow-config/src/error.rs
+++ b/crates/spokeflow-config/src/error.rs
@@ -10,7 +10,7 @@
 
 impl ConfigErrors {
     /// Notes `fault` of `flag` where `wrong` holds.
-    pub fn check(&mut self, wrong: bool, flag: &str, fault: impl fmt::Display) {
+    pub fn add_if(&mut self, wrong: bool, flag: &str, fault: impl fmt::Display) {
         if wrong {
             self.lines.push(format!("--{flag}: {fault}"));
         }
--- a/crates/spokeflow-config/src/revision.rs
+++ b/crates/spokeflow-config/src/revision.rs
@@ -86,7 +86,7 @@
         let mut errors = ConfigErrors::default();
         let flags = self.with_overrides(values, &mut errors);
         let same_customers = flags.customer_names().eq(self.customer_names());
-        errors.check(
+        errors.add_if(
             !same_customers,
             "customer",
             "not the customers that this router was started with, in their order",
@@ -103,7 +103,7 @@
         let mut flags = self.clone();
         for (name, text) in values {
             if let Err(error) = flags.apply_override(name, text) {
-                errors.check(true, name, error);
+                errors.add_if(true, name, error);
             }
         }
         flags
--- a/crates/spokeflow-control-plane/src/flags.rs
+++ b/crates/spokeflow-control-plane/src/flags.rs
@@ -127,7 +127,7 @@
         let mut errors = ConfigErrors::default();
         self.check_members(&mut errors);
         self.check_timing(&mut errors);
-        errors.check(self.max_connections == 0, "max-connections", "at least 1");
+        errors.add_if(self.max_connections == 0, "max-connections", "at least 1");
         errors.or_value(())
     }
 
@@ -138,20 +138,20 @@
         ids.dedup();
         let id = self.id;
         let includes_itself = ids.contains(&id);
-        errors.check(ids.len() != count, "member", "a number is given twice");
+        errors.add_if(ids.len() != count, "member", "a number is given twice");
         if self.join {
-            errors.check(
+            errors.add_if(
                 includes_itself,
                 "member",
                 format!("{id} is this one, which joins"),
             );
         } else {
-            errors.check(
+            errors.add_if(
                 count.is_multiple_of(2) || count > MAX_VOTERS,
                 "member",
                 format!("{count} of them, not 1, 3, 5 or 7"),
             );
-            errors.check(
+            errors.add_if(
                 !includes_itself,
                 "member",
                 format!("node {id} itself is not among them"),
@@ -161,23 +161,23 @@
 
     fn check_timing(&self, errors: &mut ConfigErrors) {
         let election_timeout = self.election_timeout;
-        errors.check(
+        errors.add_if(
             self.heartbeat_interval.is_zero(),
             "heartbeat-interval",
             "above 0s",
         );
-        errors.check(
+        errors.add_if(
             self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION > election_timeout,
             "heartbeat-interval",
             format!("over a third of --election-timeout {election_timeout:?}"),
         );
         let drift = self.max_clock_drift;
-        errors.check(
+        errors.add_if(
             !(0.0..=MAX_CLOCK_DRIFT).contains(&drift),
             "max-clock-drift",
             format!("{drift} is not between 0 and {MAX_CLOCK_DRIFT}"),
         );
-        errors.check(
+        errors.add_if(
             self.lease < election_timeout * MIN_ELECTIONS_PER_LEASE,
             "lease",
             format!("under four times --election-timeout {election_timeout:?}"),
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -146,12 +146,12 @@
 
     fn check_fleet(&self, errors: &mut ConfigErrors) {
         let fleet_size = self.service.fleet_size;
-        errors.check(
+        errors.add_if(
             self.index >= fleet_size,
             "index",
             format!("{} is not below --fleet-size {fleet_size}", self.index),
         );
-        errors.check(
+        errors.add_if(
             self.replicated_list && self.control_plane.is_empty(),
             "replicated-list",
             "needs --control-plane",
@@ -162,12 +162,12 @@
         let ops = &self.service.ops;
         let timeouts = || ops.iter().map(|op| op.timeout);
         let shortest = timeouts().min().unwrap_or_default();
-        errors.check(
+        errors.add_if(
             self.answer_margin * MIN_TIMEOUT_PER_ANSWER_MARGIN > shortest,
             "answer-margin",
             format!("over a quarter of timeout= {shortest:?}"),
         );
-        errors.check(
+        errors.add_if(
             self.connect_timeout.is_zero(),
             "connect-timeout",
             "above 0s",
@@ -178,26 +178,26 @@
             .map(|op| op.memory)
             .min()
             .unwrap_or(Duration::MAX);
-        errors.check(
+        errors.add_if(
             self.ping_timeout >= shortest_memory,
             "ping-timeout",
             format!("not shorter than memory= {shortest_memory:?}"),
         );
-        errors.check(self.ping_timeout.is_zero(), "ping-timeout", "above 0s");
+        errors.add_if(self.ping_timeout.is_zero(), "ping-timeout", "above 0s");
         let longest = timeouts().max().unwrap_or_default();
-        errors.check(
+        errors.add_if(
             self.shutdown_within < longest,
             "shutdown-within",
             format!("shorter than timeout= {longest:?}"),
         );
         let first_delay = self.reconnect_first;
-        errors.check(first_delay.is_zero(), "reconnect-first", "above 0s");
-        errors.check(
+        errors.add_if(first_delay.is_zero(), "reconnect-first", "above 0s");
+        errors.add_if(
             self.reconnect_most < first_delay,
             "reconnect-most",
             format!("shorter than --reconnect-first {first_delay:?}"),
         );
-        errors.check(self.list_renew.is_zero(), "list-renew", "above 0s");
+        errors.add_if(self.list_renew.is_zero(), "list-renew", "above 0s");
     }
 
     fn check_limits(&self, errors: &mut ConfigErrors) {
@@ -207,7 +207,7 @@
             (self.client_queue, "client-queue"),
             (self.host_queue, "host-queue"),
         ] {
-            errors.check(limit == 0, flag, "at least 1");
+            errors.add_if(limit == 0, flag, "at least 1");
         }
     }
 
