--- a/crates/spokeflow-config/src/customer.rs
+++ b/crates/spokeflow-config/src/customer.rs
@@ -1,4 +1,4 @@
-//! A customer of the service as the text of one flag.
+//! A customer of the service, parsed from the text of a flag.
 
 use std::num::ParseFloatError;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 pub struct CustomerFlag {
     /// Name of the customer.
     pub name: String,
-    /// Commands a second over all routers, above 0.
+    /// Commands per second over all routers, above 0.
     pub quota: f64,
 }
 
@@ -18,10 +18,10 @@
     /// There is no `=`.
     #[error("not NAME=COMMANDS_A_SECOND")]
     Form,
-    /// What follows the `=` is not a number.
+    /// The text after the `=` is not a number.
     #[error("'{text}' is not a number")]
     Quota {
-        /// What follows the `=`.
+        /// The text after the `=`.
         text: String,
         /// Why it is not a number.
         source: ParseFloatError,
--- a/crates/spokeflow-config/src/duration.rs
+++ b/crates/spokeflow-config/src/duration.rs
@@ -1,12 +1,12 @@
-//! Durations with units, as flags give them.
+//! Parses durations with units, as given in flags.
 
 use std::time::Duration;
 
-/// A text is no duration with its unit.
+/// The text is not a duration with a unit.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{source}; a time with its unit, such as 250ms or 1.2s")]
+#[error("{source}; use a duration with a unit, such as 250ms or 1.2s")]
 pub struct DurationError {
-    /// What the library says of it.
+    /// The error of the `humantime` library.
     #[from]
     source: humantime::DurationError,
 }
@@ -15,14 +15,14 @@
 ///
 /// # Errors
 ///
-/// [`DurationError`], which says what is wrong and shows the form.
+/// The text is not a duration with a unit; the message shows the expected form.
 pub fn parse_duration(text: &str) -> Result<Duration, DurationError> {
     humantime::parse_duration(text)
         .or_else(|error| fractional_seconds(text).ok_or(error))
         .map_err(DurationError::from)
 }
 
-/// `1.2s`, which the library does not read.
+/// Parses fractional seconds such as `1.2s`, which `humantime` rejects.
 fn fractional_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.strip_suffix('s')?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
--- a/crates/spokeflow-config/src/error.rs
+++ b/crates/spokeflow-config/src/error.rs
@@ -1,31 +1,31 @@
-//! What is wrong with a configuration.
+//! The faults of a configuration.
 
 use std::fmt;
 
-/// Every fault found in a configuration, one line each, naming its flag.
+/// All faults found in a configuration, one line each that names the flag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigErrors {
     lines: Vec<String>,
 }
 
 impl ConfigErrors {
-    /// Notes `fault` of `flag` where `wrong` holds.
+    /// Adds `fault`, found in the value of `flag`, if `wrong` is true.
     pub fn add_if(&mut self, wrong: bool, flag: &str, fault: impl fmt::Display) {
         if wrong {
             self.lines.push(format!("--{flag}: {fault}"));
         }
     }
 
-    /// The faults, one line each.
+    /// Returns the faults, one line each.
     pub fn lines(&self) -> &[String] {
         &self.lines
     }
 
-    /// `value` where there is no fault.
+    /// Returns `value` if there is no fault.
     ///
     /// # Errors
     ///
-    /// These faults, where there is one.
+    /// The faults, if there are any.
     pub fn or_value<T>(self, value: T) -> Result<T, ConfigErrors> {
         if self.lines.is_empty() {
             Ok(value)
--- a/crates/spokeflow-config/src/former_names.rs
+++ b/crates/spokeflow-config/src/former_names.rs
@@ -1,11 +1,11 @@
-//! Names of environment variables that were changed. The former ones are still read.
+//! Renamed environment variables, which are still read under their former names.
 
-/// A changed variable: its former name and the present one.
+/// A renamed variable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RenamedVariable {
-    /// The name that files of earlier deployments have.
+    /// The name before, still used in the files of earlier deployments.
     pub former: &'static str,
-    /// The name that `--help` shows.
+    /// The current name, which `--help` shows.
     pub current: &'static str,
 }
 
@@ -13,7 +13,7 @@
     RenamedVariable { former, current }
 }
 
-/// Every variable of the project's programs that was changed. Flags have their former names as aliases.
+/// All renamed variables of the project's programs. Renamed flags keep their former names as aliases.
 pub const RENAMED_VARIABLES: [RenamedVariable; 13] = [
     renamed("SPOKEFLOW_DESK", "SPOKEFLOW_RELEASE_CONTROLLER"),
     renamed("SPOKEFLOW_KEEPER", "SPOKEFLOW_CONTROL_PLANE"),
@@ -30,7 +30,7 @@
     renamed("SPOKEFLOW_CALLERS_AT_MOST", "SPOKEFLOW_MAX_CONNECTIONS"),
 ];
 
-/// The present name of a variable, whichever of its names is given.
+/// Returns the current name of the variable that has `name` as its current or former name.
 pub fn current_variable_name(name: &str) -> &str {
     RENAMED_VARIABLES
         .iter()
@@ -38,8 +38,8 @@
         .map_or(name, |variable| variable.current)
 }
 
-/// Gives each variable that is set under its former name alone its present name in this process's environment. To be
-/// called first in `main`, before flags are parsed and while there is one thread.
+/// Sets the current name of each variable that is set under its former name only, in the environment of this process.
+/// Must be called first in `main`, before flags are parsed and while the process has a single thread.
 pub fn adopt_former_variables() {
     for variable in RENAMED_VARIABLES {
         let former = std::env::var_os(variable.former);
--- a/crates/spokeflow-config/src/lib.rs
+++ b/crates/spokeflow-config/src/lib.rs
@@ -1,5 +1,6 @@
-//! The configuration that all routers of a service share: its flags and environment variables ([`ServiceFlags`]), what
-//! of them a replicated revision may change ([`REVISABLE`]), and one check of both. No I/O but the environment of the process.
+//! The configuration that all routers of a service share: its flags and environment variables ([`ServiceFlags`]), the
+//! flags that a replicated revision may change ([`REVISABLE`]), and one check for both. The only I/O is on the
+//! environment of the process.
 //!
 //! The router reads the flags at start and applies revisions to them; the control plane checks a proposed revision with
 //! [`check_overrides`] before it is replicated. Variables that were renamed are still read ([`adopt_former_variables`]).
--- a/crates/spokeflow-config/src/operation.rs
+++ b/crates/spokeflow-config/src/operation.rs
@@ -1,4 +1,4 @@
-//! An operation of the service as the text of one flag.
+//! An operation of the service, parsed from the text of a flag.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 use crate::duration::DurationError;
 use crate::parse_duration;
 
-/// An operation and what the service promises of it:
+/// An operation and the guarantees of the service for it:
 /// `NAME:REPEAT:target=TIME:timeout=TIME:importance=NUMBER[:memory=TIME][:streamed]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperationFlag {
@@ -25,7 +25,7 @@
     pub target: Duration,
     /// The client's deadline (`timeout=`).
     pub timeout: Duration,
-    /// Weight against other operations, above 0.
+    /// Weight relative to other operations, above 0.
     pub importance: f64,
     /// Whether responses are streamed.
     pub streamed: bool,
@@ -37,16 +37,16 @@
     /// The text starts with a colon, or is empty.
     #[error("the name is missing")]
     NameMissing,
-    /// The second part names no known kind of repetition.
+    /// The second part is not a known [`Repeat`] with its scope.
     #[error("'{0}' is not redeliverable, at-most-once or deduplicated/SCOPE")]
     Repeat(String),
     /// A duration cannot be parsed.
     #[error(transparent)]
     Duration(#[from] DurationError),
     /// `importance=` is not a number.
-    #[error("'{0}': not a number")]
+    #[error("'{0}' is not importance=NUMBER")]
     Importance(String),
-    /// A part is none of the known ones.
+    /// A part has none of the known keys.
     #[error("'{0}' is not target=, timeout=, memory=, importance= or streamed")]
     Part(String),
 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// The flag's text, durations in whole microseconds.
+/// Writes the flag's text, with durations in whole microseconds.
 impl fmt::Display for OperationFlag {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
--- a/crates/spokeflow-config/src/revision.rs
+++ b/crates/spokeflow-config/src/revision.rs
@@ -9,7 +9,8 @@
 use crate::duration::DurationError;
 use crate::{parse_duration, ConfigErrors, ServiceFlags};
 
-/// Flags that a revision may name. The others need new processes: what was counted under them cannot be counted anew.
+/// Flags that a revision may override. The others can be changed only by a restart of the routers: what was counted
+/// under the old values cannot be counted again under the new ones.
 pub const REVISABLE: [&str; 14] = [
     "customer",
     "fleet-size",
@@ -27,7 +28,7 @@
     "votes-a-second",
 ];
 
-/// The flags on which a revision is checked where those of the routers are not known: defaults and one operation.
+/// Flags to check a revision with where those of the routers are not known: the defaults and one operation.
 #[derive(Parser)]
 struct BaseFlags {
     #[command(flatten)]
@@ -41,8 +42,8 @@
 enum OverrideError {
     #[error("cannot be changed while routers run")]
     NotRevisable,
-    /// Which numbers there are is the flag's to say.
-    #[error("'{0}' is not such a number")]
+    /// The type of the flag decides which numbers are accepted.
+    #[error("'{0}' is not a valid number for this flag")]
     Number(String),
     #[error(transparent)]
     Duration(#[from] DurationError),
@@ -59,29 +60,29 @@
     text.split(',').map(|part| parse(part.trim())).collect()
 }
 
-/// Checks each value by itself and together with the defaults of what is not named. A router checks again, together
-/// with its own flags, before it acts on it.
+/// Checks each value by itself and together with the defaults of the flags that are not named. A router checks the
+/// revision again, together with its own flags, before it acts on it.
 ///
 /// # Errors
 ///
-/// Every fault, one a line, naming the flag.
+/// All faults, one line each that names the flag.
 pub fn check_overrides(values: &Overrides) -> Result<(), ConfigErrors> {
     let base = BaseFlags::try_parse_from(BASE_ARGUMENTS)
-        .expect("the base flags are complete")
+        .expect("the base flags must parse")
         .service;
     let mut errors = ConfigErrors::default();
     let mut flags = base.with_overrides(values, &mut errors);
-    flags.assume_unnamed_fits(values);
+    flags.fit_unnamed_flags(values);
     flags.check(&mut errors);
     errors.or_value(())
 }
 
 impl ServiceFlags {
-    /// These flags with a revision's values in place of their own, checked.
+    /// Returns these flags with the values of a revision in place of their own, checked.
     ///
     /// # Errors
     ///
-    /// Every fault, one a line, naming the flag.
+    /// All faults, one line each that names the flag.
     pub fn revised(&self, values: &Overrides) -> Result<ServiceFlags, ConfigErrors> {
         let mut errors = ConfigErrors::default();
         let flags = self.with_overrides(values, &mut errors);
@@ -89,7 +90,7 @@
         errors.add_if(
             !same_customers,
             "customer",
-            "not the customers that this router was started with, in their order",
+            "must name the customers that this router was started with, in the same order",
         );
         flags.check(&mut errors);
         errors.or_value(flags)
@@ -130,8 +131,9 @@
         Ok(())
     }
 
-    /// Takes what `values` does not name to fit what it names.
-    fn assume_unnamed_fits(&mut self, values: &Overrides) {
+    /// Sets the flags that `values` does not name so that the named ones fit them: a router may have been started with
+    /// other values than the defaults.
+    fn fit_unnamed_flags(&mut self, values: &Overrides) {
         if !values.contains_key("fleet-size") {
             self.fleet_size = u32::MAX;
         }
--- a/crates/spokeflow-config/src/service.rs
+++ b/crates/spokeflow-config/src/service.rs
@@ -17,7 +17,7 @@
     Clocked,
 }
 
-/// Not a doc comment: rustdoc would take the optional parts for links.
+/// Help text of `--op`. Not a doc comment, since rustdoc would take the optional parts in brackets for links.
 const OPERATION_HELP: &str = "An operation: NAME:REPEAT:target=TIME:timeout=TIME:importance=NUMBER[:memory=TIME][:streamed], \
     in the order of its numbers on the wire. REPEAT is redeliverable, at-most-once, or deduplicated/SCOPE with SCOPE the \
     hosts that recognize a retry: all, zone, cell or host. Repeat the flag, or split the variable by commas";
--- a/crates/spokeflow-config/tests/operation.rs
+++ b/crates/spokeflow-config/tests/operation.rs
@@ -1,9 +1,9 @@
-//! The text of an operation's flag.
+//! The text form of an operation's flag.
 
 use spokeflow_config::OperationFlag;
 
 #[test]
-fn an_operation_is_read_back_from_its_own_text() {
+fn a_displayed_operation_parses_to_the_same_operation() {
     for text in [
         "a:redeliverable:target=1.2s:timeout=4s",
         "b:deduplicated/cell:memory=2s:target=1s:timeout=3s",
--- a/crates/spokeflow-config/tests/revision.rs
+++ b/crates/spokeflow-config/tests/revision.rs
@@ -1,4 +1,4 @@
-//! What is said of a revision whose values cannot be used.
+//! Error messages for a revision whose values cannot be used.
 
 use spokeflow_config::check_overrides;
 use spokeflow_coordination::Overrides;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_revision_that_cannot_be_used_is_explained() {
+fn unusable_values_of_a_revision_are_reported_by_flag() {
     let cases = [
         (
             "listen",
@@ -19,17 +19,17 @@
         (
             "fleet-size",
             "-1",
-            "--fleet-size: '-1' is not such a number",
+            "--fleet-size: '-1' is not a valid number for this flag",
         ),
         (
             "stage-cap",
             "0.1, many",
-            "--stage-cap: 'many' is not such a number",
+            "--stage-cap: 'many' is not a valid number for this flag",
         ),
         (
             "drain-grace",
             "soon",
-            "--drain-grace: expected number at 0; a time with its unit, such as 250ms or 1.2s",
+            "--drain-grace: expected number at 0; use a duration with a unit, such as 250ms or 1.2s",
         ),
         (
             "customer",
@@ -40,7 +40,7 @@
         (
             "customer",
             "a=0",
-            "--customer: 'a': the share must be above 0",
+            "--customer: 'a': the quota must be above 0, got 0",
         ),
     ];
     for (flag, text, expected) in cases {
--- a/crates/spokeflow-runtime/src/backoff.rs
+++ b/crates/spokeflow-runtime/src/backoff.rs
@@ -4,13 +4,13 @@
 
 use spokeflow_core::Rng;
 
-/// Doublings of the first delay are capped here, so that the shift cannot overflow.
+/// Maximum number of doublings of the first delay, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// The largest part of a delay that jitter takes off.
+/// Largest fraction of a delay that jitter subtracts.
 const JITTER: f64 = 0.5;
 
-/// Delays that double with each failure in a row. Jitter from the given seed takes up to half off, so that many
-/// routers do not reconnect together; equal seeds give equal delays.
+/// Delays that double with each failure in a row. Jitter drawn from the given seed subtracts up to half of each delay,
+/// so that many routers do not reconnect at the same time; equal seeds give equal delays.
 pub struct Backoff {
     rng: Rng,
     first: Duration,
@@ -18,7 +18,8 @@
 }
 
 impl Backoff {
-    /// `peer` tells the connections of one process apart: each draws from a generator of its own.
+    /// Creates the backoff of one connection. `peer` tells the connections of one process apart: each draws from a
+    /// generator of its own.
     pub fn new(seed: u64, peer: u64, first: Duration, longest: Duration) -> Self {
         let spread = peer.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         Backoff {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The delay after so many failures in a row.
+    /// Returns the delay after `failures` failures in a row.
     pub fn delay(&mut self, failures: u32) -> Duration {
         let doublings = failures.min(MAX_DOUBLINGS);
         let full = self.first.saturating_mul(1 << doublings).min(self.longest);
--- a/crates/spokeflow-runtime/src/clock.rs
+++ b/crates/spokeflow-runtime/src/clock.rs
@@ -9,7 +9,7 @@
 
 use crate::LogRateLimiter;
 
-/// A wake-up that is never due is looked at again after this time, in microseconds: one hour.
+/// Longest wait for a wake-up, in microseconds: one hour. A wake-up that is never due is checked again after it.
 const LONGEST_WAIT: Micros = 3_600_000_000;
 
 /// Microseconds since the start of the process, with the state that its tasks share: whether it is shutting down, and
@@ -21,7 +21,7 @@
 }
 
 impl Clock {
-    /// A clock that reads zero now.
+    /// Creates a clock that reads zero now.
     pub fn starting_now() -> Arc<Clock> {
         Arc::new(Clock {
             start: Instant::now(),
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -40,17 +40,18 @@
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Tells all tasks that the process is shutting down.
+    /// Marks the process as shutting down, for all tasks that share the clock.
     pub fn begin_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a line that a peer causes may be logged now; with it, how many were suppressed before.
+    /// Whether a line that a peer caused may be logged now; see [`LogRateLimiter::allow`].
     pub fn allow_log_line(&self) -> Option<u64> {
         self.log_rate_limiter.allow(self.start.elapsed().as_secs())
     }
 
-    /// The runtime's instant for a time of the engine, in microseconds since the start; an hour from now at the latest.
+    /// Converts a time of the engine, in microseconds since the start, to the runtime's instant; at most an hour from
+    /// now.
     pub fn instant_at(&self, time: Micros) -> Instant {
         let time = time.clamp(0, self.now() + LONGEST_WAIT);
         self.start + Duration::from_micros(time as u64)
--- a/crates/spokeflow-runtime/src/lib.rs
+++ b/crates/spokeflow-runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What all programs share around their state machines: a monotonic [`Clock`], [`Backoff`] between connection
+//! The parts that all programs share around their state machines: a monotonic [`Clock`], [`Backoff`] between connection
 //! attempts, logging to standard error, a [`LogRateLimiter`] for lines that a peer can cause, and the shutdown signal.
 //!
 //! It holds no decision logic and no protocol. Of the project's packages it uses `spokeflow-core` only, for its unit of
--- a/crates/spokeflow-runtime/src/log_rate_limiter.rs
+++ b/crates/spokeflow-runtime/src/log_rate_limiter.rs
@@ -1,11 +1,11 @@
-//! A bound on log lines that a peer can cause.
+//! Limits the log lines that a peer can cause.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that may be written in one second.
+/// Maximum number of lines written in one second.
 const LINES_PER_SECOND: u64 = 10;
 
-/// Lets ten lines a second pass and counts the rest.
+/// Allows ten lines per second and counts the suppressed ones.
 #[derive(Default)]
 pub struct LogRateLimiter {
     second: AtomicU64,
@@ -13,7 +13,7 @@
 }
 
 impl LogRateLimiter {
-    /// A limiter that has let nothing pass yet.
+    /// Creates a limiter that has not allowed any line yet.
     pub const fn new() -> Self {
         LogRateLimiter {
             second: AtomicU64::new(0),
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Whether a line may be written in this second; with it, how many were suppressed in the one before.
+    /// Returns `None` if no line may be written in this `second` any more. Otherwise returns the number of lines that
+    /// were suppressed in the last second with lines, on the first line of a second, and 0 on the others.
     pub fn allow(&self, second: u64) -> Option<u64> {
         let new_second = self.second.swap(second, Ordering::Relaxed) != second;
         let suppressed = if new_second {
--- a/crates/spokeflow-runtime/src/logging.rs
+++ b/crates/spokeflow-runtime/src/logging.rs
@@ -3,7 +3,7 @@
 use tracing_subscriber::filter::ParseError;
 use tracing_subscriber::EnvFilter;
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
     /// `key=value` text.
@@ -16,20 +16,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogSetupError {
     /// The filter cannot be parsed.
-    #[error("--log: '{filter}': {source}")]
+    #[error("--log: invalid filter '{filter}': {source}")]
     Filter {
         /// The filter as given.
         filter: String,
-        /// What the library says of it.
+        /// The parser's error.
         source: ParseError,
     },
 }
 
-/// Starts logging to standard error, filtered by `filter`, such as `info` or levels by target. To be called once.
+/// Starts logging to standard error, filtered by `filter`, such as `info` or levels by target. Must be called once
+/// only.
 ///
 /// # Errors
 ///
-/// [`LogSetupError::Filter`] where the filter cannot be parsed.
+/// [`LogSetupError::Filter`] if the filter cannot be parsed.
 pub fn init_logging(filter: &str, format: LogFormat) -> Result<(), LogSetupError> {
     let env_filter = EnvFilter::try_new(filter).map_err(|source| LogSetupError::Filter {
         filter: filter.to_string(),
--- a/crates/spokeflow-runtime/src/shutdown.rs
+++ b/crates/spokeflow-runtime/src/shutdown.rs
@@ -3,7 +3,7 @@
 use tokio::signal::ctrl_c;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Returns at the first SIGTERM or SIGINT. Where the system lets no handler for SIGTERM be set, it never returns.
+/// Waits for the first SIGTERM or SIGINT. Never returns if the handler for SIGTERM cannot be installed.
 pub async fn shutdown_signal() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
--- a/crates/spokeflow-runtime/tests/backoff.rs
+++ b/crates/spokeflow-runtime/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays between connection attempts: repeatable by seed, bounded, spread.
+//! Delays between connection attempts: repeatable by seed, bounded and spread by jitter.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     (0..20).map(|failures| backoff.delay(failures)).collect()
 }
 
-/// A run that is repeated with its seed has to wait alike.
+/// A run that is repeated with the same seed must wait for the same delays.
 #[test]
 fn equal_seeds_give_equal_delays_and_other_seeds_or_peers_do_not() {
     assert_eq!(delays(7, 1), delays(7, 1));
@@ -26,10 +26,10 @@
         let full = FIRST.saturating_mul(1 << failures.min(16)).min(LONGEST);
         assert!(
             delay >= full / 2 && delay <= full,
-            "{delay:?} after {failures}"
+            "delay of {delay:?} after {failures} failures, expected half of {full:?} to {full:?}"
         );
     }
-    // Three hundred routers that lose the same peer: no twentieth of a second sees a fifth of them return.
+    // If 300 routers lose the same peer, fewer than a fifth of them may reconnect within the same 50 ms.
     let mut slots: Vec<u32> = (0..300)
         .map(|seed| delays(seed, 1)[8].as_millis() as u32 / 50)
         .collect();
@@ -39,5 +39,8 @@
         .map(<[u32]>::len)
         .max()
         .unwrap_or(0);
-    assert!(most < 60, "{most} at once");
+    assert!(
+        most < 60,
+        "{most} of 300 routers reconnect within the same 50 ms, expected fewer than 60"
+    );
 }
--- a/crates/spokeflow-runtime/tests/log_rate_limiter.rs
+++ b/crates/spokeflow-runtime/tests/log_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines that peers cause.
+//! The limit on log lines that peers cause.
 
 use spokeflow_runtime::LogRateLimiter;
 
