--- a/crates/spokeflow-control-plane/src/client.rs
+++ b/crates/spokeflow-control-plane/src/client.rs
@@ -1,4 +1,4 @@
-//! The request client: one request to whichever node answers it.
+//! The request client: sends one request to whichever node answers it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,63 +12,63 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Framed;
 
-/// How long one node is given to answer.
+/// Time that one node has to answer a request, from the start of the connection.
 const NODE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// First size of the buffer for the response, in bytes.
+/// Initial size of the read buffer of a connection, in bytes.
 const READ_BUFFER: usize = 1024;
-/// Pause after no node has answered.
+/// Pause before the nodes are tried again after none of them has answered.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a request has no response.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// The list of nodes is empty, or there was no time to try one.
-    #[error("no control-plane node was tried")]
+    #[error("no control-plane node was tried: no address is given, or no time is left")]
     NoNode,
-    /// The node cannot be connected to.
-    #[error("{node}: {source}")]
+    /// The connection to the node cannot be opened.
+    #[error("control-plane node {node}: cannot connect: {source}")]
     Connect {
         /// The node's address.
         node: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The connection failed, or what came on it cannot be read.
-    #[error("{node}: {source}")]
+    /// The connection failed, or a frame on it cannot be decoded.
+    #[error("control-plane node {node}: connection failed: {source}")]
     Frame {
         /// The node's address.
         node: SocketAddr,
-        /// What is wrong.
+        /// The cause.
         source: FrameError,
     },
-    /// The node refuses the connection.
-    #[error("{node}: refused: {text}")]
+    /// The node refused the connection.
+    #[error("control-plane node {node}: connection refused: {text}")]
     Refused {
         /// The node's address.
         node: SocketAddr,
-        /// The reason that the node gives.
+        /// The reason given by the node.
         text: String,
     },
     /// The node closed the connection before it answered.
-    #[error("{node}: the connection was closed")]
+    #[error("control-plane node {node}: connection closed before the response")]
     Closed {
         /// The node's address.
         node: SocketAddr,
     },
     /// The node did not answer in time.
-    #[error("{node}: no answer within {NODE_TIMEOUT:?}")]
+    #[error("control-plane node {node}: no response within {NODE_TIMEOUT:?}")]
     TimedOut {
         /// The node's address.
         node: SocketAddr,
     },
-    /// The node knows no leader: nothing was done.
-    #[error("{node}: knows no leader")]
+    /// The node knows no leader: the request was not carried out.
+    #[error("control-plane node {node}: knows no leader")]
     NoLeader {
         /// The node's address.
         node: SocketAddr,
     },
-    /// The request may have been done or not.
-    #[error("{node}: unknown whether it was done")]
+    /// The request may have been carried out or not.
+    #[error("control-plane node {node}: unknown whether the request was carried out")]
     Indeterminate {
         /// The node's address.
         node: SocketAddr,
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// The node is not reached, refuses the connection or does not answer within 2.5 s.
+/// The node cannot be reached, refuses the connection or does not answer within 2.5 s.
 pub async fn send_request_to(node: SocketAddr, request: Request) -> Result<Response, RequestError> {
     timeout(NODE_TIMEOUT, exchange(node, request))
         .await
@@ -108,14 +108,14 @@
     Err(RequestError::Closed { node })
 }
 
-/// Sends a request to one node after the other, round and round, until one answers for the leader.
+/// Sends a request to the nodes in turn, repeatedly, until one of them answers for the leader.
 ///
-/// A request that is idempotent, such as one with a token, is sent again though it may have been done: it is done
-/// once. For others [`Response::Indeterminate`] is returned as the response.
+/// An idempotent request, such as one with a token, is sent again although it may have been carried out: it takes
+/// effect once only. For other requests [`Response::Indeterminate`] is returned as the response.
 ///
 /// # Errors
 ///
-/// No node answered within `within`; the error is that of the node tried last.
+/// No node answered within `within`; the error is that of the node that was tried last.
 pub async fn send_request(
     nodes: &[SocketAddr],
     request: Request,
--- a/crates/spokeflow-control-plane/src/crash_point.rs
+++ b/crates/spokeflow-control-plane/src/crash_point.rs
@@ -1,5 +1,5 @@
-//! Points in the program at which tests let it crash. Each is named here once, so that a test that walks
-//! [`CRASH_POINTS`] cannot miss a new one.
+//! Points in the program at which tests make it crash. All are listed in [`CRASH_POINTS`], so that a test that iterates
+//! over them covers a new one as well.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,13 +8,13 @@
 pub enum CrashPoint {
     /// Writes have reached the persistence thread and none of them is on the disk.
     BeforeSync,
-    /// Writes are on the disk, and nobody has been notified.
+    /// Writes are on the disk, and the tasks that wait for them have not been notified.
     AfterSync,
-    /// Messages have been made and none has been handed to its link.
+    /// Messages have been created and none of them has been queued on its link.
     BeforeSending,
-    /// Half of the messages have been handed to their links.
+    /// Half of the messages have been queued on their links.
     WithinSending,
-    /// Responses have been made and none has left.
+    /// Responses have been created and none of them has been queued.
     BeforeAnswering,
     /// An entry of the log has been applied.
     Applied,
@@ -31,7 +31,7 @@
 ];
 
 impl CrashPoint {
-    /// The name under which `--crash-at` takes it.
+    /// Returns the name of the point in the value of `--crash-at`.
     pub fn name(self) -> &'static str {
         match self {
             CrashPoint::BeforeSync => "before-sync",
@@ -49,24 +49,26 @@
 pub struct CrashTarget {
     /// The point.
     pub point: CrashPoint,
-    /// At which passing of that point, from 1.
+    /// The pass of that point at which to crash, counted from 1.
     pub nth: u64,
 }
 
 impl CrashTarget {
-    /// Reads `POINT:NTH`; without a number the first passing is meant. A value parser for clap.
+    /// Parses `POINT:NTH`; without `NTH` the first pass is meant. A value parser for clap.
     pub(crate) fn parse(text: &str) -> Result<Self, String> {
         let (name, nth) = text.split_once(':').unwrap_or((text, "1"));
         let point = CRASH_POINTS
             .into_iter()
             .find(|point| point.name() == name)
-            .ok_or("no such crash point")?;
-        let nth = nth.parse().map_err(|_| "not POINT:NTH")?;
+            .ok_or_else(|| format!("unknown crash point '{name}'"))?;
+        let nth = nth
+            .parse()
+            .map_err(|_| format!("'{nth}' is not a number, expected POINT:NTH"))?;
         Ok(CrashTarget { point, nth })
     }
 }
 
-/// Aborts the process when its target is reached.
+/// Aborts the process at its target; does nothing without one.
 #[derive(Debug)]
 pub(crate) struct CrashInjector {
     target: Option<CrashTarget>,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Marks that `point` is passed; does not return where the process is to crash here.
+    /// Counts a pass of `point`, and aborts the process if this pass is the target.
     pub(crate) fn pass(&self, point: CrashPoint) {
         let Some(target) = self.target else {
             return;
@@ -91,7 +93,7 @@
         }
         let passed = self.passed.fetch_add(1, Ordering::Relaxed) + 1;
         if passed == target.nth {
-            // As by kill -9: nothing is flushed, no destructor runs.
+            // Like `kill -9`: nothing is flushed and no destructor runs.
             std::process::abort();
         }
     }
--- a/crates/spokeflow-control-plane/src/error.rs
+++ b/crates/spokeflow-control-plane/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a node cannot start or go on.
+//! Errors that prevent a node from starting or that end it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,11 +8,11 @@
 
 use crate::StoreError;
 
-/// What ends a node other than a shutdown signal.
+/// Why a node ends without a shutdown signal.
 #[derive(Debug, Error)]
 pub(crate) enum NodeError {
-    /// The address cannot be listened on.
-    #[error("--listen {address}: {source}")]
+    /// The node cannot listen on the address.
+    #[error("--listen {address}: cannot listen: {source}")]
     Listen {
         address: SocketAddr,
         source: io::Error,
@@ -20,14 +20,14 @@
     /// The store cannot be opened, read or written.
     #[error("--store {}: {source}", file.display())]
     Store { file: PathBuf, source: StoreError },
-    /// The runtime cannot be built.
-    #[error("cannot start: {0}")]
+    /// The async runtime cannot be built.
+    #[error("cannot build the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Another node knows a later state of this one's store: this one may have voted and forgotten it, and must not
-    /// vote again.
+    /// Another node has seen a later start of this node's store: this node may have voted since and lost the record of
+    /// it, and must not vote again. Carries the other node's reason.
     #[error("{0}")]
     StaleStore(String),
-    /// The replicated state cannot be read or applied. Leases must not be granted on an empty one in its place.
+    /// The replicated state cannot be read or applied. Leases must not be granted on an empty state in its place.
     #[error("{0}")]
     ReplicatedState(String),
 }
--- a/crates/spokeflow-control-plane/src/flags.rs
+++ b/crates/spokeflow-control-plane/src/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of a control-plane node and the check of them at start.
+//! The flags of a control-plane node and their check at start.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,41 +14,43 @@
 
 use crate::CrashTarget;
 
-/// Voters at most: more make each commit slower and survive hardly more failures.
+/// Maximum number of voters: more make each commit slower and survive hardly more failures.
 const MAX_VOTERS: usize = 7;
 
-/// Largest share by which a clock may run fast or slow: far beyond any that works.
+/// Largest fraction by which a clock may run fast or slow: far above the drift of any clock in working order.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
 
-/// Heartbeats within an election timeout at least, so that one lost message starts no election.
+/// Minimum number of heartbeats within an election timeout, so that one lost message does not start an election.
 const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 
-/// Election timeouts within a lease at least. An election takes two of them and a round trip; a lease that is over
-/// before would be lost by all routers.
+/// Minimum number of election timeouts within a lease. An election takes two of them and a round trip; if a lease
+/// expired before that, all routers would lose theirs.
 const MIN_ELECTIONS_PER_LEASE: u32 = 4;
 
 fn parse_duration(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
-        .map_err(|error| format!("{error}; a time with its unit, such as 250ms or 2s"))
+        .map_err(|error| format!("{error}; use a duration with a unit, such as 250ms or 2s"))
 }
 
-/// A node of the fleet's first set, as `--member` names it.
+/// A node of the fleet's initial set of nodes, as given with `--member`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberFlag {
-    /// Its number.
+    /// Id of the node.
     pub id: u32,
-    /// Where it listens.
+    /// Address on which the node listens.
     pub address: SocketAddr,
 }
 
 impl MemberFlag {
-    /// Reads `ID=ADDRESS`. A value parser for clap.
+    /// Parses `ID=ADDRESS`. A value parser for clap.
     fn parse(text: &str) -> Result<Self, String> {
-        let (id, address) = text.split_once('=').ok_or("not ID=ADDRESS")?;
-        let id = id.parse().map_err(|_| format!("'{id}' is not a number"))?;
+        let (id, address) = text.split_once('=').ok_or("expected ID=ADDRESS")?;
+        let id = id
+            .parse()
+            .map_err(|_| format!("the id '{id}' is not a number"))?;
         let address = address
             .parse()
-            .map_err(|_| format!("'{address}' is not an address with a port"))?;
+            .map_err(|_| format!("'{address}' is not an IP address with a port"))?;
         Ok(MemberFlag { id, address })
     }
 }
@@ -118,16 +120,20 @@
 }
 
 impl ControlPlaneFlags {
-    /// Checks the flags against each other.
+    /// Checks each flag, and how the flags fit together.
     ///
     /// # Errors
     ///
-    /// Every fault, one a line, naming its flag.
+    /// All faults, one line each that names the flag.
     pub fn check(&self) -> Result<(), ConfigErrors> {
         let mut errors = ConfigErrors::default();
         self.check_members(&mut errors);
         self.check_timing(&mut errors);
-        errors.add_if(self.max_connections == 0, "max-connections", "at least 1");
+        errors.add_if(
+            self.max_connections == 0,
+            "max-connections",
+            "must be at least 1",
+        );
         errors.or_value(())
     }
 
@@ -138,23 +144,23 @@
         ids.dedup();
         let id = self.id;
         let includes_itself = ids.contains(&id);
-        errors.add_if(ids.len() != count, "member", "a number is given twice");
+        errors.add_if(ids.len() != count, "member", "an id is given twice");
         if self.join {
             errors.add_if(
                 includes_itself,
                 "member",
-                format!("{id} is this one, which joins"),
+                format!("must not name this node ({id}), which joins"),
             );
         } else {
             errors.add_if(
                 count.is_multiple_of(2) || count > MAX_VOTERS,
                 "member",
-                format!("{count} of them, not 1, 3, 5 or 7"),
+                format!("names {count} nodes, expected 1, 3, 5 or 7"),
             );
             errors.add_if(
                 !includes_itself,
                 "member",
-                format!("node {id} itself is not among them"),
+                format!("does not name this node ({id})"),
             );
         }
     }
@@ -164,27 +170,33 @@
         errors.add_if(
             self.heartbeat_interval.is_zero(),
             "heartbeat-interval",
-            "above 0s",
+            "must be above 0s",
         );
         errors.add_if(
             self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION > election_timeout,
             "heartbeat-interval",
-            format!("over a third of --election-timeout {election_timeout:?}"),
+            format!(
+                "must be at most a third of --election-timeout {election_timeout:?}, got {:?}",
+                self.heartbeat_interval
+            ),
         );
         let drift = self.max_clock_drift;
         errors.add_if(
             !(0.0..=MAX_CLOCK_DRIFT).contains(&drift),
             "max-clock-drift",
-            format!("{drift} is not between 0 and {MAX_CLOCK_DRIFT}"),
+            format!("must be 0 to {MAX_CLOCK_DRIFT}, got {drift}"),
         );
         errors.add_if(
             self.lease < election_timeout * MIN_ELECTIONS_PER_LEASE,
             "lease",
-            format!("under four times --election-timeout {election_timeout:?}"),
+            format!(
+                "must be at least four times --election-timeout {election_timeout:?}, got {:?}",
+                self.lease
+            ),
         );
     }
 
-    /// The configuration of the coordinator.
+    /// Returns the configuration of the coordinator.
     pub(crate) fn coordinator_config(&self) -> CoordinatorConfig {
         let voters = match self.join {
             true => Vec::new(),
@@ -216,7 +228,7 @@
         }
     }
 
-    /// What all nodes of the fleet must be configured with alike.
+    /// Returns the settings that all nodes of the fleet must have in common.
     pub(crate) fn cluster_parameters(&self) -> ClusterParameters {
         ClusterParameters {
             fleet: self.fleet,
--- a/crates/spokeflow-control-plane/src/inbound.rs
+++ b/crates/spokeflow-control-plane/src/inbound.rs
@@ -19,20 +19,20 @@
 use crate::link::{send_queued, Link};
 use crate::node_event::{NodeEvent, PeerHello};
 
-/// A caller introduces itself, and takes what it is sent, within this time.
+/// Time that a caller has to send its opening message, and to accept what is sent to it.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest frame, in bytes, before the caller has introduced itself.
+/// Longest frame, in bytes, before the caller is admitted.
 const HELLO_LIMIT: usize = 4096;
-/// Longest frame of a router or an operator, in bytes: a proposal.
+/// Longest frame of a router or an operator, in bytes; a proposal is the longest of them.
 const REQUEST_LIMIT: usize = 64 << 10;
-/// First size of the buffer for what a caller sends, in bytes: small, since there are thousands of routers.
+/// Initial size of the read buffer of a connection, in bytes: small, since there are thousands of routers.
 const READ_BUFFER: usize = 512;
-/// Responses that wait for one caller at most; one that does not read them is closed.
+/// Maximum number of responses queued for one caller; the connection of a caller that does not read them is closed.
 const RESPONSE_QUEUE: usize = 256;
-/// Pause after a connection could not be accepted, such as for want of file descriptors.
+/// Pause after a connection could not be accepted, for example because the file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What all inbound connections have in common.
+/// The part that all inbound connections share.
 #[derive(Clone)]
 pub(crate) struct InboundContext {
     pub(crate) own: NodeId,
@@ -41,7 +41,7 @@
     pub(crate) clock: Arc<Clock>,
 }
 
-/// Accepts connections, `max_connections` at once, until the task is aborted.
+/// Accepts connections, at most `max_connections` at a time, until the task is aborted.
 pub(crate) async fn accept_connections(
     listener: TcpListener,
     max_connections: usize,
@@ -54,7 +54,7 @@
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Without a permit it is closed at once: a router then tries another node.
+        // Without a permit the connection is closed at once: a router then tries another node.
         let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
@@ -68,16 +68,16 @@
     }
 }
 
-/// One connection.
+/// One inbound connection.
 struct InboundConnection {
-    /// Number of the connection.
+    /// Number of the connection, counted from 1 since the start of the process.
     connection: u64,
     context: InboundContext,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Why a caller is not admitted; sent to it.
-struct Rejected {
+/// Why a caller is not admitted, as sent to it.
+struct CallerRefusal {
     why: Refusal,
     text: String,
 }
@@ -100,12 +100,12 @@
                 };
                 let _ = self.context.events.send(disconnected).await;
             }
-            Err(rejected) => self.refuse(link, rejected).await,
+            Err(refusal) => self.refuse(link, refusal).await,
         }
     }
 
-    async fn refuse(&self, mut link: CallerLink, rejected: Rejected) {
-        let Rejected { why, text } = rejected;
+    async fn refuse(&self, mut link: CallerLink, refusal: CallerRefusal) {
+        let CallerRefusal { why, text } = refusal;
         if let Some(suppressed) = self.context.clock.allow_log_line() {
             info!(
                 connection = self.connection,
@@ -119,21 +119,21 @@
         let _ = timeout(CALLER_TIMEOUT, link.send(refused)).await;
     }
 
-    /// The caller, where it may connect.
-    async fn admit(&self, first: ToNode) -> Result<Caller, Rejected> {
+    /// Checks the opening message and returns the caller that it names.
+    async fn admit(&self, first: ToNode) -> Result<Caller, CallerRefusal> {
         let ToNode::Hello {
             magic,
             version,
             caller,
         } = first
         else {
-            return Err(Rejected {
+            return Err(CallerRefusal {
                 why: Refusal::OutOfOrder,
                 text: "an opening message comes first".into(),
             });
         };
         if magic != MAGIC || version != VERSION {
-            return Err(Rejected {
+            return Err(CallerRefusal {
                 why: Refusal::Version,
                 text: format!("this node has version {VERSION} of the control-plane protocol"),
             });
@@ -144,7 +144,7 @@
         Ok(caller)
     }
 
-    async fn admit_peer(&self, caller: &Caller) -> Result<(), Rejected> {
+    async fn admit_peer(&self, caller: &Caller) -> Result<(), CallerRefusal> {
         let Caller::Node {
             id,
             start,
@@ -156,7 +156,7 @@
             return Ok(());
         };
         if *parameters != self.context.parameters {
-            return Err(Rejected {
+            return Err(CallerRefusal {
                 why: Refusal::ConfigMismatch,
                 text: format!(
                     "node {} was configured with {parameters:?}, this one with {:?}",
@@ -164,7 +164,7 @@
                 ),
             });
         }
-        // Decided by the node task, which knows all starts that were seen, and answered once it is on the disk.
+        // The node task decides, since it knows all starts that were seen; it answers once this start is on the disk.
         let (admission, admitted) = oneshot::channel();
         let hello = PeerHello {
             id: *id,
@@ -175,16 +175,16 @@
         };
         let _ = self.context.events.send(NodeEvent::PeerHello(hello)).await;
         match admitted.await {
-            Ok(Err(error)) => Err(Rejected {
+            Ok(Err(error)) => Err(CallerRefusal {
                 why: Refusal::StaleStore,
                 text: error.to_string(),
             }),
-            // Where the node task is gone, the connection ends at its next event.
+            // If the node task has ended, the connection ends at its next event.
             _ => Ok(()),
         }
     }
 
-    /// Passes requests on and responses back until one end closes.
+    /// Passes requests to the node task and responses to the caller until either side ends the connection.
     async fn serve(&self, mut link: CallerLink, caller: Caller) {
         let peer = match caller {
             Caller::Node { id, .. } => Some(id),
@@ -229,7 +229,7 @@
         }
     }
 
-    /// What was read, as an event; nothing where the connection is to be closed.
+    /// Converts a message that was read to an event; `None` if the connection is to be closed.
     fn event_of(
         &self,
         read: Option<Result<ToNode, FrameError>>,
--- a/crates/spokeflow-control-plane/src/link.rs
+++ b/crates/spokeflow-control-plane/src/link.rs
@@ -1,4 +1,4 @@
-//! What connections to and from other processes have in common.
+//! The framed connection to another process, inbound or outbound.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -12,11 +12,11 @@
 /// A connection on which `In` is read and `Out` is written.
 pub(crate) type Link<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
 
-/// Writes `first` and everything that waits in `queue` behind it, then flushes once.
+/// Writes `first` and all messages queued behind it, then flushes once.
 ///
 /// # Errors
 ///
-/// The connection takes no more bytes.
+/// The connection has failed, or a message cannot be encoded.
 pub(crate) async fn send_queued<In, Out>(
     link: &mut Link<In, Out>,
     first: Out,
--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -1,4 +1,4 @@
-//! The link to the source of the host list, which the leader reads.
+//! The link to the source of the host list, which only the leader reads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,45 +20,46 @@
 use crate::link::Link;
 use crate::node_event::NodeEvent;
 
-/// The source is connected, and takes what it is sent, within this time.
+/// Time that the source has to welcome this node on a new connection, and to accept a request.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The complete list is requested this often: an update that was not applied, for whatever reason, comes again.
+/// Time without a message from the source after which the complete list is requested: an update that was not applied,
+/// for whatever reason, is then received again.
 const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(2);
-/// Requests without any message from the source, after which the connection is opened anew.
+/// Maximum number of requests in a row without any message from the source; after that the connection is reopened.
 const MAX_UNANSWERED: u32 = 3;
 
-/// The link to the source.
+/// The link to the source of the host list.
 pub(crate) struct ListLink {
     pub(crate) address: SocketAddr,
     pub(crate) backoff: Backoff,
     pub(crate) events: mpsc::Sender<NodeEvent>,
-    /// Whether this node is the one to read.
+    /// Whether this node reads the list: true while it holds the leader lease.
     pub(crate) is_reader: watch::Receiver<bool>,
 }
 
-/// Why the source cannot be read.
+/// Why the host list cannot be read from its source.
 #[derive(Debug, Error)]
 enum SourceError {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("no answer in time")]
+    #[error("no welcome within {SOURCE_TIMEOUT:?}")]
     OpenTimedOut,
-    #[error("no welcome but {0}")]
+    #[error("expected a welcome, got {0}")]
     NoWelcome(String),
-    #[error("{0}")]
+    #[error("refused by the source: {0}")]
     Refused(String),
-    #[error("the connection ended")]
+    #[error("connection closed by the source")]
     Closed,
-    #[error("the source does not read")]
+    #[error("the source did not accept a request within {SOURCE_TIMEOUT:?}")]
     SendTimedOut,
-    #[error("the source sends nothing")]
-    Silent,
+    #[error("no message from the source after {MAX_UNANSWERED} requests")]
+    Unresponsive,
 }
 
 type SourceLink = Link<FromList, ToList>;
 
 impl ListLink {
-    /// Reads the source whenever this node is the reader, until the node task is gone.
+    /// Reads the list while this node is the reader, until the node task has ended.
     pub(crate) async fn run(mut self) {
         let mut failures = 0;
         loop {
@@ -70,21 +71,21 @@
             {
                 return;
             }
-            info!("reading the host list");
+            info!(source = %self.address, "host list reading started");
             match self.read().await {
                 Ok(()) => failures = 0,
                 Err(error) => {
                     failures += 1;
-                    // As a string, which the log escapes: part of it may come from the source.
+                    // Logged as a string, which is escaped: part of the text may come from the source.
                     let error = error.to_string();
-                    warn!(failures, error, "host list cannot be read");
+                    warn!(source = %self.address, failures, error, "host list reading failed");
                     sleep(self.backoff.delay(failures)).await;
                 }
             }
         }
     }
 
-    /// Reads until another node is to.
+    /// Reads the list until this node is no longer the reader or the node task has ended.
     async fn read(&mut self) -> Result<(), SourceError> {
         let mut link = timeout(SOURCE_TIMEOUT, self.open())
             .await
@@ -110,7 +111,7 @@
                 _ = sleep(FULL_SYNC_INTERVAL) => {
                     unanswered += 1;
                     if unanswered > MAX_UNANSWERED {
-                        return Err(SourceError::Silent);
+                        return Err(SourceError::Unresponsive);
                     }
                     timeout(SOURCE_TIMEOUT, link.send(ToList::Fetch))
                         .await
@@ -126,7 +127,7 @@
             .map_err(FrameError::from)?;
         let _ = stream.set_nodelay(true);
         let mut link: SourceLink = Framed::new(stream, FrameCodec::new(LIST_LIMIT));
-        // As a router: the source tells its callers apart by nothing else.
+        // Connects in the role of a router: the source's protocol has no role for control-plane nodes.
         let hello = Hello::new(Role::Router, 0, 0);
         link.send(ToList::Hello(hello)).await?;
         match link.next().await {
@@ -138,7 +139,7 @@
     }
 }
 
-/// The update that a message carries; nothing where it carries none.
+/// Returns the update that a message carries, or `None` if it carries none.
 fn update_of(message: FromList) -> Result<Option<SourceUpdate>, SourceError> {
     match message {
         FromList::Complete { version, endpoints } => {
--- a/crates/spokeflow-control-plane/src/node_event.rs
+++ b/crates/spokeflow-control-plane/src/node_event.rs
@@ -8,16 +8,16 @@
 use crate::admission::StaleStoreError;
 use crate::StoreError;
 
-/// What reaches the node task.
+/// An event for the node task.
 pub(crate) enum NodeEvent {
-    /// A caller was admitted; its responses go to the sender.
+    /// A caller was admitted; `responses` takes the responses to it.
     Connected {
         connection: u64,
         responses: mpsc::Sender<FromNode>,
     },
     /// The connection of a caller was closed.
     Disconnected { connection: u64 },
-    /// A request of a caller; `forwarded` where another node passes it on.
+    /// A request of a caller; `forwarded` if the caller is another node that passes it on.
     Request {
         connection: u64,
         number: u64,
@@ -28,27 +28,27 @@
     PeerMessage { from: NodeId, message: Message },
     /// Another node has answered the request that was forwarded to it under this number.
     ForwardResponse { number: u64, response: Response },
-    /// Another node connects and is to be admitted.
+    /// Another node has connected and waits for admission.
     PeerHello(PeerHello),
-    /// Another node has refused this one, whose store is an older copy.
+    /// Another node has refused this one because its store is an older copy; carries the reason given.
     StaleStore(String),
     /// All writes up to this sequence number are on the disk, and so are all starts that were recorded by then.
     Persisted { sequence: u64 },
-    /// The store could not be written.
+    /// A write to the store failed.
     PersistFailed(StoreError),
-    /// The source of the host list has an update.
+    /// The source of the host list has sent an update.
     HostList(SourceUpdate),
 }
 
-/// How another node introduces itself.
+/// The opening message of another node.
 pub(crate) struct PeerHello {
     pub(crate) id: NodeId,
-    /// Starts that its store has counted.
+    /// Number of starts that its store has counted.
     pub(crate) start: u64,
-    /// Numbers of its latest processes, the present one last.
+    /// Random numbers of its latest processes, the current one last.
     pub(crate) processes: Vec<u64>,
-    /// Where it knows nodes to be.
+    /// The addresses of nodes that it knows.
     pub(crate) addresses: Vec<(NodeId, String)>,
-    /// Gets whether the node is admitted, once its start is on the disk.
+    /// Receives the decision; an admission only once the start is on the disk.
     pub(crate) admission: oneshot::Sender<Result<(), StaleStoreError>>,
 }
--- a/crates/spokeflow-control-plane/src/node_task.rs
+++ b/crates/spokeflow-control-plane/src/node_task.rs
@@ -19,10 +19,10 @@
 use crate::outbound::Outbound;
 use crate::persistence::Persistence;
 
-/// Events that are handled between two looks at the timer.
+/// Maximum number of events that are handled before the timer is checked again.
 const EVENTS_PER_BATCH: usize = 256;
 
-/// The coordinator and what carries out its effects.
+/// The coordinator and the parts that carry out its effects.
 pub(crate) struct NodeTask {
     pub(crate) clock: Arc<Clock>,
     pub(crate) coordinator: Coordinator,
@@ -31,13 +31,13 @@
     pub(crate) peer_starts: PeerStarts,
     pub(crate) persistence: Persistence,
     pub(crate) crash_injector: Arc<CrashInjector>,
-    /// Whether this node is the one to read the host list.
+    /// Whether this node reads the host list: true while it holds the leader lease.
     pub(crate) reads_list: watch::Sender<bool>,
-    /// The state that was logged last.
+    /// The state that was logged last; `None` before the first log line.
     pub(crate) logged: Option<LoggedState>,
 }
 
-/// What of the Raft state is logged when it changes.
+/// The part of the Raft state that is logged when it changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LoggedState {
     term: u64,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// What the node cannot go on with.
+    /// The store cannot be written or is an older copy, or the replicated state cannot be applied.
     pub(crate) async fn run(mut self) -> Result<(), NodeError> {
         self.connect_voters();
         let mut shutdown = std::pin::pin!(shutdown_signal());
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Runs the timer where it is due, then tells of what has changed.
+    /// Runs the timer if it is due, logs a change of the Raft state, and starts or stops reading of the host list.
     fn on_batch_end(&mut self) {
         let now = self.clock.now();
         if now >= self.coordinator.next_wake(now) {
@@ -132,15 +132,15 @@
             self.apply(effects);
         }
         self.log_state_change();
-        let leads = self.coordinator.raft().has_leader_lease(now);
+        let has_leader_lease = self.coordinator.raft().has_leader_lease(now);
         self.reads_list.send_if_modified(|reads_list| {
-            let changed = *reads_list != leads;
-            *reads_list = leads;
+            let changed = *reads_list != has_leader_lease;
+            *reads_list = has_leader_lease;
             changed
         });
     }
 
-    /// Admits a node that calls, or refuses it for the store that it calls with.
+    /// Admits a node that has connected, or refuses it if its store is an older copy.
     fn on_peer_hello(&mut self, hello: PeerHello) {
         self.coordinator.learn_addresses(&hello.addresses);
         match self.peer_starts.admit(&hello) {
@@ -149,7 +149,7 @@
                 .record_start(hello.id, start, hello.admission),
             Err(error) => {
                 warn!(%error, "peer refused");
-                // A caller that has left meanwhile needs no answer.
+                // The send fails if the peer has disconnected in the meantime.
                 let _ = hello.admission.send(Err(error));
             }
         }
@@ -158,7 +158,7 @@
 
     fn apply(&mut self, effects: Effects) {
         if let Some(rejection) = effects.rejection {
-            warn!(?rejection, "update of the host list rejected");
+            warn!(?rejection, "host list update rejected");
         }
         if effects.config_changed {
             self.crash_injector.pass(CrashPoint::Applied);
@@ -192,17 +192,17 @@
             return;
         }
         self.crash_injector.pass(CrashPoint::BeforeAnswering);
-        for answered in responses {
+        for client_response in responses {
             let response = FromNode::Response {
-                number: answered.number,
-                response: answered.response,
+                number: client_response.number,
+                response: client_response.response,
             };
-            self.outbound.respond(answered.connection, response);
+            self.outbound.respond(client_response.connection, response);
         }
     }
 
-    /// Connects to all voters at once, not when there is something to send: a start that only a few have seen could be
-    /// taken back unnoticed.
+    /// Opens links to all voters at once, not when there is something to send: if only a few voters had seen a start of
+    /// this node, a later start with an older copy of its store could go unnoticed.
     fn connect_voters(&mut self) {
         self.outbound
             .set_known_addresses(self.coordinator.addresses());
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Where a node listens, as far as this one knows.
+    /// Returns the address on which a node listens, or `None` if this node does not know it.
     fn address(&self, id: NodeId) -> Option<SocketAddr> {
         self.coordinator.address(id)?.parse().ok()
     }
--- a/crates/spokeflow-control-plane/src/outbound.rs
+++ b/crates/spokeflow-control-plane/src/outbound.rs
@@ -1,4 +1,4 @@
-//! What a node sends: messages to other nodes and responses to its callers.
+//! Outbound traffic of a node: messages to other nodes and responses to its callers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,7 +11,8 @@
 use crate::node_event::NodeEvent;
 use crate::peers::{PeerLink, MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY};
 
-/// Messages that wait for one other node at most; more are lost, as any message may be.
+/// Maximum number of messages queued for one other node; further ones are dropped, since Raft allows any message to be
+/// lost.
 const PEER_QUEUE: usize = 256;
 
 /// The queue of the link to one other node.
@@ -20,7 +21,7 @@
     messages: mpsc::Sender<ToNode>,
 }
 
-/// Links to other nodes, which it opens, and the callers that responses go to.
+/// The links that this node opens to other nodes, and the connections of its callers.
 pub(crate) struct Outbound {
     caller: Caller,
     seed: u64,
@@ -31,7 +32,7 @@
 }
 
 impl Outbound {
-    /// `caller` is how this node introduces itself; `events` gets what links to other nodes receive.
+    /// `caller` is sent in the opening message to other nodes; `events` takes what the links receive.
     pub(crate) fn new(caller: Caller, seed: u64, events: mpsc::Sender<NodeEvent>) -> Self {
         Outbound {
             caller,
@@ -51,18 +52,19 @@
         self.connections.remove(&connection);
     }
 
-    /// Queues a response. A caller that does not read its responses is dropped: its task then closes the connection.
+    /// Queues a response. If the queue is full, since the caller does not read its responses, the queue is dropped: the
+    /// task of the connection then closes it.
     pub(crate) fn respond(&mut self, connection: u64, response: FromNode) {
-        let is_full = self
+        let has_failed = self
             .connections
             .get(&connection)
             .is_some_and(|responses| responses.try_send(response).is_err());
-        if is_full {
+        if has_failed {
             self.connections.remove(&connection);
         }
     }
 
-    /// Sets the addresses that this node introduces itself with from the next connection on.
+    /// Sets the node addresses that are sent in the opening message from the next connection on.
     pub(crate) fn set_known_addresses(&self, known: Vec<(NodeId, String)>) {
         self.addresses.send_if_modified(|addresses| {
             let changed = *addresses != known;
@@ -71,12 +73,12 @@
         });
     }
 
-    /// Queues a message. What finds no room is lost: the other node does not read, or cannot be reached.
+    /// Queues a message. It is dropped if the queue is full: the other node does not read, or cannot be reached.
     pub(crate) fn send(&mut self, id: NodeId, address: SocketAddr, message: ToNode) {
         let _ = self.open_link(id, address).try_send(message);
     }
 
-    /// Opens the link to a node at this address where there is none, and answers its queue.
+    /// Opens the link to a node at this address if there is none, and returns its queue.
     pub(crate) fn open_link(&mut self, id: NodeId, address: SocketAddr) -> &mpsc::Sender<ToNode> {
         let is_open = self
             .peers
--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -1,4 +1,5 @@
-//! Links that a node opens to the others: what it sends leaves on these, what it receives comes on theirs.
+//! Links that this node opens to the others. It sends its messages on these, and receives the others' messages on the
+//! links that they open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,22 +19,22 @@
 use crate::link::{send_queued, Link};
 use crate::node_event::NodeEvent;
 
-/// A node that is not reached, or takes no byte, for this long is tried on a new connection.
+/// Time that another node has to welcome this one, and to accept what is sent; after it a new connection is opened.
 const LINK_TIMEOUT: Duration = Duration::from_secs(1);
-/// First size of the buffer for what the other node sends, in bytes.
+/// Initial size of the read buffer of a link, in bytes.
 const READ_BUFFER: usize = 4096;
-/// Delay before the second connection, doubled with each failure.
+/// Base of the delay between two connections, doubled with each failure in a row.
 pub(crate) const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Longest delay between two connections: a node that comes back is reached within about an election timeout.
+/// Longest delay between two connections: a node that comes back is reached within about one election timeout.
 pub(crate) const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 /// The link to one other node.
 pub(crate) struct PeerLink {
     pub(crate) id: NodeId,
     pub(crate) address: SocketAddr,
-    /// How this node introduces itself.
+    /// Sent in the opening message, with `addresses`.
     pub(crate) caller: Caller,
-    /// Part of the introduction, as they are when a connection is opened.
+    /// The node addresses that this node knows; the current ones are sent when a connection is opened.
     pub(crate) addresses: watch::Receiver<Vec<(NodeId, String)>>,
     pub(crate) backoff: Backoff,
     pub(crate) events: mpsc::Sender<NodeEvent>,
@@ -45,16 +46,16 @@
 enum OpenError {
     #[error(transparent)]
     Connection(#[from] FrameError),
-    #[error("no answer in time")]
+    #[error("no welcome within {LINK_TIMEOUT:?}")]
     TimedOut,
-    #[error("no welcome came")]
+    #[error("connection closed, or another message in place of a welcome")]
     NoWelcome,
     #[error("refused ({why:?}): {text}")]
     Refused { why: Refusal, text: String },
 }
 
 impl PeerLink {
-    /// Connects again and again until the node task is gone.
+    /// Keeps the link open, with a new connection after each failure, until the node task has ended.
     pub(crate) async fn run(mut self) {
         let mut failures = 0;
         while !self.events.is_closed() {
@@ -62,7 +63,7 @@
             match opened.unwrap_or(Err(OpenError::TimedOut)) {
                 Ok(link) => {
                     if failures > 0 {
-                        info!(node = self.id.0, failures, "peer reached again");
+                        info!(node = self.id.0, failures, "peer connected again");
                     }
                     failures = 0;
                     self.exchange(link).await;
@@ -71,7 +72,7 @@
             }
             failures += 1;
             sleep(self.backoff.delay(failures)).await;
-            // What was meant for the previous connection is lost, as any message may be.
+            // Messages queued for the previous connection are dropped, since Raft allows any message to be lost.
             while self.queue.try_recv().is_ok() {}
         }
     }
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Tells of a refusal. A node that cannot be reached is nothing unusual.
+    /// Logs a refusal, or sends it to the node task if this node's store is an older copy. Other errors are not logged:
+    /// it is not unusual that a node cannot be reached.
     async fn report(&self, error: OpenError) {
         let OpenError::Refused { why, text } = error else {
             return;
@@ -103,11 +105,11 @@
         if why == Refusal::StaleStore {
             let _ = self.events.send(NodeEvent::StaleStore(text)).await;
         } else {
-            warn!(node = self.id.0, ?why, text, "refused by a peer");
+            warn!(node = self.id.0, ?why, text, "connection refused by peer");
         }
     }
 
-    /// Sends what is queued and takes responses to forwarded requests until the connection fails.
+    /// Sends queued messages and receives responses to forwarded requests until the connection fails.
     async fn exchange(&mut self, mut link: Link<FromNode, ToNode>) {
         loop {
             tokio::select! {
--- a/crates/spokeflow-control-plane/src/persistence.rs
+++ b/crates/spokeflow-control-plane/src/persistence.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the store: writes what the node task orders and reports what is on the disk.
+//! The persistence thread, which owns the store: it writes what the node task submits and reports what is on the disk.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc as blocking;
@@ -13,19 +13,19 @@
 use crate::store::ProcessStart;
 use crate::Store;
 
-/// What is to be written, in one commit with all that waits behind it.
+/// Writes for one commit, together with the batches queued behind them.
 #[derive(Default)]
-struct PersistOrder {
+struct WriteBatch {
     requests: Vec<PersistRequest>,
     starts: Vec<(NodeId, ProcessStart)>,
-    /// Notified once the order is on the disk.
+    /// Notified once the batch is on the disk.
     admissions: Vec<oneshot::Sender<Result<(), StaleStoreError>>>,
 }
 
-/// The node task's end of the thread; dropping it ends the thread.
+/// The node task's handle to the persistence thread; dropping it ends the thread.
 pub(crate) struct Persistence {
     file: PathBuf,
-    orders: blocking::Sender<PersistOrder>,
+    batches: blocking::Sender<WriteBatch>,
 }
 
 impl Persistence {
@@ -35,49 +35,49 @@
         events: mpsc::Sender<NodeEvent>,
         crash_injector: Arc<CrashInjector>,
     ) -> Self {
-        // Unbounded, since the node task must not block on the disk. Each order comes from one event of a bounded
-        // queue, and all that wait leave together with the next commit.
-        let (orders, waiting) = blocking::channel();
+        // Unbounded, since the node task must not block on the disk. Each batch comes from one event of a bounded
+        // queue, and all queued batches are written together in the next commit.
+        let (batches, batch_queue) = blocking::channel();
         let file = store.file().to_path_buf();
         let writer = Writer {
             store,
             events,
             crash_injector,
         };
-        std::thread::spawn(move || writer.run(waiting));
-        Persistence { file, orders }
+        std::thread::spawn(move || writer.run(batch_queue));
+        Persistence { file, batches }
     }
 
-    /// The file of the store.
+    /// Returns the file of the store.
     pub(crate) fn file(&self) -> &Path {
         &self.file
     }
 
-    /// Orders writes of the log. A [`NodeEvent::Persisted`] follows.
+    /// Submits writes of the Raft state. A [`NodeEvent::Persisted`] follows once they are on the disk.
     pub(crate) fn write(&self, requests: Vec<PersistRequest>) {
-        self.order(PersistOrder {
+        self.submit(WriteBatch {
             requests,
-            ..PersistOrder::default()
+            ..WriteBatch::default()
         });
     }
 
-    /// Orders that the start of another node is recorded, then notifies `admission`.
+    /// Submits the start of another node; `admission` is notified once it is on the disk.
     pub(crate) fn record_start(
         &self,
         id: NodeId,
         start: ProcessStart,
         admission: oneshot::Sender<Result<(), StaleStoreError>>,
     ) {
-        self.order(PersistOrder {
+        self.submit(WriteBatch {
             requests: Vec::new(),
             starts: vec![(id, start)],
             admissions: vec![admission],
         });
     }
 
-    fn order(&self, order: PersistOrder) {
-        // The thread ends only after it has reported why.
-        let _ = self.orders.send(order);
+    fn submit(&self, batch: WriteBatch) {
+        // The send fails only if the thread has ended, which it does after it has reported the reason.
+        let _ = self.batches.send(batch);
     }
 }
 
@@ -88,21 +88,21 @@
 }
 
 impl Writer {
-    /// Writes until the node task is gone or the disk fails.
-    fn run(mut self, orders: blocking::Receiver<PersistOrder>) {
-        while let Ok(first) = orders.recv() {
-            let order = with_waiting(first, &orders);
+    /// Writes batches until the node task has ended or the disk fails.
+    fn run(mut self, batch_queue: blocking::Receiver<WriteBatch>) {
+        while let Ok(first) = batch_queue.recv() {
+            let batch = merge_queued(first, &batch_queue);
             self.crash_injector.pass(CrashPoint::BeforeSync);
-            if let Err(error) = self.store.write(&order.requests, &order.starts) {
+            if let Err(error) = self.store.write(&batch.requests, &batch.starts) {
                 let _ = self.events.blocking_send(NodeEvent::PersistFailed(error));
                 return;
             }
             self.crash_injector.pass(CrashPoint::AfterSync);
-            for admission in order.admissions {
-                // A caller that has left meanwhile needs no answer.
+            for admission in batch.admissions {
+                // The send fails if the peer has disconnected in the meantime.
                 let _ = admission.send(Ok(()));
             }
-            let Some(last) = order.requests.last() else {
+            let Some(last) = batch.requests.last() else {
                 continue;
             };
             let persisted = NodeEvent::Persisted {
@@ -115,15 +115,12 @@
     }
 }
 
-/// The order together with all that wait behind it.
-fn with_waiting(
-    mut order: PersistOrder,
-    orders: &blocking::Receiver<PersistOrder>,
-) -> PersistOrder {
-    while let Ok(more) = orders.try_recv() {
-        order.requests.extend(more.requests);
-        order.starts.extend(more.starts);
-        order.admissions.extend(more.admissions);
+/// Returns the batch together with all batches queued behind it.
+fn merge_queued(mut batch: WriteBatch, batch_queue: &blocking::Receiver<WriteBatch>) -> WriteBatch {
+    while let Ok(next) = batch_queue.try_recv() {
+        batch.requests.extend(next.requests);
+        batch.starts.extend(next.starts);
+        batch.admissions.extend(next.admissions);
     }
-    order
+    batch
 }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -20,7 +20,7 @@
     pub flags: ControlPlaneFlags,
 }
 
-/// Runs a node until SIGTERM or SIGINT. Exit code 0: shut down by a signal; 1: could not go on; 2: bad flags.
+/// Runs a node until SIGTERM or SIGINT. Exit code 0: shut down by a signal; 1: ended by an error; 2: invalid flags.
 pub fn main_with(program: ControlPlaneProgram) -> ExitCode {
     let flags = program.flags;
     if let Err(errors) = flags.check() {
--- a/crates/spokeflow-control-plane/src/startup.rs
+++ b/crates/spokeflow-control-plane/src/startup.rs
@@ -25,17 +25,17 @@
 use crate::persistence::Persistence;
 use crate::{ControlPlaneFlags, OpenedStore};
 
-/// Events that wait at most; a task whose event finds no room waits, and so does the peer behind it. Enough for one
-/// event of each connection that is allowed by default.
+/// Maximum number of queued events; when the queue is full, a task with an event waits, and so does the peer that
+/// sent it. Enough for one event of each connection that is allowed by default.
 const EVENT_QUEUE: usize = 4096;
-/// Number of the list link among the links of a node, above the ids of nodes, so that its backoff draws are its own.
-const LIST_LINK: u64 = 1 << 32;
+/// Id of the list link among the links of a node, above all node ids, so that its backoff has a generator of its own.
+const LIST_LINK_ID: u64 = 1 << 32;
 
 /// Runs a node until the process gets a shutdown signal.
 ///
 /// # Errors
 ///
-/// What it cannot start with or go on with.
+/// The node cannot start, or its task has ended with an error.
 pub(crate) async fn run_node(
     flags: ControlPlaneFlags,
     opened: OpenedStore,
@@ -92,9 +92,9 @@
         clock,
     };
     let accepting = tokio::spawn(accept_connections(listener, flags.max_connections, context));
-    let ended = task.run().await;
+    let result = task.run().await;
     accepting.abort();
-    ended
+    result
 }
 
 async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), NodeError> {
@@ -120,7 +120,7 @@
         snapshot = saved.snapshot.last_included_index.0,
         term = saved.term.0,
         ?longest_contradiction,
-        "node starts; no two routers act on contradicting revisions for longer than one lease"
+        "node starting; two routers act on contradicting revisions for at most longest_contradiction"
     );
 }
 
@@ -132,7 +132,7 @@
 ) {
     let link = ListLink {
         address,
-        backoff: Backoff::new(seed, LIST_LINK, MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
+        backoff: Backoff::new(seed, LIST_LINK_ID, MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
         events,
         is_reader,
     };
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -1,8 +1,8 @@
-//! The state that a node must not forget, in an embedded store (redb).
+//! The durable state of a node, in an embedded store (redb).
 //!
-//! A write is on the disk, whole, when [`Store::write`] returns: redb commits by two syncs and finds the last complete
-//! state by itself after a crash. Each record carries a checksum of its own besides; one that does not fit is never
-//! used.
+//! When [`Store::write`] returns, the complete write is on the disk: redb commits with two syncs and finds the last
+//! complete state by itself after a crash. Each record also has a checksum of its own; a record whose checksum does not
+//! match is never used.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,33 +15,34 @@
 
 /// Single records, by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta-1");
-/// The log's entries, by index.
+/// The entries of the log, by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log-1");
-/// By node, the newest [`ProcessStart`] that it was seen with.
+/// The newest [`ProcessStart`] seen of each other node, by node id.
 const STARTS: TableDefinition<u32, &[u8]> = TableDefinition::new("starts-1");
 
-/// In [`META`], whose store it is: [`Owner`].
+/// Name of the [`Owner`] in [`META`].
 const OWNER_RECORD: &str = "whose";
-/// In [`META`], [`OwnStarts`].
+/// Name of the [`OwnStarts`] in [`META`].
 const OWN_STARTS_RECORD: &str = "starts";
-/// In [`META`], [`VoteRecord`].
+/// Name of the [`VoteRecord`] in [`META`].
 const VOTE_RECORD: &str = "promised";
-/// In [`META`], the [`Snapshot`], where there is one.
+/// Name of the [`Snapshot`] in [`META`]; the record is missing if there is no snapshot.
 const SNAPSHOT_RECORD: &str = "snapshot";
 
-/// Processes that a store remembers. More starts than these between two contacts of nodes are taken on trust.
+/// Number of latest processes that a store records. If a node starts more often than this between two contacts with
+/// another, the other cannot check its processes and admits it by the number of starts alone.
 pub(crate) const MAX_PROCESSES: usize = 24;
 
-/// One start of a node.
+/// One start of a node's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStart {
-    /// How many starts its store had counted, this one included.
+    /// Number of starts that the node's store had counted, this one included.
     pub count: u64,
-    /// The number that its process drew.
+    /// Random number that the process drew at its start.
     pub process: u64,
 }
 
-/// Whose store it is. In the records, as in [`ProcessStart`], the order of fields is the stored form.
+/// The node that the store belongs to. In all records, as in [`ProcessStart`], the order of fields is the encoding.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     fleet: u64,
@@ -52,7 +53,7 @@
 #[derive(Default, Serialize, Deserialize)]
 struct OwnStarts {
     count: u64,
-    /// The latest [`MAX_PROCESSES`], the newest last.
+    /// Random numbers of the latest [`MAX_PROCESSES`] processes, the newest last.
     processes: Vec<u64>,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// The term and the vote in it.
+/// The current term and the vote in it.
 #[derive(Default, Serialize, Deserialize)]
 struct VoteRecord {
     term: Term,
@@ -76,12 +77,14 @@
 pub struct Store {
     db: Database,
     file: PathBuf,
-    /// For tests: the write with this number fails, and every later one.
+    /// For tests: number of the first write that fails, with all later ones; `None` if none is to fail.
+    /// Counted from 1.
     fails_from: Option<u64>,
+    /// Number of writes since the store was opened.
     writes: u64,
 }
 
-/// A store as it was opened, and what is in it.
+/// An opened store and its content.
 pub struct OpenedStore {
     /// The store.
     pub store: Store,
@@ -89,7 +92,7 @@
     pub saved: PersistentState,
     /// How many times the store has been opened, this one included.
     pub start: u64,
-    /// The numbers of the latest processes, this one last.
+    /// Random numbers of the latest processes, this one last.
     pub processes: Vec<u64>,
 }
 
@@ -99,29 +102,29 @@
     /// The file is not a store of this version, or it is in use.
     #[error("cannot be opened: {0}")]
     NotAStore(#[source] redb::DatabaseError),
-    /// A record is missing, or its checksum does not fit.
+    /// A record is missing, or its checksum does not match.
     #[error("damaged: {0}; remove this node and add one with a new number and an empty store")]
     Damaged(String),
     /// The store belongs to another fleet or another node.
-    #[error("of another: it is node {node}'s of fleet {fleet}")]
+    #[error("belongs to node {node} of fleet {fleet}, not to this node")]
     Foreign {
         /// The fleet that it belongs to.
         fleet: u64,
         /// The node that it belongs to.
         node: u32,
     },
-    /// The folder of the store cannot be made.
-    #[error("the disk fails: {0}")]
+    /// The folder of the store cannot be created.
+    #[error("cannot create its folder: {0}")]
     Folder(#[source] io::Error),
     /// The disk is full or fails.
-    #[error("the disk fails: {0}")]
+    #[error("disk error: {0}")]
     Disk(#[source] Box<redb::Error>),
-    /// A fault of the disk that a test has injected.
-    #[error("the disk fails: injected by --fail-writes-from")]
+    /// A disk error that a test has injected.
+    #[error("disk error: injected by --fail-writes-from")]
     Injected,
 }
 
-/// Errors of redb are a type for each step; all of them mean the disk.
+/// redb has one error type for each step; all of them are reported as disk errors.
 macro_rules! disk_error_from {
     ($($step:ident),*) => {
         $(impl From<redb::$step> for StoreError {
@@ -134,7 +137,7 @@
 
 disk_error_from!(TransactionError, TableError, StorageError, CommitError);
 
-/// A record: the CRC-32 of its body, big-endian, and the body as postcard.
+/// Encodes a record: the CRC-32 of its body, big-endian, and the body as postcard.
 fn encode_record(value: &impl Serialize) -> Vec<u8> {
     let body = postcard::to_stdvec(value).expect("plain types always serialize");
     let mut record = crc32fast::hash(&body).to_be_bytes().to_vec();
@@ -152,14 +155,14 @@
 }
 
 impl Store {
-    /// Opens the store of node `own` of this fleet, makes it where there is none, counts the start and records the
-    /// number of its process.
+    /// Opens the store of node `own` of this fleet, creates it if there is none, counts the start and records
+    /// `process`, the random number of the process.
     ///
-    /// `fails_from` is for tests: the number of the first write that is to fail.
+    /// `fails_from` is for tests: the number of the first write that is to fail, counted from 1.
     ///
     /// # Errors
     ///
-    /// The file is no store, is damaged, or belongs to another node; or the disk fails.
+    /// The file is not a store, is damaged, or belongs to another node; or the disk fails.
     pub fn open(
         file: &Path,
         fleet: u64,
@@ -188,7 +191,7 @@
         })
     }
 
-    /// The starts of this store, this one included.
+    /// Counts a start and returns the starts of this store, this one included.
     fn count_start(&self, owner: Owner, process: u64) -> Result<OwnStarts, StoreError> {
         let transaction = self.db.begin_write()?;
         let mut starts: OwnStarts;
@@ -212,7 +215,7 @@
         Ok(starts)
     }
 
-    /// The file of the store.
+    /// Returns the file of the store.
     pub(crate) fn file(&self) -> &Path {
         &self.file
     }
@@ -232,7 +235,7 @@
         })
     }
 
-    /// The newest start that each other node was seen with.
+    /// Returns the newest start seen of each other node.
     ///
     /// # Errors
     ///
@@ -243,13 +246,14 @@
         let mut starts = Vec::new();
         for row in table.iter()? {
             let (id, record) = row?;
-            let start = decode_record("a count of starts", record.value())?;
+            let name = format!("the start of node {}", id.value());
+            let start = decode_record(&name, record.value())?;
             starts.push((NodeId(id.value()), start));
         }
         Ok(starts)
     }
 
-    /// Writes all of it in one commit, which is on the disk when this returns.
+    /// Writes all requests and starts in one commit, which is on the disk when this returns.
     ///
     /// # Errors
     ///
@@ -295,7 +299,7 @@
     }
 }
 
-/// The entries of the log, the one at `first` first.
+/// Reads the entries of the log, which must begin at index `first` and have no gap.
 fn read_log(
     table: &impl ReadableTable<u64, &'static [u8]>,
     first: u64,
@@ -305,7 +309,8 @@
         let (index, record) = row?;
         if index.value() != expected {
             return Err(StoreError::Damaged(format!(
-                "the log lacks entry {expected}"
+                "the log has entry {} in place of entry {expected}",
+                index.value()
             )));
         }
         let name = format!("the log's entry {expected}");
--- a/crates/spokeflow-control-plane/tests/former_names.rs
+++ b/crates/spokeflow-control-plane/tests/former_names.rs
@@ -1,10 +1,10 @@
-//! The control-plane program still starts by the names that flags and variables had before they were renamed.
+//! The control-plane program still accepts the former names of renamed flags and variables.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A started node and its store, gone with the test.
+/// A started node and its store; dropping it ends the process and removes the store.
 struct Node {
     child: Child,
     store: PathBuf,
@@ -18,7 +18,7 @@
     }
 }
 
-fn store(name: &str) -> PathBuf {
+fn store_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("spokeflow-former-{name}-{}", std::process::id()))
 }
 
@@ -28,7 +28,7 @@
     command
 }
 
-/// The first line that the program prints.
+/// Starts the program and returns the first line that it prints.
 fn first_line(command: &mut Command, store: PathBuf) -> String {
     let child = command.stdout(Stdio::piped()).spawn().unwrap();
     let mut node = Node { child, store };
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn a_node_starts_by_former_flags() {
-    let store = store("flags");
+fn a_node_starts_with_former_flags() {
+    let store = store_path("flags");
     let mut command = program();
     command.args([
         "--id=1",
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_node_starts_by_former_variables() {
-    let store = store("variables");
+fn a_node_starts_with_former_variables() {
+    let store = store_path("variables");
     let mut command = program();
     command.env("SPOKEFLOW_STORE", &store).envs([
         ("SPOKEFLOW_KEEPER_ID", "1"),
@@ -73,7 +73,7 @@
     assert!(line.starts_with("listening on 127.0.0.1:"), "{line}");
 }
 
-/// A value under a former name is used, not merely allowed: a bad one is refused, naming the present flag.
+/// A value under a former name is used, not only accepted: an invalid one is reported with the current flag.
 #[test]
 fn values_under_former_variables_are_read() {
     for (variable, value, flag) in [
--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/stored_by_start.rs
@@ -1,11 +1,10 @@
-//! Stores of control-plane nodes that commit d62ab1d wrote, opened by the present code.
+//! Opens stores of control-plane nodes that the build of commit d62ab1d wrote (the start build) with the current code.
 //!
-//! `fixtures/d62ab1d` holds the store files of the three nodes of fleet 62. They had been started
-//! twice, had committed five revisions and a list of three hosts, and were ended by SIGTERM.
-//! `status.json` and `history.json` are what `spokeflow-fleet status --json` and `history --json` of
-//! that commit printed just before. `keeper-1-with-snapshot.redb` is the store of node 1 after 500
-//! more entries, which made it take a snapshot, and a sixth revision; `status-with-snapshot.json` is
-//! the status just before its end.
+//! `fixtures/d62ab1d` holds the store files of the three nodes of fleet 62. They had been started twice, had committed
+//! five revisions and a list of three hosts, and were ended by SIGTERM. `status.json` and `history.json` are the output
+//! of `spokeflow-fleet status --json` and `history --json` of that build just before. `keeper-1-with-snapshot.redb` is
+//! the store of node 1 after 500 more entries, which made it take a snapshot, and a sixth revision;
+//! `status-with-snapshot.json` is the status just before it was ended.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -25,12 +24,12 @@
 const STATUS: &str = include_str!("fixtures/d62ab1d/status.json");
 const HISTORY: &str = include_str!("fixtures/d62ab1d/history.json");
 const STATUS_WITH_SNAPSHOT: &str = include_str!("fixtures/d62ab1d/status-with-snapshot.json");
-/// The number that the process of a test gives to the store that it opens.
+/// The process number with which a test opens a store.
 const OWN_PROCESS: u64 = 4242;
-/// The stale proposal, which was refused, had this token.
+/// Token of the proposal that was refused as stale.
 const STALE_TOKEN: u64 = 16872578440122145327;
 
-/// A copy of a store file for one test, since opening a store writes to it.
+/// Copies a store file for one test, since opening a store writes to it.
 fn copy_of(store: &str, test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("stored_by_start")
@@ -61,7 +60,7 @@
     owned.collect()
 }
 
-/// The state after all that was stored.
+/// Returns the state after the snapshot and all stored entries.
 fn state_of(saved: &PersistentState) -> ConfigState {
     let mut state = match saved.snapshot.last_included_index {
         LogIndex(0) => ConfigState::default(),
@@ -69,13 +68,13 @@
     };
     for entry in &saved.log {
         if let Payload::Command(bytes) = &entry.payload {
-            state.apply(LogCommand::decode(bytes).expect("a command of this version"));
+            state.apply(LogCommand::decode(bytes).expect("stored command must be decodable"));
         }
     }
     state
 }
 
-/// What the start build printed of its state is what the stored state says.
+/// Asserts that the stored state equals the status that the start build printed.
 fn check_state(state: &ConfigState, printed: &ClusterStatus) {
     assert_eq!(state.in_force, printed.in_force);
     assert_eq!(state.pending, printed.pending);
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn the_processes_that_nodes_saw_are_those_in_the_stores() {
+fn recorded_processes_of_other_nodes_are_those_in_their_stores() {
     let newest = nodes().map(|node| {
         let file = copy_of(&format!("keeper-{}.redb", node.0), "processes");
         let opened = Store::open(&file, FLEET, node, None, OWN_PROCESS).unwrap();
@@ -143,16 +142,16 @@
 }
 
 #[test]
-fn printed_status_and_history_are_read_as_they_were_meant() {
-    let view = status();
+fn printed_status_and_history_are_decoded_without_loss() {
+    let status = status();
     assert_eq!(
-        (view.leader, view.term, view.committed),
+        (status.leader, status.term, status.committed),
         (NodeId(2), Term(3), LogIndex(15))
     );
-    assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
-    assert_eq!(view.voters, nodes());
+    assert_eq!((status.list, status.list_source, status.hosts), (1, 77, 3));
+    assert_eq!(status.voters, nodes());
     let history: Vec<RevisionRecord> = serde_json::from_str(HISTORY).unwrap();
-    assert_eq!(history, view.history);
+    assert_eq!(history, status.history);
     assert!(history
         .iter()
         .map(|record| record.revision.number.0)
@@ -166,7 +165,7 @@
         ("longest-return", "5s"),
         ("stage-cap", "0.01,0.05,0.3,1"),
     ];
-    assert_eq!(view.in_force.values, values(&newest));
+    assert_eq!(status.in_force.values, values(&newest));
 }
 
 #[test]
@@ -191,12 +190,12 @@
     assert_eq!(state_of(&saved).in_force.number, RevisionNumber(6));
 }
 
-/// A node's process, ended with the test.
+/// The process of a node; dropping it ends the process.
 struct Running(Child);
 
 impl Running {
-    /// A node that does not take its store ends at once.
-    fn still_runs(&mut self) -> bool {
+    /// Whether the process has not ended. A node that cannot open its store ends at once.
+    fn is_running(&mut self) -> bool {
         self.0.try_wait().unwrap().is_none()
     }
 }
@@ -234,8 +233,8 @@
     Running(command.spawn().unwrap())
 }
 
-/// The state that the started nodes answer with once one of them leads.
-fn view_from(addresses: &[SocketAddr]) -> ClusterStatus {
+/// Returns the status that the started nodes answer with once one of them leads.
+fn request_status(addresses: &[SocketAddr]) -> ClusterStatus {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -245,8 +244,8 @@
         Request::Status,
         Duration::from_secs(30),
     )) {
-        Ok(Response::Status(view)) => *view,
-        other => panic!("no view but {other:?}"),
+        Ok(Response::Status(status)) => *status,
+        other => panic!("expected a status, got {other:?}"),
     }
 }
 
@@ -254,15 +253,18 @@
 fn nodes_started_on_the_stores_answer_as_the_start_build_did() {
     let addresses = free_addresses();
     let mut running = nodes().map(|node| start(node, &addresses));
-    let (view, printed) = (view_from(&addresses), status());
-    assert!(running.iter_mut().all(Running::still_runs));
-    assert!(view.term > printed.term);
-    assert!(view.committed > printed.committed);
+    let (current, printed) = (request_status(&addresses), status());
+    assert!(running.iter_mut().all(Running::is_running));
+    assert!(current.term > printed.term);
+    assert!(current.committed > printed.committed);
     assert_eq!(
-        (view.in_force, view.pending),
+        (current.in_force, current.pending),
         (printed.in_force, printed.pending)
     );
-    assert_eq!(view.history, printed.history);
-    assert_eq!(view.voters, printed.voters);
-    assert_eq!((view.list, view.list_source, view.hosts), (1, 77, 3));
+    assert_eq!(current.history, printed.history);
+    assert_eq!(current.voters, printed.voters);
+    assert_eq!(
+        (current.list, current.list_source, current.hosts),
+        (1, 77, 3)
+    );
 }
