--- a/crates/spokeflow-ctl/src/membership.rs
+++ b/crates/spokeflow-ctl/src/membership.rs
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use crate::session::Session;
 
-/// Records where a node listens.
+/// Registers the address on which a node listens.
 pub(crate) async fn register(
     session: &Session,
     node: u32,
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// One more voter or one less, by the node's number.
+/// Adds or removes one voter, by the node's id.
 #[derive(Clone, Copy)]
 pub(crate) enum VoterChange {
     Add(u32),
@@ -31,17 +31,17 @@
 }
 
 impl VoterChange {
-    /// Requests the change where it is not made yet, waits until it is committed and prints the voters.
+    /// Requests the change unless the status shows it already, waits until the status shows it and prints the voters.
     pub(crate) async fn apply(self, session: &Session, output: &Output) -> Result<(), CtlError> {
         let mut voters = session.status().await?.voters;
-        if !self.is_made_in(&voters) {
-            self.make_in(&mut voters);
+        if !self.is_done_in(&voters) {
+            self.change(&mut voters);
             session.send(Request::ChangeVoters(voters)).await?;
         }
-        // The status shows a change from its proposal on; it holds once something later is committed.
+        // The status shows a change as soon as it is proposed; the change is final once a later entry is committed.
         let status = session
             .wait_until(
-                |status| self.is_made_in(&status.voters),
+                |status| self.is_done_in(&status.voters),
                 |_| CtlError::VotersNotCommitted,
             )
             .await?;
@@ -49,14 +49,15 @@
         output.print(&ids, || format!("keepers that vote: {ids:?}"))
     }
 
-    fn is_made_in(self, voters: &[NodeId]) -> bool {
+    /// Whether `voters` include the change.
+    fn is_done_in(self, voters: &[NodeId]) -> bool {
         match self {
             VoterChange::Add(node) => voters.contains(&NodeId(node)),
             VoterChange::Remove(node) => !voters.contains(&NodeId(node)),
         }
     }
 
-    fn make_in(self, voters: &mut Vec<NodeId>) {
+    fn change(self, voters: &mut Vec<NodeId>) {
         match self {
             VoterChange::Add(node) => voters.push(NodeId(node)),
             VoterChange::Remove(node) => voters.retain(|voter| voter.0 != node),
--- a/crates/spokeflow-ctl/src/output.rs
+++ b/crates/spokeflow-ctl/src/output.rs
@@ -1,5 +1,5 @@
-//! What the commands print: JSON, or text and tables. Scripts read both, so that labels and keys stay as they are,
-//! former names among them.
+//! The output of the commands: JSON, or text and tables. Scripts read both, so the labels and keys must not change;
+//! some of them are former names, such as `keeper` for a control-plane node and `announced` for a pending revision.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -11,13 +11,14 @@
 use crate::error::CtlError;
 use crate::revisions::Change;
 
-/// The form of what is printed.
+/// Prints results in the form that the command line asks for.
 pub(crate) struct Output {
+    /// Whether results are printed as JSON.
     pub(crate) json: bool,
 }
 
 impl Output {
-    /// Prints `value` as JSON, or `text`.
+    /// Prints `value` as JSON if that was asked for, otherwise the result of `text`.
     pub(crate) fn print(
         &self,
         value: &impl Serialize,
@@ -33,7 +34,7 @@
     }
 }
 
-/// The lines of `status`.
+/// Returns the lines of `status`.
 pub(crate) fn status_text(status: &ClusterStatus) -> String {
     let voters: Vec<u32> = status.voters.iter().map(|voter| voter.0).collect();
     let mut lines = vec![
@@ -66,7 +67,7 @@
     lines.join("\n")
 }
 
-/// Nothing where the control plane has no host list.
+/// Returns the line on the host list, or `None` if the control plane has no host list.
 fn host_list_text(status: &ClusterStatus) -> Option<String> {
     if status.list == 0 && status.list_rejection.is_none() {
         return None;
@@ -80,7 +81,7 @@
     ))
 }
 
-/// The table of `history`.
+/// Returns the table of `history`.
 pub(crate) fn history_table(history: &[RevisionRecord]) -> String {
     let mut table = Table::new();
     table.set_header([
@@ -108,7 +109,7 @@
     table.to_string()
 }
 
-/// The table of `diff`, against the revision `newest`.
+/// Returns the table of `diff` against the revision `newest`.
 pub(crate) fn changes_table(newest: RevisionNumber, changes: &[Change]) -> String {
     let value_text = |value: &Option<String>| match value {
         Some(value) => value.clone(),
--- a/crates/spokeflow-ctl/src/revisions.rs
+++ b/crates/spokeflow-ctl/src/revisions.rs
@@ -11,12 +11,13 @@
 use crate::output::{changes_table, Output};
 use crate::session::Session;
 
-/// A value that a revision would change. Scripts read the keys.
+/// A value that a revision would change. The names of the fields are JSON keys, which scripts read.
 #[derive(Serialize)]
 pub(crate) struct Change {
     pub(crate) name: String,
-    /// `None`: each router's own flag.
+    /// The value in the newest revision; `None` if each router uses its own flag.
     pub(crate) before: Option<String>,
+    /// The value in the proposed revision; `None` if each router uses its own flag.
     pub(crate) after: Option<String>,
 }
 
@@ -26,14 +27,14 @@
     output: &Output,
     flags: ProposeFlags,
 ) -> Result<(), CtlError> {
-    let named = parse_overrides(&flags.values)?;
+    let given_values = parse_overrides(&flags.values)?;
     let status = session.status().await?;
     let newest = newest_revision(&status);
     let mut values = Overrides::new();
     if flags.keep {
         values.clone_from(&newest.values);
     }
-    values.extend(named);
+    values.extend(given_values);
     let base = flags.against.map_or(newest.number, RevisionNumber);
     let proposal = Proposal {
         token: rand::rng().random(),
@@ -83,7 +84,7 @@
     })
 }
 
-/// Waits until this revision or a later one is in force, and prints that one.
+/// Waits until this revision or a later one is in force, and prints the one in force.
 pub(crate) async fn wait_for(
     session: &Session,
     output: &Output,
@@ -120,7 +121,7 @@
         .collect()
 }
 
-/// The values that differ, by name.
+/// Returns the values that differ, sorted by name.
 fn changes(before: &Overrides, after: &Overrides) -> Vec<Change> {
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
     names.sort();
--- a/crates/spokeflow-ctl/src/session.rs
+++ b/crates/spokeflow-ctl/src/session.rs
@@ -1,4 +1,4 @@
-//! Requests to the control plane, and waiting for their effect.
+//! Sends requests to the control plane and waits for their effect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 use crate::error::CtlError;
 
-/// Between two looks at the status.
+/// Interval between two requests of the status while a command waits.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The control plane as one command sees it.
+/// Access of one command to the control plane.
 pub(crate) struct Session {
-    /// The nodes, any of which may answer.
+    /// Addresses of the nodes, any of which may answer.
     pub(crate) nodes: Vec<SocketAddr>,
-    /// How long each request, and the wait for its effect, may take.
+    /// Longest time for each request, and for the wait for its effect.
     pub(crate) within: Duration,
 }
 
 impl Session {
-    /// The leader's response to a request.
+    /// Sends a request and returns the leader's response.
     pub(crate) async fn send(&self, request: Request) -> Result<Response, CtlError> {
         if self.nodes.is_empty() {
             return Err(CtlError::NoNode);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The state at this instant.
+    /// Requests the current status.
     pub(crate) async fn status(&self) -> Result<ClusterStatus, CtlError> {
         match self.send(Request::Status).await? {
             Response::Status(status) => Ok(*status),
@@ -41,11 +41,11 @@
         }
     }
 
-    /// The first status of which `reached` holds.
+    /// Requests the status until `reached` is true for it, and returns that status.
     ///
     /// # Errors
     ///
-    /// The time is over: what `not_reached` makes of the last status. Or the status cannot be read.
+    /// `not_reached` of the last status if `within` has passed, or the error of a request.
     pub(crate) async fn wait_until(
         &self,
         reached: impl Fn(&ClusterStatus) -> bool,
--- a/crates/spokeflow-ctl/tests/former_names.rs
+++ b/crates/spokeflow-ctl/tests/former_names.rs
@@ -1,9 +1,9 @@
-//! `spokeflowctl` still accepts the names that its verbs, flags and variables had before they were renamed.
+//! `spokeflowctl` still accepts the former names of renamed subcommands, flags and variables.
 
 use std::process::{Command, Output};
 
-/// No node answers here, so that a call that is understood ends with exit code 2 and names this address.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address on which no node listens: a command whose arguments are accepted ends with exit code 2 and names it.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
 fn run(args: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_spokeflowctl"));
@@ -11,16 +11,16 @@
     command.args(args).output().unwrap()
 }
 
-fn assert_calls_the_node(output: &Output) {
+fn assert_node_is_called(output: &Output) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{text}");
-    assert!(text.contains(NOBODY), "{text}");
+    assert!(text.contains(UNUSED_ADDRESS), "{text}");
 }
 
 #[test]
-fn verbs_and_flags_are_accepted_by_their_former_names() {
-    let node = format!("--keeper={NOBODY}");
-    for verb in [
+fn former_names_of_subcommands_and_flags_are_accepted() {
+    let node = format!("--keeper={UNUSED_ADDRESS}");
+    for subcommand in [
         &["offer", "fleet-size=2", "--who=a", "--why=b"][..],
         &["take-in", "4"],
         &["take-out", "4"],
@@ -28,16 +28,16 @@
         &["status"],
     ] {
         let mut args = vec![node.as_str(), "--within=200ms"];
-        args.extend(verb);
-        assert_calls_the_node(&run(&args, &[]));
+        args.extend(subcommand);
+        assert_node_is_called(&run(&args, &[]));
     }
 }
 
 #[test]
-fn the_former_variable_names_the_nodes() {
+fn nodes_are_read_from_the_former_variable() {
     let output = run(
         &["--within=200ms", "status"],
-        &[("SPOKEFLOW_KEEPER", NOBODY)],
+        &[("SPOKEFLOW_KEEPER", UNUSED_ADDRESS)],
     );
-    assert_calls_the_node(&output);
+    assert_node_is_called(&output);
 }
--- a/crates/spokeflow-ctl/tests/verbs.rs
+++ b/crates/spokeflow-ctl/tests/verbs.rs
@@ -1,10 +1,10 @@
-//! Subcommands under their present and earlier names.
+//! Subcommands under their current and former names.
 
 use std::process::Command;
 
-fn help(verb: &str) -> (Option<i32>, String) {
+fn help(subcommand: &str) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_spokeflowctl"))
-        .args([verb, "--help"])
+        .args([subcommand, "--help"])
         .output()
         .unwrap();
     (
@@ -14,12 +14,16 @@
 }
 
 #[test]
-fn register_is_found_under_its_earlier_name() {
+fn register_is_accepted_under_its_former_name() {
     let (code, text) = help("register");
     assert!(
         code == Some(0) && text.contains("Usage: spokeflowctl register"),
         "{code:?} {text}"
     );
     assert_eq!(help("seat"), (code, text));
-    assert_eq!(help("stool").0, Some(2), "another name is not accepted");
+    assert_eq!(
+        help("stool").0,
+        Some(2),
+        "a name that was never used must be rejected"
+    );
 }
