--- a/crates/spokeflow-engine/src/config.rs
+++ b/crates/spokeflow-engine/src/config.rs
@@ -2,13 +2,14 @@
 
 use spokeflow_core::{Micros, ServiceConfig};
 
-/// What the engine must know: the decision module's configuration and the engine's own limits.
+/// The decision module's configuration and the engine's own limits.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Configuration of the decision module. Leases replace its revisable part.
+    /// Configuration of the decision module. Leases replace the part of it that a
+    /// [`spokeflow_coordination::EffectiveConfig`] holds.
     pub service: ServiceConfig,
-    /// Microseconds taken off each client's timeout, so that the answer still arrives in time.
+    /// Microseconds subtracted from each client's timeout, so that the answer still reaches the client in time.
     pub answer_margin: Micros,
-    /// Pending commands at most; one more is nacked at once.
+    /// Largest number of pending commands; further ones are nacked at once.
     pub max_waiting: usize,
 }
--- a/crates/spokeflow-engine/src/counts.rs
+++ b/crates/spokeflow-engine/src/counts.rs
@@ -1,9 +1,9 @@
 //! Counters of one engine.
 
-/// Counted since the start of the engine.
+/// Totals since the engine was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Commands received, without those whose number was in use.
+    /// Commands received, except those refused because their id was in use.
     pub accepted: u64,
     /// Commands answered with the result of a host.
     pub acked: u64,
@@ -15,12 +15,13 @@
     pub abandoned: u64,
     /// Deliveries started.
     pub deliveries: u64,
-    /// Answers of hosts to deliveries that had already ended.
+    /// Answers from hosts to deliveries that had already ended.
     pub late: u64,
-    /// Votes cast with the release controller.
+    /// Votes on builds, including those that could not be sent to the release controller.
     pub votes: u64,
-    /// Commands failed by the engine because the decision module had not answered in time: 0 unless it has a fault.
+    /// Commands that the engine failed because the decision module had not answered them in time: 0 unless the
+    /// decision module has a bug.
     pub overdue: u64,
-    /// Commands nacked because [`crate::EngineConfig::max_waiting`] were pending.
+    /// Commands nacked because [`crate::EngineConfig::max_waiting`] commands were already pending.
     pub over_capacity: u64,
 }
--- a/crates/spokeflow-engine/src/egress.rs
+++ b/crates/spokeflow-engine/src/egress.rs
@@ -1,4 +1,4 @@
-//! Carries out the decision module's calls as messages on the transport.
+//! Turns the decision module's calls into messages on the transport.
 
 use spokeflow_core::{AttemptOutcome, BuildId, CommandId, Egress, HostId, Micros, RolloutVote};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
@@ -6,7 +6,7 @@
 use crate::in_flight::{Deadline, InFlight, OpenDelivery, OpenVote, PendingOutcome};
 use crate::Transport;
 
-/// The decision module's [`Egress`], for the time of one call.
+/// The [`Egress`] implementation that is passed to a single call of the decision module.
 pub(crate) struct EgressAdapter<'a> {
     in_flight: &'a mut InFlight,
     transport: &'a mut dyn Transport,
@@ -20,30 +20,37 @@
         }
     }
 
-    /// When a delivery must have left at the latest. One that waits while this process is stopped must not leave
-    /// under a lease that has run out meanwhile, and a retry that is held up on its way must not arrive after hosts
-    /// have forgotten the first delivery.
-    fn leave_by(&self, host: HostId, until: Micros, retry_by: Option<Micros>) -> Micros {
+    /// Returns by when a delivery must leave: a delivery that is queued while this process is stopped must not leave
+    /// under a lease that has expired in the meantime, and a delayed retry must not arrive after hosts have forgotten
+    /// the first delivery.
+    fn leave_by(&self, host: HostId, deadline: Micros, retry_by: Option<Micros>) -> Micros {
         let lease_end = self
             .in_flight
             .canary_lease
             .filter(|lease| self.in_flight.build_of(host) >= lease.first_build)
-            .map(|lease| lease.until);
-        [Some(until), lease_end, retry_by]
+            .map(|lease| lease.ends_at);
+        [Some(deadline), lease_end, retry_by]
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(until)
+            .unwrap_or(deadline)
     }
 
-    fn end_later(&mut self, delivery: u64, outcome: AttemptOutcome) {
+    /// Queues an outcome for the decision module, which must not be called again during its own call.
+    fn defer_outcome(&mut self, delivery: u64, outcome: AttemptOutcome) {
         self.in_flight
             .pending_outcomes
             .push_back(PendingOutcome { delivery, outcome });
     }
 
-    /// Opens a delivery that ends at `until` at the latest, and returns its number.
-    fn open_delivery(&mut self, cmd: CommandId, host: HostId, attempt: u8, until: Micros) -> u64 {
+    /// Opens a delivery that times out at `deadline`, and returns its id.
+    fn open_delivery(
+        &mut self,
+        cmd: CommandId,
+        host: HostId,
+        attempt: u8,
+        deadline: Micros,
+    ) -> u64 {
         let in_flight = &mut *self.in_flight;
         let delivery = in_flight.next_delivery;
         in_flight.next_delivery += 1;
@@ -51,15 +58,15 @@
             cmd,
             attempt,
             host,
-            sent: in_flight.now,
-            until,
+            sent_at: in_flight.now,
+            deadline,
         };
-        let deadline = Deadline {
-            at: until,
+        let timeout = Deadline {
+            at: deadline,
             id: delivery,
         };
         in_flight.deliveries.insert(delivery, open);
-        in_flight.delivery_deadlines.insert(deadline);
+        in_flight.delivery_deadlines.insert(timeout);
         in_flight.counts.deliveries += 1;
         delivery
     }
@@ -70,20 +77,20 @@
         let Some(command) = self.in_flight.commands.get(&cmd) else {
             return;
         };
-        let until = until.unwrap_or(command.until).min(command.until);
+        let deadline = until.unwrap_or(command.deadline).min(command.deadline);
         let attempt = command.deliveries.len() as u8;
-        // Before this delivery is noted: it is the earlier ones that hosts must still remember.
+        // Read before this delivery is recorded: it depends on the earlier deliveries, which hosts must still remember.
         let retry_by = command.retry_by();
-        let delivery = self.open_delivery(cmd, host, attempt, until);
+        let delivery = self.open_delivery(cmd, host, attempt, deadline);
         let now = self.in_flight.now;
         let Some(command) = self.in_flight.commands.get_mut(&cmd) else {
             return;
         };
         command.deliveries.push(delivery);
-        command.may_have_run.push(Some(now));
-        command.open += 1;
-        if command.answered || now >= until {
-            return self.end_later(delivery, AttemptOutcome::NotSent);
+        command.may_have_run_since.push(Some(now));
+        command.open_deliveries += 1;
+        if command.is_answered || now >= deadline {
+            return self.defer_outcome(delivery, AttemptOutcome::NotSent);
         }
         let message = ToHost::Deliver {
             delivery,
@@ -91,13 +98,13 @@
             tenant: command.tenant,
             key: command.key,
             idempotency_key: command.idempotency_key,
-            left_us: (until - now) as u64,
+            left_us: (deadline - now) as u64,
             body: command.body.clone(),
         };
-        let leave_by = self.leave_by(host, until, retry_by);
+        let leave_by = self.leave_by(host, deadline, retry_by);
         if !self.transport.to_host(host, message, leave_by) {
-            // A send queue that is full here is one that the host does not read: the same as its own being full.
-            self.end_later(delivery, AttemptOutcome::Rejected);
+            // The send queue is full because the host does not read from it: treated as if the host itself were full.
+            self.defer_outcome(delivery, AttemptOutcome::Rejected);
         }
     }
 
@@ -127,7 +134,7 @@
         };
         let message = ToHost::Cancel { delivery };
         self.transport.to_host(open.host, message, Micros::MAX);
-        self.end_later(delivery, AttemptOutcome::Cancelled);
+        self.defer_outcome(delivery, AttemptOutcome::Cancelled);
     }
 
     fn wake(&mut self, at: Micros) {
@@ -152,10 +159,10 @@
             choice,
         };
         if self.transport.to_controller(message) {
-            let until = in_flight.now + in_flight.vote_timeout;
-            in_flight.open_vote = Some(OpenVote { ballot, until });
+            let deadline = in_flight.now + in_flight.vote_timeout;
+            in_flight.open_vote = Some(OpenVote { ballot, deadline });
         } else {
-            in_flight.vote_failed = true;
+            in_flight.vote_send_failed = true;
         }
     }
 
@@ -167,11 +174,11 @@
 
     fn watch_list(&mut self) {
         let have = self.in_flight.list_version;
-        self.in_flight.list_failed |= !self.transport.to_list(ToList::Watch { have });
+        self.in_flight.list_send_failed |= !self.transport.to_list(ToList::Watch { have });
     }
 
     fn fetch_list(&mut self) {
-        self.in_flight.list_failed |= !self.transport.to_list(ToList::Fetch);
+        self.in_flight.list_send_failed |= !self.transport.to_list(ToList::Fetch);
     }
 
     fn gossip(&mut self, router: Option<u32>, text: &[u8]) {
--- a/crates/spokeflow-engine/src/endpoint_entry.rs
+++ b/crates/spokeflow-engine/src/endpoint_entry.rs
@@ -1,4 +1,5 @@
-//! What the engine knows of each endpoint beside the decision module's state: its address and its process.
+//! The engine's record of each endpoint: the address and the incarnation, which the decision module does not hold, and
+//! the endpoint as last passed to the decision module.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +8,18 @@
 
 use crate::time::bounded_micros;
 
-/// One endpoint that a list has named.
+/// An endpoint that has appeared in an endpoint list.
 pub(crate) struct EndpointEntry {
     /// Address and port, as text.
     pub(crate) address: String,
-    /// The newest process known, by the list or by the host itself.
+    /// The newest incarnation of the host's process, as known from a list or from the host's own welcome.
     pub(crate) incarnation: u64,
-    /// As the decision module was given it last.
+    /// The endpoint as last passed to the decision module.
     pub(crate) endpoint: Endpoint,
 }
 
 impl EndpointEntry {
-    /// The entry of an endpoint that is listed for the first time.
+    /// Creates the entry of an endpoint that is listed for the first time.
     pub(crate) fn new(listed: &EndpointRecord, now: Micros) -> Self {
         EndpointEntry {
             address: listed.address.clone(),
@@ -35,11 +36,11 @@
         }
     }
 
-    /// Takes over what a list says. Of an earlier process than the host itself has announced only the placement and
-    /// the state are taken: these are the list's to say.
+    /// Applies a list's record. If the host itself has announced a newer incarnation than the record's, only the cell,
+    /// the zone and the state are taken over: only the list determines these.
     pub(crate) fn update(&mut self, listed: &EndpointRecord, now: Micros) {
         if listed.incarnation > self.incarnation {
-            // Computed once for each process: each message would shift it by its own delay.
+            // Computed once for each incarnation: computing it again would shift it by the delay of each message.
             self.endpoint.started_at = started_at(listed, now);
         }
         if listed.incarnation >= self.incarnation {
@@ -52,7 +53,7 @@
         self.endpoint.state = endpoint_state(listed.phase);
     }
 
-    /// The entry as a list would name it in this phase.
+    /// Returns the record that a list would hold for this endpoint in `phase`.
     pub(crate) fn listed_as(&self, phase: EndpointPhase) -> EndpointRecord {
         EndpointRecord {
             host: self.endpoint.host.0,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The build that runs there; the lowest where it is not known.
+    /// Returns the build that the endpoint runs, or the lowest build if it is not known.
     pub(crate) fn build(&self) -> BuildId {
         self.endpoint.build.unwrap_or_default()
     }
@@ -88,17 +89,20 @@
     }
 }
 
-/// The endpoint list of the control plane, together with the endpoints that the router's own list has removed.
+/// The replicated endpoint list, which comes from the control plane, and the endpoints that the router's own list has
+/// removed from it.
 #[derive(Default)]
 pub(crate) struct ReplicatedEndpoints {
-    /// As the control plane listed them last.
+    /// The records of the replicated list, by host.
     pub(crate) listed: BTreeMap<u32, EndpointRecord>,
-    /// Removed by the router's own list, which may be ahead of the control plane's.
+    /// Endpoints that the router's own list has removed, by host: that list may be ahead of the replicated one.
     pub(crate) removed: BTreeMap<u32, Removal>,
 }
 
-/// Up to which process an endpoint was removed, and into which phase.
+/// The removal of an endpoint by the router's own list.
 pub(crate) struct Removal {
+    /// The newest incarnation that the removal applies to.
     pub(crate) incarnation: u64,
+    /// The phase in the router's own list.
     pub(crate) phase: EndpointPhase,
 }
--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: takes inputs in order of time and hands each to the module that handles its kind.
+//! The engine: takes inputs in order of time and dispatches each to the module that handles its kind.
 
 mod commands;
 mod deliveries;
@@ -14,22 +14,24 @@
 use crate::time::bounded_micros;
 use crate::{Counts, EngineConfig, Input, Transport};
 use lease::LeaseState;
-use release_controller::ReceivedStatus;
+use release_controller::ReceivedUpdate;
 
-/// One router without its sockets: the decision module and all that is in flight.
+/// One router without its sockets: the decision module, and the commands and deliveries in flight.
 pub struct Engine {
     router: Router,
     in_flight: InFlight,
     config: EngineConfig,
-    /// `None` where no control plane is followed: then the configuration of the start stays.
+    /// The lease granted last; `None` if the router follows no control plane: the initial configuration then stays in
+    /// force.
     lease: Option<LeaseState>,
-    /// The release controller's latest message on the rollout.
-    rollout: Option<ReceivedStatus>,
+    /// The latest rollout update of the release controller; `None` before the first.
+    rollout: Option<ReceivedUpdate>,
+    /// Whether new commands are nacked because the router is shutting down.
     closing: bool,
 }
 
 impl Engine {
-    /// `seed` starts the decision module's random numbers; times are microseconds of one clock that never goes back.
+    /// Creates an engine at time `now`. `seed` is the seed of the decision module's random number generator.
     pub fn new(
         config: EngineConfig,
         seed: u64,
@@ -56,40 +58,41 @@
         engine
     }
 
-    /// Counted since the start.
+    /// Returns the totals since the engine was created.
     pub fn counts(&self) -> Counts {
         self.in_flight.counts
     }
 
-    /// Commands that have not been answered.
+    /// Returns the number of commands that have not been answered.
     pub fn waiting_commands(&self) -> usize {
         self.in_flight.answer_deadlines.len()
     }
 
-    /// Deliveries that have not ended.
+    /// Returns the number of deliveries that have not ended.
     pub fn open_deliveries(&self) -> usize {
         self.in_flight.deliveries.len()
     }
 
-    /// The next command gets this id of the decision module, or the first free one after it.
-    pub fn skip_ids_to(&mut self, id: u32) {
+    /// Sets the id under which the decision module gets the next command; ids that are in use are skipped. Tests use it
+    /// to reach the wrap-around of ids.
+    pub fn set_next_command_id(&mut self, id: u32) {
         self.in_flight.next_command = id;
     }
 
-    /// When [`Engine::on_timer`] is due.
+    /// Returns when [`Engine::on_timer`] is due, or [`Micros::MAX`] if nothing is scheduled.
     pub fn next_wake(&self) -> Micros {
         let in_flight = &self.in_flight;
         let due = [
             in_flight.timers.first().copied(),
             in_flight.delivery_deadlines.first().map(|first| first.at),
             in_flight.answer_deadlines.first().map(|first| first.at),
-            in_flight.open_vote.map(|vote| vote.until),
+            in_flight.open_vote.map(|vote| vote.deadline),
             self.lease.as_ref().and_then(LeaseState::expires_at),
         ];
         due.into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
-    /// Takes in one thing that has happened at `now`.
+    /// Handles an input that arrived at `now`.
     pub fn on_input(&mut self, now: Micros, input: Input, transport: &mut dyn Transport) {
         self.in_flight.now = self.in_flight.now.max(now);
         self.router.set_time(self.in_flight.now);
@@ -98,7 +101,7 @@
         self.report_outcomes(transport);
     }
 
-    /// To be called at [`Engine::next_wake`] or soon after.
+    /// Runs the timers that are due. Must be called at [`Engine::next_wake`] or soon after.
     pub fn on_timer(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.on_input(now, Input::Timer, transport);
     }
@@ -119,13 +122,13 @@
                 host,
                 delivery,
                 failure,
-            } => self.on_outcome(HostId(host), delivery, failure.into(), transport),
+            } => self.on_delivery_failed(HostId(host), delivery, failure.into(), transport),
             Input::FromList(message) => self.on_list_message(message, transport),
             Input::CachedList(endpoints) => self.on_cached_list(&endpoints, transport),
             Input::ListUnavailable => self.on_list_failure(),
             Input::FromController(message) => self.on_controller_message(message, transport),
-            Input::ControllerUnavailable => self.on_controller_unavailable(),
-            // The decision module makes no use of what other routers send.
+            Input::ControllerUnavailable => self.end_unanswered_vote(),
+            // The decision module does not use messages from other routers.
             Input::Gossip { .. } => {}
             Input::Lease { until, config } => self.on_lease(until, *config, transport),
             Input::ReplicatedList { complete, hosts } => {
@@ -146,17 +149,17 @@
         }
     }
 
-    /// Passes on the outcomes that the decision module's own calls have caused, until none is left: each ends a
-    /// delivery, and a command has few.
+    /// Passes pending outcomes and send failures, which the decision module's own calls have caused, on to the decision
+    /// module. An outcome may cause further ones; the loop ends because each ends a delivery and a command has few.
     fn report_outcomes(&mut self, transport: &mut dyn Transport) {
         while let Some(pending) = self.in_flight.pending_outcomes.pop_front() {
             self.finish_delivery(pending.delivery, pending.outcome, transport);
         }
-        if std::mem::take(&mut self.in_flight.list_failed) {
+        if std::mem::take(&mut self.in_flight.list_send_failed) {
             self.on_list_failure();
         }
-        if std::mem::take(&mut self.in_flight.vote_failed) {
-            self.on_vote_refused();
+        if std::mem::take(&mut self.in_flight.vote_send_failed) {
+            self.on_vote_not_sent();
         }
     }
 }
--- a/crates/spokeflow-engine/src/engine/commands.rs
+++ b/crates/spokeflow-engine/src/engine/commands.rs
@@ -1,4 +1,4 @@
-//! Clients: their commands, and what becomes of those that nobody waits for.
+//! Inputs from clients: commands, abandoned commands, disconnections and reports of wrong answers.
 
 use spokeflow_core::{CommandId, Key, Micros, OpType, Repeat, TenantId};
 use spokeflow_proto::{Command, FrameError, ToClient};
@@ -18,8 +18,8 @@
         transport: &mut dyn Transport,
     ) {
         if self.in_flight.is_id_in_use(conn, command.id) {
-            // Two answers under one number could not be distinguished. The transport closes the connection, which ends
-            // the first command.
+            // Two answers with the same id could not be distinguished. The transport closes the connection when it
+            // sends the refusal, which also ends the first command.
             let refused = FrameError::IdInUse(command.id).refused();
             return transport.to_client(conn, ToClient::Refused(refused));
         }
@@ -51,15 +51,15 @@
         usize::from(op) < self.config.service.ops.len()
     }
 
-    /// Nothing of the command has run anywhere, whatever its operation: trying again is harmless.
+    /// Nacks a command that has not been delivered anywhere: whatever its operation, a retry is safe.
     fn refuse_command(&mut self, conn: u64, command: &Command, transport: &mut dyn Transport) {
         self.in_flight.counts.over_capacity += u64::from(self.is_full());
         self.in_flight.counts.nacked += 1;
         let service = &self.config.service;
-        let may_name_time = service.may_name_retry_after && self.is_known_op(command.op);
+        let may_name_retry_after = service.may_name_retry_after && self.is_known_op(command.op);
         let message = ToClient::Nacked {
             id: command.id,
-            retry_after_us: may_name_time.then_some(service.longest_retry_after as u64),
+            retry_after_us: may_name_retry_after.then_some(service.longest_retry_after as u64),
         };
         transport.to_client(conn, message);
     }
@@ -74,13 +74,13 @@
             tenant: command.tenant,
             key: command.key,
             idempotency_key: command.idempotency_key,
-            until: self.in_flight.now + time_left,
-            answered: false,
+            deadline: self.in_flight.now + time_left,
+            is_answered: false,
             body: command.body,
             deliveries: Vec::new(),
-            may_have_run: Vec::new(),
+            may_have_run_since: Vec::new(),
             deduplication_window: is_deduplicated.then_some(op.deduplication_window),
-            open: 0,
+            open_deliveries: 0,
         }
     }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The client no longer waits: no answer is owed, open deliveries still end.
+    /// Ends a command whose client no longer waits: it gets no answer, but its open deliveries still have to end.
     fn abandon(&mut self, cmd: CommandId, transport: &mut dyn Transport) {
         if self.in_flight.mark_answered(cmd).is_none() {
             return;
@@ -112,7 +112,7 @@
 
     pub(super) fn on_wrong_answer(&mut self, receipt: Receipt) {
         let uptime = self.in_flight.now - self.in_flight.started_at;
-        // A receipt that this engine never gave may name a time to come.
+        // A receipt that this engine did not issue may name a time in the future.
         let age = (uptime - receipt.sent_after).max(0);
         self.router.on_wrong_answer(receipt.host, age);
     }
--- a/crates/spokeflow-engine/src/engine/deliveries.rs
+++ b/crates/spokeflow-engine/src/engine/deliveries.rs
@@ -1,4 +1,4 @@
-//! Hosts: their answers, and how deliveries end.
+//! Messages from hosts, and the ends of deliveries.
 
 use bytes::Bytes;
 use spokeflow_core::{AttemptOutcome, BuildId, HostId, ListKind};
@@ -26,13 +26,13 @@
             } => self.on_host_welcome(host, BuildId(build), incarnation, up_us, transport),
             FromHost::Acked { delivery, body } => self.on_acked(host, delivery, body, transport),
             FromHost::Error { delivery } => {
-                self.on_answer(host, delivery, AttemptOutcome::Error, transport);
+                self.on_answer_without_result(host, delivery, AttemptOutcome::Error, transport);
             }
             FromHost::Full { delivery } => {
-                self.on_answer(host, delivery, AttemptOutcome::Rejected, transport);
+                self.on_answer_without_result(host, delivery, AttemptOutcome::Rejected, transport);
             }
             FromHost::ResponseStarted { delivery } => self.on_response_started(host, delivery),
-            // Thousandths of the host's cores.
+            // `busy` is in thousandths of the host's CPU capacity.
             FromHost::LoadReport { busy } => {
                 self.router.on_load_report(host, f64::from(busy) / 1000.0)
             }
@@ -40,8 +40,8 @@
         }
     }
 
-    /// A host's own word on its process is newer than the list's: one that has restarted has to warm up, and the list
-    /// says so only seconds later.
+    /// Takes over the host's own description of its process, which is newer than the list's: a host that has restarted
+    /// has to warm up, and the list reports the restart only seconds later.
     fn on_host_welcome(
         &mut self,
         host: HostId,
@@ -77,7 +77,7 @@
         let cmd = open.cmd;
         let receipt = Receipt {
             host,
-            sent_after: open.sent - self.in_flight.started_at,
+            sent_after: open.sent_at - self.in_flight.started_at,
         };
         let build = self.in_flight.build_of(host).0;
         self.in_flight.answer(cmd, transport, |id| ToClient::Acked {
@@ -89,8 +89,8 @@
         self.finish_delivery(delivery, AttemptOutcome::Acked, transport);
     }
 
-    /// An answer without a result. One that comes after the end of its delivery is only counted.
-    fn on_answer(
+    /// Ends a delivery that was answered without a result. An answer that comes after the end is only counted.
+    fn on_answer_without_result(
         &mut self,
         host: HostId,
         delivery: u64,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// A delivery ended without an answer.
-    pub(super) fn on_outcome(
+    /// Ends a delivery that has failed without an answer from the host.
+    pub(super) fn on_delivery_failed(
         &mut self,
         host: HostId,
         delivery: u64,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Passes an outcome on to the decision module, unless the delivery has ended before.
+    /// Passes an outcome on to the decision module, unless the delivery has already ended.
     pub(super) fn finish_delivery(
         &mut self,
         delivery: u64,
@@ -135,11 +135,11 @@
         };
         let cmd = closed.cmd;
         let command = self.in_flight.commands.get_mut(&cmd);
-        let is_answered = command.as_ref().is_none_or(|command| command.answered);
+        let is_answered = command.as_ref().is_none_or(|command| command.is_answered);
         if let Some(command) = command.filter(|_| !outcome.may_have_run()) {
-            command.may_have_run[usize::from(closed.attempt)] = None;
+            command.may_have_run_since[usize::from(closed.attempt)] = None;
         }
-        let latency = self.in_flight.now - closed.sent;
+        let latency = self.in_flight.now - closed.sent_at;
         let egress = &mut EgressAdapter::new(&mut self.in_flight, transport);
         self.router
             .on_attempt_outcome(cmd, closed.attempt, outcome, latency, is_answered, egress);
--- a/crates/spokeflow-engine/src/engine/endpoint_list.rs
+++ b/crates/spokeflow-engine/src/engine/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: the router's own, the control plane's, and how one corrects the other.
+//! Endpoint lists: the router's own and the replicated one, which comes from the control plane. The own list removes
+//! endpoints from the replicated one.
 
 use std::collections::BTreeSet;
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The decision module learns of failures only where it has to subscribe.
+    /// Notifies the decision module that the endpoint list has failed, if it has to subscribe to the list.
     pub(super) fn on_list_failure(&mut self) {
         if self.config.service.list_requires_subscription {
             self.router.on_list_failure();
@@ -58,8 +59,8 @@
         self.apply_list(ListKind::Changes, &changed, transport);
     }
 
-    /// What the router's own list changes where the control plane's is followed: endpoints are removed at once, and
-    /// given back to the control plane's list, but none is added.
+    /// Applies the router's own list to the replicated one and returns the records that change: endpoints that are not
+    /// ready are removed at once, those that are ready again are restored from the replicated list, and none is added.
     fn apply_removals(&mut self, listed: &[EndpointRecord]) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         let Some(replicated) = &mut self.in_flight.replicated else {
@@ -88,15 +89,15 @@
         changed
     }
 
-    /// A complete list that lacks an endpoint says that it is gone.
+    /// Removes the endpoints that are missing from a complete own list, and so are gone; returns their records.
     fn remove_unlisted(&mut self, listed: &[EndpointRecord]) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         let Some(replicated) = &mut self.in_flight.replicated else {
             return changed;
         };
-        let named: BTreeSet<u32> = listed.iter().map(|own| own.host).collect();
+        let listed_hosts: BTreeSet<u32> = listed.iter().map(|own| own.host).collect();
         for (host, entry) in &self.in_flight.endpoints {
-            if entry.is_gone() || named.contains(&host.0) {
+            if entry.is_gone() || listed_hosts.contains(&host.0) {
                 continue;
             }
             let phase = EndpointPhase::Gone;
@@ -125,7 +126,8 @@
                 continue;
             };
             if record.incarnation <= removal.incarnation {
-                // The router's own list may be ahead: what it removed stays so until another process.
+                // The router's own list may be ahead: an endpoint that it has removed stays removed until a newer
+                // incarnation is listed.
                 record.phase = removal.phase;
             } else {
                 replicated.removed.remove(&record.host);
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Takes a list over, opens and closes hosts on the transport, and passes the list on to the decision module.
+    /// Applies a list to the entries, opens and closes hosts on the transport, and passes the list on to the decision
+    /// module.
     fn apply_list(
         &mut self,
         kind: ListKind,
@@ -167,10 +170,11 @@
         self.router.on_endpoints(kind, &endpoints, egress);
     }
 
+    /// Closes the hosts that are missing from a complete or cached list.
     fn close_unlisted(&mut self, listed: &[Endpoint], transport: &mut dyn Transport) {
-        let named: BTreeSet<HostId> = listed.iter().map(|endpoint| endpoint.host).collect();
+        let listed_hosts: BTreeSet<HostId> = listed.iter().map(|endpoint| endpoint.host).collect();
         for (&host, entry) in &mut self.in_flight.endpoints {
-            if !entry.is_gone() && !named.contains(&host) {
+            if !entry.is_gone() && !listed_hosts.contains(&host) {
                 entry.endpoint.state = EndpointState::Gone;
                 transport.host_closed(host, true);
             }
@@ -188,7 +192,8 @@
         entry.endpoint
     }
 
-    /// Relative capacities of hosts. What is no capacity, or of a host that has not been listed, is passed over.
+    /// Applies the relative capacities of hosts. Sizes that are not positive numbers, and sizes of hosts that have not
+    /// been listed, are ignored.
     fn on_sizes(&mut self, sizes: &[HostSize], transport: &mut dyn Transport) {
         let mut changed = Vec::new();
         for &HostSize { host, size } in sizes {
--- a/crates/spokeflow-engine/src/engine/lease.rs
+++ b/crates/spokeflow-engine/src/engine/lease.rs
@@ -9,21 +9,23 @@
 
 /// The lease granted last.
 pub(super) struct LeaseState {
-    pub(super) until: Micros,
+    ends_at: Micros,
+    /// The configuration that may be used until then.
     config: EffectiveConfig,
-    /// Whether its configuration is in force.
-    in_force: bool,
+    /// Whether `config` is in force.
+    is_in_force: bool,
 }
 
 impl LeaseState {
-    /// When the lease ends, while it is in force.
+    /// Returns when the lease expires, or `None` if it is not in force.
     pub(super) fn expires_at(&self) -> Option<Micros> {
-        self.in_force.then_some(self.until)
+        self.is_in_force.then_some(self.ends_at)
     }
 }
 
 impl Engine {
-    /// Checked before each input, not by a timer: this process may have been stopped meanwhile.
+    /// Ends the lease if it has expired. Called before each input and not only by a timer, because this process may
+    /// have been stopped in the meantime.
     pub(super) fn check_lease(&mut self, transport: &mut dyn Transport) {
         let expires_at = self.lease.as_ref().and_then(LeaseState::expires_at);
         if expires_at.is_some_and(|at| self.in_flight.now >= at) {
@@ -33,44 +35,45 @@
 
     pub(super) fn on_lease(
         &mut self,
-        until: Micros,
+        ends_at: Micros,
         config: EffectiveConfig,
         transport: &mut dyn Transport,
     ) {
-        if !self.renew_lease(until, &config) {
+        if !self.renew_lease(ends_at, &config) {
             self.lease = Some(LeaseState {
-                until,
+                ends_at,
                 config,
-                in_force: false,
+                is_in_force: false,
             });
             self.apply_lease(transport);
         }
     }
 
-    /// Prolongs the lease that is in force, where this one is the same but for its end.
-    fn renew_lease(&mut self, until: Micros, config: &EffectiveConfig) -> bool {
+    /// Extends the lease in force if the new one differs only in its end; returns whether it did.
+    fn renew_lease(&mut self, ends_at: Micros, config: &EffectiveConfig) -> bool {
         let now = self.in_flight.now;
         let Some(lease) = &mut self.lease else {
             return false;
         };
-        if !lease.in_force || until <= now || lease.config != *config {
+        if !lease.is_in_force || ends_at <= now || lease.config != *config {
             return false;
         }
-        lease.until = until;
+        lease.ends_at = ends_at;
         if let Some(canary) = &mut self.in_flight.canary_lease {
-            canary.until = until;
+            canary.ends_at = ends_at;
         }
         true
     }
 
-    /// Puts the lease's configuration in force, in one step between two commands: none sees parts of two revisions.
-    /// Without a lease only what contradicts no later revision is done.
+    /// Puts the lease's configuration in force in one step between two inputs, so that no command sees parts of two
+    /// revisions. If the lease has expired, the router falls back to the released build alone, with limits that no
+    /// later revision can contradict.
     fn apply_lease(&mut self, transport: &mut dyn Transport) {
         let Some(lease) = &mut self.lease else {
             return;
         };
-        lease.in_force = self.in_flight.now < lease.until;
-        let config = if lease.in_force {
+        lease.is_in_force = self.in_flight.now < lease.ends_at;
+        let config = if lease.is_in_force {
             lease.config.clone()
         } else {
             lease.config.released_build_only()
@@ -81,12 +84,12 @@
         self.forward_rollout_status(transport);
     }
 
-    /// Restricts deliveries to builds from `first_build` on to the time of the lease, where there is one.
+    /// Allows deliveries to `first_build` and later builds only until the lease ends, if there is a lease.
     pub(super) fn limit_canary(&mut self, first_build: BuildId) {
         if let Some(lease) = &self.lease {
             self.in_flight.canary_lease = Some(CanaryLease {
                 first_build,
-                until: lease.until,
+                ends_at: lease.ends_at,
             });
         }
     }
--- a/crates/spokeflow-engine/src/engine/release_controller.rs
+++ b/crates/spokeflow-engine/src/engine/release_controller.rs
@@ -1,4 +1,4 @@
-//! The release controller: the state of the rollout, votes on it, and its statistics.
+//! Messages from the release controller: rollout updates, results of votes, and delivery statistics.
 
 use spokeflow_core::{
     BuildId, ControllerStats, Micros, OpType, RolloutState, RolloutStatus, VoteOutcome,
@@ -10,10 +10,10 @@
 use crate::time::bounded_micros;
 use crate::Transport;
 
-/// A message on the rollout, and when it came.
-pub(super) struct ReceivedStatus {
-    message: RolloutUpdate,
-    at: Micros,
+/// A rollout update and when it was received.
+pub(super) struct ReceivedUpdate {
+    update: RolloutUpdate,
+    received_at: Micros,
 }
 
 impl Engine {
@@ -23,7 +23,7 @@
         transport: &mut dyn Transport,
     ) {
         match message {
-            FromController::RolloutUpdate(message) => self.on_rollout_message(message, transport),
+            FromController::RolloutUpdate(update) => self.on_rollout_update(update, transport),
             FromController::Voted { ballot, result } => self.on_vote_result(ballot, result),
             FromController::Stats(stats) => {
                 self.router.on_controller_stats(controller_stats(stats))
@@ -32,46 +32,46 @@
         }
     }
 
-    fn on_rollout_message(&mut self, message: RolloutUpdate, transport: &mut dyn Transport) {
-        let received = ReceivedStatus {
-            message,
-            at: self.in_flight.now,
+    fn on_rollout_update(&mut self, update: RolloutUpdate, transport: &mut dyn Transport) {
+        let received = ReceivedUpdate {
+            update,
+            received_at: self.in_flight.now,
         };
         let before = self.rollout.replace(received);
         self.forward_rollout_status(transport);
-        self.recall_capped(before.map(|status| status.message), message, transport);
+        self.recall_where_cap_fell(before.map(|received| received.update), update, transport);
     }
 
-    /// Passes the release controller's latest message on to the decision module. Under a control plane no exposure
-    /// cap is higher than the configured one of its stage.
+    /// Passes the latest rollout update on to the decision module. If the router follows a control plane, the exposure
+    /// cap is limited to the configured cap of the stage.
     pub(super) fn forward_rollout_status(&mut self, transport: &mut dyn Transport) {
         let Some(received) = &self.rollout else {
             return;
         };
-        let mut message = received.message;
-        message.age_us += (self.in_flight.now - received.at) as u64;
+        let mut update = received.update;
+        update.age_us += (self.in_flight.now - received.received_at) as u64;
         if self.lease.is_some() {
-            let released = message.phase == RolloutPhase::Released;
-            if !released {
-                message.exposure_cap = message.exposure_cap.min(self.stage_cap(message.stage));
+            let is_released = update.phase == RolloutPhase::Released;
+            if !is_released {
+                update.exposure_cap = update.exposure_cap.min(self.stage_cap(update.stage));
             }
-            let first_build = BuildId(message.build.saturating_add(released.into()));
-            self.limit_canary(first_build);
+            let first_unreleased = BuildId(update.build.saturating_add(is_released.into()));
+            self.limit_canary(first_unreleased);
         }
         let egress = &mut EgressAdapter::new(&mut self.in_flight, transport);
         self.router
-            .on_rollout_status(rollout_status(message), egress);
+            .on_rollout_status(rollout_status(update), egress);
     }
 
-    /// The configured exposure cap of a stage.
+    /// Returns the configured exposure cap of a stage, or 0 if there is no such stage.
     fn stage_cap(&self, stage: u8) -> f32 {
         let caps = &self.config.service.stage_caps;
         caps.get(usize::from(stage)).copied().unwrap_or(0.0) as f32
     }
 
-    /// A lower cap binds what leaves, whenever it was delivered: what has not left for a build whose cap fell is
-    /// recalled.
-    fn recall_capped(
+    /// Recalls the deliveries that have not left for builds whose exposure cap fell: the lower cap applies to all that
+    /// leaves from now on, also to deliveries that were queued earlier.
+    fn recall_where_cap_fell(
         &self,
         before: Option<RolloutUpdate>,
         after: RolloutUpdate,
@@ -88,7 +88,7 @@
     }
 
     fn on_vote_result(&mut self, ballot: u64, result: VoteResult) {
-        // The result of a vote that has been given up says nothing of the present one.
+        // A result of an earlier vote, which counts as unanswered, does not apply to the open one.
         let vote = self.in_flight.open_vote;
         if vote.is_none_or(|vote| vote.ballot != ballot) {
             return;
@@ -102,22 +102,23 @@
         });
     }
 
-    pub(super) fn on_controller_unavailable(&mut self) {
+    /// Ends the open vote, if there is one, as unanswered.
+    pub(super) fn end_unanswered_vote(&mut self) {
         if self.in_flight.open_vote.take().is_some() {
             self.router.on_vote_outcome(VoteOutcome::NoResponse);
         }
     }
 
-    /// The vote could not be sent.
-    pub(super) fn on_vote_refused(&mut self) {
+    /// Ends a vote that could not be sent.
+    pub(super) fn on_vote_not_sent(&mut self) {
         self.router.on_vote_outcome(VoteOutcome::Refused);
     }
 }
 
-/// The share of traffic that a build may get by a message on the rollout; `unannounced` for a build that it says
-/// nothing of.
-fn exposure_cap(message: Option<RolloutUpdate>, build: u16, unannounced: f32) -> f32 {
-    match message {
+/// Returns the share of traffic that a build may get under a rollout update: no limit for released builds, and
+/// `unannounced` for builds that the update does not cover.
+fn exposure_cap(update: Option<RolloutUpdate>, build: u16, unannounced: f32) -> f32 {
+    match update {
         Some(update) if build < update.build => f32::INFINITY,
         Some(update) if build == update.build && update.phase == RolloutPhase::Released => {
             f32::INFINITY
@@ -127,18 +128,18 @@
     }
 }
 
-fn rollout_status(message: RolloutUpdate) -> RolloutStatus {
+fn rollout_status(update: RolloutUpdate) -> RolloutStatus {
     RolloutStatus {
-        build: BuildId(message.build),
-        stage: message.stage,
-        state: match message.phase {
+        build: BuildId(update.build),
+        stage: update.stage,
+        state: match update.phase {
             RolloutPhase::Canary => RolloutState::Canary,
             RolloutPhase::RollingBack => RolloutState::RollingBack,
             RolloutPhase::Released => RolloutState::Released,
             RolloutPhase::Withdrawn => RolloutState::Withdrawn,
         },
-        exposure_cap: f64::from(message.exposure_cap.clamp(0.0, 1.0)),
-        age: bounded_micros(message.age_us),
+        exposure_cap: f64::from(update.exposure_cap.clamp(0.0, 1.0)),
+        age: bounded_micros(update.age_us),
     }
 }
 
--- a/crates/spokeflow-engine/src/engine/timers.rs
+++ b/crates/spokeflow-engine/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! Time: the decision module's timers, and what has passed its deadline.
+//! Timers: those of the decision module, and the deadlines of deliveries, commands and votes.
 
 use spokeflow_core::{AttemptOutcome, CommandId, Micros};
 use spokeflow_proto::{ToClient, ToHost};
@@ -17,9 +17,9 @@
         if self
             .in_flight
             .open_vote
-            .is_some_and(|vote| vote.until <= now)
+            .is_some_and(|vote| vote.deadline <= now)
         {
-            self.on_controller_unavailable();
+            self.end_unanswered_vote();
         }
     }
 
@@ -30,7 +30,7 @@
             }
             self.in_flight.timers.pop_first();
             let next = self.in_flight.timers.first();
-            // Timers that were missed are made up by one.
+            // Several timers that are overdue cause a single call.
             if next.is_none_or(|next| *next > self.in_flight.now) {
                 let egress = &mut EgressAdapter::new(&mut self.in_flight, transport);
                 self.router.on_timer(egress);
--- a/crates/spokeflow-engine/src/in_flight.rs
+++ b/crates/spokeflow-engine/src/in_flight.rs
@@ -1,5 +1,5 @@
-//! Everything that is in flight: pending commands, open deliveries, their deadlines, and the mapping between numbers
-//! on connections and ids of the decision module.
+//! State in flight: pending commands, open deliveries, their deadlines, and the mapping between the ids that clients
+//! give to commands and those of the decision module.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -14,31 +14,32 @@
 pub(crate) struct PendingCommand {
     /// The client's connection.
     pub(crate) conn: u64,
-    /// The client's own number.
+    /// The command's id on that connection, given by the client.
     pub(crate) id: u64,
     pub(crate) op: u16,
     pub(crate) tenant: u32,
     pub(crate) key: u64,
     pub(crate) idempotency_key: u64,
-    /// When it must have been answered.
-    pub(crate) until: Micros,
-    pub(crate) answered: bool,
+    /// By when it must be answered.
+    pub(crate) deadline: Micros,
+    /// Whether the client gets no further answer, because it has had one or no longer waits.
+    pub(crate) is_answered: bool,
     pub(crate) body: Bytes,
-    /// In the order of the decision module's numbers.
+    /// Ids of the deliveries, indexed by the decision module's attempt number.
     pub(crate) deliveries: Vec<u64>,
-    /// When each delivery was started, but for those that are proven not to have run.
-    pub(crate) may_have_run: Vec<Option<Micros>>,
-    /// For so long after the first delivery that may have run a retry may leave; `None` where that is not bounded.
+    /// When each delivery was started, indexed by attempt; `None` for those that are proven not to have run.
+    pub(crate) may_have_run_since: Vec<Option<Micros>>,
+    /// How long after the first delivery that may have run a retry may leave; `None` for no limit.
     pub(crate) deduplication_window: Option<Micros>,
-    /// Deliveries that have not ended.
-    pub(crate) open: u32,
+    /// Number of deliveries that have not ended.
+    pub(crate) open_deliveries: u32,
 }
 
 impl PendingCommand {
-    /// When hosts may have forgotten the first delivery: a retry has to leave before.
+    /// Returns by when a retry must leave, because hosts may forget the first delivery then; `None` for no limit.
     pub(crate) fn retry_by(&self) -> Option<Micros> {
         let window = self.deduplication_window?;
-        let first = self.may_have_run.iter().flatten().min()?;
+        let first = self.may_have_run_since.iter().flatten().min()?;
         Some(first + window)
     }
 }
@@ -46,22 +47,22 @@
 /// A delivery that has not ended.
 pub(crate) struct OpenDelivery {
     pub(crate) cmd: CommandId,
-    /// Index among the deliveries of its command.
+    /// Index of the delivery among those of its command.
     pub(crate) attempt: u8,
     pub(crate) host: HostId,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
     /// When it counts as timed out.
-    pub(crate) until: Micros,
+    pub(crate) deadline: Micros,
 }
 
-/// When something runs out; ordered by time, then by id.
+/// The deadline of a command or delivery; ordered by time, then by id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Deadline<Id> {
     pub(crate) at: Micros,
     pub(crate) id: Id,
 }
 
-/// An outcome that the decision module learns after the call that caused it has returned.
+/// An outcome that is passed to the decision module once the call that caused it has returned.
 pub(crate) struct PendingOutcome {
     pub(crate) delivery: u64,
     pub(crate) outcome: AttemptOutcome,
@@ -72,54 +73,55 @@
 pub(crate) struct OpenVote {
     pub(crate) ballot: u64,
     /// When it counts as unanswered.
-    pub(crate) until: Micros,
+    pub(crate) deadline: Micros,
 }
 
-/// Until when anything may leave for builds that are not released.
+/// The limit that the lease sets on deliveries to builds that are not released.
 #[derive(Clone, Copy)]
 pub(crate) struct CanaryLease {
-    /// The earliest build that is not free for all traffic.
+    /// The lowest build that is not released.
     pub(crate) first_build: BuildId,
-    pub(crate) until: Micros,
+    /// When deliveries to these builds must have left.
+    pub(crate) ends_at: Micros,
 }
 
-/// The engine's state beside the decision module.
+/// The engine's state outside the decision module.
 #[derive(Default)]
 pub(crate) struct InFlight {
     pub(crate) now: Micros,
     pub(crate) started_at: Micros,
     pub(crate) commands: HashMap<CommandId, PendingCommand>,
-    /// Unanswered commands by connection and the client's own number.
+    /// Unanswered commands, by connection and the client's id.
     pub(crate) by_client: HashMap<u64, BTreeMap<u64, CommandId>>,
     pub(crate) deliveries: HashMap<u64, OpenDelivery>,
-    /// When deliveries time out.
+    /// Deadlines of the open deliveries.
     pub(crate) delivery_deadlines: BTreeSet<Deadline<u64>>,
-    /// When unanswered commands must have had their answer.
+    /// Deadlines of the unanswered commands.
     pub(crate) answer_deadlines: BTreeSet<Deadline<CommandId>>,
     pub(crate) endpoints: BTreeMap<HostId, EndpointEntry>,
-    /// When the decision module wants its timer.
+    /// Times at which the decision module has asked for its timer.
     pub(crate) timers: BTreeSet<Micros>,
     pub(crate) pending_outcomes: VecDeque<PendingOutcome>,
     pub(crate) next_command: u32,
     pub(crate) next_delivery: u64,
     pub(crate) next_ballot: u64,
     pub(crate) open_vote: Option<OpenVote>,
-    /// How long the result of a vote is awaited.
+    /// How long the engine waits for the result of a vote.
     pub(crate) vote_timeout: Micros,
     /// A vote could not be sent; the decision module has not been notified yet.
-    pub(crate) vote_failed: bool,
+    pub(crate) vote_send_failed: bool,
     pub(crate) list_version: Option<u64>,
     /// A request for the list could not be sent; the decision module has not been notified yet.
-    pub(crate) list_failed: bool,
+    pub(crate) list_send_failed: bool,
     pub(crate) counts: Counts,
-    /// Where a control plane is followed and the release controller has sent a status.
+    /// `None` until the router has a lease and the release controller has sent a rollout update.
     pub(crate) canary_lease: Option<CanaryLease>,
-    /// Where the list comes from the control plane.
+    /// `None` if the endpoint list does not come from the control plane.
     pub(crate) replicated: Option<ReplicatedEndpoints>,
 }
 
 impl InFlight {
-    /// An id that no pending command has: ids wrap around after 2^32 commands.
+    /// Returns an id that no pending command has: ids wrap around after 2^32 commands.
     pub(crate) fn fresh_id(&mut self) -> CommandId {
         loop {
             let id = CommandId(self.next_command);
@@ -130,17 +132,17 @@
         }
     }
 
-    /// Whether the client awaits an answer under this number on this connection.
+    /// Whether an unanswered command on this connection has this id.
     pub(crate) fn is_id_in_use(&self, conn: u64, id: u64) -> bool {
         self.by_client
             .get(&conn)
             .is_some_and(|ids| ids.contains_key(&id))
     }
 
-    /// Adds a command that no delivery has been made for.
+    /// Adds a command that has no delivery yet.
     pub(crate) fn insert_command(&mut self, cmd: CommandId, command: PendingCommand) {
         let deadline = Deadline {
-            at: command.until,
+            at: command.deadline,
             id: cmd,
         };
         self.answer_deadlines.insert(deadline);
@@ -151,21 +153,21 @@
         self.commands.insert(cmd, command);
     }
 
-    /// The open delivery of this number, where it went to this host.
+    /// Returns the open delivery with this id if it went to `host`.
     pub(crate) fn delivery_to(&self, host: HostId, delivery: u64) -> Option<&OpenDelivery> {
         self.deliveries
             .get(&delivery)
             .filter(|open| open.host == host)
     }
 
-    /// The build that runs on a host; the lowest where that is not known.
+    /// Returns the build that a host runs, or the lowest build if it is not known.
     pub(crate) fn build_of(&self, host: HostId) -> BuildId {
         self.endpoints
             .get(&host)
             .map_or(BuildId::default(), EndpointEntry::build)
     }
 
-    /// Sends the final answer, unless the command has had one.
+    /// Sends the final answer, unless the command has already been answered.
     pub(crate) fn answer(
         &mut self,
         cmd: CommandId,
@@ -178,28 +180,28 @@
         command.body = Bytes::new();
         let conn = command.conn;
         let id = command.id;
-        let open = command.open;
+        let open_deliveries = command.open_deliveries;
         if let Some(ids) = self.by_client.get_mut(&conn) {
             ids.remove(&id);
             let message = message(id);
             self.count_answer(&message);
             transport.to_client(conn, message);
         }
-        if open == 0 {
+        if open_deliveries == 0 {
             self.commands.remove(&cmd);
         }
         self.recall(cmd, transport);
     }
 
-    /// From now on the client is owed nothing; `None` where that was so before.
+    /// Marks a command as answered, so that the client gets no further answer; `None` if it was already.
     pub(crate) fn mark_answered(&mut self, cmd: CommandId) -> Option<&mut PendingCommand> {
         let command = self.commands.get_mut(&cmd)?;
-        if command.answered {
+        if command.is_answered {
             return None;
         }
-        command.answered = true;
+        command.is_answered = true;
         let deadline = Deadline {
-            at: command.until,
+            at: command.deadline,
             id: cmd,
         };
         self.answer_deadlines.remove(&deadline);
@@ -215,7 +217,8 @@
         *count += 1;
     }
 
-    /// Nothing may leave for a command that is answered: guards against connections that come up after that.
+    /// Recalls the deliveries of a command that is answered: those still queued must not leave over a connection that
+    /// is made later.
     pub(crate) fn recall(&self, cmd: CommandId, transport: &mut dyn Transport) {
         let Some(command) = self.commands.get(&cmd) else {
             return;
@@ -227,24 +230,25 @@
         }
     }
 
-    /// Takes out a delivery that has ended; `None` where it had ended before.
+    /// Removes a delivery that has ended; `None` if it had already ended.
     pub(crate) fn close_delivery(&mut self, delivery: u64) -> Option<OpenDelivery> {
         let closed = self.deliveries.remove(&delivery)?;
         let deadline = Deadline {
-            at: closed.until,
+            at: closed.deadline,
             id: delivery,
         };
         self.delivery_deadlines.remove(&deadline);
         if let Some(command) = self.commands.get_mut(&closed.cmd) {
-            command.open -= 1;
+            command.open_deliveries -= 1;
         }
         Some(closed)
     }
 
-    /// Drops a command that is answered and has no open delivery.
+    /// Removes a command if it is answered and has no open delivery.
     pub(crate) fn drop_if_finished(&mut self, cmd: CommandId) {
-        let finished = |command: &PendingCommand| command.answered && command.open == 0;
-        if self.commands.get(&cmd).is_some_and(finished) {
+        let is_finished =
+            |command: &PendingCommand| command.is_answered && command.open_deliveries == 0;
+        if self.commands.get(&cmd).is_some_and(is_finished) {
             self.commands.remove(&cmd);
         }
     }
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -1,33 +1,33 @@
-//! What reaches a router.
+//! Inputs of the engine: messages and failures of peers, the passing of time, and the shutdown of the router.
 
 use serde::{Deserialize, Serialize};
 use spokeflow_coordination::EffectiveConfig;
 use spokeflow_core::{AttemptOutcome, Micros};
 use spokeflow_proto::{Command, EndpointRecord, FromController, FromHost, FromList};
 
-/// One thing that has happened. Recordings hold it as postcard, by the order of variants and fields: new ones go at
-/// the end.
+/// An event that the engine handles. Recordings hold it in postcard form, which depends on the order of variants and
+/// fields: new ones must go at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
     /// A client sent a command.
     Command {
         /// The client's connection.
         conn: u64,
-        /// What it sent.
+        /// The command as received.
         command: Command,
     },
     /// A client no longer waits for a command.
     Abandon {
         /// The client's connection.
         conn: u64,
-        /// The client's own number of the command.
+        /// The command's id on that connection.
         id: u64,
     },
     /// A client reports that an answer was wrong.
     WrongAnswer {
         /// The client's connection.
         conn: u64,
-        /// As it came with the answer.
+        /// The receipt that came with the answer.
         receipt: u64,
     },
     /// The connection of a client ended.
@@ -35,81 +35,82 @@
         /// The client's connection.
         conn: u64,
     },
-    /// A message of a host.
+    /// A host sent a message.
     FromHost {
         /// The host.
         host: u32,
-        /// What it sent.
+        /// The message as received.
         message: FromHost,
     },
     /// A delivery ended without a message from the host.
     DeliveryFailed {
         /// The host.
         host: u32,
-        /// The engine's number of the delivery.
+        /// The engine's id of the delivery.
         delivery: u64,
         /// How it ended.
         failure: TransportFailure,
     },
-    /// A message of the endpoint list.
+    /// The endpoint list sent a message.
     FromList(FromList),
-    /// The endpoint list as an earlier process of this router knew it last.
+    /// The endpoint list that an earlier process of this router has cached.
     CachedList(Vec<EndpointRecord>),
-    /// The endpoint list cannot be reached now, or its watch broke.
+    /// The endpoint list cannot be reached at present, or the connection that watches it broke.
     ListUnavailable,
-    /// A message of the release controller.
+    /// The release controller sent a message.
     FromController(FromController),
-    /// The release controller cannot be reached now.
+    /// The release controller cannot be reached at present.
     ControllerUnavailable,
-    /// A message of another router of the fleet.
+    /// Another router of the fleet sent a message.
     Gossip {
-        /// Its index in the fleet.
+        /// The index of that router in the fleet.
         router: u32,
-        /// What it sent.
+        /// The message as received.
         text: Vec<u8>,
     },
-    /// No more commands are taken.
+    /// The router is shutting down: new commands are nacked from now on.
     Close,
-    /// Time has passed and nothing else happened.
+    /// Time has passed without another input: timers may be due.
     Timer,
-    /// Someone other than the client reports that an answer of this host was wrong.
+    /// Someone other than the client reports that an answer from this host was wrong.
     WrongAnswerReport {
         /// The host.
         host: u32,
         /// How many microseconds ago the delivery was sent.
         ago_us: u64,
     },
-    /// From the control plane: this configuration may be used until then, by the engine's clock. For a router that
-    /// follows a control plane it is the first input, with a time that is over.
+    /// The control plane granted a lease on a configuration. A router that follows a control plane gets one that has
+    /// already expired as its first input.
     Lease {
-        /// When the lease ends.
+        /// When the lease ends, by the engine's clock.
         until: Micros,
-        /// What is in force under it.
+        /// The configuration that is in force under the lease.
         config: Box<EffectiveConfig>,
     },
-    /// From the control plane: endpoints that have changed, or all that there are. For a router that takes its list
-    /// from the control plane it comes first without any endpoint; its own list then only removes endpoints.
+    /// The control plane sent its endpoint list or changes to it. A router that takes its list from the control plane
+    /// gets changes without any endpoint first; from then on its own list only removes endpoints.
     ReplicatedList {
-        /// Whether `hosts` are all that there are.
+        /// Whether `hosts` is the whole list rather than the changes.
         complete: bool,
-        /// The endpoints.
+        /// The endpoints that are listed or have changed.
         hosts: Vec<EndpointRecord>,
     },
-    /// This process is about to end: every pending command is answered now.
+    /// This process is about to exit: every pending command is answered now.
     AbortAll,
 }
 
-/// How a delivery ended that brought no message back.
+/// How a delivery ended for which no message came back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransportFailure {
-    /// Its frame did not leave whole: it never ran.
+    /// The frame did not leave completely: the delivery never ran.
     NotSent,
-    /// No connection could be made, or the host refused it: it never ran.
+    /// No connection could be made, or the host refused it: the delivery never ran.
     NotConnected,
-    /// The connection broke after the frame had left: it may have run.
+    /// The connection broke after the frame had left: the delivery may have run.
     Reset,
-    /// The router closed the connection, since nothing came over it for too long or what came could not be read: it
-    /// may have run. No sign that the host's process failed, since a network that is cut looks the same.
+    /// The router closed the connection, because nothing arrived over it for too long or what arrived could not be
+    /// decoded: the delivery may have run. This does not show that the host's process failed, because a network
+    /// partition looks the same.
     Unresponsive,
 }
 
--- a/crates/spokeflow-engine/src/lib.rs
+++ b/crates/spokeflow-engine/src/lib.rs
@@ -1,9 +1,9 @@
 //! One router as a state machine around the decision module ([`spokeflow_core::Router`]). Time and decoded messages
-//! go in, messages go out through [`Transport`]; nothing here reads a clock, a socket or a file, so equal inputs give
-//! equal outputs.
+//! go in, messages go out through [`Transport`]; this crate reads no clock, socket or file, so equal inputs give equal
+//! outputs.
 //!
 //! Call [`Engine::on_input`] with each [`Input`] in order of time, and [`Engine::on_timer`] when
-//! [`Engine::next_wake`] is reached. All times are microseconds of one clock that never goes back.
+//! [`Engine::next_wake`] is reached. All times are microseconds of one monotonic clock.
 
 mod config;
 mod counts;
--- a/crates/spokeflow-engine/src/outgoing.rs
+++ b/crates/spokeflow-engine/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! What waits to leave for one host, and what of it has left. A frame that has not left whole was never sent,
+//! The send queue to one host, and which of its deliveries have left. A frame that has not left completely never runs,
 //! however the connection ends.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -6,37 +6,41 @@
 use spokeflow_core::Micros;
 use spokeflow_proto::ToHost;
 
-/// Deliveries that were unsent or unconfirmed when their connection broke, by their numbers.
+/// Ids of the deliveries that were unsent or unconfirmed when their connection broke.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Undelivered {
-    /// No whole frame has left: they never ran.
+    /// The frame has not left completely: they never ran.
     pub unsent: Vec<u64>,
     /// The frame has left and no answer has come: they may have run.
     pub unconfirmed: Vec<u64>,
 }
 
-/// The send queue of one connection. The caller encodes one message after another, and says how long each was and how
-/// many bytes the system has taken.
+/// The send queue of one connection. The caller encodes one message after another, and reports how long each was and
+/// how many bytes the operating system has taken.
 #[derive(Debug, Default)]
 pub struct Outgoing {
+    /// Messages that have not been encoded.
     waiting: VecDeque<QueuedMessage>,
-    /// Encoded deliveries that have not left whole, in order.
+    /// Encoded deliveries that have not left completely, in order.
     unwritten: VecDeque<EncodedDelivery>,
-    /// Left, unanswered.
+    /// Ids of the deliveries that have left and are not answered.
     unconfirmed: BTreeSet<u64>,
-    /// Cancelled after they had begun to leave, with the ping whose answer shows that nothing of them is still on
-    /// the way: a network that is cut may hold both, and let them through when the cut ends.
+    /// Ids of the deliveries that were cancelled after they had begun to leave. The value is the number of the ping
+    /// whose answer shows that delivery and cancel have arrived: a network partition may hold both back and let them
+    /// through when it ends.
     cancelled: BTreeMap<u64, u64>,
     pings_sent: u64,
     pongs_received: u64,
+    /// Bytes encoded since the connection was made.
     encoded_bytes: u64,
+    /// Whether deliveries are refused.
     closed: bool,
 }
 
 #[derive(Debug)]
 struct QueuedMessage {
     message: ToHost,
-    /// When it is too late to begin.
+    /// When a delivery is too late to begin to leave.
     leave_by: Micros,
 }
 
@@ -52,13 +56,13 @@
 #[derive(Debug)]
 struct EncodedDelivery {
     delivery: u64,
-    /// Bytes of the connection up to its end.
+    /// Bytes encoded on the connection up to the end of its frame.
     ends_at: u64,
 }
 
 impl Outgoing {
-    /// Queues a message. The answer is the number of a delivery that is now proven not sent: the message's own where
-    /// the queue is closed, or the one that a `Cancel` has taken out before it was encoded.
+    /// Queues a message. Returns the id of a delivery that is now proven not to have been sent: the message's own if
+    /// the queue is closed, or the one that a `Cancel` has removed before it was encoded.
     pub fn push(&mut self, message: ToHost, leave_by: Micros) -> Option<u64> {
         match message {
             ToHost::Cancel { delivery } => return self.cancel(delivery, leave_by),
@@ -70,6 +74,7 @@
         None
     }
 
+    /// Removes a delivery that waits, or queues a `Cancel` for one that has begun to leave.
     fn cancel(&mut self, delivery: u64, leave_by: Micros) -> Option<u64> {
         let queued = self
             .waiting
@@ -94,7 +99,7 @@
         None
     }
 
-    /// Asks whether cancelled deliveries have arrived, unless a ping is already under way.
+    /// Queues a ping that shows whether cancelled deliveries have arrived, unless one is already unanswered.
     fn ping_if_needed(&mut self) {
         let next_ping = self.pings_sent + 1;
         let is_awaited = self.cancelled.values().any(|ping| *ping >= next_ping);
@@ -107,7 +112,7 @@
         }
     }
 
-    /// The host has answered a ping: all that left before it has arrived.
+    /// Records that the host has answered a ping: all messages sent before the ping have arrived.
     pub fn on_pong(&mut self) {
         self.pongs_received = (self.pongs_received + 1).min(self.pings_sent);
         let answered = self.pongs_received;
@@ -115,7 +120,7 @@
         self.ping_if_needed();
     }
 
-    /// The next message to encode. Deliveries that are too late go to `late` instead: they never leave.
+    /// Returns the next message to encode. Ids of deliveries that are too late go to `late` instead: they never leave.
     pub fn next(&mut self, now: Micros, late: &mut Vec<u64>) -> Option<ToHost> {
         while let Some(queued) = self.waiting.pop_front() {
             match queued.delivery() {
@@ -126,7 +131,7 @@
         None
     }
 
-    /// The message just taken by [`Outgoing::next`] became so many bytes.
+    /// Records that the message last returned by [`Outgoing::next`] was encoded to this number of bytes.
     pub fn on_encoded(&mut self, message: &ToHost, bytes: usize) {
         self.encoded_bytes += bytes as u64;
         if let ToHost::Deliver { delivery, .. } = message {
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Of all bytes encoded so far, `remaining` have not been taken by the system.
+    /// Records that the operating system has taken all bytes encoded so far except the last `remaining`.
     pub fn on_written(&mut self, remaining: usize) {
         let written = self.encoded_bytes - remaining as u64;
         while let Some(frame) = self
@@ -150,13 +155,14 @@
         }
     }
 
-    /// The host has answered this delivery.
+    /// Records that the host has answered this delivery.
     pub fn on_answered(&mut self, delivery: u64) {
         self.unconfirmed.remove(&delivery);
         self.cancelled.remove(&delivery);
     }
 
-    /// The host drains or is gone: what waits never leaves. Returns the numbers of those deliveries.
+    /// Closes the queue because the host drains or is gone. Returns the ids of the deliveries that waited: they never
+    /// leave.
     pub fn close(&mut self) -> Vec<u64> {
         self.closed = true;
         let unsent = self
@@ -168,32 +174,32 @@
         unsent
     }
 
-    /// The host may get work again.
+    /// Opens the queue again because the host may get deliveries.
     pub fn open(&mut self) {
         self.closed = false;
     }
 
-    /// Whether deliveries are refused.
+    /// Returns whether deliveries are refused.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Whether a frame has begun to leave and has not left whole.
+    /// Returns whether an encoded delivery has not left completely.
     pub fn is_mid_frame(&self) -> bool {
         !self.unwritten.is_empty()
     }
 
-    /// Whether any message has not begun to leave.
+    /// Returns whether any message has not been encoded.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Messages that have not begun to leave.
+    /// Returns the number of messages that have not been encoded.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing is to be sent and nothing is awaited.
+    /// Returns whether nothing is left to send and no answer is awaited.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty()
             && self.unwritten.is_empty()
@@ -201,17 +207,17 @@
             && self.cancelled.is_empty()
     }
 
-    /// The connection has ended, with `remaining` encoded bytes not taken by the system. The queue starts anew for
-    /// the next connection; what was only queued is unsent too.
+    /// Records that the connection has ended with `remaining` encoded bytes not taken by the operating system, and
+    /// resets the queue for the next connection. Deliveries that were only queued are unsent too.
     pub fn on_disconnected(&mut self, remaining: usize) -> Undelivered {
         self.on_written(remaining);
-        let half_sent = self.unwritten.drain(..).map(|frame| frame.delivery);
+        let partly_sent = self.unwritten.drain(..).map(|frame| frame.delivery);
         let queued = self
             .waiting
             .drain(..)
             .filter_map(|queued| queued.delivery());
         let undelivered = Undelivered {
-            unsent: half_sent.chain(queued).collect(),
+            unsent: partly_sent.chain(queued).collect(),
             unconfirmed: std::mem::take(&mut self.unconfirmed).into_iter().collect(),
         };
         self.encoded_bytes = 0;
--- a/crates/spokeflow-engine/src/recording.rs
+++ b/crates/spokeflow-engine/src/recording.rs
@@ -1,81 +1,83 @@
-//! The inputs of a router as bytes. The same inputs through the engine give the same outputs.
+//! Recordings: the inputs of a router as bytes. Replaying them through the engine gives the same outputs.
 //!
-//! A recording is a mark with the version of the form, the seed and the time of the start, then one entry for each
-//! input: length of the body (4 bytes), checksum of the body (4 bytes), body (postcard). Numbers are big-endian.
+//! A recording begins with a head: magic bytes that include the format version, the seed and the time of the start.
+//! One entry for each input follows: length of the body (4 bytes), checksum of the body (4 bytes), body (postcard).
+//! Numbers are big-endian.
 
 use serde::{Deserialize, Serialize};
 use spokeflow_core::Micros;
 
 use crate::Input;
 
-const MARK: &[u8; 8] = b"SPKFREC1";
-/// The mark, the seed and the time of the start.
+/// Magic bytes at the beginning of a recording, with the format version.
+const MAGIC: &[u8; 8] = b"SPKFREC1";
+/// Bytes of the magic bytes, the seed and the time of the start.
 const HEAD_LENGTH: usize = 24;
-/// Length and checksum in front of the body of an entry.
+/// Bytes of the length and the checksum before the body of an entry.
 const ENTRY_HEAD_LENGTH: usize = 8;
 
-/// What could be read of a recording.
+/// A recording, as far as it could be read.
 #[derive(Debug, PartialEq)]
 pub struct Recording {
     /// The seed of the engine.
     pub seed: u64,
     /// The time at which the engine was started.
     pub start: Micros,
-    /// In order of time.
+    /// The inputs, in order of time.
     pub inputs: Vec<RecordedInput>,
-    /// Why reading ended before the end of the bytes; what was read up to there holds.
+    /// Why reading stopped before the end of the bytes, or `None`. The inputs read before are valid.
     pub error: Option<TornEntryError>,
 }
 
 /// An input and when the engine was given it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedInput {
-    /// The engine's time.
+    /// The time of the input, by the engine's clock.
     pub at: Micros,
-    /// What happened.
+    /// The input itself.
     pub input: Input,
 }
 
 /// The bytes do not begin with the head of a recording of this version.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a recording of this version")]
+#[error("not a recording of this version: expected a head of {HEAD_LENGTH} bytes that begins with SPKFREC1")]
 pub struct NotARecordingError;
 
-/// An entry is torn or damaged.
+/// An entry of a recording is truncated or corrupt.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("torn at byte {offset}: {complete} inputs before it are complete")]
+#[error("recording entry at byte {offset} is truncated or corrupt; {complete} complete inputs precede it")]
 pub struct TornEntryError {
-    /// Inputs in front of it.
+    /// Number of complete inputs before the entry.
     pub complete: usize,
-    /// Where the entry begins, in bytes from the beginning of the recording.
+    /// Offset of the entry in bytes from the beginning of the recording.
     pub offset: usize,
 }
 
 impl Recording {
-    /// The head of a recording, to be written first.
+    /// Returns the head of a recording, which must be written first.
     pub fn head(seed: u64, start: Micros) -> Vec<u8> {
-        let mut head = MARK.to_vec();
+        let mut head = MAGIC.to_vec();
         head.extend(seed.to_be_bytes());
         head.extend(start.to_be_bytes());
         head
     }
 
-    /// One input, ready to be appended.
+    /// Returns the entry of one input, which must be appended to the recording.
     pub fn entry(at: Micros, input: &Input) -> Vec<u8> {
-        // The form of `RecordedInput`, without a copy of the input.
-        let body = postcard::to_stdvec(&(at, input)).expect("plain types always serialize");
+        // Encodes the same way as `RecordedInput`, without a copy of the input.
+        let body = postcard::to_stdvec(&(at, input)).expect("inputs always serialize to postcard");
         let mut entry = (body.len() as u32).to_be_bytes().to_vec();
         entry.extend(checksum(&body).to_be_bytes());
         entry.extend(body);
         entry
     }
 
-    /// Reads a recording up to its first fault.
+    /// Reads a recording up to the first entry that is truncated or corrupt.
     ///
     /// # Errors
     ///
-    /// [`NotARecordingError`] where the head cannot be read. A fault after it is in [`Recording::error`] instead,
-    /// beside the inputs in front of it.
+    /// [`NotARecordingError`] if the head cannot be read. An entry that cannot be read is reported in
+    /// [`Recording::error`] instead, together with the inputs before it.
     pub fn read(bytes: &[u8]) -> Result<Recording, NotARecordingError> {
         let mut recording = read_head(bytes).ok_or(NotARecordingError)?;
         let mut offset = HEAD_LENGTH;
@@ -96,12 +98,12 @@
 
 struct Entry {
     recorded: RecordedInput,
-    /// Bytes of the whole entry.
+    /// Length of the whole entry in bytes.
     length: usize,
 }
 
 fn read_head(bytes: &[u8]) -> Option<Recording> {
-    let rest = bytes.strip_prefix(MARK)?;
+    let rest = bytes.strip_prefix(MAGIC)?;
     let (seed, rest) = rest.split_first_chunk()?;
     let (start, _) = rest.split_first_chunk()?;
     Some(Recording {
@@ -112,7 +114,7 @@
     })
 }
 
-/// The entry at the beginning of `bytes`; `None` where it is torn or damaged.
+/// Reads the entry at the beginning of `bytes`; `None` if it is truncated or corrupt.
 fn read_entry(bytes: &[u8]) -> Option<Entry> {
     let (body_length, rest) = bytes.split_first_chunk()?;
     let (expected, rest) = rest.split_first_chunk()?;
@@ -127,7 +129,7 @@
     })
 }
 
-/// FNV-1a, 32 bits: enough to tell a torn entry from a whole one.
+/// 32-bit FNV-1a, which is enough to distinguish a truncated entry from a complete one.
 fn checksum(bytes: &[u8]) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
--- a/crates/spokeflow-engine/src/transport.rs
+++ b/crates/spokeflow-engine/src/transport.rs
@@ -1,33 +1,35 @@
-//! Where the engine's messages go: implemented over sockets by the router, and in simulated time by the simulator.
+//! The engine's outputs. The router implements them over sockets, the simulator in simulated time.
 
 use spokeflow_core::{HostId, Micros};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList};
 
-/// Takes the engine's messages. No method may block: what cannot be taken at once is answered `false` or dropped with
-/// its connection.
+/// Takes the engine's messages. No method may block: a message that cannot be taken at once is refused with `false`, or
+/// dropped together with its connection.
 pub trait Transport {
-    /// To the client on connection `conn`. One that cannot take it is disconnected, which then comes back as
-    /// [`crate::Input::ClientDisconnected`].
+    /// Sends a message to the client on connection `conn`. A client that cannot take it is disconnected, which then
+    /// comes back as [`crate::Input::ClientDisconnected`].
     fn to_client(&mut self, conn: u64, message: ToClient);
-    /// To the host, over a connection that is open or being opened, unless it has not left by `leave_by`. `false`:
-    /// the queue is full and the message is not taken. What is taken and is not `Cancel` ends as
-    /// [`crate::Input::FromHost`] or [`crate::Input::DeliveryFailed`], or is given up by the engine.
+    /// Sends a message to the host, over a connection that is open or being opened. A delivery that has not begun to
+    /// leave by `leave_by` must not leave. Returns `false` if the queue is full and the message is not taken. A
+    /// delivery that is taken ends with [`crate::Input::FromHost`] or [`crate::Input::DeliveryFailed`], or the engine
+    /// times it out or cancels it.
     fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool;
-    /// To the endpoint list. `false`: not taken.
+    /// Sends a message to the endpoint list. Returns `false` if it is not taken.
     fn to_list(&mut self, message: ToList) -> bool;
-    /// To the release controller. `false`: not taken.
+    /// Sends a message to the release controller. Returns `false` if it is not taken.
     fn to_controller(&mut self, message: ToController) -> bool;
-    /// To one router of the fleet or all others.
+    /// Sends a message to one router of the fleet, or to all others if `router` is `None`.
     fn to_routers(&mut self, router: Option<u32>, text: &[u8]);
-    /// The host may get work: connections to it are wanted, at this address and of this process.
+    /// Announces that the host may get deliveries: the transport should connect to this incarnation of it at `address`.
     fn host_open(&mut self, host: HostId, address: &str, incarnation: u64);
-    /// The host drains or is gone: what has not left for it yet must not. `gone`: nothing is expected back.
+    /// Announces that the host drains or is gone: deliveries that have not left for it must not leave. If it is `gone`,
+    /// no answers are expected from it.
     fn host_closed(&mut self, host: HostId, gone: bool);
-    /// What has not left for this host yet must not: all of it, or one delivery. It ends as
-    /// [`crate::Input::DeliveryFailed`] with [`crate::TransportFailure::NotSent`]; what has left goes on. A transport
-    /// that queues nothing has nothing to do.
+    /// Recalls one delivery, or all if `delivery` is `None`, that have not left for this host. A recalled delivery ends
+    /// with [`crate::Input::DeliveryFailed`] and [`crate::TransportFailure::NotSent`]; one that has left goes on. A
+    /// transport that queues nothing has nothing to do.
     fn recall(&mut self, _host: HostId, _delivery: Option<u64>) {}
-    /// How long after [`Transport::host_closed`] something may still leave for the host, in microseconds; called
-    /// where the control plane changes it.
+    /// Sets how long after [`Transport::host_closed`] a frame may still leave for the host, in microseconds. Called
+    /// whenever a lease's configuration takes effect or expires.
     fn drain_grace(&mut self, _grace: Micros) {}
 }
--- a/crates/spokeflow-engine/tests/engine/commands.rs
+++ b/crates/spokeflow-engine/tests/engine/commands.rs
@@ -84,11 +84,11 @@
 fn command_ids_wrap_around_past_those_in_use() {
     let mut harness = Harness::new(6, 0);
     harness.list(&[1, 2, 3], 7);
-    harness.engine.skip_ids_to(u32::MAX - 1);
+    harness.engine.set_next_command_id(u32::MAX - 1);
     for id in 0..4 {
         harness.command(10, id, IDEMPOTENT, 0);
     }
-    harness.engine.skip_ids_to(u32::MAX - 1);
+    harness.engine.set_next_command_id(u32::MAX - 1);
     harness.command(10, 9, IDEMPOTENT, 0);
     let open = std::mem::take(&mut harness.transport.open);
     assert_eq!(open.len(), 5);
