--- a/crates/spokeflow-engine/tests/common/config.rs
+++ b/crates/spokeflow-engine/tests/common/config.rs
@@ -5,7 +5,7 @@
 
 use super::{MARGIN, SECOND};
 
-/// One operation of each kind of retry, three stages, no control plane.
+/// Returns a configuration with one operation of each [`Repeat`] kind, three stages and no control plane.
 pub(crate) fn config() -> EngineConfig {
     let op = |repeat, scope| OperationConfig {
         repeat,
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness around one engine: it logs what the engine sends, plays hosts and keeps the recording.
+//! A harness around one engine: it logs what the engine sends, acts as the hosts and keeps the recording.
 
 mod config;
 
@@ -15,12 +15,12 @@
 /// The answer margin of [`config`].
 pub(crate) const MARGIN: Micros = 20_000;
 
-/// Operations of [`config`].
+/// Indexes of the operations in [`config`].
 pub(crate) const IDEMPOTENT: u16 = 0;
 pub(crate) const DEDUPLICATED: u16 = 1;
 pub(crate) const AT_MOST_ONCE: u16 = 2;
 
-/// The build that is released, and the one whose rollout is watched.
+/// The build that is released, and the one that is being rolled out.
 pub(crate) const STABLE: u16 = 7;
 pub(crate) const CANARY: u16 = 8;
 
@@ -29,7 +29,7 @@
 pub(crate) struct SentDelivery {
     pub(crate) host: u32,
     pub(crate) delivery: u64,
-    /// By when it has to leave.
+    /// By when it must leave.
     pub(crate) leave_by: Micros,
 }
 
@@ -54,11 +54,11 @@
     pub(crate) delivery: Option<u64>,
 }
 
-/// A transport that keeps what the engine sends.
+/// A transport that stores what the engine sends.
 #[derive(Default)]
 pub(crate) struct TransportLog {
     pub(crate) now: Micros,
-    /// Deliveries that the harness's hosts have not ended.
+    /// Deliveries that no test has ended.
     pub(crate) open: Vec<SentDelivery>,
     /// All deliveries, in order.
     pub(crate) deliveries: Vec<SentDelivery>,
@@ -68,7 +68,7 @@
     pub(crate) recalled: Vec<Recall>,
     /// A host whose send queue is full.
     pub(crate) full_host: Option<u32>,
-    /// All that was sent, in order, one line each.
+    /// All messages, and the hosts opened and closed, in order, one line each.
     pub(crate) text: String,
 }
 
@@ -94,15 +94,16 @@
         }
         assert!(
             (1..=commands).all(|id| count.get(&id) == Some(&1)),
-            "{count:?}"
+            "expected one answer to each of commands 1 to {commands}, got {count:?}"
         );
     }
 }
 
+/// Returns the id of the command that a final answer belongs to.
 pub(crate) fn id_of(answer: &ToClient) -> u64 {
     match answer {
         ToClient::Acked { id, .. } | ToClient::Nacked { id, .. } | ToClient::Failed { id } => *id,
-        other => panic!("{other:?}"),
+        other => panic!("expected a final answer, got {other:?}"),
     }
 }
 
@@ -160,25 +161,28 @@
     pub(crate) now: Micros,
     pub(crate) recording: Vec<u8>,
     random: Rng,
-    version: u64,
+    /// Version of the endpoint list that was sent last.
+    list_version: u64,
 }
 
 impl Harness {
-    pub(crate) fn new(random: u64, seed: u64) -> Harness {
+    /// Creates an engine with `engine_seed`; `random_seed` is for [`Harness::random_below`].
+    pub(crate) fn new(random_seed: u64, engine_seed: u64) -> Harness {
         let mut transport = TransportLog::default();
         let now = 100 * SECOND;
-        let engine = Engine::new(config(), seed, now, &mut transport);
-        let recording = Recording::head(seed, now);
+        let engine = Engine::new(config(), engine_seed, now, &mut transport);
+        let recording = Recording::head(engine_seed, now);
         Harness {
             engine,
             transport,
             now,
             recording,
-            random: Rng::new(random),
-            version: 0,
+            random: Rng::new(random_seed),
+            list_version: 0,
         }
     }
 
+    /// Replays a recording through a new engine and returns the text of its transport log.
     pub(crate) fn replay(recording: &Recording) -> String {
         let mut transport = TransportLog::default();
         let mut engine = Engine::new(config(), recording.seed, recording.start, &mut transport);
@@ -199,7 +203,12 @@
         self.random.below(below) as u64
     }
 
-    fn record(host: u32, build: u16, phase: EndpointPhase, incarnation: u64) -> EndpointRecord {
+    fn endpoint_record(
+        host: u32,
+        build: u16,
+        phase: EndpointPhase,
+        incarnation: u64,
+    ) -> EndpointRecord {
         let up_us = (incarnation > 1).then_some(1000);
         let address = format!("127.0.0.1:{host}");
         EndpointRecord {
@@ -214,11 +223,11 @@
         }
     }
 
-    /// A complete list of ready hosts of one build, which is released.
-    pub(crate) fn list(&mut self, hosts: &[u32], build: u16) {
+    /// Sends a complete list of ready hosts of one build, and announces that the build is released.
+    pub(crate) fn list_ready(&mut self, hosts: &[u32], build: u16) {
         let endpoints = hosts
             .iter()
-            .map(|&host| Self::record(host, build, EndpointPhase::Ready, 1))
+            .map(|&host| Self::endpoint_record(host, build, EndpointPhase::Ready, 1))
             .collect();
         self.input(Input::FromList(FromList::Complete {
             version: 1,
@@ -227,7 +236,7 @@
         self.release(build);
     }
 
-    /// The release controller says that this build is released.
+    /// Sends the release controller's update that this build is released.
     pub(crate) fn release(&mut self, build: u16) {
         let update = RolloutUpdate {
             build,
@@ -239,11 +248,18 @@
         self.input(Input::FromController(FromController::RolloutUpdate(update)));
     }
 
-    pub(crate) fn change(&mut self, host: u32, build: u16, phase: EndpointPhase, incarnation: u64) {
-        self.version += 1;
-        let endpoints = vec![Self::record(host, build, phase, incarnation)];
+    /// Sends a change of one endpoint on the list.
+    pub(crate) fn change_endpoint(
+        &mut self,
+        host: u32,
+        build: u16,
+        phase: EndpointPhase,
+        incarnation: u64,
+    ) {
+        self.list_version += 1;
+        let endpoints = vec![Self::endpoint_record(host, build, phase, incarnation)];
         self.input(Input::FromList(FromList::Changes {
-            version: self.version,
+            version: self.list_version,
             endpoints,
         }));
     }
@@ -252,6 +268,7 @@
         self.command_within(conn, id, op, key, 2 * SECOND);
     }
 
+    /// Sends a command whose client waits for `left`.
     pub(crate) fn command_within(&mut self, conn: u64, id: u64, op: u16, key: u64, left: Micros) {
         let body = Default::default();
         let command = Command {
@@ -266,11 +283,11 @@
         self.input(Input::Command { conn, command });
     }
 
-    pub(crate) fn host(&mut self, host: u32, message: FromHost) {
+    pub(crate) fn receive_from_host(&mut self, host: u32, message: FromHost) {
         self.input(Input::FromHost { host, message });
     }
 
-    /// The only open delivery, which the test ends.
+    /// Takes the only open delivery, which the test then has to end.
     pub(crate) fn take_delivery(&mut self) -> SentDelivery {
         assert_eq!(self.transport.open.len(), 1);
         self.transport.open.pop().unwrap()
@@ -279,10 +296,10 @@
     pub(crate) fn ack(&mut self, sent: SentDelivery) {
         let body = Default::default();
         let delivery = sent.delivery;
-        self.host(sent.host, FromHost::Acked { delivery, body });
+        self.receive_from_host(sent.host, FromHost::Acked { delivery, body });
     }
 
-    pub(crate) fn fail(&mut self, sent: SentDelivery, failure: TransportFailure) {
+    pub(crate) fn fail_delivery(&mut self, sent: SentDelivery, failure: TransportFailure) {
         self.input(Input::DeliveryFailed {
             host: sent.host,
             delivery: sent.delivery,
@@ -290,6 +307,7 @@
         });
     }
 
+    /// Returns the answers to the client on connection `conn`.
     pub(crate) fn answers(&self, conn: u64) -> Vec<ToClient> {
         self.transport
             .answers
@@ -299,7 +317,7 @@
             .collect()
     }
 
-    /// Time passes; the engine's timer runs when it is due.
+    /// Advances the time by `span` and runs the engine's timer whenever it is due.
     pub(crate) fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.engine.next_wake() <= until {
@@ -317,7 +335,7 @@
         }
     }
 
-    /// Steady commands, each acked at once.
+    /// Sends a command every 20 ms for `span`, and acks the open deliveries after each.
     pub(crate) fn serve(&mut self, span: Micros) {
         let until = self.now + span;
         let first = 1_000_000 + self.now as u64;
@@ -333,11 +351,12 @@
         }
     }
 
+    /// Serves commands until the hosts have warmed up.
     pub(crate) fn warm_up(&mut self) {
         self.serve(6 * SECOND);
     }
 
-    /// One of the open deliveries ends, in any way.
+    /// Ends a random one of the open deliveries in a random way.
     pub(crate) fn end_random_delivery(&mut self) {
         if self.transport.open.is_empty() {
             return;
@@ -347,10 +366,10 @@
         let delivery = sent.delivery;
         match self.random_below(6) {
             0 | 1 => self.ack(sent),
-            2 => self.host(sent.host, FromHost::Error { delivery }),
-            3 => self.host(sent.host, FromHost::Full { delivery }),
-            4 => self.fail(sent, TransportFailure::Reset),
-            _ => self.fail(sent, TransportFailure::NotConnected),
+            2 => self.receive_from_host(sent.host, FromHost::Error { delivery }),
+            3 => self.receive_from_host(sent.host, FromHost::Full { delivery }),
+            4 => self.fail_delivery(sent, TransportFailure::Reset),
+            _ => self.fail_delivery(sent, TransportFailure::NotConnected),
         }
     }
 }
--- a/crates/spokeflow-engine/tests/engine/commands.rs
+++ b/crates/spokeflow-engine/tests/engine/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients: one final answer each, and what is refused at once.
+//! Commands from clients: one final answer each, and which commands are refused at once.
 
 use spokeflow_core::Micros;
 use spokeflow_engine::Input;
@@ -9,7 +9,7 @@
 #[test]
 fn an_acked_delivery_is_the_only_final_answer() {
     let mut harness = Harness::new(1, 0);
-    harness.list(&[1, 2], 7);
+    harness.list_ready(&[1, 2], 7);
     harness.command(10, 5, AT_MOST_ONCE, 1);
     let sent = harness.take_delivery();
     harness.ack(sent);
@@ -21,7 +21,7 @@
             ..
         }]
     ));
-    // An answer that is repeated, or late, is only counted.
+    // A repeated or late answer from the host is only counted.
     harness.ack(sent);
     harness.advance(5 * SECOND);
     assert_eq!(harness.answers(10).len(), 1);
@@ -37,7 +37,7 @@
 #[test]
 fn an_unanswered_command_fails_before_the_client_times_out() {
     let mut harness = Harness::new(3, 0);
-    harness.list(&[1, 2], 7);
+    harness.list_ready(&[1, 2], 7);
     harness.command(10, 1, AT_MOST_ONCE, 1);
     let sent_at = harness.now;
     harness.take_delivery();
@@ -46,14 +46,17 @@
     let answer = answers.find(|answer| answer.conn == 10).unwrap();
     assert!(matches!(answer.message, ToClient::Failed { id: 1 }));
     let latency = answer.at - sent_at;
-    assert!(latency <= 2 * SECOND - MARGIN, "answered after {latency}");
+    assert!(
+        latency <= 2 * SECOND - MARGIN,
+        "answered after {latency} us"
+    );
     assert_eq!(harness.engine.counts().overdue, 0);
 }
 
 #[test]
 fn a_disconnected_client_gets_no_answer_and_its_ids_are_free_again() {
     let mut harness = Harness::new(4, 0);
-    harness.list(&[1, 2], 7);
+    harness.list_ready(&[1, 2], 7);
     harness.command(10, 1, IDEMPOTENT, 1);
     let sent = harness.take_delivery();
     harness.input(Input::ClientDisconnected { conn: 10 });
@@ -68,14 +71,14 @@
 #[test]
 fn an_id_in_use_is_refused_and_the_first_command_goes_on() {
     let mut harness = Harness::new(5, 0);
-    harness.list(&[1], 7);
+    harness.list_ready(&[1], 7);
     harness.command(10, 1, IDEMPOTENT, 1);
     harness.command(11, 1, IDEMPOTENT, 2);
     harness.command(10, 1, IDEMPOTENT, 3);
     assert!(matches!(&harness.answers(10)[..], [ToClient::Refused(refused)] if refused.code == 9));
     assert!(
         harness.answers(11).is_empty(),
-        "the same number on another connection is another command"
+        "the same id on another connection belongs to another command"
     );
     assert_eq!(harness.engine.waiting_commands(), 2);
 }
@@ -83,7 +86,7 @@
 #[test]
 fn command_ids_wrap_around_past_those_in_use() {
     let mut harness = Harness::new(6, 0);
-    harness.list(&[1, 2, 3], 7);
+    harness.list_ready(&[1, 2, 3], 7);
     harness.engine.set_next_command_id(u32::MAX - 1);
     for id in 0..4 {
         harness.command(10, id, IDEMPOTENT, 0);
@@ -103,7 +106,7 @@
 #[test]
 fn a_command_that_cannot_be_served_is_nacked_at_once() {
     let mut harness = Harness::new(10, 0);
-    harness.list(&[1], 7);
+    harness.list_ready(&[1], 7);
     harness.command(10, 1, 77, 1);
     harness.command_within(10, 2, AT_MOST_ONCE, 1, MARGIN);
     harness.input(Input::Close);
@@ -121,10 +124,11 @@
 
 #[test]
 fn any_order_of_inputs_gives_one_answer_for_each_command() {
-    // Seeded: hosts answer, break, stay silent, restart and drain; clients come and go.
+    // Random inputs: commands on two connections, deliveries that end in every way or not at all, and hosts that
+    // restart, drain and go.
     for seed in 0..60 {
         let mut harness = Harness::new(seed, seed);
-        harness.list(&[1, 2, 3, 4], 7);
+        harness.list_ready(&[1, 2, 3, 4], 7);
         let mut id = 0;
         for _ in 0..400 {
             match harness.random_below(9) {
@@ -145,7 +149,7 @@
                     };
                     let build = 7 + harness.random_below(2) as u16;
                     let incarnation = harness.random_below(50);
-                    harness.change(host, build, phase, incarnation);
+                    harness.change_endpoint(host, build, phase, incarnation);
                 }
                 _ => {
                     let wait = harness.random_below(60_000) as Micros;
--- a/crates/spokeflow-engine/tests/engine/endpoint_list.rs
+++ b/crates/spokeflow-engine/tests/engine/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: a host's own word, the router's list and the control plane's.
+//! Endpoint lists: a host's own welcome, the router's own list and the replicated one.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 #[test]
 fn a_restarted_host_warms_up_from_its_own_welcome_on() {
     let mut harness = Harness::new(9, 0);
-    harness.list(&[1], 7);
+    harness.list_ready(&[1], 7);
     harness.warm_up();
-    harness.host(
+    harness.receive_from_host(
         1,
         FromHost::Welcome {
             host: 1,
@@ -24,17 +24,17 @@
     for id in 0..40 {
         harness.command(10, id, IDEMPOTENT, 0);
     }
-    let cold = harness.transport.open.len();
+    let open_while_cold = harness.transport.open.len();
     assert!(
-        cold < 10,
-        "{cold} commands at once for a host that started a millisecond ago"
+        open_while_cold < 10,
+        "{open_while_cold} open deliveries on a host that started a millisecond ago"
     );
-    // The list, which is behind, does not make it warm again.
-    harness.change(1, 7, EndpointPhase::Ready, 1);
-    assert_eq!(harness.transport.open.len(), cold);
+    // A list that still has the earlier incarnation does not make the host warm again.
+    harness.change_endpoint(1, 7, EndpointPhase::Ready, 1);
+    assert_eq!(harness.transport.open.len(), open_while_cold);
 }
 
-/// A host on a list.
+/// Returns the record of a host of the stable build.
 fn listed(host: u32, phase: EndpointPhase, incarnation: u64) -> EndpointRecord {
     EndpointRecord {
         host,
@@ -67,7 +67,7 @@
     }));
 }
 
-/// Serves steady commands and names the hosts that got them, in order of their numbers.
+/// Serves commands for 2 s and returns the hosts that got deliveries, in order of their ids.
 fn hosts_used(harness: &mut Harness) -> Vec<u32> {
     let before = harness.transport.deliveries.len();
     harness.serve(2 * SECOND);
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn beside_a_replicated_list_the_own_one_only_removes_hosts() {
+fn with_a_replicated_list_the_own_list_only_removes_hosts() {
     let mut harness = Harness::new(6, 0);
     replicated_list(&mut harness, false, &[]);
     own_list(&mut harness, true, &[ready(1, 1), ready(9, 1)]);
     harness.release(STABLE);
     assert!(
         hosts_used(&mut harness).is_empty(),
-        "the own list adds none"
+        "the own list must not add hosts"
     );
     let all = [ready(1, 1), ready(2, 1), ready(3, 1)];
     replicated_list(&mut harness, true, &all);
@@ -97,23 +97,27 @@
     assert_eq!(
         hosts_used(&mut harness),
         [1],
-        "at once, though the replicated list has them still"
+        "hosts 2 and 3 are removed at once, though the replicated list still has them"
     );
-    // The replicated list is behind: whatever it repeats, the same processes stay removed.
+    // The replicated list is behind: when it repeats a removed incarnation, the host stays removed.
     replicated_list(&mut harness, false, &[ready(2, 1)]);
     assert_eq!(hosts_used(&mut harness), [1]);
     replicated_list(&mut harness, false, &[ready(2, 2)]);
-    assert_eq!(hosts_used(&mut harness), [1, 2], "another process of it");
+    assert_eq!(
+        hosts_used(&mut harness),
+        [1, 2],
+        "a newer incarnation of host 2 is not removed"
+    );
     own_list(&mut harness, false, &[ready(3, 1)]);
     assert_eq!(
         hosts_used(&mut harness),
         [1, 2, 3],
-        "given back to the replicated list"
+        "host 3 is ready in the own list again"
     );
     own_list(&mut harness, true, &[ready(1, 1), ready(3, 1)]);
     assert_eq!(
         hosts_used(&mut harness),
         [1, 3],
-        "a complete list that lacks one says that it is gone"
+        "host 2 is missing from a complete own list, so it is gone"
     );
 }
--- a/crates/spokeflow-engine/tests/engine/recording.rs
+++ b/crates/spokeflow-engine/tests/engine/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings: replayed, and torn.
+//! Recordings: replay, and reading of truncated and corrupt ones.
 
 use spokeflow_engine::{Input, NotARecordingError, RecordedInput, Recording, TornEntryError};
 use spokeflow_proto::EndpointPhase;
@@ -8,12 +8,12 @@
 #[test]
 fn replaying_a_recording_gives_the_same_output_byte_for_byte() {
     let mut harness = Harness::new(12, 77);
-    harness.list(&[1, 2, 3], 7);
+    harness.list_ready(&[1, 2, 3], 7);
     for id in 0..300 {
         harness.command(10 + id % 3, id, (id % 3) as u16, id % 17);
         harness.answer_all_but_four();
         if id == 100 {
-            harness.change(4, 8, EndpointPhase::Ready, 5);
+            harness.change_endpoint(4, 8, EndpointPhase::Ready, 5);
         }
         harness.advance(7_000);
     }
@@ -30,12 +30,12 @@
     let first = Recording::entry(6, &Input::Timer);
     bytes.extend(&first);
     bytes.extend(Recording::entry(7, &Input::Close));
-    let whole = 24 + first.len();
+    let torn_offset = 24 + first.len();
     let torn = || TornEntryError {
         complete: 1,
-        offset: whole,
+        offset: torn_offset,
     };
-    for cut in whole + 1..bytes.len() {
+    for cut in torn_offset + 1..bytes.len() {
         let recording = Recording::read(&bytes[..cut]).unwrap();
         let read = RecordedInput {
             at: 6,
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -7,12 +7,12 @@
 
 use crate::common::*;
 
-/// Two hosts of the stable build and two of the canary, whose stage allows a share of 0.4.
+/// Starts a rollout with two hosts of each build, whose stage allows the canary a share of 0.4.
 fn start_canary(harness: &mut Harness) {
-    harness.list(&[1, 2], STABLE);
+    harness.list_ready(&[1, 2], STABLE);
     harness.warm_up();
-    harness.change(3, CANARY, EndpointPhase::Ready, 1);
-    harness.change(4, CANARY, EndpointPhase::Ready, 1);
+    harness.change_endpoint(3, CANARY, EndpointPhase::Ready, 1);
+    harness.change_endpoint(4, CANARY, EndpointPhase::Ready, 1);
     let update = RolloutUpdate {
         build: CANARY,
         stage: 1,
@@ -27,10 +27,10 @@
     EffectiveConfig::from(&config().service)
 }
 
-fn grant_lease(harness: &mut Harness, lasts: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
+fn grant_lease(harness: &mut Harness, duration: Micros, change: impl FnOnce(&mut EffectiveConfig)) {
     let mut config = base_config();
     change(&mut config);
-    let until = harness.now + lasts;
+    let until = harness.now + duration;
     harness.input(Input::Lease {
         until,
         config: Box::new(config),
@@ -43,7 +43,7 @@
     canary: usize,
 }
 
-/// Serves steady commands for so long, each acked, and counts their deliveries.
+/// Serves commands for `span` and counts their deliveries.
 fn serve(harness: &mut Harness, span: Micros) -> Split {
     let before = harness.transport.deliveries.len();
     harness.serve(span);
@@ -60,9 +60,9 @@
 #[test]
 fn an_unanswered_vote_is_cast_again() {
     let mut harness = Harness::new(11, 0);
-    harness.list(&[1, 2], 7);
+    harness.list_ready(&[1, 2], 7);
     harness.warm_up();
-    harness.change(3, 8, EndpointPhase::Ready, 2);
+    harness.change_endpoint(3, 8, EndpointPhase::Ready, 2);
     let update = RolloutUpdate {
         build: 8,
         stage: 0,
@@ -73,7 +73,10 @@
     harness.input(Input::FromController(FromController::RolloutUpdate(update)));
     harness.serve(4 * SECOND);
     let votes = harness.transport.votes.len();
-    assert!(votes >= 1, "a quiet build gets a vote to promote");
+    assert!(
+        votes >= 1,
+        "a build without failures gets a vote to promote"
+    );
     harness.serve(4 * SECOND);
     assert!(harness.transport.votes.len() > votes);
 }
@@ -86,22 +89,31 @@
     let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
     assert!(
         stable > 150 && canary == 0,
-        "before the first lease: {stable} {canary}"
+        "before the first lease: {stable} stable and {canary} canary deliveries"
     );
     grant_lease(&mut harness, 8 * SECOND, |_| {});
     let Split { canary, .. } = serve(&mut harness, 7 * SECOND);
-    assert!(canary > 20, "with one: {canary}");
+    assert!(
+        canary > 20,
+        "under the first lease: {canary} canary deliveries"
+    );
     harness.advance(SECOND);
     harness.transport.open.clear();
     let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
-    assert!(stable > 150 && canary == 0, "after it: {stable} {canary}");
-    // Renewed, it goes on where it was.
+    assert!(
+        stable > 150 && canary == 0,
+        "after the first lease: {stable} stable and {canary} canary deliveries"
+    );
+    // Under a new lease the rollout continues at the same stage.
     grant_lease(&mut harness, 8 * SECOND, |_| {});
     let Split { canary, .. } = serve(&mut harness, 6 * SECOND);
-    assert!(canary > 20, "with another: {canary}");
+    assert!(
+        canary > 20,
+        "under the second lease: {canary} canary deliveries"
+    );
 }
 
-/// A process that was stopped acts on what it reads first, before any of its timers.
+/// A process that was paused handles the inputs that wait before any of its timers.
 #[test]
 fn a_lease_that_expired_during_a_pause_is_noticed_before_the_next_input() {
     let mut harness = Harness::new(5, 0);
@@ -113,7 +125,7 @@
         harness.command(5, id, IDEMPOTENT, 0);
         assert!(
             harness.transport.open.iter().all(|sent| sent.host <= 2),
-            "a command went to the canary on a lease that was over"
+            "a command was delivered to the canary under an expired lease"
         );
         harness.answer_all_but_four();
     }
@@ -153,16 +165,16 @@
     let Split { stable, canary } = serve(&mut harness, 4 * SECOND);
     assert!(
         canary as f64 <= 0.05 * (stable + canary) as f64 + 1.0,
-        "at once, with what was sent before: {stable} {canary}"
+        "just after the cap was lowered: {stable} stable and {canary} canary deliveries"
     );
     let Split { stable, canary } = serve(&mut harness, 20 * SECOND);
     assert!(
         canary > 10 && canary as f64 <= 0.05 * (stable + canary) as f64 + 1.0,
-        "{stable} {canary}"
+        "later under the lowered cap: {stable} stable and {canary} canary deliveries"
     );
 }
 
-/// Recalled: hosts of the build whose cap fell, and no others.
+/// Deliveries are recalled from the hosts of the build whose cap fell, and from no others.
 #[test]
 fn a_lowered_cap_recalls_what_is_queued_for_that_build() {
     let mut harness = Harness::new(5, 0);
@@ -188,9 +200,9 @@
     );
     harness.input(update(8, RolloutPhase::RollingBack, 0.0));
     let recalled = &harness.transport.recalled;
-    let is_whole_canary = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
+    let is_canary_host = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
     assert!(
-        !recalled.is_empty() && recalled.iter().all(is_whole_canary),
+        !recalled.is_empty() && recalled.iter().all(is_canary_host),
         "{recalled:?}"
     );
 }
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -1,4 +1,4 @@
-//! What has left for a host and what has not, whatever happens to the connection.
+//! The send queue to a host: which deliveries were sent and which were not when their connection ends.
 
 use spokeflow_core::Micros;
 use spokeflow_engine::{Outgoing, Undelivered};
@@ -18,7 +18,7 @@
     }
 }
 
-/// Queues and encodes, each frame of ten bytes.
+/// Queues and encodes deliveries, each as a frame of ten bytes.
 fn encode(outgoing: &mut Outgoing, deliveries: &[u64]) {
     for delivery in deliveries {
         assert_eq!(outgoing.push(deliver(*delivery), LATER), None);
@@ -32,14 +32,17 @@
     for remaining in 0..=30 {
         let mut outgoing = Outgoing::default();
         encode(&mut outgoing, &[1, 2, 3]);
-        let whole = (30 - remaining as u64) / 10;
+        let sent_frames = (30 - remaining as u64) / 10;
         let undelivered = outgoing.on_disconnected(remaining);
         assert_eq!(
             undelivered.unconfirmed,
-            (1..=whole).collect::<Vec<_>>(),
-            "{remaining} bytes left behind"
+            (1..=sent_frames).collect::<Vec<_>>(),
+            "{remaining} of 30 bytes were not sent"
+        );
+        assert_eq!(
+            undelivered.unsent,
+            (sent_frames + 1..=3).collect::<Vec<_>>()
         );
-        assert_eq!(undelivered.unsent, (whole + 1..=3).collect::<Vec<_>>());
         assert!(outgoing.is_idle());
     }
 }
@@ -68,7 +71,7 @@
     outgoing.push(ToHost::Cancel { delivery: 1 }, LATER);
     assert_eq!(outgoing.close(), [2]);
     assert_eq!(outgoing.push(deliver(3), LATER), Some(3));
-    // A cancel of what has left is still sent.
+    // A cancel of a delivery that has begun to leave is still sent.
     assert_eq!(
         outgoing.next(0, &mut Vec::new()),
         Some(ToHost::Cancel { delivery: 1 })
@@ -104,14 +107,14 @@
     assert_eq!(late, [1]);
 }
 
-/// Found by the simulator: a delivery and its cancel, both held back by a network partition, arrived when it ended,
-/// seconds after hosts had forgotten its idempotency key. Until a ping shows that they have arrived, they are awaited.
+/// A network partition may hold back both a delivery and its cancel, and let them through when it ends, seconds after
+/// hosts have forgotten the idempotency key. They are awaited until a ping shows that they have arrived.
 #[test]
 fn a_cancelled_delivery_is_awaited_until_a_later_ping_is_answered() {
     let mut outgoing = Outgoing::default();
     encode(&mut outgoing, &[1]);
     outgoing.on_written(0);
-    // A ping from before the cancel shows nothing of it.
+    // The answer to a ping sent before the cancel does not show that the cancel has arrived.
     outgoing.push(ToHost::Ping, LATER);
     outgoing.push(ToHost::Cancel { delivery: 1 }, LATER);
     let left: Vec<ToHost> = std::iter::from_fn(|| outgoing.next(0, &mut Vec::new())).collect();
@@ -122,7 +125,7 @@
     assert_eq!(outgoing.next(0, &mut Vec::new()), Some(ToHost::Ping));
     outgoing.on_pong();
     assert!(outgoing.is_idle());
-    // One whose frame was leaving when it was cancelled is not waited for as unanswered.
+    // A delivery that was cancelled while its frame was leaving does not become unconfirmed.
     encode(&mut outgoing, &[2]);
     outgoing.push(ToHost::Cancel { delivery: 2 }, LATER);
     outgoing.on_written(0);
--- a/crates/spokeflow-engine/tests/recording_of_start.rs
+++ b/crates/spokeflow-engine/tests/recording_of_start.rs
@@ -1,4 +1,4 @@
-//! A router's recording that commit d62ab1d wrote, read by the present code.
+//! The format of recordings stays compatible: reads a router's recording that commit d62ab1d wrote.
 //!
 //! `fixtures/d62ab1d/router.recording` is what `spokeflow-router --record` of that commit wrote in
 //! five seconds: it followed a control plane of three nodes for its configuration and its list, took five
@@ -15,7 +15,7 @@
 
 const RECORDING: &[u8] = include_bytes!("fixtures/d62ab1d/router.recording");
 
-/// All inputs but those that only let time pass.
+/// Returns all inputs except timers, with their times.
 fn inputs() -> Vec<(Micros, Input)> {
     let recording = Recording::read(RECORDING).unwrap();
     assert_eq!((recording.seed, recording.start), (62, 30));
@@ -28,28 +28,29 @@
         .collect()
 }
 
-/// The times of those inputs for which `wanted` answers, with its answers.
-fn of_kind<Content>(wanted: impl Fn(Input) -> Option<Content>) -> Vec<(Micros, Content)> {
-    let answered = inputs()
+/// Returns the contents that `select` takes from the inputs, with the times of those inputs.
+fn of_kind<Content>(select: impl Fn(Input) -> Option<Content>) -> Vec<(Micros, Content)> {
+    let selected = inputs()
         .into_iter()
-        .filter_map(|(at, input)| Some((at, wanted(input)?)));
-    answered.collect()
+        .filter_map(|(at, input)| Some((at, select(input)?)));
+    selected.collect()
 }
 
-fn record(host: u32, place: u16, phase: EndpointPhase, up_us: Option<u64>) -> EndpointRecord {
+fn record(host: u32, index: u16, phase: EndpointPhase, up_us: Option<u64>) -> EndpointRecord {
     EndpointRecord {
         host,
-        address: format!("127.0.0.1:{}", 27931 + u32::from(place)),
+        address: format!("127.0.0.1:{}", 27931 + u32::from(index)),
         build: Some(7),
-        cell: 11 + place,
-        zone: place,
+        cell: 11 + index,
+        zone: index,
         phase,
-        incarnation: 41 + u64::from(place),
+        incarnation: 41 + u64::from(index),
         up_us,
     }
 }
 
-/// Three hosts, with the times since their starts, of which the second's is long ago.
+/// Returns the records of the three hosts, with the uptimes of the first and the third. The second has none because
+/// it started long ago.
 fn records(first_up_us: u64, third_up_us: u64) -> Vec<EndpointRecord> {
     vec![
         record(301, 0, EndpointPhase::Ready, Some(first_up_us)),
@@ -58,7 +59,7 @@
     ]
 }
 
-/// The configuration of the router's own flags.
+/// Returns the configuration that the router's own flags set.
 fn own_config() -> EffectiveConfig {
     EffectiveConfig {
         tenant_quotas: vec![50.0],
@@ -101,7 +102,7 @@
     });
     let expected = (1..=5).map(|n| {
         let body = Bytes::from(format!("command {n}"));
-        let (op, key, mark) = ((n % 2) as u16, 9000 + n, 500 + n);
+        let (op, key, idempotency_key) = ((n % 2) as u16, 9000 + n, 500 + n);
         (
             1,
             Command {
@@ -109,7 +110,7 @@
                 op,
                 tenant: 0,
                 key,
-                idempotency_key: mark,
+                idempotency_key,
                 left_us: 1_500_000,
                 body,
             },
@@ -127,13 +128,13 @@
 }
 
 #[test]
-fn the_disconnect_of_the_client_is_read() {
+fn abandon_disconnect_and_close_are_read() {
     let all = inputs();
-    let leave = all
+    let abandon = all
         .iter()
         .find(|(_, input)| matches!(input, Input::Abandon { .. }))
         .unwrap();
-    assert_eq!(leave, &(1_791_988, Input::Abandon { conn: 1, id: 105 }));
+    assert_eq!(abandon, &(1_791_988, Input::Abandon { conn: 1, id: 105 }));
     assert!(all.contains(&(1_967_827, Input::ClientDisconnected { conn: 1 })));
     assert!(all.contains(&(5_065_730, Input::Close)));
 }
@@ -205,7 +206,7 @@
     assert_eq!(leases.len(), 9);
     assert_eq!(leases[0], (1_129, (1_129, own_config())));
     assert_eq!(leases[1], (7_838, (2_977_496, second_revision())));
-    // Of revisions 3 (in force) and 4 (pending) the stricter value of each.
+    // The stricter of the values in revisions 3 (in force) and 4 (pending).
     let last = EffectiveConfig {
         delivery_cap: 2,
         guarded_stages: 1,
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn the_inputs_are_written_as_before() {
+fn encoding_the_inputs_again_gives_the_same_bytes() {
     let recording = Recording::read(RECORDING).unwrap();
     let entries = recording
         .inputs
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_changed_byte_is_found() {
+fn a_changed_byte_is_detected() {
     let mut changed = RECORDING.to_vec();
     changed[4_000] ^= 1;
     let error = Recording::read(&changed).unwrap().error;
