--- a/crates/spokeflow-wirehost/src/batch.rs
+++ b/crates/spokeflow-wirehost/src/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of records on standard input.
+//! Reads batches of records.
 
 use std::io::{self, Read};
 
@@ -7,34 +7,41 @@
 
 use crate::error::{Problem, WireError};
 
-/// Bytes of a batch's header: length of the records (4), their number (4), the clock in seconds (8), big-endian.
+/// Size of a batch's header in bytes: length of the records (4), their number (4), the clock in seconds (8), all
+/// big-endian.
 pub(crate) const HEADER_SIZE: usize = 16;
 
-/// What the header of a batch says of its records.
+/// Offset of the clock in the header, in bytes.
+const CLOCK_OFFSET: usize = 8;
+
+/// The header of a batch, without the length of its records.
 pub(crate) struct BatchHeader {
-    /// Their number.
+    /// Number of records in the batch.
     pub(crate) count: usize,
-    /// When they happened.
+    /// The time of all records in the batch.
     pub(crate) now: Micros,
 }
 
-/// Fills `records` with those of the next batch; `None` at the end of input.
+/// Reads the next batch's records into `records` and returns its header, or `None` at the end of input.
 pub(crate) fn read_batch(
     input: &mut impl Read,
     records: &mut Vec<u8>,
 ) -> Result<Option<BatchHeader>, WireError> {
     let mut header = [0; HEADER_SIZE];
-    let have = fill(input, &mut header)?;
-    if have == 0 {
+    let received = fill(input, &mut header)?;
+    if received == 0 {
         return Ok(None);
     }
-    if have < header.len() {
-        return Err(header_error(have, Problem::TruncatedHeader { have }));
+    if received < header.len() {
+        return Err(header_error(
+            received,
+            Problem::TruncatedHeader { received },
+        ));
     }
     let [l0, l1, l2, l3, c0, c1, c2, c3, clock @ ..] = header;
     let clock = f64::from_be_bytes(clock);
     if !clock.is_finite() {
-        return Err(header_error(8, Problem::ClockNotFinite));
+        return Err(header_error(CLOCK_OFFSET, Problem::ClockNotFinite(clock)));
     }
     let length = u32::from_be_bytes([l0, l1, l2, l3]) as usize;
     read_records(input, records, length)?;
@@ -44,35 +51,36 @@
     }))
 }
 
+/// Reads `expected` bytes of records into `records`.
 fn read_records(
     input: &mut impl Read,
     records: &mut Vec<u8>,
     expected: usize,
 ) -> Result<(), WireError> {
     records.clear();
-    let have = input
+    let received = input
         .take(expected as u64)
         .read_to_end(records)
         .map_err(|error| header_error(HEADER_SIZE, error.into()))?;
-    if have < expected {
-        let problem = Problem::TruncatedRecords { have, expected };
-        return Err(header_error(HEADER_SIZE + have, problem));
+    if received < expected {
+        let problem = Problem::TruncatedRecords { received, expected };
+        return Err(header_error(HEADER_SIZE + received, problem));
     }
     Ok(())
 }
 
 /// Reads until `into` is full or the input ends; returns the number of bytes read.
 fn fill(input: &mut impl Read, into: &mut [u8]) -> Result<usize, WireError> {
-    let mut have = 0;
-    while have < into.len() {
-        match input.read(&mut into[have..]) {
+    let mut received = 0;
+    while received < into.len() {
+        match input.read(&mut into[received..]) {
             Ok(0) => break,
-            Ok(read) => have += read,
+            Ok(read) => received += read,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) => return Err(header_error(have, error.into())),
+            Err(error) => return Err(header_error(received, error.into())),
         }
     }
-    Ok(have)
+    Ok(received)
 }
 
 fn header_error(byte: usize, problem: Problem) -> WireError {
--- a/crates/spokeflow-wirehost/src/error.rs
+++ b/crates/spokeflow-wirehost/src/error.rs
@@ -1,43 +1,43 @@
-//! What is wrong with the input, and where.
+//! Errors in the input, with their position, and errors of reading and writing.
 
 use std::io;
 
 use spokeflow_settings::SettingsError;
 
-/// Why the program ends.
+/// The error that ends the program.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WireError {
     #[error("batch header, byte {byte}: {problem}")]
     Header { byte: usize, problem: Problem },
-    /// `byte` counts from the beginning of the batch.
+    /// `byte` is the offset from the beginning of the batch.
     #[error("record {record}, byte {byte} of its batch: {problem}")]
     Record {
         record: usize,
         byte: usize,
         problem: Problem,
     },
-    #[error("cannot write: {0}")]
+    #[error("cannot write the reply to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
-/// What is wrong at that place.
+/// The reason of an error at a position in the input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Problem {
-    #[error("input ends within the 16 bytes of the header, after {have}")]
-    TruncatedHeader { have: usize },
-    #[error("input ends after {have} of {expected} bytes of records")]
-    TruncatedRecords { have: usize, expected: usize },
-    #[error("{expected} bytes expected, {left} left")]
-    TruncatedField { expected: usize, left: usize },
-    #[error("bytes follow the {records} records that the header counts")]
+    #[error("input truncated: got {received} of the 16 bytes of the header")]
+    TruncatedHeader { received: usize },
+    #[error("input truncated: got {received} of {expected} bytes of records")]
+    TruncatedRecords { received: usize, expected: usize },
+    #[error("record truncated: expected {expected} more bytes, got {remaining}")]
+    TruncatedField { expected: usize, remaining: usize },
+    #[error("unexpected bytes after the {records} records that the batch header counts")]
     TrailingBytes { records: usize },
-    #[error("the clock is not a finite number")]
-    ClockNotFinite,
-    #[error("a number that is not finite")]
-    NotFinite,
-    #[error("an event before any For record")]
+    #[error("the clock is {0}, expected a finite number of seconds")]
+    ClockNotFinite(f64),
+    #[error("the field is {0}, expected a finite number")]
+    NotFinite(f64),
+    #[error("an event without a router: expected a For record before it")]
     NoRouter,
-    #[error("list number {0} is over 15")]
+    #[error("list number {0} is out of range: expected 0 to 15")]
     ListNumber(u8),
     #[error("list mode {0} is not known")]
     UnknownListMode(u8),
@@ -49,6 +49,6 @@
     UnknownResult(u16),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("cannot read: {0}")]
+    #[error("cannot read from standard input: {0}")]
     Read(#[from] io::Error),
 }
--- a/crates/spokeflow-wirehost/src/event.rs
+++ b/crates/spokeflow-wirehost/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to one router, by the wire's codes.
+//! The events of a router, decoded from records of the wire.
 
 use spokeflow_core::{
     AttemptOutcome, BuildId, CommandId, ControllerStats, Endpoint, EndpointState, HostId, Key,
@@ -9,7 +9,7 @@
 use crate::error::{Problem, WireError};
 use crate::field_reader::FieldReader;
 
-/// Codes of records.
+/// Codes of records in a batch.
 pub(crate) mod code {
     pub(crate) const START: u8 = 0;
     pub(crate) const LIST: u8 = 1;
@@ -28,26 +28,26 @@
     pub(crate) const FOR: u8 = 14;
 }
 
-/// Lists that can be defined, numbered from 0.
-pub(crate) const LISTS: usize = 16;
+/// Number of endpoint lists that can be defined, with numbers from 0.
+pub(crate) const LIST_COUNT: usize = 16;
 
-/// The result of a request that went well.
+/// Result code of a request that succeeded.
 const OK: u16 = 100;
 
-/// Sizes of fields that are passed over.
+/// Sizes in bytes of fields that are skipped.
 const U8_SIZE: usize = 1;
 const U16_SIZE: usize = 2;
 const U32_SIZE: usize = 4;
 
-/// The start of a router.
+/// The seed and the settings with which a router is started.
 pub(crate) struct Start {
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
 }
 
-/// What happens to a router that has been started.
+/// An event of a router that has been started.
 pub(crate) enum Event {
-    /// The list of this number came.
+    /// The endpoint list defined under `number` was received.
     List {
         kind: ListKind,
         number: u8,
@@ -77,9 +77,9 @@
     Timer,
     Stop,
     Rollout {
-        /// Where it answers a vote.
+        /// The outcome of a vote, if the record answers one.
         vote: Option<VoteOutcome>,
-        /// Where the request for it went well.
+        /// The status, if the request for it succeeded.
         status: Option<RolloutStatus>,
     },
     WrongAnswer {
@@ -87,7 +87,8 @@
         age: Micros,
     },
     Stats(ControllerStats),
-    /// Messages between routers, results of probes and codes of a later wire: not used.
+    /// A record that is not used: a message between routers, the result of a probe, or an unknown code of a later
+    /// version of the wire.
     Ignored,
 }
 
@@ -142,7 +143,7 @@
         3 => ListKind::Cached,
         other => return Err(fields.error(Problem::UnknownListMode(other))),
     };
-    if usize::from(number) >= LISTS {
+    if usize::from(number) >= LIST_COUNT {
         return Err(fields.error(Problem::ListNumber(number)));
     }
     Ok(Event::List { kind, number })
@@ -250,7 +251,7 @@
     }))
 }
 
-/// One endpoint of a list that is being defined.
+/// Reads one endpoint of a list that is being defined.
 pub(crate) fn read_endpoint(fields: &mut FieldReader) -> Result<Endpoint, WireError> {
     let release = fields.f32()?;
     let cell = fields.u16()?;
@@ -270,14 +271,14 @@
         cell,
         zone,
         state,
-        // What is no size counts as the usual one.
+        // A size that is not positive stands for the usual size.
         size: if size > 0.0 { size } else { 1.0 },
-        // 0 where it is not known.
+        // 0 means that the time is not known.
         started_at: (started_at != 0).then_some(started_at),
     })
 }
 
-/// The build that a release number names, unless it is out of range: it is not known then.
+/// Returns the build that a release number names, or `None` (not known) if the number is out of range.
 fn build_of(release: f64) -> Option<BuildId> {
     let builds = 0.0..65536.0;
     builds.contains(&release).then_some(BuildId(release as u16))
--- a/crates/spokeflow-wirehost/src/field_reader.rs
+++ b/crates/spokeflow-wirehost/src/field_reader.rs
@@ -1,4 +1,4 @@
-//! The big-endian fields of records, and where in the input they are.
+//! Reads the big-endian fields of records, and tracks their position in the input for error messages.
 
 use spokeflow_core::Micros;
 use spokeflow_settings::micros_from_seconds;
@@ -6,12 +6,13 @@
 use crate::batch::HEADER_SIZE;
 use crate::error::{Problem, WireError};
 
-/// Reads one field after another.
+/// Reads the fields of a batch or of one record, one after another.
 pub(crate) struct FieldReader<'a> {
-    left: &'a [u8],
+    /// The bytes that have not been read.
+    remaining: &'a [u8],
     /// Index of the record in its batch.
     record: usize,
-    /// Bytes from the beginning of the batch.
+    /// Offset of the next field in bytes from the beginning of the batch.
     byte: usize,
 }
 
@@ -22,38 +23,42 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// For all records of a batch.
+    /// Creates a reader of all records of a batch.
     pub(crate) fn new(records: &'a [u8]) -> Self {
         FieldReader {
-            left: records,
+            remaining: records,
             record: 0,
             byte: HEADER_SIZE,
         }
     }
 
-    /// The next record, whose index in the batch is `record`: code (1 byte), length (4 bytes), fields.
+    /// Reads the next record, whose index in the batch is `record`: code (1 byte), length (4 bytes), fields.
     pub(crate) fn record(&mut self, record: usize) -> Result<Record<'a>, WireError> {
         self.record = record;
         let code = self.u8()?;
         let length = self.u32()? as usize;
         let byte = self.byte;
-        let left = self.bytes(length)?;
+        let remaining = self.bytes(length)?;
         Ok(Record {
             code,
-            fields: FieldReader { left, record, byte },
+            fields: FieldReader {
+                remaining,
+                record,
+                byte,
+            },
         })
     }
 
-    /// Checks that nothing follows the records of the batch, of which there are so many.
+    /// Checks that no bytes follow the records of the batch, whose number is `records`.
     pub(crate) fn finish(mut self, records: usize) -> Result<(), WireError> {
         self.record = records;
-        if !self.left.is_empty() {
+        if !self.remaining.is_empty() {
             return Err(self.error(Problem::TrailingBytes { records }));
         }
         Ok(())
     }
 
-    /// An error at the present place.
+    /// Returns an error at the current position.
     pub(crate) fn error(&self, problem: impl Into<Problem>) -> WireError {
         WireError::Record {
             record: self.record,
@@ -63,13 +68,13 @@
     }
 
     pub(crate) fn bytes(&mut self, length: usize) -> Result<&'a [u8], WireError> {
-        let Some((field, left)) = self.left.split_at_checked(length) else {
+        let Some((field, remaining)) = self.remaining.split_at_checked(length) else {
             return Err(self.error(Problem::TruncatedField {
                 expected: length,
-                left: self.left.len(),
+                remaining: self.remaining.len(),
             }));
         };
-        self.left = left;
+        self.remaining = remaining;
         self.byte += length;
         Ok(field)
     }
@@ -80,7 +85,7 @@
         Ok(field)
     }
 
-    /// Passes over a field that is not used.
+    /// Skips a field that is not used.
     pub(crate) fn skip(&mut self, length: usize) -> Result<(), WireError> {
         self.bytes(length).map(drop)
     }
@@ -115,16 +120,16 @@
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(self.error(Problem::NotFinite))
+            Err(self.error(Problem::NotFinite(value)))
         }
     }
 
-    /// Seconds on the wire, whole microseconds inside.
+    /// Reads a time, which the wire has in seconds, rounded to whole microseconds.
     pub(crate) fn time(&mut self) -> Result<Micros, WireError> {
         self.f64().map(micros_from_seconds)
     }
 
-    /// The values of a load report, in the order of the settings' columns; none where no report came along.
+    /// Reads the values of a load report, in the order of the settings' columns; empty if the record has no report.
     pub(crate) fn load_report(&mut self) -> Result<Vec<f64>, WireError> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32()).collect()
--- a/crates/spokeflow-wirehost/src/main.rs
+++ b/crates/spokeflow-wirehost/src/main.rs
@@ -1,5 +1,5 @@
 //! Runs many routers on the simulator's wire: batches of records on standard input, one reply to each on standard
-//! output. The wire's names and numbers end in this program.
+//! output. The names and codes of the wire are used only within this program.
 
 mod batch;
 mod error;
@@ -14,8 +14,8 @@
 use error::WireError;
 use routers::Routers;
 
-/// Bytes of input that are read at a time.
-const INPUT_BUFFER: usize = 1 << 16;
+/// Size of the buffer for standard input, in bytes.
+const INPUT_BUFFER_SIZE: usize = 1 << 16;
 
 fn main() -> ExitCode {
     match run() {
@@ -28,7 +28,7 @@
 }
 
 fn run() -> Result<(), WireError> {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_SIZE, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut routers = Routers::default();
     let mut records = Vec::new();
--- a/crates/spokeflow-wirehost/src/reply.rs
+++ b/crates/spokeflow-wirehost/src/reply.rs
@@ -1,8 +1,8 @@
-//! Writes the calls of the decision modules as records of the wire.
+//! Encodes the calls of the decision modules as records of the wire.
 
 use spokeflow_core::{BuildId, CommandId, Egress, HostId, Micros, RolloutVote};
 
-/// Bytes of the length in front of the records.
+/// Size in bytes of the length before the records.
 const LENGTH_SIZE: usize = 4;
 
 /// Codes of records in a reply.
@@ -21,49 +21,49 @@
     pub(super) const FOR: u8 = 13;
 }
 
-/// One reply in the making: its length, then the records.
+/// A reply that is being written: the length of its records, then the records.
 pub(crate) struct Reply {
     bytes: Vec<u8>,
-    /// The router that the last `FOR` record names.
-    named: Option<u32>,
-    /// The router whose calls come next.
-    current: u32,
+    /// The router that the reply's last `FOR` record names; `None` before the first.
+    named_router: Option<u32>,
+    /// The router that makes the next calls.
+    current_router: u32,
 }
 
 impl Default for Reply {
     fn default() -> Self {
         Reply {
             bytes: vec![0; LENGTH_SIZE],
-            named: None,
-            current: 0,
+            named_router: None,
+            current_router: 0,
         }
     }
 }
 
 impl Reply {
-    /// Whose calls come next.
+    /// Sets the router that makes the next calls.
     pub(crate) fn set_router(&mut self, number: u32) {
-        self.current = number;
+        self.current_router = number;
     }
 
-    /// The finished frame.
+    /// Completes the reply and returns its bytes.
     pub(crate) fn frame(&mut self) -> &[u8] {
         let length = (self.bytes.len() - LENGTH_SIZE) as u32;
         self.bytes[..LENGTH_SIZE].copy_from_slice(&length.to_be_bytes());
         &self.bytes
     }
 
-    /// Begins the next reply.
+    /// Removes all records, for the next reply.
     pub(crate) fn clear(&mut self) {
         self.bytes.truncate(LENGTH_SIZE);
-        self.named = None;
+        self.named_router = None;
     }
 
-    /// A record of the current router.
+    /// Appends a record of the current router, after a `FOR` record if that router is not the one named last.
     fn record(&mut self, code: u8, fields: &[&[u8]]) {
-        if self.named != Some(self.current) {
-            self.named = Some(self.current);
-            let number = self.current.to_be_bytes();
+        if self.named_router != Some(self.current_router) {
+            self.named_router = Some(self.current_router);
+            let number = self.current_router.to_be_bytes();
             self.write(code::FOR, &[&number]);
         }
         self.write(code, fields);
@@ -79,7 +79,7 @@
     }
 }
 
-/// A time in seconds, as the wire has it.
+/// Encodes a time in seconds, as the wire has it.
 fn seconds(at: Micros) -> [u8; 8] {
     (at as f64 / 1e6).to_be_bytes()
 }
@@ -105,7 +105,7 @@
     }
 
     fn wake(&mut self, at: Micros) {
-        // The wire returns it with the timer; not used.
+        // The simulator returns the token with the timer; it is not used.
         let token = 0u32;
         self.record(code::WAKE, &[&seconds(at), &token.to_be_bytes()]);
     }
@@ -135,7 +135,7 @@
     }
 
     fn gossip(&mut self, router: Option<u32>, text: &[u8]) {
-        /// Names all other routers.
+        /// Addresses all other routers.
         const ALL: u16 = u16::MAX;
         let to = router.map_or(ALL, |router| router as u16);
         let length = text.len() as u16;
--- a/crates/spokeflow-wirehost/src/routers.rs
+++ b/crates/spokeflow-wirehost/src/routers.rs
@@ -1,4 +1,4 @@
-//! The routers that run in this process, and what is said to each.
+//! The routers that run in this process, and the dispatch of records to them.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,49 @@
 
 use crate::batch::BatchHeader;
 use crate::error::{Problem, WireError};
-use crate::event::{code, read_endpoint, Event, Start, LISTS};
+use crate::event::{code, read_endpoint, Event, Start, LIST_COUNT};
 use crate::field_reader::{FieldReader, Record};
 use crate::reply::Reply;
 
-/// All routers, by their numbers on the wire.
+/// All running routers and what they share.
 #[derive(Default)]
 pub(crate) struct Routers {
+    /// Running routers by their numbers on the wire.
     instances: BTreeMap<u32, Instance>,
-    lists: [Vec<Endpoint>; LISTS],
+    /// Endpoint lists by the numbers under which they were defined.
+    lists: [Vec<Endpoint>; LIST_COUNT],
     reply: Reply,
 }
 
+/// A running router.
 struct Instance {
     router: Router,
-    /// Where in a load report its hosts say how busy they are.
+    /// Index of the value in a load report that says how busy a host is; `None` if reports have no such value.
     busy_column: Option<usize>,
 }
 
 impl Routers {
-    /// The reply to the batches since it was cleared.
+    /// Returns the reply to the batches since it was last cleared.
     pub(crate) fn reply_mut(&mut self) -> &mut Reply {
         &mut self.reply
     }
 
-    /// Takes in the records of a batch.
+    /// Handles the records of a batch.
     pub(crate) fn on_batch(
         &mut self,
         header: &BatchHeader,
         records: &[u8],
     ) -> Result<(), WireError> {
         let mut reader = FieldReader::new(records);
-        let mut instance = None;
+        let mut selected_router = None;
         for index in 0..header.count {
             let Record { code, mut fields } = reader.record(index)?;
             match code {
-                code::FOR => instance = Some(fields.u32()?),
+                code::FOR => selected_router = Some(fields.u32()?),
                 code::DEFINE_LIST => self.define_list(&mut fields)?,
                 _ => {
-                    let instance = instance.ok_or_else(|| fields.error(Problem::NoRouter))?;
-                    self.on_record(code, instance, header.now, &mut fields)?;
+                    let number = selected_router.ok_or_else(|| fields.error(Problem::NoRouter))?;
+                    self.on_record(code, number, header.now, &mut fields)?;
                 }
             }
         }
@@ -78,7 +81,7 @@
             self.start(number, now, &start);
             return Ok(());
         }
-        // What arrives for a router that was stopped is dropped.
+        // Records for a router that is not running, such as one that was stopped, are dropped.
         let Some(instance) = self.instances.get_mut(&number) else {
             return Ok(());
         };
@@ -103,7 +106,7 @@
 }
 
 impl Instance {
-    fn on_event(&mut self, event: Event, lists: &[Vec<Endpoint>; LISTS], reply: &mut Reply) {
+    fn on_event(&mut self, event: Event, lists: &[Vec<Endpoint>; LIST_COUNT], reply: &mut Reply) {
         let router = &mut self.router;
         match event {
             Event::List { kind, number } => {
--- a/crates/spokeflow-wirehost/tests/wire.rs
+++ b/crates/spokeflow-wirehost/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The program on standard input and output: a command is delivered, and faults are named with their place.
+//! Runs the program on standard input and output: a command is delivered, and errors in the input are reported with
+//! their position.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -45,8 +46,8 @@
     record(START, &[&seed, &length, SETTINGS.as_bytes()])
 }
 
-/// A list with one host that has been ready for long.
-fn define_list(table: u8, host: u32) -> Vec<u8> {
+/// Returns a record that defines a list with one host, which became ready long ago.
+fn define_list(number: u8, host: u32) -> Vec<u8> {
     let release = 7f32.to_be_bytes();
     let cell_zone_flags_and_state = [0, 0, 0, 0, 0, 1];
     let size = 1f32.to_be_bytes();
@@ -54,7 +55,7 @@
     record(
         DEFINE_LIST,
         &[
-            &[table],
+            &[number],
             &1u32.to_be_bytes(),
             &release,
             &cell_zone_flags_and_state,
@@ -65,8 +66,8 @@
     )
 }
 
-fn list(table: u8, mode: u8) -> Vec<u8> {
-    record(LIST, &[&[0; 4], &[table, mode]])
+fn list(number: u8, mode: u8) -> Vec<u8> {
+    record(LIST, &[&[0; 4], &[number, mode]])
 }
 
 fn command(cmd: u32) -> Vec<u8> {
@@ -74,6 +75,7 @@
     record(COMMAND, &[&cmd.to_be_bytes(), &rest, &2f64.to_be_bytes()])
 }
 
+/// Runs the program with this standard input until it exits.
 fn run(input: &[u8]) -> Output {
     let mut program = Command::new(env!("CARGO_BIN_EXE_spokeflow-wirehost"))
         .stdin(Stdio::piped())
@@ -85,7 +87,7 @@
     program.wait_with_output().unwrap()
 }
 
-/// The replies, without their lengths.
+/// Splits the output into replies, without their lengths.
 fn replies(mut output: &[u8]) -> Vec<&[u8]> {
     let mut replies = Vec::new();
     while let Some((length, rest)) = output.split_first_chunk() {
@@ -106,7 +108,7 @@
     assert!(output.status.success(), "{output:?}");
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), 2);
-    // Router 6 was not started: nothing is said for it.
+    // Router 6 was not started: the reply has no records of it.
     let from_router_5 = [&[13, 0, 0, 0, 4][..], &5u32.to_be_bytes()].concat();
     assert!(replies[1].starts_with(&from_router_5), "{:?}", replies[1]);
     let deliver = [
@@ -122,24 +124,24 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_place() {
+fn errors_in_the_input_are_reported_with_their_position() {
     let started = [for_router(5), start()];
     let cases = [
         (
             batch(1.0, &[])[..9].to_vec(),
-            "batch header, byte 9: input ends within the 16 bytes of the header, after 9",
+            "batch header, byte 9: input truncated: got 9 of the 16 bytes of the header",
         ),
         (
             batch(f64::NAN, &[]),
-            "batch header, byte 8: the clock is not a finite number",
+            "batch header, byte 8: the clock is NaN, expected a finite number of seconds",
         ),
         (
             batch(1.0, &[command(1)]),
-            "record 0, byte 21 of its batch: an event before any For record",
+            "record 0, byte 21 of its batch: an event without a router: expected a For record before it",
         ),
         (
             batch(1.0, &[for_router(5), record(START, &[&[0; 7]])]),
-            "record 1, byte 30 of its batch: 8 bytes expected, 7 left",
+            "record 1, byte 30 of its batch: record truncated: expected 8 more bytes, got 7",
         ),
         (
             [
@@ -155,13 +157,13 @@
                 batch(2.0, &[for_router(5), list(16, 1)]),
             ]
             .concat(),
-            "record 1, byte 36 of its batch: list number 16 is over 15",
+            "record 1, byte 36 of its batch: list number 16 is out of range: expected 0 to 15",
         ),
     ];
     for (input, expected) in cases {
         let output = run(&input);
         assert!(!output.status.success());
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(said, format!("spokeflow-wirehost: {expected}\n"));
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(stderr, format!("spokeflow-wirehost: {expected}\n"));
     }
 }
