--- a/crates/spokeflow-settings/src/error.rs
+++ b/crates/spokeflow-settings/src/error.rs
@@ -1,12 +1,12 @@
-//! Why settings cannot be read.
+//! Errors of reading settings.
 
-/// Why settings cannot be read.
+/// The reason why a settings object cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no such object.
+    /// The text is not a JSON settings object.
     #[error("settings do not parse: {0}")]
     Parse(#[from] serde_json::Error),
-    /// The way in which votes move a rollout is none of the known ones.
-    #[error("settings: gate_mode '{0}' is not known")]
+    /// The gate mode, which says whose votes promote a build, is unknown.
+    #[error("settings: unknown gate_mode '{0}', expected 'single', 'majority' or 'clocked'")]
     UnknownGateMode(String),
 }
--- a/crates/spokeflow-settings/src/lib.rs
+++ b/crates/spokeflow-settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! The settings object that the simulator's first message and the platform's configuration both hold, turned into
-//! the decision module's configuration: one reader, so that the two cannot drift apart. Unknown keys are passed over.
+//! Reads the settings object into the decision module's configuration. The simulator's first message and the
+//! platform's configuration both contain this object, and share this reader so that they cannot diverge. Unknown keys
+//! are ignored.
 
 mod error;
 mod object;
--- a/crates/spokeflow-settings/src/object.rs
+++ b/crates/spokeflow-settings/src/object.rs
@@ -1,4 +1,6 @@
-//! The settings object as it is written: the names are the simulator's and the platform's. Times are in seconds.
+//! The settings object as it is written. The simulator and the platform determine the names of the keys; what a key
+//! means is documented at the field of [`spokeflow_core::ServiceConfig`] or [`crate::Settings`] that is set from it.
+//! Times are in seconds.
 
 use serde::Deserialize;
 
@@ -8,10 +10,12 @@
     pub(crate) categories: Vec<Category>,
     #[serde(default)]
     pub(crate) tenants: Vec<Tenant>,
+    /// Names of the zones.
     #[serde(default)]
     pub(crate) dcs: Vec<String>,
     #[serde(default)]
     pub(crate) zone: u16,
+    /// Index of the router in its fleet.
     #[serde(default)]
     pub(crate) me: u32,
     #[serde(default)]
@@ -46,7 +50,7 @@
     pub(crate) worth: f64,
 }
 
-/// A customer.
+/// A tenant and its quota.
 #[derive(Deserialize)]
 pub(crate) struct Tenant {
     #[serde(default)]
@@ -55,7 +59,7 @@
     pub(crate) allowance_per_s: f64,
 }
 
-/// What a router may do, and its limits.
+/// What routers may do, and their limits.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct Caps {
@@ -86,14 +90,15 @@
     }
 }
 
-/// What hosts report.
+/// The load reports of hosts.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Feedback {
+    /// Names of the values in a load report, in order.
     pub(crate) columns: Vec<String>,
 }
 
-/// What hosts and the endpoint list promise.
+/// Properties that hosts and the endpoint list guarantee.
 #[derive(Deserialize)]
 pub(crate) struct Guarantees {
     #[serde(default)]
--- a/crates/spokeflow-settings/src/settings.rs
+++ b/crates/spokeflow-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The decision module's configuration from the settings object.
+//! Converts the settings object into the decision module's configuration.
 
 use spokeflow_core::{
     DeduplicationScope, Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId,
@@ -7,38 +7,38 @@
 use crate::object::{Category, SettingsObject, Tenant};
 use crate::SettingsError;
 
-/// The least quota, in commands a second, so that shares of it can be computed.
-const LEAST_QUOTA: f64 = 1e-3;
+/// Smallest quota in commands per second: above 0, so that shares of it can be computed.
+const MIN_QUOTA: f64 = 1e-3;
 
-/// What the settings object says.
+/// The contents of a settings object.
 pub struct Settings {
-    /// For the decision module.
+    /// Configuration of the decision module.
     pub config: ServiceConfig,
-    /// Which value of a load report says how busy a host's cores are.
+    /// Index of the value in a load report that says how busy a host's cores are; `None` if reports have no such value.
     pub busy_column: Option<usize>,
-    /// Names of the operations, in the order of their numbers in `config`.
+    /// Names of the operations, in the order of `config.ops`.
     pub ops: Vec<String>,
-    /// Names of the customers, in the order of their numbers in `config`.
+    /// Names of the tenants, in the order of `config.tenant_quotas`.
     pub customers: Vec<String>,
-    /// Names of the zones, in the order of their numbers in `config`.
+    /// Names of the zones, in the order of their numbers.
     pub zones: Vec<String>,
-    /// A connection to a host has to be open within this time; 0 where that is not said.
+    /// Time within which a connection to a host must be open; 0 if the object sets none.
     pub connect_timeout: Micros,
-    /// Hosts close a connection that has been idle for so long, at the latest; 0 where that is not said.
+    /// Time after which hosts close an idle connection at the latest; 0 if the object sets none.
     pub connection_idle: Micros,
 }
 
-/// Seconds, as the object has them, in whole microseconds.
+/// Converts seconds, as the object has them, to microseconds, rounded to whole ones.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
 impl Settings {
-    /// Reads the object's JSON text.
+    /// Reads the JSON text of a settings object.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`]: the text is no such object, or has a word that is not known.
+    /// [`SettingsError`] if the text is not a settings object, or if its gate mode is unknown.
     pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
         let object: SettingsObject = serde_json::from_slice(text)?;
         let config = service_config(&object)?;
@@ -107,7 +107,7 @@
 }
 
 fn quota(tenant: &Tenant) -> f64 {
-    tenant.allowance_per_s.max(LEAST_QUOTA)
+    tenant.allowance_per_s.max(MIN_QUOTA)
 }
 
 fn gate(mode: &str) -> Result<Gate, SettingsError> {
@@ -119,7 +119,7 @@
     }
 }
 
-/// The allowance, which is above 0 or not said.
+/// Returns the allowance, or no limit if it is not positive (0 if the object sets none).
 fn votes_per_second(allowance: f64) -> f64 {
     if allowance > 0.0 {
         allowance
@@ -133,7 +133,7 @@
         repeat: match category.effect.as_str() {
             "idempotent" => Repeat::Idempotent,
             "deduplicated" => Repeat::Deduplicated,
-            // What is not understood is never run twice.
+            // An operation with an unknown effect must never run twice.
             _ => Repeat::AtMostOnce,
         },
         deduplication_scope: match category.dedup_scope.as_deref() {
--- a/crates/spokeflow-settings/tests/settings.rs
+++ b/crates/spokeflow-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object, read into the decision module's configuration.
+//! Reads settings objects into the decision module's configuration.
 
 use spokeflow_core::{DeduplicationScope, Gate, Repeat};
 use spokeflow_settings::{Settings, SettingsError};
@@ -50,7 +50,7 @@
 fn operations_are_never_run_twice_unless_the_object_allows_it() {
     let config = Settings::parse(OBJECT.as_bytes()).unwrap().config;
     let [read, pay, send] = &config.ops[..] else {
-        panic!("{} operations", config.ops.len());
+        panic!("expected 3 operations, got {}", config.ops.len());
     };
     assert_eq!(read.repeat, Repeat::Idempotent);
     assert!(read.streaming && read.priority_weight == 2.0);
@@ -65,14 +65,16 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_explained() {
-    let torn = Settings::parse(&OBJECT.as_bytes()[..100]).err().unwrap();
-    assert!(matches!(torn, SettingsError::Parse(_)));
-    assert!(torn.to_string().starts_with("settings do not parse: EOF"));
+fn errors_name_what_cannot_be_read() {
+    let truncated = Settings::parse(&OBJECT.as_bytes()[..100]).err().unwrap();
+    assert!(matches!(truncated, SettingsError::Parse(_)));
+    assert!(truncated
+        .to_string()
+        .starts_with("settings do not parse: EOF"));
     let object = OBJECT.replace("majority", "dice");
     let unknown = Settings::parse(object.as_bytes()).err().unwrap();
     assert_eq!(
         unknown.to_string(),
-        "settings: gate_mode 'dice' is not known"
+        "settings: unknown gate_mode 'dice', expected 'single', 'majority' or 'clocked'"
     );
 }
