--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -200,9 +200,9 @@
     );
     harness.input(update(8, RolloutPhase::RollingBack, 0.0));
     let recalled = &harness.transport.recalled;
-    let is_canary_host = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
+    let recalls_all_of_canary_host = |recall: &Recall| recall.host > 2 && recall.delivery.is_none();
     assert!(
-        !recalled.is_empty() && recalled.iter().all(is_canary_host),
+        !recalled.is_empty() && recalled.iter().all(recalls_all_of_canary_host),
         "{recalled:?}"
     );
 }
