--- a/crates/spokeflow-core/src/lib.rs
+++ b/crates/spokeflow-core/src/lib.rs
@@ -20,5 +20,5 @@
     RolloutStatus, VoteOutcome,
 };
 pub use ids::{BuildId, CommandId, HostId, Key, Micros, OpType, TenantId, ZoneId};
-pub use rng::{unit, Rng};
+pub use rng::{hash_to_unit_interval, Rng};
 pub use router::{Router, ROUTERS_PER_HOST};
--- a/crates/spokeflow-core/src/rng.rs
+++ b/crates/spokeflow-core/src/rng.rs
@@ -50,7 +50,7 @@
 
 /// Spreads a key evenly over 0 to 1 by the output function of SplitMix64: the same key, the same
 /// position.
-pub fn unit(key: u64) -> f64 {
+pub fn hash_to_unit_interval(key: u64) -> f64 {
     let mut hash = key.wrapping_add(GOLDEN_GAMMA);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -6,7 +6,7 @@
 use super::timers::TICK;
 use super::{Out, Router, SECOND};
 use crate::state::Command;
-use crate::{unit, CommandId, Key, Micros, OpType, TenantId};
+use crate::{hash_to_unit_interval, CommandId, Key, Micros, OpType, TenantId};
 
 /// Part of the latency objective above which the median latency makes a router shed commands.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
@@ -114,7 +114,7 @@
             operation,
             key,
             tenant,
-            key_position: unit(hash_input),
+            key_position: hash_to_unit_interval(hash_input),
             received_at: self.now,
             deadline: self.now + time_left,
             answered: false,
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -4,7 +4,9 @@
 use super::outliers::UNRESPONSIVE_AFTER;
 use super::{Out, Router, SECOND};
 use crate::state::{CandidateSet, Command, Delivery, OperationState};
-use crate::{unit, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat};
+use crate::{
+    hash_to_unit_interval, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat,
+};
 
 /// Least routers that send to each host, so that uneven traffic evens out.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
@@ -233,7 +235,7 @@
             * traffic_multiple
             / (1 + slot.min(1)) as f64;
         let id = self.hosts.endpoint(host).host.0;
-        let drawn = unit(
+        let drawn = hash_to_unit_interval(
             u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + slot) as u64,
         );
         let in_slot = f64::from(sent + 1) <= part + drawn;
--- a/crates/spokeflow-core/src/state/hosts/mod.rs
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{ReadyHost, ReadyHosts, RecentStarts};
-use crate::{unit, BuildId, Endpoint, EndpointState, HostId, Micros};
+use crate::{hash_to_unit_interval, BuildId, Endpoint, EndpointState, HostId, Micros};
 use record::HostRecord;
 
 /// The age of a process that started before anyone can say.
@@ -117,7 +117,7 @@
         let record = HostRecord::new(endpoint);
         *self.builds.entry(record.build).or_default() += 1;
         self.records.push(record);
-        self.ranks.push(unit(
+        self.ranks.push(hash_to_unit_interval(
             u64::from(endpoint.host.0) << 32 | u64::from(self.own_index),
         ));
         host
--- a/crates/spokeflow-core/tests/canary.rs
+++ b/crates/spokeflow-core/tests/canary.rs
@@ -55,7 +55,7 @@
     let mut key = 1000;
     for _ in 0..1200 {
         key += 1;
-        while unit(key) > 0.2 {
+        while hash_to_unit_interval(key) > 0.2 {
             key += 1;
         }
         let id = checker.commands.len() as u32;
--- a/crates/spokeflow-core/tests/candidate_sets.rs
+++ b/crates/spokeflow-core/tests/candidate_sets.rs
@@ -32,7 +32,7 @@
         let span = hosts.spans().bounded;
         let quiet = hosts.now() - 100 * MS;
         // Drawn by host, for those of which something may forbid a delivery.
-        let even = |host: usize, salt: u64| unit(host as u64 ^ salt << 32) < 0.5;
+        let even = |host: usize, salt: u64| hash_to_unit_interval(host as u64 ^ salt << 32) < 0.5;
         for build in ready_builds(hosts) {
             let named = ready_of(hosts, build)[0];
             let doubtful = |host: usize| {
@@ -97,7 +97,7 @@
             assert_holds(&candidates, &plain);
             let mut checked = candidates.clone();
             hosts.mark_suspects(&mut checked, false, Micros::MIN, std::iter::empty());
-            let passes = |host: usize| unit(host as u64) < 0.5;
+            let passes = |host: usize| hash_to_unit_interval(host as u64) < 0.5;
             checked.retain(passes);
             assert_holds(
                 &checked,
