--- a/crates/spokeflow-core/src/config.rs
+++ b/crates/spokeflow-core/src/config.rs
@@ -5,11 +5,12 @@
 /// Whether a command may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// As often as one likes.
+    /// Yes, any number of times.
     Idempotent,
-    /// Hosts drop a repeat that they know by its idempotency key.
+    /// Hosts recognize a repeat by its idempotency key and drop it, within
+    /// [`OperationConfig::deduplication_window`].
     Deduplicated,
-    /// Never.
+    /// No.
     AtMostOnce,
 }
 
@@ -18,117 +19,118 @@
 pub enum DeduplicationScope {
     /// All hosts.
     All,
-    /// Those of the same zone.
+    /// Hosts in the zone of the host that first received the command.
     Zone,
-    /// Those of the same cell.
+    /// Hosts in the cell of the host that first received the command.
     Cell,
-    /// Not said: only the same host counts.
+    /// Not configured: only the host that first received the command is assumed to drop it.
     Unknown,
 }
 
-/// One operation of a service.
+/// The configuration of one operation of a service.
 #[derive(Clone, Debug)]
 pub struct OperationConfig {
-    /// Whether its commands may be executed twice.
+    /// Whether commands of this operation may be executed twice.
     pub repeat: Repeat,
-    /// Which hosts drop a repeat.
+    /// Which hosts drop a repeated command.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they remember a command.
+    /// How long hosts remember a command to drop its repeat.
     pub deduplication_window: Micros,
-    /// The latency that the service aims at.
+    /// The latency objective of the service.
     pub latency_objective: Micros,
-    /// How long a client waits.
+    /// How long a client waits for the answer.
     pub command_timeout: Micros,
-    /// Worth of one command against those of other operations.
+    /// Importance of one command relative to those of other operations.
     pub priority_weight: f64,
-    /// Responses come in parts.
+    /// Whether responses arrive in parts.
     pub streaming: bool,
 }
 
 /// Whose votes decide whether a build goes on to its next stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Gate {
-    /// One router's vote is enough.
+    /// The vote of one router is enough.
     #[default]
     Single,
-    /// Most routers must vote for it.
+    /// A majority of the routers must vote for it.
     Majority,
-    /// Stages go on by the clock unless routers vote against it.
+    /// Stages advance after a fixed time unless routers vote against it.
     Clocked,
 }
 
-/// What a deployment promises and allows, as read when a router starts.
+/// The guarantees and limits of a deployment that a router decides by.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
-    /// The operations; [`crate::OpType`] is the index.
+    /// The operations; [`crate::OpType`] is the index into them.
     pub ops: Vec<OperationConfig>,
-    /// What each tenant may send a second, all routers together; above 0.
+    /// Commands per second that each tenant may send, over all routers; above 0.
     pub tenant_quotas: Vec<f64>,
-    /// The zone that this router is in.
+    /// The zone of this router.
     pub own_zone: ZoneId,
-    /// This router's index among those of the service.
+    /// The index of this router among the routers of the service.
     pub own_index: u32,
-    /// Routers of the service.
+    /// Number of routers of the service.
     pub fleet_size: u32,
-    /// Resolution of times in the deployment.
+    /// Resolution of the deployment's times.
     pub tick: Micros,
-    /// The host list comes only to subscribers.
+    /// Whether the host list is sent only to subscribers.
     pub list_requires_subscription: bool,
-    /// How long a change of the hosts takes to be listed at most.
+    /// Longest time until a change of the hosts appears in the host list.
     pub list_refresh_within: Micros,
-    /// Most deliveries of one command.
+    /// Maximum number of deliveries of one command.
     pub delivery_cap: u32,
-    /// Two deliveries of a command may be open at once.
+    /// Whether two deliveries of a command may be open at the same time.
     pub may_hedge: bool,
-    /// Deliveries may be cancelled.
+    /// Whether deliveries may be cancelled.
     pub may_cancel: bool,
-    /// Hosts may be probed.
+    /// Whether the router may send health probes to hosts.
     pub may_probe: bool,
-    /// Routers may send each other messages.
+    /// Whether routers may send each other messages.
     pub may_gossip: bool,
-    /// A nack may say when to try again.
+    /// Whether a nack may say after which time to retry.
     pub may_name_retry_after: bool,
-    /// The longest time that it may say.
+    /// The longest retry time that a nack may carry.
     pub longest_retry_after: Micros,
-    /// How soon after a host was listed as draining or gone nothing new may go to it.
+    /// Time after a host is listed as draining or gone from which it must get no new delivery.
     pub drain_grace: Micros,
-    /// Part of its capacity that a host has at its start, above 0 up to 1.
+    /// Fraction of its full capacity that a host has when it starts; above 0, at most 1.
     pub slow_start_from: f64,
-    /// Time in which it grows to full capacity.
+    /// Time in which a started host grows to full capacity.
     pub warm_up_time: Micros,
-    /// Multiple of its mean traffic that overloads a cold host.
+    /// Traffic that overloads a cold host, as a multiple of the host's mean traffic.
     pub overload_multiple: f64,
-    /// Time over which that is counted.
+    /// Time over which the traffic of a cold host is counted.
     pub overload_window: Micros,
     /// Whose votes promote a build.
     pub gate: Gate,
-    /// Of each stage, the part of the commands that the build on trial may be sent.
+    /// Exposure cap of each stage: the fraction of the commands that the canary build may receive.
     pub stage_caps: Vec<f64>,
-    /// Of each stage, the part of the hosts that run it.
+    /// Fraction of the hosts that run the canary build, by stage.
     pub stage_shares: Vec<f64>,
-    /// Commands beyond the cap that one window allows.
+    /// Commands beyond the exposure cap that are allowed in one exposure window.
     pub exposure_allowance: f64,
     /// Time over which exposure is counted.
     pub exposure_window: Micros,
-    /// The cap holds for each operation by itself.
+    /// Whether the exposure cap applies to each operation separately.
     pub exposure_by_op: bool,
-    /// First stages in which only idempotent operations go to the build on trial.
+    /// Number of first stages in which only idempotent operations go to the canary build.
     pub guarded_stages: u8,
-    /// A key that a build has answered never goes to an earlier one.
+    /// Whether a key that a build has answered must never go to an earlier build.
     pub forward_only: bool,
-    /// Hosts are replaced in place; else a trial's hosts run beside the earlier ones.
+    /// Whether hosts are replaced in place; otherwise the canary build's hosts run beside the
+    /// earlier ones.
     pub rolling: bool,
-    /// Least time in a stage.
+    /// Minimum time in a stage.
     pub stage_bake: Micros,
-    /// How long a vote counts.
+    /// How long a vote remains valid.
     pub vote_lifetime: Micros,
-    /// How long the answer to a vote takes at most.
+    /// Longest time until the release controller answers a vote.
     pub vote_timeout: Micros,
-    /// Part of the wrong answers that clients report.
+    /// Fraction of the wrong answers that clients report.
     pub complaint_share: f64,
-    /// Routers whose votes roll a build back; 0 where the deployment does not say.
+    /// Number of routers whose votes roll a build back; 0 if not configured.
     pub rollback_votes: u32,
-    /// Votes that the release controller takes a second from all routers together; infinite where
-    /// the deployment does not say.
+    /// Votes per second that the release controller accepts from all routers together; infinite if
+    /// not configured.
     pub votes_per_second: f64,
 }
--- a/crates/spokeflow-core/src/events.rs
+++ b/crates/spokeflow-core/src/events.rs
@@ -1,15 +1,16 @@
-//! What a router learns while it runs: hosts, outcomes of deliveries, and the state of the rollout.
+//! The data types of the events that a router receives: host lists, delivery outcomes, rollout
+//! statuses and the release controller's counts.
 
 use crate::{BuildId, HostId, Micros, OpType, ZoneId};
 
-/// What the list says of a host's process.
+/// The state of a host's process according to the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// There is none.
+    /// No process runs on the host.
     Gone,
-    /// It takes commands.
+    /// The process accepts commands.
     Ready,
-    /// It finishes what it has and takes no more.
+    /// The process finishes its open commands and accepts no new ones.
     Draining,
 }
 
@@ -18,28 +19,28 @@
 pub struct Endpoint {
     /// The host.
     pub host: HostId,
-    /// The build that it runs; `None` where the list does not say.
+    /// The build that the host runs; `None` if the list does not say.
     pub build: Option<BuildId>,
-    /// Its cell, whose hosts share what they remember of commands.
+    /// The host's cell; the hosts of a cell share their record of executed commands.
     pub cell: u16,
-    /// Its zone.
+    /// The host's zone.
     pub zone: ZoneId,
-    /// The state of its process.
+    /// The state of the host's process.
     pub state: EndpointState,
-    /// Its capacity against other hosts', in any unit; above 0, and 1 where the list does not say.
+    /// Capacity relative to the other hosts, in any unit; above 0, and 1 if the list does not say.
     pub size: f64,
-    /// When the process last started; `None` for long ago.
+    /// When the process last started; `None` if that is long ago or unknown.
     pub started_at: Option<Micros>,
 }
 
-/// What a host list holds.
+/// Which hosts a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The hosts that have changed.
+    /// Only the hosts that have changed.
     Changes,
     /// All hosts.
     Complete,
-    /// What a router still had when it started: may be old.
+    /// The list that a router had stored before it started; it may be out of date.
     Cached,
 }
 
@@ -50,22 +51,22 @@
     Acked,
     /// The host answered with an error.
     Error,
-    /// The host was full and did not execute it.
+    /// The host was full and did not execute the command.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
     /// No connection could be made.
     NotConnected,
     /// The connection broke before the answer.
     Reset,
-    /// The router or the client gave it up.
+    /// The router or the client gave up the delivery.
     Cancelled,
-    /// It never went out.
+    /// The delivery was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether a delivery that ended so may have had its effect.
+    /// Whether the host may have executed the command of a delivery with this outcome.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -74,35 +75,35 @@
     }
 }
 
-/// Where the newest build's rollout is.
+/// The state of the newest build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It is on trial and takes a bounded part of the commands.
+    /// The build is the canary and receives at most a bounded fraction of the commands.
     Canary,
-    /// Its hosts return to the earlier build.
+    /// The build's hosts are returning to the earlier build.
     RollingBack,
-    /// It is free for all commands.
+    /// The build may receive all commands.
     Released,
-    /// It has been taken back.
+    /// The rollback is complete.
     Withdrawn,
 }
 
-/// What the release controller says of the newest build.
+/// The rollout status of the newest build, as announced by the release controller.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutStatus {
     /// The newest build.
     pub build: BuildId,
-    /// Its stage, from 0.
+    /// The rollout stage, from 0.
     pub stage: u8,
-    /// Where its rollout is.
+    /// The state of the rollout.
     pub state: RolloutState,
-    /// Part of the commands that it may be sent, 0 to 1.
+    /// Exposure cap: the fraction of the commands that the build may receive, 0 to 1.
     pub exposure_cap: f64,
-    /// How long this state had lasted when the status arrived.
+    /// How long the rollout had been in this state when the status arrived.
     pub age: Micros,
 }
 
-/// What the release controller counted of one operation at one build, in a sample of all routers'
+/// The release controller's counts for one operation at one build, in a sample of all routers'
 /// deliveries over a past period.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerStats {
@@ -112,25 +113,26 @@
     pub op: OpType,
     /// Deliveries in the sample.
     pub sampled: u32,
-    /// Those that did not end with an ack.
+    /// Sampled deliveries that did not end with an ack.
     pub failed: u32,
-    /// Mean latency of the others.
+    /// Mean latency of the sampled deliveries that ended with an ack.
     pub mean_latency: Micros,
     /// How long ago the period ended.
     pub age: Micros,
 }
 
-/// What the release controller answered to a vote.
+/// The release controller's answer to a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteOutcome {
-    /// It counts.
+    /// The vote counts.
     Counted,
-    /// Not the present build or stage, or no such vote here.
+    /// The vote is not for the present build and stage, or the release controller does not accept
+    /// this kind of vote.
     Stale,
-    /// Votes came too fast.
+    /// Votes arrived too fast.
     RateLimited,
-    /// It was not taken for another reason.
+    /// The vote was refused for another reason.
     Refused,
-    /// No answer in time: it may count.
+    /// No answer arrived in time; the vote may count.
     NoResponse,
 }
--- a/crates/spokeflow-core/src/ids.rs
+++ b/crates/spokeflow-core/src/ids.rs
@@ -1,26 +1,26 @@
-//! Ids and times, each kind a type of its own so that none can be taken for another.
+//! Identifiers, each with a type of its own so that they cannot be confused, and the time unit.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// The bare number.
+            /// The numeric value.
             pub $inner,
         );
     };
 }
 
 id!(
-    /// One try of a client; a later try of the same client has another.
+    /// A command as a client sent it; a client that sends it again uses a new id.
     CommandId(u32)
 );
 id!(
-    /// A host, whatever process runs there.
+    /// A host, independent of the process that runs there.
     HostId(u32)
 );
 id!(
-    /// A build of the service; a later one has a higher number.
+    /// A build of the service; later builds have higher numbers.
     BuildId(u16)
 );
 id!(
@@ -28,11 +28,11 @@
     OpType(u16)
 );
 id!(
-    /// What a command is about; 0 says that it carries none.
+    /// The sticky key of a command; 0 means that the command has none.
     Key(u64)
 );
 id!(
-    /// A zone, where hosts and routers share links.
+    /// A zone; its hosts and routers share network links.
     ZoneId(u16)
 );
 id!(
@@ -40,5 +40,5 @@
     TenantId(u32)
 );
 
-/// A time or a span in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 pub type Micros = i64;
--- a/crates/spokeflow-core/src/lib.rs
+++ b/crates/spokeflow-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The core of spokeflow: [`Router`] decides, [`Egress`] carries out, the rest are plain types.
+//! The decision module of spokeflow: [`Router`] makes all decisions and [`Egress`] receives the
+//! resulting actions; the remaining items are plain data types.
 //!
-//! Everything that decides is in `router.rs` and the modules under `router/`; the other files hold
-//! types and state without decisions. Nothing here reads a clock, does I/O or draws chance from
-//! outside: equal calls give equal outputs.
+//! All decisions are made in `router.rs` and the modules under `router/`; the other files hold
+//! types and state without decision logic. Nothing here reads a clock, does I/O or uses an outside
+//! source of randomness: equal sequences of calls with equal seeds give equal outputs.
 
 mod config;
 mod egress;
--- a/crates/spokeflow-core/src/state/candidates.rs
+++ b/crates/spokeflow-core/src/state/candidates.rs
@@ -1,28 +1,28 @@
-//! The hosts that a command may be placed at, without a list built for each command.
+//! The hosts that a command may be sent to, represented without building a list for each command.
 
 use std::sync::Arc;
 
 use crate::BuildId;
 
-/// Hosts in a fixed order less those excluded.
+/// The hosts of one build in a fixed order, without the excluded ones.
 ///
-/// Only the *unverified* members are ever checked: the others are known to pass every check, so a
-/// set costs by the number of its unverified members and not by that of its hosts. A clone shares
-/// the order.
+/// Only the *unverified* members are ever checked; all others are known to pass every check. The
+/// cost of filtering a set therefore grows with the number of its unverified members and not with
+/// that of its hosts. A clone shares the order.
 #[derive(Clone, Debug)]
 pub struct CandidateSet {
     build: BuildId,
     order: Arc<Vec<usize>>,
-    /// How many hosts of the order belong to the set at most.
+    /// Only the first `limit` hosts of the order can be members.
     limit: usize,
-    /// Excluded positions, ascending.
+    /// Positions of the excluded hosts in the order, ascending.
     excluded: Vec<usize>,
-    /// Positions that a check may exclude, ascending.
+    /// Positions of the members that a check may exclude, ascending.
     unverified: Vec<usize>,
 }
 
 impl CandidateSet {
-    /// Hosts of a build in an order, all verified.
+    /// Creates a set of all hosts in `order`, which run `build`; all are verified.
     pub fn new(build: BuildId, order: Arc<Vec<usize>>) -> Self {
         CandidateSet {
             build,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The first hosts of a set that nothing has been excluded from.
+    /// Reduces the set to its first `count` hosts; no host may have been excluded before.
     pub fn limited_to(self, count: usize) -> Self {
         CandidateSet {
             limit: self.limit.min(count),
@@ -46,13 +46,13 @@
         self.build
     }
 
-    /// Whether the hosts are in this very order.
+    /// Whether the set shares this order; an equal copy of the order does not count.
     pub fn is_ordered_as(&self, order: &Arc<Vec<usize>>) -> bool {
         Arc::ptr_eq(&self.order, order)
     }
 
-    /// Marks the hosts at these positions as unverified; `known` is ascending. Positions beyond the
-    /// set are ignored.
+    /// Marks the hosts at these positions as unverified. `known` must be ascending, `others` may be
+    /// in any order. Positions of hosts that are not in the set are ignored.
     pub fn mark_unverified(&mut self, known: &[usize], others: impl Iterator<Item = usize>) {
         let in_set = |position: &usize| {
             *position < self.limit && self.excluded.binary_search(position).is_err()
@@ -72,7 +72,7 @@
         self.unverified = self.positions().collect();
     }
 
-    /// Excludes the unverified hosts that fail the check.
+    /// Excludes the unverified hosts that fail a check.
     pub fn retain(&mut self, passes: impl Fn(usize) -> bool) {
         let before = self.excluded.len();
         let order = &self.order;
@@ -83,12 +83,12 @@
             stays
         });
         if before > 0 && excluded.len() > before {
-            // Two ascending runs, which a stable sort merges.
+            // The list consists of two ascending runs, which the stable sort merges in linear time.
             excluded.sort();
         }
     }
 
-    /// Hosts in the set.
+    /// Number of hosts in the set.
     pub fn len(&self) -> usize {
         self.limit - self.excluded.len()
     }
@@ -98,7 +98,7 @@
         self.len() == 0
     }
 
-    /// Whether any host passes the check.
+    /// Whether any host of the set passes a check; verified hosts count as passing.
     pub fn any(&self, passes: impl Fn(usize) -> bool) -> bool {
         self.len() > self.unverified.len()
             || self
@@ -107,8 +107,8 @@
                 .any(|&position| passes(self.order[position]))
     }
 
-    /// The host at an index counted from 0 over the members; `index` is below
-    /// [`CandidateSet::len`].
+    /// Returns the member at an index, counted from 0 without the excluded hosts; `index` must be
+    /// below [`CandidateSet::len`].
     pub fn nth(&self, index: usize) -> usize {
         let mut position = index;
         for &excluded in &self.excluded {
@@ -120,7 +120,7 @@
         self.order[position]
     }
 
-    /// All hosts in their order.
+    /// Iterates over the hosts of the set in their order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.positions().map(|position| self.order[position])
     }
@@ -130,8 +130,8 @@
         (0..self.limit).filter(move |position| excluded.next_if_eq(position).is_none())
     }
 
-    /// The largest size in the set, 0 where it is empty; the search ends at `upper_bound`, which
-    /// none exceeds.
+    /// Returns the largest size in the set, 0 if it is empty. No size may exceed `upper_bound`; the
+    /// search ends at the first host that reaches it.
     pub fn largest(&self, size: impl Fn(usize) -> f64, upper_bound: f64) -> f64 {
         let mut largest: f64 = 0.0;
         for host in self.iter() {
--- a/crates/spokeflow-core/src/state/command.rs
+++ b/crates/spokeflow-core/src/state/command.rs
@@ -9,18 +9,18 @@
     pub host: usize,
     /// The build that the host was listed with when the delivery was sent.
     pub build: BuildId,
-    /// When it was sent.
+    /// When the delivery was sent.
     pub sent_at: Micros,
-    /// Its outcome is not known yet.
+    /// Whether the outcome is still unknown.
     pub open: bool,
-    /// The host may have executed it.
+    /// Whether the host may have executed the command; `true` while the delivery is open.
     pub may_have_run: bool,
-    /// The response has begun to arrive.
+    /// Whether the response has begun to arrive.
     pub response_started: bool,
 }
 
 impl Delivery {
-    /// A delivery that goes out now.
+    /// Creates an open delivery, sent at `sent_at`.
     pub fn new(host: usize, build: BuildId, sent_at: Micros) -> Self {
         Delivery {
             host,
@@ -33,24 +33,25 @@
     }
 }
 
-/// A command whose final answer or whose last delivery is outstanding.
+/// A command that has no final answer yet, or that still has an open delivery.
 #[derive(Debug)]
 pub struct Command {
     /// Index into the configured operations.
     pub operation: usize,
-    /// What the command is about.
+    /// The sticky key.
     pub key: Key,
     /// Index into the configured tenant quotas.
     pub tenant: usize,
-    /// Position from 0 to 1 by the hash of the key; the canary takes the keys below its fraction.
+    /// Position from 0 to 1 by the hash of the key, or of the command's id if it has no key; the
+    /// canary takes the commands below its fraction.
     pub key_position: f64,
     /// When the command arrived.
     pub received_at: Micros,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Micros,
-    /// The final answer has been given.
+    /// Whether the command has its final answer, or its client has left.
     pub answered: bool,
-    /// All deliveries so far, in the order they were sent.
+    /// All deliveries so far, in the order in which they were sent.
     pub deliveries: Vec<Delivery>,
 }
 
@@ -60,12 +61,12 @@
         self.deliveries.iter().any(|delivery| delivery.open)
     }
 
-    /// Whether any delivery may have been executed.
+    /// Whether any host may have executed the command.
     pub fn may_have_run(&self) -> bool {
         self.deliveries.iter().any(|delivery| delivery.may_have_run)
     }
 
-    /// Whether any delivery went to a host.
+    /// Whether any delivery was sent to `host`.
     pub fn tried(&self, host: usize) -> bool {
         self.deliveries.iter().any(|delivery| delivery.host == host)
     }
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -1,88 +1,91 @@
-//! Reading and changing the figures of one host.
+//! Access to the statistics of one host.
 
 use super::{Hosts, QuietHost, LONG_AGO};
 use crate::{BuildId, Endpoint, Micros};
 
 impl Hosts {
-    /// What the list last said.
+    /// The host's last entry in the host list.
     pub fn endpoint(&self, host: usize) -> &Endpoint {
         &self.records[host].endpoint
     }
 
-    /// The build that the list last named.
+    /// The build that the host list last named for the host.
     pub fn build(&self, host: usize) -> BuildId {
         self.records[host].build
     }
 
-    /// The host's rank, from 0 to 1, among all hosts in the order of their hash.
+    /// The host's rank in the order of the hosts by hash, from 0 to 1.
     pub fn rank(&self, host: usize) -> f64 {
         self.ranks[host]
     }
 
-    /// Whether the list says that the host is ready.
+    /// Whether the host is listed as ready.
     pub fn is_ready(&self, host: usize) -> bool {
         self.records[host].is_ready()
     }
 
-    /// Time since the process started, a very long one where the list does not say.
+    /// Time since the process started; `LONG_AGO` if the list does not say when.
     pub fn age(&self, host: usize) -> Micros {
         self.endpoint(host)
             .started_at
             .map_or(LONG_AGO, |at| (self.now - at).max(0))
     }
 
-    /// Open deliveries.
+    /// Number of open deliveries at the host.
     pub fn in_flight(&self, host: usize) -> u32 {
         self.records[host].in_flight
     }
 
-    /// Acks of the present process; errors take them away again.
+    /// Acks of the host's present process, reduced by its errors and resets.
     pub fn answers(&self, host: usize) -> u32 {
         self.records[host].answers
     }
 
-    /// How often the host has failed in a row.
+    /// Number of failures of the host since its last success.
     pub fn consecutive_failures(&self, host: usize) -> u32 {
         self.records[host].consecutive_failures
     }
 
-    /// Until when the host gets no delivery where others can take it.
+    /// End of the host's ejection: before it, the host gets no delivery that another host can take.
     pub fn ejected_until(&self, host: usize) -> Micros {
         self.records[host].ejected_until
     }
 
-    /// Since when nothing has come back while something is out.
+    /// Start of the time in which the host has been quiet: when it last responded, or when the
+    /// first of its open deliveries was sent if that is later.
     pub fn quiet_since(&self, host: usize) -> Micros {
         self.records[host].quiet_since
     }
 
-    /// The host's part of the evidence against its build.
+    /// The evidence against its build that the host has contributed.
     pub fn evidence(&self, host: usize) -> f64 {
         self.records[host].evidence
     }
 
-    /// Latency over the baseline, as a logarithm.
+    /// Smoothed logarithm of the ratio of the host's latency to the baseline.
     pub fn slowdown(&self, host: usize) -> f64 {
         self.records[host].slowdown
     }
 
-    /// How busy the host last said its cores are, 0 to 1; NaN before the first report.
+    /// Utilization of the host's cores by its last load report, 0 to 1; NaN before the first report
+    /// of the process.
     pub fn utilization(&self, host: usize) -> f64 {
         self.records[host].utilization
     }
 
-    /// When the last load report came.
+    /// When the last load report arrived.
     pub fn utilization_at(&self, host: usize) -> Micros {
         self.records[host].utilization_at
     }
 
-    /// When the host last answered over a connection that has not been refused since.
+    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not answered yet.
     pub fn connected_at(&self, host: usize) -> Micros {
         self.records[host].connected_at
     }
 
-    /// Deliveries sent in a numbered interval of the process's age; only the last one is
-    /// remembered.
+    /// Number of deliveries sent to the host in a slot, which is a numbered interval of its
+    /// process's age. Only the slot counted last is remembered; any other returns 0.
     pub fn sent_in_slot(&self, host: usize, slot: Micros) -> u32 {
         let record = &self.records[host];
         if record.slot == slot {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Counts a delivery in an interval of the process's age.
+    /// Counts a delivery to the host in a slot.
     pub fn count_sent(&mut self, host: usize, slot: Micros) {
         let before = self.sent_in_slot(host, slot);
         let record = &mut self.records[host];
@@ -100,7 +103,7 @@
         record.sent_in_slot = before + 1;
     }
 
-    /// A delivery has gone out to the host.
+    /// Counts a delivery that has been sent to the host as open.
     pub fn add_in_flight(&mut self, host: usize) {
         let record = &mut self.records[host];
         if record.in_flight == 0 {
@@ -113,7 +116,7 @@
         record.in_flight += 1;
     }
 
-    /// A delivery at the host has ended.
+    /// Counts an open delivery at the host as ended.
     pub fn remove_in_flight(&mut self, host: usize) {
         let record = &mut self.records[host];
         record.in_flight = record.in_flight.saturating_sub(1);
@@ -125,15 +128,15 @@
         }
     }
 
-    /// Something has come back from the host.
+    /// Records that the host has responded.
     pub fn response_received(&mut self, host: usize) {
         let record = &mut self.records[host];
-        let waited = self.quiet.remove(&QuietHost {
+        let has_open_delivery = self.quiet.remove(&QuietHost {
             since: record.quiet_since,
             host,
         });
         record.quiet_since = self.now;
-        if waited {
+        if has_open_delivery {
             self.quiet.insert(QuietHost {
                 since: self.now,
                 host,
@@ -141,18 +144,18 @@
         }
     }
 
-    /// Sets how many answers count for the present process.
+    /// Sets how many acks count for the host's present process.
     pub fn set_answers(&mut self, host: usize, answers: u32) {
-        let before = self.records[host].is_observed();
+        let was_observed = self.records[host].is_observed();
         self.records[host].answers = answers;
-        self.note_observed(host, before);
+        self.update_observed(host, was_observed);
     }
 
-    /// Sets the host's part of the evidence against its build, 0 or above.
+    /// Sets the evidence against its build that the host has contributed; 0 or above.
     pub fn set_evidence(&mut self, host: usize, evidence: f64) {
-        let before = self.records[host].is_observed();
+        let was_observed = self.records[host].is_observed();
         self.records[host].evidence = evidence;
-        self.note_observed(host, before);
+        self.update_observed(host, was_observed);
         if evidence > 0.0 {
             self.with_evidence.insert(host);
         } else {
@@ -160,47 +163,48 @@
         }
     }
 
-    /// Sets all hosts' parts of the evidence to 0.
+    /// Sets the evidence of all hosts to 0.
     pub fn clear_evidence(&mut self) {
         while let Some(host) = self.with_evidence.pop_first() {
-            let before = self.records[host].is_observed();
+            let was_observed = self.records[host].is_observed();
             self.records[host].evidence = 0.0;
-            self.note_observed(host, before);
+            self.update_observed(host, was_observed);
         }
     }
 
-    fn note_observed(&mut self, host: usize, before: bool) {
+    /// Updates the number of observed hosts of the host's build after the host has changed.
+    fn update_observed(&mut self, host: usize, was_observed: bool) {
         let record = &self.records[host];
-        let after = record.is_observed();
-        if before != after && record.is_ready() {
+        let is_observed = record.is_observed();
+        if was_observed != is_observed && record.is_ready() {
             self.ready
                 .entry(record.build)
                 .or_default()
-                .set_observed(before, after);
+                .set_observed(was_observed, is_observed);
         }
     }
 
-    /// Sets how often the host has failed in a row, and until when it is ejected.
+    /// Sets the number of failures since the last success and the end of the ejection.
     pub fn set_suspicion(&mut self, host: usize, failures: u32, ejected_until: Micros) {
         let record = &mut self.records[host];
         record.consecutive_failures = failures;
         record.ejected_until = ejected_until;
-        self.note_suspect(host);
+        self.add_if_suspect(host);
     }
 
-    /// Sets the latency over the baseline, as a logarithm.
+    /// Sets the smoothed logarithm of the ratio of the host's latency to the baseline.
     pub fn set_slowdown(&mut self, host: usize, slowdown: f64) {
         self.records[host].slowdown = slowdown;
     }
 
-    /// The host has reported how busy its cores are, 0 to 1.
+    /// Records a load report: the utilization of the host's cores, 0 to 1.
     pub fn set_utilization(&mut self, host: usize, utilization: f64) {
         let record = &mut self.records[host];
         record.utilization = utilization;
         record.utilization_at = self.now;
     }
 
-    /// Sets when the host last answered over a connection; [`Micros::MIN`] where it refused one.
+    /// Sets when the host last answered over a connection; [`Micros::MIN`] if it refused one.
     pub fn set_connected_at(&mut self, host: usize, at: Micros) {
         self.records[host].connected_at = at;
     }
--- a/crates/spokeflow-core/src/state/hosts/mod.rs
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -1,5 +1,5 @@
-//! What is known of each host, under a dense index, and figures over all of them that are kept as
-//! hosts change. Nothing here decides; `docs/scaling.md` lists the figures.
+//! The state of each host, under a dense index, and statistics over all hosts that are updated as
+//! hosts change. Nothing here decides; `docs/scaling.md` lists the statistics.
 
 mod figures;
 mod record;
@@ -11,54 +11,57 @@
 use crate::{hash_to_unit_interval, BuildId, Endpoint, EndpointState, HostId, Micros};
 use record::HostRecord;
 
-/// The age of a process that started before anyone can say.
+/// The age assumed for a process whose start time is not known.
 const LONG_AGO: Micros = Micros::MAX / 2;
 
-/// For how long a started process counts as recent, for each of the uses of that.
+/// How long after its start a process counts as recent, for each use of that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartSpans {
-    /// Its capacity still grows.
+    /// Time in which the capacity of the process still grows.
     pub warming: Micros,
-    /// What it is sent is bounded.
+    /// Time in which the number of deliveries to the process is bounded.
     pub bounded: Micros,
-    /// It counts as recently started where a mostly cold fleet is excused.
+    /// Time in which the process counts as recently started; slowness is excused while most hosts
+    /// are.
     pub recent: Micros,
 }
 
-/// A host with open deliveries, ordered by when something last came back.
+/// A host with open deliveries, ordered by the time since which it has been quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QuietHost {
     since: Micros,
     host: usize,
 }
 
-/// All hosts that have ever been listed.
+/// All hosts that have ever been listed, with statistics over them.
 #[derive(Debug, Default)]
 pub struct Hosts {
     own_index: u32,
     now: Micros,
     records: Vec<HostRecord>,
-    /// Of each host, its rank from 0 to 1 in the order by hash.
+    /// The rank of each host in the order by hash, from 0 to 1.
     ranks: Vec<f64>,
-    /// How many hosts were last said to run each build, ready or not.
+    /// Number of hosts last listed with each build, ready or not.
     builds: BTreeMap<BuildId, usize>,
     ready: BTreeMap<BuildId, ReadyHosts>,
-    /// Returned for a build without ready hosts.
+    /// Empty; returned for a build without ready hosts.
     none_ready: ReadyHosts,
     ready_count: usize,
     spans: StartSpans,
     warming: RecentStarts,
     bounded: RecentStarts,
     recent: RecentStarts,
-    /// Ready hosts that have failed in a row, or are ejected until a time that may be past.
+    /// Ready hosts that have failed since their last success, or that were ejected; some of these
+    /// ejections may be over.
     suspects: BTreeSet<usize>,
     quiet: BTreeSet<QuietHost>,
-    /// Hosts with a part in the evidence against their build.
+    /// Hosts that have contributed evidence against their build.
     with_evidence: BTreeSet<usize>,
 }
 
 impl Hosts {
-    /// No hosts yet. The router's own index decides the order of hosts by hash.
+    /// Creates the state without hosts. The order of hosts by hash depends on the router's own
+    /// index.
     pub fn new(own_index: u32, spans: StartSpans, now: Micros) -> Self {
         let mut hosts = Hosts {
             own_index,
@@ -69,7 +72,7 @@
         hosts
     }
 
-    /// Uses other spans from now on, counted anew for all hosts.
+    /// Changes the spans and applies them to all hosts.
     pub fn set_spans(&mut self, spans: StartSpans) {
         if spans == self.spans {
             return;
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Sets the time, which does not go backwards.
+    /// Sets the present time, which must not go backwards.
     pub fn advance(&mut self, now: Micros) {
         self.now = now;
         while let Some(host) = self.warming.pop_expired(now) {
@@ -110,8 +113,8 @@
         while self.recent.pop_expired(now).is_some() {}
     }
 
-    /// Adds a host that the list names for the first time and returns its index; [`Hosts::update`]
-    /// follows.
+    /// Adds a host that is listed for the first time, as gone, and returns its index. A call of
+    /// [`Hosts::update`] must follow.
     pub fn add(&mut self, endpoint: &Endpoint) -> usize {
         let host = self.records.len();
         let record = HostRecord::new(endpoint);
@@ -123,19 +126,20 @@
         host
     }
 
-    /// Takes over what the list now says of a host.
+    /// Applies a new list entry of a host.
     pub fn update(&mut self, host: usize, endpoint: &Endpoint) {
         let record = &mut self.records[host];
         let before = record.endpoint;
         let build = endpoint.build.unwrap_or(record.build);
-        let other_process = before.started_at != endpoint.started_at || record.build != build;
-        if !other_process && before.state == endpoint.state && before.size == endpoint.size {
+        let is_other_process = before.started_at != endpoint.started_at || record.build != build;
+        if !is_other_process && before.state == endpoint.state && before.size == endpoint.size {
             record.endpoint = *endpoint;
             return;
         }
         self.remove_ready(host);
-        if other_process {
-            // Another process, maybe another machine: nothing learned of the one before holds.
+        if is_other_process {
+            // Another process, possibly on another machine: what was learned of the previous one no
+            // longer applies.
             self.change_build(host, build);
             self.records[host].forget_process();
             self.with_evidence.remove(&host);
@@ -144,7 +148,7 @@
         self.insert_ready(host);
     }
 
-    /// Marks those hosts as gone that are not in a complete list.
+    /// Marks the hosts that are missing from a complete list as gone.
     pub fn retain_listed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<HostId> = endpoints.iter().map(|endpoint| endpoint.host).collect();
         for host in 0..self.records.len() {
@@ -196,7 +200,7 @@
             .or_default()
             .insert(member, &self.ranks);
         self.ready_count += 1;
-        self.note_suspect(host);
+        self.add_if_suspect(host);
     }
 
     fn remove_ready(&mut self, host: usize) {
@@ -219,31 +223,33 @@
         self.suspects.remove(&host);
     }
 
-    fn note_suspect(&mut self, host: usize) {
+    /// Adds a host to the suspects if it is ready and a suspect.
+    fn add_if_suspect(&mut self, host: usize) {
         let record = &self.records[host];
         if record.is_ready() && record.is_suspect(self.now) {
             self.suspects.insert(host);
         }
     }
 
-    /// Forgets which hosts were ejected until a time that is over.
+    /// Removes from the suspects the hosts whose ejection is over and that have not failed since
+    /// their last success.
     pub fn forget_suspects(&mut self) {
         let records = &self.records;
         let now = self.now;
         self.suspects.retain(|&host| records[host].is_suspect(now));
     }
 
-    /// The time that was last set.
+    /// The present time, as last set.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// For how long a started process counts as recent.
+    /// How long after its start a process counts as recent.
     pub fn spans(&self) -> StartSpans {
         self.spans
     }
 
-    /// How many hosts have ever been listed: their indexes are below it.
+    /// Number of hosts that have ever been listed; the host indexes are below it.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -253,47 +259,48 @@
         self.records.is_empty()
     }
 
-    /// How many hosts are ready.
+    /// Number of ready hosts.
     pub fn ready_count(&self) -> usize {
         self.ready_count
     }
 
-    /// The builds that have a ready host, with those hosts' figures, oldest first.
+    /// The builds that have ready hosts, each with these hosts, oldest build first.
     pub fn ready_builds(&self) -> impl DoubleEndedIterator<Item = (BuildId, &ReadyHosts)> {
         self.ready.iter().map(|(build, ready)| (*build, ready))
     }
 
-    /// The ready hosts of a build; there may be none.
+    /// The ready hosts of a build; empty if there are none.
     pub fn ready_with(&self, build: BuildId) -> &ReadyHosts {
         self.ready.get(&build).unwrap_or(&self.none_ready)
     }
 
-    /// The oldest build of any host, ready or not.
+    /// The oldest build of any host, ready or not; `None` if no host was ever listed.
     pub fn oldest_build(&self) -> Option<BuildId> {
         self.builds.keys().next().copied()
     }
 
-    /// Ready hosts whose capacity still grows.
+    /// Ready hosts whose capacity still grows after their start.
     pub fn warming(&self) -> impl Iterator<Item = usize> + '_ {
         self.warming.iter()
     }
 
-    /// Ready hosts for which what they are sent is bounded.
+    /// Ready hosts to which the number of deliveries is bounded because they started recently.
     pub fn bounded(&self) -> impl Iterator<Item = usize> + '_ {
         self.bounded.iter()
     }
 
-    /// How many ready hosts have started recently.
+    /// Number of ready hosts that have started recently.
     pub fn recently_started(&self) -> usize {
         self.recent.len()
     }
 
-    /// Ready hosts that have failed in a row or were ejected; the time of some may be over.
+    /// Ready hosts that have failed since their last success, or that were ejected; some of these
+    /// ejections may be over.
     pub fn suspects(&self) -> impl Iterator<Item = usize> + '_ {
         self.suspects.iter().copied()
     }
 
-    /// Hosts with open deliveries from which nothing has come back since before a time.
+    /// Hosts with open deliveries that have been quiet since before a time.
     pub fn hosts_quiet_since(&self, before: Micros) -> impl Iterator<Item = usize> + '_ {
         let end = QuietHost {
             since: before,
@@ -302,7 +309,7 @@
         self.quiet.range(..end).map(|quiet| quiet.host)
     }
 
-    /// Hosts with a part in the evidence against their build.
+    /// Hosts that have contributed evidence against their build.
     pub fn with_evidence(&self) -> impl Iterator<Item = usize> + '_ {
         self.with_evidence.iter().copied()
     }
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -1,38 +1,45 @@
-//! What is remembered of one host.
+//! The state of one host.
 
 use crate::{BuildId, Endpoint, EndpointState, Micros};
 
-/// One host's last listing and the figures learned of its present process.
+/// The last list entry of a host and the statistics of its present process.
 #[derive(Clone, Debug)]
 pub(super) struct HostRecord {
-    /// What the list last said.
+    /// The last entry in the host list.
     pub(super) endpoint: Endpoint,
-    /// The build that the list last named.
+    /// The build that the host list last named.
     pub(super) build: BuildId,
-    /// Open deliveries.
+    /// Number of open deliveries.
     pub(super) in_flight: u32,
-    /// Acks of the present process; errors take them away again.
+    /// Acks of the present process, reduced by its errors and resets.
     pub(super) answers: u32,
+    /// Failures since the last success.
     pub(super) consecutive_failures: u32,
+    /// End of the last ejection.
     pub(super) ejected_until: Micros,
-    /// When something last came back, or when the first of the open deliveries was sent.
+    /// When the host last responded, or when the first of its open deliveries was sent if that is
+    /// later.
     pub(super) quiet_since: Micros,
-    /// The host's part of the evidence against its build.
+    /// Evidence against its build that the host has contributed.
     pub(super) evidence: f64,
-    /// Deliveries sent in `slot`, a numbered interval of the process's age.
+    /// Number of deliveries sent in `slot`.
     pub(super) sent_in_slot: u32,
+    /// The numbered interval of the process's age in which deliveries were last counted.
     pub(super) slot: Micros,
-    /// Latency over the baseline, as a logarithm.
+    /// Smoothed logarithm of the ratio of the latency to the baseline.
     pub(super) slowdown: f64,
-    /// How busy its cores are, 0 to 1, as its last report said; NaN before the first.
+    /// Utilization of the host's cores by its last load report, 0 to 1; NaN before the first report
+    /// of the process.
     pub(super) utilization: f64,
+    /// When the last load report arrived.
     pub(super) utilization_at: Micros,
-    /// When it last answered over a connection that has not been refused since.
+    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not answered yet.
     pub(super) connected_at: Micros,
 }
 
 impl HostRecord {
-    /// A host that has not been ready yet.
+    /// Creates the record of a host that has not been listed before, as gone.
     pub(super) fn new(endpoint: &Endpoint) -> Self {
         HostRecord {
             endpoint: Endpoint {
@@ -55,7 +62,7 @@
         }
     }
 
-    /// Forgets what was learned of the process before this one.
+    /// Resets the statistics that were learned of the previous process.
     pub(super) fn forget_process(&mut self) {
         self.sent_in_slot = 0;
         self.answers = 0;
@@ -71,11 +78,12 @@
         self.endpoint.state == EndpointState::Ready
     }
 
+    /// Whether the host has answered, or has contributed evidence against its build.
     pub(super) fn is_observed(&self) -> bool {
         self.answers > 0 || self.evidence > 0.0
     }
 
-    /// Whether it has failed in a row or is ejected.
+    /// Whether the host has failed since its last success, or is ejected.
     pub(super) fn is_suspect(&self, now: Micros) -> bool {
         self.consecutive_failures > 0 || self.ejected_until > now
     }
--- a/crates/spokeflow-core/src/state/mod.rs
+++ b/crates/spokeflow-core/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the router remembers, without any decision: operations, commands, sticky assignments, hosts
-//! and windows.
+//! The state of a router, without decision logic: operations, commands, sticky assignments, hosts
+//! and sliding windows.
 
 mod candidates;
 mod command;
--- a/crates/spokeflow-core/src/state/operation.rs
+++ b/crates/spokeflow-core/src/state/operation.rs
@@ -1,47 +1,51 @@
-//! What is known of each operation: its configured rules and figures learned from its answers.
+//! The state of each operation: its configured rules and the statistics learned from its answers.
 
 use crate::{DeduplicationScope, Micros, OperationConfig, Repeat};
 
-/// Answers and the sum of their latencies.
+/// A number of answers and the sum of their latencies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyCount {
-    /// Deliveries with an answer.
+    /// Deliveries that ended with an ack.
     pub answered: f64,
-    /// The sum of their latencies, in seconds.
+    /// Sum of the latencies of these deliveries, in seconds.
     pub seconds: f64,
 }
 
-/// One operation's rules and figures.
+/// The rules and statistics of one operation.
 #[derive(Clone, Debug)]
 pub struct OperationState {
-    /// Whether a command may be executed twice.
+    /// Whether commands of this operation may be executed twice.
     pub repeat: Repeat,
     /// Which hosts drop the repeat of a deduplicated command.
     pub scope: DeduplicationScope,
     /// How long hosts remember a command to drop its repeat.
     pub deduplication_window: Micros,
-    /// Latency that the service aims at, in microseconds.
+    /// Latency objective, in microseconds.
     pub latency_objective: f64,
-    /// Mean logarithm of the latency in microseconds at builds not on trial.
+    /// Mean logarithm of the latency in microseconds at builds that are not on trial.
     pub baseline: f64,
-    /// Answers that the baseline rests on.
+    /// Number of answers that `baseline` was learned from.
     pub baseline_samples: u32,
-    /// Acks of about the last second, fading.
+    /// Exponentially decaying count of the acks, over about one second.
     pub acks: f64,
-    /// Estimate of the median latency over the objective, as a logarithm.
+    /// Logarithm of the ratio of the estimated median latency to the latency objective; negative
+    /// infinity before the first answer.
     pub overload: f64,
     /// Open deliveries.
     pub in_flight: u32,
-    /// What the release controller counted of late at builds not on trial, fading.
+    /// Exponentially decaying sum of the release controller's counts at builds that are not on
+    /// trial.
     pub controller_count: LatencyCount,
-    /// The share lost there, which rises at once and sinks slowly.
+    /// Fraction of the deliveries that failed according to these counts; it rises at once and falls
+    /// slowly.
     pub controller_loss: f64,
-    /// Mean latency in seconds that the release controller counted before the canary.
+    /// Mean latency in seconds by the release controller's counts, as it was before the canary
+    /// began.
     pub controller_baseline: f64,
 }
 
 impl OperationState {
-    /// An operation of which nothing has been learned yet.
+    /// Creates the state of an operation without any statistics.
     pub fn new(config: &OperationConfig) -> Self {
         OperationState {
             repeat: config.repeat,
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -1,63 +1,64 @@
-//! Figures about the ready hosts of one build, and queues of recently started hosts.
+//! Statistics about the ready hosts of one build, and the sets of recently started hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, OnceLock};
 
 use crate::Micros;
 
-/// What the figures need to know of one ready host.
+/// The properties of one ready host that the statistics are computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyHost {
     /// Index of the host in [`super::Hosts`].
     pub host: usize,
     /// Capacity relative to other hosts.
     pub size: f64,
-    /// When its process started; 0 for long ago.
+    /// When the host's process started; 0 if that is long ago or unknown.
     pub started_at: Micros,
-    /// Its slow start is over.
+    /// Whether the slow start is over.
     pub warm: bool,
-    /// What it is sent is bounded.
+    /// Whether the number of deliveries to the host is bounded because it started recently.
     pub bounded: bool,
-    /// It has answered, or there is evidence against its build from it.
+    /// Whether the host has answered, or has contributed evidence against its build.
     pub observed: bool,
 }
 
-/// Hosts whose slow start is over.
+/// Number and total size of the hosts whose slow start is over.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmHosts {
-    /// How many there are.
+    /// Number of these hosts.
     pub count: usize,
-    /// The sum of their sizes.
+    /// Sum of the sizes of these hosts.
     pub size: f64,
 }
 
-/// Positions of the hosts whose deliveries are bounded, ascending.
+/// Positions of the bounded hosts (see [`ReadyHost::bounded`]) in both orders, ascending.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BoundedPositions {
-    /// In [`ReadyHosts::by_index`].
+    /// Positions in [`ReadyHosts::by_index`].
     pub by_index: Vec<usize>,
-    /// In [`ReadyHosts::by_rank`].
+    /// Positions in [`ReadyHosts::by_rank`].
     pub by_rank: Vec<usize>,
 }
 
-/// The ready hosts of one build.
+/// The ready hosts of one build, with statistics that are updated as hosts change.
 #[derive(Debug, Default)]
 pub struct ReadyHosts {
     by_index: Arc<Vec<usize>>,
     by_rank: Arc<Vec<usize>>,
-    /// Hosts by the time of their start and by the bits of their size, which order as positive
-    /// sizes do.
+    /// Number of hosts by the time of their start.
     starts: BTreeMap<Micros, usize>,
+    /// Number of hosts by the bits of their size; the bits of positive floats sort as the floats
+    /// do.
     sizes: BTreeMap<u64, usize>,
     bounded: BTreeSet<usize>,
-    /// Computed at the first use after a change.
+    /// Cache, computed at the first use after a change.
     bounded_positions: OnceLock<BoundedPositions>,
     observed: usize,
     warm: WarmHosts,
 }
 
 impl ReadyHosts {
-    /// Adds a host; `ranks` has the rank of each host by hash, from 0 to 1.
+    /// Adds a host; `ranks` holds the rank of each host by hash, from 0 to 1.
     pub fn insert(&mut self, member: ReadyHost, ranks: &[f64]) {
         let by_index = Arc::make_mut(&mut self.by_index);
         let position = by_index.partition_point(|&host| host < member.host);
@@ -76,7 +77,8 @@
         self.bounded_positions.take();
     }
 
-    /// Undoes [`ReadyHosts::insert`] of the same host.
+    /// Removes a host; `member` must be as it was inserted, apart from changes made by the other
+    /// methods.
     pub fn remove(&mut self, member: ReadyHost, ranks: &[f64]) {
         let by_index = Arc::make_mut(&mut self.by_index);
         let position = by_index.partition_point(|&host| host < member.host);
@@ -89,7 +91,7 @@
         self.remove_bound(member.host);
         if member.warm {
             self.warm.count -= 1;
-            // Rounding left over by hosts that have gone does not outlive them.
+            // Set to 0 without warm hosts, so that rounding errors of removed hosts do not remain.
             self.warm.size = if self.warm.count == 0 {
                 0.0
             } else {
@@ -98,59 +100,59 @@
         }
     }
 
-    /// A host of this size has become warm.
+    /// Counts a host of this size as warm from now on.
     pub fn warm_up(&mut self, size: f64) {
         self.warm.count += 1;
         self.warm.size += size;
     }
 
-    /// What a host is sent is bounded no longer.
+    /// Counts a host as no longer bounded.
     pub fn remove_bound(&mut self, host: usize) {
         self.bounded.remove(&host);
         self.bounded_positions.take();
     }
 
-    /// Whether a host counts as observed has changed.
+    /// Updates the number of observed hosts after one host has changed.
     pub fn set_observed(&mut self, before: bool, after: bool) {
         self.observed = self.observed - usize::from(before) + usize::from(after);
     }
 
-    /// How many hosts there are.
+    /// Number of hosts.
     pub fn len(&self) -> usize {
         self.by_index.len()
     }
 
-    /// Whether there is no host.
+    /// Whether the build has no ready host.
     pub fn is_empty(&self) -> bool {
         self.by_index.is_empty()
     }
 
-    /// The hosts by ascending index.
+    /// The hosts, ascending by index.
     pub fn by_index(&self) -> &Arc<Vec<usize>> {
         &self.by_index
     }
 
-    /// The hosts by ascending rank.
+    /// The hosts, ascending by rank.
     pub fn by_rank(&self) -> &Arc<Vec<usize>> {
         &self.by_rank
     }
 
-    /// How many hosts have answered, or have evidence against their build.
+    /// Number of hosts that have answered, or have contributed evidence against their build.
     pub fn observed(&self) -> usize {
         self.observed
     }
 
-    /// Hosts whose slow start is over.
+    /// Number and total size of the hosts whose slow start is over.
     pub fn warm(&self) -> WarmHosts {
         self.warm
     }
 
-    /// The latest start, 0 for one long ago; `None` where there is no host.
+    /// The latest start of any host, 0 if long ago or unknown; `None` if there is no host.
     pub fn latest_start(&self) -> Option<Micros> {
         self.starts.keys().next_back().copied()
     }
 
-    /// The largest size, 0 where there is no host.
+    /// The largest size of any host, 0 if there is no host.
     pub fn largest_size(&self) -> f64 {
         self.sizes
             .keys()
@@ -159,7 +161,7 @@
             .map_or(0.0, f64::from_bits)
     }
 
-    /// Positions of the hosts whose deliveries are bounded.
+    /// Positions of the bounded hosts in both orders.
     pub fn bounded_positions(&self) -> &BoundedPositions {
         self.bounded_positions
             .get_or_init(|| self.find_bounded_positions())
@@ -184,12 +186,13 @@
         BoundedPositions { by_index, by_rank }
     }
 
-    /// Position of a host in [`ReadyHosts::by_index`]; `None` for one that is not among them.
+    /// Position of a host in [`ReadyHosts::by_index`]; `None` if it is not a ready host of the
+    /// build.
     pub fn index_position(&self, host: usize) -> Option<usize> {
         self.by_index.binary_search(&host).ok()
     }
 
-    /// Position that a host has, or would have, in [`ReadyHosts::by_rank`].
+    /// Position that a host has, or would have if inserted, in [`ReadyHosts::by_rank`].
     pub fn rank_position(&self, ranks: &[f64], host: usize) -> usize {
         let before = |other: &usize| {
             ranks[*other]
@@ -201,7 +204,7 @@
     }
 }
 
-/// Takes one off a count and drops it at zero.
+/// Decrements a count and removes the entry at zero.
 fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
     if let Some(count) = counts.get_mut(&key) {
         *count -= 1;
@@ -211,14 +214,14 @@
     }
 }
 
-/// Ordered by time, then by host.
+/// The start of a host's process, ordered by time and then by host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Start {
-    at: Micros,
+    started_at: Micros,
     host: usize,
 }
 
-/// Hosts whose process started within a span before now.
+/// The hosts whose process started less than `span` ago.
 #[derive(Debug, Default)]
 pub struct RecentStarts {
     span: Micros,
@@ -226,7 +229,7 @@
 }
 
 impl RecentStarts {
-    /// No hosts yet.
+    /// Creates an empty set.
     pub fn new(span: Micros) -> Self {
         RecentStarts {
             span,
@@ -234,44 +237,44 @@
         }
     }
 
-    /// Adds a host if it started within the span; says whether it did.
-    pub fn insert(&mut self, started: Option<Micros>, host: usize, now: Micros) -> bool {
-        let Some(started) = started.filter(|started| now - started < self.span) else {
+    /// Adds a host if it started within the span; returns whether it was added.
+    pub fn insert(&mut self, started_at: Option<Micros>, host: usize, now: Micros) -> bool {
+        let Some(started_at) = started_at.filter(|started_at| now - started_at < self.span) else {
             return false;
         };
-        self.by_start.insert(Start { at: started, host })
+        self.by_start.insert(Start { started_at, host })
     }
 
-    /// Removes a host; says whether it was among them.
-    pub fn remove(&mut self, started: Option<Micros>, host: usize) -> bool {
-        started.is_some_and(|started| self.by_start.remove(&Start { at: started, host }))
+    /// Removes a host; returns whether it was in the set.
+    pub fn remove(&mut self, started_at: Option<Micros>, host: usize) -> bool {
+        started_at.is_some_and(|started_at| self.by_start.remove(&Start { started_at, host }))
     }
 
-    /// Removes one host that started earlier than the span before now.
+    /// Removes and returns one host whose start is no longer within the span, if there is any.
     pub fn pop_expired(&mut self, now: Micros) -> Option<usize> {
         let earliest = self.by_start.first()?;
-        if now - earliest.at < self.span {
+        if now - earliest.started_at < self.span {
             return None;
         }
         self.by_start.pop_first().map(|start| start.host)
     }
 
-    /// Whether a host with this start is among them.
-    pub fn contains(&self, started: Option<Micros>, host: usize) -> bool {
-        started.is_some_and(|started| self.by_start.contains(&Start { at: started, host }))
+    /// Whether the set contains a host with this start.
+    pub fn contains(&self, started_at: Option<Micros>, host: usize) -> bool {
+        started_at.is_some_and(|started_at| self.by_start.contains(&Start { started_at, host }))
     }
 
-    /// How many hosts there are.
+    /// Number of hosts in the set.
     pub fn len(&self) -> usize {
         self.by_start.len()
     }
 
-    /// Whether there is no host.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.by_start.is_empty()
     }
 
-    /// By the time of their start, then by index.
+    /// Iterates over the hosts by the time of their start, then by index.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.by_start.iter().map(|start| start.host)
     }
--- a/crates/spokeflow-core/src/state/window.rs
+++ b/crates/spokeflow-core/src/state/window.rs
@@ -1,4 +1,4 @@
-//! Events of a sliding window of time with their numbers by kind, kept as events come and go.
+//! A sliding time window of events, with a count for each kind of event.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,7 +10,7 @@
     kind: K,
 }
 
-/// Events in the order of their times, each of a kind.
+/// The events of a sliding time window, in the order of their times.
 #[derive(Debug)]
 pub struct Window<K> {
     events: VecDeque<Event<K>>,
@@ -27,7 +27,7 @@
 }
 
 impl<K: Copy + Ord> Window<K> {
-    /// Adds an event; times do not go backwards.
+    /// Adds an event; `at` must not be earlier than that of the event added before.
     pub fn push(&mut self, at: Micros, kind: K) {
         self.events.push_back(Event { at, kind });
         *self.counts.entry(kind).or_default() += 1;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// All events in the window.
+    /// Number of events in the window.
     pub fn len(&self) -> usize {
         self.events.len()
     }
@@ -55,11 +55,11 @@
         self.events.is_empty()
     }
 
-    /// The events of the kinds that `counts` names.
-    pub fn count(&self, counts: impl Fn(K) -> bool) -> usize {
+    /// Number of events whose kind fulfils `is_counted`.
+    pub fn count(&self, is_counted: impl Fn(K) -> bool) -> usize {
         self.counts
             .iter()
-            .filter(|(kind, _)| counts(**kind))
+            .filter(|(kind, _)| is_counted(**kind))
             .map(|(_, count)| count)
             .sum()
     }
