--- a/crates/spokeflow-core/benches/points/mod.rs
+++ b/crates/spokeflow-core/benches/points/mod.rs
@@ -1,13 +1,15 @@
-//! Measured points as a flat JSON list, for the growth curves in `docs/capacity`.
+//! Writes measured points as a flat JSON list, for the growth curves in `docs/capacity`.
 
 use std::collections::BTreeMap;
 use std::process::Command;
 
 use serde::Serialize;
 
-/// Names the file that the points are written to; nothing is written where it is not set.
+/// Environment variable with the path of the file that the points are written to; nothing is
+/// written if it is not set.
 const FILE_VARIABLE: &str = "SPOKEFLOW_POINTS";
 
+/// One measured value with its range and the conditions of the measurement.
 #[derive(Debug, Serialize)]
 pub(crate) struct Point {
     pub(crate) role: &'static str,
@@ -19,15 +21,17 @@
     pub(crate) value: f64,
     pub(crate) min: f64,
     pub(crate) max: f64,
-    /// What was the same for all sizes, and what shows that the point is sound.
+    /// The parameters that were equal for all sizes, and counts that show whether the point is
+    /// valid.
     pub(crate) held: BTreeMap<&'static str, f64>,
     pub(crate) command: String,
     pub(crate) date: String,
 }
 
 impl Point {
-    /// The median of the samples with their range; `samples` is not empty.
-    pub(crate) fn of(mut samples: Vec<f64>, description: Point) -> Self {
+    /// Sets the value to the median of the samples, and the range to theirs; `samples` must not be
+    /// empty.
+    pub(crate) fn from_samples(mut samples: Vec<f64>, description: Point) -> Self {
         samples.sort_by(f64::total_cmp);
         let last = samples.len() - 1;
         Point {
@@ -39,7 +43,7 @@
     }
 }
 
-/// The present time in UTC, by the system's `date`; empty where there is none.
+/// The present time in UTC by the `date` program; empty if it cannot be run.
 pub(crate) fn date() -> String {
     let output = Command::new("date")
         .args(["-u", "+%Y-%m-%dT%H:%M:%SZ"])
@@ -49,14 +53,14 @@
         .unwrap_or_default()
 }
 
-/// Writes the points to the file that `SPOKEFLOW_POINTS` names, if it does.
+/// Writes the points to the file named by `SPOKEFLOW_POINTS`, if that is set.
 ///
 /// # Panics
-/// Where the file cannot be written.
+/// If the file cannot be written.
 pub(crate) fn write(points: &[Point]) {
     let Some(path) = std::env::var_os(FILE_VARIABLE) else {
         return;
     };
-    let text = serde_json::to_string_pretty(points).expect("plain values");
-    std::fs::write(&path, text + "\n").expect("the file named by SPOKEFLOW_POINTS");
+    let text = serde_json::to_string_pretty(points).expect("points serialize to JSON");
+    std::fs::write(&path, text + "\n").expect("the file named by SPOKEFLOW_POINTS is writable");
 }
--- a/crates/spokeflow-core/benches/traffic/mod.rs
+++ b/crates/spokeflow-core/benches/traffic/mod.rs
@@ -1,8 +1,8 @@
-//! Steady traffic through one [`Router`] in simulated time: commands at an even rate, each answered
-//! after a fixed time, with the wake-ups that the module asks for. Used by the benchmarks and by
+//! Traffic through one [`Router`] in simulated time: commands at a constant rate, each answered
+//! after a fixed time, and the wake-ups that the router requests. Used by the benchmarks and by
 //! `examples/replay.rs`.
 
-#![allow(dead_code)] // each program uses its own part
+#![allow(dead_code)] // each program uses only some of the items
 
 use std::collections::VecDeque;
 
@@ -12,50 +12,51 @@
 pub(crate) const SECOND: Micros = 1_000 * MILLISECOND;
 pub(crate) const COMMANDS_PER_SECOND: Micros = 300;
 pub(crate) const ANSWER_AFTER: Micros = 150 * MILLISECOND;
-/// The interval at which the module asks for its timer.
+/// The interval at which the router requests its wake-ups.
 pub(crate) const WAKE_INTERVAL: Micros = 20 * MILLISECOND;
 const COMMAND_TIMEOUT: Micros = 4 * SECOND;
 const KEYS: u32 = 5_000;
 const TENANTS: u32 = 4;
 const ZONES: u32 = 3;
-pub(crate) const EARLIER: BuildId = BuildId(1);
-const LATER: BuildId = BuildId(2);
+pub(crate) const EARLIER_BUILD: BuildId = BuildId(1);
+const CANARY_BUILD: BuildId = BuildId(2);
 
-/// What the hosts are and do while the traffic runs.
+/// The state of the hosts and their builds while the traffic runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// One build, no status of it yet.
+    /// All hosts run one build, and no rollout status has arrived.
     Unannounced,
-    /// One released build; all hosts have run for long.
-    Quiet,
-    /// A quarter of the hosts run a build on trial.
-    Trial,
-    /// A tenth of the hosts are fresh and stay so during the measurement.
+    /// All hosts run one released build and are warm.
+    Steady,
+    /// A quarter of the hosts run a canary build.
+    Canary,
+    /// A tenth of the hosts have just started and stay cold during the measurement.
     Cold,
-    /// A tenth of the hosts drain.
+    /// A tenth of the hosts are draining.
     Draining,
-    /// Ten hosts a second drain, and come back with the next ten.
+    /// Ten times per second a host starts to drain and the one that drained before becomes ready.
     Changing,
-    /// As quiet, for one router of 300.
+    /// As `Steady`, with one router of a fleet of 300.
     Fleet,
 }
 
 impl Phase {
     pub(crate) const ALL: [Phase; 7] = [
         Phase::Unannounced,
-        Phase::Quiet,
-        Phase::Trial,
+        Phase::Steady,
+        Phase::Canary,
         Phase::Cold,
         Phase::Draining,
         Phase::Changing,
         Phase::Fleet,
     ];
 
+    /// The name on the command line and in the results.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Phase::Unannounced => "unannounced",
-            Phase::Quiet => "quiet",
-            Phase::Trial => "trial",
+            Phase::Steady => "quiet",
+            Phase::Canary => "trial",
             Phase::Cold => "cold",
             Phase::Draining => "draining",
             Phase::Changing => "changing",
@@ -72,14 +73,14 @@
     }
 }
 
-/// Records what the module sends and counts what it refuses.
+/// Records the deliveries that the router requests, and counts the commands that it refuses.
 #[derive(Default)]
-pub(crate) struct Sent {
+pub(crate) struct OutputRecorder {
     pub(crate) deliveries: Vec<CommandId>,
     refused: u64,
 }
 
-impl Egress for Sent {
+impl Egress for OutputRecorder {
     fn deliver(&mut self, command: CommandId, _: HostId, _: Option<Micros>) {
         self.deliveries.push(command);
     }
@@ -102,39 +103,39 @@
     phase: Phase,
     hosts: u32,
     router: Router,
-    out: Sent,
+    out: OutputRecorder,
     now: Micros,
     commands: u32,
     next_wake: Micros,
-    /// Deliveries out, oldest first, with the time of the answer.
-    due: VecDeque<(Micros, CommandId)>,
-    draining: u32,
+    /// Open deliveries with the times of their answers, oldest first.
+    pending_answers: VecDeque<(Micros, CommandId)>,
+    draining_host: u32,
     next_change: Micros,
 }
 
 impl Traffic {
     pub(crate) fn start(phase: Phase, hosts: u32) -> Self {
         let now = 1_000 * SECOND;
-        let mut out = Sent::default();
+        let mut out = OutputRecorder::default();
         let mut router = Router::new(&service_config(phase), 1, now, &mut out);
         if phase != Phase::Unannounced {
             router.set_time(now).on_rollout_status(
-                rollout_status(EARLIER, RolloutState::Released, 1.0),
+                rollout_status(EARLIER_BUILD, RolloutState::Released, 1.0),
                 &mut out,
             );
         }
-        let lines: Vec<Endpoint> = (0..hosts)
+        let endpoints: Vec<Endpoint> = (0..hosts)
             .map(|host| host_endpoint(phase, host, now))
             .collect();
         router
             .set_time(now)
-            .on_endpoints(ListKind::Complete, &lines, &mut out);
-        if phase == Phase::Trial {
-            router
-                .set_time(now)
-                .on_rollout_status(rollout_status(LATER, RolloutState::Canary, 0.35), &mut out);
+            .on_endpoints(ListKind::Complete, &endpoints, &mut out);
+        if phase == Phase::Canary {
+            router.set_time(now).on_rollout_status(
+                rollout_status(CANARY_BUILD, RolloutState::Canary, 0.35),
+                &mut out,
+            );
         }
-        let due = VecDeque::new();
         Traffic {
             phase,
             hosts,
@@ -143,42 +144,45 @@
             now,
             commands: 0,
             next_wake: now + WAKE_INTERVAL,
-            due,
-            draining: 0,
+            pending_answers: VecDeque::new(),
+            draining_host: 0,
             next_change: now,
         }
     }
 
-    /// Commands given so far.
+    /// Number of commands sent so far.
     pub(crate) fn commands(&self) -> u32 {
         self.commands
     }
 
-    /// Commands nacked or failed so far.
+    /// Number of commands nacked or failed so far.
     pub(crate) fn refused(&self) -> u64 {
         self.out.refused
     }
 
-    /// Gives one command, after the answers, wake-ups and list changes that fall due before it.
-    pub(crate) fn command(&mut self) {
+    /// Sends one command, after the answers, wake-ups and list changes that are due before it.
+    pub(crate) fn send_command(&mut self) {
         let until = self.now + SECOND / COMMANDS_PER_SECOND;
         loop {
-            let answer = self.due.front().map_or(Micros::MAX, |(at, _)| *at);
-            let next = answer.min(self.next_wake);
+            let answer_at = self
+                .pending_answers
+                .front()
+                .map_or(Micros::MAX, |(at, _)| *at);
+            let next = answer_at.min(self.next_wake);
             if next > until {
                 break;
             }
             self.now = next;
-            if next == answer {
-                self.answer();
+            if next == answer_at {
+                self.deliver_answer();
             } else {
                 self.next_wake += WAKE_INTERVAL;
-                self.wake();
+                self.wake_router();
             }
         }
         self.now = until;
         if self.phase == Phase::Changing && self.now >= self.next_change {
-            self.change();
+            self.change_hosts();
         }
         self.commands += 1;
         let id = self.commands;
@@ -193,51 +197,51 @@
             COMMAND_TIMEOUT,
             &mut self.out,
         );
-        self.take_deliveries();
+        self.schedule_answers();
     }
 
-    /// Wakes the module at the present time.
-    pub(crate) fn wake(&mut self) {
+    /// Wakes the router at the present time.
+    pub(crate) fn wake_router(&mut self) {
         self.router.set_time(self.now).on_timer(&mut self.out);
-        self.take_deliveries();
+        self.schedule_answers();
     }
 
-    fn answer(&mut self) {
-        let Some((_, command)) = self.due.pop_front() else {
+    fn deliver_answer(&mut self) {
+        let Some((_, command)) = self.pending_answers.pop_front() else {
             return;
         };
-        let end = AttemptOutcome::Acked;
+        let outcome = AttemptOutcome::Acked;
         self.router.set_time(self.now).on_attempt_outcome(
             command,
             0,
-            end,
+            outcome,
             ANSWER_AFTER,
             true,
             &mut self.out,
         );
-        self.take_deliveries();
+        self.schedule_answers();
     }
 
-    fn take_deliveries(&mut self) {
+    fn schedule_answers(&mut self) {
         let at = self.now + ANSWER_AFTER;
-        self.due
+        self.pending_answers
             .extend(self.out.deliveries.drain(..).map(|command| (at, command)));
     }
 
-    fn change(&mut self) {
+    fn change_hosts(&mut self) {
         self.next_change = self.now + SECOND / 10;
-        let back = host_endpoint(self.phase, self.draining, self.now);
-        self.draining = (self.draining + 1) % self.hosts;
-        let leaving = Endpoint {
+        let ready = host_endpoint(self.phase, self.draining_host, self.now);
+        self.draining_host = (self.draining_host + 1) % self.hosts;
+        let draining = Endpoint {
             state: EndpointState::Draining,
-            ..host_endpoint(self.phase, self.draining, self.now)
+            ..host_endpoint(self.phase, self.draining_host, self.now)
         };
         self.router.set_time(self.now).on_endpoints(
             ListKind::Changes,
-            &[back, leaving],
+            &[ready, draining],
             &mut self.out,
         );
-        self.take_deliveries();
+        self.schedule_answers();
     }
 }
 
@@ -252,20 +256,24 @@
 }
 
 pub(crate) fn host_endpoint(phase: Phase, host: u32, now: Micros) -> Endpoint {
-    let later = phase == Phase::Trial && host.is_multiple_of(4);
-    let tenth = host.is_multiple_of(10);
+    let is_canary = phase == Phase::Canary && host.is_multiple_of(4);
+    let is_one_in_ten = host.is_multiple_of(10);
     Endpoint {
         host: HostId(host),
-        build: Some(if later { LATER } else { EARLIER }),
+        build: Some(if is_canary {
+            CANARY_BUILD
+        } else {
+            EARLIER_BUILD
+        }),
         cell: (host % ZONES) as u16,
         zone: ZoneId((host % ZONES) as u16),
-        state: if phase == Phase::Draining && tenth {
+        state: if phase == Phase::Draining && is_one_in_ten {
             EndpointState::Draining
         } else {
             EndpointState::Ready
         },
         size: 1.0,
-        started_at: (phase == Phase::Cold && tenth).then_some(now),
+        started_at: (phase == Phase::Cold && is_one_in_ten).then_some(now),
     }
 }
 
@@ -297,7 +305,7 @@
         longest_retry_after: 2 * SECOND,
         drain_grace: 250 * MILLISECOND,
         slow_start_from: 0.5,
-        // Hosts that are fresh at the start of a measurement are so at its end.
+        // Longer than a measurement, so that cold hosts stay cold to its end.
         warm_up_time: if phase == Phase::Cold {
             3_600 * SECOND
         } else {
--- a/crates/spokeflow-core/benches/work.rs
+++ b/crates/spokeflow-core/benches/work.rs
@@ -1,7 +1,7 @@
-//! Work of the decision module for one command and for one tick, over the number of hosts.
+//! Time that the decision module takes for one command and for one wake-up, by number of hosts.
 //!
 //! `SPOKEFLOW_POINTS=points.json cargo bench -p spokeflow-core --bench work -- quiet` measures the
-//! points whose name holds `quiet` and writes them as JSON. Each point takes about two seconds.
+//! points whose name contains `quiet` and writes them as JSON. Each point takes about two seconds.
 
 mod points;
 mod traffic;
@@ -14,18 +14,19 @@
 use points::Point;
 use traffic::{Phase, Traffic};
 
-const HOSTS: [u32; 6] = [20, 120, 300, 1_000, 4_000, 12_000];
-/// Commands before the first sample: the windows of the module hold some seconds of traffic.
+const HOST_COUNTS: [u32; 6] = [20, 120, 300, 1_000, 4_000, 12_000];
+/// Commands sent before the first sample, to fill the module's windows, which cover some seconds of
+/// traffic.
 const WARM_UP_COMMANDS: u32 = 1_500;
 const WARM_UP_LIMIT: Duration = Duration::from_secs(2);
 const SAMPLES: usize = 10;
-const MEASURED: Duration = Duration::from_millis(700);
+const MEASUREMENT_TIME: Duration = Duration::from_millis(700);
 
-fn warmed(phase: Phase, hosts: u32) -> Traffic {
-    let began = Instant::now();
+fn warmed_up_traffic(phase: Phase, hosts: u32) -> Traffic {
+    let started_at = Instant::now();
     let mut traffic = Traffic::start(phase, hosts);
-    while traffic.commands() < WARM_UP_COMMANDS && began.elapsed() < WARM_UP_LIMIT {
-        traffic.command();
+    while traffic.commands() < WARM_UP_COMMANDS && started_at.elapsed() < WARM_UP_LIMIT {
+        traffic.send_command();
     }
     traffic
 }
@@ -57,7 +58,7 @@
     }
 }
 
-/// Measures one point; returns none where the filter of the command line leaves it out.
+/// Measures one point; returns `None` if the filter on the command line excludes it.
 fn measure(
     criterion: &mut Criterion,
     quantity: &'static str,
@@ -71,29 +72,29 @@
     group.sampling_mode(SamplingMode::Flat).sample_size(SAMPLES);
     group
         .warm_up_time(Duration::from_millis(100))
-        .measurement_time(MEASURED);
+        .measurement_time(MEASUREMENT_TIME);
     group.bench_function(BenchmarkId::new(phase.name(), hosts), |bencher| {
         bencher.iter_custom(|iterations| {
             let mut traffic = traffic.borrow_mut();
-            let traffic = traffic.get_or_insert_with(|| warmed(phase, hosts));
-            let began = Instant::now();
+            let traffic = traffic.get_or_insert_with(|| warmed_up_traffic(phase, hosts));
+            let started_at = Instant::now();
             for _ in 0..iterations {
                 step(traffic);
             }
-            let took = began.elapsed();
+            let elapsed = started_at.elapsed();
             samples
                 .borrow_mut()
-                .push(took.as_secs_f64() * 1e6 / iterations as f64);
-            took
+                .push(elapsed.as_secs_f64() * 1e6 / iterations as f64);
+            elapsed
         });
     });
     group.finish();
     let traffic = traffic.into_inner()?;
     let mut samples = samples.into_inner();
-    // The first ones are the harness's own warm-up.
-    let measured = samples.split_off(samples.len().saturating_sub(SAMPLES));
-    Some(Point::of(
-        measured,
+    // The first samples belong to Criterion's own warm-up.
+    let measured_samples = samples.split_off(samples.len().saturating_sub(SAMPLES));
+    Some(Point::from_samples(
+        measured_samples,
         description(quantity, phase, hosts, &traffic),
     ))
 }
@@ -102,20 +103,20 @@
     let mut criterion = Criterion::default().without_plots().configure_from_args();
     let mut points = Vec::new();
     for phase in Phase::ALL {
-        for hosts in HOSTS {
+        for hosts in HOST_COUNTS {
             points.extend(measure(
                 &mut criterion,
                 "work per command",
                 phase,
                 hosts,
-                Traffic::command,
+                Traffic::send_command,
             ));
             points.extend(measure(
                 &mut criterion,
                 "work per wake-up",
                 phase,
                 hosts,
-                Traffic::wake,
+                Traffic::wake_router,
             ));
         }
     }
--- a/crates/spokeflow-core/examples/replay.rs
+++ b/crates/spokeflow-core/examples/replay.rs
@@ -1,4 +1,5 @@
-//! Plays steady traffic through the module and ends, for a profiler that counts instructions:
+//! Runs a number of commands through the decision module and ends, for a profiler that counts
+//! instructions:
 //! `valgrind --tool=callgrind target/release/examples/replay quiet 1000 600`.
 
 #[path = "../benches/traffic/mod.rs"]
@@ -21,18 +22,15 @@
 fn main() -> ExitCode {
     let Some((phase, hosts, commands)) = arguments() else {
         let names = Phase::ALL.map(Phase::name).join("|");
-        eprintln!(
-            "replay: wrong use: give {names}, a number of hosts above 0 and a number of commands"
-        );
+        eprintln!("usage: replay {names} HOSTS COMMANDS, with at least one host");
         return ExitCode::from(2);
     };
     let mut traffic = Traffic::start(phase, hosts);
     for _ in 0..commands {
-        traffic.command();
+        traffic.send_command();
     }
     println!(
-        "{} hosts, {commands} commands, {} refused",
-        hosts,
+        "{hosts} hosts, {commands} commands, {} refused",
         traffic.refused()
     );
     ExitCode::SUCCESS
