--- a/crates/spokeflow-core/tests/host_figures.rs
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -1,5 +1,5 @@
-//! The figures that the state maintains as hosts change, compared after each step of seeded random
-//! runs with plain definitions that walk over all hosts.
+//! Compares the statistics that the state maintains as hosts change with reference definitions that
+//! scan all hosts, after each step of seeded random runs.
 
 mod scenario;
 mod walk;
@@ -11,33 +11,36 @@
 use spokeflow_core::*;
 use walk::*;
 
-const QUIET_FOR: [Micros; 3] = [0, 100 * MS, 600 * MS];
+const QUIET_DURATIONS: [Micros; 3] = [0, 100 * MS, 600 * MS];
 
 #[test]
 fn ready_hosts_are_counted_by_build() {
     after_each_step(|_, hosts| {
         assert_eq!(hosts.ready_count(), ready(hosts).count());
-        let kept: BTreeMap<BuildId, usize> = hosts
+        let maintained: BTreeMap<BuildId, usize> = hosts
             .ready_builds()
             .map(|(build, ready)| (build, ready.len()))
             .collect();
         let builds = ready_builds(hosts).into_iter();
-        let plain: BTreeMap<BuildId, usize> = builds
+        let expected: BTreeMap<BuildId, usize> = builds
             .map(|build| (build, ready_of(hosts, build).len()))
             .collect();
-        assert_eq!(kept, plain);
+        assert_eq!(maintained, expected);
     });
 }
 
 #[test]
 fn ready_hosts_are_in_the_order_of_their_index() {
-    for_each_build(|ready| ready.by_index().to_vec(), |_, plain| plain.to_vec());
+    for_each_build(
+        |ready| ready.by_index().to_vec(),
+        |_, members| members.to_vec(),
+    );
 }
 
 #[test]
 fn ready_hosts_are_in_the_order_of_their_hash() {
-    let by_rank = |hosts: &Hosts, plain: &[usize]| {
-        let mut order = plain.to_vec();
+    let by_rank = |hosts: &Hosts, members: &[usize]| {
+        let mut order = members.to_vec();
         sort_by_rank(hosts, &mut order);
         order
     };
@@ -46,8 +49,8 @@
 
 #[test]
 fn the_latest_start_of_a_build_is_known() {
-    let latest = |hosts: &Hosts, plain: &[usize]| {
-        plain
+    let latest = |hosts: &Hosts, members: &[usize]| {
+        members
             .iter()
             .map(|&host| hosts.endpoint(host).started_at.unwrap_or(0))
             .max()
@@ -58,8 +61,8 @@
 
 #[test]
 fn the_largest_size_of_a_build_is_known() {
-    let largest = |hosts: &Hosts, plain: &[usize]| {
-        plain
+    let largest = |hosts: &Hosts, members: &[usize]| {
+        members
             .iter()
             .map(|&host| hosts.endpoint(host).size)
             .fold(0.0, f64::max)
@@ -69,8 +72,8 @@
 
 #[test]
 fn observed_hosts_are_counted() {
-    let observed = |hosts: &Hosts, plain: &[usize]| {
-        plain
+    let observed = |hosts: &Hosts, members: &[usize]| {
+        members
             .iter()
             .filter(|&&host| hosts.answers(host) > 0 || hosts.evidence(host) > 0.0)
             .count()
@@ -80,8 +83,8 @@
 
 #[test]
 fn warm_hosts_are_counted_and_their_sizes_summed() {
-    let warm = |hosts: &Hosts, plain: &[usize]| {
-        let warm = plain
+    let warm = |hosts: &Hosts, members: &[usize]| {
+        let warm = members
             .iter()
             .filter(|&&host| age(hosts, host) >= hosts.spans().warming);
         warm.fold(WarmHosts::default(), |sum, &host| WarmHosts {
@@ -95,18 +98,18 @@
 #[test]
 fn the_oldest_build_of_any_host_is_known() {
     let mut seen = BTreeSet::new();
-    // Long enough for each of few hosts to come back with later builds.
+    // Long enough for each of the few hosts to return with a later build.
     let mut world = World::new(Setting {
         length: 200 * SECOND,
         ..setting(6, 3, 1)
     });
     world.play_watched(|world| {
         let hosts = world.router.hosts();
-        let plain = all(hosts).map(|host| hosts.build(host)).min();
-        assert_eq!(hosts.oldest_build(), plain);
-        seen.insert(plain);
+        let expected = all(hosts).map(|host| hosts.build(host)).min();
+        assert_eq!(hosts.oldest_build(), expected);
+        seen.insert(expected);
     });
-    assert!(seen.len() > 1, "the oldest build changes in the runs");
+    assert!(seen.len() > 1, "the oldest build never changed: {seen:?}");
 }
 
 #[test]
@@ -139,7 +142,7 @@
             .map(|(position, _)| position)
             .collect()
     };
-    let plain = |hosts: &Hosts, members: &[usize]| {
+    let expected = |hosts: &Hosts, members: &[usize]| {
         let mut by_rank = members.to_vec();
         sort_by_rank(hosts, &mut by_rank);
         BoundedPositions {
@@ -147,75 +150,83 @@
             by_rank: positions(hosts, by_rank),
         }
     };
-    for_each_build(|ready| ready.bounded_positions().clone(), plain);
+    for_each_build(|ready| ready.bounded_positions().clone(), expected);
 }
 
 #[test]
 fn failing_or_ejected_hosts_are_known() {
-    let mut most = 0;
+    let mut highest = 0;
     after_each_step(|_, hosts| {
-        let kept: BTreeSet<usize> = hosts.suspects().collect();
-        let suspects = |host: &usize| {
+        let maintained: BTreeSet<usize> = hosts.suspects().collect();
+        let is_suspect = |host: &usize| {
             hosts.consecutive_failures(*host) > 0 || hosts.ejected_until(*host) > hosts.now()
         };
-        let plain: BTreeSet<usize> = ready(hosts).filter(suspects).collect();
+        let expected: BTreeSet<usize> = ready(hosts).filter(is_suspect).collect();
         assert!(
-            kept.is_superset(&plain),
-            "{plain:?} are suspects, {kept:?} known"
+            maintained.is_superset(&expected),
+            "suspects {expected:?} are not all among {maintained:?}"
         );
         assert!(
-            kept.iter()
+            maintained
+                .iter()
                 .all(|&host| hosts.endpoint(host).state == EndpointState::Ready),
-            "none that is not ready"
+            "a host among {maintained:?} is not ready"
         );
-        // The ejection of those that are open again ended within the last interval of wake-ups.
-        let over = |host: &&usize| {
-            !plain.contains(host) && hosts.now() - hosts.ejected_until(**host) > SECOND
+        // A host that is no longer a suspect may stay in the set until the next wake-up.
+        let is_outdated = |host: &&usize| {
+            !expected.contains(host) && hosts.now() - hosts.ejected_until(**host) > SECOND
         };
-        assert_eq!(kept.iter().find(over), None, "forgotten in time");
-        most = most.max(plain.len());
+        assert_eq!(
+            maintained.iter().find(is_outdated),
+            None,
+            "the ejection of a suspect ended more than a second ago"
+        );
+        highest = highest.max(expected.len());
     });
-    assert!(most > 10, "many are suspects at times: {most}");
+    assert!(highest > 10, "at most {highest} suspects at one time");
 }
 
 #[test]
 fn open_deliveries_are_counted_and_quiet_hosts_known() {
-    let mut most = 0;
+    let mut highest = 0;
     after_each_step(|world, hosts| {
         for host in all(hosts) {
             assert_eq!(
                 hosts.in_flight(host) as usize,
                 world.open_at(hosts.endpoint(host).host),
-                "at host {host}"
+                "open deliveries at host {host}"
             );
         }
-        for span in QUIET_FOR {
+        for span in QUIET_DURATIONS {
             let before = hosts.now() - span;
-            let quiet =
+            let is_quiet =
                 |host: &usize| hosts.in_flight(*host) > 0 && hosts.quiet_since(*host) < before;
-            let plain: BTreeSet<usize> = all(hosts).filter(quiet).collect();
+            let expected: BTreeSet<usize> = all(hosts).filter(is_quiet).collect();
             assert_eq!(
                 hosts.hosts_quiet_since(before).collect::<BTreeSet<_>>(),
-                plain,
-                "for {span} us"
+                expected,
+                "hosts that were quiet for {span} us"
             );
-            most = most.max(plain.len());
+            highest = highest.max(expected.len());
         }
     });
-    assert!(most > 10, "many are quiet at times: {most}");
+    assert!(highest > 10, "at most {highest} quiet hosts at one time");
 }
 
 #[test]
 fn hosts_with_evidence_are_known() {
-    let mut most = 0;
+    let mut highest = 0;
     after_each_step(|_, hosts| {
-        let plain: BTreeSet<usize> = all(hosts)
+        let expected: BTreeSet<usize> = all(hosts)
             .filter(|&host| hosts.evidence(host) != 0.0)
             .collect();
-        assert_eq!(hosts.with_evidence().collect::<BTreeSet<_>>(), plain);
-        most = most.max(plain.len());
+        assert_eq!(hosts.with_evidence().collect::<BTreeSet<_>>(), expected);
+        highest = highest.max(expected.len());
     });
-    assert!(most > 1, "some have evidence at times: {most}");
+    assert!(
+        highest > 1,
+        "at most {highest} hosts with evidence at one time"
+    );
 }
 
 #[test]
@@ -226,7 +237,7 @@
         recent: 3 * SECOND,
     };
     let mut hosts = Hosts::new(0, spans, 0);
-    let line = Endpoint {
+    let endpoint = Endpoint {
         host: HostId(1),
         build: Some(BuildId(1)),
         cell: 0,
@@ -235,15 +246,15 @@
         size: 1.0,
         started_at: None,
     };
-    let host = hosts.add(&line);
-    hosts.update(host, &line);
+    let host = hosts.add(&endpoint);
+    hosts.update(host, &endpoint);
     hosts.set_evidence(host, 1.0);
     assert_eq!(hosts.with_evidence().collect::<Vec<_>>(), [host]);
     hosts.update(
         host,
         &Endpoint {
             started_at: Some(0),
-            ..line
+            ..endpoint
         },
     );
     assert_eq!(
@@ -253,14 +264,14 @@
 }
 
 #[test]
-fn sums_over_ready_hosts_are_those_of_a_walk() {
+fn sums_over_ready_hosts_equal_a_full_scan() {
     after_each_step(|_, hosts| {
         let span = hosts.spans().warming;
         let weight = |age: Micros| 0.4 + 0.6 * (age.min(span) as f64 / span as f64);
-        let open = |host: usize| {
+        let is_fit = |host: usize| {
             hosts.consecutive_failures(host) == 0 && hosts.now() >= hosts.ejected_until(host)
         };
-        for (kept, plain) in [
+        for (maintained, expected) in [
             (
                 hosts.sum_ready(weight, |_| true),
                 ready(hosts)
@@ -268,52 +279,58 @@
                     .sum::<f64>(),
             ),
             (
-                hosts.sum_ready(weight, open),
+                hosts.sum_ready(weight, is_fit),
                 ready(hosts)
-                    .filter(|&host| open(host))
+                    .filter(|&host| is_fit(host))
                     .map(|host| weight(age(hosts, host)))
                     .sum(),
             ),
         ] {
-            assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
+            assert!(
+                is_close(maintained, expected),
+                "maintained sum {maintained}, scanned sum {expected}"
+            );
         }
         for build in ready_builds(hosts) {
             let members = ready_of(hosts, build);
-            let plain: f64 = members
+            let expected: f64 = members
                 .iter()
                 .map(|&host| weight(age(hosts, host)) * hosts.endpoint(host).size)
                 .sum();
-            let kept = hosts.sum_sizes(weight, |other| other == build);
-            assert!(is_close(kept, plain), "{kept} kept, {plain} walked");
+            let maintained = hosts.sum_sizes(weight, |other| other == build);
+            assert!(
+                is_close(maintained, expected),
+                "maintained sum {maintained}, scanned sum {expected}"
+            );
         }
     });
 }
 
 #[test]
-fn windows_count_what_a_walk_counts() {
+fn window_counts_equal_a_full_scan() {
     let mut random = Random::new(1);
     let mut window = Window::<u64>::default();
-    let mut plain = Vec::new();
+    let mut expected = Vec::new();
     let mut now = 0;
     for _ in 0..20_000 {
         now += random.between(0, 5);
         if random.one_in(3) {
             let from = now - random.between(0, 200);
             window.forget_before(from);
-            plain.retain(|(at, _)| *at >= from);
+            expected.retain(|(at, _)| *at >= from);
         } else {
             let kind = random.below(5);
             window.push(now, kind);
-            plain.push((now, kind));
+            expected.push((now, kind));
         }
         assert_eq!(
             (window.len(), window.is_empty()),
-            (plain.len(), plain.is_empty())
+            (expected.len(), expected.is_empty())
         );
         for kind in 0..5 {
             assert_eq!(
                 window.count(|other| other == kind),
-                plain.iter().filter(|(_, other)| *other == kind).count()
+                expected.iter().filter(|(_, other)| *other == kind).count()
             );
         }
     }
--- a/crates/spokeflow-core/tests/memory.rs
+++ b/crates/spokeflow-core/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Memory of a router that goes on meeting new keys stays level once a build is released.
+//! Guards against a memory leak: once a build is released, a router that receives ever new keys
+//! must not keep a sticky assignment for each of them.
 
 mod common;
 
@@ -8,28 +9,28 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Bytes in use, counted on the way to the system's allocator.
-struct Counting;
-static IN_USE: AtomicIsize = AtomicIsize::new(0);
+/// The system's allocator, with a count of the bytes in use.
+struct CountingAllocator;
+static BYTES_IN_USE: AtomicIsize = AtomicIsize::new(0);
 
-// SAFETY: all is passed on to the system's allocator as it came.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: each call is passed to the system's allocator unchanged.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        IN_USE.fetch_add(layout.size() as isize, Relaxed);
+        BYTES_IN_USE.fetch_add(layout.size() as isize, Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        IN_USE.fetch_sub(layout.size() as isize, Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        BYTES_IN_USE.fetch_sub(layout.size() as isize, Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALL: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
-fn sticky_assignments_of_a_released_build_do_not_grow_with_the_keys_ever_met() {
+fn sticky_assignments_of_a_released_build_do_not_grow_with_the_keys_ever_seen() {
     let mut out = DeliveryLog::default();
     let mut router = Router::new(&service_config(Gate::Single), 3, 0, &mut out);
     let hosts: Vec<Endpoint> = (0..8).map(|host| endpoint(host, NEW)).collect();
@@ -40,7 +41,7 @@
         rollout_status(NEW, 2, RolloutState::Released, 1.0),
         &mut out,
     );
-    let mut after = |keys: std::ops::Range<u32>| {
+    let mut bytes_after = |keys: std::ops::Range<u32>| {
         for number in keys {
             let now = Micros::from(number) * 10 * MS;
             let id = CommandId(number);
@@ -60,10 +61,10 @@
             }
             router.set_time(now).on_timer(&mut out);
         }
-        IN_USE.load(Relaxed)
+        BYTES_IN_USE.load(Relaxed)
     };
-    let early = after(0..3_000);
-    let late = after(3_000..30_000);
+    let early = bytes_after(0..3_000);
+    let late = bytes_after(3_000..30_000);
     assert!(
         late < early + early / 4,
         "{early} bytes after 3,000 keys, {late} after 30,000"
--- a/crates/spokeflow-core/tests/scenario/events.rs
+++ b/crates/spokeflow-core/tests/scenario/events.rs
@@ -1,62 +1,66 @@
-//! What happens beside commands: hosts change, a release goes on, reports come.
+//! The events other than commands: changes of hosts, steps of a rollout, and reports.
 
 use super::*;
 
 impl World {
-    /// Some hosts drain, go, or come back with a build and a start of their own; sometimes the
-    /// complete list comes.
+    /// Lets some hosts drain, stop or return, and sends the list of the changes: sometimes without
+    /// builds, sometimes the complete list instead.
     pub(super) fn change_hosts(&mut self) {
-        let many = if self.random.one_in(12) {
+        let count = if self.random.one_in(12) {
             1 + self.setting.hosts / 3
         } else {
             1
         };
-        let changed: Vec<Endpoint> = (0..many).map(|_| self.change_host()).collect();
+        let changed: Vec<Endpoint> = (0..count).map(|_| self.change_host()).collect();
         match self.random.below(10) {
             0 => {
                 let listed = |endpoint: &&Endpoint| endpoint.state != EndpointState::Gone;
                 let complete: Vec<Endpoint> =
                     self.endpoints.iter().filter(listed).copied().collect();
-                self.list(ListKind::Complete, &complete);
+                self.send_list(ListKind::Complete, &complete);
             }
             1 => {
-                let unnamed: Vec<Endpoint> = changed
+                let without_build: Vec<Endpoint> = changed
                     .iter()
                     .map(|endpoint| Endpoint {
                         build: None,
                         ..*endpoint
                     })
                     .collect();
-                self.list(ListKind::Changes, &unnamed);
+                self.send_list(ListKind::Changes, &without_build);
             }
-            _ => self.list(ListKind::Changes, &changed),
+            _ => self.send_list(ListKind::Changes, &changed),
         }
     }
 
-    fn list(&mut self, kind: ListKind, endpoints: &[Endpoint]) {
+    fn send_list(&mut self, kind: ListKind, endpoints: &[Endpoint]) {
         self.router
             .set_time(self.now)
             .on_endpoints(kind, endpoints, &mut self.out);
     }
 
-    /// One host drains, goes, or comes back.
+    /// Lets one host drain, stop, or return with an earlier or the newest build.
     fn change_host(&mut self) -> Endpoint {
         let newest = self
             .status
             .map_or(BuildId(FIRST_BUILD), |status| status.build);
         let index = self.random.below(u64::from(self.setting.hosts)) as usize;
-        let fresh = !self.random.one_in(4);
-        let other = self.random.one_in(2);
-        let started = Some(self.now - self.random.between(0, 3 * SECOND));
+        let is_new_process = !self.random.one_in(4);
+        let coin = self.random.one_in(2);
+        let started_at = Some(self.now - self.random.between(0, 3 * SECOND));
         let endpoint = &mut self.endpoints[index];
         endpoint.state = match endpoint.state {
-            EndpointState::Ready if other => EndpointState::Draining,
+            EndpointState::Ready if coin => EndpointState::Draining,
             EndpointState::Ready | EndpointState::Draining => EndpointState::Gone,
             EndpointState::Gone => EndpointState::Ready,
         };
         if endpoint.state == EndpointState::Ready {
-            endpoint.started_at = if fresh { started } else { endpoint.started_at };
-            endpoint.build = Some(if other {
+            endpoint.started_at = if is_new_process {
+                started_at
+            } else {
+                endpoint.started_at
+            };
+            endpoint.build = Some(if coin {
                 newest
             } else {
                 BuildId(newest.0.max(FIRST_BUILD + 1) - 1)
@@ -66,7 +70,8 @@
         *endpoint
     }
 
-    /// A release is promoted by a stage, is rolled back, or the next one begins.
+    /// Announces the next step of the rollout: the next stage, the release, a rollback, or the
+    /// canary of the next build.
     pub(super) fn announce_next_status(&mut self) {
         use RolloutState::*;
         let caps = [0.1, 0.4, 1.0];
@@ -120,6 +125,7 @@
             .on_rollout_status(status, &mut self.out);
     }
 
+    /// Sends a random report or other call to the router, most often a load report.
     pub(super) fn send_other_event(&mut self) {
         let host = HostId(self.random.below(u64::from(self.setting.hosts)) as u32);
         match self.random.below(40) {
@@ -141,7 +147,11 @@
                 self.router.set_time(self.now).finish(id, &mut self.out);
             }
             7..=10 => {
-                let open = self.due.iter().nth(self.random.below(8) as usize).copied();
+                let open = self
+                    .planned_ends
+                    .iter()
+                    .nth(self.random.below(8) as usize)
+                    .copied();
                 if let Some(open) = open {
                     self.router
                         .set_time(self.now)
@@ -150,7 +160,7 @@
             }
             11..=16 => {
                 let sampled = self.random.below(20) as u32;
-                let count = ControllerStats {
+                let stats = ControllerStats {
                     build: BuildId(FIRST_BUILD + self.random.below(4) as u16),
                     op: OpType(self.random.below(4) as u16),
                     sampled,
@@ -158,7 +168,7 @@
                     mean_latency: self.random.between(30 * MS, 120 * MS),
                     age: self.random.between(0, 2 * SECOND),
                 };
-                self.router.set_time(self.now).on_controller_stats(count);
+                self.router.set_time(self.now).on_controller_stats(stats);
             }
             _ => {
                 let utilization = self.random.below(100) as f64 / 100.0;
--- a/crates/spokeflow-core/tests/scenario/mod.rs
+++ b/crates/spokeflow-core/tests/scenario/mod.rs
@@ -1,8 +1,8 @@
-//! Seeded random scenarios: a router among hosts that come, drain, die and return with other
-//! builds, under trials, rollbacks, outages and overload. Every output goes into a digest in its
-//! order, so that two versions of the module with equal digests have made the same choices.
+//! Seeded random scenarios: a router and hosts that start, drain, die and return with other builds,
+//! under canary rollouts, rollbacks, outages and overload. All outputs are hashed in their order,
+//! so that two versions of the decision module with equal digests have made the same choices.
 
-#![allow(dead_code)] // each test program uses its own part
+#![allow(dead_code)] // each test program uses only some of the items
 
 mod events;
 mod random;
@@ -16,7 +16,7 @@
 pub(crate) use random::Random;
 pub(crate) use recorder::Counts;
 use recorder::Recorder;
-use setup::{first_endpoint, service_config};
+use setup::{initial_endpoint, service_config};
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000 * MS;
@@ -25,10 +25,10 @@
 const CELLS: u16 = 5;
 const KEYS: u64 = 400;
 const TENANTS: u32 = 4;
-/// All dyadic: their sums are exact in any order.
+/// Dyadic fractions, whose sums are exact in any order.
 const SIZES: [f64; 4] = [0.5, 1.0, 1.0, 4.0];
 
-/// What one run is played with.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setting {
     pub(crate) seed: u64,
@@ -41,25 +41,25 @@
     pub(crate) length: Micros,
 }
 
-/// What is wrong for a while, beside single hosts' faults.
+/// A fault that lasts for a while, in addition to the changes of single hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// No new connection into one zone.
+    /// No connection to the hosts of one zone can be made.
     ZoneUnreachable(u16),
-    /// Every fifth host answers nothing.
+    /// Every fifth host does not answer.
     Hangs,
-    /// One operation takes ten times as long everywhere.
+    /// One operation takes ten times as long at all hosts.
     SlowOperation(usize),
-    /// No host takes a connection.
+    /// No connection to any host can be made.
     AllUnreachable,
-    /// The build on trial errs in half of all cases.
+    /// Builds after the first one answer half of their commands with an error.
     BadBuild,
 }
 
-/// The end of an open delivery, ordered by time.
+/// The planned end of an open delivery, ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct PlannedEnd {
     at: Micros,
     command: u32,
     delivery: u8,
@@ -75,10 +75,10 @@
     out: Recorder,
     config: ServiceConfig,
     endpoints: Vec<Endpoint>,
-    /// Of each command, its operation.
+    /// The operation of each command, by command id less 1.
     operations: Vec<usize>,
-    /// The ends of the open deliveries.
-    due: BTreeSet<Due>,
+    /// The planned ends of the open deliveries.
+    planned_ends: BTreeSet<PlannedEnd>,
     status: Option<RolloutStatus>,
     fault: Fault,
     commands: u32,
@@ -92,7 +92,7 @@
         let router = Router::new(&config, setting.seed, now, &mut out);
         let mut random = Random::new(setting.seed);
         let endpoints = (0..setting.hosts)
-            .map(|host| first_endpoint(host, &mut random))
+            .map(|host| initial_endpoint(host, &mut random))
             .collect();
         World {
             setting,
@@ -103,7 +103,7 @@
             config,
             endpoints,
             operations: Vec::new(),
-            due: BTreeSet::new(),
+            planned_ends: BTreeSet::new(),
             status: None,
             fault: Fault::None,
             commands: 0,
@@ -115,7 +115,7 @@
         self.play_watched(|_| ())
     }
 
-    /// As [`World::play`]; `watch` is called after each step.
+    /// Plays the run like [`World::play`] and calls `watch` after each step.
     pub(crate) fn play_watched(&mut self, mut watch: impl FnMut(&World)) -> (u64, Counts) {
         let endpoints = self.endpoints.clone();
         self.router
@@ -129,18 +129,21 @@
         (self.out.hash, self.out.counts)
     }
 
-    /// Open deliveries at a host.
+    /// Number of open deliveries at a host.
     pub(crate) fn open_at(&self, host: HostId) -> usize {
-        self.due.iter().filter(|due| due.host == host.0).count()
+        self.planned_ends
+            .iter()
+            .filter(|end| end.host == host.0)
+            .count()
     }
 
     fn step(&mut self) {
         let gap = Micros::from(2 * SECOND as u32 / self.setting.commands_per_second);
         let until = self.now + self.random.between(1, gap + 1);
-        while let Some(&due) = self.due.first().filter(|due| due.at <= until) {
-            self.due.pop_first();
-            self.now = self.now.max(due.at);
-            self.finish(CommandId(due.command), due.delivery, due.host);
+        while let Some(&end) = self.planned_ends.first().filter(|end| end.at <= until) {
+            self.planned_ends.pop_first();
+            self.now = self.now.max(end.at);
+            self.end_delivery(CommandId(end.command), end.delivery, end.host);
         }
         while let Some(at) = self.out.wake_at.filter(|at| *at <= until) {
             self.out.wake_at = None;
@@ -149,12 +152,12 @@
             self.answer_outputs();
         }
         self.now = until;
-        self.command();
+        self.send_command();
         let per_second = u64::from(self.setting.commands_per_second);
         if self.random.one_in(per_second / 4) {
             self.change_hosts();
         }
-        // From a second to five for each stage: some trials end before the canary fraction has
+        // One to five seconds for each stage: some canaries end before the canary fraction has
         // grown, some after.
         if self.random.one_in(per_second * (1 + self.setting.seed % 5)) {
             self.announce_next_status();
@@ -183,7 +186,7 @@
         self.random.pick(&faults)
     }
 
-    fn command(&mut self) {
+    fn send_command(&mut self) {
         self.commands += 1;
         let operation = self.random.below(4) as usize;
         let key = if self.random.one_in(8) {
@@ -194,11 +197,11 @@
         let time_left = self.random.between(100 * MS, 3 * SECOND);
         let tenant = TenantId(self.random.below(u64::from(TENANTS) + 1) as u32);
         let id = CommandId(self.commands);
-        let kind = OpType(operation as u16);
+        let op = OpType(operation as u16);
         self.operations.push(operation);
         self.router.set_time(self.now).on_command(
             id,
-            kind,
+            op,
             tenant,
             Key(key),
             time_left,
@@ -207,36 +210,36 @@
         self.answer_outputs();
     }
 
-    /// Decides how and when each new delivery ends, and answers cancels and votes.
+    /// Plans when each new delivery ends, and answers cancels and votes.
     fn answer_outputs(&mut self) {
         for delivered in std::mem::take(&mut self.out.delivered) {
-            let due = Due {
-                at: self.now + self.duration(delivered.command, delivered.host),
+            let end = PlannedEnd {
+                at: self.now + self.delivery_duration(delivered.command, delivered.host),
                 command: delivered.command.0,
                 delivery: delivered.delivery,
                 host: delivered.host.0,
             };
-            self.due.insert(due);
+            self.planned_ends.insert(end);
         }
         for cancelled in std::mem::take(&mut self.out.cancelled) {
             let id = cancelled.command;
             let delivery = cancelled.delivery;
             let open = self
-                .due
+                .planned_ends
                 .iter()
-                .find(|due| due.command == id.0 && due.delivery == delivery)
+                .find(|end| end.command == id.0 && end.delivery == delivery)
                 .copied();
             let Some(open) = open.filter(|_| self.random.one_in(2)) else {
                 continue;
             };
-            self.due.remove(&open);
-            let took = self.random.between(10 * MS, 300 * MS);
-            let end = AttemptOutcome::Cancelled;
+            self.planned_ends.remove(&open);
+            let elapsed = self.random.between(10 * MS, 300 * MS);
+            let outcome = AttemptOutcome::Cancelled;
             self.router.set_time(self.now).on_attempt_outcome(
                 id,
                 delivery,
-                end,
-                took,
+                outcome,
+                elapsed,
                 false,
                 &mut self.out,
             );
@@ -256,7 +259,7 @@
         }
     }
 
-    fn unreachable(&self, host: u32) -> bool {
+    fn is_unreachable(&self, host: u32) -> bool {
         match self.fault {
             Fault::ZoneUnreachable(zone) => self.endpoints[host as usize].zone.0 == zone,
             Fault::AllUnreachable => true,
@@ -264,36 +267,39 @@
         }
     }
 
-    fn duration(&mut self, id: CommandId, host: HostId) -> Micros {
+    fn delivery_duration(&mut self, id: CommandId, host: HostId) -> Micros {
         let latency = self.random.between(20 * MS, 140 * MS);
         let operation = self.operations[id.0 as usize - 1];
         match self.fault {
-            _ if self.unreachable(host.0) => 2 * MS,
+            _ if self.is_unreachable(host.0) => 2 * MS,
             Fault::Hangs if host.0.is_multiple_of(5) => 2 * SECOND,
             Fault::SlowOperation(slow) if slow == operation => 10 * latency,
             _ => latency,
         }
     }
 
-    fn finish(&mut self, id: CommandId, delivery: u8, host: u32) {
+    fn end_delivery(&mut self, id: CommandId, delivery: u8, host: u32) {
         use AttemptOutcome::*;
-        let on_trial = self.endpoints[host as usize].build > Some(BuildId(FIRST_BUILD));
-        let end = match self.fault {
-            _ if self.unreachable(host) => self.random.pick(&[NotConnected, NotConnected, Reset]),
+        let is_later_build = self.endpoints[host as usize].build > Some(BuildId(FIRST_BUILD));
+        let outcome = match self.fault {
+            _ if self.is_unreachable(host) => {
+                self.random.pick(&[NotConnected, NotConnected, Reset])
+            }
             Fault::Hangs if host.is_multiple_of(5) => TimedOut,
-            Fault::BadBuild if on_trial && self.random.one_in(2) => Error,
+            Fault::BadBuild if is_later_build && self.random.one_in(2) => Error,
             _ if self.random.one_in(30) => self
                 .random
                 .pick(&[Error, Rejected, TimedOut, Reset, NotSent, Error]),
             _ => Acked,
         };
-        let took = self.random.between(20 * MS, 140 * MS) * if end == TimedOut { 20 } else { 1 };
+        let elapsed =
+            self.random.between(20 * MS, 140 * MS) * if outcome == TimedOut { 20 } else { 1 };
         self.router.set_time(self.now).on_attempt_outcome(
             id,
             delivery,
-            end,
-            took,
-            end == Acked,
+            outcome,
+            elapsed,
+            outcome == Acked,
             &mut self.out,
         );
         self.answer_outputs();
--- a/crates/spokeflow-core/tests/scenario/random.rs
+++ b/crates/spokeflow-core/tests/scenario/random.rs
@@ -1,8 +1,8 @@
-//! The random numbers of the scenarios.
+//! The random number generator of the scenarios.
 
 use spokeflow_core::Micros;
 
-/// Numbers drawn independently of the router's own generator.
+/// A SplitMix64 generator, independent of the router's own one.
 pub(crate) struct Random(u64);
 
 impl Random {
@@ -18,20 +18,22 @@
         hash ^ (hash >> 31)
     }
 
-    /// From 0 up to but not including `bound`, which is above 0.
+    /// Returns a number from 0 up to but not including `bound`, which must be above 0.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
+    /// Returns `true` with a probability of 1 in `count`.
     pub(crate) fn one_in(&mut self, count: u64) -> bool {
         self.below(count) == 0
     }
 
+    /// Returns a time from `from` up to but not including `to`.
     pub(crate) fn between(&mut self, from: Micros, to: Micros) -> Micros {
         from + self.below((to - from) as u64) as Micros
     }
 
-    pub(crate) fn pick<T: Copy>(&mut self, of: &[T]) -> T {
-        of[self.below(of.len() as u64) as usize]
+    pub(crate) fn pick<T: Copy>(&mut self, items: &[T]) -> T {
+        items[self.below(items.len() as u64) as usize]
     }
 }
--- a/crates/spokeflow-core/tests/scenario/recorder.rs
+++ b/crates/spokeflow-core/tests/scenario/recorder.rs
@@ -4,11 +4,11 @@
 
 use spokeflow_core::*;
 
-/// A delivery that the router asked for.
+/// A delivery that the router requested.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Delivered {
     pub(crate) command: CommandId,
-    /// Its number among the command's deliveries.
+    /// The number of the delivery among those of the command, from 0.
     pub(crate) delivery: u8,
     pub(crate) host: HostId,
 }
@@ -20,10 +20,11 @@
     pub(crate) delivery: u8,
 }
 
-/// How often each kind of output came.
+/// The number of outputs of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counts {
     pub(crate) deliveries: u64,
+    /// Deliveries after the first one of a command.
     pub(crate) further_deliveries: u64,
     pub(crate) nacks: u64,
     pub(crate) fails: u64,
@@ -31,14 +32,16 @@
     pub(crate) votes: u64,
 }
 
-/// Hashes every output in its order (FNV-1a) and keeps what the world has to answer.
+/// Hashes all outputs in their order (FNV-1a) and keeps those that the world has to answer.
 #[derive(Default)]
 pub(crate) struct Recorder {
     pub(crate) hash: u64,
     pub(crate) counts: Counts,
+    /// Number of deliveries of each command.
     sent: BTreeMap<CommandId, u8>,
     pub(crate) delivered: Vec<Delivered>,
     pub(crate) cancelled: Vec<Cancelled>,
+    /// Number of votes that have no answer yet.
     pub(crate) voted: u32,
     pub(crate) wake_at: Option<Micros>,
 }
--- a/crates/spokeflow-core/tests/scenario/setup.rs
+++ b/crates/spokeflow-core/tests/scenario/setup.rs
@@ -1,9 +1,9 @@
-//! What a run starts from.
+//! The initial hosts and the configuration of a run.
 
 use super::*;
 
-/// A ready host of the first build.
-pub(crate) fn first_endpoint(host: u32, random: &mut Random) -> Endpoint {
+/// The initial endpoint of a host, ready and with the first build.
+pub(crate) fn initial_endpoint(host: u32, random: &mut Random) -> Endpoint {
     Endpoint {
         host: HostId(host),
         build: Some(BuildId(FIRST_BUILD)),
@@ -15,11 +15,11 @@
     }
 }
 
-/// The configuration of a run; odd seeds use other rules than even ones.
+/// The configuration of a run; odd and even seeds use different rules.
 pub(crate) fn service_config(setting: &Setting) -> ServiceConfig {
-    let odd = setting.seed % 2 == 1;
+    let is_odd_seed = setting.seed % 2 == 1;
     ServiceConfig {
-        ops: operations(odd),
+        ops: operations(is_odd_seed),
         tenant_quotas: vec![
             f64::from(setting.commands_per_second) / f64::from(TENANTS);
             TENANTS as usize
@@ -28,10 +28,10 @@
         own_index: (setting.seed % 7) as u32,
         fleet_size: setting.fleet_size,
         tick: 5 * MS,
-        list_requires_subscription: odd,
+        list_requires_subscription: is_odd_seed,
         list_refresh_within: 10 * SECOND,
         delivery_cap: 4,
-        may_hedge: odd,
+        may_hedge: is_odd_seed,
         may_cancel: true,
         may_probe: false,
         may_gossip: true,
@@ -47,8 +47,8 @@
         stage_shares: vec![0.1, 0.4, 1.0],
         exposure_allowance: 2.0,
         exposure_window: 4 * SECOND,
-        exposure_by_op: odd,
-        guarded_stages: u8::from(odd),
+        exposure_by_op: is_odd_seed,
+        guarded_stages: u8::from(is_odd_seed),
         forward_only: setting.forward_only,
         rolling: setting.rolling,
         stage_bake: SECOND,
@@ -64,7 +64,7 @@
     }
 }
 
-fn operations(odd: bool) -> Vec<OperationConfig> {
+fn operations(is_odd_seed: bool) -> Vec<OperationConfig> {
     let operation = |repeat, deduplication_scope| OperationConfig {
         repeat,
         deduplication_scope,
@@ -80,7 +80,7 @@
         operation(Repeat::AtMostOnce, DeduplicationScope::Unknown),
         operation(
             Repeat::Deduplicated,
-            if odd {
+            if is_odd_seed {
                 DeduplicationScope::Zone
             } else {
                 DeduplicationScope::All
--- a/crates/spokeflow-core/tests/walk/mod.rs
+++ b/crates/spokeflow-core/tests/walk/mod.rs
@@ -1,6 +1,6 @@
-//! Plain definitions of the figures about hosts, which walk over all of them.
+//! Reference definitions of the statistics about hosts, which scan all hosts.
 
-#![allow(dead_code)] // each test program uses its own part
+#![allow(dead_code)] // each test program uses only some of the items
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 const LENGTH: Micros = 15 * SECOND;
 
-/// A run of these sizes; the seed decides the rules.
+/// The parameters of a run with these sizes; the seed decides the gate and the rollout rules.
 pub(crate) fn setting(seed: u64, hosts: u32, fleet_size: u32) -> Setting {
     Setting {
         seed,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Plays runs of several sizes and compares after each step.
+/// Plays runs of several sizes and calls `compare` after each step.
 pub(crate) fn after_each_step(mut compare: impl FnMut(&World, &Hosts)) {
     for (seed, hosts, fleet_size) in [
         (1, 4, 1),
@@ -38,29 +38,29 @@
     }
 }
 
-/// All hosts ever listed.
+/// All hosts that have ever been listed.
 pub(crate) fn all(hosts: &Hosts) -> impl Iterator<Item = usize> + '_ {
     0..hosts.len()
 }
 
-/// The ready ones.
+/// The ready hosts.
 pub(crate) fn ready(hosts: &Hosts) -> impl Iterator<Item = usize> + '_ {
     all(hosts).filter(|&host| hosts.endpoint(host).state == EndpointState::Ready)
 }
 
-/// The ready ones of a build.
+/// The ready hosts of a build.
 pub(crate) fn ready_of(hosts: &Hosts, build: BuildId) -> Vec<usize> {
     ready(hosts)
         .filter(|&host| hosts.build(host) == build)
         .collect()
 }
 
-/// The builds that have a ready host.
+/// The builds that have ready hosts.
 pub(crate) fn ready_builds(hosts: &Hosts) -> BTreeSet<BuildId> {
     ready(hosts).map(|host| hosts.build(host)).collect()
 }
 
-/// Time since the process started, a very long one where the list does not say.
+/// Time since the host's process started; `Micros::MAX / 2` if the list does not say when.
 pub(crate) fn age(hosts: &Hosts, host: usize) -> Micros {
     hosts
         .endpoint(host)
@@ -68,37 +68,41 @@
         .map_or(Micros::MAX / 2, |started| (hosts.now() - started).max(0))
 }
 
-/// Ready hosts that started within a span before now.
+/// The ready hosts whose process started less than `span` ago.
 pub(crate) fn started_within(hosts: &Hosts, span: Micros) -> BTreeSet<usize> {
     ready(hosts)
         .filter(|&host| age(hosts, host) < span)
         .collect()
 }
 
-/// Whether two sums differ by rounding only.
-pub(crate) fn is_close(kept: f64, plain: f64) -> bool {
-    (kept - plain).abs() <= 1e-9 * plain.abs().max(1.0)
+/// Whether two sums differ only by rounding.
+pub(crate) fn is_close(maintained: f64, expected: f64) -> bool {
+    (maintained - expected).abs() <= 1e-9 * expected.abs().max(1.0)
 }
 
-/// Compares one figure of each build's ready hosts.
+/// Compares one statistic of each build's ready hosts, as the state maintains it and by its
+/// reference definition. Fails if the runs show fewer than three different values.
 pub(crate) fn for_each_build<T: PartialEq + std::fmt::Debug>(
-    kept: impl Fn(&ReadyHosts) -> T,
-    plain: impl Fn(&Hosts, &[usize]) -> T,
+    maintained: impl Fn(&ReadyHosts) -> T,
+    expected: impl Fn(&Hosts, &[usize]) -> T,
 ) {
     let mut seen = BTreeSet::new();
     after_each_step(|_, hosts| {
         for build in ready_builds(hosts) {
-            let figure = plain(hosts, &ready_of(hosts, build));
+            let value = expected(hosts, &ready_of(hosts, build));
             assert_eq!(
-                kept(hosts.ready_with(build)),
-                figure,
-                "of build {build:?} at {}",
+                maintained(hosts.ready_with(build)),
+                value,
+                "for {build:?} at {} us",
                 hosts.now()
             );
-            seen.insert(format!("{figure:?}"));
+            seen.insert(format!("{value:?}"));
         }
     });
-    assert!(seen.len() > 2, "the runs hold different figures: {seen:?}");
+    assert!(
+        seen.len() > 2,
+        "too few different values in the runs: {seen:?}"
+    );
 }
 
 /// Sorts hosts by hash.
