--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -1,9 +1,10 @@
-//! The decision module: one [`Router`] a process, which gets each event by a call and answers
-//! through [`Egress`].
+//! The decision module: each process has one [`Router`], which receives every event as a method
+//! call and emits its decisions through [`Egress`].
 //!
-//! Call [`Router::new`] with the deployment's configuration, then [`Router::set_time`] and one
-//! method for each thing that happens, in order. A command runs through admission, canary, exposure
-//! and placement; the outcome of a delivery runs through outlier detection, analysis and retry.
+//! Call [`Router::new`] with the deployment's configuration, then, for each event in order,
+//! [`Router::set_time`] and the event's method. A command passes through admission, canary,
+//! exposure and placement; the outcome of a delivery passes through analysis, outlier detection
+//! and retry.
 //! `docs/design.md` gives the reasons.
 
 mod admission;
@@ -52,7 +53,7 @@
 const SECOND: Micros = 1_000_000;
 const MILLISECOND: Micros = SECOND / 1000;
 
-/// One router's decisions and all that they rest on.
+/// One router's state and the decisions made from it.
 pub struct Router {
     now: Micros,
     config: DerivedConfig,
@@ -69,7 +70,7 @@
     rollout: RolloutView,
     canary: CanaryFraction,
     retry_budget: RetryBudget,
-    /// Share of deliveries of late for which no connection could be made.
+    /// Moving average of the share of deliveries for which no connection could be made.
     refused_fraction: f64,
     slowdowns: Slowdowns,
     load: LoadHistory,
@@ -84,8 +85,8 @@
 }
 
 impl Router {
-    /// A router without hosts. Asks for the first tick and, where the deployment requires it, for
-    /// the host list.
+    /// Creates a router without hosts, schedules the first tick and, where the deployment requires
+    /// it, subscribes to the host list.
     pub fn new(config: &ServiceConfig, seed: u64, now: Micros, out: Out) -> Self {
         out.wake(now + TICK);
         if config.list_requires_subscription {
@@ -122,9 +123,9 @@
         }
     }
 
-    /// Uses another configuration from the next call on. What was counted, sent and assigned stays:
-    /// no window begins anew. The operations, windows and forward-only rules have to be the same as
-    /// before, and as many tenants.
+    /// Uses another configuration from the next call on. Counts, deliveries and assignments are
+    /// kept, and no window restarts. The operations, window lengths, forward-only rules and number
+    /// of tenants must be the same as before.
     pub fn reconfigure(&mut self, config: &ServiceConfig) {
         self.config = DerivedConfig::new(config);
         self.hosts.set_spans(self.config.start_spans);
@@ -137,7 +138,7 @@
         self
     }
 
-    /// The figures about hosts, for tests that compare them with plain definitions.
+    /// Returns the host state, for tests that compare it with a direct recomputation.
     #[doc(hidden)]
     pub fn hosts(&self) -> &Hosts {
         &self.hosts
--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Intake of commands, and the queues of those that wait for a host.
+//! Admission of commands, and the queues of commands that wait for a host.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,21 +10,21 @@
 
 /// Part of the latency objective above which the median latency makes a router shed commands.
 const SHED_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Part of the latency objective that a command waits for a host: the rest is needed to execute it.
+/// Longest wait for a host, as part of the latency objective: the rest is needed to execute the
+/// command.
 const WAIT_OBJECTIVE_FRACTION: f64 = 0.3;
-/// Time left before the deadline at which a command no longer waits.
+/// Time before its deadline at which a command stops waiting.
 const WAIT_MARGIN: Micros = 2 * TICK;
-/// Deliveries in flight below which traffic is too thin for the concurrency limit to bound the
-/// queues.
-const THIN_TRAFFIC: f64 = 2.0;
-/// Marks the hash input of a command without a key, so that it equals no key's.
+/// Concurrency below which traffic is too low for the concurrency limit to bound the queues.
+const LOW_TRAFFIC_CONCURRENCY: f64 = 2.0;
+/// Set in the hash input of a command without a key, so that it differs from every key.
 const KEYLESS_BIT: u64 = 1 << 40;
 
-/// The commands that wait for a host, by tenant, and what each tenant was served of late.
+/// The commands that wait for a host, by tenant, and each tenant's recent deliveries.
 #[derive(Debug)]
 pub(super) struct WaitingQueues {
     by_tenant: Vec<VecDeque<CommandId>>,
-    /// Deliveries of about the last second, fading.
+    /// Deliveries by tenant, decaying with a time constant of one second.
     served: Vec<f64>,
 }
 
@@ -44,12 +44,13 @@
         std::mem::take(&mut self.by_tenant[tenant])
     }
 
-    /// Puts back what is left of a taken queue, behind what has come meanwhile.
+    /// Puts back the rest of a taken queue, behind the commands queued in the meantime.
     fn put_back(&mut self, tenant: usize, mut commands: VecDeque<CommandId>) {
         self.by_tenant[tenant].append(&mut commands);
     }
 
-    /// Removes the commands for which `is_due` holds, in their order.
+    /// Removes and returns the commands for which `is_due` holds, by tenant and then in queue
+    /// order.
     fn remove(&mut self, is_due: impl Fn(&CommandId) -> bool) -> Vec<CommandId> {
         let due: Vec<CommandId> = self
             .by_tenant
@@ -65,8 +66,9 @@
         due
     }
 
-    /// The tenants with waiting commands, the one that was served least of its quota first.
-    fn by_service(&self, quotas: &[f64]) -> Vec<usize> {
+    /// Returns the tenants with waiting commands, ordered by the part of their quota that was
+    /// served, lowest first.
+    fn least_served_first(&self, quotas: &[f64]) -> Vec<usize> {
         let served = |tenant: &usize| self.served[*tenant] / quotas[*tenant];
         let mut order: Vec<usize> = (0..self.by_tenant.len())
             .filter(|tenant| !self.by_tenant[*tenant].is_empty())
@@ -75,18 +77,18 @@
         order
     }
 
-    /// A tenant's command has been delivered.
+    /// Counts a delivery of one of a tenant's commands.
     pub(super) fn count_served(&mut self, tenant: usize) {
         self.served[tenant] += 1.0;
     }
 
-    pub(super) fn fade(&mut self, fade: f64) {
-        self.served.iter_mut().for_each(|served| *served *= fade);
+    pub(super) fn decay(&mut self, decay: f64) {
+        self.served.iter_mut().for_each(|served| *served *= decay);
     }
 }
 
 impl Router {
-    /// A client has sent a command, which it waits `time_left` for.
+    /// Handles a command from a client that waits `time_left` for the answer.
     pub fn on_command(
         &mut self,
         id: CommandId,
@@ -133,24 +135,28 @@
         }
     }
 
-    /// Guards against queues so long that most is served too late, where traffic is too thin for a
-    /// limit: only what brings the median latency back to half the objective is admitted.
+    /// Returns how overloaded an operation is, as a logarithm: commands are admitted with
+    /// probability `exp(-overload)`; values up to 0 admit all.
+    ///
+    /// Guards against queues so long that most commands are served too late where traffic is too
+    /// low for the concurrency limit to bound them: shedding brings the median latency back to half
+    /// the objective.
     fn overload(&self, operation: usize) -> f64 {
         let returns: f64 = self
             .operations
             .iter()
             .map(|operation| operation.acks * operation.latency_objective / SECOND as f64)
             .sum();
-        let thin = CONCURRENCY_OBJECTIVE_FRACTION * returns < THIN_TRAFFIC;
-        if thin && self.slowdowns.operations.excess(operation) == 0.0 {
+        let low_traffic = CONCURRENCY_OBJECTIVE_FRACTION * returns < LOW_TRAFFIC_CONCURRENCY;
+        if low_traffic && self.slowdowns.operations.excess(operation) == 0.0 {
             self.operations[operation].overload - SHED_OBJECTIVE_FRACTION.ln()
         } else {
             0.0
         }
     }
 
-    /// Sends a command that is not answered to a host, or lets it wait, or gives it up; says
-    /// whether a delivery went out.
+    /// Sends an unanswered command to a host, queues it, or sheds it. Returns whether a delivery
+    /// was sent.
     pub(super) fn route(&mut self, id: CommandId, out: Out) -> bool {
         let Some(command) = self.commands.get(&id).filter(|command| !command.answered) else {
             return false;
@@ -168,14 +174,14 @@
                 return true;
             }
         }
-        // A known key above the cap under forward-only rules is refused at once: its client comes
-        // back when the cap allows it.
+        // Under forward-only rules, a command whose key is bound to a build at its exposure cap is
+        // refused at once: its client can retry when the cap allows it.
         self.wait_or_shed(id, at_cap && rule.newest_build.is_some(), out);
         false
     }
 
-    /// Lets a command without an open delivery wait where it has the time for it and `refuse` does
-    /// not forbid it.
+    /// Queues a command without an open delivery, or sheds it where `refuse` is set or no time is
+    /// left to wait.
     fn wait_or_shed(&mut self, id: CommandId, refuse: bool, out: Out) {
         let Some(command) = self
             .commands
@@ -192,11 +198,11 @@
         }
     }
 
-    /// Routes waiting commands by what their tenant was served of its quota: those of one far
-    /// beyond it wait in vain. Ends where the hosts are full, so that many which wait cost no more
-    /// with each that comes or goes.
+    /// Routes waiting commands, those of the tenant with the smallest served part of its quota
+    /// first, so that only tenants far above their quota starve. Stops at the concurrency limit, so
+    /// that the cost of one event does not grow with the number of waiting commands.
     pub(super) fn route_waiting(&mut self, out: Out) {
-        for tenant in self.waiting.by_service(&self.config.tenant_quotas) {
+        for tenant in self.waiting.least_served_first(&self.config.tenant_quotas) {
             let mut queue = self.waiting.take(tenant);
             let mut next = 0;
             while let Some(&id) = queue.get(next) {
@@ -206,7 +212,8 @@
                     .map(|command| command.operation)
                     .filter(|&operation| self.at_concurrency_limit(operation));
                 match blocked {
-                    // An operation that waits everywhere keeps no command behind it from a host.
+                    // An operation that is slow at every host must not block the commands queued
+                    // behind it.
                     Some(operation) if self.slowdowns.operations.excess(operation) > 0.0 => {
                         next += 1;
                     }
@@ -221,7 +228,8 @@
         }
     }
 
-    /// Gives up on the commands that have waited in vain while the hosts were full.
+    /// Makes a last attempt to route the commands that have waited as long as allowed, and sheds
+    /// them where the hosts are still full. Drops answered commands from the queues.
     pub(super) fn expire_waiting(&mut self, out: Out) {
         let commands = &self.commands;
         let now = self.now;
@@ -239,6 +247,7 @@
         }
     }
 
+    /// Returns the time at which a command stops waiting for a host.
     fn waits_until(&self, command: &Command) -> Micros {
         let objective = self.operations[command.operation].latency_objective;
         waits_until(command, objective)
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -1,4 +1,5 @@
-//! Canary analysis: what each of this router's own answers says of the newest build.
+//! Canary analysis: evidence for or against the newest build from the answers to this router's own
+//! deliveries.
 
 use super::evidence::{add_to, EvidenceKind};
 use super::outliers::FAILURE_SLOWDOWN;
@@ -6,50 +7,53 @@
 use super::{Router, ROUTERS_PER_HOST};
 use crate::{AttemptOutcome, BuildId, HostId, Micros};
 
-/// Taken off each analyzed delivery's failure beside the earlier build's rate: a rate this far
-/// above it is chance.
+/// Failure rate above the earlier build's that is attributed to chance; subtracted from the
+/// evidence of each analyzed delivery.
 pub(super) const FAILURE_MARGIN: f64 = 0.02;
-/// Evidence of wrong answers that each answer takes off: reports this rare are chance.
+/// Evidence of wrong answers that each answer subtracts: reports this rare are attributed to
+/// chance.
 pub(super) const WRONG_ANSWER_MARGIN: f64 = 0.01;
-/// Failures at the earlier build, as a share, that halve what one more proves.
+/// Failure rate of the earlier build at which one more failure has half its weight as evidence.
 const FAILURE_NOISE: f64 = 0.05;
-/// Slowness, as a logarithm, that is put down to chance, and the evidence of one unit beyond it.
+/// Slowness, as a logarithm, that is attributed to chance, and the evidence of one unit beyond it.
 pub(super) const SLOWNESS_MARGIN: f64 = 0.6;
 pub(super) const SLOWNESS_WEIGHT: f64 = 0.4;
-/// Bound of an answer's slowness, as a logarithm, in both directions: one answer is not more than
-/// one.
+/// Bound of an answer's slowness, as a logarithm, in both directions, so that one outlier does not
+/// count for several answers.
 pub(super) const MAX_SLOWNESS: f64 = 2.0;
-/// Bound of an answer's slowness where it counts against the slowness that all hosts share.
+/// Upper bound of an answer's slowness, as a logarithm, where it counts as slowness of all hosts.
 pub(super) const MAX_SHARED_SLOWNESS: f64 = 1.5;
-/// Bound of the weight of a failure where traffic is thin: chance brings few of them together.
-const MAX_THIN_TRAFFIC_WEIGHT: f64 = 1.5;
-/// Answers below which an operation's baseline says nothing of slowness.
+/// Upper bound of the weight of a failure where a router has little traffic: several failures by
+/// chance are rare there.
+const MAX_LOW_TRAFFIC_WEIGHT: f64 = 1.5;
+/// Answers below which an operation's baseline is too uncertain to measure slowness against.
 const MIN_BASELINE_SAMPLES: f64 = 5.0;
-/// Answers that the baseline's mean goes by at most.
+/// Number of answers after which the baseline becomes a moving average with a fixed weight.
 const MAX_BASELINE_SAMPLES: u32 = 200;
-/// Answers up to which thin traffic goes on learning the baseline in the first stages, and the
-/// canary fraction up to which the earlier build's hosts still show it.
-const THIN_BASELINE_SAMPLES: u32 = 20;
-const THIN_BASELINE_CANARY_FRACTION: f64 = 0.2;
-/// Uncertainty of a baseline, in standard errors of its mean, that is borne without allowance.
-const BORNE_UNCERTAINTY: f64 = 0.25;
+/// An operation with fewer answers than this goes on learning its baseline from the earlier build's
+/// hosts during a canary, while the canary fraction is below the second value.
+const LOW_TRAFFIC_BASELINE_SAMPLES: u32 = 20;
+const LOW_TRAFFIC_CANARY_FRACTION: f64 = 0.2;
+/// Uncertainty of a baseline, as a logarithm, that is tolerated without correction. The logarithm
+/// of a latency is assumed to have a standard deviation of 1.
+const TOLERATED_UNCERTAINTY: f64 = 0.25;
 /// Weights of the newest answer in a host's slowdown, and in the earlier build's failure rate and
 /// slowness.
 const HOST_SLOWDOWN_RATE: f64 = 0.15;
 const FAILURE_LEARN_RATE: f64 = 0.02;
 const SLOWNESS_LEARN_RATE: f64 = 0.05;
-/// What remains of the tenants' counts after each answer, and of the losses after each loss.
-const TENANT_FADE: f64 = 0.98;
-const LOSS_FADE: f64 = 0.95;
-/// Answers that a host must have given, lest a reset count as its failure.
-const ANSWERS_TO_EXCUSE_RESET: u32 = 2;
+/// Factors by which the tenants' counts decay with each answer, and the losses with each loss.
+const TENANT_DECAY: f64 = 0.98;
+const LOSS_DECAY: f64 = 0.95;
+/// Answers from a host at which a reset no longer counts as a failure of its build.
+const ANSWERS_TO_IGNORE_RESET: u32 = 2;
 
-/// What was learned of builds that are not on trial.
+/// Failure rates and slowness of builds that are not on trial.
 #[derive(Debug)]
 pub(super) struct Baseline {
-    /// By operation, the share of failures.
+    /// Share of failures, by operation.
     failures: Vec<f64>,
-    /// Mean slowness of answers, as a logarithm over the operation's baseline.
+    /// Mean logarithm of the latency over the operation's baseline.
     slowness: f64,
 }
 
@@ -69,7 +73,7 @@
     errors: f64,
 }
 
-/// By tenant, answers and errors of late at hosts of any build.
+/// Recent answers and errors at hosts of any build, by tenant.
 #[derive(Debug)]
 pub(super) struct TenantErrors(Vec<ErrorCount>);
 
@@ -78,19 +82,19 @@
         TenantErrors(vec![ErrorCount::default(); tenants])
     }
 
-    fn count(&mut self, tenant: usize, erred: bool) {
+    fn count(&mut self, tenant: usize, is_error: bool) {
         for count in &mut self.0 {
-            count.answers *= TENANT_FADE;
-            count.errors *= TENANT_FADE;
+            count.answers *= TENANT_DECAY;
+            count.errors *= TENANT_DECAY;
         }
         let count = &mut self.0[tenant];
         count.answers += 1.0;
-        count.errors += f64::from(u8::from(erred));
+        count.errors += f64::from(u8::from(is_error));
     }
 
-    /// What a failure proves, 0 to 1: less for a tenant whose commands err at every host, far
-    /// beyond the others'.
-    fn proof(&self, tenant: usize) -> f64 {
+    /// Returns the weight, 0 to 1, of a failure as evidence against a build: reduced for a tenant
+    /// whose error rate at all hosts is far above that of the others.
+    fn failure_weight(&self, tenant: usize) -> f64 {
         let own = self.0[tenant];
         let least_of_others = self
             .0
@@ -99,33 +103,33 @@
             .filter(|(other, _)| *other != tenant)
             .map(|(_, count)| (count.errors + 1.0) / (count.answers + 2.0))
             .fold(1.0, f64::min);
-        let beyond = (own.errors - own.errors.sqrt()) / (own.answers + 1.0) - least_of_others;
-        FAILURE_MARGIN / (FAILURE_MARGIN + beyond.max(0.0))
+        let excess = (own.errors - own.errors.sqrt()) / (own.answers + 1.0) - least_of_others;
+        FAILURE_MARGIN / (FAILURE_MARGIN + excess.max(0.0))
     }
 }
 
-/// Own deliveries lost of late.
+/// This router's recent deliveries that ended without an ack.
 #[derive(Debug, Default)]
 pub(super) struct LossCount {
     lost: f64,
-    /// Those among them that count as a build's failure.
+    /// Those of them that count as failures of a build.
     failed: f64,
 }
 
 impl LossCount {
     pub(super) fn count_lost(&mut self) {
-        self.lost = LOSS_FADE * self.lost + 1.0;
-        self.failed *= LOSS_FADE;
+        self.lost = LOSS_DECAY * self.lost + 1.0;
+        self.failed *= LOSS_DECAY;
     }
 
-    /// Of what the release controller calls lost, the part that would count as a failure if it were
-    /// this router's own.
+    /// Returns the part of lost deliveries that count as failures of a build. Applied to the losses
+    /// that the release controller reports, which it does not classify.
     pub(super) fn failure_fraction(&self) -> f64 {
         (self.failed + 1.0) / (self.lost + 1.0)
     }
 }
 
-/// One answer as the analysis sees it.
+/// One completed delivery, as input of the analysis.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     host: usize,
@@ -135,14 +139,15 @@
     acked: bool,
     /// 1 for a failure of the build, else 0.
     failed: f64,
-    /// Logarithm of the latency, less what a cold host explains.
+    /// Logarithm of the latency in microseconds, corrected for a host that is warming up.
     latency: f64,
-    /// The baseline rests on enough answers to show slowness.
+    /// Whether the baseline has enough answers to measure slowness against.
     baseline_known: bool,
 }
 
 impl Router {
-    /// Learns from the end of a delivery at a host's present build.
+    /// Updates baseline and evidence from a completed delivery, whose host still runs the build
+    /// that the delivery was sent to.
     pub(super) fn analyze(
         &mut self,
         host: usize,
@@ -151,7 +156,7 @@
         outcome: AttemptOutcome,
         took: Micros,
     ) {
-        if outcome == AttemptOutcome::TimedOut && self.waits_everywhere(operation, took) {
+        if outcome == AttemptOutcome::TimedOut && self.is_slow_everywhere(operation, took) {
             self.slowdowns.operations.learn(operation, FAILURE_SLOWDOWN);
             return;
         }
@@ -184,14 +189,14 @@
         }
     }
 
-    /// Whether a time-out is due to an operation that waits at every host alike.
-    fn waits_everywhere(&self, operation: usize, took: Micros) -> bool {
+    /// Whether a time-out is due to an operation that is slow at every host.
+    fn is_slow_everywhere(&self, operation: usize, took: Micros) -> bool {
         took as f64 >= self.operations[operation].latency_objective
             && self.slowdowns.operations.excess(operation) > 0.0
     }
 
-    /// 1 where the end of a delivery is a failure of the build, 0 where it is an answer, `None`
-    /// where it says nothing.
+    /// Returns 1 where the outcome of a delivery is a failure of the build, 0 where it is none, and
+    /// `None` where the outcome is no evidence either way.
     fn failure_of(
         &self,
         host: usize,
@@ -202,16 +207,16 @@
         match outcome {
             AttemptOutcome::Acked => Some(0.0),
             AttemptOutcome::Error => Some(1.0),
-            // Links break connections too, and one crash breaks all that was open at the host: that
-            // is one failure, of a host that does little else.
+            // Network faults reset connections too, and one crash resets all open deliveries at the
+            // host. So a reset counts only at a host with almost no answers, and once per ejection.
             AttemptOutcome::Reset => {
-                let alone = self.hosts.answers(host) < ANSWERS_TO_EXCUSE_RESET
+                let counts = self.hosts.answers(host) < ANSWERS_TO_IGNORE_RESET
                     && self.now >= self.hosts.ejected_until(host);
-                alone.then_some(1.0)
+                counts.then_some(1.0)
             }
-            // A full fleet times out too: that is slowness, which more traffic excuses, and no
-            // failure. It is neither where the client ended it early, or where the host answered
-            // nobody.
+            // An overloaded fleet times out too, so a time-out counts as slowness, which load may
+            // explain, and not as a failure. It is no evidence where the client gave up before the
+            // latency objective or where the host itself is suspect.
             AttemptOutcome::TimedOut => {
                 let long = took as f64 >= self.operations[operation].latency_objective;
                 (long && !self.is_suspect(host)).then_some(0.0)
@@ -223,7 +228,9 @@
         }
     }
 
-    /// Learns how slow an answer was, and returns what of it is its host's or its build's doing.
+    /// Updates the slowdowns of the answer's host, zone, operation and tenant. Returns the
+    /// slowness, as a logarithm, that is left for the host or its build after subtracting the
+    /// largest excess of zone, operation or tenant.
     fn learn_slowness(&mut self, answer: &Answer) -> f64 {
         let origin = Origin {
             zone: self.zone_index(answer.host),
@@ -244,24 +251,25 @@
         slowness
     }
 
-    /// Slowness as a logarithm, less what a baseline of few answers may be off by chance; of many
-    /// routers, one is very unlucky and votes for all.
+    /// Returns the slowness over the operation's baseline, as a logarithm, less the error that a
+    /// baseline of few answers may have by chance. In a large fleet the largest error over all
+    /// routers is expected, because the vote of one router may decide for all.
     fn slowness_over_baseline(&self, answer: &Answer) -> f64 {
         if !answer.acked {
             return MAX_SLOWNESS * (1.0 - answer.failed);
         }
         let operation = &self.operations[answer.operation];
         let samples = f64::from(operation.baseline_samples);
-        let luck = if self.config.fleet_size > ROUTERS_PER_HOST {
+        let max_deviation = if self.config.fleet_size > ROUTERS_PER_HOST {
             (2.0 * self.config.fleet_size.ln()).sqrt()
         } else {
             1.0
         };
-        let uncertainty = (luck / samples.sqrt() - BORNE_UNCERTAINTY).max(0.0);
+        let uncertainty = (max_deviation / samples.sqrt() - TOLERATED_UNCERTAINTY).max(0.0);
         (answer.latency - operation.baseline - uncertainty).clamp(-MAX_SLOWNESS, MAX_SLOWNESS)
     }
 
-    /// Whether answers of a build count for or against the newest one.
+    /// Whether answers of a build are evidence about the newest one.
     fn counts_as_trial(&self, build: BuildId) -> bool {
         let newest = self.rollout.status.is_some_and(|status| {
             build >= status.build && !self.rollout.is_rolled_back(status.build)
@@ -284,63 +292,64 @@
         let controller_loss = self.operations[operation].controller_loss;
         let baseline_rate =
             self.baseline.failures[operation].max(controller_loss * self.losses.failure_fraction());
-        // Where much fails anyway, a failure more says less.
+        // The higher the baseline rate of failures, the less one more failure weighs.
         let gain = (answer.failed - baseline_rate) * FAILURE_NOISE
             / (FAILURE_NOISE + baseline_rate)
             - FAILURE_MARGIN;
-        let thin_traffic =
-            (self.config.fleet_size / ROUTERS_PER_HOST).clamp(1.0, MAX_THIN_TRAFFIC_WEIGHT);
-        let gain = gain * self.tenant_errors.proof(answer.tenant) * thin_traffic;
+        let low_traffic_weight =
+            (self.config.fleet_size / ROUTERS_PER_HOST).clamp(1.0, MAX_LOW_TRAFFIC_WEIGHT);
+        let gain = gain * self.tenant_errors.failure_weight(answer.tenant) * low_traffic_weight;
         self.add_evidence(answer.host, EvidenceKind::Failure { operation }, gain);
         if answer.baseline_known {
-            let excused = self.baseline.slowness.max(self.slowness_by_load());
-            let gain = SLOWNESS_WEIGHT * (slowness - excused - SLOWNESS_MARGIN);
+            let explained = self.baseline.slowness.max(self.slowness_by_load());
+            let gain = SLOWNESS_WEIGHT * (slowness - explained - SLOWNESS_MARGIN);
             let gain = gain.min(self.config.quorum_scale * gain);
             self.add_evidence(answer.host, EvidenceKind::Slowness, gain);
         }
     }
 
-    /// Learns from an answer of a build that is not on trial.
+    /// Updates the baseline from an answer of a build that is not on trial.
     fn learn_baseline(&mut self, answer: &Answer, slowness: f64) {
         let failures = &mut self.baseline.failures[answer.operation];
         *failures += FAILURE_LEARN_RATE * (answer.failed - *failures);
         self.baseline.slowness += SLOWNESS_LEARN_RATE * (slowness - self.baseline.slowness);
-        // Thin traffic goes on learning in the first stages, from the earlier build's hosts.
+        // With few samples, the baseline is still learned from the earlier build's hosts in the
+        // first stages.
         let operation = &mut self.operations[answer.operation];
-        let thin = operation.baseline_samples < THIN_BASELINE_SAMPLES
-            && self.canary.fraction < THIN_BASELINE_CANARY_FRACTION;
-        if answer.acked && (thin || !self.rollout.is_canary()) {
+        let low_traffic = operation.baseline_samples < LOW_TRAFFIC_BASELINE_SAMPLES
+            && self.canary.fraction < LOW_TRAFFIC_CANARY_FRACTION;
+        if answer.acked && (low_traffic || !self.rollout.is_canary()) {
             operation.baseline_samples += 1;
             let samples = operation.baseline_samples.min(MAX_BASELINE_SAMPLES);
             operation.baseline += (answer.latency - operation.baseline) / f64::from(samples);
         }
     }
 
-    /// Guards against a build that slows the earlier hosts too: from its canary on every answer
-    /// counts against the time before, less what traffic explains. It could harm where the fleet
-    /// slows for another reason.
+    /// Guards against a build that slows the hosts of earlier builds too: while it is a canary, the
+    /// answers of all hosts are compared with the baseline from before, less the slowness that load
+    /// explains. Limitation: a fleet that slows down for another reason counts against the build.
     fn count_shared_slowness(&mut self, slowness: f64) {
         let comparable = self.evidence.answers > 0 && self.load.baseline.answered > 0.0;
         if !comparable || !self.rollout.is_canary() {
             return;
         }
-        // One of many routers sees by its own traffic only a part of what loads the hosts.
-        let part = self
+        // In a large fleet a router's own traffic shows only a part of the load on the hosts.
+        let weight = self
             .config
             .quorum_scale
             .min(ROUTERS_PER_HOST / self.config.fleet_size);
-        let excused = self.slowness_by_load();
+        let explained = self.slowness_by_load();
         let gain =
-            SLOWNESS_WEIGHT * (slowness.min(MAX_SHARED_SLOWNESS) - excused - SLOWNESS_MARGIN);
-        add_to(&mut self.evidence.shared_slowness, gain.min(part * gain));
+            SLOWNESS_WEIGHT * (slowness.min(MAX_SHARED_SLOWNESS) - explained - SLOWNESS_MARGIN);
+        add_to(&mut self.evidence.shared_slowness, gain.min(weight * gain));
     }
 
-    /// A client has reported a wrong answer that a host gave `since` ago.
+    /// Handles a client's report of a wrong answer that a host gave `since` ago.
     pub fn on_wrong_answer(&mut self, host: HostId, since: Micros) {
         let Some(&host) = self.host_index.get(&host) else {
             return;
         };
-        // An answer of the process before this one says nothing of its build.
+        // An answer from an earlier process of the host is no evidence about the present build.
         let build = self.hosts.build(host);
         let started_at = self.hosts.endpoint(host).started_at;
         let of_earlier_process = started_at.is_some_and(|at| self.now - since < at);
--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -1,33 +1,35 @@
-//! Which build a command goes to while one is on trial.
+//! The choice of the build for a command while one is on trial.
+//!
+//! A build is on trial while it is newer than the released one; see `Router::is_on_trial`.
 
 use super::sticky::STICKY_IDLE_TIMEOUT;
 use super::{Router, SECOND};
 use crate::state::Command;
 use crate::{BuildId, Micros};
 
-/// Part of the exposure cap that the canary fraction takes, and how far keys follow the hosts above
-/// it: keys that carry more than the mean traffic need some of it too.
+/// Part of the exposure cap up to which the canary fraction grows, and up to which it follows the
+/// hosts as they are replaced. The rest of the cap is for keys with more than the mean traffic.
 const CANARY_FRACTION_OF_CAP: f64 = 0.7;
 const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
-/// How far the canary fraction runs ahead of its hosts' part where the earlier ones are being
-/// replaced.
+/// Factor by which the canary fraction may exceed the trial hosts' part of the capacity where hosts
+/// are replaced in place.
 const CANARY_LEAD: f64 = 1.25;
-/// Time in which the canary fraction grows from nothing to what it aims at: its hosts see load
-/// rise, not jump.
+/// Time in which the canary fraction grows from 0 to its target, so that the load on the trial
+/// hosts rises gradually.
 const CANARY_GROWTH_TIME: Micros = 2 * SECOND;
-/// Least aim that the growth goes by, so that a small one is reached as well.
-const MIN_GROWTH_AIM: f64 = 0.02;
+/// Least target that the growth rate is derived from, so that a small target is reached as well.
+const MIN_GROWTH_TARGET: f64 = 0.02;
 
-/// The part of the keys that goes to the build on trial.
+/// The part of the key space that is routed to the build on trial.
 #[derive(Debug, Default)]
 pub(super) struct CanaryFraction {
     build: BuildId,
-    /// Keys whose position is below it go to the build on trial.
+    /// Keys whose position is below this go to the build on trial.
     pub(super) fraction: f64,
 }
 
 impl CanaryFraction {
-    /// Begins anew where another build is on trial.
+    /// Restarts from 0 where another build is on trial.
     fn follow(&mut self, build: BuildId) {
         if self.build != build {
             self.fraction = 0.0;
@@ -35,22 +37,22 @@
         self.build = build;
     }
 
-    /// Grows towards an aim over a part of the growth time, up to the cap; never shrinks but for
-    /// the cap.
-    fn grow(&mut self, aim: f64, part: f64, cap: f64) {
-        let step = self.fraction + part * aim.max(MIN_GROWTH_AIM);
-        self.fraction = self.fraction.max(aim.min(step)).min(cap);
+    /// Grows towards `target` for `elapsed`, a fraction of the growth time. Shrinks only to stay
+    /// within the cap.
+    fn grow(&mut self, target: f64, elapsed: f64, cap: f64) {
+        let step = self.fraction + elapsed * target.max(MIN_GROWTH_TARGET);
+        self.fraction = self.fraction.max(target.min(step)).min(cap);
     }
 }
 
-/// The newest build that is free for all, and the newest on trial, each with a ready host.
+/// The newest build that is not on trial and the newest that is, among those with a ready host.
 #[derive(Clone, Copy, Debug)]
 struct ServingBuilds {
     stable: Option<BuildId>,
     trial: Option<BuildId>,
 }
 
-/// The builds to try, in this order.
+/// The builds to try for a command, in this order.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BuildChoice {
     first: Option<BuildId>,
@@ -64,8 +66,9 @@
 }
 
 impl Router {
-    /// The builds to try for a command, best first. Assignments keep a key at its build; the canary
-    /// fraction takes keys to the one on trial.
+    /// Returns the builds to try for a command, best first, none of them earlier than `floor`.
+    /// Sticky assignments keep a key at its build; the canary fraction moves keys to the build on
+    /// trial.
     pub(super) fn choose_builds(&self, command: &Command, floor: Option<BuildId>) -> BuildChoice {
         let serving = self.serving_builds();
         let allowed = |build: &BuildId| floor.is_none_or(|floor| *build >= floor);
@@ -78,7 +81,7 @@
         let (Some(new), Some(old)) = (trial, stable) else {
             return stable_first;
         };
-        // What a build on trial has failed gets its further delivery where it is known to work.
+        // After a delivery to a build on trial, the next one goes to the stable build.
         let tried_trial = || {
             let mut deliveries = command.deliveries.iter();
             deliveries.any(|delivery| self.is_on_trial(delivery.build))
@@ -99,12 +102,14 @@
         }
     }
 
-    /// Whether a command belongs to the canary fraction. A few keys may carry much of the traffic:
-    /// the fraction's come no faster than its hosts bear, and no more follow than the earlier
-    /// build's hosts have become fewer.
+    /// Whether a command goes to the build on trial: its key is assigned there, or lies within the
+    /// canary fraction and the trial hosts have capacity for it. Because a few keys may carry much
+    /// of the traffic, the deliveries to the trial build are also bounded by its part of the
+    /// capacity. `CANARY_LEAD` raises this bound only for keys without an assignment, so that keys
+    /// leave the earlier build no faster than its hosts are replaced.
     fn goes_to_trial(&self, command: &Command, new: BuildId, old: BuildId) -> bool {
         let exposed = self.exposure.exposed_to(new) as f64;
-        let bearable =
+        let sustainable =
             self.trial_capacity_fraction(new, old) * self.exposure.received().max(1) as f64;
         let assignment = self.sticky.get(command.key).filter(|assignment| {
             command.key.0 != 0 && self.now - assignment.used_at < STICKY_IDLE_TIMEOUT
@@ -115,7 +120,7 @@
             1.0
         };
         assignment.is_some_and(|assignment| assignment.build == new)
-            || command.key_position < self.canary.fraction && lead * bearable > exposed
+            || command.key_position < self.canary.fraction && lead * sustainable > exposed
     }
 
     fn serving_builds(&self) -> ServingBuilds {
@@ -126,10 +131,11 @@
         }
     }
 
-    /// What part of the present capacity runs the build on trial, cold hosts counted by what they
-    /// can do.
+    /// Returns the part of the present capacity that runs the build on trial. Hosts that are
+    /// warming up count with their present capacity.
     fn trial_capacity_fraction(&self, new: BuildId, old: BuildId) -> f64 {
-        // Side by side, each trial host bears what each earlier one did before the trial.
+        // Where the trial hosts run beside the earlier ones, the earlier hosts alone carried the
+        // whole traffic before the trial, so the trial hosts are compared with them only.
         let warm_up = |age| self.warm_up_fraction(age);
         let all = self.hosts.sum_sizes(warm_up, |build| {
             build == old || self.config.rolling && build > old
@@ -138,11 +144,11 @@
         (trial / all.max(1e-9)).min(1.0)
     }
 
-    /// The canary fraction grows towards its part of the cap, as far as the trial hosts listed
-    /// ready bear it, and follows the hosts where the earlier build is left with fewer than its
-    /// keys need.
+    /// Grows the canary fraction towards its part of the cap, as far as the ready trial hosts have
+    /// capacity for it. Where the earlier build is left with too few hosts for its keys, the
+    /// fraction follows the trial hosts' part of the capacity.
     pub(super) fn grow_canary(&mut self) {
-        let part = (self.now - self.ticks.ticked_at) as f64 / CANARY_GROWTH_TIME as f64;
+        let elapsed = (self.now - self.ticks.ticked_at) as f64 / CANARY_GROWTH_TIME as f64;
         let serving = self.serving_builds();
         let Some(new) = serving.trial else {
             return;
@@ -162,9 +168,9 @@
         } else {
             1.0
         };
-        let aim = (CANARY_FRACTION_OF_CAP * cap)
+        let target = (CANARY_FRACTION_OF_CAP * cap)
             .min(lead * capacity)
             .max(follow);
-        self.canary.grow(aim, part, cap);
+        self.canary.grow(target, elapsed, cap);
     }
 }
--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -1,4 +1,5 @@
-//! What the release controller counted of all routers' deliveries, where one router sees few.
+//! Evidence from the release controller's statistics on the deliveries of all routers, for routers
+//! that see few answers themselves.
 
 use super::analysis::{FAILURE_MARGIN, MAX_SHARED_SLOWNESS, MAX_SLOWNESS, SLOWNESS_MARGIN};
 use super::evidence::add_to;
@@ -7,44 +8,45 @@
 use crate::state::{LatencyCount, OperationState};
 use crate::{BuildId, ControllerStats, Micros};
 
-/// Evidence of the slowness in one operation's counts of a period with many answers.
+/// Evidence of one unit of slowness in a period's counts of one operation, with many answers.
 const CONTROLLER_WEIGHT: f64 = 1.5;
-/// Most evidence of the failures of one operation and period: one period brings a part of the
-/// proof.
+/// Most evidence that the failures of one operation in one period add: a single period must bring
+/// only a part of the evidence for a rollback.
 const MAX_FAILURE_EVIDENCE: f64 = CONTROLLER_WEIGHT / 2.0;
 /// Answers at which a period's slowness has half its weight.
 const HALF_WEIGHT_ANSWERS: f64 = 12.0;
-/// Slowness of all builds, as a logarithm, that is put down to chance.
+/// Slowness of all builds, as a logarithm, that is attributed to chance.
 const CONTROLLER_SLOWNESS_MARGIN: f64 = 0.3;
-/// How many times fewer fit hosts than before the canary excuse at most.
-const MAX_CAPACITY_LOSS_EXCUSED: f64 = 1.4;
-/// What remains of an operation's counts after each period.
-const COUNT_FADE: f64 = 0.8;
-/// Deliveries without a loss that a share of losses is lowered by: of few, it says little.
+/// Upper bound of the factor by which a loss of capacity since the canary began explains slowness.
+const MAX_EXPLAINED_CAPACITY_LOSS: f64 = 1.4;
+/// Factor by which an operation's counts decay with each period.
+const COUNT_DECAY: f64 = 0.8;
+/// Deliveries without a loss that are added to the sample when the share of losses is estimated, so
+/// that small samples give low estimates.
 const LOSS_PRIOR: f64 = 4.0;
-/// Answers of the earlier builds from which their mean latency serves as a baseline.
+/// Least answers of the earlier builds for their mean latency to serve as a baseline.
 const MIN_EARLIER_ANSWERS: f64 = 10.0;
-/// Counts whose periods end closer together than this are of one period.
+/// Counts whose periods end closer together than this belong to one period.
 const SAME_PERIOD_WITHIN: Micros = SECOND / 4;
-/// Weight of a period in the baseline traffic; the first one counts in full.
+/// Weight of a period in the baseline traffic; the first one has weight 1.
 const TRAFFIC_WEIGHT: f64 = 0.3;
-/// Least latency in seconds that logarithms are taken of.
+/// Lower bound, in seconds, of latencies before their logarithm is taken.
 const MIN_LATENCY: f64 = 1e-6;
 
-/// Answers a period that the release controller counted.
+/// Answers per period that the release controller counted.
 #[derive(Debug, Default)]
 pub(super) struct ControllerTraffic {
     period_end: Micros,
-    /// In the period that the counts now arriving belong to, and in the one before.
+    /// Answers in the period whose counts are arriving, and in the one before.
     current: f64,
     previous: f64,
-    /// A period's answers before the canary.
+    /// Mean answers per period while no build was a canary.
     baseline: f64,
 }
 
 impl ControllerTraffic {
-    /// Begins another period where the counts belong to one; learns the baseline while no build is
-    /// a canary.
+    /// Starts a new period where `ended_at` does not belong to the present one, and updates the
+    /// baseline while no build is a canary.
     fn follow_period(&mut self, ended_at: Micros, canary: bool) {
         if ended_at <= self.period_end + SAME_PERIOD_WITHIN {
             return;
@@ -62,13 +64,13 @@
         self.current = 0.0;
     }
 
-    /// Traffic in multiples of the baseline.
+    /// Returns the traffic in multiples of the baseline.
     fn growth(&self) -> f64 {
         self.previous.max(self.current) / self.baseline.max(1.0)
     }
 }
 
-/// The counts of one operation at one build, and what they are weighed by.
+/// One period's counts of one operation at one build.
 #[derive(Clone, Copy, Debug)]
 struct PeriodCount {
     sampled: f64,
@@ -76,12 +78,12 @@
     acked: f64,
     /// In seconds.
     mean_latency: f64,
-    /// Slowness that traffic and lost hosts explain.
+    /// Slowness, as a logarithm, that more traffic and fewer hosts explain.
     explained: f64,
 }
 
 impl PeriodCount {
-    /// Slowness against a baseline latency in seconds, as a logarithm.
+    /// Returns the slowness against a baseline latency in seconds, as a logarithm.
     fn slowness(&self, baseline: f64) -> f64 {
         (self.mean_latency.max(MIN_LATENCY) / baseline.max(MIN_LATENCY))
             .ln()
@@ -94,15 +96,15 @@
 }
 
 impl OperationState {
-    /// Learns from counts of a build that is not on trial.
+    /// Updates the operation's baseline from counts of a build that is not on trial.
     fn learn_controller_count(&mut self, count: &PeriodCount, canary: bool) {
         let before = self.controller_count;
         self.controller_count = LatencyCount {
-            answered: COUNT_FADE * before.answered + count.acked,
-            seconds: COUNT_FADE * before.seconds + count.mean_latency * count.acked,
+            answered: COUNT_DECAY * before.answered + count.acked,
+            seconds: COUNT_DECAY * before.seconds + count.mean_latency * count.acked,
         };
         let loss = count.lost / (count.sampled + LOSS_PRIOR);
-        self.controller_loss = loss.max(COUNT_FADE * self.controller_loss);
+        self.controller_loss = loss.max(COUNT_DECAY * self.controller_loss);
         if !canary {
             let total = self.controller_count;
             self.controller_baseline = total.seconds / total.answered.max(1.0);
@@ -111,8 +113,8 @@
 }
 
 impl Router {
-    /// Takes what the release controller counted of all routers' deliveries as evidence. It could
-    /// harm where faults strike trial hosts only.
+    /// Handles one operation's counts, at one build, from the release controller. Limitation:
+    /// infrastructure faults that affect only the trial hosts count against the build.
     pub fn on_controller_stats(&mut self, stats: ControllerStats) {
         let operation = usize::from(stats.op.0);
         let Some(status) = self.rollout.status else {
@@ -125,14 +127,18 @@
         self.controller_traffic
             .follow_period(self.now - stats.age, canary);
         let count = self.weigh_period(&stats);
-        let waits = self.slowdowns.operations.excess(operation) > 0.0;
+        let is_slow_everywhere = self.slowdowns.operations.excess(operation) > 0.0;
         let baseline = self.operations[operation].controller_baseline;
         if self.is_earlier(stats.build, status.build) {
             self.operations[operation].learn_controller_count(&count, canary);
-        } else if canary && !waits {
+        } else if canary && !is_slow_everywhere {
             self.count_trial_period(operation, &count);
         }
-        if canary && !waits && baseline > 0.0 && self.evidence.controller_answers_in_stage > 0.0 {
+        if canary
+            && !is_slow_everywhere
+            && baseline > 0.0
+            && self.evidence.controller_answers_in_stage > 0.0
+        {
             let slowness = count.slowness(baseline).min(MAX_SHARED_SLOWNESS);
             let gain =
                 count.slowness_weight() * (slowness - count.explained - CONTROLLER_SLOWNESS_MARGIN);
@@ -140,8 +146,8 @@
         }
     }
 
-    /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no earlier
-    /// one has a host.
+    /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no host runs
+    /// an earlier one.
     fn is_earlier(&self, build: BuildId, newest: BuildId) -> bool {
         build < newest
             || self
@@ -150,8 +156,9 @@
                 .is_none_or(|oldest| oldest >= newest)
     }
 
-    /// Counts a period's answers as traffic, and works out what that explains. More answers or
-    /// fewer hosts than before explain slowness; losses may be the build's own doing.
+    /// Counts a period's answers as traffic and computes the slowness that load explains: more
+    /// answers or fewer hosts than before. Lost deliveries are no such traffic, because the build
+    /// itself may cause them.
     fn weigh_period(&mut self, stats: &ControllerStats) -> PeriodCount {
         let sampled = f64::from(stats.sampled);
         let lost = f64::from(stats.failed).min(sampled);
@@ -159,7 +166,7 @@
         self.controller_traffic.current += acked;
         let inverse_before = self.load.baseline.inverse_capacity;
         let fewer_hosts = (self.present_load().inverse_capacity / inverse_before.max(1e-9))
-            .min(MAX_CAPACITY_LOSS_EXCUSED);
+            .min(MAX_EXPLAINED_CAPACITY_LOSS);
         let growth = fewer_hosts.max(self.controller_traffic.growth());
         PeriodCount {
             sampled,
@@ -170,13 +177,13 @@
         }
     }
 
-    /// Takes a period's counts of the build on trial as evidence.
+    /// Adds a period's counts of the build on trial to the evidence.
     fn count_trial_period(&mut self, operation: usize, count: &PeriodCount) {
         let state = &self.operations[operation];
         let earlier = state.controller_count;
         self.evidence.controller_answers_in_stage += count.sampled;
-        let unusual = count.lost - count.sampled * state.controller_loss;
-        let gain = self.losses.failure_fraction() * unusual - count.sampled * FAILURE_MARGIN;
+        let excess = count.lost - count.sampled * state.controller_loss;
+        let gain = self.losses.failure_fraction() * excess - count.sampled * FAILURE_MARGIN;
         add_to(
             &mut self.evidence.failures[operation],
             gain.min(MAX_FAILURE_EVIDENCE),
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -1,4 +1,4 @@
-//! What decisions use of the configuration, with the weights that follow from it.
+//! The part of the configuration that decisions use, with the weights derived from it.
 
 use super::analysis::WRONG_ANSWER_MARGIN;
 use super::evidence::ROLLBACK_EVIDENCE;
@@ -7,70 +7,71 @@
 use crate::state::StartSpans;
 use crate::{Gate, Micros, ServiceConfig};
 
-/// Most deliveries of one command, whatever the deployment allows: more only add load to a service
-/// in trouble.
+/// Upper bound of the deliveries of one command, whatever the deployment allows: more would only
+/// add load to an overloaded service.
 const MAX_DELIVERIES: u32 = 4;
-/// Share of a fleet's routers whose rollback votes decide that counts as many.
+/// Rollback quorum, as a share of the fleet's routers, from which a router's own evidence has its
+/// full weight.
 const FULL_QUORUM_FRACTION: f64 = 0.2;
-/// The release controller starts its clock about this long after the hosts run; a vote before has
-/// no effect.
+/// The release controller starts the bake time about this long after the hosts run; an earlier vote
+/// has no effect.
 const PROMOTE_DELAY: Micros = SECOND;
 /// Warm-up times for which a host counts as recently started.
 const RECENT_WARM_UPS: Micros = 3;
 
-/// The configuration as decisions use it.
+/// The configuration in the form that decisions use.
 #[derive(Debug)]
 pub(super) struct DerivedConfig {
-    /// What each tenant may send a second; one entry at least.
+    /// Commands per second that each tenant may send; never empty.
     pub(super) tenant_quotas: Vec<f64>,
-    /// Routers of the service.
+    /// Number of routers of the service.
     pub(super) fleet_size: f64,
     /// Most deliveries of one command.
     pub(super) delivery_cap: usize,
     /// Two deliveries of a command may be open at once.
     pub(super) may_hedge: bool,
     pub(super) may_cancel: bool,
-    /// Hosts are replaced in place; else a trial's hosts run beside the earlier ones.
+    /// Hosts are replaced in place; otherwise the trial hosts run beside the earlier ones.
     pub(super) rolling: bool,
-    /// Bound of the retry hint of a nack; `None` where it may not carry one.
+    /// Upper bound of the retry hint of a nack; `None` where a nack may not carry one.
     pub(super) longest_retry_after: Option<Micros>,
     /// Part of its capacity that a host has at its start.
     pub(super) slow_start_from: f64,
     pub(super) warm_up_time: Micros,
     pub(super) start_spans: StartSpans,
-    /// Length of the slots in which what a cold host is sent is bounded.
+    /// Length of the time slots in which the deliveries to a cold host are bounded.
     pub(super) overload_window: Micros,
-    /// Multiple of a host's mean traffic that it takes in one slot while cold, in seconds of its
-    /// rate.
+    /// Deliveries that a cold host may be sent in one slot, in seconds of a warm host's mean
+    /// traffic, before the reduction for its warm-up.
     pub(super) slow_start_allowance: f64,
     pub(super) gate: Gate,
-    /// Exposure cap before the release controller has said one.
+    /// Exposure cap of a build for which the release controller has not sent a status.
     pub(super) first_stage_cap: f64,
-    /// Of each stage, the share of hosts that run the build on trial.
+    /// Share of the hosts that run the build on trial, by stage.
     pub(super) stage_shares: Vec<f64>,
-    /// Commands beyond the cap that one window allows.
+    /// Commands above the cap that one window allows.
     pub(super) exposure_allowance: f64,
     pub(super) exposure_window: Micros,
-    /// The cap holds for each operation by itself.
+    /// The cap applies to each operation separately.
     pub(super) exposure_by_operation: bool,
-    /// First stages in which only idempotent operations go to the build on trial.
+    /// Number of first stages in which only idempotent operations go to the build on trial.
     pub(super) guarded_stages: u8,
-    /// A key that a build has answered never goes to an earlier one.
+    /// A key that a build has answered never goes to an earlier build.
     pub(super) forward_only: bool,
     /// Time in a stage before a router votes to promote.
     pub(super) promote_after: Micros,
-    /// Commands a second of a router of mean traffic.
+    /// Commands per second of a router with mean traffic; infinite without quotas.
     pub(super) mean_command_rate: f64,
     /// Time over which the fleet's promote votes are spread, in microseconds.
     pub(super) vote_spread: f64,
     pub(super) vote_lifetime: Micros,
     pub(super) vote_timeout: Micros,
-    /// Weight of own evidence; below 1 where so few routers roll back that the hastiest would
-    /// decide for all.
+    /// Weight of this router's own evidence; below 1 where the rollback quorum is so small that the
+    /// few routers with the most evidence by chance would decide for all.
     pub(super) quorum_scale: f64,
     /// Evidence of one reported wrong answer.
     pub(super) wrong_answer_weight: f64,
-    /// Evidence of wrong answers that one answer takes off.
+    /// Evidence of wrong answers that each answer subtracts.
     pub(super) wrong_answer_margin: f64,
 }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Slot of the exposure windows that an operation counts in.
+    /// Returns the slot of the exposure windows that an operation counts in.
     pub(super) fn exposure_slot(&self, operation: usize) -> usize {
         if self.exposure_by_operation {
             operation
@@ -138,7 +139,8 @@
     }
 }
 
-/// What all tenants may send a second; infinite where no quota is configured.
+/// Returns the commands per second that all tenants together may send; infinite where no quota is
+/// configured.
 fn total_quota(config: &ServiceConfig) -> f64 {
     config
         .tenant_quotas
@@ -157,8 +159,8 @@
     }
 }
 
-/// Where a quorum decides, one report is enough for a router's vote: false ones reach few routers
-/// at a time.
+/// Returns the evidence of one reported wrong answer. Where a quorum decides, one report is enough
+/// for a router's vote, because false reports reach only few routers at a time.
 fn wrong_answer_weight(config: &ServiceConfig, quorum: bool, quorum_scale: f64) -> f64 {
     if quorum {
         1.3 * ROLLBACK_EVIDENCE * quorum_scale
--- a/crates/spokeflow-core/src/router/discovery.rs
+++ b/crates/spokeflow-core/src/router/discovery.rs
@@ -3,19 +3,20 @@
 use super::{Out, Router, SECOND};
 use crate::{Endpoint, ListKind, Micros, Rng};
 
-/// How long after asking for the list the router asks again; a list usually comes within a fraction
-/// of it.
+/// Time after which a subscription without a list is repeated; a list usually arrives within a
+/// fraction of it.
 const RESUBSCRIBE_AFTER: Micros = 5 * SECOND;
-/// Bounds of the pause after a failure: short enough to miss little, long enough to spare a server
-/// in trouble.
+/// Bounds of the back-off after a failure: short enough to miss few changes, long enough not to
+/// overload a failing server.
 const MIN_BACKOFF: Micros = SECOND / 2;
 const MAX_BACKOFF: Micros = 4 * SECOND;
 
-/// When to ask for the host list again.
+/// The retry state of the subscription to the host list.
 #[derive(Debug, Default)]
 pub(super) struct ListSubscription {
-    /// `None` while the list comes by itself.
+    /// When to subscribe again; `None` while the list arrives without a new subscription.
     subscribe_at: Option<Micros>,
+    /// The back-off after the last failure; 0 after a success.
     backoff: Micros,
 }
 
@@ -39,7 +40,7 @@
         self.subscribe_at = Some(now + (backoff + jitter) as Micros);
     }
 
-    /// Whether to subscribe now; counts as done where it is.
+    /// Whether to subscribe now. If so, schedules the next attempt.
     pub(super) fn take_due(&mut self, now: Micros) -> bool {
         let due = self.subscribe_at.is_some_and(|at| now >= at);
         if due {
@@ -50,7 +51,7 @@
 }
 
 impl Router {
-    /// The host list, or a part of it, has come.
+    /// Handles a host list, or a part of one.
     pub fn on_endpoints(&mut self, kind: ListKind, endpoints: &[Endpoint], out: Out) {
         if kind != ListKind::Cached {
             self.subscription.succeeded();
@@ -68,10 +69,10 @@
         self.route_waiting(out);
     }
 
-    /// The host list could not be had, or a subscription has ended.
+    /// Handles a failed request for the host list, or the end of a subscription.
     pub fn on_list_failure(&mut self) {
-        // The notice does not say whether a subscription still exists: asking again is the only
-        // safe reading.
+        // The event does not say whether a subscription still exists, so the router always
+        // subscribes again.
         self.subscription.failed(self.now, &mut self.rng);
     }
 }
--- a/crates/spokeflow-core/src/router/evidence.rs
+++ b/crates/spokeflow-core/src/router/evidence.rs
@@ -1,21 +1,24 @@
-//! The sums of evidence against the newest build, and how much of it one host may bring.
+//! The sums of evidence against the newest build, and the bound on the evidence from one host.
 
 use super::{Router, ROUTERS_PER_HOST};
 
-/// Evidence at which a router votes to roll back; a failure that surely is the build's own counts
-/// about 1.
+/// Evidence at which a router votes to roll back. A failure that is certainly due to the build
+/// counts about 1.
 pub(super) const ROLLBACK_EVIDENCE: f64 = 4.0;
-/// Hosts that must show evidence against a build at most: a router meets few of many.
-const MAX_HOSTS_TO_CONVICT: f64 = 8.0;
-/// Hosts that must show evidence for builds with no, one and two ready hosts.
-const HOSTS_TO_CONVICT_OF_FEW: [f64; 3] = [0.5, 0.5, 1.5];
-/// Part of the hosts that must show evidence where there are more, and the least of them.
-const CONVICTING_FRACTION: f64 = 0.4;
-const MIN_HOSTS_TO_CONVICT: f64 = 2.0;
-/// Least hosts that must show slowness: one alone may be slow by itself.
-const MIN_HOSTS_TO_CONVICT_OF_SLOWNESS: f64 = 1.5;
+/// Upper bound of the number of hosts that must show evidence for a rollback: in a large fleet a
+/// router sends to few hosts.
+const MAX_HOSTS_FOR_ROLLBACK: f64 = 8.0;
+/// Hosts that must show evidence for builds with zero, one and two ready hosts.
+const HOSTS_FOR_ROLLBACK_OF_FEW: [f64; 3] = [0.5, 0.5, 1.5];
+/// Part of a build's hosts that must show evidence where it has more, and the lower bound of their
+/// number.
+const HOSTS_FOR_ROLLBACK_FRACTION: f64 = 0.4;
+const MIN_HOSTS_FOR_ROLLBACK: f64 = 2.0;
+/// Lower bound of the number of hosts that must show slowness: a single host may be slow for its
+/// own reasons.
+const MIN_HOSTS_FOR_SLOWNESS: f64 = 1.5;
 
-/// What one answer proves.
+/// A kind of evidence from this router's own deliveries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvidenceKind {
     /// Failures of one operation.
@@ -24,15 +27,16 @@
     Slowness,
 }
 
-/// Evidence against the newest build, each sum 0 or above, and the answers it rests on.
+/// Evidence against the newest build, each sum 0 or above, and the number of answers behind it.
 #[derive(Debug)]
 pub(super) struct Evidence {
-    /// By operation.
+    /// Failures, by operation.
     pub(super) failures: Vec<f64>,
+    /// Slowness of the build's own hosts.
     pub(super) slowness: f64,
-    /// Wrong answers that were reported.
+    /// Wrong answers that clients reported.
     pub(super) wrong_answers: f64,
-    /// Slowness of all hosts since the canary began.
+    /// Slowness of the hosts of all builds since the canary began.
     pub(super) shared_slowness: f64,
     /// Own answers since the build became the newest.
     pub(super) answers: u32,
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Another build has become the newest.
+    /// Resets the evidence when another build becomes the newest.
     pub(super) fn clear(&mut self) {
         self.answers = 0;
         self.failures.fill(0.0);
@@ -69,8 +73,8 @@
         self.controller_answers_in_stage = 0.0;
     }
 
-    /// Failures add up over the operations; each other kind is another proof, and one answer counts
-    /// in one only.
+    /// Returns the evidence that votes are based on: the largest of the sums. Failures add up over
+    /// the operations; the other kinds are not added, so that one answer is not counted twice.
     pub(super) fn total(&self) -> f64 {
         let failures: f64 = self.failures.iter().sum();
         failures
@@ -87,19 +91,20 @@
     }
 }
 
-/// Adds to a sum of evidence, which stays 0 or above.
+/// Adds `gain` to a sum of evidence, which never drops below 0.
 pub(super) fn add_to(sum: &mut f64, gain: f64) {
     *sum = (*sum + gain).max(0.0);
 }
 
 impl Router {
-    /// Two in five of a build's hosts (in a large fleet of those observed) convict it, two at least
-    /// of three, for slowness always: each brings its part. It could harm where a build fails
-    /// rarely on many hosts.
+    /// Adds evidence from one host, bounded so that a rollback needs evidence from several hosts:
+    /// two in five of the build's hosts (in a large fleet, of those observed), at least two of
+    /// three or more; for slowness always more than one. Limitation: a build that fails rarely on
+    /// many hosts is rolled back late or not at all.
     pub(super) fn add_evidence(&mut self, host: usize, kind: EvidenceKind, gain: f64) {
         let before = self.hosts.evidence(host);
         let gain = if gain > 0.0 {
-            let most = ROLLBACK_EVIDENCE / self.hosts_to_convict(host, kind);
+            let most = ROLLBACK_EVIDENCE / self.hosts_for_rollback(host, kind);
             gain.min((most - before).max(0.0))
         } else {
             gain
@@ -111,8 +116,8 @@
         }
     }
 
-    /// How many hosts of a host's build have to show evidence for a rollback.
-    fn hosts_to_convict(&self, host: usize, kind: EvidenceKind) -> f64 {
+    /// Returns how many hosts of the given host's build must show evidence for a rollback.
+    fn hosts_for_rollback(&self, host: usize, kind: EvidenceKind) -> f64 {
         let ready = self.hosts.ready_with(self.hosts.build(host));
         let peers = ready.len();
         let observed = if self.config.fleet_size > ROUTERS_PER_HOST {
@@ -120,15 +125,15 @@
         } else {
             peers
         };
-        let hosts = HOSTS_TO_CONVICT_OF_FEW
+        let hosts = HOSTS_FOR_ROLLBACK_OF_FEW
             .get(peers)
             .copied()
             .unwrap_or_else(|| {
-                (CONVICTING_FRACTION * observed as f64)
-                    .clamp(MIN_HOSTS_TO_CONVICT, MAX_HOSTS_TO_CONVICT)
+                (HOSTS_FOR_ROLLBACK_FRACTION * observed as f64)
+                    .clamp(MIN_HOSTS_FOR_ROLLBACK, MAX_HOSTS_FOR_ROLLBACK)
             });
         match kind {
-            EvidenceKind::Slowness => hosts.max(MIN_HOSTS_TO_CONVICT_OF_SLOWNESS),
+            EvidenceKind::Slowness => hosts.max(MIN_HOSTS_FOR_SLOWNESS),
             EvidenceKind::Failure { .. } => hosts,
         }
     }
--- a/crates/spokeflow-core/src/router/exposure.rs
+++ b/crates/spokeflow-core/src/router/exposure.rs
@@ -1,4 +1,4 @@
-//! The cap on what a build on trial is sent.
+//! The exposure cap: the bound on the commands that a build on trial is sent.
 
 use super::Router;
 use crate::state::Window;
@@ -7,16 +7,17 @@
 /// A delivery to a build on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Exposed {
-    /// See [`super::DerivedConfig::exposure_slot`].
+    /// Slot that the command's operation counts in; see [`super::DerivedConfig::exposure_slot`].
     pub(super) slot: usize,
     pub(super) build: BuildId,
 }
 
-/// What came and what went to builds on trial within the exposure window.
+/// The commands received, and the deliveries to builds on trial, within the exposure window.
 #[derive(Debug, Default)]
 pub(super) struct ExposureWindows {
     /// Commands received, by slot.
     received: Window<usize>,
+    /// Deliveries to builds on trial.
     exposed: Window<Exposed>,
 }
 
@@ -29,12 +30,12 @@
         self.exposed.push(now, exposed);
     }
 
-    /// All commands received.
+    /// Returns the number of commands received, over all slots.
     pub(super) fn received(&self) -> usize {
         self.received.len()
     }
 
-    /// Deliveries to a build on trial.
+    /// Returns the number of deliveries to a build on trial, over all slots.
     pub(super) fn exposed_to(&self, build: BuildId) -> usize {
         self.exposed.count(|exposed| exposed.build == build)
     }
@@ -65,7 +66,7 @@
         sent + 1.0 <= self.config.exposure_allowance + cap * received
     }
 
-    /// Drops what lies before the exposure window.
+    /// Drops the entries from before the exposure window.
     pub(super) fn forget_exposure(&mut self) {
         self.exposure.forget(self.now - self.config.exposure_window);
     }
--- a/crates/spokeflow-core/src/router/hedging.rs
+++ b/crates/spokeflow-core/src/router/hedging.rs
@@ -1,28 +1,28 @@
-//! A second delivery beside, or in place of, a first one at a host that looks unhealthy.
+//! Hedging: a second delivery beside, or in place of, a first one at a host that looks unhealthy.
 
 use super::timers::TICK;
 use super::{Out, Router};
 use crate::state::Command;
 use crate::{CommandId, Micros};
 
-/// Part of the latency objective after which a second delivery may go out: it has the rest to
-/// answer in time.
+/// Part of the latency objective after which a second delivery may be sent, so that enough time is
+/// left for its answer.
 const HEDGE_OBJECTIVE_FRACTION: f64 = 0.35;
-/// Slowdown of a host, as a logarithm, from which it looks unhealthy: about twice as slow as its
-/// baseline.
+/// Slowdown of a host, as a logarithm, above which it looks unhealthy: about twice the baseline
+/// latency.
 const HEDGE_SLOWDOWN: f64 = 0.7;
-/// Time left before the deadline below which none goes out.
+/// Time before the deadline from which no second delivery is sent.
 const HEDGE_MARGIN: Micros = 4 * TICK;
 
 impl Router {
-    /// Sends a second delivery of commands whose first is late at a host that looks unhealthy,
-    /// where the operation allows a repeat: beside the first where both may run together, else in
-    /// its place.
+    /// Hedges commands whose last delivery is late at a host that looks unhealthy, where the
+    /// operation allows a repeat: sends another delivery where two may be open at once, otherwise
+    /// cancels the last one so that its retry replaces it.
     pub(super) fn hedge(&mut self, out: Out) {
         let due: Vec<CommandId> = self
             .commands
             .iter()
-            .filter(|(_, command)| self.wants_hedge(command))
+            .filter(|(_, command)| self.needs_hedge(command))
             .map(|(id, _)| *id)
             .collect();
         for id in due.into_iter().take(self.retry_budget.allowed()) {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn wants_hedge(&self, command: &Command) -> bool {
+    fn needs_hedge(&self, command: &Command) -> bool {
         let Some(last) = command.deliveries.last() else {
             return false;
         };
@@ -51,7 +51,7 @@
         suspect && late && self.may_redeliver(command) && command.deadline - self.now > HEDGE_MARGIN
     }
 
-    /// The response to a delivery has begun to arrive: it is neither cancelled nor hedged any more.
+    /// Handles the start of a response: its delivery is no longer cancelled or hedged.
     pub fn on_response_started(&mut self, id: CommandId, delivery: u8) {
         let delivery = self
             .commands
--- a/crates/spokeflow-core/src/router/load.rs
+++ b/crates/spokeflow-core/src/router/load.rs
@@ -1,64 +1,69 @@
-//! How loaded the hosts are, and how much slowness that explains.
+//! The load on the hosts, and the slowness that it explains.
 
 use super::timers::Elapsed;
 use super::{Router, SECOND};
 use crate::{HostId, Micros};
 
-/// Weight of the newest load report in the mean.
+/// Weight of the newest load report in the mean utilization.
 const UTILIZATION_LEARN_RATE: f64 = 0.05;
-/// Weights of the newest answer rate a host where it is above, or below, what is known. A fleet
-/// that answers little for a while can still do what it did.
+/// Weights of the newest answer rate per host where it is above, and below, the estimate. The
+/// estimate falls slowly, because a fleet that answers few commands for a while keeps its capacity.
 const RISING_RATE_WEIGHT: f64 = 0.02;
 const FALLING_RATE_WEIGHT: f64 = 0.001;
-/// Weight of the present load in the baseline; the first one counts in full.
+/// Weight of the present load in the baseline; the first one has weight 1.
 const BASELINE_WEIGHT: f64 = 0.01;
-/// Part of a second's fading that the flow fades by: it covers about four seconds.
-const FLOW_FADE_EXPONENT: f64 = 0.25;
-/// Seconds over which the flow is remembered.
+/// Exponent of the flow's decay against that of a figure with a time constant of one second: the
+/// flow covers about four seconds.
+const FLOW_DECAY_EXPONENT: f64 = 0.25;
+/// Time constant of the flow's decay.
 const FLOW_SPAN: Micros = 4 * SECOND;
-/// After a start, for how long one answer is assumed, and how long no baseline is learned.
+/// Time after the router's start in which at least one answer is assumed, and time in which no
+/// baseline is learned.
 const ASSUMED_ANSWER_SPAN: Micros = 5 * SECOND;
 const NO_BASELINE_SPAN: Micros = 2 * SECOND;
-/// Slowness that one unit of load explains, both as logarithms, and the most that load explains.
+/// Slowness that one unit of additional load explains, both as logarithms, and the most slowness
+/// that load explains.
 pub(super) const SLOWNESS_PER_LOAD: f64 = 1.5;
 const MAX_EXPLAINED_SLOWNESS: f64 = 1.5;
-/// Most that commands received, retries among them, explain.
+/// Most slowness, as a logarithm, that commands received explain: some of them are clients'
+/// retries, which a slow build may itself cause.
 const MAX_EXPLAINED_BY_RETRIES: f64 = 1.0;
-/// A fleet is full where it sheds more than the first part of what comes and answers more than the
-/// second part of what it did before.
+/// A fleet is full where it sheds more than the first part of the commands received and answers
+/// more than the second part of the baseline.
 const FULL_SHED_FRACTION: f64 = 0.05;
 const FULL_ANSWER_FRACTION: f64 = 0.95;
 
-/// Commands of about the last four seconds, fading.
+/// Commands received and their outcomes, decaying with a time constant of four seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Flow {
     pub(super) received: f64,
     pub(super) answered: f64,
-    /// Given up because all hosts were full.
+    /// Commands refused because no host could take them.
     pub(super) shed: f64,
 }
 
-/// Commands of late for each warm host's worth of fit capacity.
+/// Recent commands per unit of healthy capacity, where a warm host has one unit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     received: f64,
     pub(super) answered: f64,
-    /// One over the capacity in warm hosts.
+    /// Reciprocal of the healthy capacity.
     pub(super) inverse_capacity: f64,
 }
 
-/// What the hosts had to do, now and before the canary.
+/// The recent load on the hosts, and the baseline from before the canary.
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     pub(super) flow: Flow,
-    /// Answers a second that a warm host gives this router.
+    /// Answers per second that a warm host gives this router.
     pub(super) answers_per_host: f64,
-    /// Sum of the seconds that warm hosts have been ready, fading as the flow does.
+    /// Seconds that hosts have been ready, summed over the hosts, weighted by their warm-up and
+    /// decaying as the flow does.
     host_seconds: f64,
     started_at: Micros,
-    /// Load while no build was a canary.
+    /// Moving average of the load while no build was a canary.
     pub(super) baseline: Load,
-    /// Mean of the reported utilization of late.
+    /// Moving average of the reported utilization.
     pub(super) mean_utilization: f64,
 }
 
@@ -74,8 +79,8 @@
         }
     }
 
-    pub(super) fn fade_flow(&mut self, fade: f64) {
-        let factor = fade.powf(FLOW_FADE_EXPONENT);
+    pub(super) fn decay_flow(&mut self, decay: f64) {
+        let factor = decay.powf(FLOW_DECAY_EXPONENT);
         self.flow.received *= factor;
         self.flow.answered *= factor;
         self.flow.shed *= factor;
@@ -95,7 +100,7 @@
 }
 
 impl Router {
-    /// A host has reported how busy its cores are, 0 to 1.
+    /// Handles a host's report of its CPU utilization, 0 to 1.
     pub fn on_load_report(&mut self, host: HostId, utilization: f64) {
         let Some(&host) = self.host_index.get(&host) else {
             return;
@@ -106,24 +111,24 @@
         *mean += UTILIZATION_LEARN_RATE * (utilization - *mean);
     }
 
-    /// The least part of its capacity that a host of an age can have.
+    /// Returns the least part of its full capacity that a host of the given age has.
     pub(super) fn warm_up_fraction(&self, age: Micros) -> f64 {
         let warm_up_time = self.config.warm_up_time;
         let part = age.min(warm_up_time) as f64 / warm_up_time as f64;
         self.config.slow_start_from + (1.0 - self.config.slow_start_from) * part
     }
 
-    /// The present load of the hosts that take deliveries.
+    /// Returns the present load on the hosts that are neither ejected nor failing.
     pub(super) fn present_load(&self) -> Load {
-        let takes = |host| {
+        let is_healthy = |host| {
             self.hosts.consecutive_failures(host) == 0 && self.now >= self.hosts.ejected_until(host)
         };
         let capacity = self
             .hosts
-            .sum_ready(|age| self.warm_up_fraction(age), takes)
+            .sum_ready(|age| self.warm_up_fraction(age), is_healthy)
             .max(1.0);
         let lifetime = (self.now - self.load.started_at) as f64;
-        // Soon after the start the flow covers only a part of its span.
+        // Shortly after the start the flow covers only a part of its span.
         let covered = (1.0 - (-lifetime / FLOW_SPAN as f64).exp()).max(0.1);
         Load {
             received: self.load.flow.received / covered / capacity,
@@ -132,8 +137,8 @@
         }
     }
 
-    /// The slowness, as a logarithm, that more load or less capacity than before the canary
-    /// explains; retries, up to a bound.
+    /// Returns the slowness, as a logarithm, that more load or less capacity than before the canary
+    /// explains.
     pub(super) fn slowness_by_load(&self) -> f64 {
         let now = self.present_load();
         let baseline = self.load.baseline;
@@ -143,9 +148,9 @@
             .max(explains(now.answered, baseline.answered))
             .max(explains(now.inverse_capacity, baseline.inverse_capacity))
             .clamp(0.0, MAX_EXPLAINED_SLOWNESS);
-        // A fleet that sheds and yet answers as much as before is full: that is load, whatever was
-        // received. One that has just been replaced was cold, and has the queue of that time to
-        // work off.
+        // A fleet that sheds commands but answers as many as before is full: then load explains the
+        // slowness, whatever was received. A fleet most of which has just started was cold, and
+        // still has to work off the queue from that time.
         let flow = self.load.flow;
         let full = flow.shed > FULL_SHED_FRACTION * flow.received
             && now.answered > FULL_ANSWER_FRACTION * baseline.answered;
@@ -158,24 +163,27 @@
         }
     }
 
-    /// Learns what a warm host answers. Guards against a storm, a fleet most of which has died, a
-    /// start beside few cold hosts: only answers count, those of dead hosts while they were ready,
-    /// over the time in which a warm host may answer one router once.
+    /// Updates the answers per second of a warm host, which bound the deliveries to cold hosts.
+    ///
+    /// Guards against an estimate that is too high in a burst of commands, after the loss of most
+    /// hosts, or at a start with few cold hosts: only answers count, lost hosts count for the time
+    /// they were ready, and the time is at least that in which a warm host answers each router of
+    /// the fleet once.
     pub(super) fn learn_answer_rate(&mut self, elapsed: Elapsed) {
         let capacity = self
             .hosts
             .sum_ready(|age| self.warm_up_fraction(age), |_| true);
         let load = &mut self.load;
-        load.host_seconds = load.host_seconds * elapsed.fade.powf(FLOW_FADE_EXPONENT)
+        load.host_seconds = load.host_seconds * elapsed.decay.powf(FLOW_DECAY_EXPONENT)
             + capacity * elapsed.time as f64 / SECOND as f64;
         let longest_objective = self
             .operations
             .iter()
             .map(|operation| operation.latency_objective)
             .fold(0.0, f64::max);
-        let once = self.config.fleet_size * longest_objective / SECOND as f64;
+        let min_host_seconds = self.config.fleet_size * longest_objective / SECOND as f64;
         let assumed = u8::from(self.now < load.started_at + ASSUMED_ANSWER_SPAN);
-        let rate = load.flow.answered.max(assumed.into()) / load.host_seconds.max(once);
+        let rate = load.flow.answered.max(assumed.into()) / load.host_seconds.max(min_host_seconds);
         let weight = if rate > load.answers_per_host {
             RISING_RATE_WEIGHT
         } else {
@@ -184,7 +192,7 @@
         load.answers_per_host += (rate - load.answers_per_host) * weight;
     }
 
-    /// Learns the baseline of the load while no build is a canary.
+    /// Updates the baseline of the load while no build is a canary.
     pub(super) fn learn_baseline_load(&mut self) {
         if !self.rollout.is_canary() && self.now > self.load.started_at + NO_BASELINE_SPAN {
             let load = self.present_load();
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -1,37 +1,40 @@
-//! What is learned of single hosts from how their deliveries end, and when they are ejected.
+//! Outlier detection: per-host state from the outcomes of deliveries, and ejection of failing
+//! hosts.
 
 use super::{Router, MILLISECOND, SECOND};
 use crate::{AttemptOutcome, Micros};
 
-/// How long nothing comes back from a host before it may count as unresponsive: above common
-/// pauses, far below time-outs.
+/// Time without a response after which a host with open deliveries may count as unresponsive: above
+/// common pauses, far below time-outs.
 pub(super) const UNRESPONSIVE_AFTER: Micros = 600 * MILLISECOND;
-/// The same in multiples of the slowest operation's baseline latency.
+/// The same time in multiples of the slowest operation's baseline latency; both must have passed.
 const UNRESPONSIVE_BASELINES: Micros = 6;
-/// First ejection after an error, a reset or a refused connection, and after a time-out.
-const EJECTION: Micros = SECOND / 2;
-const EJECTION_AFTER_TIMEOUT: Micros = SECOND;
-/// Ejections double with each failure in a row up to this many times.
+/// Duration of the first ejection after an error, a reset or a failed connection, and after a
+/// time-out.
+const EJECTION_DURATION: Micros = SECOND / 2;
+const TIMEOUT_EJECTION_DURATION: Micros = SECOND;
+/// The ejection duration doubles with each consecutive failure, at most this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// How long a host that rejects is left alone: it is full, not faulty.
+/// Time in which a host that rejected a delivery gets no other: it is full, not faulty.
 const REJECTION_BACKOFF: Micros = 100 * MILLISECOND;
-/// Weight of the newest delivery in the share without a connection.
+/// Weight of the newest delivery in the share of deliveries without a connection.
 const REFUSED_LEARN_RATE: f64 = 0.05;
-/// Slowdown, as a logarithm, that a refused connection or a time-out counts as.
+/// Slowdown, as a logarithm, that a failed connection adds to its zone and a time-out to its
+/// operation.
 pub(super) const FAILURE_SLOWDOWN: f64 = 2.0;
 
 impl Router {
-    /// Learns from the end of a delivery at a host's present build.
-    pub(super) fn note_host_outcome(&mut self, host: usize, outcome: AttemptOutcome) {
-        self.note_connection(host, outcome);
+    /// Updates a host's state from the outcome of a delivery that was sent to its present build.
+    pub(super) fn record_host_outcome(&mut self, host: usize, outcome: AttemptOutcome) {
+        self.record_connection(host, outcome);
         match outcome {
-            AttemptOutcome::Acked => self.note_ack(host),
-            // Fast errors draw traffic by least load: a host that errs or breaks loses what its
-            // answers earned.
+            AttemptOutcome::Acked => self.record_ack(host),
+            // A host that fails fast has few deliveries in flight and would attract traffic. So
+            // each error or reset halves its answers, and at 0 it is ejected.
             AttemptOutcome::Error | AttemptOutcome::Reset => {
                 self.hosts.set_answers(host, self.hosts.answers(host) / 2);
                 if self.hosts.answers(host) == 0 {
-                    self.eject(host, EJECTION);
+                    self.eject(host, EJECTION_DURATION);
                 }
             }
             AttemptOutcome::Rejected => {
@@ -44,10 +47,10 @@
                 self.hosts.set_connected_at(host, Micros::MIN);
                 let zone = self.zone_index(host);
                 self.slowdowns.zones.learn(zone, FAILURE_SLOWDOWN);
-                self.eject(host, EJECTION);
+                self.eject(host, EJECTION_DURATION);
             }
             AttemptOutcome::TimedOut if self.is_suspect(host) => {
-                self.eject(host, EJECTION_AFTER_TIMEOUT);
+                self.eject(host, TIMEOUT_EJECTION_DURATION);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
@@ -60,7 +63,7 @@
         }
     }
 
-    fn note_connection(&mut self, host: usize, outcome: AttemptOutcome) {
+    fn record_connection(&mut self, host: usize, outcome: AttemptOutcome) {
         let refused = f64::from(u8::from(outcome == AttemptOutcome::NotConnected));
         self.refused_fraction += REFUSED_LEARN_RATE * (refused - self.refused_fraction);
         let answered = matches!(
@@ -72,8 +75,8 @@
         }
     }
 
-    fn note_ack(&mut self, host: usize) {
-        // It answers: a connection broke, or one command erred, and not the host.
+    fn record_ack(&mut self, host: usize) {
+        // The host answers, so the failures before were due to a connection or a single command.
         if self.hosts.consecutive_failures(host) > 0 {
             self.hosts.set_suspicion(host, 0, self.now);
         }
@@ -81,7 +84,8 @@
         self.hosts.set_answers(host, answers);
     }
 
-    /// Guards against hosts that take work and answer nothing, long before their first time-out.
+    /// Whether a host has open deliveries and has not responded for too long. Guards against hosts
+    /// that accept commands and answer none, long before the first time-out.
     pub(super) fn is_unresponsive(&self, host: usize) -> bool {
         let quiet = self.now.saturating_sub(self.hosts.quiet_since(host));
         let baseline = || {
@@ -95,13 +99,13 @@
             && quiet > UNRESPONSIVE_BASELINES * baseline()
     }
 
-    /// Whether a time-out is likely the host's own doing.
+    /// Whether a time-out at a host is likely caused by the host itself.
     pub(super) fn is_suspect(&self, host: usize) -> bool {
         self.is_unresponsive(host) || self.hosts.consecutive_failures(host) > 0
     }
 
-    /// Counts a failure in a row, unless the host is ejected already, and ejects it for longer with
-    /// each.
+    /// Counts a consecutive failure and ejects the host, for longer with each. Has no effect while
+    /// the host is ejected.
     fn eject(&mut self, host: usize, duration: Micros) {
         if self.now < self.hosts.ejected_until(host) {
             return;
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Which host of a build a command is sent to.
+//! Placement: the choice of a host, among those of a build, for a command.
 
 use super::exposure::Exposed;
 use super::outliers::UNRESPONSIVE_AFTER;
@@ -6,49 +6,53 @@
 use crate::state::{CandidateSet, Command, Delivery, OperationState};
 use crate::{unit, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat};
 
-/// Least routers that send to each host, so that uneven traffic evens out.
+/// Minimum number of routers that send to each host in a large fleet, so that differences between
+/// the routers' traffic average out.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
-/// Part of what the configured overload multiple allows a cold host that is sent to it; the rest is
-/// for chance.
+/// Part of the configured overload multiple that deliveries to a cold host may use; the rest is a
+/// margin for random variation.
 pub(super) const SLOW_START_FRACTION: f64 = 0.9;
-/// Part of the latency objective that deliveries spend at hosts before these count as full.
+/// Part of the latency objective that deliveries may spend at the hosts before these count as full.
 pub(super) const CONCURRENCY_OBJECTIVE_FRACTION: f64 = 0.4;
-/// How far above what lately came back the deliveries in flight may be, so that the limit can rise.
+/// Factor by which the deliveries in flight may exceed the rate of acks, so that the concurrency
+/// limit can rise.
 const CONCURRENCY_HEADROOM: f64 = 1.1;
-/// Deliveries in flight that are allowed without any answer, and as many again for each host the
-/// router has to itself.
+/// Deliveries in flight that are allowed before any ack, and the same number again times the ready
+/// hosts per router of the fleet.
 const BASE_CONCURRENCY: f64 = 2.0;
-/// Share of deliveries without a connection from which a router keeps to hosts that it has one to.
+/// Share of deliveries without a connection above which a router prefers hosts that it has a
+/// connection to.
 const MAX_REFUSED_FRACTION: f64 = 0.15;
-/// How long a connection is taken to last after an answer.
+/// Time after an answer in which the connection to the host is assumed to be open.
 const CONNECTION_LIFETIME: Micros = 10 * SECOND;
-/// Seconds in which a load report loses most of its worth.
-const LOAD_REPORT_FADE_SECONDS: f64 = 6.0;
+/// Time constant, in seconds, of the decay of a load report's weight.
+const LOAD_REPORT_DECAY_SECONDS: f64 = 6.0;
 /// Utilization at which a host's score would be infinite: a little above what can be reported.
 const UTILIZATION_LIMIT: f64 = 1.05;
-/// Largest slowdown, as a logarithm, that the score of a host goes by.
+/// Upper bound of the slowdown, as a logarithm, in a host's load score.
 const MAX_SCORED_SLOWDOWN: f64 = 2.0;
-/// Part of the received commands, one host each, that the own subset is made for.
+/// Hosts in the subset for each recently received command, scaled by the build's part of the ready
+/// hosts.
 const SUBSET_PER_COMMAND: f64 = 0.75;
-/// Least hosts of the own subset: a choice of two needs two.
+/// Least hosts in the subset, because the choice compares two.
 const MIN_SUBSET: usize = 2;
-/// Part of what cold hosts may be sent that applies when the subset is left for want of hosts in
-/// it.
+/// Traffic multiple for cold hosts outside the subset, which are used when no host in it is usable.
 const OUTSIDE_SUBSET_TRAFFIC: f64 = 0.2;
-/// One over the part of the hosts that have to be fit; where fewer are, the router's own view is at
-/// fault.
+/// Reciprocal of the part of the usable hosts that must seem healthy; where fewer do, the cause is
+/// assumed to be the router's own view, and none is excluded.
 const FIT_DIVISOR: usize = 3;
 
-/// The hosts of a build that this router keeps to.
+/// The hosts of a build that this router sends to.
 #[derive(Debug)]
 struct Subset {
     candidates: CandidateSet,
-    /// How much more traffic from this router they get than without a subset.
+    /// Factor by which they get more traffic from this router than without a subset.
     traffic_multiple: f64,
 }
 
 impl Router {
-    /// Two random choices among the fit hosts of a build, by least load score.
+    /// Draws two of the fit hosts of a build and returns the one with the lower load score, or
+    /// `None` at the concurrency limit or without a fit host.
     pub(super) fn choose_host(&mut self, id: CommandId, build: BuildId) -> Option<usize> {
         let command = &self.commands[&id];
         if self.at_concurrency_limit(command.operation) {
@@ -68,8 +72,8 @@
         }
     }
 
-    /// The hosts of a build that a command may be sent to, less the suspects where there are
-    /// others.
+    /// Returns the hosts of a build that a command may be sent to, without suspect ones where there
+    /// are others.
     fn fit_hosts(&self, command: &Command, build: BuildId) -> CandidateSet {
         let operation = &self.operations[command.operation];
         let subset = self.subset(build);
@@ -83,28 +87,30 @@
             self.now >= self.hosts.ejected_until(host) && !self.is_unresponsive(host)
         });
         if fit.len() * FIT_DIVISOR < untried.len() {
-            // Most hosts seem unfit at once: that is this router's view or its zone's links, not
-            // the hosts.
+            // Most hosts seem unhealthy at once: the likely cause is this router or the network of
+            // its zone, not the hosts.
             fit = untried;
         }
-        // Hosts that take no new connection go on serving over the existing ones.
+        // Hosts that refuse new connections still serve over the existing ones.
         let connected = |host: usize| {
             self.now.saturating_sub(self.hosts.connected_at(host)) < CONNECTION_LIFETIME
         };
         if self.refused_fraction > MAX_REFUSED_FRACTION && fit.any(connected) {
             fit.retain(connected);
         }
-        // What runs at most once goes where answers come back; others try a suspect host.
-        let proven = |host: usize| self.hosts.consecutive_failures(host) == 0;
-        let needs_proof = operation.repeat == Repeat::AtMostOnce || !self.retry_budget.allows_one();
-        if needs_proof && fit.any(proven) {
-            fit.retain(proven);
+        // A command that cannot be retried after it may have run goes to a host without failures;
+        // other commands also try hosts that have failed before.
+        let without_failures = |host: usize| self.hosts.consecutive_failures(host) == 0;
+        let cannot_retry =
+            operation.repeat == Repeat::AtMostOnce || !self.retry_budget.allows_one();
+        if cannot_retry && fit.any(without_failures) {
+            fit.retain(without_failures);
         }
         fit
     }
 
-    /// Those candidates that have not had the command, would drop its repeat and may take one more
-    /// delivery.
+    /// Returns the candidates that have not been sent the command, would drop its repeat where it
+    /// may have run, and may take one more delivery.
     fn usable_hosts(
         &self,
         command: &Command,
@@ -131,7 +137,7 @@
         candidates
     }
 
-    /// One host of a set, by chance, each as often as its size says.
+    /// Draws a random host of a set, weighted by size.
     fn draw(&mut self, candidates: &CandidateSet, largest: f64) -> usize {
         loop {
             let host = candidates.nth(self.rng.below(candidates.len()));
@@ -142,8 +148,9 @@
         }
     }
 
-    /// Own deliveries in flight, weighed by how slowly the host answers and, where it reports, by
-    /// how long others' commands make one wait. A report says less the older it is.
+    /// Returns a host's load: this router's deliveries in flight there, weighted by the host's
+    /// slowdown and, where it reports its utilization, by the wait behind other routers' commands.
+    /// The weight of a report decays with its age.
     fn load_score(&self, host: usize) -> f64 {
         let slowness = self
             .hosts
@@ -157,13 +164,15 @@
             + if above_mean.is_nan() {
                 0.0
             } else {
-                above_mean * (-(report_age / SECOND as f64) / LOAD_REPORT_FADE_SECONDS).exp()
+                above_mean * (-(report_age / SECOND as f64) / LOAD_REPORT_DECAY_SECONDS).exp()
             };
         f64::from(self.hosts.in_flight(host) + 1) * slowness / (UTILIZATION_LIMIT - utilization)
     }
 
-    /// Guards against a new connection for nearly every command: of a build's hosts in zones that
-    /// are not slow, a router with little traffic keeps to a few, its own by hash.
+    /// Returns the hosts of a build that this router sends to: those in zones that are not slow,
+    /// and for a router with little traffic only a few of them, chosen by hash.
+    ///
+    /// Guards against a new connection for nearly every command.
     fn subset(&self, build: BuildId) -> Subset {
         let zones = &self.slowdowns.zones;
         let mut candidates = self.hosts.candidates(build);
@@ -175,17 +184,20 @@
         let by_traffic =
             SUBSET_PER_COMMAND * self.load.flow.received / self.hosts.ready_count() as f64;
         let target = (candidates.len() as f64 * by_fleet.max(by_traffic)).ceil() as usize;
-        let own = target.max(MIN_SUBSET);
-        let others = candidates.len().saturating_sub(own);
+        let size = target.max(MIN_SUBSET);
+        let others = candidates.len().saturating_sub(size);
         Subset {
-            candidates: self.hosts.first_by_rank(candidates, own),
-            traffic_multiple: 1.0 + others as f64 / own as f64,
+            candidates: self.hosts.first_by_rank(candidates, size),
+            traffic_multiple: 1.0 + others as f64 / size as f64,
         }
     }
 
-    /// Guards against queues at the hosts: no more is in flight than lately came back within a part
-    /// of the latency objective. It could harm where answers return after a gap. An operation that
-    /// waits everywhere is counted by itself.
+    /// Whether as many deliveries are in flight as allowed, given the acks that recently returned
+    /// within a part of the latency objective. An operation that is slow at every host has a limit
+    /// of its own.
+    ///
+    /// Guards against queues at the hosts. Limitation: after a gap without acks the limit is low
+    /// although the hosts may be idle.
     pub(super) fn at_concurrency_limit(&self, operation: usize) -> bool {
         let excess = |index: usize| self.slowdowns.operations.excess(index);
         let hosts = self.hosts.ready_count() as f64;
@@ -208,10 +220,8 @@
             >= base + CONCURRENCY_HEADROOM * CONCURRENCY_OBJECTIVE_FRACTION * returns
     }
 
-    /// Whether a host may be sent one more. A fresh one gets no more in flight than its answers
-    /// have earned, and in each slot of its age this router's own part of what the fleet may send
-    /// it, drawn by hash where that is below one. What is sent counts, for hosts that err fast. One
-    /// that has failed gets one command at a time.
+    /// Whether a host may be sent one more delivery. A cold host is bounded by
+    /// [`Router::slow_start_allows`]; a host that has failed gets one delivery at a time.
     fn may_take(&self, host: usize, traffic_multiple: f64) -> bool {
         let age = self.hosts.age(host);
         if age < self.config.start_spans.bounded
@@ -222,25 +232,31 @@
         self.hosts.consecutive_failures(host) == 0 || self.hosts.in_flight(host) == 0
     }
 
+    /// Whether slow start allows one more delivery to a cold host. It may have no more in flight
+    /// than its answers allow, and in each slot of its age no more deliveries than this router's
+    /// part of the fleet's allowance. The fraction of a delivery is rounded up or down by a hash,
+    /// so that the routers together keep to the allowance. Deliveries are counted when they are
+    /// sent, so that a host that fails fast does not get more.
     fn slow_start_allows(&self, host: usize, age: Micros, traffic_multiple: f64) -> bool {
         let slot = age / self.config.overload_window;
         let started_at = self.now - age;
         let sent = self.hosts.sent_in_slot(host, slot);
-        // The first slot follows no other.
-        let part = self.config.slow_start_allowance
+        // From the second slot on the allowance is halved, because an overload window may overlap
+        // two slots; the first slot follows no other.
+        let allowance = self.config.slow_start_allowance
             * self.warm_up_fraction(age)
             * self.load.answers_per_host
             * traffic_multiple
             / (1 + slot.min(1)) as f64;
         let id = self.hosts.endpoint(host).host.0;
-        let drawn = unit(
+        let rounding = unit(
             u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + slot) as u64,
         );
-        let in_slot = f64::from(sent + 1) <= part + drawn;
+        let in_slot = f64::from(sent + 1) <= allowance + rounding;
         in_slot && self.hosts.in_flight(host) <= 1 + self.hosts.answers(host)
     }
 
-    /// Sends a command to a host and counts it everywhere.
+    /// Sends a command to a host and counts the delivery in all statistics.
     pub(super) fn dispatch(&mut self, id: CommandId, host: usize, out: Out) {
         let build = self.hosts.build(host);
         let on_trial = self.is_on_trial(build);
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -1,47 +1,47 @@
-//! What follows the end of a delivery: another one, or the final answer.
+//! Handling of a delivery's outcome: a retry, or the final answer to the command.
 
 use super::timers::TICK;
 use super::{Out, Router};
 use crate::state::{Command, Delivery};
 use crate::{AttemptOutcome, CommandId, DeduplicationScope, Micros, Repeat};
 
-/// Deliveries again, at a guess, that each command earns: enough for single failures, too few to
-/// double a load.
+/// Retries after a delivery that may have run that each command adds to the budget: enough for
+/// isolated failures, too few to double the load.
 const RETRIES_PER_COMMAND: f64 = 0.1;
-/// Most of them that are saved up.
+/// Upper bound of the retry budget.
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Time left before the deadline below which nothing is sent again: no answer would come in time.
+/// Time before the deadline from which a command is not retried, because no answer would arrive in
+/// time.
 const RETRY_MARGIN: Micros = 2 * TICK;
-/// Part of the latency objective after which a refused client does best to come again, and as much
-/// again by chance.
+/// Divides the latency objective into the retry hint of a nack, to which a random time of up to the
+/// same length is added.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// How far the estimate of the median latency moves with each answer, and its bounds, as
-/// logarithms.
+/// Step by which each answer moves the estimate of the median latency over its objective, and the
+/// bounds of the estimate, as logarithms.
 const OVERLOAD_STEP: f64 = 0.2;
 const MIN_OVERLOAD: f64 = -2.0;
 const MAX_OVERLOAD: f64 = 1.0;
 
-/// Deliveries again that the router may still make where it does not know whether the one before
-/// ran.
+/// The retries that the router may still make where the delivery before may have run.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     available: f64,
 }
 
 impl RetryBudget {
-    /// Half full.
+    /// Creates a budget that is half full.
     pub(super) fn new() -> Self {
         RetryBudget {
             available: MAX_RETRY_BUDGET / 2.0,
         }
     }
 
-    /// A command has come.
+    /// Adds to the budget for a received command.
     pub(super) fn earn(&mut self) {
         self.available = (self.available + RETRIES_PER_COMMAND).min(MAX_RETRY_BUDGET);
     }
 
-    /// A command is delivered again.
+    /// Takes one retry off the budget.
     pub(super) fn spend(&mut self) {
         self.available -= 1.0;
     }
@@ -50,15 +50,16 @@
         self.available >= 1.0
     }
 
-    /// How many deliveries it allows.
+    /// Returns the number of retries that the budget allows.
     pub(super) fn allowed(&self) -> usize {
         self.available as usize
     }
 }
 
 impl Router {
-    /// A delivery, numbered from 0 in the order of the command's deliveries, has ended after
-    /// `took`; `answered` where the client has its final answer by that.
+    /// Handles the outcome of a delivery, numbered from 0 in the order of the command's deliveries,
+    /// that ended `took` after it was sent. `answered` is set if the client thereby has its final
+    /// answer.
     pub fn on_attempt_outcome(
         &mut self,
         id: CommandId,
@@ -74,18 +75,19 @@
         };
         let operation = self.commands[&id].operation;
         if outcome == AttemptOutcome::Error && index == 0 {
-            // What errs at once is no load: it must not excuse slowness.
+            // A command that fails with an error hardly loads the hosts, so it must not explain
+            // slowness.
             let received = &mut self.load.flow.received;
             *received = (*received - 1.0).max(0.0);
         }
-        self.note_latency(operation, outcome, took);
+        self.record_latency(operation, outcome, took);
         if !matches!(outcome, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
             self.losses.count_lost();
         }
         if self.hosts.build(delivery.host) == delivery.build {
             let tenant = self.commands[&id].tenant;
             self.analyze(delivery.host, operation, tenant, outcome, took);
-            self.note_host_outcome(delivery.host, outcome);
+            self.record_host_outcome(delivery.host, outcome);
         }
         if outcome == AttemptOutcome::Acked {
             self.operations[operation].acks += 1.0;
@@ -100,7 +102,7 @@
         self.route_waiting(out);
     }
 
-    /// Ends an open delivery and returns it; `None` where there is none of this number.
+    /// Closes an open delivery and returns it, or `None` if no open delivery has this index.
     fn close_delivery(
         &mut self,
         id: CommandId,
@@ -119,8 +121,8 @@
         Some(*delivery)
     }
 
-    /// Moves the estimate of an operation's median latency over its objective.
-    fn note_latency(&mut self, operation: usize, outcome: AttemptOutcome, took: Micros) {
+    /// Updates the estimate of an operation's median latency over its objective.
+    fn record_latency(&mut self, operation: usize, outcome: AttemptOutcome, took: Micros) {
         if !matches!(outcome, AttemptOutcome::Acked | AttemptOutcome::TimedOut) {
             return;
         }
@@ -130,8 +132,8 @@
         state.overload = (state.overload + step).clamp(MIN_OVERLOAD, MAX_OVERLOAD);
     }
 
-    /// Ends a delivery's claim on its key. An answer may have been written that nobody could read:
-    /// it binds the key as well.
+    /// Releases a delivery's claim on its key. The key is bound to the build that may have answered
+    /// it, even if the answer was written but not received.
     fn release_key(&mut self, id: CommandId, delivery: &Delivery, outcome: AttemptOutcome) {
         let key = self.commands[&id].key;
         let newest = delivery.build.max(self.hosts.build(delivery.host));
@@ -146,9 +148,10 @@
         }
     }
 
-    /// After a delivery without an ack: another one where the operation allows it, else the final
-    /// answer. `guess` says that it may have run.
-    fn retry_or_abort(&mut self, id: CommandId, guess: bool, out: Out) {
+    /// Retries a command after a delivery without an ack, where the operation, the time left and
+    /// the budget allow it, or gives the final answer. Only retries of a delivery that may have run
+    /// use the budget.
+    fn retry_or_abort(&mut self, id: CommandId, may_have_run: bool, out: Out) {
         let Some(command) = self.commands.get(&id) else {
             return;
         };
@@ -156,19 +159,20 @@
             return;
         }
         let too_late = command.deadline - self.now < RETRY_MARGIN;
-        let over_budget = guess && !self.retry_budget.allows_one();
+        let over_budget = may_have_run && !self.retry_budget.allows_one();
         if too_late || over_budget || !self.may_redeliver(command) {
             self.abort(id, out);
             return;
         }
-        if guess {
+        if may_have_run {
             self.retry_budget.spend();
         }
         self.route(id, out);
     }
 
-    /// Whether a command may be delivered once more. The deduplication window counts from the first
-    /// delivery, whether or not it ran: it was open when the next was sent.
+    /// Whether the rules of the operation allow one more delivery of a command. The deduplication
+    /// window counts from the first delivery, even if that turned out not to have run: its outcome
+    /// may not have been known when the next one was sent.
     pub(super) fn may_redeliver(&self, command: &Command) -> bool {
         let operation = &self.operations[command.operation];
         let allowed = match operation.repeat {
@@ -182,17 +186,19 @@
         allowed && command.deliveries.len() < self.config.delivery_cap
     }
 
-    /// The final answer where nothing more can be done: a nack wherever trying again is harmless.
+    /// Gives the final answer to a command that is not retried: a nack if the client can safely
+    /// retry, otherwise a failure.
     pub fn abort(&mut self, id: CommandId, out: Out) {
         let Some(command) = self.commands.get(&id) else {
             return;
         };
         let operation = &self.operations[command.operation];
-        let any_host_drops =
+        let deduplicated_by_all =
             operation.repeat == Repeat::Deduplicated && operation.scope == DeduplicationScope::All;
-        let harmless =
-            !command.may_have_run() || any_host_drops || operation.repeat == Repeat::Idempotent;
-        if harmless {
+        let can_retry_safely = !command.may_have_run()
+            || deduplicated_by_all
+            || operation.repeat == Repeat::Idempotent;
+        if can_retry_safely {
             let spread = 1.0 + self.rng.fraction();
             let retry_after = operation.latency_objective / RETRY_AFTER_DIVISOR * spread;
             let hint = self
@@ -206,7 +212,8 @@
         self.finish(id, out);
     }
 
-    /// Ends a command that is answered, or that its client has left.
+    /// Ends a command that is answered or that its client has abandoned, and cancels its open
+    /// deliveries where allowed.
     pub fn finish(&mut self, id: CommandId, out: Out) {
         let Some(command) = self.commands.get_mut(&id) else {
             return;
--- a/crates/spokeflow-core/src/router/rollout.rs
+++ b/crates/spokeflow-core/src/router/rollout.rs
@@ -1,18 +1,19 @@
-//! What the release controller says of the newest build.
+//! The rollout status of the newest build, as received from the release controller.
 
 use super::{Out, Router};
 use crate::{BuildId, Micros, RolloutState, RolloutStatus};
 
-/// The last status from the release controller.
+/// The last rollout status from the release controller.
 #[derive(Debug, Default)]
 pub(super) struct RolloutView {
+    /// `None` before the first status.
     pub(super) status: Option<RolloutStatus>,
-    /// When the present stage or state began.
-    pub(super) stage_began: Micros,
+    /// When the present stage or state started.
+    pub(super) stage_started_at: Micros,
 }
 
 impl RolloutView {
-    /// The status where the newest build is a canary.
+    /// Returns the status if the newest build is a canary.
     pub(super) fn canary(&self) -> Option<RolloutStatus> {
         self.status
             .filter(|status| status.state == RolloutState::Canary)
@@ -22,18 +23,18 @@
         self.canary().is_some()
     }
 
-    /// Whether a build is, or has been, taken back.
+    /// Whether a build is being, or has been, rolled back.
     pub(super) fn is_rolled_back(&self, build: BuildId) -> bool {
         self.status.is_some_and(|status| {
-            let back = matches!(
+            let rolled_back = matches!(
                 status.state,
                 RolloutState::RollingBack | RolloutState::Withdrawn
             );
-            status.build == build && back
+            status.build == build && rolled_back
         })
     }
 
-    /// The stage of a build, 0 for one that the controller has not named.
+    /// Returns the stage of a build, 0 for one that the release controller has not named.
     pub(super) fn stage_of(&self, build: BuildId) -> u8 {
         self.status
             .filter(|status| status.build == build)
@@ -42,7 +43,7 @@
 }
 
 impl Router {
-    /// The release controller has said the state of the newest build's rollout.
+    /// Handles a rollout status from the release controller.
     pub fn on_rollout_status(&mut self, status: RolloutStatus, out: Out) {
         let before = self.rollout.status.replace(status);
         let same_build = before.is_some_and(|before| before.build == status.build);
@@ -53,20 +54,21 @@
             self.hosts.clear_evidence();
         }
         if !same_build || !same_stage {
-            self.rollout.stage_began = self.now - status.age;
+            self.rollout.stage_started_at = self.now - status.age;
             self.evidence.start_stage();
             self.voting.start_stage(self.now);
-            self.voting.own_turn = (self.rng.fraction() * self.config.vote_spread) as Micros;
+            self.voting.promote_jitter = (self.rng.fraction() * self.config.vote_spread) as Micros;
         }
         if self.rollout.is_rolled_back(status.build) {
-            // A rollback returns keys to the earlier build and lifts what forward-only rules
-            // forbade.
+            // A rollback returns keys to the earlier build, which forward-only rules otherwise
+            // forbid.
             self.sticky.forget_build(status.build);
         }
         self.tick(out);
     }
 
-    /// Whether a build is newer than what is released for all.
+    /// Whether a build is newer than the released one. Before the first status, the oldest ready
+    /// build counts as released.
     pub(super) fn is_on_trial(&self, build: BuildId) -> bool {
         match &self.rollout.status {
             None => self
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Part of the commands that a build on trial may be sent.
+    /// Returns the part of the commands that a build on trial may be sent.
     pub(super) fn exposure_cap(&self, build: BuildId) -> f64 {
         self.rollout
             .status
--- a/crates/spokeflow-core/src/router/slowdowns.rs
+++ b/crates/spokeflow-core/src/router/slowdowns.rs
@@ -1,17 +1,18 @@
-//! Slowness that belongs to a zone, an operation or a tenant, and not to a host or a build.
+//! Slowness that is attributed to a zone, an operation or a tenant, and not to a host or a build.
 
 use super::Router;
 
-/// Slowness, as a logarithm over the best of its kind, from which it is held to belong to this one
-/// alone.
+/// Slowness, as a logarithm over the fastest of its kind, above which a zone, operation or tenant
+/// counts as slow itself.
 const SLOWDOWN_THRESHOLD: f64 = 1.2;
 /// Weight of the newest answer in a slowdown.
 const LEARN_RATE: f64 = 0.15;
-/// Part of a second's fading that a slowdown fades by: it is forgotten slowly, so that what was
-/// mended is tried again.
-const FADE_EXPONENT: f64 = 0.1;
+/// Exponent of a slowdown's decay against that of a figure with a time constant of one second: it
+/// decays slowly, so that a zone, operation or tenant that has recovered is used again.
+const DECAY_EXPONENT: f64 = 0.1;
 
-/// Latency over the baseline, as logarithms by index; NaN before the first answer.
+/// Moving averages, by index, of the logarithm of the latency over the baseline; NaN before the
+/// first answer.
 #[derive(Debug, Default)]
 pub(super) struct SlowdownTable(Vec<f64>);
 
@@ -26,27 +27,28 @@
         };
     }
 
-    /// By how much one is slower than the best, where that is far: else 0.
+    /// Returns by how much an entry is slower than the fastest one, as a logarithm, if that is
+    /// above the threshold, otherwise 0.
     pub(super) fn excess(&self, index: usize) -> f64 {
-        let best = self.0.iter().copied().fold(f64::INFINITY, f64::min);
+        let fastest = self.0.iter().copied().fold(f64::INFINITY, f64::min);
         self.0
             .get(index)
-            .map(|slowdown| slowdown - best)
+            .map(|slowdown| slowdown - fastest)
             .filter(|&excess| excess > SLOWDOWN_THRESHOLD)
             .unwrap_or(0.0)
     }
 
-    /// Whether any is far slower than the best.
+    /// Whether any entry is slower than the fastest one by more than the threshold.
     pub(super) fn any_excess(&self) -> bool {
         (0..self.0.len()).any(|index| self.excess(index) > 0.0)
     }
 
-    fn fade(&mut self, factor: f64) {
+    fn decay(&mut self, factor: f64) {
         self.0.iter_mut().for_each(|slowdown| *slowdown *= factor);
     }
 }
 
-/// Where an answer came from and what for.
+/// The indices of the tables that an answer counts in.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
     pub(super) zone: usize,
@@ -63,14 +65,15 @@
 }
 
 impl Slowdowns {
-    /// An answer was slower than the baseline by this much.
+    /// Updates all three tables with the slowdown of one answer, as a logarithm over the baseline.
     pub(super) fn learn(&mut self, origin: Origin, slowdown: f64) {
         self.zones.learn(origin.zone, slowdown);
         self.operations.learn(origin.operation, slowdown);
         self.tenants.learn(origin.tenant, slowdown);
     }
 
-    /// The slowness of an answer that is neither its host's nor its build's doing.
+    /// Returns the largest excess of an answer's zone, operation and tenant: the slowness that is
+    /// not attributed to its host or build.
     pub(super) fn largest_excess(&self, origin: Origin) -> f64 {
         [
             self.zones.excess(origin.zone),
@@ -81,17 +84,17 @@
         .fold(0.0, f64::max)
     }
 
-    /// Forgets by the time passed; `fade` is what remains of a figure that fades within a second.
-    pub(super) fn fade(&mut self, fade: f64) {
-        let factor = fade.powf(FADE_EXPONENT);
-        self.zones.fade(factor);
-        self.operations.fade(factor);
-        self.tenants.fade(factor);
+    /// Decays all slowdowns; `decay` is the factor for a figure with a time constant of one second.
+    pub(super) fn decay(&mut self, decay: f64) {
+        let factor = decay.powf(DECAY_EXPONENT);
+        self.zones.decay(factor);
+        self.operations.decay(factor);
+        self.tenants.decay(factor);
     }
 }
 
 impl Router {
-    /// The zone of a host as an index of [`Slowdowns::zones`].
+    /// Returns the zone of a host as an index of [`Slowdowns::zones`].
     pub(super) fn zone_index(&self, host: usize) -> usize {
         self.hosts.endpoint(host).zone.0.into()
     }
--- a/crates/spokeflow-core/src/router/sticky.rs
+++ b/crates/spokeflow-core/src/router/sticky.rs
@@ -6,14 +6,15 @@
 use crate::state::StickyAssignment;
 use crate::{BuildId, Key, Micros, RolloutState};
 
-/// How long an assignment is followed, and kept where no rule needs it, after its last use.
+/// Time after its last use in which an assignment is followed. It is then dropped unless
+/// forward-only rules need it.
 pub(super) const STICKY_IDLE_TIMEOUT: Micros = 10 * SECOND;
 
-/// The assignment of each key of late.
+/// The assignments of recently used keys.
 #[derive(Debug, Default)]
 pub(super) struct StickyTable {
     by_key: BTreeMap<Key, StickyAssignment>,
-    /// The newest build that has answered keys whose assignments are no longer kept.
+    /// The newest build that has answered any key whose assignment was dropped.
     default_floor: Option<BuildId>,
 }
 
@@ -26,7 +27,8 @@
         self.by_key.entry(key).or_default()
     }
 
-    /// Takes keys off a build that is rolled back, and forgets what it answered.
+    /// Forgets the answers of a build that is rolled back, and the assignments to it unless another
+    /// build has answered the key.
     pub(super) fn forget_build(&mut self, build: BuildId) {
         self.by_key.retain(|_, assignment| {
             assignment.answered_by = assignment.answered_by.filter(|other| *other != build);
@@ -34,7 +36,7 @@
         });
     }
 
-    /// Drops the assignments that were not used of late and that `binds` does not name.
+    /// Drops the assignments that have reached the idle timeout, unless `binds` returns true.
     fn sweep(&mut self, now: Micros, binds: impl Fn(&StickyAssignment) -> bool) {
         let floor = &mut self.default_floor;
         self.by_key.retain(|_, assignment| {
@@ -45,18 +47,19 @@
     }
 }
 
-/// What forward-only rules say of a key.
+/// The bounds that forward-only rules set for a key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyRule {
-    /// The newest build that has answered the key or may do so.
+    /// The newest build that has answered the key or may do so; `None` where there is none or the
+    /// rules do not apply.
     pub(super) newest_build: Option<BuildId>,
-    /// The earliest build that the key may go to.
+    /// The earliest build that the key may go to; `None` for any build.
     pub(super) floor: Option<BuildId>,
 }
 
 impl Router {
-    /// Whether forward-only rules hold keys at this build: the newest that the controller named, or
-    /// one after it.
+    /// Whether forward-only rules bind keys to a build: the newest that the release controller has
+    /// named, or a later one, unless it is rolled back.
     pub(super) fn binds_keys(&self, build: BuildId) -> bool {
         self.config.forward_only
             && self
@@ -66,7 +69,7 @@
             && !self.rollout.is_rolled_back(build)
     }
 
-    /// The builds that a key may go to.
+    /// Returns the bounds on the builds that a key may go to.
     pub(super) fn key_rule(&self, key: Key) -> KeyRule {
         let has_key = key.0 != 0;
         let newest_build = self
@@ -83,8 +86,8 @@
         }
     }
 
-    /// Remembers which build serves a key. One delivery to an earlier build takes no key off the
-    /// trial.
+    /// Assigns a key to the build that serves it. A key that is assigned to a build on trial keeps
+    /// this assignment if a single delivery goes to an earlier build.
     pub(super) fn assign_key(&mut self, key: Key, build: BuildId) {
         if key.0 == 0 {
             return;
@@ -99,16 +102,17 @@
         assignment.used_at = self.now;
     }
 
-    /// Drops assignments that no rule needs.
+    /// Drops idle assignments that forward-only rules do not need.
     pub(super) fn sweep_sticky(&mut self) {
-        // Earlier builds bind no key, and once one is released all keys count as answered by it.
+        // Earlier builds do not bind keys, and once a build is released all keys count as answered
+        // by it.
         let binding_from = self.rollout.status.map(|status| {
             let released = status.state == RolloutState::Released;
             status.build.0.saturating_add(released.into())
         });
         let forward_only = self.config.forward_only;
-        // A delivery may be open for longer than an assignment without use: its answer binds the
-        // key as well.
+        // A delivery may be open for longer than the idle timeout, and its answer binds the key
+        // too.
         self.sticky.sweep(self.now, |assignment| {
             let binds = |build: BuildId| Some(build.0) >= binding_from;
             forward_only && (assignment.claims > 0 || assignment.answered_by.is_some_and(binds))
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -1,15 +1,16 @@
-//! What is done at each tick.
+//! The periodic work of each tick.
 
 use super::{Out, Router, MILLISECOND, SECOND};
 use crate::Micros;
 
-/// Time from one tick to the next: short against any latency objective, long against the work of
+/// Interval of the ticks: short compared with any latency objective, long compared with the work of
 /// one tick.
 pub(super) const TICK: Micros = 20 * MILLISECOND;
-/// Time from one sweep of the sticky assignments, which walks over all, to the next.
+/// Interval of the sweeps of the sticky assignments. A sweep visits all of them, so it is done less
+/// often than at each tick.
 const SWEEP_INTERVAL: Micros = SECOND / 2;
 
-/// When the periodic work was last done.
+/// The times of the last tick and the last sweep.
 #[derive(Debug)]
 pub(super) struct TickTimes {
     pub(super) ticked_at: Micros,
@@ -29,12 +30,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Elapsed {
     pub(super) time: Micros,
-    /// What remains of a figure that fades within about a second.
-    pub(super) fade: f64,
+    /// The factor for figures that decay with a time constant of one second.
+    pub(super) decay: f64,
 }
 
 impl Router {
-    /// The time that [`crate::Egress::wake`] was called with has come.
+    /// Handles the timer set by [`crate::Egress::wake`]: does the periodic work and sets the next
+    /// timer.
     pub fn on_timer(&mut self, out: Out) {
         self.tick(out);
         out.wake(self.now + TICK);
@@ -42,14 +44,14 @@
 
     pub(super) fn tick(&mut self, out: Out) {
         let time = self.now - self.ticks.ticked_at;
-        let fade = (-time as f64 / SECOND as f64).exp();
-        let elapsed = Elapsed { time, fade };
+        let decay = (-time as f64 / SECOND as f64).exp();
+        let elapsed = Elapsed { time, decay };
         for operation in &mut self.operations {
-            operation.acks *= fade;
+            operation.acks *= decay;
         }
-        self.slowdowns.fade(fade);
-        self.waiting.fade(fade);
-        self.load.fade_flow(fade);
+        self.slowdowns.decay(decay);
+        self.waiting.decay(decay);
+        self.load.decay_flow(decay);
         self.grow_canary();
         self.forget_exposure();
         self.learn_answer_rate(elapsed);
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -1,37 +1,41 @@
-//! The votes on the newest build.
+//! Votes on the newest build: which vote the evidence supports, and when it is cast.
 
 use super::analysis::{MAX_SLOWNESS, SLOWNESS_MARGIN, SLOWNESS_WEIGHT};
 use super::evidence::ROLLBACK_EVIDENCE;
 use super::{Out, Router, MILLISECOND, ROUTERS_PER_HOST, SECOND};
 use crate::{BuildId, Gate, Micros, RolloutState, RolloutStatus, RolloutVote, VoteOutcome};
 
-/// Evidence above which a router votes to hold, where stages go on by the clock.
+/// Evidence above which a router votes to hold, where the stages are promoted by the clock.
 const HOLD_EVIDENCE: f64 = 2.0;
 /// Evidence below which a router votes to promote.
 const PROMOTE_BELOW_EVIDENCE: f64 = 1.0;
-/// How many times the proof rolls back a released build: that means a cold start of all hosts.
-const RELEASED_PROOF: f64 = 2.0;
-/// Answers that a router needs from a build before it votes on it: fewer may all be chance.
+/// Factor on the evidence needed to roll back a released build, because that restarts all hosts
+/// cold.
+const RELEASED_EVIDENCE_MULTIPLE: f64 = 2.0;
+/// Answers that a router needs from a build before it votes on it: fewer may be misleading by
+/// chance.
 const MIN_ANSWERS_TO_VOTE: u32 = 3;
-/// How many answers that the release controller counted weigh as much as one of the router's own.
+/// Number of answers counted by the release controller that weigh as much as one of the router's
+/// own.
 const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
-/// Answers that convict a slow build at the least, of which a router of mean traffic gets so many
-/// before all follow.
-const MIN_ANSWERS_TO_CONVICT: f64 =
+/// Least number of answers with which a slow build can be rolled back. Before a stage is promoted,
+/// a router with mean traffic must expect this number, times the part of the hosts that follow in
+/// the next stage.
+const MIN_ANSWERS_FOR_ROLLBACK: f64 =
     ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
-/// How many times the usual wait a router takes where it knows too little.
-const UNKNOWN_WAIT_MULTIPLE: Micros = 3;
-/// How many times the usual wait a release side by side takes: its vote waits until all traffic has
-/// gone to the build.
+/// Factor on the usual wait before a promote vote where the router has seen too few answers.
+const FEW_ANSWERS_WAIT_MULTIPLE: Micros = 3;
+/// Factor on the usual wait before the vote for a release where the trial hosts run beside the
+/// earlier ones: all traffic must have moved to the build first.
 const RELEASE_WAIT_MULTIPLE: Micros = 4;
-/// What is taken off the wait while a stage's hosts are not listed.
+/// Time by which the wait is extended while the hosts that start in a stage are not listed yet.
 const UNLISTED_PENALTY: Micros = 8 * SECOND;
-/// Pause after a vote that is stale, and after one that was not taken for another reason; chance is
-/// added to both.
+/// Back-off after a stale vote, and after one that was refused for another reason. A random time
+/// below the jitter, in microseconds, is added to both.
 const STALE_VOTE_BACKOFF: Micros = SECOND;
 const REFUSED_VOTE_BACKOFF: Micros = 200 * MILLISECOND;
 const VOTE_BACKOFF_JITTER: usize = 200_000;
-/// What is allowed beyond the time in which the release controller should answer a vote.
+/// Time added to the configured time-out for the release controller's answer to a vote.
 const OUTCOME_SLACK: Micros = SECOND / 2;
 
 /// A vote of this router.
@@ -42,35 +46,39 @@
     vote: RolloutVote,
 }
 
-/// The last vote and when to cast another.
+/// The last vote, and when the next one may be cast.
 #[derive(Debug, Default)]
 pub(super) struct VoteState {
+    /// The vote that counts or awaits its outcome; `None` if there is none.
     last: Option<Vote>,
+    /// Until when the last vote is assumed to count, with a margin before the end of its lifetime;
+    /// it is cast again after this.
     valid_until: Micros,
-    again_at: Micros,
+    /// When the next vote may be cast.
+    next_vote_at: Micros,
     awaits_outcome: bool,
-    /// Wait before this router's promote vote, so that the fleet's do not come at once.
-    pub(super) own_turn: Micros,
+    /// Random delay of this router's promote votes, so that those of the fleet are spread.
+    pub(super) promote_jitter: Micros,
 }
 
 impl VoteState {
-    /// The votes cast so far no longer count.
+    /// Forgets the last vote, which no longer counts in a new stage.
     pub(super) fn start_stage(&mut self, now: Micros) {
         self.last = None;
-        self.again_at = now;
+        self.next_vote_at = now;
     }
 
-    /// Forgets a vote that the release controller never answered: it may count or not, so it is
-    /// cast anew.
+    /// Forgets a vote that the release controller has not answered in time. It is unknown whether
+    /// it counts, so it is cast again.
     fn expire(&mut self, now: Micros) {
-        if self.awaits_outcome && now >= self.again_at {
+        if self.awaits_outcome && now >= self.next_vote_at {
             self.awaits_outcome = false;
             self.last = None;
         }
     }
 }
 
-/// How far the hosts of a stage are.
+/// The progress of the hosts in a stage.
 #[derive(Clone, Copy, Debug)]
 struct StageProgress {
     /// Share of the hosts that run the build in this stage.
@@ -78,16 +86,17 @@
     is_last: bool,
     /// All hosts of the stage are ready.
     is_complete: bool,
-    /// Since the stage began and its last host started.
+    /// Time since the stage started or its last host started, whichever is later, less
+    /// `UNLISTED_PENALTY` where it applies.
     waited: Micros,
 }
 
 impl Router {
-    /// The release controller has answered the last vote.
+    /// Handles the release controller's answer to the last vote.
     pub fn on_vote_outcome(&mut self, outcome: VoteOutcome) {
         self.voting.awaits_outcome = false;
         if outcome == VoteOutcome::Counted {
-            self.voting.again_at = self.now;
+            self.voting.next_vote_at = self.now;
             self.voting.valid_until = self.now + self.config.vote_lifetime * 7 / 10;
             return;
         }
@@ -97,21 +106,22 @@
             REFUSED_VOTE_BACKOFF
         };
         let jitter = self.rng.below(VOTE_BACKOFF_JITTER) as Micros;
-        self.voting.again_at = self.now + backoff + jitter;
+        self.voting.next_vote_at = self.now + backoff + jitter;
         self.voting.last = None;
     }
 
-    /// Casts the vote that the evidence calls for, where it is not the one that counts already.
+    /// Casts the vote that the evidence supports, unless it is the one that counts already.
     pub(super) fn send_vote(&mut self, out: Out) {
         self.voting.expire(self.now);
         let next = self.next_vote();
         let valid = self.now < self.voting.valid_until;
-        let repeats = next == self.voting.last && valid;
-        if self.voting.awaits_outcome || self.now < self.voting.again_at || repeats {
+        let is_repeated = next == self.voting.last && valid;
+        if self.voting.awaits_outcome || self.now < self.voting.next_vote_at || is_repeated {
             return;
         }
-        // A vote to promote must not count while there is evidence.
-        let taken_back = self
+        // A vote to promote or hold must not go on counting when the evidence no longer supports
+        // it.
+        let withdrawal = self
             .voting
             .last
             .filter(|last| last.vote != RolloutVote::RollBack && valid)
@@ -119,27 +129,27 @@
                 vote: RolloutVote::Abstain,
                 ..last
             });
-        let Some(vote) = next.or(taken_back) else {
+        let Some(vote) = next.or(withdrawal) else {
             return;
         };
         out.vote(vote.build, vote.stage, vote.vote);
         self.voting.last = next;
         self.voting.awaits_outcome = true;
-        self.voting.again_at = self.now + self.config.vote_timeout + OUTCOME_SLACK;
+        self.voting.next_vote_at = self.now + self.config.vote_timeout + OUTCOME_SLACK;
         self.voting.valid_until = self.now + self.config.vote_timeout;
     }
 
-    /// The vote that the evidence calls for.
+    /// Returns the vote that the evidence supports, or `None` for no vote.
     fn next_vote(&self) -> Option<Vote> {
         let status = self.rollout.status?;
-        let canary = match status.state {
+        let is_canary = match status.state {
             RolloutState::Canary => true,
             RolloutState::Released => false,
             RolloutState::RollingBack | RolloutState::Withdrawn => return None,
         };
-        let vote = if self.is_convicted(canary) {
+        let vote = if self.has_rollback_evidence(is_canary) {
             RolloutVote::RollBack
-        } else if !canary {
+        } else if !is_canary {
             return None;
         } else if self.config.gate == Gate::Clocked {
             if self.evidence.total() <= HOLD_EVIDENCE {
@@ -158,30 +168,31 @@
         })
     }
 
-    fn is_convicted(&self, canary: bool) -> bool {
+    fn has_rollback_evidence(&self, is_canary: bool) -> bool {
         let answers = f64::from(self.evidence.answers) + self.evidence.controller_answers_in_stage;
-        let proof = if canary {
+        let threshold = if is_canary {
             ROLLBACK_EVIDENCE
         } else {
-            ROLLBACK_EVIDENCE * RELEASED_PROOF
+            ROLLBACK_EVIDENCE * RELEASED_EVIDENCE_MULTIPLE
         };
-        answers >= f64::from(MIN_ANSWERS_TO_VOTE) && self.evidence.total() >= proof
+        answers >= f64::from(MIN_ANSWERS_TO_VOTE) && self.evidence.total() >= threshold
     }
 
-    /// Whether the stage has been watched for long enough without evidence.
+    /// Whether the stage has run for long enough without evidence against the build.
     fn may_promote(&self, status: &RolloutStatus) -> bool {
         let progress = self.stage_progress(status);
         let promote_after = self.config.promote_after;
         let due = if self.config.rolling {
-            let multiple = if self.knows_enough(status, &progress) {
+            let multiple = if self.has_enough_answers(status, &progress) {
                 1
             } else {
-                UNKNOWN_WAIT_MULTIPLE
+                FEW_ANSWERS_WAIT_MULTIPLE
             };
-            progress.waited >= multiple * promote_after + self.voting.own_turn
+            progress.waited >= multiple * promote_after + self.voting.promote_jitter
         } else {
-            // Side by side a stage is cheaply taken back and a release is not: its vote waits until
-            // all traffic has gone to the build.
+            // Where the trial hosts run beside the earlier ones, a stage is cheap to roll back but
+            // a release is not. So only the vote for the release waits, until all traffic has moved
+            // to the build.
             let settled = progress.waited >= RELEASE_WAIT_MULTIPLE * promote_after;
             !progress.is_last || progress.is_complete && settled
         };
@@ -202,8 +213,8 @@
             .sum();
         let is_complete =
             !ready.is_empty() && ready.len() as f64 >= (hosts_fraction * earlier as f64).floor();
-        let stage_began = self.rollout.stage_began;
-        let penalty = if !is_complete && latest_start <= stage_began {
+        let stage_started_at = self.rollout.stage_started_at;
+        let penalty = if !is_complete && latest_start <= stage_started_at {
             UNLISTED_PENALTY
         } else {
             0
@@ -212,30 +223,33 @@
             hosts_fraction,
             is_last: stage + 1 >= fractions.len(),
             is_complete,
-            waited: self.now - latest_start.max(stage_began) - penalty,
+            waited: self.now - latest_start.max(stage_started_at) - penalty,
         }
     }
 
-    /// Whether the router has seen enough of the stage to vote after the usual wait. Where one vote
-    /// is enough, the fleet has seen many times what a quiet router has; but the one that votes
-    /// against a build has to see enough of it alone, the more so the more hosts follow.
-    fn knows_enough(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
+    /// Whether the router has seen enough answers in the stage to vote after the usual wait.
+    ///
+    /// Where one vote is enough, few answers suffice, because the other routers have seen answers
+    /// too. But a single router must be able to collect enough evidence for a rollback by itself,
+    /// so the expected answers must grow with the part of the hosts that follow in the next stage.
+    fn has_enough_answers(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
         let majority = self.config.gate == Gate::Majority;
-        let routers_alike = if majority {
+        let routers_sharing_vote = if majority {
             1
         } else {
             self.config.fleet_size as u32
         };
-        let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_alike)
+        let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_sharing_vote)
             .clamp(1, MIN_ANSWERS_TO_VOTE);
         let controller_answers = self.evidence.controller_answers_in_stage;
         let answered = self.evidence.answers_in_stage >= enough
             || controller_answers >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
-        // A release takes twice the proof to undo and may wait: all hosts run the build by then.
+        // The rollback of a release needs twice the evidence, and the vote for it can wait because
+        // all hosts run the build by then.
         let waits_for_release = progress.is_last
             && self.config.gate == Gate::Single
             && self.config.fleet_size > ROUTERS_PER_HOST;
-        let following = if majority {
+        let following_fraction = if majority {
             0.0
         } else {
             let next = self.config.stage_shares.get(usize::from(status.stage) + 1);
@@ -244,9 +258,9 @@
         let expected_answers =
             self.config.mean_command_rate * progress.hosts_fraction * progress.waited as f64
                 / SECOND as f64;
-        // Without quotas the rate is infinite, and its product with no wait is no number: that is
-        // not too few.
-        let too_few = expected_answers < MIN_ANSWERS_TO_CONVICT * following;
+        // Without quotas the rate is infinite, and its product with a wait of 0 is NaN. The
+        // comparison is then false: the answers are not too few.
+        let too_few = expected_answers < MIN_ANSWERS_FOR_ROLLBACK * following_fraction;
         answered && !waits_for_release && !too_few
     }
 }
