--- a/crates/spokeflow-core/tests/admission.rs
+++ b/crates/spokeflow-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Commands that wait, are refused or are delivered again, and input that is out of order.
+//! Commands that wait, are refused or are delivered again, and invalid input.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use spokeflow_core::*;
 
 #[test]
-fn an_operation_that_waits_at_every_host_does_not_block_the_others() {
+fn an_operation_that_is_slow_at_every_host_does_not_block_the_others() {
     let (mut router, mut checker) = fleet(Gate::Clocked, |_| {});
     let nacked = |checker: &RuleChecker, operation: usize| {
         checker
@@ -21,7 +21,7 @@
         12 * SECOND,
         |_, operation, _| match operation {
             1 => Response::new(AttemptOutcome::Acked, 1500 * MS),
-            _ => GOOD,
+            _ => PROMPT_ACK,
         },
     );
     let before = nacked(&checker, 0) + nacked(&checker, 2);
@@ -31,14 +31,17 @@
         6 * SECOND,
         |_, operation, _| match operation {
             1 => Response::new(AttemptOutcome::Acked, 1500 * MS),
-            _ => GOOD,
+            _ => PROMPT_ACK,
         },
     );
-    assert!(nacked(&checker, 1) > 0, "what waits is bounded too");
+    assert!(
+        nacked(&checker, 1) > 0,
+        "commands of the slow operation must be nacked at its concurrency limit"
+    );
     assert_eq!(
         nacked(&checker, 0) + nacked(&checker, 2),
         before,
-        "the others are all taken"
+        "no command of the other operations may be nacked"
     );
     let others = checker
         .commands
@@ -50,7 +53,7 @@
         .unwrap();
     assert!(
         longest_wait < 60 * MS,
-        "none waits behind what waits: {longest_wait}"
+        "a command of another operation waited for {longest_wait} us"
     );
 }
 
@@ -61,23 +64,24 @@
     });
     checker.command(&mut router, 9_000, 1, 5, 1900 * MS);
     let first = checker.commands[&CommandId(9_000)].deliveries[0].host;
-    // The host answers nothing: a copy goes out beside the first, which then turns out never to
-    // have run.
-    checker.pass(&mut router, 750 * MS);
-    let copies = checker.commands[&CommandId(9_000)].deliveries.len();
-    checker.end(
+    // The host does not answer: a second delivery is sent beside the first, which then turns out
+    // not to have run.
+    checker.advance(&mut router, 750 * MS);
+    let hedged = checker.commands[&CommandId(9_000)].deliveries.len();
+    checker.end_delivery(
         &mut router,
         CommandId(9_000),
         0,
         AttemptOutcome::NotConnected,
     );
-    checker.pass(&mut router, 100 * MS);
-    (1..copies)
-        .for_each(|index| checker.end(&mut router, CommandId(9_000), index, AttemptOutcome::Error));
-    checker.pass(&mut router, SECOND);
+    checker.advance(&mut router, 100 * MS);
+    (1..hedged).for_each(|index| {
+        checker.end_delivery(&mut router, CommandId(9_000), index, AttemptOutcome::Error)
+    });
+    checker.advance(&mut router, SECOND);
     let sent = &checker.commands[&CommandId(9_000)].deliveries;
     assert!(
-        copies == 2 && sent.len() == 2 && sent[1].host != first,
+        hedged == 2 && sent.len() == 2 && sent[1].host != first,
         "{sent:?}"
     );
 }
@@ -85,9 +89,9 @@
 #[test]
 fn without_any_host_commands_are_nacked_early_with_a_retry_after() {
     let (mut router, mut checker) = RuleChecker::start(service_config(Gate::Single), 9);
-    checker.list(&mut router, ListKind::Cached, &[]);
+    checker.send_list(&mut router, ListKind::Cached, &[]);
     checker.command(&mut router, 1, 2, 8, 1900 * MS);
-    checker.pass(&mut router, 300 * MS);
+    checker.advance(&mut router, 300 * MS);
     assert_eq!(checker.nacks.len(), 1);
     assert!(checker.nacks[0]
         .retry_after
@@ -95,13 +99,13 @@
 }
 
 #[test]
-fn a_failed_list_is_requested_again_and_strange_input_changes_nothing() {
+fn a_failed_list_is_requested_again_and_invalid_input_is_ignored() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let requests_before = checker.list_requests;
     router.set_time(checker.now).on_list_failure();
-    checker.pass(&mut router, 2 * SECOND);
+    checker.advance(&mut router, 2 * SECOND);
     assert!(checker.list_requests > requests_before);
-    checker.list(
+    checker.send_list(
         &mut router,
         ListKind::Changes,
         &[Endpoint {
@@ -123,17 +127,21 @@
         SECOND,
         &mut log,
     );
-    assert!(log.sent.is_empty(), "sent a command of no known operation");
-    serve(&mut router, &mut checker, 6 * SECOND, |_, _, _| GOOD);
+    assert!(
+        log.sent.is_empty(),
+        "command of unknown operation 99 was sent: {:?}",
+        log.sent
+    );
+    serve(&mut router, &mut checker, 6 * SECOND, |_, _, _| PROMPT_ACK);
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
     assert!(new_build_fraction(&checker, 4 * SECOND) > 0.1);
 }
 
-/// Met on sockets under heavy overload: every command that waited was routed anew at each that came
-/// or went, so that the router fell seconds behind. Routing ends now where the hosts are full, and
-/// what has waited in vain must still be given up on at the next tick, not with the hosts.
+/// Guards against a router that falls seconds behind under heavy overload because it routes all
+/// waiting commands again at every event. Routing stops where the hosts are full; commands that
+/// have waited as long as allowed must still be nacked at the next tick, without any host event.
 #[test]
-fn what_waits_in_vain_at_full_hosts_is_refused_within_a_tick() {
+fn waiting_commands_at_full_hosts_are_nacked_within_a_tick() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let silent = Response::new(AttemptOutcome::Acked, 100 * SECOND);
     let began = checker.now;
@@ -141,18 +149,18 @@
     for _ in 0..20 {
         serve(&mut router, &mut checker, 100 * MS, |_, _, _| silent);
         let now = checker.now;
-        let fresh = checker.commands.values().filter(|command| {
+        let unsent = checker.commands.values().filter(|command| {
             command.deadline - 1900 * MS >= began && command.deliveries.is_empty()
         });
-        for command in fresh {
-            let taken = command.deadline - 1900 * MS;
+        for command in unsent {
+            let received_at = command.deadline - 1900 * MS;
             waited += usize::from(!command.answered);
             assert!(
-                command.answered || now - taken <= 180 * MS + 30 * MS,
-                "held for {}",
-                now - taken
+                command.answered || now - received_at <= 180 * MS + 30 * MS,
+                "a command waited for {} us, expected at most 180 ms and a tick",
+                now - received_at
             );
         }
     }
-    assert!(waited > 20, "some waited: {waited}");
+    assert!(waited > 20, "only {waited} commands had to wait");
 }
--- a/crates/spokeflow-core/tests/analysis.rs
+++ b/crates/spokeflow-core/tests/analysis.rs
@@ -1,4 +1,4 @@
-//! Which builds the evidence convicts, and which it does not.
+//! Canary analysis: which evidence rolls a build back, and which does not.
 
 mod common;
 
@@ -8,7 +8,7 @@
 #[test]
 fn a_good_build_is_promoted_and_not_rolled_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
-    serve(&mut router, &mut checker, 8 * SECOND, |_, _, _| GOOD);
+    serve(&mut router, &mut checker, 8 * SECOND, |_, _, _| PROMPT_ACK);
     assert!(
         count_votes(&checker, RolloutVote::Promote) > 0
             && count_votes(&checker, RolloutVote::RollBack) == 0,
@@ -22,9 +22,9 @@
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let respond = |host: HostId, operation, number| {
         if host.0 >= 6 && operation == 2 && number % 2 == 0 {
-            BAD
+            PROMPT_ERROR
         } else {
-            GOOD
+            PROMPT_ACK
         }
     };
     serve(&mut router, &mut checker, 12 * SECOND, respond);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_build_that_needs_three_times_the_work_is_rolled_back_without_one_error() {
+fn a_build_with_three_times_the_latency_is_rolled_back_without_errors() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut checker, 12 * SECOND, |host, _, _| {
         Response::new(
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn one_host_that_errs_does_not_convict_its_build() {
+fn errors_of_one_host_do_not_roll_its_build_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut checker, 12 * SECOND, |host, _, _| {
         if host.0 == 7 {
-            BAD
+            PROMPT_ERROR
         } else {
-            GOOD
+            PROMPT_ACK
         }
     });
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
@@ -68,7 +68,7 @@
 #[test]
 fn reports_of_wrong_answers_roll_a_build_back_and_those_on_earlier_processes_do_not() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
-    serve(&mut router, &mut checker, 5 * SECOND, |_, _, _| GOOD);
+    serve(&mut router, &mut checker, 5 * SECOND, |_, _, _| PROMPT_ACK);
     for _ in 0..4 {
         router
             .set_time(checker.now)
@@ -80,7 +80,7 @@
             .set_time(checker.now)
             .on_wrong_answer(HostId(1), SECOND);
     }
-    checker.pass(&mut router, SECOND);
+    checker.advance(&mut router, SECOND);
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
     (0..4).for_each(|_| {
         router
@@ -90,11 +90,11 @@
     router
         .set_time(checker.now)
         .on_vote_outcome(VoteOutcome::Counted);
-    checker.pass(&mut router, SECOND);
+    checker.advance(&mut router, SECOND);
     assert!(count_votes(&checker, RolloutVote::RollBack) > 0);
 }
 
-/// Counts of the old and the new build, and whether the new one is rolled back for them.
+/// Counts of the old and the new build in each period, and whether they roll the new one back.
 struct Case {
     name: &'static str,
     old: PeriodCount,
@@ -118,26 +118,26 @@
     }
 }
 
-/// Of each build: sampled, lost, mean latency in milliseconds.
+/// For each build: deliveries sampled, deliveries lost, mean latency in milliseconds.
 const CASES: [Case; 7] = [
-    Case::new("alike", (28, 0, 80), (12, 0, 90), false),
-    Case::new("fails", (28, 0, 80), (12, 3, 80), true),
+    Case::new("same at both builds", (28, 0, 80), (12, 0, 90), false),
+    Case::new("new build fails", (28, 0, 80), (12, 3, 80), true),
     Case::new(
-        "lost at both builds alike",
+        "same losses at both builds",
         (28, 10, 80),
         (12, 3, 80),
         false,
     ),
-    Case::new("slow", (28, 0, 80), (12, 0, 240), true),
-    Case::new("slows all", (28, 0, 240), (12, 0, 240), true),
+    Case::new("new build is slow", (28, 0, 80), (12, 0, 240), true),
+    Case::new("both builds are slow", (28, 0, 240), (12, 0, 240), true),
     Case::new(
-        "slows all, most is lost and sent again",
+        "both builds are slow, most deliveries are lost and retried",
         (60, 40, 240),
         (24, 14, 240),
         true,
     ),
     Case::new(
-        "slower as traffic doubles",
+        "both builds are slower while traffic doubles",
         (80, 0, 160),
         (24, 0, 160),
         false,
@@ -158,7 +158,7 @@
         let hosts: Vec<Endpoint> = (0..10)
             .map(|host| endpoint(host, if host < 6 { OLD } else { NEW }))
             .collect();
-        checker.list(&mut router, ListKind::Cached, &hosts);
+        checker.send_list(&mut router, ListKind::Cached, &hosts);
         let before = PeriodCount::new(40, 0, 80 * MS);
         report_counts(&mut router, &mut checker, 4, before, PeriodCount::default());
         let canary = rollout_status(NEW, 1, RolloutState::Canary, 0.4);
@@ -167,7 +167,7 @@
         assert_eq!(
             count_votes(&checker, RolloutVote::RollBack),
             0,
-            "{name}: one period convicts no build"
+            "{name}: one period must not roll a build back"
         );
         report_counts(&mut router, &mut checker, 6, old, new);
         assert_eq!(
@@ -179,33 +179,33 @@
 }
 
 #[test]
-fn one_report_of_a_wrong_answer_convicts_only_where_many_must_agree() {
-    for (back_votes, back) in [(25, true), (5, false)] {
+fn one_reported_wrong_answer_is_enough_only_where_a_quorum_decides() {
+    for (rollback_votes, rolled_back) in [(25, true), (5, false)] {
         let (mut router, mut checker) = fleet(Gate::Clocked, |config| {
             (
                 config.fleet_size,
                 config.rollback_votes,
                 config.complaint_share,
-            ) = (100, back_votes, 0.5)
+            ) = (100, rollback_votes, 0.5)
         });
-        serve(&mut router, &mut checker, 2 * SECOND, |_, _, _| GOOD);
+        serve(&mut router, &mut checker, 2 * SECOND, |_, _, _| PROMPT_ACK);
         router
             .set_time(checker.now)
             .on_wrong_answer(HostId(7), SECOND);
-        checker.pass(&mut router, SECOND);
+        checker.advance(&mut router, SECOND);
         assert_eq!(
             count_votes(&checker, RolloutVote::RollBack) > 0,
-            back,
-            "{back_votes} of 100"
+            rolled_back,
+            "with {rollback_votes} of 100 votes needed for a rollback"
         );
     }
 }
 
 #[test]
-fn where_few_votes_roll_back_own_slowness_weighs_less() {
-    let until_back = |back_votes| {
+fn own_evidence_of_slowness_weighs_less_with_a_small_rollback_quorum() {
+    let time_to_rollback = |rollback_votes| {
         let (mut router, mut checker) = fleet(Gate::Clocked, |config| {
-            (config.fleet_size, config.rollback_votes) = (100, back_votes)
+            (config.fleet_size, config.rollback_votes) = (100, rollback_votes)
         });
         let from = checker.now;
         while count_votes(&checker, RolloutVote::RollBack) == 0 && checker.now < from + 30 * SECOND
@@ -216,13 +216,16 @@
         }
         checker.now - from
     };
-    let many = until_back(25);
-    let few = until_back(3);
-    assert!(many < 5 * SECOND && few >= many + 400 * MS, "{many} {few}");
+    let many = time_to_rollback(25);
+    let few = time_to_rollback(3);
+    assert!(
+        many < 5 * SECOND && few >= many + 400 * MS,
+        "rollback vote after {many} us with a quorum of 25, after {few} us with 3"
+    );
 }
 
 #[test]
-fn an_operation_that_times_out_at_every_host_does_not_convict_the_build() {
+fn an_operation_that_times_out_at_every_host_does_not_roll_the_build_back() {
     let (mut router, mut checker) = fleet(Gate::Clocked, |_| {});
     serve(
         &mut router,
@@ -230,23 +233,30 @@
         12 * SECOND,
         |_, operation, _| match operation {
             2 => Response::new(AttemptOutcome::TimedOut, 700 * MS),
-            _ => GOOD,
+            _ => PROMPT_ACK,
         },
     );
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
 #[test]
-fn errors_of_one_tenant_at_every_host_do_not_convict_the_build() {
+fn errors_of_one_tenant_at_every_host_do_not_roll_the_build_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
-    // The checker gives each command the tenant of its number modulo three, the last two being one.
-    let respond = |_: HostId, _, number: u32| if number % 3 < 1 { BAD } else { GOOD };
+    // The checker sets the tenant to the command id modulo three; tenant 2 is not configured and
+    // counts as tenant 1.
+    let respond = |_: HostId, _, number: u32| {
+        if number % 3 < 1 {
+            PROMPT_ERROR
+        } else {
+            PROMPT_ACK
+        }
+    };
     serve(&mut router, &mut checker, 12 * SECOND, respond);
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
 #[test]
-fn an_operation_that_is_slow_at_every_host_does_not_convict_the_build() {
+fn an_operation_that_is_slow_at_every_host_does_not_roll_the_build_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let respond = |_: HostId, operation, _| {
         Response::new(
@@ -259,28 +269,28 @@
 }
 
 #[test]
-fn what_clients_cut_short_does_not_convict_the_build() {
+fn deliveries_that_clients_abandon_do_not_roll_the_build_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let respond = |_: HostId, _, number| {
         if number % 4 == 0 {
             Response::new(AttemptOutcome::TimedOut, 300 * MS)
         } else {
-            GOOD
+            PROMPT_ACK
         }
     };
     serve(&mut router, &mut checker, 12 * SECOND, respond);
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
-/// Seen on sockets: where one answer in ten came spoilt from any host, a good build was rolled back
-/// by chance.
+/// Guards against the rollback of a good build by chance where about one answer in ten, from any
+/// host, is an error.
 #[test]
-fn failures_that_every_host_has_do_not_convict_a_build_and_many_more_do() {
+fn failures_common_to_all_hosts_do_not_roll_a_build_back_but_many_more_do() {
     let noise = |_, _, number: u32| {
         if number.wrapping_mul(0x9e37_79b9) >> 16 & 1023 < 130 {
-            BAD
+            PROMPT_ERROR
         } else {
-            GOOD
+            PROMPT_ACK
         }
     };
     for seed in 0..4 {
@@ -302,7 +312,7 @@
             20 * SECOND,
             |host, operation, number| {
                 if host.0 >= 6 && number % 2 == 0 {
-                    BAD
+                    PROMPT_ERROR
                 } else {
                     noise(host, operation, number)
                 }
@@ -312,16 +322,16 @@
     }
 }
 
-/// Seen on sockets: the last stage replaced the whole fleet at once, all of it was cold and full,
-/// and a good build went back for it.
+/// Guards against the rollback of a good build when the last stage replaces the whole fleet at
+/// once: all hosts are cold and overloaded then.
 #[test]
-fn a_fleet_that_was_just_replaced_is_not_convicted_of_slowness() {
+fn slowness_of_a_fleet_that_was_just_replaced_does_not_roll_the_build_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     checker.announce(
         &mut router,
         rollout_status(NEW, 2, RolloutState::Canary, 1.0),
     );
-    serve(&mut router, &mut checker, SECOND, |_, _, _| GOOD);
+    serve(&mut router, &mut checker, SECOND, |_, _, _| PROMPT_ACK);
     let started = checker.now - SECOND;
     let fresh: Vec<Endpoint> = (0..10)
         .map(|host| Endpoint {
@@ -329,7 +339,7 @@
             ..endpoint(host, NEW)
         })
         .collect();
-    checker.list(&mut router, ListKind::Changes, &fresh);
+    checker.send_list(&mut router, ListKind::Changes, &fresh);
     serve(&mut router, &mut checker, 4 * SECOND, |_, _, _| {
         Response::new(AttemptOutcome::Acked, 400 * MS)
     });
--- a/crates/spokeflow-core/tests/choices.rs
+++ b/crates/spokeflow-core/tests/choices.rs
@@ -1,9 +1,10 @@
-//! The module's choices in seeded random scenarios, pinned by digests of every output in its order.
+//! Digests of every output of the decision module, in order, in seeded random scenarios.
 //!
-//! A change of the module's data structures leaves all digests as they are. A change of its choices moves them:
-//! then the new ones are recorded with the reason. Sizes of hosts are dyadic, so that sums of them are exact in any
-//! order; sums over cold hosts may differ in their last bits where the order differs. Logarithms and exponentials
-//! are the system's: the digests were recorded on x86-64 Linux.
+//! A change of the module's data structures must not change any digest. A change of its choices
+//! does: then record the new digests together with the reason. Sizes of hosts are dyadic, so that
+//! sums of them are exact in any order; sums over cold hosts may differ in their last bits where
+//! the order differs. Logarithms and exponentials are the system's: the digests were recorded on
+//! x86-64 Linux.
 
 mod scenario;
 
@@ -12,7 +13,8 @@
 
 const LENGTH: i64 = 60 * SECOND;
 
-/// Runs over sizes, fleets, gates, one-way rules and both ways to roll out.
+/// Returns scenarios that vary the number of hosts and routers, the gate, forward-only rules and
+/// the kind of rollout.
 fn settings() -> Vec<Setting> {
     let mut settings = Vec::new();
     for (hosts, commands_per_second) in [(4, 40), (12, 120), (60, 300), (250, 300)] {
@@ -56,32 +58,35 @@
 ];
 
 #[test]
-fn choices_are_those_recorded() {
-    let played: Vec<(u64, Counts)> = settings()
+fn choices_match_the_recorded_digests() {
+    let results: Vec<(u64, Counts)> = settings()
         .into_iter()
         .map(|setting| World::new(setting).play())
         .collect();
-    for (setting, (digest, counts)) in settings().iter().zip(&played) {
+    for (setting, (digest, counts)) in settings().iter().zip(&results) {
         println!(
             "0x{digest:016x}, // {} hosts, fleet of {}: {counts:?}",
             setting.hosts, setting.fleet_size
         );
     }
     let total =
-        |count: fn(&Counts) -> u64| played.iter().map(|(_, counts)| count(counts)).sum::<u64>();
+        |count: fn(&Counts) -> u64| results.iter().map(|(_, counts)| count(counts)).sum::<u64>();
     assert!(
         total(|c| c.deliveries) > 50_000,
-        "most commands are delivered"
+        "most commands must be delivered"
     );
     assert!(
         total(|c| c.further_deliveries) > 1_000,
-        "commands are delivered again"
+        "some commands must be delivered again"
     );
-    assert!(total(|c| c.nacks) > 1_000, "commands are nacked");
-    assert!(total(|c| c.fails) > 100, "commands fail");
-    assert!(total(|c| c.cancels) > 100, "deliveries are cancelled");
-    assert!(total(|c| c.votes) > 50, "builds are voted on");
-    let digests: Vec<u64> = played.into_iter().map(|(digest, _)| digest).collect();
+    assert!(total(|c| c.nacks) > 1_000, "some commands must be nacked");
+    assert!(total(|c| c.fails) > 100, "some commands must fail");
+    assert!(
+        total(|c| c.cancels) > 100,
+        "some deliveries must be cancelled"
+    );
+    assert!(total(|c| c.votes) > 50, "some votes must be cast");
+    let digests: Vec<u64> = results.into_iter().map(|(digest, _)| digest).collect();
     assert_eq!(
         digests, DIGESTS,
         "a digest differs: the module's choices have changed"
--- a/crates/spokeflow-core/tests/cold_hosts.rs
+++ b/crates/spokeflow-core/tests/cold_hosts.rs
@@ -5,8 +5,9 @@
 use common::*;
 use spokeflow_core::*;
 
-/// Gives each router so many commands, of which all but the first four hosts reject theirs where
-/// `reject` holds; then host 3 starts anew. Returns what host 3 was sent.
+/// Sends each router `commands` commands, one per `interval`. Where `reject` is set, all hosts but
+/// the first four reject their deliveries. Then host 3 restarts. Returns the deliveries that host 3
+/// was sent before its restart.
 fn serve_fleet(
     fleet: &mut [(Router, RuleChecker)],
     reject: bool,
@@ -19,7 +20,7 @@
         for number in 0..commands {
             let id = checker.commands.len() as u32;
             checker.command(router, id, 0, 0, 900 * MS);
-            checker.pass(router, interval + Micros::from(number % 2));
+            checker.advance(router, interval + Micros::from(number % 2));
             for (id, index) in checker.open() {
                 let host = checker.commands[&id].deliveries[index].host;
                 let outcome = if reject && host > HostId(3) {
@@ -27,7 +28,7 @@
                 } else {
                     AttemptOutcome::Acked
                 };
-                checker.end(router, id, index, outcome);
+                checker.end_delivery(router, id, index, outcome);
             }
         }
         sent += checker
@@ -40,15 +41,15 @@
             started_at: Some(checker.now),
             ..endpoint(3, OLD)
         };
-        checker.list(router, ListKind::Changes, &[restarted]);
+        checker.send_list(router, ListKind::Changes, &[restarted]);
     }
     sent as f64
 }
 
-/// Many routers share hosts, and two in three hosts refuse: what all send to a cold one stays in
-/// its budget.
+/// Many routers share the hosts, two in three of which reject deliveries. The deliveries of all
+/// routers together to a cold host must stay within its overload multiple.
 #[test]
-fn many_routers_together_do_not_push_a_cold_host_over() {
+fn many_routers_together_do_not_overload_a_cold_host() {
     let routers = 40u64;
     let hosts = 12u32;
     let each = 12;
@@ -67,26 +68,29 @@
         .collect();
     let all: Vec<Endpoint> = (0..hosts).map(|host| endpoint(host, OLD)).collect();
     for (router, checker) in &mut fleet {
-        checker.list(router, ListKind::Cached, &all);
+        checker.send_list(router, ListKind::Cached, &all);
         checker.announce(router, rollout_status(OLD, 2, RolloutState::Released, 1.0));
     }
     serve_fleet(&mut fleet, false, 8 * each as u32, SECOND / each);
-    // Forty routers of twelve a second over twelve hosts: forty a second each, which is what one
-    // can do.
-    let can = (routers as f64) * each as f64 / f64::from(hosts);
+    // Forty routers with twelve commands per second each share twelve hosts: forty commands per
+    // second and host, which counts as the capacity of a warm host.
+    let capacity = (routers as f64) * each as f64 / f64::from(hosts);
     let span = config.overload_window as f64 / SECOND as f64;
-    let present = config.slow_start_from
+    let warm_up_fraction = config.slow_start_from
         + (1.0 - config.slow_start_from) * span / (config.warm_up_time as f64 / SECOND as f64);
     let sent = serve_fleet(&mut fleet, true, 2 * each as u32, SECOND / each);
-    let budget = config.overload_multiple * can * present * span;
-    assert!(sent <= budget, "rule 4: {sent} sent, {budget} at most");
+    let budget = config.overload_multiple * capacity * warm_up_fraction * span;
+    assert!(
+        sent <= budget,
+        "rule 4: {sent} deliveries to the cold host, expected at most {budget}"
+    );
 }
 
-/// Of drawn scenarios 58 and 904: routers that had just started beside a single cold host, the
-/// others dead, took the commands received for its capacity, and all together sent it many times
-/// what it bears.
+/// Guards against routers that start while a single cold host is left and take the rate of commands
+/// received for its capacity: together they would send it many times its capacity. Found by random
+/// scenarios 58 and 904.
 #[test]
-fn routers_that_start_beside_one_cold_host_do_not_push_it_over() {
+fn routers_that_start_with_one_cold_host_do_not_overload_it() {
     let routers = 150u64;
     let each = 6;
     let mut config = service_config(Gate::Single);
@@ -104,14 +108,14 @@
             started_at: Some(checker.now - 100 * MS),
             ..endpoint(3, OLD)
         };
-        checker.list(&mut router, ListKind::Complete, &[cold]);
+        checker.send_list(&mut router, ListKind::Complete, &[cold]);
         checker.announce(
             &mut router,
             rollout_status(OLD, 2, RolloutState::Released, 1.0),
         );
         for id in 0..2 * each {
             checker.command(&mut router, id, 0, 0, 900 * MS);
-            checker.pass(&mut router, SECOND / Micros::from(each));
+            checker.advance(&mut router, SECOND / Micros::from(each));
         }
         sent += checker
             .commands
@@ -119,14 +123,14 @@
             .map(|command| command.deliveries.len())
             .sum::<usize>();
     }
-    // A host that answers one command in a latency objective bears so many over the overload
-    // window, and chance on top.
+    // The capacity over the overload window of a host that answers one command per latency
+    // objective, with a margin of three standard deviations for random variation.
     let span = config.overload_window as f64 / SECOND as f64;
-    let can = SECOND as f64 / config.ops[0].latency_objective as f64 * config.slow_start_from;
-    let budget = config.overload_multiple * can * span;
+    let capacity = SECOND as f64 / config.ops[0].latency_objective as f64 * config.slow_start_from;
+    let budget = config.overload_multiple * capacity * span;
     let most = budget + 3.0 * budget.sqrt() + 3.0;
     assert!(
         sent as f64 <= most && sent > 0,
-        "rule 4: {sent} sent, {most} at most"
+        "rule 4: {sent} deliveries to the cold host, expected 1 to {most}"
     );
 }
--- a/crates/spokeflow-core/tests/common/checks.rs
+++ b/crates/spokeflow-core/tests/common/checks.rs
@@ -1,18 +1,23 @@
-//! The rules about a delivery, checked when the router asks for it.
+//! The rules about a delivery, checked when the router sends it.
 
 use super::rule_checker::is_rolled_back;
 use super::tracking::*;
 use super::*;
 
 impl RuleChecker {
-    /// Rules 1 and 2: no delivery after the final answer, and no repeat that could have a second
-    /// effect.
+    /// Checks rules 1 and 2: no delivery after the final answer, and no repeat that could have a
+    /// second effect.
     pub(super) fn check_repeat(&self, command: &TrackedCommand, endpoint: &Endpoint) {
-        assert!(!command.answered, "rule 1: sent after the final answer");
+        assert!(
+            !command.answered,
+            "rule 1: delivery to {:?} after the final answer: {command:?}",
+            endpoint.host
+        );
         let operation = &self.config.ops[command.operation];
         assert!(
             operation.repeat != Repeat::AtMostOnce || !command.may_have_run(),
-            "rule 2: at-most-once sent again"
+            "rule 2: at-most-once command that may have run, sent again to {:?}: {command:?}",
+            endpoint.host
         );
         if operation.repeat == Repeat::Deduplicated {
             for delivery in &command.deliveries {
@@ -23,7 +28,8 @@
         }
         assert!(
             self.config.may_hedge || command.deliveries.iter().all(|delivery| !delivery.open),
-            "rule 2: two at once"
+            "rule 2: second open delivery to {:?} where hedging is not allowed: {command:?}",
+            endpoint.host
         );
     }
 
@@ -35,14 +41,20 @@
     ) {
         assert!(
             self.now < delivery.at + operation.deduplication_window,
-            "rule 2: repeat after the deduplication window"
+            "rule 2: repeat to {:?} at {} after the deduplication window of {delivery:?}",
+            endpoint.host,
+            self.now
         );
-        let same = operation.deduplication_scope == DeduplicationScope::All
+        let in_scope = operation.deduplication_scope == DeduplicationScope::All
             || self.endpoints[&delivery.host].zone == endpoint.zone;
-        assert!(same, "rule 2: repeat outside its scope");
+        assert!(
+            in_scope,
+            "rule 2: repeat to {:?} outside the deduplication scope of {delivery:?}",
+            endpoint.host
+        );
     }
 
-    /// Rule 4: a cold host is not sent more than its answers have earned.
+    /// Checks rule 4: a cold host has no more deliveries in flight than its acks allow.
     pub(super) fn check_cold_host(&mut self, endpoint: &Endpoint) {
         let fresh = endpoint
             .started_at
@@ -51,13 +63,15 @@
         since.in_flight += 1;
         assert!(
             !fresh || since.in_flight <= 2 + since.acked,
-            "rule 4: {} in flight at a cold host, {} acked",
+            "rule 4: {} deliveries in flight at cold {:?}, expected at most 2 + {} acks",
             since.in_flight,
+            endpoint.host,
             since.acked
         );
     }
 
-    /// Rule 5: a key does not go back, and a build on trial is sent no more than its cap.
+    /// Checks rule 5: a key never goes to a build before the one that answered it, and a build on
+    /// trial is sent no more than its cap.
     pub(super) fn check_build(&mut self, operation: usize, key: Key, build: BuildId) {
         let floor = self
             .answered_by
@@ -65,7 +79,7 @@
             .filter(|_| self.config.forward_only && key.0 != 0);
         assert!(
             floor.is_none_or(|floor| build >= *floor),
-            "rule 5: back below the build that answered the key"
+            "rule 5: {key:?} sent to {build:?} after an answer from {floor:?}"
         );
         let Some(status) = self.status else { return };
         let announced = build == status.build;
@@ -74,7 +88,8 @@
             let guarded = stage < self.config.guarded_stages;
             assert!(
                 !guarded || self.config.ops[operation].repeat == Repeat::Idempotent,
-                "rule 5: guarded stage"
+                "rule 5: operation {operation} is not idempotent, sent to {build:?} in guarded \
+                 stage {stage}"
             );
             let cap = if announced {
                 status.exposure_cap
@@ -106,7 +121,7 @@
             .count() as f64;
         assert!(
             cap > 0.0 && sent <= self.config.exposure_allowance + cap * received + 1e-9,
-            "rule 5: {sent} of {received}"
+            "rule 5: {sent} of {received} commands sent to {build:?} within the window, cap {cap}"
         );
     }
 }
--- a/crates/spokeflow-core/tests/common/mod.rs
+++ b/crates/spokeflow-core/tests/common/mod.rs
@@ -1,7 +1,14 @@
-//! The helpers of the tests: a configuration to start from, a checker of the five rules, and
-//! traffic through a router.
+//! Test helpers: a base configuration, a checker of the five rules, and traffic through a router.
+//!
+//! The rules:
+//! 1. Each command gets exactly one final answer, by its deadline, and no delivery after that.
+//! 2. No repeat and no nack of a command that could thereby take effect twice.
+//! 3. No delivery to a host that is draining or gone.
+//! 4. A cold host is not overloaded.
+//! 5. A build on trial stays within its exposure cap, and a key never goes to a build before the
+//!    one that answered it.
 
-#![allow(dead_code, unused_imports)] // each test program uses its own part
+#![allow(dead_code, unused_imports)] // each test program uses only some of the helpers
 
 mod checks;
 mod rule_checker;
@@ -15,11 +22,12 @@
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The build that is released first, and the one that follows it.
+/// The released build, and the newer one that is rolled out in most tests.
 pub(crate) const OLD: BuildId = BuildId(7);
 pub(crate) const NEW: BuildId = BuildId(8);
 
-/// A service of four operations, one of each kind, and three routers.
+/// Returns a service of three routers and four operations: idempotent, deduplicated by all hosts,
+/// at most once, and deduplicated within a zone.
 pub(crate) fn service_config(gate: Gate) -> ServiceConfig {
     let operation = |repeat, deduplication_scope| OperationConfig {
         repeat,
@@ -74,7 +82,7 @@
     }
 }
 
-/// A ready host that has run for long.
+/// Returns a ready host that started long ago.
 pub(crate) fn endpoint(host: u32, build: BuildId) -> Endpoint {
     Endpoint {
         host: HostId(host),
@@ -87,7 +95,7 @@
     }
 }
 
-/// A status that has just begun.
+/// Returns a rollout status that has just begun.
 pub(crate) fn rollout_status(
     build: BuildId,
     stage: u8,
@@ -103,7 +111,8 @@
     }
 }
 
-/// Checks nothing and keeps only what it is asked to send: for commands that no checker knows.
+/// An [`Egress`] that records deliveries and checks nothing, for commands unknown to the
+/// [`RuleChecker`].
 #[derive(Default)]
 pub(crate) struct DeliveryLog {
     pub(crate) sent: Vec<CommandId>,
--- a/crates/spokeflow-core/tests/common/rule_checker.rs
+++ b/crates/spokeflow-core/tests/common/rule_checker.rs
@@ -1,14 +1,14 @@
-//! Carries out what the router asks and checks the five rules at each call.
+//! An [`Egress`] that carries out the router's calls and checks the five rules at each of them.
 
 use std::collections::BTreeMap;
 
 use super::tracking::*;
 use super::*;
 
-/// How late after its deadline an answer may come.
+/// Time after its deadline within which a command must still be answered.
 const ANSWER_SLACK: Micros = 20 * MS;
 
-/// What the rules are checked against: only what the router was given.
+/// The inputs given to the router and the outputs it has made, which the rules are checked against.
 pub(crate) struct RuleChecker {
     pub(crate) now: Micros,
     pub(crate) config: ServiceConfig,
@@ -32,7 +32,7 @@
 }
 
 impl RuleChecker {
-    /// A router and its checker.
+    /// Returns a new router and its checker.
     pub(crate) fn start(config: ServiceConfig, seed: u64) -> (Router, RuleChecker) {
         let mut checker = RuleChecker {
             now: 100 * SECOND,
@@ -56,23 +56,28 @@
         (router, checker)
     }
 
-    /// Gives the router a host list.
-    pub(crate) fn list(&mut self, router: &mut Router, kind: ListKind, endpoints: &[Endpoint]) {
+    /// Sends the router a host list.
+    pub(crate) fn send_list(
+        &mut self,
+        router: &mut Router,
+        kind: ListKind,
+        endpoints: &[Endpoint],
+    ) {
         for endpoint in endpoints {
             let before = self.endpoints.insert(endpoint.host, *endpoint);
-            let other_process = before.is_none_or(|before| {
+            let is_new_process = before.is_none_or(|before| {
                 before.started_at != endpoint.started_at || before.build != endpoint.build
             });
-            if other_process {
+            if is_new_process {
                 self.since_start
                     .insert(endpoint.host, SinceStart::default());
             }
         }
         if kind != ListKind::Changes {
-            let named = |host: &HostId| endpoints.iter().any(|endpoint| endpoint.host == *host);
+            let is_listed = |host: &HostId| endpoints.iter().any(|endpoint| endpoint.host == *host);
             self.endpoints
                 .iter_mut()
-                .filter(|(host, _)| !named(host))
+                .filter(|(host, _)| !is_listed(host))
                 .for_each(|(_, endpoint)| endpoint.state = EndpointState::Gone);
         }
         router
@@ -80,17 +85,18 @@
             .on_endpoints(kind, endpoints, self);
     }
 
-    /// Gives the router a rollout status.
+    /// Sends the router a rollout status.
     pub(crate) fn announce(&mut self, router: &mut Router, status: RolloutStatus) {
         self.status = Some(status);
-        // Rule 5 is about the newest build announced, on trial or released, and later ones.
-        let back = is_rolled_back(status.state);
+        // Rule 5 binds keys only to the newest announced build, on trial or released, and to later
+        // ones.
+        let rolled_back = is_rolled_back(status.state);
         self.answered_by
-            .retain(|_, build| *build > status.build || *build == status.build && !back);
+            .retain(|_, build| *build > status.build || *build == status.build && !rolled_back);
         router.set_time(self.now).on_rollout_status(status, self);
     }
 
-    /// Gives the router a command.
+    /// Sends the router a command.
     pub(crate) fn command(
         &mut self,
         router: &mut Router,
@@ -130,7 +136,7 @@
         }
     }
 
-    /// The open deliveries: their command, and their number among its deliveries.
+    /// Returns the open deliveries: the command, and the index among its deliveries.
     pub(crate) fn open(&self) -> Vec<(CommandId, usize)> {
         let all = self.commands.iter().flat_map(|(id, command)| {
             let deliveries = command.deliveries.iter().enumerate();
@@ -141,15 +147,18 @@
             .collect()
     }
 
-    /// Ends a delivery.
-    pub(crate) fn end(
+    /// Ends a delivery with the given outcome and reports it to the router.
+    pub(crate) fn end_delivery(
         &mut self,
         router: &mut Router,
         id: CommandId,
         index: usize,
         outcome: AttemptOutcome,
     ) {
-        let command = self.commands.get_mut(&id).expect("known");
+        let command = self
+            .commands
+            .get_mut(&id)
+            .expect("a delivery belongs to a tracked command");
         let delivery = &mut command.deliveries[index];
         delivery.open = false;
         let took = self.now - delivery.at;
@@ -161,14 +170,16 @@
         command.answered |= outcome == AttemptOutcome::Acked;
         let answered = command.answered;
         let key = command.key;
-        let build = self.endpoints[&delivery.host].build.expect("listed");
+        let build = self.endpoints[&delivery.host]
+            .build
+            .expect("the host is listed with its build");
         let since = self.since_start.entry(delivery.host).or_default();
         since.in_flight = since.in_flight.saturating_sub(1);
         if outcome == AttemptOutcome::Acked {
             since.acked += 1;
         }
-        // An answer counts from its writing, whether or not it was read; what errs or never ran has
-        // written none.
+        // An answer counts as soon as the host may have written it, even if it was not received.
+        // Commands that failed with an error or never ran have no answer.
         if delivery.may_have_run && outcome != AttemptOutcome::Error {
             self.bind_key(key, build);
         }
@@ -183,18 +194,18 @@
     }
 
     fn bind_key(&mut self, key: Key, build: BuildId) {
-        let back = self.status.is_some_and(|status| {
+        let is_ended = self.status.is_some_and(|status| {
             status.build > build || status.build == build && is_rolled_back(status.state)
         });
-        if key.0 != 0 && !back {
+        if key.0 != 0 && !is_ended {
             let newest = self.answered_by.entry(key).or_insert(build);
             *newest = build.max(*newest);
         }
     }
 
-    /// Lets time pass: wakes the router when it asked for it and ends deliveries at the client's
-    /// deadline.
-    pub(crate) fn pass(&mut self, router: &mut Router, span: Micros) {
+    /// Advances the time by `span`: wakes the router when it asked for it, and times out deliveries
+    /// at the client's deadline.
+    pub(crate) fn advance(&mut self, router: &mut Router, span: Micros) {
         let to = self.now + span;
         while self.now < to {
             self.now = (self.now + 5 * MS).min(to);
@@ -204,39 +215,48 @@
             }
             for (id, index) in self.open() {
                 if self.commands[&id].deadline <= self.now {
-                    self.end(router, id, index, AttemptOutcome::TimedOut);
+                    self.end_delivery(router, id, index, AttemptOutcome::TimedOut);
                 }
             }
             let overdue = self.commands.iter().find(|(_, command)| {
                 !command.answered && self.now > command.deadline + ANSWER_SLACK
             });
-            assert!(overdue.is_none(), "rule 1: no answer in time: {overdue:?}");
+            assert!(
+                overdue.is_none(),
+                "rule 1: command not answered by its deadline, at {}: {overdue:?}",
+                self.now
+            );
         }
     }
 
-    fn answer(&mut self, id: CommandId, harmless: bool) {
+    fn answer(&mut self, id: CommandId, is_nack: bool) {
         let command = self
             .commands
             .get_mut(&id)
-            .expect("an answer for a command never given");
-        assert!(!command.answered, "rule 1: a second answer");
+            .expect("the answered command was sent to the router");
+        assert!(
+            !command.answered,
+            "rule 1: second final answer to {id:?}: {command:?}"
+        );
         assert!(
             self.now <= command.deadline + ANSWER_SLACK,
-            "rule 1: an answer too late"
+            "rule 1: final answer to {id:?} at {}, after its deadline {}",
+            self.now,
+            command.deadline
         );
         command.answered = true;
         let operation = &self.config.ops[command.operation];
-        let ran = command.may_have_run();
+        let may_have_run = command.may_have_run();
         let may_nack = match operation.repeat {
             Repeat::Idempotent => true,
             Repeat::Deduplicated => {
-                !ran || operation.deduplication_scope == DeduplicationScope::All
+                !may_have_run || operation.deduplication_scope == DeduplicationScope::All
             }
-            Repeat::AtMostOnce => !ran,
+            Repeat::AtMostOnce => !may_have_run,
         };
         assert!(
-            !harmless || may_nack,
-            "rule 2: a nack for what may have run"
+            !is_nack || may_nack,
+            "rule 2: nack of {id:?}, which may have run and cannot be repeated: {command:?}"
         );
     }
 }
@@ -247,12 +267,12 @@
         let command = self
             .commands
             .get(&id)
-            .expect("a delivery for a command never given");
+            .expect("the delivered command was sent to the router");
         self.check_repeat(command, &endpoint);
         assert_eq!(
             endpoint.state,
             EndpointState::Ready,
-            "rule 3: sent to a host that drains or is gone"
+            "rule 3: {id:?} sent to {host:?}, which is not ready"
         );
         let operation = command.operation;
         let key = command.key;
@@ -262,10 +282,11 @@
             open: true,
             may_have_run: true,
         };
-        let command = self.commands.get_mut(&id).expect("known");
+        let command = self.commands.get_mut(&id).expect("looked up above");
         command.deliveries.push(delivery);
         self.check_cold_host(&endpoint);
-        self.check_build(operation, key, endpoint.build.expect("listed"));
+        let build = endpoint.build.expect("the host is listed with its build");
+        self.check_build(operation, key, build);
     }
 
     fn nack(&mut self, id: CommandId, retry_after: Option<Micros>) {
@@ -284,7 +305,7 @@
     fn cancel(&mut self, id: CommandId, delivery: u8) {
         assert!(
             self.commands[&id].deliveries.len() > usize::from(delivery),
-            "a cancel for a delivery never made"
+            "cancel of delivery {delivery} of {id:?}, which was never sent"
         );
     }
 
@@ -293,11 +314,15 @@
     }
 
     fn vote(&mut self, build: BuildId, stage: u8, vote: RolloutVote) {
-        let known = match self.config.gate {
+        let is_valid = match self.config.gate {
             Gate::Clocked => vote != RolloutVote::Promote,
             Gate::Single | Gate::Majority => vote != RolloutVote::Hold,
         };
-        assert!(known, "a vote that this gate does not know");
+        assert!(
+            is_valid,
+            "vote {vote:?} on {build:?} is not valid with gate {:?}",
+            self.config.gate
+        );
         self.votes.push(CastVote { build, stage, vote });
     }
 
@@ -312,7 +337,11 @@
     }
 
     fn gossip(&mut self, _router: Option<u32>, text: &[u8]) {
-        assert!(text.len() <= 256);
+        assert!(
+            text.len() <= 256,
+            "gossip message of {} bytes, expected at most 256",
+            text.len()
+        );
         self.gossip.push(text.to_vec());
     }
 }
--- a/crates/spokeflow-core/tests/common/tracking.rs
+++ b/crates/spokeflow-core/tests/common/tracking.rs
@@ -1,8 +1,8 @@
-//! What the rule checker remembers of commands, deliveries, votes and hosts.
+//! The rule checker's records of commands, deliveries, votes and hosts.
 
 use super::*;
 
-/// One delivery that the router asked for.
+/// One delivery that the router sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentDelivery {
     pub(crate) host: HostId,
@@ -11,7 +11,7 @@
     pub(super) may_have_run: bool,
 }
 
-/// A command that the router was given.
+/// A command that was sent to the router.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedCommand {
     pub(crate) operation: usize,
@@ -57,7 +57,7 @@
     pub(super) build: BuildId,
 }
 
-/// What a host's present process has had.
+/// Deliveries of a host's present process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SinceStart {
     pub(super) in_flight: u32,
--- a/crates/spokeflow-core/tests/common/traffic.rs
+++ b/crates/spokeflow-core/tests/common/traffic.rs
@@ -1,8 +1,8 @@
-//! Traffic through a router: fleets of two builds, and hosts that respond as a test says.
+//! Traffic through a router: fleets with two builds, and hosts whose responses a test defines.
 
 use super::*;
 
-/// How and after which time a host ends a delivery.
+/// The outcome of a delivery at a host, and the time after which it occurs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Response {
     pub(crate) outcome: AttemptOutcome,
@@ -15,7 +15,7 @@
     }
 }
 
-/// What the release controller counted of one operation and build in a period.
+/// The release controller's counts of one operation at one build in a period.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeriodCount {
     pub(crate) sampled: u32,
@@ -33,7 +33,8 @@
     }
 }
 
-/// A fleet of six old and four new hosts, its time before the trial already lived through.
+/// Returns a router with six hosts of the old and four of the new build, at the start of the second
+/// canary stage, after six seconds of traffic to the old build alone.
 pub(crate) fn fleet(gate: Gate, change: impl Fn(&mut ServiceConfig)) -> (Router, RuleChecker) {
     let mut config = service_config(gate);
     change(&mut config);
@@ -43,7 +44,7 @@
         rollout_status(OLD, 2, RolloutState::Released, 1.0),
     );
     let old: Vec<Endpoint> = (0..10).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Cached, &old);
+    checker.send_list(&mut router, ListKind::Cached, &old);
     serve(&mut router, &mut checker, 6 * SECOND, |_, _, _| {
         Response::new(AttemptOutcome::Acked, 50 * MS)
     });
@@ -54,7 +55,7 @@
             ..endpoint(host, NEW)
         })
         .collect();
-    checker.list(&mut router, ListKind::Changes, &new);
+    checker.send_list(&mut router, ListKind::Changes, &new);
     checker.announce(
         &mut router,
         rollout_status(NEW, 1, RolloutState::Canary, 0.4),
@@ -62,7 +63,8 @@
     (router, checker)
 }
 
-/// Eighty commands a second, their deliveries ended as `respond` says: how and after which time.
+/// Sends eighty commands per second for `span`. `respond` gets the host, the operation and a number
+/// that differs between the deliveries of a command, and returns the response.
 pub(crate) fn serve(
     router: &mut Router,
     checker: &mut RuleChecker,
@@ -76,19 +78,20 @@
         if checker.now / MS % 50 < 20 {
             checker.command(router, id, (id % 3) as usize, key, 1900 * MS);
         }
-        checker.pass(router, 5 * MS);
+        checker.advance(router, 5 * MS);
         for (id, index) in checker.open() {
             let command = &checker.commands[&id];
             let sent = command.deliveries[index];
             let response = respond(sent.host, command.operation, id.0 + index as u32);
             if checker.now - sent.at >= response.after {
-                checker.end(router, id, index, response.outcome);
+                checker.end_delivery(router, id, index, response.outcome);
             }
         }
     }
 }
 
-/// Part of the deliveries of late that went to the new build's hosts of [`fleet`].
+/// Returns the part of the deliveries within the last `span` that went to the hosts with the new
+/// build of [`fleet`].
 pub(crate) fn new_build_fraction(checker: &RuleChecker, span: Micros) -> f64 {
     let all = checker
         .commands
@@ -101,7 +104,7 @@
     f64::from(new) / f64::from(all)
 }
 
-/// How often the router cast a vote.
+/// Returns how often the router cast the given vote.
 pub(crate) fn count_votes(checker: &RuleChecker, vote: RolloutVote) -> usize {
     checker
         .votes
@@ -110,13 +113,14 @@
         .count()
 }
 
-/// The response of a host in order, and of one that errs at once.
-pub(crate) const GOOD: Response = Response::new(AttemptOutcome::Acked, 50 * MS);
+/// The response of a healthy host.
+pub(crate) const PROMPT_ACK: Response = Response::new(AttemptOutcome::Acked, 50 * MS);
 
-pub(crate) const BAD: Response = Response::new(AttemptOutcome::Error, 20 * MS);
+/// The response of a host that fails every command.
+pub(crate) const PROMPT_ERROR: Response = Response::new(AttemptOutcome::Error, 20 * MS);
 
-/// Reports the release controller's counts of each operation at the old and the new build, over
-/// periods of two seconds.
+/// Sends the router the release controller's counts of each operation at the old and the new build,
+/// for a number of periods of two seconds.
 pub(crate) fn report_counts(
     router: &mut Router,
     checker: &mut RuleChecker,
@@ -125,7 +129,7 @@
     new: PeriodCount,
 ) {
     for _ in 0..periods {
-        checker.pass(router, 2 * SECOND);
+        checker.advance(router, 2 * SECOND);
         for (build, count) in [(OLD, old), (NEW, new)] {
             for operation in 0..3 {
                 let stats = ControllerStats {
@@ -142,8 +146,8 @@
     }
 }
 
-/// Three hundred routers and this one, of more than mean traffic: sixty old hosts, forty of the new
-/// build, twelve seconds up.
+/// Returns one of 300 routers, with more than the mean traffic, at the start of the second canary
+/// stage: sixty hosts run the old build and forty, started twelve seconds ago, the new one.
 pub(crate) fn large_fleet(seed: u64, change: impl Fn(&mut ServiceConfig)) -> (Router, RuleChecker) {
     let mut config = service_config(Gate::Single);
     config.fleet_size = 300;
@@ -155,8 +159,8 @@
         rollout_status(OLD, 2, RolloutState::Released, 1.0),
     );
     let old: Vec<Endpoint> = (0..100).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Cached, &old);
-    serve_thinly(&mut router, &mut checker, 8 * SECOND, |_| {
+    checker.send_list(&mut router, ListKind::Cached, &old);
+    serve_at_low_rate(&mut router, &mut checker, 8 * SECOND, |_| {
         Response::new(AttemptOutcome::Acked, 50 * MS)
     });
     let started = checker.now - 12 * SECOND;
@@ -164,7 +168,7 @@
         started_at: Some(started),
         ..endpoint(host, NEW)
     });
-    checker.list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
+    checker.send_list(&mut router, ListKind::Changes, &new.collect::<Vec<_>>());
     checker.announce(
         &mut router,
         rollout_status(NEW, 1, RolloutState::Canary, 0.4),
@@ -172,8 +176,8 @@
     (router, checker)
 }
 
-/// Five commands a second, their deliveries ended as `respond` says.
-pub(crate) fn serve_thinly(
+/// Sends five commands per second for `span`; `respond` returns the response of a host.
+pub(crate) fn serve_at_low_rate(
     router: &mut Router,
     checker: &mut RuleChecker,
     span: Micros,
@@ -185,12 +189,12 @@
             let id = checker.commands.len() as u32;
             checker.command(router, id, (id % 3) as usize, u64::from(id) + 1, 1900 * MS);
         }
-        checker.pass(router, 5 * MS);
+        checker.advance(router, 5 * MS);
         for (id, index) in checker.open() {
             let sent = checker.commands[&id].deliveries[index];
             let response = respond(sent.host);
             if checker.now - sent.at >= response.after {
-                checker.end(router, id, index, response.outcome);
+                checker.end_delivery(router, id, index, response.outcome);
             }
         }
     }
--- a/crates/spokeflow-core/tests/outliers.rs
+++ b/crates/spokeflow-core/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Hosts that fail are ejected, and those that only seem to are not.
+//! Outlier detection: failing hosts are ejected, and hosts that only seem to fail are not.
 
 mod common;
 
@@ -23,19 +23,22 @@
         .flat_map(|command| &command.deliveries)
         .filter(|delivery| delivery.host.0 == 2 && delivery.at >= from)
         .count();
-    assert!(sent <= 1, "{sent}");
+    assert!(
+        sent <= 1,
+        "{sent} deliveries to the unresponsive host, expected at most 1"
+    );
 }
 
-/// Seen on sockets: links that break a tenth of the connections had most hosts ejected at once, and
-/// the rest full.
+/// Guards against the ejection of most hosts at once, which overloads the rest, where the network
+/// resets a tenth of the connections.
 #[test]
-fn connections_that_break_here_and_there_eject_no_host() {
+fn sporadic_connection_resets_eject_no_host() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     serve(&mut router, &mut checker, 10 * SECOND, |_, _, number| {
         if number.wrapping_mul(0x9e37_79b9) >> 16 & 1023 < 130 {
             Response::new(AttemptOutcome::Reset, 20 * MS)
         } else {
-            GOOD
+            PROMPT_ACK
         }
     });
     let mut sent = [0_u32; 10];
@@ -49,20 +52,23 @@
     }
     let least = sent[..6].iter().min().unwrap();
     let most = sent[..6].iter().max().unwrap();
-    assert!(most < &(2 * least), "{sent:?}");
+    assert!(
+        most < &(2 * least),
+        "uneven deliveries to hosts 0 to 5: {sent:?}"
+    );
 }
 
-/// Seen on sockets: hosts that had served and then erred at once got a sixth of all deliveries for
-/// it.
+/// Guards against a host that starts to fail and answers errors fast: it has the least load and
+/// would attract a large part of the deliveries, such as a sixth of all.
 #[test]
-fn a_host_that_begins_to_err_on_everything_is_ejected() {
+fn a_host_that_starts_to_answer_every_command_with_an_error_is_ejected() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let from = checker.now;
     serve(&mut router, &mut checker, 5 * SECOND, |host, _, _| {
         if host.0 == 3 {
-            BAD
+            PROMPT_ERROR
         } else {
-            GOOD
+            PROMPT_ACK
         }
     });
     let sent = checker
@@ -71,5 +77,8 @@
         .flat_map(|command| &command.deliveries)
         .filter(|delivery| delivery.host.0 == 3 && delivery.at >= from)
         .count();
-    assert!(sent < 20, "{sent}");
+    assert!(
+        sent < 20,
+        "{sent} deliveries to the failing host, expected fewer than 20"
+    );
 }
--- a/crates/spokeflow-core/tests/placement.rs
+++ b/crates/spokeflow-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which hosts get the commands.
+//! Placement: which hosts the commands are sent to.
 
 mod common;
 
@@ -6,19 +6,19 @@
 use spokeflow_core::*;
 
 #[test]
-fn a_cold_host_that_errs_fast_is_not_sent_everything() {
+fn a_cold_host_that_fails_fast_does_not_attract_the_traffic() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     let cold = Endpoint {
         started_at: Some(checker.now),
         ..endpoint(3, OLD)
     };
-    checker.list(&mut router, ListKind::Changes, &[cold]);
+    checker.send_list(&mut router, ListKind::Changes, &[cold]);
     let from = checker.now;
     serve(&mut router, &mut checker, 2 * SECOND, |host, _, _| {
         if host.0 == 3 {
-            BAD
+            PROMPT_ERROR
         } else {
-            GOOD
+            PROMPT_ACK
         }
     });
     let sent = checker
@@ -27,13 +27,16 @@
         .flat_map(|command| &command.deliveries)
         .filter(|delivery| delivery.host.0 == 3 && delivery.at >= from)
         .count();
-    assert!(sent <= 5, "{sent}");
+    assert!(
+        sent <= 5,
+        "{sent} deliveries to the cold host, expected at most 5"
+    );
 }
 
-/// Seen on sockets: most hosts dead, clients storming, and a cold host took the commands received
-/// for its capacity.
+/// Guards against a router that takes the rate of commands received for the capacity of a cold host
+/// while most hosts are down and clients retry heavily.
 #[test]
-fn a_storm_while_most_hosts_are_dead_does_not_raise_what_a_cold_host_is_sent() {
+fn a_burst_of_commands_while_most_hosts_are_down_does_not_overload_a_cold_host() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     checker.announce(
         &mut router,
@@ -45,8 +48,8 @@
             ..endpoint(host, OLD)
         })
         .collect();
-    checker.list(&mut router, ListKind::Changes, &gone);
-    let mut storm = |router: &mut Router, span: Micros| {
+    checker.send_list(&mut router, ListKind::Changes, &gone);
+    let mut send_burst = |router: &mut Router, span: Micros| {
         let from = checker.now;
         let to = checker.now + span;
         if span < 3 * SECOND {
@@ -55,21 +58,25 @@
                 state: EndpointState::Ready,
                 ..endpoint(3, NEW)
             };
-            checker.list(router, ListKind::Changes, &[cold]);
+            checker.send_list(router, ListKind::Changes, &[cold]);
         }
         while checker.now < to {
             for _ in 0..3 {
                 let id = checker.commands.len() as u32;
                 checker.command(router, id, 0, 0, 1900 * MS);
             }
-            checker.pass(router, 5 * MS);
+            checker.advance(router, 5 * MS);
             for (id, index) in checker.open() {
                 let good = (id.0 + index as u32).is_multiple_of(75);
-                checker.end(
+                checker.end_delivery(
                     router,
                     id,
                     index,
-                    if good { GOOD.outcome } else { BAD.outcome },
+                    if good {
+                        PROMPT_ACK.outcome
+                    } else {
+                        PROMPT_ERROR.outcome
+                    },
                 );
             }
         }
@@ -80,11 +87,14 @@
         sent.filter(|delivery| delivery.host.0 == 3 && delivery.at >= from)
             .count()
     };
-    storm(&mut router, 3 * SECOND);
-    let sent = storm(&mut router, 2 * SECOND - MS);
-    // A whole host has answered some eight a second: three times what a cold one can do of that in
-    // two seconds.
-    assert!(sent <= 40, "{sent}");
+    send_burst(&mut router, 3 * SECOND);
+    let sent = send_burst(&mut router, 2 * SECOND - MS);
+    // A warm host has answered about eight commands per second: the bound is three times what a
+    // cold one can answer of that in two seconds.
+    assert!(
+        sent <= 40,
+        "{sent} deliveries to the cold host, expected at most 40"
+    );
 }
 
 #[test]
@@ -95,10 +105,10 @@
         rollout_status(OLD, 2, RolloutState::Released, 1.0),
     );
     let hosts: Vec<Endpoint> = (0..60).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Cached, &hosts);
+    checker.send_list(&mut router, ListKind::Cached, &hosts);
     serve(&mut router, &mut checker, 3 * SECOND, |host, _, _| {
         match host.0 % 3 {
-            0 => GOOD,
+            0 => PROMPT_ACK,
             _ => Response::new(AttemptOutcome::NotConnected, 5 * MS),
         }
     });
@@ -111,7 +121,7 @@
     let refused = sent().filter(|delivery| delivery.host.0 % 3 != 0).count();
     assert!(
         refused * 4 < sent().count(),
-        "{refused} of {} refused",
+        "{refused} of {} deliveries went to hosts that refuse connections",
         sent().count()
     );
 }
@@ -132,21 +142,27 @@
             ..endpoint(host, OLD)
         })
         .collect();
-    checker.list(&mut router, ListKind::Cached, &hosts);
-    let share = |checker: &RuleChecker, from: Micros, hosts: std::ops::Range<u32>| {
+    checker.send_list(&mut router, ListKind::Cached, &hosts);
+    let fraction_to = |checker: &RuleChecker, from: Micros, hosts: std::ops::Range<u32>| {
         let sent = checker
             .commands
             .values()
             .flat_map(|command| &command.deliveries)
             .filter(|delivery| delivery.at > from);
-        let (of, all) = sent.fold((0, 0), |(of, all), delivery| {
-            (of + u32::from(hosts.contains(&delivery.host.0)), all + 1)
+        let (matching, all) = sent.fold((0, 0), |(matching, all), delivery| {
+            (
+                matching + u32::from(hosts.contains(&delivery.host.0)),
+                all + 1,
+            )
         });
-        f64::from(of) / f64::from(all)
+        f64::from(matching) / f64::from(all)
     };
-    serve(&mut router, &mut checker, 6 * SECOND, |_, _, _| GOOD);
-    let large = share(&checker, 0, 0..2);
-    assert!((0.65..0.85).contains(&large), "{large}");
+    serve(&mut router, &mut checker, 6 * SECOND, |_, _, _| PROMPT_ACK);
+    let large = fraction_to(&checker, 0, 0..2);
+    assert!(
+        (0.65..0.85).contains(&large),
+        "part of the deliveries to the two large hosts: {large}"
+    );
     let from = checker.now;
     for _ in 0..12 {
         (0..4).for_each(|host| {
@@ -154,9 +170,14 @@
                 .set_time(checker.now)
                 .on_load_report(HostId(host), if host == 0 { 0.95 } else { 0.3 })
         });
-        serve(&mut router, &mut checker, SECOND / 2, |_, _, _| GOOD);
+        serve(&mut router, &mut checker, SECOND / 2, |_, _, _| PROMPT_ACK);
     }
-    assert!(share(&checker, from, 0..1) < 0.7 * share(&checker, from, 1..2));
+    let busy = fraction_to(&checker, from, 0..1);
+    let idle = fraction_to(&checker, from, 1..2);
+    assert!(
+        busy < 0.7 * idle,
+        "part of the deliveries to the busy host: {busy}, to the idle host of the same size: {idle}"
+    );
 }
 
 #[test]
@@ -176,10 +197,13 @@
         .values()
         .flat_map(|command| &command.deliveries)
         .filter(|delivery| delivery.at >= from);
-    let (far, all) = sent.fold((0, 0), |(far, all), delivery| {
-        (far + delivery.host.0 % 2, all + 1)
+    let (in_slow_zone, all) = sent.fold((0, 0), |(in_slow_zone, all), delivery| {
+        (in_slow_zone + delivery.host.0 % 2, all + 1)
     });
-    assert!(far * 5 < all, "{far} of {all}");
+    assert!(
+        in_slow_zone * 5 < all,
+        "{in_slow_zone} of {all} deliveries went to the slow zone"
+    );
     assert_eq!(count_votes(&checker, RolloutVote::RollBack), 0);
 }
 
@@ -193,14 +217,13 @@
         rollout_status(OLD, 2, RolloutState::Released, 1.0),
     );
     let all: Vec<Endpoint> = (0..100).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Cached, &all);
+    checker.send_list(&mut router, ListKind::Cached, &all);
     for id in 0..60 {
         checker.command(&mut router, id, 0, 0, 1900 * MS);
-        checker.pass(&mut router, 400 * MS);
-        checker
-            .open()
-            .into_iter()
-            .for_each(|(id, index)| checker.end(&mut router, id, index, AttemptOutcome::Acked));
+        checker.advance(&mut router, 400 * MS);
+        checker.open().into_iter().for_each(|(id, index)| {
+            checker.end_delivery(&mut router, id, index, AttemptOutcome::Acked)
+        });
     }
     let hosts: std::collections::BTreeSet<_> = checker
         .commands
@@ -208,5 +231,9 @@
         .flat_map(|command| &command.deliveries)
         .map(|delivery| delivery.host)
         .collect();
-    assert!(hosts.len() <= 20, "{}", hosts.len());
+    assert!(
+        hosts.len() <= 20,
+        "commands went to {} hosts, expected at most 20",
+        hosts.len()
+    );
 }
--- a/crates/spokeflow-core/tests/rules.rs
+++ b/crates/spokeflow-core/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Random runs from a fixed seed: the checker checks the five rules after each step, all gates and
-//! operations.
+//! Random event sequences from a fixed seed, with all gates and operations. The rule checker
+//! verifies the five rules at each call of the router.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use spokeflow_core::*;
 
-/// One thing that happens; a pick chooses among the open deliveries.
+/// One event. `pick` selects one of the open deliveries.
 #[derive(Clone, Debug)]
 enum Step {
     Command {
@@ -20,7 +20,7 @@
         pick: usize,
         outcome: AttemptOutcome,
     },
-    Pass(Micros),
+    Advance(Micros),
     List {
         host: u32,
         build: u16,
@@ -28,7 +28,7 @@
         fresh: bool,
         complete: bool,
     },
-    ListFails,
+    ListFailure,
     Status {
         build: u16,
         stage: u8,
@@ -36,7 +36,7 @@
         cap: f64,
     },
     VoteOutcome(VoteOutcome),
-    Leave(usize),
+    ClientLeaves(usize),
     Stats {
         operation: u16,
         build: u16,
@@ -83,17 +83,17 @@
         30 => (0..4usize, 0..40u64, 30 * MS..2 * SECOND)
             .prop_map(|(operation, key, time_left)| Step::Command { operation, key, time_left }),
         30 => (0..64usize, outcomes()).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        20 => (MS..120 * MS).prop_map(Step::Pass),
-        2 => (SECOND..6 * SECOND).prop_map(Step::Pass),
+        20 => (MS..120 * MS).prop_map(Step::Advance),
+        2 => (SECOND..6 * SECOND).prop_map(Step::Advance),
         6 => (0..10u32, 7..9u16, endpoint_state, any::<bool>(), 0..20u8)
             .prop_map(|(host, build, state, fresh, complete)| {
                 Step::List { host, build, state, fresh, complete: complete == 0 }
             }),
-        1 => Just(Step::ListFails),
+        1 => Just(Step::ListFailure),
         3 => (7..10u16, 0..5u8, rollout_state, cap)
             .prop_map(|(build, stage, state, cap)| Step::Status { build, stage, state, cap }),
         2 => vote_outcome.prop_map(Step::VoteOutcome),
-        1 => (0..64usize).prop_map(Step::Leave),
+        1 => (0..64usize).prop_map(Step::ClientLeaves),
         3 => (0..6u16, 7..10u16, 0..60u32, 0..80u32, 0..3 * SECOND)
             .prop_map(|(operation, build, sampled, failed, mean_latency)| {
                 Step::Stats { operation, build, sampled, failed, mean_latency }
@@ -103,7 +103,7 @@
     proptest::collection::vec(step, 50..300)
 }
 
-/// A router, its checker and the steps that are played through them.
+/// A router and its checker, which random steps are applied to.
 struct Run {
     router: Router,
     checker: RuleChecker,
@@ -116,12 +116,13 @@
         let hosts: Vec<Endpoint> = (0..8)
             .map(|host| endpoint(host, if host < 6 { OLD } else { NEW }))
             .collect();
-        run.checker.list(&mut run.router, ListKind::Cached, &hosts);
+        run.checker
+            .send_list(&mut run.router, ListKind::Cached, &hosts);
         run.announce(rollout_status(NEW, 0, RolloutState::Canary, 0.1));
         run
     }
 
-    /// The router at the present time.
+    /// Returns the router, set to the present time.
     fn router(&mut self) -> &mut Router {
         self.router.set_time(self.checker.now)
     }
@@ -130,8 +131,8 @@
         self.checker.announce(&mut self.router, status);
     }
 
-    fn pass(&mut self, span: Micros) {
-        self.checker.pass(&mut self.router, span);
+    fn advance(&mut self, span: Micros) {
+        self.checker.advance(&mut self.router, span);
     }
 
     fn play(&mut self, id: u32, step: Step) {
@@ -144,7 +145,7 @@
                 .checker
                 .command(&mut self.router, id, operation, key, time_left),
             Step::End { pick, outcome } => self.end_one(pick, outcome),
-            Step::Pass(span) => self.pass(span),
+            Step::Advance(span) => self.advance(span),
             Step::List {
                 host,
                 build,
@@ -152,7 +153,7 @@
                 fresh,
                 complete,
             } => self.list(host, BuildId(build), state, fresh, complete),
-            Step::ListFails => self.router().on_list_failure(),
+            Step::ListFailure => self.router().on_list_failure(),
             Step::Status {
                 build,
                 stage,
@@ -160,7 +161,7 @@
                 cap,
             } => self.announce(rollout_status(BuildId(build), stage, state, cap)),
             Step::VoteOutcome(outcome) => self.router().on_vote_outcome(outcome),
-            Step::Leave(pick) => self.leave(pick),
+            Step::ClientLeaves(pick) => self.client_leaves(pick),
             Step::Stats {
                 operation,
                 build,
@@ -187,9 +188,11 @@
             return;
         }
         let (id, index) = open[pick % open.len()];
-        self.checker.end(&mut self.router, id, index, outcome);
-        // A rule about keys looks at answers of earlier batches: the next batch is a tick later.
-        self.pass(5 * MS);
+        self.checker
+            .end_delivery(&mut self.router, id, index, outcome);
+        // The rule about keys covers answers of earlier ticks only, so the next step is a tick
+        // later.
+        self.advance(5 * MS);
     }
 
     fn list(
@@ -208,7 +211,7 @@
         };
         if !complete {
             self.checker
-                .list(&mut self.router, ListKind::Changes, &[one]);
+                .send_list(&mut self.router, ListKind::Changes, &[one]);
             return;
         }
         let mut all: Vec<Endpoint> = self.checker.endpoints.values().copied().collect();
@@ -219,17 +222,21 @@
             ..one
         });
         self.checker
-            .list(&mut self.router, ListKind::Complete, &all);
+            .send_list(&mut self.router, ListKind::Complete, &all);
     }
 
-    /// The client of a command with an open delivery leaves.
-    fn leave(&mut self, pick: usize) {
+    /// Ends a command with an open delivery because its client leaves.
+    fn client_leaves(&mut self, pick: usize) {
         let open = self.checker.open();
         if open.is_empty() {
             return;
         }
         let (id, _) = open[pick % open.len()];
-        let command = self.checker.commands.get_mut(&id).expect("open");
+        let command = self
+            .checker
+            .commands
+            .get_mut(&id)
+            .expect("an open delivery belongs to a tracked command");
         command.answered = true;
         self.router
             .set_time(self.checker.now)
@@ -249,13 +256,18 @@
     for (id, step) in steps.into_iter().enumerate() {
         run.play(id as u32, step);
     }
-    run.pass(3 * SECOND);
+    run.advance(3 * SECOND);
     assert!(
         run.checker
             .commands
             .values()
             .all(|command| command.answered),
-        "rule 1: a command without an answer at the end"
+        "rule 1: commands without a final answer at the end: {:?}",
+        run.checker
+            .commands
+            .iter()
+            .filter(|(_, command)| !command.answered)
+            .collect::<Vec<_>>()
     );
 }
 
--- a/crates/spokeflow-core/tests/sticky.rs
+++ b/crates/spokeflow-core/tests/sticky.rs
@@ -1,30 +1,31 @@
-//! Keys stay at the build that has answered them.
+//! Forward-only rules: a key stays at the build that has answered it.
 
 mod common;
 
 use common::*;
 use spokeflow_core::*;
 
-/// Seen on sockets: answers of the new build that were written and could not be read, and commands
-/// given up as they were; their keys then went back to the old build. The checker counts such a key
-/// as answered.
+/// Guards against keys that return to the old build after the new build has written an answer that
+/// was not received, because the connection was reset or the delivery timed out. The checker counts
+/// such a key as answered.
 #[test]
 fn a_key_whose_answer_may_have_been_written_does_not_go_back() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
-    let unread = |host: HostId, _, number: u32| match host.0 >= 6 && number.is_multiple_of(3) {
+    let not_received = |host: HostId, _, number: u32| match host.0 >= 6 && number.is_multiple_of(3)
+    {
         true if (number / 3).is_multiple_of(2) => Response::new(AttemptOutcome::TimedOut, 30 * MS),
         true => Response::new(AttemptOutcome::Reset, 30 * MS),
-        false => GOOD,
+        false => PROMPT_ACK,
     };
-    serve(&mut router, &mut checker, 6 * SECOND, unread);
+    serve(&mut router, &mut checker, 6 * SECOND, not_received);
     assert!(new_build_fraction(&checker, 4 * SECOND) > 0.1);
 }
 
-/// Rule 5 binds a key to the newest announced build, on trial or released. One that has not been
-/// released when the next is due goes back: its keys were refused for good where their floor
-/// outlived it.
+/// Guards against keys that are refused for ever. Rule 5 binds a key to the newest announced build,
+/// on trial or released. When the next build is announced before the release of one, the hosts of
+/// the latter return to the old build, and its keys must no longer be bound to it.
 #[test]
-fn a_key_is_free_of_a_build_that_the_next_one_has_ended() {
+fn a_key_is_not_bound_to_a_build_that_the_next_one_replaced_before_its_release() {
     const NEXT: BuildId = BuildId(9);
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
     checker.announce(
@@ -32,36 +33,36 @@
         rollout_status(NEW, 2, RolloutState::Canary, 1.0),
     );
     let new: Vec<Endpoint> = (0..8).map(|host| endpoint(host, NEW)).collect();
-    checker.list(&mut router, ListKind::Complete, &new);
-    let ask = |router: &mut Router, checker: &mut RuleChecker, id: u32| {
+    checker.send_list(&mut router, ListKind::Complete, &new);
+    let send_and_ack = |router: &mut Router, checker: &mut RuleChecker, id: u32| {
         checker.command(router, id, 0, 5, 900 * MS);
         let sent = checker.commands[&CommandId(id)]
             .deliveries
             .first()
             .and_then(|delivery| checker.endpoints[&delivery.host].build);
         if sent.is_some() {
-            checker.end(router, CommandId(id), 0, AttemptOutcome::Acked);
+            checker.end_delivery(router, CommandId(id), 0, AttemptOutcome::Acked);
         }
-        checker.pass(router, 50 * MS);
+        checker.advance(router, 50 * MS);
         sent
     };
-    assert_eq!(ask(&mut router, &mut checker, 1), Some(NEW));
+    assert_eq!(send_and_ack(&mut router, &mut checker, 1), Some(NEW));
     checker.announce(
         &mut router,
         rollout_status(NEXT, 0, RolloutState::Canary, 0.1),
     );
     let old: Vec<Endpoint> = (0..8).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Complete, &old);
-    assert_eq!(ask(&mut router, &mut checker, 2), Some(OLD));
+    checker.send_list(&mut router, ListKind::Complete, &old);
+    assert_eq!(send_and_ack(&mut router, &mut checker, 2), Some(OLD));
     checker.announce(
         &mut router,
         rollout_status(NEXT, 0, RolloutState::Withdrawn, 0.0),
     );
-    assert_eq!(ask(&mut router, &mut checker, 3), Some(OLD));
+    assert_eq!(send_and_ack(&mut router, &mut checker, 3), Some(OLD));
 }
 
-/// Sticky assignments of a released build are not kept for ever; what they guarded against holds
-/// for all keys in their place.
+/// Sticky assignments to a released build are dropped when they are idle. Then all keys must be
+/// bound to that build in their place.
 #[test]
 fn a_key_long_unused_goes_to_no_earlier_build_than_the_released_one() {
     let (mut router, mut checker) = fleet(Gate::Single, |_| {});
@@ -70,15 +71,15 @@
         rollout_status(NEW, 2, RolloutState::Released, 1.0),
     );
     let new: Vec<Endpoint> = (0..8).map(|host| endpoint(host, NEW)).collect();
-    checker.list(&mut router, ListKind::Complete, &new);
+    checker.send_list(&mut router, ListKind::Complete, &new);
     checker.command(&mut router, 1, 0, 5, 900 * MS);
-    checker.end(&mut router, CommandId(1), 0, AttemptOutcome::Acked);
-    checker.pass(&mut router, 12 * SECOND);
+    checker.end_delivery(&mut router, CommandId(1), 0, AttemptOutcome::Acked);
+    checker.advance(&mut router, 12 * SECOND);
     let old: Vec<Endpoint> = (0..8).map(|host| endpoint(host, OLD)).collect();
-    checker.list(&mut router, ListKind::Complete, &old);
-    // The checker breaks at a delivery below the build that answered the key.
+    checker.send_list(&mut router, ListKind::Complete, &old);
+    // The checker panics at a delivery to a build before the one that answered the key.
     checker.command(&mut router, 2, 0, 5, 900 * MS);
-    checker.pass(&mut router, SECOND);
+    checker.advance(&mut router, SECOND);
     assert!(checker.commands[&CommandId(2)].deliveries.is_empty() && !checker.nacks.is_empty());
     checker.announce(
         &mut router,
@@ -88,34 +89,34 @@
     assert_eq!(checker.commands[&CommandId(3)].deliveries.len(), 1);
 }
 
-/// Drawn day 702: of two deliveries of a hot key at the trial build one came to no connection,
-/// which freed the key while the other was out; its next command went to the old build, and arrived
-/// there after the other had been answered.
+/// Guards against a key that is released by one of two deliveries to the trial build: one found no
+/// connection while the other was open, the key's next command went to the old build and arrived
+/// there after the other had been answered. Found by random scenario 702.
 #[test]
-fn a_key_stays_while_any_of_its_deliveries_may_be_answered() {
+fn a_key_stays_at_its_build_while_any_of_its_deliveries_is_open() {
     let (mut router, mut checker) = fleet(Gate::Single, |config| config.exposure_allowance = 9.0);
     checker.announce(
         &mut router,
         rollout_status(NEW, 2, RolloutState::Canary, 1.0),
     );
     let all = [endpoint(1, NEW), endpoint(2, NEW), endpoint(3, NEW)];
-    checker.list(&mut router, ListKind::Complete, &all);
+    checker.send_list(&mut router, ListKind::Complete, &all);
     (90_001..90_003).for_each(|id| checker.command(&mut router, id, 0, 5, 1900 * MS));
     let mut old = all.to_vec();
     old.extend((4..9).map(|host| endpoint(host, OLD)));
-    checker.list(&mut router, ListKind::Complete, &old);
+    checker.send_list(&mut router, ListKind::Complete, &old);
     checker.announce(
         &mut router,
         rollout_status(NEW, 2, RolloutState::Canary, 0.01),
     );
-    checker.end(
+    checker.end_delivery(
         &mut router,
         CommandId(90_001),
         0,
         AttemptOutcome::NotConnected,
     );
     checker.command(&mut router, 90_003, 0, 5, 1900 * MS);
-    checker.pass(&mut router, 300 * MS);
+    checker.advance(&mut router, 300 * MS);
     let at_old = |id| {
         checker.commands[&CommandId(id)]
             .deliveries
@@ -126,15 +127,15 @@
     assert_eq!(
         (at_old(90_001), at_old(90_003)),
         (0, 0),
-        "the second delivery of the key is still out"
+        "commands of the key went to the old build while a delivery at the new one was open"
     );
 }
 
-/// Seen on review: a sticky assignment without use was swept after ten seconds though a delivery of
-/// its key was out; its answer then bound a key that had been rolled back to the old build
-/// meanwhile.
+/// Guards against a sticky assignment that is dropped after the idle timeout of ten seconds while a
+/// delivery of its key is open: the key moves to the old build, and the answer then binds it to the
+/// new one.
 #[test]
-fn a_key_stays_while_a_delivery_of_it_is_out_for_long() {
+fn a_key_stays_at_its_build_while_a_delivery_is_open_longer_than_the_idle_timeout() {
     let (mut router, mut checker) = fleet(Gate::Single, |config| {
         config.exposure_allowance = 9.0;
         config.ops[2].command_timeout = 60 * SECOND;
@@ -144,18 +145,18 @@
         rollout_status(NEW, 2, RolloutState::Canary, 1.0),
     );
     let all = [endpoint(1, NEW), endpoint(2, NEW), endpoint(3, NEW)];
-    checker.list(&mut router, ListKind::Complete, &all);
+    checker.send_list(&mut router, ListKind::Complete, &all);
     checker.command(&mut router, 90_001, 2, 5, 60 * SECOND);
     let mut old = all.to_vec();
     old.extend((4..9).map(|host| endpoint(host, OLD)));
-    checker.list(&mut router, ListKind::Complete, &old);
+    checker.send_list(&mut router, ListKind::Complete, &old);
     checker.announce(
         &mut router,
         rollout_status(NEW, 2, RolloutState::Canary, 0.01),
     );
-    checker.pass(&mut router, 15 * SECOND);
+    checker.advance(&mut router, 15 * SECOND);
     checker.command(&mut router, 90_002, 0, 5, 1900 * MS);
-    checker.pass(&mut router, 300 * MS);
+    checker.advance(&mut router, 300 * MS);
     let at_old = checker.commands[&CommandId(90_002)]
         .deliveries
         .iter()
@@ -163,6 +164,6 @@
         .count();
     assert_eq!(
         at_old, 0,
-        "the first delivery of the key is still out at the trial build"
+        "a command of the key went to the old build while a delivery at the trial build was open"
     );
 }
