--- a/crates/spokeflow-raft/src/lib.rs
+++ b/crates/spokeflow-raft/src/lib.rs
@@ -1,11 +1,11 @@
 //! The Raft consensus algorithm as a state machine, without I/O.
 //!
-//! A [`RaftNode`] is handed messages, the time and the confirmations of its writes. It hands out messages to send,
+//! The caller passes messages, the time and write confirmations to a [`RaftNode`]. The node returns messages to send,
 //! writes to sync, committed entries to apply and the time of its next wake-up. The algorithm is that of Ongaro and
 //! Ousterhout, "In Search of an Understandable Consensus Algorithm"; pre-vote, the leader's check of its quorum, leader
-//! leases and membership changes of one node at a time are those of Ongaro's dissertation.
+//! leases and membership changes of one node at a time follow Ongaro's dissertation.
 //!
-//! `docs/agreement.md` says what is built and what is not yet.
+//! `docs/agreement.md` lists what is implemented and what is not yet.
 
 mod config;
 mod error;
--- a/crates/spokeflow-raft/src/message.rs
+++ b/crates/spokeflow-raft/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. The order of variants and fields is their encoding.
+//! Messages between nodes. The binary encoding depends on the order of variants and fields, which must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,9 +7,9 @@
 /// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender in this term; changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender in this term; does not change the receiver's state.
     PreVote {
-        /// The term in which the sender would stand for election.
+        /// The term in which the sender would become a candidate.
         term: Term,
         /// Index of the last entry of the sender's log.
         last_log_index: LogIndex,
@@ -27,14 +27,14 @@
     },
     /// Answers [`Message::PreVote`] and [`Message::RequestVote`].
     VoteResponse {
-        /// The requested term where a pre-vote is granted, else the voter's own.
+        /// The requested term if a pre-vote is granted, else the voter's own term.
         term: Term,
-        /// Whether it answers a [`Message::PreVote`].
+        /// Whether the response answers a [`Message::PreVote`].
         pre_vote: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// A leader's round: entries that the receiver may lack, none for a heartbeat.
+    /// Part of a leader's round: entries that the receiver may lack; none in a heartbeat.
     AppendEntries {
         /// The leader's term.
         term: Term,
@@ -42,7 +42,7 @@
         prev_log_index: LogIndex,
         /// Term of that entry.
         prev_log_term: Term,
-        /// Entries to store behind it.
+        /// Entries to store after the entry at `prev_log_index`.
         entries: Vec<Entry>,
         /// The leader's commit index.
         leader_commit: LogIndex,
@@ -53,12 +53,12 @@
     AppendEntriesResponse {
         /// The follower's term.
         term: Term,
-        /// Number of the round that it answers.
+        /// Number of the round that the response answers.
         round: u64,
-        /// Whether the follower's log now matches the leader's.
+        /// How far the follower's log now matches the leader's.
         outcome: AppendOutcome,
     },
-    /// Replaces entries that the leader no longer has.
+    /// Sends a snapshot in place of entries that the leader's log no longer has.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
@@ -69,11 +69,11 @@
     },
 }
 
-/// What a follower's log holds after a leader's message.
+/// How far a follower's log matches the leader's after a message from the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AppendOutcome {
     /// The log is synced and matches the leader's up to this index.
     Matched(LogIndex),
-    /// The log differs at the preceding entry: the leader continues from the entry after this index.
+    /// The log differs at the entry before the sent ones: the leader must continue with the entry after this index.
     Mismatched(LogIndex),
 }
--- a/crates/spokeflow-raft/src/node.rs
+++ b/crates/spokeflow-raft/src/node.rs
@@ -1,4 +1,4 @@
-//! One node of the cluster: its state, and the dispatch of messages, timers and confirmed writes.
+//! One node of the cluster: its state, and the dispatch of messages, timers and write confirmations.
 
 mod election;
 mod leader_lease;
@@ -17,7 +17,7 @@
 use persistence::{DeferredMessage, UnsyncedWrite};
 use replication::{AppendRequest, LeaderRound, LeaderState};
 
-/// What a node is in its term.
+/// The role of a node in its term.
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
@@ -31,7 +31,7 @@
 
 /// One node of the cluster.
 ///
-/// Times are microseconds of the node's own clock, which never goes back from one call to the next.
+/// Times are microseconds of the node's own clock, which must never go back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct RaftNode {
     id: NodeId,
@@ -39,18 +39,18 @@
     rng: Rng,
     now: Micros,
     next_wake: Micros,
-    /// All writes applied, synced or not.
+    /// The persistent state with all writes applied, synced or not.
     state: PersistentState,
-    /// By the newest entry that names them, committed or not.
+    /// The voters that the newest membership entry names, committed or not.
     voters: Vec<NodeId>,
     commit_index: LogIndex,
-    /// Index of the last committed entry that was handed to the caller.
+    /// Index of the last committed entry that was returned to the caller.
     last_applied: LogIndex,
     role: Role,
     leader: Option<NodeId>,
-    /// When a leader was last heard from. No vote is given within the election timeout after it.
+    /// When the last message from a leader came. No vote is granted for one election timeout after it.
     last_leader_contact: Micros,
-    /// Sequence number of the last write.
+    /// Sequence number of the last write that was requested.
     last_write: u64,
     unsynced_writes: VecDeque<UnsyncedWrite>,
     /// Index up to which the log is synced.
@@ -61,10 +61,9 @@
 }
 
 impl RaftNode {
-    /// A node that has just started from `saved`.
+    /// Creates a node that has just started from `saved`. `seed` seeds its random election timeouts.
     ///
-    /// It may have heard from a leader a moment before the start, so it gives no vote for one election timeout.
-    /// `seed` is that of its random election timeouts.
+    /// The node may have answered a leader just before the restart, so it grants no vote for one election timeout.
     pub fn new(
         id: NodeId,
         config: RaftConfig,
@@ -97,42 +96,42 @@
         node
     }
 
-    /// The node's own id.
+    /// Returns the node's own id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Who votes, by the newest entry that names the voters.
+    /// Returns the voters that the newest membership entry names.
     pub fn voters(&self) -> &[NodeId] {
         &self.voters
     }
 
-    /// Index of the last entry that the node knows to be committed.
+    /// Returns the index of the last entry that the node knows to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// How many entries the node keeps after its snapshot.
+    /// Returns the number of entries in the log after the snapshot.
     pub fn log_len(&self) -> usize {
         self.state.log.len()
     }
 
-    /// When [`RaftNode::on_timer`] is due.
+    /// Returns when [`RaftNode::on_timer`] has to be called next.
     pub fn next_wake(&self) -> Micros {
         self.next_wake
     }
 
-    /// The node's term.
+    /// Returns the node's current term.
     pub fn term(&self) -> Term {
         self.state.term
     }
 
-    /// Whether the node was elected, also where its lease has expired.
+    /// Whether the node was elected leader of its term, even if its lease has expired.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader of the node's term, where it has heard from one.
+    /// Returns the leader of the node's term; `None` if it has not heard from one.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
@@ -140,7 +139,7 @@
     /// Handles a message from another node.
     pub fn on_message(&mut self, now: Micros, from: NodeId, message: Message, out: &mut Output) {
         self.now = now;
-        // Dropped as if lost: while the disk hangs, memory must not fill with what waits for it.
+        // Dropped as if lost: while the disk hangs, the writes and messages that wait for it must not fill the memory.
         if self.write_queue_is_full() {
             return;
         }
@@ -194,7 +193,8 @@
         }
     }
 
-    /// Does what is due by `now`: a leader sends its next round or steps down, another voter stands for election.
+    /// Handles the timer that is due by `now`: a leader sends its next round or steps down, any other voter starts an
+    /// election with a pre-vote.
     pub fn on_timer(&mut self, now: Micros, out: &mut Output) {
         self.now = now;
         if now < self.next_wake {
@@ -205,7 +205,7 @@
                 self.become_follower(self.term(), None, out);
             }
             Role::Leader(_) => self.broadcast_append(out),
-            // A node that does not vote, or no longer, waits for a leader to contact it.
+            // A node that is not a voter, or no longer one, waits for a leader to contact it.
             _ if !self.is_voter() => self.reset_election_timer(),
             _ => {
                 self.leader = None;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Notes that all writes up to `sequence` are on disk and stay there.
+    /// Handles the confirmation that all writes up to `sequence` are durable on disk.
     pub fn on_persisted(&mut self, now: Micros, sequence: u64, out: &mut Output) {
         self.now = now;
         self.confirm_writes(sequence, out);
--- a/crates/spokeflow-raft/src/node/election.rs
+++ b/crates/spokeflow-raft/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Elections: timeouts, pre-votes, votes, and the changes between follower, candidate and leader.
+//! Elections: timeouts, pre-votes, votes, and the transitions between follower, candidate and leader.
 
 use std::collections::BTreeSet;
 
@@ -8,19 +8,20 @@
 use super::{LogPosition, Message, NodeId, Output, Payload, RaftNode, Role, Term};
 
 impl RaftNode {
-    /// Waits for a leader for one election timeout and a random part of another, so that few stand at the same time.
+    /// Schedules the next election after one election timeout plus a random part of another, so that nodes rarely
+    /// become candidates at the same time.
     pub(super) fn reset_election_timer(&mut self) {
         let spread = self.rng.below(self.config.election_timeout as usize) as Micros;
         self.next_wake = self.now + self.config.election_timeout + spread;
     }
 
-    /// Whether a vote may be given: not while a leader, the node itself among them, may hold a lease that rests on
-    /// this node's last response.
+    /// Whether this node may grant a vote. It must not while any leader, this node included, may hold a lease that is
+    /// based on this node's last response.
     fn may_vote(&self) -> bool {
         !self.is_leader() && self.now - self.last_leader_contact >= self.config.election_timeout
     }
 
-    /// Asks the others whether they would vote for this node in the next term.
+    /// Asks the other voters whether they would vote for this node in the next term.
     pub(super) fn start_pre_vote(&mut self, out: &mut Output) {
         self.become_candidate(true);
         self.reset_election_timer();
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Votes for itself in this term and asks the others for their votes.
+    /// Votes for itself in `term` and asks the other voters for their votes.
     fn start_election(&mut self, term: Term, out: &mut Output) {
         self.become_candidate(false);
         self.state.term = term;
@@ -67,7 +68,7 @@
         };
     }
 
-    /// Becomes a follower in this term, which is the node's own or a later one.
+    /// Becomes a follower in `term`, which is the node's own or a later one.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<NodeId>, out: &mut Output) {
         if term > self.term() {
             self.state.term = term;
@@ -81,16 +82,16 @@
         self.leader = leader;
     }
 
-    /// Becomes the leader of the present term.
+    /// Becomes the leader of the current term.
     pub(super) fn become_leader(&mut self, out: &mut Output) {
         let next_index = self.state.last_index().next();
         self.role = Role::Leader(LeaderState::new(&self.peers(), next_index));
         self.leader = Some(self.id);
-        // Entries of earlier terms are committed only with one of the leader's own.
+        // Entries of earlier terms are committed only together with an entry of the leader's own term.
         self.append_to_log(Payload::Noop, out);
     }
 
-    /// Whether the node, a candidate, has the votes of a majority.
+    /// Whether the node is a candidate that has the votes of a majority.
     pub(super) fn has_won_election(&self) -> bool {
         let Role::Candidate { pre_vote, votes } = &self.role else {
             return false;
@@ -122,7 +123,7 @@
         candidate_log: LogPosition,
         out: &mut Output,
     ) {
-        // While a leader may hold its lease not even a later term is adopted: the message may be an old one.
+        // While a leader may hold its lease, not even a later term is adopted: the request may be a delayed one.
         if term < self.term() || !self.may_vote() {
             let refusal = Message::VoteResponse {
                 term: self.term(),
--- a/crates/spokeflow-raft/src/node/membership.rs
+++ b/crates/spokeflow-raft/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes: the voters that the log names, majorities of them, and changes by one node at a time.
+//! Cluster membership: the voters that the log names, majorities of them, and changes of one voter at a time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,14 +9,15 @@
 use crate::{Entry, MembershipError};
 
 impl RaftNode {
-    /// Adds or removes one voter; `voters` are all that vote from then on.
+    /// Adds or removes one voter; `voters` is the complete set of voters after the change.
     ///
-    /// One change at a time: any two majorities of the voters before and after have a node in common, so that no two
-    /// leaders can be elected in one term. Returns the index of the entry; the change counts from there on.
+    /// With one change at a time, any majority of the voters before and any majority of the voters after have a node
+    /// in common, so no two leaders can be elected in one term. Returns the index of the entry; the change takes
+    /// effect when the entry is appended.
     ///
     /// # Errors
     ///
-    /// The node cannot change the voters now, or not to these.
+    /// The node cannot change the voters now, or `voters` does not differ from the current voters by one node.
     pub fn propose_membership(
         &mut self,
         now: Micros,
@@ -26,7 +27,8 @@
         self.now = now;
         voters.sort_unstable();
         voters.dedup();
-        // An earlier leader's change that is not committed may still be lost or kept: an own entry settles it.
+        // An uncommitted change of an earlier leader may still be kept or lost. Committing an entry of the own term
+        // decides it.
         if !self.has_leader_lease(now) {
             return Err(MembershipError::NotReady);
         }
@@ -46,20 +48,20 @@
             .any(|entry| matches!(entry.payload, Payload::Membership(_)))
     }
 
-    /// How many nodes are to be added and removed until `voters` vote.
+    /// Counts the nodes that have to be added to or removed from the current voters to get `voters`.
     fn difference(&self, voters: &[NodeId]) -> usize {
         let added = voters.iter().filter(|node| !self.voters.contains(node));
         let removed = self.voters.iter().filter(|node| !voters.contains(node));
         added.count() + removed.count()
     }
 
-    /// Adopts the voters that the log names.
+    /// Sets the voters to those that the log names.
     pub(super) fn update_voters(&mut self) {
         self.voters = self.voters_after(&self.state.log);
     }
 
-    /// The voters after these first entries of the log: as the newest of them says, else the snapshot, else the
-    /// configuration.
+    /// Returns the voters after `entries`, a prefix of the log: from the newest membership entry among them, else from
+    /// the snapshot, else from the configuration.
     pub(super) fn voters_after(&self, entries: &[Entry]) -> Vec<NodeId> {
         let in_log = entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Membership(voters) => Some(voters),
@@ -76,19 +78,19 @@
         self.voters.contains(&self.id)
     }
 
-    /// The voters but this node.
+    /// Returns the voters other than this node.
     pub(super) fn peers(&self) -> Vec<NodeId> {
         let others = self.voters.iter().filter(|node| **node != self.id);
         others.copied().collect()
     }
 
-    /// The least number of voters that are a majority.
+    /// Returns the smallest number of voters that is a majority.
     pub(super) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The greatest value that a majority of voters has reached, by the values known of the others and the node's
-    /// own. `None` where fewer than a majority have any.
+    /// Returns the greatest value that a majority of voters has reached, given the known values of the peers and this
+    /// node's own; `None` if fewer than a majority have a value.
     pub(super) fn majority_value<T: Ord + Copy>(
         &self,
         of_peers: &BTreeMap<NodeId, T>,
--- a/crates/spokeflow-raft/src/node/persistence.rs
+++ b/crates/spokeflow-raft/src/node/persistence.rs
@@ -1,9 +1,10 @@
-//! Writes to the disk: those that are not synced yet, the messages that wait for them, and compaction.
+//! Disk writes: the queue of unsynced writes, the messages deferred until they are synced, and log compaction.
 
 use super::{LogIndex, Message, NodeId, Output, Payload, RaftNode, Snapshot};
 use crate::{Entry, PersistRequest};
 
-/// Writes that may wait for their sync. With more the disk is taken to hang, and nothing is accepted that would write.
+/// Maximum number of unsynced writes. At this limit the disk is assumed to hang, and the node drops messages and
+/// refuses commands, as either could cause further writes.
 const MAX_UNSYNCED_WRITES: usize = 1024;
 
 /// A write that is not synced yet.
@@ -16,19 +17,20 @@
     last_index: LogIndex,
 }
 
-/// A message that promises what is not synced yet.
+/// A message that must not be sent before a write is synced.
 #[derive(Clone, Debug)]
 pub(super) struct DeferredMessage {
-    /// Sequence number of the last write that it waits for.
+    /// Sequence number of the last write that the message waits for.
     after_write: u64,
     to: NodeId,
     message: Message,
 }
 
 impl RaftNode {
-    /// Replaces the log up to `last_included_index` by the caller's state after it.
+    /// Replaces the log up to `last_included_index` by a snapshot; `state` is the caller's state after that entry.
     ///
-    /// Does nothing where that is not after the present snapshot, or after what was handed to the caller.
+    /// Does nothing if the index is not after the current snapshot, or is after the last entry that was returned to the
+    /// caller as committed.
     pub fn compact(&mut self, last_included_index: LogIndex, state: Vec<u8>, out: &mut Output) {
         if last_included_index <= self.state.snapshot.last_included_index
             || last_included_index > self.last_applied
@@ -45,7 +47,7 @@
         self.persist(Some(snapshot), self.state.last_index(), Vec::new(), out);
     }
 
-    /// Appends an entry of the present term and sends it to the others. Returns its index.
+    /// Appends an entry of the current term and sends it to the other voters. Returns its index.
     pub(super) fn append_to_log(&mut self, payload: Payload, out: &mut Output) -> LogIndex {
         let entry = Entry {
             term: self.term(),
@@ -56,12 +58,13 @@
         self.state.last_index()
     }
 
-    /// Writes term and vote.
+    /// Persists the term and the vote.
     pub(super) fn persist_vote(&mut self, out: &mut Output) {
         self.persist(None, self.state.last_index(), Vec::new(), out);
     }
 
-    /// Writes term, vote, the snapshot if there is a new one, and the log after `truncate_after`.
+    /// Persists the term, the vote, the snapshot if there is a new one, and `entries` in place of the log after
+    /// `truncate_after`.
     pub(super) fn persist(
         &mut self,
         snapshot: Option<Snapshot>,
@@ -89,12 +92,12 @@
         out.persist_requests.push(request);
     }
 
-    /// Whether as many writes wait for their sync as may.
+    /// Whether the number of unsynced writes has reached the maximum.
     pub(super) fn write_queue_is_full(&self) -> bool {
         self.unsynced_writes.len() >= MAX_UNSYNCED_WRITES
     }
 
-    /// Sends a message that promises all that was written so far: at once, or when it is synced.
+    /// Sends a message once all writes so far are synced, which is at once if none is open.
     pub(super) fn send_when_synced(&mut self, to: NodeId, message: Message, out: &mut Output) {
         if self.unsynced_writes.is_empty() {
             return out.send(to, message);
@@ -106,13 +109,13 @@
         });
     }
 
-    /// Notes that all writes up to `sequence` are synced, and sends the messages that waited for them.
+    /// Records that all writes up to `sequence` are synced, and sends the messages that waited for them.
     pub(super) fn confirm_writes(&mut self, sequence: u64, out: &mut Output) {
         let is_synced = |write: &mut UnsyncedWrite| write.sequence <= sequence;
         while let Some(write) = self.unsynced_writes.pop_front_if(is_synced) {
             self.durable_index = write.last_index;
         }
-        // A later write may have cut off what these appended.
+        // A later write may have truncated entries that the confirmed writes appended.
         let truncated = self
             .unsynced_writes
             .iter()
--- a/crates/spokeflow-raft/src/node/replication.rs
+++ b/crates/spokeflow-raft/src/node/replication.rs
@@ -1,4 +1,5 @@
-//! Replication of the log: proposals, rounds of a leader, what a follower stores, and what is committed.
+//! Log replication: proposals, the leader's rounds of append messages, how followers store entries, and the commit
+//! index.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,26 +8,28 @@
 use super::{LogIndex, LogPosition, Message, NodeId, Output, Payload, RaftNode, Role, Term};
 use crate::{AppendOutcome, CommittedEntry, Entry, ProposeError, Snapshot};
 
-/// Entries in one message. A follower that lacks more gets them one message after the other.
+/// Maximum number of entries in one message. A follower that lacks more gets them in several messages, each sent after
+/// the response to the one before.
 const MAX_ENTRIES_PER_MESSAGE: usize = 64;
-/// Rounds whose time of sending a leader remembers. A response to an older one extends no lease.
+/// Maximum number of rounds whose sending time a leader remembers. A response to an older round does not extend the
+/// leader's lease.
 const MAX_OPEN_ROUNDS: usize = 256;
 
-/// What a leader knows of the other voters, and the rounds that they may still answer.
+/// A leader's replication progress for each of the other voters, and the rounds that they may still answer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeaderState {
-    /// By voter, the index of the next entry to send.
+    /// For each voter, the index of the next entry to send.
     next_index: BTreeMap<NodeId, LogIndex>,
-    /// By voter, the index up to which its log is known to match.
+    /// For each voter, the index up to which its log is known to match the leader's.
     match_index: BTreeMap<NodeId, LogIndex>,
-    /// By voter, when the latest round that it has answered was sent.
+    /// For each voter, when the leader sent the latest round that the voter has answered.
     pub(super) answered_round_sent_at: BTreeMap<NodeId, Micros>,
-    /// The oldest first.
+    /// Rounds that may still be answered, oldest first.
     open_rounds: VecDeque<OpenRound>,
 }
 
 impl LeaderState {
-    /// The state at the election: nothing is known of what the others have.
+    /// Returns the state of a leader that was just elected, which does not know how far the other logs match.
     pub(super) fn new(peers: &[NodeId], next_index: LogIndex) -> Self {
         LeaderState {
             next_index: peers.iter().map(|peer| (*peer, next_index)).collect(),
@@ -50,7 +53,7 @@
         }
     }
 
-    /// The peer's log matches up to `index`. Returns the index of the next entry that it is to get.
+    /// Records that the peer's log matches up to `index`. Returns the index of the next entry to send to the peer.
     fn on_matched(&mut self, peer: NodeId, index: LogIndex) -> LogIndex {
         let match_index = self.match_index.entry(peer).or_default();
         *match_index = index.max(*match_index);
@@ -59,21 +62,21 @@
         next_index
     }
 
-    /// The peer's log may match up to `hint`, not further.
+    /// Records that the peer's log does not match beyond `hint`, so that entries are sent from there on.
     fn on_mismatched(&mut self, peer: NodeId, hint: LogIndex) {
         let match_index = self.match_index.get(&peer).copied().unwrap_or_default();
         self.next_index.insert(peer, hint.max(match_index).next());
     }
 }
 
-/// A round that may still be answered.
+/// A round that may still be answered, and when it was sent.
 #[derive(Clone, Debug)]
 struct OpenRound {
     number: u64,
     sent_at: Micros,
 }
 
-/// Who sent a leader's message, and in which term and round.
+/// The sender, term and round of a message from a leader.
 #[derive(Clone, Copy)]
 pub(super) struct LeaderRound {
     leader: NodeId,
@@ -100,12 +103,13 @@
 }
 
 impl RaftNode {
-    /// Appends a command to the log and returns its index. It is committed once it is handed out as such.
+    /// Appends a command to the log and returns its index. The command is committed once it appears in
+    /// [`Output::committed`].
     ///
     /// # Errors
     ///
-    /// [`ProposeError::NotLeader`] where the node may not act as leader, [`ProposeError::WriteQueueFull`] where its
-    /// disk hangs.
+    /// [`ProposeError::NotLeader`] if the node may not act as leader, [`ProposeError::WriteQueueFull`] if too many
+    /// writes wait for its disk.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -123,7 +127,7 @@
         Ok(self.append_to_log(Payload::Command(command), out))
     }
 
-    /// Sends one round: to each of the others the entries that it lacks.
+    /// Sends one round: to each of the other voters, the entries that it lacks.
     pub(super) fn broadcast_append(&mut self, out: &mut Output) {
         self.last_round += 1;
         self.next_wake = self.now + self.config.heartbeat_interval;
@@ -137,7 +141,7 @@
         self.advance_commit_index(out);
     }
 
-    /// Sends one voter the entries that it lacks, or the snapshot where they are no longer there.
+    /// Sends one voter the entries that it lacks, or the snapshot if the log no longer has them.
     fn send_append(&self, to: NodeId, round: u64, out: &mut Output) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -204,7 +208,8 @@
         self.answer_round(round, AppendOutcome::Matched(last_included_index), out);
     }
 
-    /// Follows the sender of a leader's message; refuses one of an earlier term and returns `false`.
+    /// Becomes a follower of the sender of a leader's message. If the message is of an earlier term, refuses it and
+    /// returns `false`.
     fn accept_leader(&mut self, round: LeaderRound, out: &mut Output) -> bool {
         if round.term < self.term() {
             let refusal = self.round_response(round, AppendOutcome::Mismatched(LogIndex(0)));
@@ -216,7 +221,7 @@
         true
     }
 
-    /// Answers a leader's message, once all that the answer promises is synced.
+    /// Answers a leader's message after all earlier writes are synced.
     fn answer_round(&mut self, round: LeaderRound, outcome: AppendOutcome, out: &mut Output) {
         let response = self.round_response(round, outcome);
         self.send_when_synced(round.leader, response, out);
@@ -230,10 +235,10 @@
         }
     }
 
-    /// Replaces the caller's state and the log up to there by the snapshot.
+    /// Replaces the caller's state, and the log up to the last index that the snapshot includes, by the snapshot.
     fn install_snapshot(&mut self, snapshot: Snapshot, out: &mut Output) {
         let last_included = snapshot.last_included();
-        // Entries after the snapshot stay where the node's own log matches it.
+        // Entries after the snapshot are kept if the node's own log matches the snapshot at its last entry.
         let matches = self.state.term_at(last_included.index) == Some(last_included.term);
         let truncate_after = if matches {
             self.state.last_index()
@@ -247,14 +252,14 @@
         self.persist(Some(snapshot), truncate_after, Vec::new(), out);
     }
 
-    /// Stores entries that follow `previous` in the leader's log, where the node's own log matches there.
+    /// Stores the entries that follow `previous` in the leader's log, if the node's own log matches at `previous`.
     fn store_entries(
         &mut self,
         mut previous: LogPosition,
         mut entries: Vec<Entry>,
         out: &mut Output,
     ) -> AppendOutcome {
-        // What the snapshot includes was committed, so it matches.
+        // Entries that the snapshot includes are committed, so they match the leader's.
         let snapshot = self.state.snapshot.last_included();
         let included = snapshot.index.0.saturating_sub(previous.index.0);
         if included > 0 {
@@ -267,7 +272,7 @@
             return AppendOutcome::Mismatched(LogIndex(hint));
         }
         let match_index = LogIndex(previous.index.0 + entries.len() as u64);
-        // Matching entries stay: a late message must not cut off what a newer one has brought.
+        // Matching entries stay: a delayed message must not truncate entries that a newer message has appended.
         let matching = self.count_matching(previous.index, &entries);
         if matching < entries.len() {
             let truncate_after = LogIndex(previous.index.0 + matching as u64);
@@ -276,7 +281,7 @@
         AppendOutcome::Matched(match_index)
     }
 
-    /// How many of the entries, which follow `previous_index`, are in the log already.
+    /// Counts the leading entries of `entries`, which follow `previous_index`, that the log already has.
     fn count_matching(&self, previous_index: LogIndex, entries: &[Entry]) -> usize {
         entries
             .iter()
@@ -320,9 +325,10 @@
         }
     }
 
-    /// Commits what a majority has synced, and hands out what is committed.
+    /// Advances the commit index to what a majority has synced, and returns newly committed entries in `out`.
     ///
-    /// Only entries of the leader's own term are counted; all before them are committed with them.
+    /// Only an entry of the leader's own term is committed by counting voters; all entries before it are committed
+    /// with it.
     pub(super) fn advance_commit_index(&mut self, out: &mut Output) {
         if let Role::Leader(leader) = &self.role {
             let synced = self.majority_value(&leader.match_index, self.durable_index);
@@ -331,14 +337,14 @@
                 self.commit_index = synced;
             }
         }
-        self.hand_out_committed(out);
+        self.output_committed(out);
         // A leader that has committed its own removal has nothing more to send.
         if self.is_leader() && !self.is_voter() && self.commit_index == self.state.last_index() {
             self.become_follower(self.term(), None, out);
         }
     }
 
-    fn hand_out_committed(&mut self, out: &mut Output) {
+    fn output_committed(&mut self, out: &mut Output) {
         while self.last_applied < self.commit_index {
             let offset = self.state.offset(self.last_applied);
             self.last_applied = self.last_applied.next();
--- a/crates/spokeflow-raft/src/output.rs
+++ b/crates/spokeflow-raft/src/output.rs
@@ -1,24 +1,25 @@
-//! What a call to a node asks its caller to do.
+//! The effects of a call to a node, which the caller has to carry out.
 
 use crate::{Entry, LogIndex, Message, NodeId, PersistRequest, Snapshot};
 
-/// What one call asks for.
+/// The effects of one call to a node.
 ///
-/// Messages may be sent at once: those that promise a write are handed out once it is synced.
+/// Messages may be sent at once: a message that depends on a write is returned only after that write is synced.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Messages to send.
     pub messages: Vec<OutgoingMessage>,
-    /// Writes to sync, in order; each is confirmed by [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
+    /// Writes to sync, in order. The caller confirms each with
+    /// [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
     pub persist_requests: Vec<PersistRequest>,
-    /// Replaces the caller's state, before `committed` is applied.
+    /// A snapshot that replaces the caller's state before `committed` is applied.
     pub restored: Option<Snapshot>,
-    /// Entries to apply, in the order of the log.
+    /// Committed entries to apply, in log order.
     pub committed: Vec<CommittedEntry>,
 }
 
 impl Output {
-    /// Asks for a message to be sent.
+    /// Adds a message to send.
     pub(crate) fn send(&mut self, to: NodeId, message: Message) {
         self.messages.push(OutgoingMessage { to, message });
     }
@@ -33,10 +34,10 @@
     pub message: Message,
 }
 
-/// An entry that is committed: every later leader has it too.
+/// A committed entry: every later leader has it too.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedEntry {
-    /// Its index.
+    /// Index of the entry.
     pub index: LogIndex,
     /// The entry.
     pub entry: Entry,
--- a/crates/spokeflow-raft/src/persistent_state.rs
+++ b/crates/spokeflow-raft/src/persistent_state.rs
@@ -1,34 +1,34 @@
-//! What a node keeps on disk and the writes that bring it there.
+//! The state that a node keeps on disk, and the writes that change it.
 
 use crate::log::LogPosition;
 use crate::{Entry, LogIndex, NodeId, Snapshot, Term};
 
-/// One write, to be synced whole or not at all, in the order of the sequence numbers.
+/// One write. Writes must be atomic, and must reach the disk in the order of their sequence numbers.
 ///
 /// The snapshot, if any, replaces the entries that it includes; then the log is cut after `truncate_after` and
 /// `entries` are appended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PersistRequest {
-    /// Number of the write since the start of the process, from 1.
+    /// Number of the write, counted from 1 at the start of the process.
     pub sequence: u64,
     /// The node's term.
     pub term: Term,
-    /// The candidate that has the node's vote in that term.
+    /// The candidate that has the node's vote in that term; `None` if it has not voted.
     pub voted_for: Option<NodeId>,
-    /// A newer snapshot than the stored one.
+    /// A newer snapshot than the stored one; `None` if the stored one stays.
     pub snapshot: Option<Snapshot>,
-    /// Index of the last entry that stays.
+    /// Index of the last stored entry to keep.
     pub truncate_after: LogIndex,
-    /// Entries that follow it.
+    /// Entries to append after `truncate_after`.
     pub entries: Vec<Entry>,
 }
 
-/// What a node starts from: the effect of all writes that were synced.
+/// The state that a node starts from: the result of all writes that were synced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistentState {
     /// The latest term that the node has seen.
     pub term: Term,
-    /// The candidate that has the node's vote in that term.
+    /// The candidate that has the node's vote in that term; `None` if it has not voted.
     pub voted_for: Option<NodeId>,
     /// The newest snapshot.
     pub snapshot: Snapshot,
@@ -51,12 +51,12 @@
         self.log.extend_from_slice(&write.entries);
     }
 
-    /// How many entries of the stored log are up to `index`, which is not before the snapshot.
+    /// Returns the number of entries of `log` up to and including `index`, which must not be before the snapshot.
     pub(crate) fn offset(&self, index: LogIndex) -> usize {
         (index.0 - self.snapshot.last_included_index.0) as usize
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last entry.
     pub(crate) fn last_position(&self) -> LogPosition {
         let index = LogIndex(self.snapshot.last_included_index.0 + self.log.len() as u64);
         let term = self
@@ -66,12 +66,12 @@
         LogPosition::new(term, index)
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry.
     pub(crate) fn last_index(&self) -> LogIndex {
         self.last_position().index
     }
 
-    /// Term of the entry at `index`; `None` where that is before the snapshot or after the log.
+    /// Returns the term of the entry at `index`; `None` if the index is before the snapshot or after the log.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index < self.snapshot.last_included_index {
             return None;
