--- a/crates/spokeflow-raft/tests/common/cluster/checks.rs
+++ b/crates/spokeflow-raft/tests/common/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! What a cluster is checked for at each step.
+//! Invariants of a cluster that are checked at each step.
 
 use spokeflow_raft::{CommittedEntry, Snapshot};
 
@@ -20,7 +20,7 @@
             .collect();
         assert!(
             leaders.len() < 2,
-            "two that may act at {}: {leaders:?}",
+            "more than one node may act as leader at {} us: {leaders:?}",
             self.now
         );
     }
@@ -31,12 +31,13 @@
         let state = self.states[&last_included];
         assert!(
             last_included > node.applied,
-            "a snapshot takes nothing back"
+            "node {index} was given a snapshot up to {last_included} and had applied up to {} before",
+            node.applied
         );
         assert_eq!(
             snapshot.state,
             state.to_be_bytes(),
-            "another state at {last_included}"
+            "node {index} was given a snapshot with another state at index {last_included}"
         );
         node.applied = last_included;
         node.state = state;
@@ -46,7 +47,11 @@
     pub(super) fn apply(&mut self, index: usize, committed: CommittedEntry) {
         let node = &mut self.nodes[index];
         let at = committed.index.0;
-        assert_eq!(at, node.applied + 1, "handed out in order");
+        assert_eq!(
+            at,
+            node.applied + 1,
+            "committed entries of node {index} are out of order"
+        );
         node.applied = at;
         node.state = node
             .state
@@ -56,7 +61,14 @@
             .committed
             .entry(at)
             .or_insert_with(|| committed.entry.clone());
-        assert_eq!(*known, committed.entry, "two entries at {at}");
-        assert_eq!(*self.states.entry(at).or_insert(node.state), node.state);
+        assert_eq!(
+            *known, committed.entry,
+            "two different entries are committed at index {at}"
+        );
+        assert_eq!(
+            *self.states.entry(at).or_insert(node.state),
+            node.state,
+            "node {index} has another state at index {at}"
+        );
     }
 }
--- a/crates/spokeflow-raft/tests/common/cluster/faults.rs
+++ b/crates/spokeflow-raft/tests/common/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! The network of a cluster and the faults that are injected.
+//! Simulated network of a cluster, and fault injection.
 
 use rand::RngExt;
 use spokeflow_core::Micros;
@@ -6,21 +6,22 @@
 
 use super::{Cluster, Event, MS, SECOND};
 
-/// A direction between two nodes in which nothing arrives.
+/// One direction between two nodes in which all messages are lost.
 pub(super) struct CutLink {
+    /// Id shared by all links that were cut at the same time.
     pub(super) cut: u64,
     from: usize,
     to: usize,
 }
 
-/// Which messages of a node are lost.
+/// Which messages of a node are lost while its links are cut.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LinkFault {
-    /// All, in both directions.
+    /// All messages, in both directions.
     Isolated,
-    /// All that it sends.
+    /// All messages that the node sends.
     SendsNothing,
-    /// What it sends to some of the others.
+    /// All messages that the node sends to some of the other nodes.
     SendsToSome,
 }
 
@@ -39,7 +40,7 @@
         }
         let copies = 1 + usize::from(self.rng.random_bool(duplicated));
         for _ in 0..copies {
-            // Some are held for seconds and come when nobody expects them any more.
+            // Some messages are delayed by seconds, to arrive in a later term or after a restart.
             let latency = if self.rng.random_bool(delayed) {
                 50 * MS..4 * SECOND
             } else {
--- a/crates/spokeflow-raft/tests/common/cluster/load.rs
+++ b/crates/spokeflow-raft/tests/common/cluster/load.rs
@@ -1,4 +1,4 @@
-//! What the acting leader of a cluster is asked for: commands and changes of voters.
+//! Load on the acting leader of a cluster: proposed commands and changes of voters.
 
 use rand::RngExt;
 use spokeflow_raft::{LogIndex, NodeId, Term};
@@ -13,7 +13,7 @@
 }
 
 impl Cluster {
-    /// Whether the node may act as leader and runs at this instant.
+    /// Whether the node may act as leader and is not paused.
     pub(super) fn acts_now(&self, index: usize) -> bool {
         !self.nodes[index].paused && self.may_act(index)
     }
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The acting leader adds a spare node, or removes one where there are five voters.
+    /// Draws a node. The acting leader adds it if it is not a voter and there are fewer than five voters, else removes
+    /// it if there are more than three.
     pub(super) fn change_voters(&mut self) {
         self.schedule(900 * MS, Event::ChangeVoters);
         let drawn = NodeId(self.rng.random_range(0..self.nodes.len() as u32));
--- a/crates/spokeflow-raft/tests/common/cluster/mod.rs
+++ b/crates/spokeflow-raft/tests/common/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! A cluster in simulated time.
 //!
-//! Messages are delayed, lost, duplicated and reordered, links are cut, clocks run up to 1% off, and nodes are paused
-//! or killed with what they had not synced. Each step checks that there is one leader a term, never two that may act,
-//! and one log whose entries are handed out in order.
+//! Messages are delayed, lost, duplicated and reordered, links are cut, clocks run up to 1% fast or slow, and nodes are
+//! paused, or killed with the loss of their unsynced writes. Each step checks that each term has at most one leader,
+//! that at most one node may act as leader, and that all nodes apply the same log in order.
 
 mod checks;
 mod faults;
@@ -32,7 +32,7 @@
     pub(crate) seed: u64,
     /// Voters at the start.
     pub(crate) voters: u32,
-    /// Nodes that run and do not vote at the start; with any, voters are added and removed all the time.
+    /// Nodes that run and do not vote at the start. If there are any, voters are added and removed throughout the run.
     pub(crate) spares: u32,
     pub(crate) faulty: bool,
 }
@@ -53,7 +53,7 @@
         node: usize,
         start: u32,
     },
-    /// The acting leader is handed a command with this number.
+    /// A command with this number is proposed to the acting leader.
     Propose(u64),
     ChangeVoters,
     InjectFault,
@@ -71,18 +71,18 @@
 struct SimulatedNode {
     /// `None` while it is down.
     raft: Option<RaftNode>,
-    /// How often its process was started.
+    /// Number of starts of its process.
     start: u32,
     disk: PersistentState,
     paused: bool,
-    /// What came while it was paused.
+    /// Events that came while it was paused, handled when it resumes.
     delayed_events: Vec<Event>,
     clock_rate: f64,
-    /// Index up to which entries were handed out or restored.
+    /// Index up to which entries were applied or restored from a snapshot.
     applied: u64,
-    /// Digest of all entries up to there, as the caller's state.
+    /// The caller's state: a digest of all entries up to `applied`.
     state: u64,
-    /// Sequence number of the last synced write of the present process.
+    /// Sequence number of the last synced write of the current process.
     synced: u64,
 }
 
@@ -90,20 +90,20 @@
     now: Micros,
     rng: StdRng,
     nodes: Vec<SimulatedNode>,
-    /// Time and sequence number of each event.
+    /// Time and sequence number of each event in `events`.
     schedule: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
     cut_links: Vec<CutLink>,
     faulty: bool,
     config: RaftConfig,
-    /// By index, what was committed anywhere.
+    /// By index, the entry that any node has applied as committed.
     pub(crate) committed: BTreeMap<u64, Entry>,
     /// By index, the digest of all entries up to it.
     states: BTreeMap<u64, u64>,
     pub(crate) snapshots_restored: usize,
     pub(crate) voter_changes: usize,
-    /// By term, who was elected.
+    /// By term, the elected leader.
     leaders: BTreeMap<Term, NodeId>,
     pub(crate) accepted: Vec<AcceptedCommand>,
 }
@@ -152,7 +152,7 @@
         cluster
     }
 
-    /// In how many terms a leader was elected.
+    /// Returns the number of terms in which a leader was elected.
     pub(crate) fn elections(&self) -> usize {
         self.leaders.len()
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Ends all faults: links are restored, nodes that are paused or down come back.
+    /// Ends all faults: restores the links, resumes paused nodes and restarts nodes that are down.
     pub(crate) fn heal(&mut self) {
         self.faulty = false;
         self.cut_links.clear();
@@ -190,7 +190,7 @@
             .push(Reverse((self.now + after, self.last_event)));
     }
 
-    /// The present time by this node's clock.
+    /// Returns the current time by this node's clock.
     fn clock(&self, index: usize) -> Micros {
         (self.now as f64 * self.nodes[index].clock_rate) as Micros
     }
@@ -221,7 +221,7 @@
         self.schedule(wait as Micros + 1, Event::Wake { node: index, start });
     }
 
-    /// Calls a node, does what it asks for, and checks the cluster.
+    /// Calls a node, carries out its output, and checks the invariants of the cluster.
     fn call(&mut self, index: usize, call: impl FnOnce(&mut RaftNode, Micros, &mut Output)) {
         let now = self.clock(index);
         let mut out = Output::default();
@@ -231,7 +231,7 @@
         call(raft, now, &mut out);
         self.check_elected(index);
         for write in out.persist_requests {
-            // One disk, in order: a sync takes up to 30 ms.
+            // A sync takes up to 30 ms; writes of one node become durable in order.
             let slowest = if self.faulty { 30 * MS } else { 3 * MS };
             let after = self.rng.random_range(MS..slowest);
             self.schedule_sync(index, after, write);
@@ -254,13 +254,14 @@
         self.schedule(after, Event::Sync { node, start, write });
     }
 
-    /// Whether the node could act as leader at this instant; one that is paused cannot, and asks again before it does.
+    /// Whether the node could act as leader now. True for a paused node as well: it does not act while paused, and has
+    /// to check again before it does.
     fn may_act(&self, index: usize) -> bool {
         let raft = self.nodes[index].raft.as_ref();
         raft.is_some_and(|raft| raft.has_recent_quorum(self.clock(index)))
     }
 
-    /// Compacts a log of over 150 entries, all but the last 20 that were applied.
+    /// Compacts a log of more than 150 entries, except the last 20 applied ones.
     fn compact_long_log(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let log_len = node.raft.as_ref().map_or(0, RaftNode::log_len);
@@ -331,7 +332,7 @@
         if start != node.start || node.raft.is_none() {
             return;
         }
-        // Writes reach the disk in their order: one that waits for an earlier one is tried again.
+        // Writes must reach the disk in order: one that was drawn before an earlier one is tried again later.
         if write.sequence != node.synced + 1 {
             return self.schedule_sync(index, MS, write);
         }
--- a/crates/spokeflow-raft/tests/common/mod.rs
+++ b/crates/spokeflow-raft/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests of the node share: the timing and the configuration of a cluster.
+//! Timing and configuration of a cluster, shared by the tests of this crate.
 
 use spokeflow_core::Micros;
 use spokeflow_raft::{NodeId, RaftConfig};
 
-/// Shortest time without a leader after which a node may vote for another one.
+/// Shortest time without contact from a leader, in microseconds, after which a node may vote for another one.
 pub(crate) const ELECTION_TIMEOUT: Micros = 300_000;
 
-/// The configuration of a cluster with these voters.
+/// Returns the configuration of a node in a cluster with these voters.
 pub(crate) fn config(voters: impl IntoIterator<Item = u32>) -> RaftConfig {
     RaftConfig {
         voters: voters.into_iter().map(NodeId).collect(),
--- a/crates/spokeflow-raft/tests/exhaustive_search.rs
+++ b/crates/spokeflow-raft/tests/exhaustive_search.rs
@@ -1,7 +1,7 @@
-//! Every order of events of a small model: three nodes, each with a clock of its own that may jump to its next wake-up
-//! at any time, messages that are delivered in any order or never, writes that are synced late or lost in a kill.
-//! Leases rest on clocks and are left to `simulated_faults.rs`; one leader a term and one log must hold whatever
-//! clocks do.
+//! Exhaustive search of a small model: three nodes, each with its own clock that may jump to its next wake-up at any
+//! time, messages that are delivered in any order or never, and writes that are synced late or lost when a node is
+//! killed. Checked are one leader per term and one log, which must hold whatever the clocks do. Leader leases depend on
+//! clocks and are tested in `simulated_faults.rs`.
 
 mod common;
 
@@ -17,7 +17,7 @@
 
 const NODES: usize = 3;
 
-/// A message on its way.
+/// A message that was sent and not delivered.
 #[derive(Clone, Debug, PartialEq)]
 struct InFlight {
     from: NodeId,
@@ -25,24 +25,24 @@
     message: Message,
 }
 
-/// The state of the whole cluster, and what was seen of it so far.
+/// The state of the whole cluster, and the leaders and committed entries seen so far.
 #[derive(Clone, Debug)]
 struct World {
     nodes: Vec<RaftNode>,
     clocks: Vec<Micros>,
     disks: Vec<PersistentState>,
     unsynced: Vec<VecDeque<PersistRequest>>,
-    /// Sorted: their order means nothing.
+    /// Sorted, so that worlds that differ only in the order of sending have the same fingerprint.
     in_flight: Vec<InFlight>,
-    /// By node, the index up to which entries were handed out.
+    /// By node, the index up to which committed entries were applied.
     applied: Vec<u64>,
-    /// By node, how often it may still wake up.
+    /// By node, the number of wake-ups left.
     wakes: [u8; NODES],
-    /// How often any node may still be killed.
+    /// Number of kills left, over all nodes.
     kills: u8,
-    /// By term, who was elected.
+    /// By term, the elected leader.
     leaders: BTreeMap<Term, NodeId>,
-    /// By index, what was committed anywhere.
+    /// By index, the entry that any node has applied as committed.
     committed: BTreeMap<u64, Entry>,
 }
 
@@ -54,7 +54,7 @@
         };
         World {
             nodes: (0..NODES as u32).map(node).collect(),
-            // All have been up for the election timeout: any may vote and be voted for.
+            // All nodes have been up for one election timeout, so each of them may vote.
             clocks: vec![ELECTION_TIMEOUT; NODES],
             disks: vec![PersistentState::default(); NODES],
             unsynced: vec![VecDeque::new(); NODES],
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Calls a node and checks what it hands out.
+    /// Calls a node, takes its output and checks it.
     fn call(&mut self, index: usize, call: impl FnOnce(&mut RaftNode, Micros, &mut Output)) {
         let mut out = Output::default();
         call(&mut self.nodes[index], self.clocks[index], &mut out);
@@ -93,12 +93,18 @@
                 .committed
                 .entry(at)
                 .or_insert_with(|| committed.entry.clone());
-            assert_eq!(at, self.applied[index], "handed out in order");
-            assert_eq!(*known, committed.entry, "another entry at {at}");
+            assert_eq!(
+                at, self.applied[index],
+                "committed entries of node {index} are out of order"
+            );
+            assert_eq!(
+                *known, committed.entry,
+                "two different entries are committed at index {at}"
+            );
         }
     }
 
-    /// All worlds one event away.
+    /// Returns all worlds that one event leads to.
     fn successors(&self) -> Vec<World> {
         let mut all = Vec::new();
         for index in 0..NODES {
@@ -153,7 +159,7 @@
             saved,
             self.clocks[index],
         );
-        // Long enough for it to vote again.
+        // The restarted node may vote again after one election timeout.
         world.clocks[index] += ELECTION_TIMEOUT;
         world
     }
@@ -178,7 +184,8 @@
     }
 }
 
-/// Nodes 0 and 1 have each got the pre-vote of 2 for the first term and stand for election; all else is lost.
+/// Returns a world in which nodes 0 and 1 have each won the pre-vote of node 2 for the first term and are candidates;
+/// all other messages are lost.
 fn two_candidates(kills: u8) -> World {
     let mut world = World::new([1, 1, 0], kills);
     for candidate in 0..2 {
@@ -199,7 +206,7 @@
     world
 }
 
-/// What a search has met.
+/// Totals of a search.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     worlds: usize,
@@ -209,7 +216,7 @@
     committed: usize,
 }
 
-/// Visits every world within `depth` events.
+/// Visits every world that at most `depth` events lead to.
 fn search(from: World, depth: usize) -> Counts {
     let mut seen = HashSet::new();
     let mut frontier = vec![from];
@@ -232,14 +239,14 @@
 }
 
 #[test]
-fn every_order_of_one_election_keeps_one_leader_and_one_log() {
+fn one_election_keeps_one_leader_and_one_log_in_every_order() {
     let counts = search(World::new([1, 0, 0], 0), 30);
     println!("one election: {counts:?}");
     assert!(counts.elected > 100 && counts.committed > 100, "{counts:?}");
 }
 
 #[test]
-fn every_order_of_two_candidates_and_a_kill_keeps_one_leader() {
+fn two_candidates_and_a_kill_keep_one_leader_in_every_order() {
     let depth = std::env::var("SPOKEFLOW_SEARCH_DEPTH")
         .ok()
         .and_then(|depth| depth.parse().ok())
@@ -252,9 +259,9 @@
     );
 }
 
-/// Two stand in one term, and what they wrote or were promised may be lost in two kills.
+/// Two nodes are candidates in one term, and two kills may lose their unsynced writes or the votes granted to them.
 #[test]
-fn every_order_of_two_vote_requests_in_one_term_keeps_one_leader() {
+fn two_candidates_in_one_term_keep_one_leader_in_every_order() {
     let counts = search(two_candidates(2), 12);
     println!("two requests in one term: {counts:?}");
     assert!(
--- a/crates/spokeflow-raft/tests/node.rs
+++ b/crates/spokeflow-raft/tests/node.rs
@@ -1,4 +1,4 @@
-//! One node among scripted peers: cases that random faults and the exhaustive search meet too rarely.
+//! One node among scripted peers: cases that random faults and the exhaustive search reach too rarely.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const PEER_A: NodeId = NodeId(1);
 const PEER_B: NodeId = NodeId(2);
 
-/// Node 0 of three, started from this state at time 0.
+/// Returns node 0 of three voters, started from `saved` at time 0.
 fn started(saved: PersistentState) -> RaftNode {
     RaftNode::new(NodeId(0), config(0..3), 7, saved, 0)
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// From a candidate whose log is ahead of any other.
+/// Returns the request of a candidate whose log is ahead of any other.
 fn request_vote(term: u64) -> Message {
     Message::RequestVote {
         term: Term(term),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Elects the node for the next term. Returns when, and its output then; its first entry is not synced.
+/// Has the node elected for the next term. Returns the time and the node's output; its first entry is not synced.
 fn elect(node: &mut RaftNode) -> (Micros, Output) {
     let now = node.next_wake();
     let mut out = Output::default();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn while_a_leader_may_hold_its_lease_no_vote_is_given_and_no_later_term_adopted() {
+fn no_vote_is_granted_and_no_later_term_adopted_while_a_leader_may_hold_its_lease() {
     let mut node = started(PersistentState::default());
     let out = deliver(&mut node, ELECTION_TIMEOUT, PEER_A, heartbeat(3));
     sync(&mut node, ELECTION_TIMEOUT, &out);
@@ -109,7 +109,7 @@
     assert_eq!(
         node.term(),
         Term(3),
-        "an old message would end a lease early"
+        "a delayed vote request must not end a lease early"
     );
     let out = deliver(&mut node, 2 * ELECTION_TIMEOUT, PEER_B, request_vote(9));
     let out = sync(&mut node, 2 * ELECTION_TIMEOUT, &out);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_node_that_has_just_started_may_have_heard_from_a_leader_and_votes_for_nobody() {
+fn no_vote_is_granted_within_an_election_timeout_of_the_start() {
     let mut node = started(PersistentState::default());
     let out = deliver(&mut node, ELECTION_TIMEOUT - 1, PEER_B, request_vote(9));
     assert!(
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn a_lease_runs_from_the_sending_of_the_round_and_is_shorter_than_the_timeout_by_the_drift() {
+fn a_leader_lease_starts_when_the_round_is_sent_and_is_shortened_by_the_clock_drift() {
     let mut node = started(PersistentState::default());
     let (elected_at, out) = elect(&mut node);
     assert!(
         !node.has_recent_quorum(elected_at),
-        "nobody has answered yet"
+        "no voter has answered yet"
     );
     let round = out.messages.iter().find_map(|sent| match sent.message {
         Message::AppendEntries { round, .. } => Some(round),
@@ -155,7 +155,7 @@
     });
     let answer = mismatched(node.term(), round.unwrap(), 0);
     deliver(&mut node, elected_at + 200_000, PEER_B, answer);
-    // The voter's clock runs 1% fast, this one 1% slow.
+    // The voter's clock may run 1% fast, and this node's 1% slow.
     let lease = (ELECTION_TIMEOUT as f64 * 0.99 / 1.01) as Micros;
     assert!(
         node.has_recent_quorum(elected_at + lease - 1)
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn an_own_entry_counts_once_it_is_synced_and_one_of_an_earlier_term_not_by_itself() {
+fn an_entry_is_committed_only_once_synced_and_one_of_an_earlier_term_only_with_a_later_one() {
     let old = Entry {
         term: Term(1),
         payload: Payload::Command(b"old".to_vec()),
@@ -176,7 +176,7 @@
     });
     let (now, written) = elect(&mut node);
     let term = node.term();
-    // A majority has the entry of term 1, and yet a later leader without it may be elected.
+    // A majority has the entry of term 1, but a later leader without it may still be elected.
     assert!(deliver(&mut node, now, PEER_A, matched(term, 1))
         .committed
         .is_empty());
@@ -184,7 +184,7 @@
         deliver(&mut node, now, PEER_A, matched(term, 2))
             .committed
             .is_empty(),
-        "the own one is not synced"
+        "the leader's own entry is not synced yet"
     );
     let committed = sync(&mut node, now, &written).committed;
     assert_eq!(
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn voters_change_one_at_a_time_and_not_before_an_own_entry_is_committed() {
+fn voters_change_one_at_a_time_and_only_after_an_entry_of_the_own_term_is_committed() {
     let mut node = started(PersistentState::default());
     let (now, written) = elect(&mut node);
     let term = node.term();
@@ -210,7 +210,7 @@
     assert_eq!(
         node.propose_membership(now, four.clone(), &mut out),
         Err(MembershipError::NotReady),
-        "no entry of its own is committed"
+        "no entry of the leader's own term is committed"
     );
     sync(&mut node, now, &written);
     deliver(&mut node, now, PEER_A, matched(term, 1));
@@ -218,7 +218,7 @@
     assert_eq!(
         node.propose_membership(now, five, &mut out),
         Err(MembershipError::NotOneNode),
-        "two at once"
+        "two voters are added at once"
     );
     let mut out = Output::default();
     assert_eq!(
@@ -229,14 +229,14 @@
     assert_eq!(
         node.propose_membership(now, three.clone(), &mut out),
         Err(MembershipError::NotReady),
-        "three of four have to answer"
+        "a majority is now three of four voters, and only two have answered"
     );
     deliver(&mut node, now, PEER_B, mismatched(term, 1, 0));
     assert_eq!(
         node.propose_membership(now, three, &mut out),
         Err(MembershipError::ChangeInProgress)
     );
-    // Three of four are needed at once: the change counts from its entry on.
+    // The change is in effect from its entry on, so committing it needs three of four voters.
     sync(&mut node, now, &out);
     assert!(deliver(&mut node, now, PEER_A, matched(term, 2))
         .committed
@@ -249,7 +249,7 @@
     );
 }
 
-/// Whether the only message tells `PEER_A` that the log matches up to index 4.
+/// Whether the only message answers `PEER_A` that the log matches up to index 4.
 fn answers_matched_4(out: &Output) -> bool {
     matches!(
         out.messages[..],
@@ -263,8 +263,8 @@
     )
 }
 
-/// A leader whose log up to index 4 is a snapshot, when it was elected, and what it sends to a peer that lacks
-/// entry 2.
+/// Returns a leader whose log up to index 4 is compacted into a snapshot, the time of its election, and its output for
+/// a peer that lacks entry 2.
 fn compacted_leader() -> (RaftNode, Micros, Output) {
     let mut node = started(PersistentState {
         term: Term(1),
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_follower_behind_the_snapshot_gets_it_and_an_old_append_into_it_cuts_nothing() {
+fn a_follower_behind_the_snapshot_gets_it_and_a_delayed_append_does_not_truncate_it() {
     let (leader, now, out) = compacted_leader();
     let term = leader.term();
     let Message::InstallSnapshot { snapshot, .. } = &out.messages[0].message else {
@@ -299,7 +299,7 @@
     let written = deliver(&mut follower, now, PEER_A, install);
     assert!(
         written.messages.is_empty(),
-        "no promise before the snapshot is on the disk"
+        "no response before the snapshot is synced"
     );
     assert_eq!(
         written
@@ -309,7 +309,7 @@
         Some(&b"four"[..])
     );
     assert!(answers_matched_4(&sync(&mut follower, now, &written)));
-    // Delayed from before: entries 2 and 3, which the snapshot includes.
+    // A delayed message with entries 2 and 3, which the snapshot includes.
     let old = Message::AppendEntries {
         term,
         prev_log_index: LogIndex(1),
@@ -323,12 +323,12 @@
         out.persist_requests.is_empty() && out.committed.is_empty(),
         "{out:?}"
     );
-    // If it were refused, its leader would go ever further back, to entries that this node no longer has.
+    // A mismatch would make the leader go back to ever earlier entries, which this node no longer has.
     assert!(answers_matched_4(&out), "{out:?}");
 }
 
 #[test]
-fn what_waits_for_a_disk_that_hangs_is_bounded() {
+fn the_number_of_unsynced_writes_is_bounded_while_the_disk_hangs() {
     let mut node = started(PersistentState::default());
     let mut waiting = 0;
     for index in 0..5000 {
@@ -347,11 +347,11 @@
             .persist_requests
             .len();
     }
-    assert!(waiting <= 1025, "{waiting}");
+    assert!(waiting <= 1025, "{waiting} writes wait for the disk");
 }
 
 #[test]
-fn a_node_that_is_not_a_voter_never_stands_for_election() {
+fn a_node_that_is_not_a_voter_never_starts_an_election() {
     let mut spare = RaftNode::new(NodeId(9), config([]), 7, PersistentState::default(), 0);
     for _ in 0..10 {
         let now = spare.next_wake();
--- a/crates/spokeflow-raft/tests/simulated_faults.rs
+++ b/crates/spokeflow-raft/tests/simulated_faults.rs
@@ -1,4 +1,5 @@
-//! Clusters in simulated time, with and without faults: one log, and one leader that may act.
+//! Clusters in simulated time, with and without faults: all nodes agree on one log, and at most one node may act as
+//! leader.
 
 #[path = "common/cluster/mod.rs"]
 mod cluster;
@@ -8,7 +9,7 @@
 use spokeflow_raft::Payload;
 
 #[test]
-fn without_faults_one_leader_accepts_and_commits_all() {
+fn without_faults_one_leader_commits_all_commands() {
     for voters in [1, 3, 5, 7] {
         let mut cluster = Cluster::new(ClusterOptions {
             seed: u64::from(voters),
@@ -18,17 +19,17 @@
         });
         cluster.run(11 * SECOND);
         assert_eq!(cluster.elections(), 1, "{voters} voters");
-        // Fifty proposals a second, from the election on; the last may be on their way.
+        // Fifty proposals a second from the election on; the last ones may not be committed yet.
         let accepted = cluster.accepted.len();
         let committed = cluster.committed.len();
         assert!(
             accepted > 440 && committed + 3 > accepted,
-            "{accepted} {committed}"
+            "{voters} voters: {accepted} commands accepted, {committed} entries committed"
         );
     }
 }
 
-/// What all runs together have met.
+/// Totals of all runs.
 #[derive(Debug, Default)]
 struct Counts {
     elections: usize,
@@ -37,7 +38,7 @@
     voter_changes: usize,
 }
 
-/// Three voters, five, and three with four spare nodes in turn.
+/// Returns a cluster with faults: by seed in turn three voters, five voters, or three voters and four spare nodes.
 fn faulty_cluster(seed: u64) -> Cluster {
     Cluster::new(ClusterOptions {
         seed,
@@ -47,7 +48,7 @@
     })
 }
 
-/// Every committed entry at the index and term of an accepted command has to be that command.
+/// Checks that each committed entry at the index and term of an accepted command is that command.
 fn check_accepted(cluster: &Cluster, seed: u64) {
     for accepted in &cluster.accepted {
         let entry = cluster.committed.get(&accepted.index.0);
@@ -55,7 +56,7 @@
             assert_eq!(
                 entry.payload,
                 Payload::Command(accepted.number.to_be_bytes().to_vec()),
-                "seed {seed}: another command at {:?}",
+                "seed {seed}: another command is committed at {:?}",
                 accepted.index
             );
         }
@@ -73,7 +74,7 @@
         cluster.run(50 * SECOND);
         assert!(
             cluster.committed.len() > before + 200,
-            "seed {seed}: {before} entries, {} when healed",
+            "seed {seed}: {before} entries committed with faults, {} at the end",
             cluster.committed.len()
         );
         check_accepted(&cluster, seed);
@@ -82,7 +83,7 @@
         counts.snapshots_restored += cluster.snapshots_restored;
         counts.voter_changes += cluster.voter_changes;
     }
-    // The runs must have had something to break.
+    // Without these events the runs would not exercise the invariants.
     println!("{counts:?}");
     assert!(
         counts.elections > 300 && counts.entries > 60 * 500,
