--- a/crates/spokeflow-coordination/src/config_state.rs
+++ b/crates/spokeflow-coordination/src/config_state.rs
@@ -1,4 +1,4 @@
-//! The state machine that the log drives: every control-plane node that applies the same commands has the same state.
+//! The replicated state machine: all control-plane nodes that apply the same commands have the same state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,27 +10,29 @@
     SnapshotError,
 };
 
-/// Records of revisions, and outcomes of proposals, that are kept: the state goes whole into each snapshot.
+/// Maximum number of revision records, and of proposal outcomes, that are kept. Bounded because each snapshot holds the
+/// whole state.
 const MAX_RETAINED_RECORDS: usize = 500;
 
-/// The replicated configuration. The order of fields is the encoding of snapshots.
+/// The replicated configuration. The binary encoding in snapshots depends on the order of fields, which must not
+/// change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// The revision that all routers respect.
+    /// The revision in force, which all routers respect.
     pub in_force: Revision,
-    /// The revision that is to come into force.
+    /// The revision that will be put in force next; `None` if none is pending.
     pub pending: Option<Revision>,
-    /// The newest last.
+    /// Records of revisions, the newest last.
     pub history: VecDeque<RevisionRecord>,
-    /// Addresses of control-plane nodes, also of those that do not vote yet.
+    /// Registered addresses of control-plane nodes, including nodes that are not voters yet.
     pub addresses: BTreeMap<NodeId, String>,
     /// The endpoint list.
     pub list: EndpointList,
-    /// The newest last.
+    /// Outcomes of proposals, the newest last.
     outcomes: VecDeque<DecidedProposal>,
 }
 
-/// What became of the proposal with this token.
+/// Token and outcome of a decided proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct DecidedProposal {
     token: u64,
@@ -38,14 +40,14 @@
 }
 
 impl ConfigState {
-    /// The number of the newest revision, in force or pending.
+    /// Returns the number of the newest revision, in force or pending.
     pub fn newest(&self) -> RevisionNumber {
         self.pending
             .as_ref()
             .map_or(self.in_force.number, |pending| pending.number)
     }
 
-    /// What became of the proposal with this token; `None` where none is known.
+    /// Returns the outcome of the proposal with this token; `None` if none is known.
     pub fn outcome(&self, token: u64) -> Option<ProposalOutcome> {
         self.outcomes
             .iter()
@@ -68,7 +70,8 @@
     }
 
     fn put_in_force(&mut self, revision: RevisionNumber, at_s: u64) {
-        // A second command, from a leader that had not seen the first committed, changes nothing.
+        // A second command for the same revision, from a leader that had not seen the first one committed, has no
+        // effect.
         let Some(pending) = self.pending.take_if(|pending| pending.number == revision) else {
             return;
         };
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Makes the proposal the pending revision, where it is made against the newest and none is pending.
+    /// Makes the proposal the pending revision, if it is based on the newest revision and none is pending.
     fn accept_or_refuse(&mut self, proposal: Proposal) -> ProposalOutcome {
         let newest = self.newest();
         if proposal.base != newest {
@@ -123,7 +126,7 @@
         ProposalOutcome::Pending(number)
     }
 
-    /// The encoded state, for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -132,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// It is not a state of this version.
+    /// The bytes do not hold a state that this version can decode.
     pub fn decode(state: &[u8]) -> Result<ConfigState, SnapshotError> {
         Ok(postcard::from_bytes(state)?)
     }
--- a/crates/spokeflow-coordination/src/coordinator.rs
+++ b/crates/spokeflow-coordination/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! A control-plane node as a state machine, without I/O: its state, and the dispatch of messages, timers and confirmed
-//! writes.
+//! A control-plane node as a state machine without I/O: its state, and the dispatch of messages, timers and write
+//! confirmations.
 
 mod addresses;
 mod applying;
@@ -29,41 +29,43 @@
 pub struct CoordinatorConfig {
     /// The node's own id.
     pub id: NodeId,
-    /// Settings of consensus.
+    /// Settings of the Raft node.
     pub raft: RaftConfig,
-    /// Duration of routers' leases.
+    /// Duration of the routers' leases.
     pub lease: LeaseConfig,
-    /// Addresses of nodes by the flags; the replicated state has the others.
+    /// Addresses of nodes from the command line flags; addresses of other nodes are in the replicated state.
     pub addresses: BTreeMap<NodeId, String>,
-    /// Checks whether routers could take these values.
+    /// Checks whether routers could apply these values.
     pub check: fn(&Overrides) -> Result<(), OverridesError>,
 }
 
-/// Whom a response is for.
+/// The connection and number of a request, which its response is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestOrigin {
-    /// The connection.
+    /// The connection that the request came on.
     pub connection: u64,
-    /// The caller's number of the request.
+    /// Number of the request, assigned by the caller.
     pub number: u64,
-    /// Whether another node has forwarded it: it is then not forwarded again.
+    /// Whether another node has forwarded the request. It must then not be forwarded again.
     pub forwarded: bool,
 }
 
-/// What one call asks for.
+/// The effects of one call to a [`Coordinator`], which the caller has to carry out.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Messages to other nodes.
     pub messages: Vec<NodeMessage>,
     /// Responses to requests.
     pub responses: Vec<ClientResponse>,
-    /// Writes to sync, in order; each is confirmed by [`Coordinator::on_persisted`].
+    /// Writes to sync, in order. The caller confirms each with [`Coordinator::on_persisted`].
     pub persist_requests: Vec<PersistRequest>,
-    /// Whether the replicated state has changed.
+    /// Whether the replicated configuration may have changed.
     pub config_changed: bool,
-    /// The node's state is not what the log says: it must end before anything of these effects leaves.
+    /// A snapshot that could not be decoded. The node's state no longer matches the log: the process must end before it
+    /// carries out any of these effects.
     pub fatal: Option<SnapshotError>,
-    /// Why an update of the list's source was rejected, for the log; it is to be read once more.
+    /// Why an update of the endpoint list was rejected, for the log. The caller must read the list from its source
+    /// again.
     pub rejection: Option<Rejection>,
 }
 
@@ -77,7 +79,7 @@
     }
 }
 
-/// A message and the node that is to get it.
+/// A message and the node to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeMessage {
     /// The receiver.
@@ -91,50 +93,54 @@
 pub struct ClientResponse {
     /// The connection of the request.
     pub connection: u64,
-    /// The caller's number of the request.
+    /// Number of the request, assigned by the caller.
     pub number: u64,
     /// The response.
     pub response: Response,
 }
 
-/// A control-plane node: its part of the replicated log, the state that the log makes, the leases that it grants while it
-/// leads, and the requests that wait for a response.
+/// A control-plane node: its Raft node, the replicated configuration, the leases that it grants while it is the leader,
+/// and the requests that wait for a response.
 ///
-/// Times are microseconds of the node's own clock, which never goes back from one call to the next.
+/// Times are microseconds of the node's own clock, which must never go back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     settings: CoordinatorConfig,
     raft: RaftNode,
     config: ConfigState,
     last_applied: LogIndex,
-    /// `None` where the node has granted nothing since it last followed another leader.
+    /// Set once the node holds its leader lease; `None` again once it is no longer the leader.
     leadership: Option<Leadership>,
-    /// What routers are told of the voters.
+    /// Addresses of the voters, as sent to routers.
     voter_addresses: VoterAddresses,
-    /// Addresses that other nodes have named, for want of better knowledge.
+    /// Addresses that other nodes have reported; used for nodes that neither the flags nor the replicated state have.
     learned_addresses: BTreeMap<NodeId, String>,
-    /// The command of the log to put a revision in force that was proposed last.
+    /// The activation that this node proposed last.
     activation: Option<Activation>,
-    /// By token, the requests that wait for a proposal in the log to be committed.
+    /// By token of the proposal, the requests that wait until it is committed.
     pending_proposals: BTreeMap<u64, Vec<WaitingRequest>>,
-    /// By the node's own number, requests that were forwarded to the leader.
+    /// By the number that this node assigned, the requests that it forwarded to the leader.
     forwarded: BTreeMap<u64, WaitingRequest>,
     last_forward: u64,
-    /// By host. What has passed since is added to the host's uptime. A node that has just started knows less than the
-    /// true time, and such a host is taken to have started later.
+    /// By host, when its present incarnation was applied. The time since is added to the host's uptime. A node that has
+    /// just started underestimates that time, so that such a host is taken to have started later than it did.
     applied_hosts: BTreeMap<u32, AppliedHost>,
-    /// A complete list that lacked too much, to be accepted where it is read again.
+    /// A complete list that was rejected because too many hosts were missing. It is accepted if a second reading
+    /// confirms it.
     rejected_update: Option<SourceUpdate>,
+    /// Why the last update of the list was rejected; `None` if it was not.
     rejection: Option<Rejection>,
-    /// Whether an update of the list is in the log and not committed: the next is evaluated against it.
+    /// Whether an update of the list is in the log and not committed. The next one must be evaluated against its
+    /// result.
     list_update_pending: bool,
-    /// Updates that came meanwhile; what finds no room is read again.
+    /// Updates that came while another one was not committed. Those that exceed the maximum are dropped, as the
+    /// source is read again.
     queued_list_updates: VecDeque<SourceUpdate>,
-    /// Seconds since 1970, for operators.
+    /// Seconds since 1970, set by the caller; only shown to operators.
     pub wall_clock_s: u64,
 }
 
-/// A revision that was to be put in force, and the term in which that was proposed.
+/// A revision that this node proposed to put in force, and the term of that proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Activation {
     term: Term,
@@ -142,11 +148,11 @@
 }
 
 impl Coordinator {
-    /// A node that has just started from `saved`. `seed` is that of its random election timeouts.
+    /// Creates a node that has just started from `saved`. `seed` seeds its random election timeouts.
     ///
     /// # Errors
     ///
-    /// The snapshot cannot be read.
+    /// The snapshot in `saved` cannot be decoded.
     pub fn new(
         settings: CoordinatorConfig,
         seed: u64,
@@ -181,22 +187,22 @@
         })
     }
 
-    /// The replicated configuration, as far as it is applied here.
+    /// Returns the replicated configuration as far as this node has applied it.
     pub fn config(&self) -> &ConfigState {
         &self.config
     }
 
-    /// The node's part of the replicated log.
+    /// Returns the Raft node.
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
 
-    /// Index of the last entry that is applied here.
+    /// Returns the index of the last entry that this node has applied.
     pub fn last_applied(&self) -> LogIndex {
         self.last_applied
     }
 
-    /// When [`Coordinator::on_timer`] is due.
+    /// Returns when [`Coordinator::on_timer`] has to be called next.
     pub fn next_wake(&self, now: Micros) -> Micros {
         let lease_check = self
             .leadership
@@ -215,7 +221,7 @@
             .min(request_timeout.unwrap_or(Micros::MAX))
     }
 
-    /// Does what is due by `now`.
+    /// Handles the timers that are due by `now`.
     pub fn on_timer(&mut self, now: Micros, effects: &mut Effects) {
         let mut out = Output::default();
         self.raft.on_timer(now, &mut out);
@@ -224,7 +230,7 @@
         self.apply_output(now, out, effects);
     }
 
-    /// Handles a message of consensus from another node.
+    /// Handles a Raft message from another node.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -237,7 +243,7 @@
         self.apply_output(now, out, effects);
     }
 
-    /// Notes that all writes up to `sequence` are on disk and stay there.
+    /// Handles the confirmation that all writes up to `sequence` are durable on disk.
     pub fn on_persisted(&mut self, now: Micros, sequence: u64, effects: &mut Effects) {
         let mut out = Output::default();
         self.raft.on_persisted(now, sequence, &mut out);
--- a/crates/spokeflow-coordination/src/coordinator/addresses.rs
+++ b/crates/spokeflow-coordination/src/coordinator/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of control-plane nodes: by the flags, the replicated state, and what other nodes have named.
+//! Addresses of control-plane nodes: from the flags, the replicated state, and other nodes.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 use super::Coordinator;
 use crate::VoterAddresses;
 
-/// Addresses that are kept of those that other nodes have named, whoever names more.
+/// Maximum number of addresses reported by other nodes that are kept, which bounds the memory that callers can use.
 const MAX_LEARNED_ADDRESSES: usize = 32;
 
 impl Coordinator {
-    /// The address of a node: as the flags say, else the replicated state, else another node.
+    /// Returns the address of a node: from the flags, else from the replicated state, else as another node reported it.
     pub fn address(&self, id: NodeId) -> Option<&str> {
         self.settings
             .addresses
@@ -21,7 +21,7 @@
             .map(String::as_str)
     }
 
-    /// All addresses that it knows.
+    /// Returns the addresses of all nodes for which one is known.
     pub fn addresses(&self) -> Vec<(NodeId, String)> {
         let ids: BTreeSet<NodeId> = self
             .settings
@@ -36,17 +36,17 @@
             .collect()
     }
 
-    /// Notes addresses that another node has named.
+    /// Records addresses that another node has reported.
     pub fn learn_addresses(&mut self, addresses: &[(NodeId, String)]) {
-        let named = addresses.iter().take(MAX_LEARNED_ADDRESSES);
-        self.learned_addresses.extend(named.cloned());
+        let reported = addresses.iter().take(MAX_LEARNED_ADDRESSES);
+        self.learned_addresses.extend(reported.cloned());
         while self.learned_addresses.len() > MAX_LEARNED_ADDRESSES {
             self.learned_addresses.pop_first();
         }
     }
 
-    /// Brings up to date what routers are told of the voters: those whose first nodes have all been replaced would
-    /// find none otherwise.
+    /// Updates the addresses of the voters that are sent to routers. Without them, a router would find no node once all
+    /// nodes that it was started with have been replaced.
     pub(super) fn update_voter_addresses(&mut self) {
         let addresses: Vec<String> = self
             .raft
--- a/crates/spokeflow-coordination/src/coordinator/applying.rs
+++ b/crates/spokeflow-coordination/src/coordinator/applying.rs
@@ -1,4 +1,5 @@
-//! What consensus hands out: snapshots to restore, committed commands to apply, writes and messages to pass on.
+//! Handling of the Raft node's output: snapshots to restore, committed commands to apply, writes and messages to pass
+//! on.
 
 use spokeflow_core::Micros;
 use spokeflow_raft::{CommittedEntry, Output, Payload, Snapshot};
@@ -8,7 +9,8 @@
 use crate::{ConfigState, LogCommand};
 
 impl Coordinator {
-    /// Applies what is committed, and does what a leader has to, until consensus asks for nothing more.
+    /// Carries out the Raft node's output, then compacts the log and activates a revision if due, until neither
+    /// produces further output.
     pub(super) fn apply_output(&mut self, now: Micros, mut out: Output, effects: &mut Effects) {
         loop {
             if let Some(snapshot) = out.restored.take() {
@@ -23,24 +25,25 @@
                 message: ToNode::Raft(sent.message),
             });
             effects.messages.extend(messages);
-            if !self.compact_or_lead(now, &mut out) {
+            if !self.compact_or_activate(now, &mut out) {
                 break;
             }
         }
-        self.take_queued_update(now, effects);
+        self.handle_queued_update(now, effects);
         self.update_voter_addresses();
         self.answer_decided_proposals(effects);
     }
 
     fn restore(&mut self, now: Micros, snapshot: &Snapshot, effects: &mut Effects) {
-        // Written by a node that could read its own: if this one cannot, it must not go on as if it could.
+        // The node that wrote the snapshot could decode it. If this node cannot, it must not continue with a state that
+        // does not match the log.
         match ConfigState::decode(&snapshot.state) {
             Ok(config) => self.config = config,
             Err(error) => effects.fatal = Some(error),
         }
         self.last_applied = snapshot.last_included_index;
         effects.config_changed = true;
-        self.note_applied_hosts(now);
+        self.record_applied_hosts(now);
     }
 
     fn apply(&mut self, now: Micros, committed: CommittedEntry, effects: &mut Effects) {
@@ -56,7 +59,7 @@
         self.config.apply(command);
         if changes_list {
             self.list_update_pending = false;
-            self.note_applied_hosts(now);
+            self.record_applied_hosts(now);
         }
     }
 }
--- a/crates/spokeflow-coordination/src/coordinator/forwarding.rs
+++ b/crates/spokeflow-coordination/src/coordinator/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that another node, the leader, is to answer.
+//! Requests that this node forwards to the leader.
 
 use spokeflow_core::Micros;
 
@@ -7,7 +7,7 @@
 use crate::wire::{Request, Response, ToNode};
 
 impl Coordinator {
-    /// Forwards a request to the leader. Returns the response where that cannot be.
+    /// Forwards a request to the leader. Returns the response if it cannot be forwarded, else `None`.
     pub(super) fn forward(
         &mut self,
         now: Micros,
@@ -31,7 +31,7 @@
         None
     }
 
-    /// Passes on the response of the node to which a request was forwarded.
+    /// Passes the leader's response to a forwarded request on to the caller.
     pub fn on_forward_response(&mut self, number: u64, response: Response, effects: &mut Effects) {
         if let Some(waiting) = self.forwarded.remove(&number) {
             effects.respond(waiting.origin, response);
--- a/crates/spokeflow-coordination/src/coordinator/leadership.rs
+++ b/crates/spokeflow-coordination/src/coordinator/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader does without being asked: it compacts its log and puts the pending revision in force.
+//! Log compaction, which every node does, and the activation of the pending revision by the leader.
 
 use spokeflow_core::Micros;
 use spokeflow_raft::{Output, Term};
@@ -6,10 +6,10 @@
 use super::{Activation, Coordinator};
 use crate::{LeaseConfig, LeaseGranter, LogCommand, RevisionNumber};
 
-/// Entries after the snapshot from which a new one is made.
+/// Number of log entries after the snapshot above which the log is compacted.
 const COMPACT_AFTER_ENTRIES: usize = 500;
 
-/// The leases that the node has granted as leader of a term.
+/// The term in which the node is leader, and the granter of leases in that term.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
     term: Term,
@@ -17,7 +17,7 @@
 }
 
 impl Leadership {
-    /// The granter of this term; one of an earlier term is replaced.
+    /// Returns the granter of this term; replaces that of an earlier term by a new one.
     pub(super) fn granter_of(
         leadership: &mut Option<Leadership>,
         term: Term,
@@ -34,8 +34,9 @@
 }
 
 impl Coordinator {
-    /// Compacts the log or puts a revision in force, where either is due. Returns whether consensus asks for something.
-    pub(super) fn compact_or_lead(&mut self, now: Micros, out: &mut Output) -> bool {
+    /// Compacts the log, or proposes to put a revision in force, if either is due. Returns whether `out` has new
+    /// output.
+    pub(super) fn compact_or_activate(&mut self, now: Micros, out: &mut Output) -> bool {
         if self.raft.log_len() > COMPACT_AFTER_ENTRIES && self.last_applied.0 > 0 {
             let state = self.config.encode();
             self.raft.compact(self.last_applied, state, out);
@@ -52,7 +53,8 @@
         self.activate_ready_revision(now, out)
     }
 
-    /// Forgets the leases: others may have granted some since, so what is known of them is worth nothing.
+    /// Discards the state of this node's leadership, including the leases: another leader may grant further ones from
+    /// now on, so the known leases are no longer complete.
     fn end_leadership(&mut self) {
         self.leadership = None;
         self.list_update_pending = false;
--- a/crates/spokeflow-coordination/src/coordinator/list_updates.rs
+++ b/crates/spokeflow-coordination/src/coordinator/list_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list: what its source says, and the uptime of hosts that is sent with it.
+//! Updates of the endpoint list from its source, and the uptime of hosts that is sent to routers.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
 use super::{Coordinator, Effects};
 use crate::{EndpointListUpdate, LogCommand, Rejection, SourceUpdate};
 
-/// Updates that wait for the one before them to be committed; what finds no room is read again.
+/// Maximum number of updates that wait until the one before them is committed. Further ones are dropped, as the source
+/// is read again.
 const MAX_QUEUED_UPDATES: usize = 64;
 
-/// When a host was applied in its present incarnation.
+/// When the present incarnation of a host was applied to the list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AppliedHost {
     incarnation: u64,
@@ -19,7 +20,7 @@
 }
 
 impl Coordinator {
-    /// Handles what the source of the list said to a node that reads it. Only the leader does anything with it.
+    /// Handles an update that was read from the source of the list. Only the leader acts on it.
     pub fn on_source_update(&mut self, now: Micros, update: SourceUpdate, effects: &mut Effects) {
         if !self.raft.has_leader_lease(now) {
             return;
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Handles the next update that waits, where none is in the log any more.
-    pub(super) fn take_queued_update(&mut self, now: Micros, effects: &mut Effects) {
+    /// Handles the next queued update, unless an update in the log is not committed yet.
+    pub(super) fn handle_queued_update(&mut self, now: Micros, effects: &mut Effects) {
         if self.list_update_pending {
             return;
         }
@@ -58,9 +59,9 @@
         }
     }
 
-    /// Notes the hosts that the list has now; those that it had before in the same incarnation keep their time.
-    pub(super) fn note_applied_hosts(&mut self, now: Micros) {
-        let mut noted = BTreeMap::new();
+    /// Records when the hosts of the list were applied; hosts whose incarnation is unchanged keep their earlier time.
+    pub(super) fn record_applied_hosts(&mut self, now: Micros) {
+        let mut applied_hosts = BTreeMap::new();
         for host in self.config.list.hosts() {
             let incarnation = host.incarnation;
             let known = self.applied_hosts.get(&host.host).copied();
@@ -69,12 +70,12 @@
                 incarnation,
                 applied_at: now,
             });
-            noted.insert(host.host, applied);
+            applied_hosts.insert(host.host, applied);
         }
-        self.applied_hosts = noted;
+        self.applied_hosts = applied_hosts;
     }
 
-    /// Adds to the hosts' uptime what has passed since they were applied.
+    /// Adds to each host's uptime the time since the host was applied.
     pub(super) fn add_elapsed_uptime(&self, now: Micros, update: &mut EndpointListUpdate) {
         for host in &mut update.hosts {
             let applied = self.applied_hosts.get(&host.host);
--- a/crates/spokeflow-coordination/src/coordinator/requests.rs
+++ b/crates/spokeflow-coordination/src/coordinator/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of routers and operators, as the leader answers them.
+//! The leader's handling of requests from routers and operators.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,15 @@
 use crate::wire::{ClusterStatus, Request, Response};
 use crate::{LeaseRequest, LogCommand, Proposal};
 
-/// Forwarded requests that wait at a time, and requests for one proposal. Beyond that, a request is told that there is
-/// no leader, and one more for the same proposal gets no response.
+/// Maximum number of forwarded requests that wait for a response, and of requests that wait for one proposal. Beyond
+/// that, a request to be forwarded is answered with [`Response::NoLeader`], and a request for the same proposal is not
+/// answered.
 pub(super) const MAX_WAITING_REQUESTS: usize = 4096;
-/// How long a request waits, in microseconds: four times the default election timeout. After that a proposal's outcome is
-/// not known to its author, and a forwarded request is given up.
+/// Longest time that a request waits, in microseconds: four times the default election timeout. After that, a proposal
+/// or a forwarded request is answered with [`Response::Indeterminate`].
 const REQUEST_TIMEOUT: Micros = 2_000_000;
 
-/// A request that has no response yet.
+/// A request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingRequest {
     pub(super) origin: RequestOrigin,
@@ -34,7 +35,8 @@
 }
 
 impl Coordinator {
-    /// Handles a request. The response is among these effects, or among those of a call within two seconds.
+    /// Handles a request. The response is among these effects, or among those of a later call, at the latest when the
+    /// request times out after two seconds.
     pub fn on_request(
         &mut self,
         now: Micros,
@@ -43,7 +45,7 @@
         effects: &mut Effects,
     ) {
         let mut out = Output::default();
-        // Asked before each act: this process may have been stopped since the last.
+        // Checked before each action: the process may have been paused since the last one, and the lease expired.
         let response = if self.raft.has_leader_lease(now) {
             self.answer(now, origin, request, &mut out)
         } else {
@@ -55,7 +57,7 @@
         self.apply_output(now, out, effects);
     }
 
-    /// The leader's response; `None` where it follows later.
+    /// Returns the leader's response; `None` if it follows later.
     fn answer(
         &mut self,
         now: Micros,
@@ -86,7 +88,7 @@
         Response::Granted(Box::new(grant))
     }
 
-    /// Puts a proposal into the log, where it is not there already; the response follows once it is committed.
+    /// Appends a proposal to the log, unless it is there already. The response follows once the proposal is committed.
     fn propose(
         &mut self,
         now: Micros,
@@ -117,7 +119,7 @@
         None
     }
 
-    /// Answers the requests for proposals of which the outcome is known by now.
+    /// Answers the requests for proposals whose outcome is now known.
     pub(super) fn answer_decided_proposals(&mut self, effects: &mut Effects) {
         let config = &self.config;
         self.pending_proposals.retain(|token, waiting| {
@@ -148,7 +150,10 @@
         out: &mut Output,
     ) -> Response {
         if address.parse::<SocketAddr>().is_err() {
-            return Response::Invalid(format!("'{address}' is not an address with a port"));
+            return Response::Invalid(format!(
+                "address of node {} not registered: '{address}' is not an IP address with a port",
+                node.0
+            ));
         }
         self.log_command(now, &LogCommand::SetAddress { node, address }, out)
     }
@@ -156,19 +161,17 @@
     fn change_voters(&mut self, now: Micros, voters: Vec<NodeId>, out: &mut Output) -> Response {
         if let Some(unknown) = voters.iter().find(|id| self.address(**id).is_none()) {
             return Response::Invalid(format!(
-                "no address of node {} is known yet: register it first",
+                "voters not changed: no address is known for node {}, register it first",
                 unknown.0
             ));
         }
         match self.raft.propose_membership(now, voters, out) {
             Ok(_) => Response::Accepted,
-            Err(_) => Response::Invalid(
-                "another change is under way, or it is not one node's difference".into(),
-            ),
+            Err(error) => Response::Invalid(error.to_string()),
         }
     }
 
-    /// Puts a command into the log whose effect is seen in the status.
+    /// Appends a command to the log. Whether it is committed can be seen in the status.
     fn log_command(&mut self, now: Micros, command: &LogCommand, out: &mut Output) -> Response {
         match self.raft.propose(now, command.encode(), out) {
             Ok(_) => Response::Accepted,
--- a/crates/spokeflow-coordination/src/effective_config.rs
+++ b/crates/spokeflow-coordination/src/effective_config.rs
@@ -1,31 +1,31 @@
-//! The values that a revision may change while routers run, and how two sets of them are combined.
+//! The settings that a revision may change while routers run, and how two sets of them are combined.
 
 use serde::{Deserialize, Serialize};
 use spokeflow_core::{Micros, ServiceConfig};
 
-/// The part of a [`ServiceConfig`] that a revision may change while routers run; each field is as there.
+/// The part of a [`ServiceConfig`] that a revision may change while routers run. Each field means the same as there.
 ///
-/// Windows (`exposure-span`, `fall-span`), what counts in them, operations and one-way keys are not among them: what
-/// was counted under the old ones cannot be counted again.
+/// Windows (`exposure-span`, `fall-span`), the settings of what is counted in them, operations and one-way keys are not
+/// included: events that were counted under the old values cannot be counted again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveConfig {
-    /// Commands a second that each tenant may send, all routers together.
+    /// Commands per second that each tenant may send, over all routers together.
     pub tenant_quotas: Vec<f64>,
-    /// How many routers share the common budgets.
+    /// Number of routers that share the common budgets.
     pub fleet_size: u32,
-    /// Most deliveries for one command, the first among them.
+    /// Maximum number of deliveries for one command, including the first.
     pub delivery_cap: u32,
     /// Whether a second delivery may be sent while the first is open.
     pub may_hedge: bool,
-    /// Longest time, in microseconds, after which a client may be told to retry; 0 where none is named.
+    /// Longest time, in microseconds, after which a client may be told to retry; 0 if clients are told no time.
     pub longest_retry_after: Micros,
-    /// For how long, in microseconds, a host that drains or is gone may still get new commands.
+    /// Time, in microseconds, for which a host that is draining or gone may still get new commands.
     pub drain_grace: Micros,
-    /// Fraction of its capacity that a host has when it has just started.
+    /// Fraction of its capacity that a host has right after its start.
     pub slow_start_from: f64,
     /// Multiple of its capacity at which a host that has just started fails.
     pub overload_multiple: f64,
-    /// By rollout stage, a ceiling on the exposure cap that the release controller names.
+    /// By rollout stage, an upper limit on the exposure cap that the release controller sets.
     pub stage_caps: Vec<f64>,
     /// Deliveries to a canary that are free in each exposure window.
     pub exposure_allowance: f64,
@@ -35,7 +35,7 @@
     pub complaint_share: f64,
     /// Routers whose votes roll a build back.
     pub rollback_votes: u32,
-    /// Votes that the release controller takes a second from all routers together.
+    /// Votes per second that the release controller accepts from all routers together.
     pub votes_per_second: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl EffectiveConfig {
-    /// Sets these values in `service` and leaves the others as they are.
+    /// Sets these values in `service` and leaves its other fields unchanged.
     pub fn apply_to(&self, service: &mut ServiceConfig) {
         service.tenant_quotas.clone_from(&self.tenant_quotas);
         service.fleet_size = self.fleet_size;
@@ -79,13 +79,13 @@
         service.votes_per_second = self.votes_per_second;
     }
 
-    /// What can be acted on where others may already act on `pending` and some still on this one: the stricter value
-    /// of both where there is one, else this one's.
+    /// Returns the configuration to act on while some routers may already act on `pending` and some still on `self`: of
+    /// each setting the stricter value, or that of `self` if neither is stricter.
     ///
-    /// Stricter: fewer deliveries, no hedging, a shorter grace, hosts taken to start slower and to be overloaded sooner,
-    /// lower caps (a stage that only one of both has gets none), more guarded stages, a larger fleet, since each
-    /// router's part of every common budget is smaller. Of quotas, retry times and the counting of votes none is the
-    /// stricter.
+    /// Stricter values are: fewer deliveries, no hedging, a shorter drain grace, a lower capacity after the start, a
+    /// lower overload multiple, lower caps (0 for a stage that only one of both has), a lower exposure allowance, more
+    /// guarded stages, and a larger fleet, as each router's share of the common budgets is then smaller. For quotas,
+    /// retry times and the counting of votes neither value is stricter.
     pub fn stricter_of(&self, pending: &EffectiveConfig) -> EffectiveConfig {
         let stages = self.stage_caps.len().max(pending.stage_caps.len());
         EffectiveConfig {
@@ -104,14 +104,15 @@
         }
     }
 
-    /// The cap of a stage, 0 where there is no such stage.
+    /// Returns the cap of a stage; 0 if there is no such stage.
     fn stage_cap(&self, stage: usize) -> f64 {
         self.stage_caps.get(stage).copied().unwrap_or(0.0)
     }
 
-    /// What contradicts no later revision, however strict that is: nothing goes to a canary, one delivery for each
-    /// command, draining hosts get nothing more at once, and hosts that have just started next to nothing. Of quotas
-    /// and the counting of votes none is the stricter: they stay.
+    /// Returns a configuration that does not contradict any later revision, however strict: canaries get no deliveries,
+    /// each command gets one delivery, draining hosts get no new commands from the start of draining, and hosts that
+    /// have just started get almost none. Quotas and the counting of votes have no stricter value, so they stay
+    /// unchanged.
     pub fn released_build_only(&self) -> EffectiveConfig {
         EffectiveConfig {
             stage_caps: vec![0.0; self.stage_caps.len()],
--- a/crates/spokeflow-coordination/src/endpoint_list.rs
+++ b/crates/spokeflow-coordination/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the log has it: which updates of its source are accepted, and what its followers lack.
+//! The replicated endpoint list: which updates of its source are accepted, and which hosts a lagging router lacks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,23 +6,24 @@
 
 use crate::{EndpointListUpdate, HostState, ListVersion, ListedHost, Rejection, SourceUpdate};
 
-/// Changes that are kept for followers that lag; one that lacks more is sent the whole list.
+/// Maximum number of changes that are kept for routers that lag behind. A router that lacks more gets the whole list.
 const MAX_RETAINED_CHANGES: usize = 4096;
 
-/// The endpoint list. The order of fields is the encoding of snapshots.
+/// The endpoint list. The binary encoding in snapshots depends on the order of fields, which must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointList {
     /// Version of the list.
     pub version: ListVersion,
-    /// The source's version of the last accepted update.
+    /// Version that the source gave to the last accepted update; 0 before the first one, or if an operator has reset
+    /// it.
     pub source_version: u64,
-    /// By id; those that are gone stay until no kept change names them.
+    /// Hosts by id. A host that is gone stays until no kept change names it.
     hosts: BTreeMap<u32, ListedHost>,
-    /// The newest last.
+    /// The kept changes, the newest last.
     changes: VecDeque<ListChange>,
 }
 
-/// The version that changed a host.
+/// A change of a host, and the version of the list that made it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct ListChange {
     version: ListVersion,
@@ -30,22 +31,22 @@
 }
 
 impl EndpointList {
-    /// All hosts that the list knows, also some that are gone.
+    /// Returns all hosts that the list has, including some that are gone.
     pub fn hosts(&self) -> impl Iterator<Item = &ListedHost> {
         self.hosts.values()
     }
 
-    /// The hosts that are not gone.
+    /// Returns the hosts that are not gone.
     pub(crate) fn present_hosts(&self) -> impl Iterator<Item = &ListedHost> {
         self.hosts().filter(|host| host.state != HostState::Gone)
     }
 
-    /// What of an update differs from the list; `Ok(None)` where nothing does. `confirmed`: a second reading said the
-    /// same.
+    /// Returns the part of an update that differs from the list, or `Ok(None)` if nothing differs. `confirmed` says
+    /// that a second reading of the source gave the same update.
     ///
     /// # Errors
     ///
-    /// The update is rejected.
+    /// The [`Rejection`] if the update is not accepted.
     pub fn evaluate(
         &self,
         update: &SourceUpdate,
@@ -76,17 +77,17 @@
         }))
     }
 
-    /// The hosts of the update that the list has otherwise or not at all.
+    /// Returns the hosts of the update that differ from the list or are not in it.
     fn changed_hosts(&self, update: &SourceUpdate) -> Vec<ListedHost> {
         let is_changed = |host: &&ListedHost| match self.hosts.get(&host.host) {
-            Some(known) => !known.says_the_same(host),
-            // One that was never there need not be listed as gone.
+            Some(known) => !known.equals_ignoring_uptime(host),
+            // A host that was never in the list need not be added as gone.
             None => host.state != HostState::Gone,
         };
         update.hosts.iter().filter(is_changed).cloned().collect()
     }
 
-    /// The hosts that a complete update does not name, as gone.
+    /// Returns the present hosts that a complete update does not name, with their state set to gone.
     fn missing_hosts(
         &self,
         update: &SourceUpdate,
@@ -111,7 +112,7 @@
         Ok(missing)
     }
 
-    /// Applies an update that [`EndpointList::evaluate`] has returned.
+    /// Applies an update returned by [`EndpointList::evaluate`].
     pub fn apply(&mut self, update: SourceUpdate) {
         self.version.0 += 1;
         self.source_version = update.version;
@@ -124,13 +125,14 @@
         }
         while self.changes.len() > MAX_RETAINED_CHANGES {
             if let Some(dropped) = self.changes.pop_front() {
-                self.forget_if_gone(dropped.host);
+                self.remove_if_gone(dropped.host);
             }
         }
     }
 
-    /// Forgets a host that is gone and that no kept change names: whoever is sent the whole list needs no word of it.
-    fn forget_if_gone(&mut self, host: u32) {
+    /// Removes a host that is gone and that no kept change names. Only routers that get the whole list lack that
+    /// change, and they do not need hosts that are gone.
+    fn remove_if_gone(&mut self, host: u32) {
         if self.changes.iter().any(|change| change.host == host) {
             return;
         }
@@ -140,19 +142,20 @@
         }
     }
 
-    /// Lets the source begin again from any version; decided by an operator.
+    /// Accepts any version as the next one from the source; requested by an operator.
     pub fn trust_source(&mut self) {
         self.source_version = 0;
     }
 
-    /// What a follower lacks that has this version of the list; `None` where it lacks nothing.
+    /// Returns the update for a router that has this version of the list; `None` if the router lacks nothing.
     pub fn update_since(&self, version: ListVersion) -> Option<EndpointListUpdate> {
         if version == self.version {
             return None;
         }
         let oldest = self.changes.front();
         let oldest = oldest.map_or(ListVersion(u64::MAX), |change| change.version);
-        // The oldest kept version may lack some of its changes, so a follower needs to have at least that one.
+        // Some changes of the oldest kept version may have been dropped, so a router must have at least that version to
+        // get changes alone.
         let is_complete = version.0 == 0 || version >= self.version || version < oldest;
         let hosts = if is_complete {
             self.present_hosts().cloned().collect()
--- a/crates/spokeflow-coordination/src/error.rs
+++ b/crates/spokeflow-coordination/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a state or a proposal is refused.
+//! Errors of snapshots and of proposed values.
 
-/// Why a router could not take the values of a proposal, one fault a line. The configuration that they belong to is
-/// not of this crate, so neither is the type.
+/// Why a router could not apply the values of a proposal, one error per line. Boxed because the configuration that the
+/// values belong to, and so its error type, is defined in another crate.
 pub type OverridesError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A snapshot is not a state of this version.
+/// A snapshot does not hold a configuration that this version can decode.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the snapshot cannot be read: {cause}")]
+#[error("cannot decode the replicated configuration in the snapshot: {cause}")]
 pub struct SnapshotError {
-    /// Where the decoding failed.
+    /// Why decoding failed.
     pub(crate) cause: postcard::Error,
 }
 
--- a/crates/spokeflow-coordination/src/lease_config.rs
+++ b/crates/spokeflow-coordination/src/lease_config.rs
@@ -1,29 +1,32 @@
-//! Duration of leases, and what clocks that differ make of it.
+//! Duration of leases, adjusted for clock drift on either side.
 
 use spokeflow_core::Micros;
 
 /// Duration of leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
-    /// Longest time, in microseconds of a true clock, for which one grant may be acted on.
+    /// Longest time, in microseconds of true time, for which a router may act on one grant.
     pub duration: Micros,
-    /// How much faster or slower than true time a clock may run, as a fraction.
+    /// Largest deviation of a clock's rate from true time, in either direction, as a fraction.
     pub max_clock_drift: f64,
 }
 
 impl LeaseConfig {
-    /// By the holder's own clock, from the sending of its request: no longer than the lease though it run slow.
+    /// Returns the duration of a lease by the holder's clock, counted from the sending of its request. Shortened so
+    /// that it is not longer than `duration` in true time even if that clock runs slow.
     pub fn holder_duration(&self) -> Micros {
         (self.duration as f64 * (1.0 - self.max_clock_drift)) as Micros
     }
 
-    /// By the granter's own clock: no shorter than the lease though it run fast.
+    /// Returns the duration of a lease by the granter's clock. Lengthened so that it is not shorter than `duration` in
+    /// true time even if that clock runs fast.
     pub fn granter_duration(&self) -> Micros {
         (self.duration as f64 * (1.0 + self.max_clock_drift)).ceil() as Micros
     }
 
-    /// The longest time for which two routers may act on revisions that contradict each other, whatever fails: what
-    /// was granted before the first grant of the later revision has expired after one lease.
+    /// Returns the longest time, in microseconds, for which two routers may act on contradicting revisions, whatever
+    /// fails. Leases that were granted before the first grant of the later revision have expired after one lease
+    /// duration.
     pub fn longest_contradiction(&self) -> Micros {
         self.duration
     }
--- a/crates/spokeflow-coordination/src/lease_granter.rs
+++ b/crates/spokeflow-coordination/src/lease_granter.rs
@@ -1,4 +1,4 @@
-//! The leader's side of leases: who holds one, and when the pending revision may come into force.
+//! The leader's side of leases: which routers hold one, and when the pending revision may be put in force.
 
 use spokeflow_core::Micros;
 
@@ -8,16 +8,17 @@
     RevisionRef, VoterAddresses,
 };
 
-/// Routers whose leases are tracked, to bound the memory; with more, a pending revision waits for time alone.
+/// Maximum number of leases that are tracked, to bound the memory. Once there were more, a pending revision is ready
+/// only after a whole lease duration.
 const MAX_TRACKED_LEASES: usize = 8192;
 
-/// Grants leases for one leadership: a node that is elected again begins with a new one.
+/// Grants leases in one term of a leader. A node that is elected again needs a new granter.
 ///
-/// Times are microseconds of the leader's clock, which never goes back from one call to the next.
+/// Times are microseconds of the leader's clock, which must never go back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct LeaseGranter {
     config: LeaseConfig,
-    /// From when on nobody else can have granted leases.
+    /// Time from which on no other node can have granted leases.
     leader_since: Micros,
     pending: Option<PendingSince>,
     leases: LeaseTable,
@@ -25,7 +26,7 @@
     has_untracked: bool,
 }
 
-/// The pending revision, and when it was first seen.
+/// The pending revision, and when this granter first saw it.
 #[derive(Clone, Copy, Debug)]
 struct PendingSince {
     number: RevisionNumber,
@@ -33,7 +34,7 @@
 }
 
 impl LeaseGranter {
-    /// A granter of a node that leads from `now` on.
+    /// Creates the granter of a node that is the leader from `now` on.
     pub fn new(config: LeaseConfig, now: Micros) -> Self {
         LeaseGranter {
             config,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Grants a lease. Only to be called by a leader that has its own lease at this moment.
+    /// Grants a lease. The caller must be the leader and must hold its leader lease at `now`.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Notes the lease that is about to be granted.
+    /// Records the lease that is about to be granted.
     fn track(&mut self, now: Micros, request: &LeaseRequest) {
         self.leases.remove_expired(now);
         let known = self.leases.applied_revision(request.process);
@@ -82,19 +83,19 @@
         }
         let lease = Lease {
             expires_at: now + self.config.granter_duration(),
-            // Requests overtake each other: a revision that a router has applied once stays applied.
+            // Requests may arrive out of order: a router never goes back behind a revision that it has applied.
             applied_revision: request.applied_revision.max(known),
         };
         self.leases.insert(request.process, lease);
     }
 
-    /// The pending revision, where every lease that was granted without it has expired or its router has applied it
-    /// since.
+    /// Returns the pending revision if it may be put in force: every lease that was granted without it has expired, or
+    /// its router has applied the revision since.
     pub fn ready_revision(&mut self, now: Micros, state: &ConfigState) -> Option<RevisionNumber> {
         let number = state.pending.as_ref()?.number;
         let since = self.pending_since(number, now);
         let lease = self.config.granter_duration();
-        // Leases of an earlier leader are not known here: they have to expire.
+        // Leases that an earlier leader granted are not known to this granter, so they have to expire first.
         let all_known = now - self.leader_since >= lease && !self.has_untracked;
         self.leases.remove_expired(now);
         let all_applied = self.leases.all_applied(number);
@@ -102,7 +103,7 @@
         is_ready.then_some(number)
     }
 
-    /// When this pending revision was first seen, which is now where it is a new one.
+    /// Returns when this pending revision was first seen, which is `now` if it is a new one.
     fn pending_since(&mut self, number: RevisionNumber, now: Micros) -> Micros {
         let known = self.pending.filter(|pending| pending.number == number);
         let pending = known.unwrap_or(PendingSince { number, since: now });
@@ -110,8 +111,8 @@
         pending.since
     }
 
-    /// When [`LeaseGranter::ready_revision`] may change next by time alone; `None` where it will not any more, or
-    /// nothing is pending.
+    /// Returns when the result of [`LeaseGranter::ready_revision`] may next change by the passing of time; `None` if it
+    /// cannot, or if no revision is pending.
     pub fn next_check(&self, now: Micros) -> Option<Micros> {
         let lease = self.config.granter_duration();
         let pending_lease_end = self.pending?.since + lease;
@@ -122,8 +123,8 @@
             .min()
     }
 
-    /// Leases that are live at `now`.
+    /// Counts the leases that are live at `now`, and those of routers that have applied the newest revision.
     pub fn lease_counts(&self, now: Micros, state: &ConfigState) -> LeaseCounts {
-        self.leases.live(now, state.newest())
+        self.leases.counts(now, state.newest())
     }
 }
--- a/crates/spokeflow-coordination/src/lease_holder.rs
+++ b/crates/spokeflow-coordination/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! A router's side of leases: the revisions that it holds a lease on, and until when by its own clock.
+//! The router's side of leases: the revisions that it holds a lease on, and when the lease expires by its own clock.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,20 @@
     Revision, RevisionNumber, RevisionRef, VoterAddresses,
 };
 
-/// Requests whose time of sending is remembered; an answer to an older one gives nothing.
+/// Maximum number of requests whose sending time is remembered. A grant in answer to an older request is ignored.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Renewals in the time of one lease: two in a row may fail before it expires.
+/// Number of renewals within one lease duration, so that a lease survives two failed renewals in a row.
 const RENEWALS_PER_LEASE: Micros = 3;
 
 /// The lease of a router.
 ///
-/// Times are microseconds of the router's clock, which never goes back from one call to the next.
+/// Times are microseconds of the router's clock, which must never go back from one call to the next.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     config: LeaseConfig,
     process: u64,
     router: u32,
-    /// The oldest first.
+    /// Requests that are not answered yet, oldest first.
     open_requests: VecDeque<OpenRequest>,
     last_request: u64,
     expires_at: Option<Micros>,
@@ -30,12 +30,13 @@
     pending: Option<Revision>,
     applied_revision: RevisionNumber,
     voters: VoterAddresses,
-    /// The version of the endpoint list that the router has, where it wants the list.
+    /// The version of the endpoint list that the router has; `None` if it does not get the list from the control plane.
     list_version: Option<ListVersion>,
+    /// The list update of the last accepted grant, until it is taken.
     list_update: Option<EndpointListUpdate>,
 }
 
-/// A request that is not answered yet.
+/// A request that is not answered yet, and when it was sent.
 #[derive(Clone, Debug)]
 struct OpenRequest {
     number: u64,
@@ -43,7 +44,8 @@
 }
 
 impl LeaseHolder {
-    /// A router that has no lease yet. `process` is a random number of its process, `router` its index in the fleet.
+    /// Creates the holder of a router that has no lease yet. `process` is a random number that identifies the router's
+    /// process, `router` is the router's index in the fleet.
     pub fn new(config: LeaseConfig, process: u64, router: u32) -> Self {
         LeaseHolder {
             config,
@@ -61,43 +63,43 @@
         }
     }
 
-    /// Asks for the endpoint list as well, from now on.
+    /// Makes all requests ask for the endpoint list as well.
     pub fn with_list(mut self) -> Self {
         self.list_version = Some(ListVersion(0));
         self
     }
 
-    /// How often to ask for a renewal.
+    /// Returns the time between two requests to renew the lease.
     pub fn renewal_interval(&self) -> Micros {
         self.config.holder_duration() / RENEWALS_PER_LEASE
     }
 
-    /// When the lease expires; `None` where there never was one.
+    /// Returns when the lease expires or has expired; `None` if there never was one.
     pub fn expires_at(&self) -> Option<Micros> {
         self.expires_at
     }
 
-    /// What the last accepted grant said of the endpoint list, once.
+    /// Takes the endpoint list update of the last accepted grant; `None` if it had none or it was taken already.
     pub fn take_list_update(&mut self) -> Option<EndpointListUpdate> {
         self.list_update.take()
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn in_force(&self) -> &Revision {
         &self.in_force
     }
 
-    /// The pending revision, which has to be respected beside the one in force.
+    /// Returns the pending revision, which the router has to respect besides the one in force.
     pub fn pending(&self) -> Option<&Revision> {
         self.pending.as_ref()
     }
 
-    /// Addresses of the voters, as the leader named them last.
+    /// Returns the addresses of the voters, as the leader sent them last.
     pub fn voter_addresses(&self) -> &[String] {
         &self.voters.addresses
     }
 
-    /// The number of the newest revision, in force or pending.
+    /// Returns the number of the newest revision, in force or pending.
     pub fn newest(&self) -> RevisionNumber {
         self.pending
             .as_ref()
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Notes that all acts from now on respect this revision.
+    /// Records that all actions of the router from now on respect this revision.
     pub fn set_applied_revision(&mut self, revision: RevisionNumber) {
         self.applied_revision = self.applied_revision.max(revision);
     }
 
-    /// Number and content of a request that is sent now.
+    /// Creates a request that is sent at `now`. Returns its number and content.
     pub fn request(&mut self, now: Micros) -> (u64, LeaseRequest) {
         self.last_request += 1;
         self.open_requests.push_back(OpenRequest {
@@ -137,13 +139,13 @@
         (self.last_request, request)
     }
 
-    /// Accepts the answer to a request. Returns whether lease or revisions have changed: the caller then acts on them
-    /// in one step or, where it cannot act on a revision, not on the lease either.
+    /// Handles the grant that answers a request. Returns whether the lease or the revisions have changed. The caller
+    /// must then apply both in one step; if it cannot apply a revision, it must not act on the lease either.
     pub fn on_grant(&mut self, number: u64, grant: LeaseGrant) -> bool {
         let Some(sent_at) = self.close_request(number) else {
             return false;
         };
-        // The lease counts from the sending: how long the answer took is not known to the granter.
+        // The lease counts from the sending of the request, as the granter does not know when its answer arrives.
         let expires_at = sent_at + self.config.holder_duration();
         if !self.is_newer(&grant, expires_at) {
             return false;
@@ -166,7 +168,7 @@
         true
     }
 
-    /// When the open request with this number was sent; it is open no longer.
+    /// Closes the open request with this number and returns when it was sent; `None` if there is no such request.
     fn close_request(&mut self, number: u64) -> Option<Micros> {
         let position = self
             .open_requests
@@ -176,7 +178,8 @@
         Some(request.sent_at)
     }
 
-    /// Whether a grant gives later revisions, or the same for longer. An answer that was overtaken takes nothing back.
+    /// Whether a grant has later revisions, or the same ones with a later expiry. A grant that arrives out of order
+    /// must not undo a newer one.
     fn is_newer(&self, grant: &LeaseGrant, expires_at: Micros) -> bool {
         let granted = grant.revisions();
         let known = self.known_revisions();
@@ -187,7 +190,7 @@
         granted != known || expires_at != self.expires_at
     }
 
-    /// The whole revision, from the grant or from those that the router has.
+    /// Returns the whole revision from the grant or, if it has only the number, from the revisions that the router has.
     fn resolve(&self, reference: &RevisionRef) -> Option<Revision> {
         let known = [Some(&self.in_force), self.pending.as_ref()];
         let known = known
@@ -197,14 +200,14 @@
         reference.revision.as_ref().or(known).cloned()
     }
 
-    /// Keeps what a grant says of the list, where that is newer: versions only grow, so what an overtaken answer says
-    /// is known already.
+    /// Keeps the list update of a grant if its version is newer. Versions only grow, so an update that arrives out of
+    /// order is known already.
     fn accept_list(&mut self, update: Option<EndpointListUpdate>) {
-        let has_older = |update: &EndpointListUpdate| {
+        let is_newer = |update: &EndpointListUpdate| {
             self.list_version
                 .is_some_and(|version| update.version > version)
         };
-        self.list_update = update.filter(has_older);
+        self.list_update = update.filter(is_newer);
         if let Some(update) = &self.list_update {
             self.list_version = Some(update.version);
         }
--- a/crates/spokeflow-coordination/src/lease_messages.rs
+++ b/crates/spokeflow-coordination/src/lease_messages.rs
@@ -1,32 +1,34 @@
-//! What a router asks for a lease with, and what it is granted. The order of fields is their encoding.
+//! Lease requests of routers, and the grants that answer them. The binary encoding depends on the order of fields,
+//! which must not change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{EndpointListUpdate, ListVersion, Revision, RevisionNumber};
 
-/// What a router asks for a lease with.
+/// A router's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Random number of the router's process.
+    /// Random number that identifies the router's process.
     pub process: u64,
     /// Index of the router in its fleet.
     pub router: u32,
-    /// The revisions that it has whole.
+    /// The revisions that the router has whole.
     pub known_revisions: KnownRevisions,
-    /// The newest revision that every one of its acts now respects.
+    /// The newest revision that all actions of the router now respect.
     pub applied_revision: RevisionNumber,
-    /// Fingerprint of the voters' addresses that it has.
+    /// Fingerprint of the voters' addresses that the router has.
     pub voters_fingerprint: u64,
-    /// The version of the endpoint list that it has, where it wants the list from the control plane.
+    /// The version of the endpoint list that the router has; `None` if it does not get the list from the control plane.
     pub list: Option<ListVersion>,
 }
 
-/// The revisions that a router has whole, or that a grant names. Ordered by age: the one in force first.
+/// The revisions that a router has whole, or that a grant names. Ordered by age: by the revision in force, then by the
+/// newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownRevisions {
     /// The revision in force.
     pub in_force: RevisionNumber,
-    /// The pending revision, or the one in force where none is pending.
+    /// The pending revision, or the one in force if none is pending.
     pub newest: RevisionNumber,
 }
 
@@ -36,22 +38,22 @@
     }
 }
 
-/// A lease, from the moment at which it was asked for: on the revision in force and, where another is pending, on the
-/// stricter of both.
+/// A lease that starts when its request was sent. The router may act on the revision in force or, if another revision
+/// is pending, on the stricter of both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The revision in force.
     pub in_force: RevisionRef,
-    /// The pending revision.
+    /// The pending revision; `None` if there is none.
     pub pending: Option<RevisionRef>,
-    /// Addresses of the voters, where the router has others.
+    /// Addresses of the voters; `None` if the router has the same.
     pub voters: Option<VoterAddresses>,
-    /// What the router lacks of the endpoint list, where it wants it.
+    /// The part of the endpoint list that the router lacks; `None` if it lacks nothing or did not ask for the list.
     pub list: Option<EndpointListUpdate>,
 }
 
 impl LeaseGrant {
-    /// The revisions that it names.
+    /// Returns the revisions that the grant names.
     pub(crate) fn revisions(&self) -> KnownRevisions {
         let in_force = self.in_force.number;
         KnownRevisions {
@@ -64,21 +66,21 @@
     }
 }
 
-/// A revision, whole where the router does not have it.
+/// A reference to a revision, with its content if the router does not have it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionRef {
-    /// Its number.
+    /// Number of the revision.
     pub number: RevisionNumber,
-    /// The whole of it, where the router lacks it.
+    /// The whole revision; `None` if the router has it.
     pub revision: Option<Revision>,
 }
 
 /// Addresses of the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterAddresses {
-    /// Tells two such lists apart; 0 for none.
+    /// CRC-32 of the addresses plus 1; 0 if there is no list yet.
     pub fingerprint: u64,
-    /// Each with a port.
+    /// The addresses, each with a port.
     pub addresses: Vec<String>,
 }
 
--- a/crates/spokeflow-coordination/src/lease_table.rs
+++ b/crates/spokeflow-coordination/src/lease_table.rs
@@ -1,6 +1,5 @@
-//! The leases that a leader has granted, in each order in which they are looked at: by the router's process, by
-//! expiry, and counted by revision. Every call but [`LeaseTable::live`] takes O(log n) for n leases, amortised: a
-//! lease that expires is taken out once.
+//! The leases that a leader has granted, indexed by the router's process and by expiry, and counted by revision. Every
+//! call except [`LeaseTable::counts`] takes amortised O(log n) for n leases, as each expired lease is removed once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +7,7 @@
 
 use crate::RevisionNumber;
 
-/// A router's permission to act.
+/// A lease of a router, as the leader tracks it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
     pub(crate) expires_at: Micros,
@@ -16,23 +15,23 @@
     pub(crate) applied_revision: RevisionNumber,
 }
 
-/// How many leases are live.
+/// Number of live leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseCounts {
-    /// All of them.
+    /// All live leases.
     pub live: usize,
-    /// Those of routers that have applied the newest revision.
+    /// Live leases of routers that have applied the newest revision.
     pub up_to_date: usize,
 }
 
 /// The leases that a leader has granted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseTable {
-    /// By router's process.
+    /// By the router's process, its lease.
     leases: BTreeMap<u64, Lease>,
-    /// Expiry and router's process of each lease.
+    /// Expiry and process of each lease.
     by_expiry: BTreeSet<(Micros, u64)>,
-    /// By revision, how many leases are of routers that have applied it; a revision without any is not kept.
+    /// By the revision that its router has applied last, the number of leases. Revisions with no lease are removed.
     by_revision: BTreeMap<RevisionNumber, usize>,
 }
 
@@ -41,18 +40,18 @@
         self.leases.len()
     }
 
-    /// The newest revision that the router of this process has applied; `None` where it holds no lease.
+    /// Returns the newest revision that the router of this process has applied; `None` if it holds no lease.
     pub(crate) fn applied_revision(&self, process: u64) -> Option<RevisionNumber> {
         self.leases
             .get(&process)
             .map(|lease| lease.applied_revision)
     }
 
-    /// Gives the process this lease in place of the one it holds, if any.
+    /// Inserts the lease of a process, in place of its earlier lease, if any.
     pub(crate) fn insert(&mut self, process: u64, lease: Lease) {
         if let Some(earlier) = self.leases.insert(process, lease) {
             self.by_expiry.remove(&(earlier.expires_at, process));
-            self.uncount(earlier.applied_revision);
+            self.decrement_revision_count(earlier.applied_revision);
         }
         self.by_expiry.insert((lease.expires_at, process));
         *self.by_revision.entry(lease.applied_revision).or_default() += 1;
@@ -66,7 +65,7 @@
             }
             self.by_expiry.pop_first();
             if let Some(expired) = self.leases.remove(&process) {
-                self.uncount(expired.applied_revision);
+                self.decrement_revision_count(expired.applied_revision);
             }
         }
     }
@@ -78,9 +77,9 @@
             .is_none_or(|(oldest, _)| *oldest >= revision)
     }
 
-    /// How many leases are live at `now`, and how many of these are of routers that have applied `revision` or a later
-    /// one. Walks the leases that have expired and are not removed yet.
-    pub(crate) fn live(&self, now: Micros, revision: RevisionNumber) -> LeaseCounts {
+    /// Counts the leases that are live at `now`, and those of them whose routers have applied `revision` or a later
+    /// one. Iterates over the leases that have expired and are not removed yet.
+    pub(crate) fn counts(&self, now: Micros, revision: RevisionNumber) -> LeaseCounts {
         let mut counts = LeaseCounts {
             live: self.leases.len(),
             up_to_date: self
@@ -99,7 +98,7 @@
         counts
     }
 
-    fn uncount(&mut self, revision: RevisionNumber) {
+    fn decrement_revision_count(&mut self, revision: RevisionNumber) {
         let Some(leases) = self.by_revision.get_mut(&revision) else {
             return;
         };
--- a/crates/spokeflow-coordination/src/lib.rs
+++ b/crates/spokeflow-coordination/src/lib.rs
@@ -1,12 +1,11 @@
 //! Replicated configuration and the leases on it, without I/O.
 //!
-//! A [`Coordinator`] is a control-plane node: it has a [`RaftNode`](spokeflow_raft::RaftNode), the [`ConfigState`] that
-//! the log makes, which is the revision in force and the pending one, and a [`LeaseGranter`] while it leads. The granter
-//! gives routers leases and finds when a pending revision may come into force. A [`LeaseHolder`] is a router's: what it
-//! may act on, and until when.
+//! A [`Coordinator`] is a control-plane node. It has a [`RaftNode`](spokeflow_raft::RaftNode), the [`ConfigState`] that
+//! results from the log, with the revision in force and the pending one, and a [`LeaseGranter`] while it is the leader.
+//! The granter grants leases to routers and determines when a pending revision may be put in force. A [`LeaseHolder`]
+//! is the router's side: the revisions that the router may act on, and until when.
 //!
-//! `docs/agreement.md` has the argument for why no two routers act on revisions that contradict each other for longer
-//! than one lease.
+//! `docs/agreement.md` explains why no two routers act on contradicting revisions for longer than one lease.
 
 mod config_state;
 mod coordinator;
--- a/crates/spokeflow-coordination/src/listed_host.rs
+++ b/crates/spokeflow-coordination/src/listed_host.rs
@@ -1,48 +1,48 @@
-//! Hosts of the endpoint list, what the list's source says of them, and what followers are sent.
+//! Hosts of the endpoint list, updates from the list's source, and updates that are sent to routers.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the list, counted by the log: one more with each accepted update. 0 is before the first.
+/// Version of the endpoint list: grows by one with each accepted update. 0 is the empty list before the first update.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ListVersion(pub u64);
 
-/// Whether a host takes commands.
+/// Whether a host accepts commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HostState {
-    /// It is no longer there.
+    /// The host no longer exists.
     Gone,
-    /// It takes commands.
+    /// The host accepts commands.
     Ready,
-    /// It ends what it has and takes nothing new.
+    /// The host finishes the commands that it has and accepts no new ones.
     Draining,
 }
 
-/// A host of the list.
+/// A host of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ListedHost {
     /// Id of the host.
     pub host: u32,
-    /// Its address with a port.
+    /// Address of the host, with a port.
     pub address: String,
-    /// The build that it runs, where that is known.
+    /// The build that the host runs; `None` if that is not known.
     pub build: Option<u16>,
-    /// Its cell.
+    /// Cell of the host.
     pub cell: u16,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: u16,
-    /// Whether it takes commands.
+    /// Whether the host accepts commands.
     pub state: HostState,
-    /// Grows with each start of the host's process.
+    /// Number that grows with each start of the host's process.
     pub incarnation: u64,
-    /// Microseconds since that start, at least; `None` for long ago.
+    /// Microseconds since that start, as a lower bound; `None` if the host started long ago.
     pub up_us: Option<u64>,
 }
 
 impl ListedHost {
-    /// Whether both say the same, whatever the time since the start.
-    pub(crate) fn says_the_same(&self, other: &ListedHost) -> bool {
+    /// Whether both are equal in all fields but the uptime.
+    pub(crate) fn equals_ignoring_uptime(&self, other: &ListedHost) -> bool {
         let without_uptime = |host: &ListedHost| ListedHost {
             up_us: None,
             ..host.clone()
@@ -51,20 +51,20 @@
     }
 }
 
-/// What the list's source said.
+/// An update of the endpoint list, as read from its source.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SourceUpdate {
-    /// The source's own version.
+    /// Version of the update, assigned by the source.
     pub version: u64,
-    /// Whether all hosts are named; those that are not are gone.
+    /// Whether the update names all hosts. Hosts that a complete update does not name are gone.
     pub complete: bool,
-    /// The hosts that it names.
+    /// The hosts that the update names.
     pub hosts: Vec<ListedHost>,
 }
 
 impl SourceUpdate {
-    /// Whether this is a second reading of the same complete list: same version, and the same hosts in the same
-    /// states.
+    /// Whether this is a second reading of the same complete list: it has the same version, and the same hosts in the
+    /// same states.
     pub(crate) fn confirms(&self, earlier: &SourceUpdate) -> bool {
         let states = |update: &SourceUpdate| -> Vec<(u32, HostState)> {
             let hosts = update.hosts.iter();
@@ -77,38 +77,39 @@
     }
 }
 
-/// Why an update of the source is rejected.
+/// Why an update from the source is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rejection {
-    /// Its version is lower than an earlier one.
+    /// The version of the update is lower than that of the last accepted one.
     Backwards {
-        /// The version of the update. Under its earlier name in JSON, which scripts read.
+        /// Version of the update. The JSON output, which scripts read, keeps the earlier name of this field.
         #[serde(rename = "told")]
         received: u64,
-        /// The version that was accepted before.
+        /// Version of the last accepted update.
         before: u64,
     },
-    /// One version came twice, with different hosts.
+    /// The source sent one version twice, with different hosts.
     Forked {
         /// That version.
         version: u64,
     },
-    /// More than half of the hosts are missing from a complete list. Accepted where a second reading confirms it.
+    /// More than half of the hosts are missing from a complete list. The list is accepted if a second reading confirms
+    /// it.
     Halved {
-        /// How many hosts there were.
+        /// Number of hosts before the update.
         before: usize,
-        /// How many of them are missing.
+        /// Number of these that are missing from the update.
         missing: usize,
     },
 }
 
-/// What a follower of the list lacks.
+/// The part of the endpoint list that a router lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointListUpdate {
-    /// The version that the follower has with it.
+    /// The version that the router has once it has applied the update.
     pub version: ListVersion,
-    /// Whether it replaces all that the follower has.
+    /// Whether the update replaces the whole list of the router.
     pub complete: bool,
-    /// The hosts that have changed, or all.
+    /// The hosts that have changed, or all hosts if the update is complete.
     pub hosts: Vec<ListedHost>,
 }
--- a/crates/spokeflow-coordination/src/revision.rs
+++ b/crates/spokeflow-coordination/src/revision.rs
@@ -1,63 +1,64 @@
-//! Revisions of the configuration: their values, how one is proposed, and what becomes of a proposal.
+//! Revisions of the configuration: their values, proposals of new ones, and the outcomes of proposals.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Number of a revision. 0 is the state before the first one.
+/// Number of a revision. 0 is the configuration before the first revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RevisionNumber(pub u64);
 
-/// Names of flags without their dashes, and their values as one would write them. What is not named is as each
-/// router's own flags say.
+/// Flag names without the leading dashes, and values as written on the command line. A setting that is not named keeps
+/// the value from each router's own flags.
 pub type Overrides = BTreeMap<String, String>;
 
 /// A revision of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Its number.
+    /// Number of the revision.
     pub number: RevisionNumber,
-    /// All values of the revision, also those that the one before had.
+    /// All values of the revision, including those that are unchanged from the revision before.
     pub values: Overrides,
 }
 
-/// A change that an operator wants.
+/// A new revision that an operator proposes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Random number of the proposal: one that is sent again has the same, and counts once.
+    /// Random number that identifies the proposal. A proposal that is sent again has the same token and counts once.
     pub token: u64,
-    /// The newest revision that the author knew of, in force or pending.
+    /// The newest revision, in force or pending, that the author knew of.
     pub base: RevisionNumber,
     /// The author's name.
     pub who: String,
     /// The author's reason.
     pub why: String,
-    /// Seconds since 1970 by the clock of the node that accepted it. For operators: nothing is decided by it.
+    /// When the proposal was accepted, in seconds since 1970 by the accepting node's clock. Only shown to operators; no
+    /// decision depends on it.
     pub at_s: u64,
     /// The values of the proposed revision.
     pub values: Overrides,
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is the pending revision, under this number.
+    /// The proposal became the pending revision with this number.
     Pending(RevisionNumber),
-    /// It was made against another revision than the newest.
+    /// The proposal is not based on the newest revision.
     Stale {
         /// The newest revision.
         newest: RevisionNumber,
     },
-    /// Another revision is pending.
+    /// The proposal was refused because another revision is pending.
     Busy {
-        /// That revision.
+        /// The pending revision.
         pending: RevisionNumber,
     },
 }
 
-/// A revision of the past or present, with its author, reason and times.
+/// Record of a past, current or pending revision, with its author, reason and times.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RevisionRecord {
     /// The revision.
@@ -66,9 +67,10 @@
     pub who: String,
     /// The author's reason.
     pub why: String,
-    /// When it was proposed, in seconds since 1970. Under its earlier name in JSON, which scripts read.
+    /// When the revision was proposed, in seconds since 1970. The JSON output, which scripts read, keeps the earlier
+    /// name of this field.
     #[serde(rename = "offered_s")]
     pub proposed_s: u64,
-    /// When it came into force, in seconds since 1970.
+    /// When the revision was put in force, in seconds since 1970; `None` if it is pending.
     pub in_force_s: Option<u64>,
 }
--- a/crates/spokeflow-coordination/src/wire.rs
+++ b/crates/spokeflow-coordination/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages that cross the sockets of control-plane nodes, in the frames of `spokeflow-proto`. The order of variants and
-//! fields is their encoding.
+//! Messages on the connections of control-plane nodes, in the frames of `spokeflow-proto`. The binary encoding depends
+//! on the order of variants and fields, which must not change.
 
 use serde::{Deserialize, Serialize};
 use spokeflow_raft::{LogIndex, Message, NodeId, Term};
@@ -12,123 +12,127 @@
 pub const MAGIC: [u8; 4] = *b"SPKK";
 /// Version of this protocol.
 pub const VERSION: u16 = 1;
-/// Longest frame, in bytes: a snapshot of the state, or 64 entries.
+/// Maximum length of a frame, in bytes. The longest messages hold a snapshot of the state, or 64 log entries.
 pub const LIMIT: usize = 8 << 20;
 
-/// Settings that all control-plane nodes of a fleet must have in common.
+/// Settings that must be the same on all control-plane nodes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterParameters {
     /// Id of the fleet.
     pub fleet: u64,
     /// Election timeout, in microseconds.
     pub election_timeout_us: u64,
-    /// Duration of routers' leases, in microseconds.
+    /// Duration of the routers' leases, in microseconds.
     pub lease_us: u64,
-    /// How much faster or slower than true time a clock may run, as a fraction.
+    /// Largest deviation of a clock's rate from true time, in either direction, as a fraction.
     pub max_clock_drift: f64,
 }
 
-/// Who opens a connection.
+/// The peer that opens a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Caller {
     /// Another control-plane node.
     Node {
-        /// Its id.
+        /// Id of the node.
         id: NodeId,
-        /// Number of the start of its process, counted on its disk.
+        /// Number of starts of the node's process, counted on its disk.
         start: u64,
-        /// Random numbers of its latest processes, from its disk, the present one last. A disk that lacks a process
-        /// which was met before has lost what that process promised, however often it has been started since.
+        /// Random numbers of the node's latest processes, from its disk, the current one last. If a process that has
+        /// connected before is not among them, the disk has lost the votes and entries which that process confirmed,
+        /// however often the node has been started since.
         processes: Vec<u64>,
-        /// Its settings.
+        /// Settings of the node.
         parameters: ClusterParameters,
-        /// Addresses of nodes that it knows: one that joins has no state yet to find the leader by.
+        /// Addresses of nodes that the caller knows. A node that joins needs them to reach the leader, as it has no
+        /// replicated state yet.
         addresses: Vec<(NodeId, String)>,
     },
     /// A router.
     Router {
-        /// Its index in the fleet.
+        /// Index of the router in the fleet.
         index: u32,
     },
-    /// An operator's command line.
+    /// An operator's command line tool.
     Operator,
 }
 
-/// What a control-plane node is asked for.
+/// A request to a control-plane node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// A lease, by a router.
+    /// Asks for a lease, for a router.
     Lease(LeaseRequest),
-    /// A new revision.
+    /// Proposes a new revision.
     Propose(Proposal),
-    /// The state of the cluster.
+    /// Asks for the state of the cluster.
     Status,
-    /// To register the address of a node, which may then be added as a voter.
+    /// Registers the address of a node, which may then be added as a voter.
     SetAddress {
         /// The node.
         node: NodeId,
-        /// Its address with a port.
+        /// Address of the node, with a port.
         address: String,
     },
-    /// To let the source of the endpoint list begin again from any version.
+    /// Accepts any version as the next one from the source of the endpoint list.
     TrustList,
-    /// To add or remove one voter; names all that vote from then on.
+    /// Adds or removes one voter; names all voters after the change.
     ChangeVoters(Vec<NodeId>),
 }
 
 /// Answers a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// A lease.
+    /// The lease is granted.
     Granted(Box<LeaseGrant>),
-    /// No leader is known to the node: nothing was done.
+    /// The request was not carried out, as no leader is known or the leader could not accept it.
     NoLeader,
-    /// What became of a proposal.
+    /// The outcome of a proposal.
     Proposed(ProposalOutcome),
-    /// It may have been done or not; the same request with the same token tells.
+    /// The request may have been carried out or not. A proposal can be sent again with the same token to find out.
     Indeterminate,
-    /// The request was refused for its content.
+    /// The request was refused because of its content; the text says why.
     Invalid(String),
     /// The state of the cluster.
     Status(Box<ClusterStatus>),
-    /// The command is in the log; whether it is committed is seen in the status.
+    /// The command is in the leader's log. Whether it is committed can be seen in the status.
     Accepted,
 }
 
-/// The state at one instant, as the leader has it.
+/// State of the cluster at one time, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
     /// The leader.
     pub leader: NodeId,
-    /// Its term.
+    /// Term of the leader.
     pub term: Term,
     /// Index of the last committed entry.
     pub committed: LogIndex,
     /// The revision in force.
     pub in_force: Revision,
-    /// The pending revision. Under its earlier name in JSON, which scripts read.
+    /// The pending revision. The JSON output, which scripts read, keeps the earlier name of this field.
     #[serde(rename = "announced")]
     pub pending: Option<Revision>,
-    /// The newest last.
+    /// Records of revisions, the newest last.
     pub history: Vec<RevisionRecord>,
-    /// The voters. Under its earlier name in JSON, which scripts read.
+    /// The voters. The JSON output, which scripts read, keeps the earlier name of this field.
     #[serde(rename = "members")]
     pub voters: Vec<NodeId>,
-    /// Registered addresses of nodes. Under its earlier name in JSON, which scripts read.
+    /// Registered addresses of nodes. The JSON output, which scripts read, keeps the earlier name of this field.
     #[serde(rename = "seats")]
     pub addresses: Vec<(NodeId, String)>,
-    /// Live leases that this leader has granted.
+    /// Number of live leases that this leader has granted.
     pub leases: u64,
     /// Version of the endpoint list.
     pub list: u64,
-    /// The source's version behind it.
+    /// Version that the source gave to the last accepted update of the list.
     pub list_source: u64,
-    /// Hosts of the list that are not gone.
+    /// Number of hosts of the list that are not gone.
     pub hosts: u64,
-    /// Why a newer update of the list is rejected. Under its earlier name in JSON, which scripts read.
+    /// Why the last update of the list was rejected; `None` if it was not. The JSON output, which scripts read, keeps
+    /// the earlier name of this field.
     #[serde(rename = "list_doubt")]
     pub list_rejection: Option<Rejection>,
-    /// Live leases of routers that have applied the newest revision. Under its earlier name in JSON, which scripts read.
+    /// Number of live leases of routers that have applied the newest revision. The JSON output, which scripts read,
+    /// keeps the earlier name of this field.
     #[serde(rename = "acting")]
     pub up_to_date_leases: u64,
 }
@@ -142,14 +146,14 @@
         magic: [u8; 4],
         /// [`VERSION`].
         version: u16,
-        /// Who calls.
+        /// The peer that opens the connection.
         caller: Caller,
     },
-    /// Consensus, between nodes.
+    /// A Raft message from another node.
     Raft(Message),
-    /// A request, forwarded or the caller's own.
+    /// A request, of the caller itself or forwarded by it.
     Request {
-        /// The caller's number of it, repeated in the response.
+        /// Number of the request, assigned by the caller and repeated in the response.
         number: u64,
         /// The request.
         request: Request,
@@ -157,7 +161,7 @@
 }
 
 impl ToNode {
-    /// The message that opens a connection.
+    /// Returns the message that opens a connection.
     pub fn hello(caller: Caller) -> Self {
         ToNode::Hello {
             magic: MAGIC,
@@ -170,15 +174,15 @@
 /// Why a connection is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Another protocol or version.
+    /// The caller uses another protocol or version.
     Version,
-    /// A message that may not come here.
+    /// The message is not allowed at this point of the connection.
     OutOfOrder,
     /// The nodes have different [`ClusterParameters`].
     ConfigMismatch,
-    /// The caller's disk is older than one that this node has met.
+    /// The caller's disk is older than one that the caller had in an earlier connection to this node.
     StaleStore,
-    /// As many connections are open as may.
+    /// The number of open connections has reached the maximum.
     TooManyConnections,
 }
 
@@ -187,23 +191,23 @@
 pub enum FromNode {
     /// Answers [`ToNode::Hello`].
     Welcome {
-        /// The node.
+        /// The node that answers.
         node: NodeId,
-        /// Its settings.
+        /// Settings of that node.
         parameters: ClusterParameters,
     },
     /// The connection is refused and closed.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         why: Refusal,
-        /// More of it, for operators.
+        /// Details for operators.
         text: String,
     },
     /// Answers [`ToNode::Request`].
     Response {
-        /// The caller's number of the request.
+        /// Number of the request, assigned by the caller.
         number: u64,
-        /// The answer.
+        /// The response.
         response: Response,
     },
 }
