--- a/crates/spokeflow-coordination/tests/common/lease_simulation.rs
+++ b/crates/spokeflow-coordination/tests/common/lease_simulation.rs
@@ -1,7 +1,7 @@
-//! One granter after the other and many holders in simulated time.
+//! Lease holders and one granter at a time in simulated time.
 //!
-//! Messages are late, lost, duplicated and reordered, clocks run up to the configured drift off, holders are paused and
-//! restarted, leaders follow each other. Each step checks that no holder contradicts another for too long.
+//! Messages are delayed, lost and reordered, clocks deviate by up to the configured drift, holders are paused and
+//! restarted, and leaders change. Each step checks for how long routers act on contradicting revisions.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-/// By a clock of this rate.
+/// Returns the time by a clock of this rate when it is `now` in true time.
 fn local_time(now: Micros, clock_rate: f64) -> Micros {
     (now as f64 * clock_rate) as Micros
 }
@@ -69,12 +69,12 @@
     state: ConfigState,
     leader: Option<Leader>,
     next_leader_at: Micros,
-    /// By time of arrival and sequence number.
+    /// Messages by time of arrival and sequence number.
     in_flight: BTreeMap<(Micros, u64), Message>,
     last_message: u64,
     revisions: BTreeMap<u64, RevisionTimes>,
-    /// How long each revision was pending.
-    pub(crate) pending_times: Vec<Micros>,
+    /// Time for which each revision was pending before it was put in force.
+    pub(crate) pending_durations: Vec<Micros>,
     pub(crate) longest_contradiction: Micros,
 }
 
@@ -100,7 +100,7 @@
             in_flight: BTreeMap::new(),
             last_message: 0,
             revisions: BTreeMap::new(),
-            pending_times: vec![],
+            pending_durations: vec![],
             longest_contradiction: 0,
         }
     }
@@ -130,14 +130,15 @@
             let message = next.remove();
             self.deliver(message);
         }
-        self.lead();
+        self.run_leader();
         for index in 0..self.routers.len() {
             self.run_router(index);
         }
         self.check();
     }
 
-    /// Leaders: one at a time, with gaps, as the control plane's own leases see to.
+    /// Ends or starts a leadership at random. There is one leader at a time, which leader leases ensure in the control
+    /// plane.
     fn change_leader(&mut self) {
         if self.leader.is_some() && self.rng.random_bool(0.002) {
             self.leader = None;
@@ -184,7 +185,8 @@
         });
     }
 
-    /// A paused router gets it late; one that was restarted, not at all.
+    /// Delivers a grant to a router: after the pause if the router is paused, not at all if it was restarted since the
+    /// request.
     fn on_grant(&mut self, index: usize, process: u64, number: u64, grant: LeaseGrant) {
         let router = &mut self.routers[index];
         if !router.is_running(self.now) {
@@ -203,8 +205,8 @@
         }
     }
 
-    /// The leader puts a ready revision in force, or an operator proposes the next.
-    fn lead(&mut self) {
+    /// Puts a ready revision in force, or proposes the next one at random.
+    fn run_leader(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -214,7 +216,7 @@
                 .apply(LogCommand::PutInForce { revision, at_s: 0 });
             let times = self.revisions.get_mut(&revision.0).unwrap();
             times.in_force_at = Some(self.now);
-            self.pending_times.push(self.now - times.proposed_at);
+            self.pending_durations.push(self.now - times.proposed_at);
         } else if self.state.pending.is_none() && self.rng.random_bool(0.01) {
             let newest = self.state.newest();
             let command = LogCommand::Propose(proposal(newest.0 + 1000, newest));
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Pauses or restarts a router at random, and sends its next request.
+    /// Pauses or restarts a router at random, and sends its next request when due.
     fn run_router(&mut self, index: usize) {
         if self.rng.random_bool(0.0005) {
             let duration = self.rng.random_range(0..6 * SECOND);
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Every router that runs and holds a lease acts at this instant.
+    /// Checks each router that runs and holds a lease, as it may act now.
     fn check(&mut self) {
         for router in &self.routers {
             let now = local_time(self.now, router.clock_rate);
@@ -264,26 +266,27 @@
             let in_force = router.holder.in_force().number.0;
             let newest = router.holder.newest().0;
             for (revision, times) in self.revisions.range(in_force + 1..) {
-                // Not even the stricter of both: it does not know the later one.
+                // The router does not know the later revision, so it does not act on the stricter of both either.
                 if *revision > newest {
                     let contradicts_for = self.now - times.proposed_at;
                     self.longest_contradiction = self.longest_contradiction.max(contradicts_for);
                     assert!(
                         contradicts_for <= CONFIG.longest_contradiction(),
-                        "{revision} is not known, acts on {newest}"
+                        "revision {revision} unknown for {contradicts_for} us, newest {newest}"
                     );
                     assert!(
                         times.in_force_at.is_none(),
-                        "{revision} is in force, and a router acts that does not know it"
+                        "revision {revision} is in force and unknown, newest {newest}"
                     );
                 }
-                // Where neither is the stricter it acts on the earlier one, and others may on the later.
+                // For settings of which neither value is stricter, this router acts on the earlier revision, and others
+                // may act on the later one.
                 if let Some(in_force_at) = times.in_force_at {
                     let contradicts_for = self.now - in_force_at;
                     self.longest_contradiction = self.longest_contradiction.max(contradicts_for);
                     assert!(
                         contradicts_for <= CONFIG.longest_contradiction(),
-                        "{revision} is in force, acts on {in_force}"
+                        "revision {revision} in force for {contradicts_for} us, acts on {in_force}"
                     );
                 }
             }
--- a/crates/spokeflow-coordination/tests/common/mod.rs
+++ b/crates/spokeflow-coordination/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of leases and proposals share.
+//! Helpers shared by the tests of leases and proposals.
 
 use spokeflow_coordination::{Overrides, Proposal, RevisionNumber};
 
-/// A proposal without values.
+/// Returns a proposal without values.
 pub(crate) fn proposal(token: u64, base: RevisionNumber) -> Proposal {
     Proposal {
         token,
--- a/crates/spokeflow-coordination/tests/common/model/mod.rs
+++ b/crates/spokeflow-coordination/tests/common/model/mod.rs
@@ -1,7 +1,7 @@
 //! A small model of a deployment: control-plane nodes, routers and an operator, whose events happen in any order.
 //!
-//! Messages are delivered in any order, late or never; writes are synced late or lost in a kill; time may jump over
-//! every timer, as where all processes are stopped.
+//! Messages are delivered in any order, late or never; writes are synced late, or lost when a node is killed; time may
+//! jump past timers, as if all processes were paused.
 
 mod search;
 
@@ -22,10 +22,10 @@
 pub(crate) const ROUTERS: usize = 2;
 pub(crate) const ELECTION_TIMEOUT: Micros = 300_000;
 pub(crate) const LEASE: Micros = 1_200_000;
-/// The operator's connection; what it is answered decides nothing.
+/// The operator's connection. Responses to the operator are discarded.
 const OPERATOR: u64 = 99;
 
-/// A message on its way.
+/// A message that was sent and not delivered.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
     BetweenNodes {
@@ -47,7 +47,7 @@
 }
 
 impl Message {
-    /// Whether it only concerns these nodes, and routers.
+    /// Whether all control-plane nodes that the message is from or to are among `nodes`.
     fn is_among(&self, nodes: &[usize]) -> bool {
         match self {
             Message::BetweenNodes { from, to, .. } => nodes.contains(from) && nodes.contains(to),
@@ -57,7 +57,7 @@
     }
 }
 
-/// How often each event may still happen.
+/// Number of events of each kind that may still happen.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Budget {
     pub(crate) losses: u8,
@@ -68,7 +68,7 @@
     pub(crate) wakes: u8,
 }
 
-/// The state of the whole deployment, and what was seen of it so far.
+/// The state of the whole deployment, and the revisions seen so far.
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     pub(crate) now: Micros,
@@ -78,9 +78,9 @@
     pub(crate) holders: Vec<LeaseHolder>,
     pub(crate) in_flight: Vec<Message>,
     pub(crate) budget: Budget,
-    /// By revision, when any node first had it as pending.
+    /// By revision, when a node first had it as pending or in force.
     pub(crate) proposed_at: BTreeMap<u64, Micros>,
-    /// By revision, when any node first had it in force.
+    /// By revision, when a node first had it in force.
     pub(crate) in_force_at: BTreeMap<u64, Micros>,
 }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Calls a node, takes what it asks for, and checks all routers.
+    /// Calls a node, takes its effects, and checks all routers.
     fn call(&mut self, node: usize, call: impl FnOnce(&mut Coordinator, Micros, &mut Effects)) {
         let mut effects = Effects::default();
         call(&mut self.nodes[node], self.now, &mut effects);
@@ -152,11 +152,11 @@
                 number: answered.number,
                 response: answered.response,
             }));
-        self.note_revisions(node);
+        self.record_revisions(node);
         self.check();
     }
 
-    fn note_revisions(&mut self, node: usize) {
+    fn record_revisions(&mut self, node: usize) {
         let config = self.nodes[node].config();
         for revision in 1..=config.newest().0 {
             self.proposed_at.entry(revision).or_insert(self.now);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Every router that holds a lease may act at every instant.
+    /// Checks each router that holds a lease, as it may act at any time.
     fn check(&self) {
         for (router, holder) in self.holders.iter().enumerate() {
             if holder
@@ -181,7 +181,7 @@
             let mut unknown = self.proposed_at.range(newest + 1..);
             assert!(
                 !unknown.any(|(_, at)| is_late(at)),
-                "router {router} acts on {newest}, {:?} are known for longer than a lease",
+                "router {router} lacks a revision after {newest} for longer than a lease: {:?}",
                 self.proposed_at
             );
             let mut later = self.in_force_at.range(in_force + 1..);
@@ -191,7 +191,7 @@
             );
             assert!(
                 self.in_force_at.range(newest + 1..).next().is_none(),
-                "router {router} acts on {newest} and does not know one that is in force"
+                "router {router} lacks a revision after {newest} that is in force"
             );
         }
     }
@@ -288,7 +288,8 @@
         self.nodes[node] = start(node, self.disks[node].clone(), self.now);
     }
 
-    /// Runs these nodes without faults until `done`: all is delivered and synced at once, timers fire when due.
+    /// Runs these nodes without faults until `done`: messages are delivered and writes synced at once, and timers fire
+    /// when due. Messages from or to other nodes are lost.
     pub(crate) fn run_without_faults(&mut self, nodes: &[usize], done: impl Fn(&World) -> bool) {
         for _ in 0..10_000 {
             if done(self) {
@@ -310,10 +311,13 @@
                 self.wake(node);
             }
         }
-        panic!("the state that was waited for never came");
+        panic!(
+            "the expected state was not reached within 10000 events, at {} us",
+            self.now
+        );
     }
 
-    /// The node that may act as leader.
+    /// Returns the node that holds its leader lease.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..NODES).find(|node| self.nodes[*node].raft().has_leader_lease(self.now))
     }
--- a/crates/spokeflow-coordination/tests/common/model/search.rs
+++ b/crates/spokeflow-coordination/tests/common/model/search.rs
@@ -1,4 +1,4 @@
-//! The search of all worlds that a number of events can make.
+//! Search of all worlds that a given number of events can lead to.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
@@ -7,7 +7,7 @@
 use super::{World, LEASE, NODES, ROUTERS};
 
 impl World {
-    /// All worlds one event away.
+    /// Returns all worlds that one event leads to.
     fn successors(&self) -> Vec<World> {
         let mut successors = Successors::of(self);
         for position in 0..self.in_flight.len() {
@@ -84,7 +84,7 @@
     }
 }
 
-/// The worlds that one event makes of another.
+/// The worlds that one event leads to from another world.
 struct Successors<'a> {
     from: &'a World,
     worlds: Vec<World>,
@@ -105,15 +105,15 @@
     }
 }
 
-/// What a search has met.
+/// Totals of a search.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) worlds: usize,
-    /// Worlds in which a revision was in force that was not at the start.
+    /// Worlds in which a revision was put in force since the start of the search.
     pub(crate) activated: usize,
 }
 
-/// Visits every world within `depth` events.
+/// Visits every world that at most `depth` events lead to.
 pub(crate) fn search(from: World, depth: usize) -> Counts {
     let in_force_before = from.in_force_at.len();
     let mut seen = HashSet::new();
--- a/crates/spokeflow-coordination/tests/endpoint_list.rs
+++ b/crates/spokeflow-coordination/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which updates of its source are accepted, and what a follower that lags is sent.
+//! The endpoint list: which updates of its source are accepted, and which updates a lagging router gets.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A complete list of ready hosts.
+/// Returns a complete update that names these hosts as ready.
 fn complete(version: u64, hosts: impl IntoIterator<Item = u32>) -> SourceUpdate {
     let hosts = hosts.into_iter();
     SourceUpdate {
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn a_source_that_goes_backwards_forks_or_sends_half_of_the_hosts_is_rejected() {
+fn updates_with_an_older_or_reused_version_or_too_few_hosts_are_rejected() {
     let mut list = EndpointList::default();
     let first = list.evaluate(&complete(7, 0..10), false).unwrap().unwrap();
     list.apply(first);
     assert_eq!(
         list.evaluate(&complete(7, 0..10), false),
         Ok(None),
-        "the same again is nothing new"
+        "a repeated update has no changes"
     );
     assert_eq!(
         list.evaluate(&complete(6, 0..9), false),
@@ -71,9 +71,9 @@
     assert_eq!(
         confirmed.hosts.iter().filter(is_gone).count(),
         6,
-        "a second reading is accepted"
+        "a list confirmed by a second reading removes six hosts"
     );
-    // Six that are said to be gone one by one are no half list.
+    // The limit on missing hosts does not apply to hosts that an update names as gone.
     let six_gone = SourceUpdate {
         version: 8,
         complete: false,
@@ -83,11 +83,11 @@
     list.trust_source();
     assert!(
         list.evaluate(&complete(1, 0..9), false).unwrap().is_some(),
-        "an operator said that it begins again"
+        "after an operator's reset any version is accepted"
     );
 }
 
-/// One that asks for what it lacks at every so many versions.
+/// A router's copy of the list, which is updated once every `interval` versions.
 struct Follower {
     interval: u64,
     version: ListVersion,
@@ -117,14 +117,15 @@
         assert_eq!(
             self.hosts.values().collect::<Vec<_>>(),
             present(list),
-            "seed {seed}, every {} versions",
+            "seed {seed}: another list after an update every {} versions",
             self.interval
         );
         assert_eq!(list.update_since(self.version), None);
     }
 }
 
-/// Many more hosts than are kept as changes: a follower that lags for long cannot be served by those alone.
+/// Returns a random update. Host ids are drawn from more hosts than the number of changes that the list keeps, so a
+/// follower that lags for long needs the whole list.
 fn random_update(
     version: u64,
     rng: &mut StdRng,
@@ -149,9 +150,9 @@
     }
 }
 
-/// Whoever has any version and applies what it is sent has the list.
+/// A follower at any version that applies the update it gets must have the same list.
 #[test]
-fn what_a_lagging_follower_is_sent_makes_the_same_list() {
+fn updates_give_lagging_followers_the_same_list() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut list = EndpointList::default();
--- a/crates/spokeflow-coordination/tests/exhaustive_search.rs
+++ b/crates/spokeflow-coordination/tests/exhaustive_search.rs
@@ -1,6 +1,7 @@
-//! Every order of events of a small model, to a depth, from worlds in which something is under way already: a revision
-//! that is pending, a leader that was just elected while another's leases are still live. In each world no router that
-//! holds a lease contradicts, for longer than a lease, what any control-plane node has known.
+//! Exhaustive search of a small model to a given depth, from worlds such as one with a pending revision, or one in
+//! which a leader was just elected while an earlier leader's leases are still live. In each world it is checked that no
+//! router with a lease acts, for longer than one lease, on a revision that contradicts one known to a control-plane
+//! node.
 
 mod common;
 #[path = "common/model/mod.rs"]
@@ -11,7 +12,7 @@
 
 const ALL: [usize; NODES] = [0, 1, 2];
 
-/// Searches to the depth of `SPOKEFLOW_SEARCH_DEPTH`, or to 5.
+/// Searches to the depth given by `SPOKEFLOW_SEARCH_DEPTH`, or to depth 5, and prints the totals.
 fn search_and_print(name: &str, from: World) -> Counts {
     let depth = std::env::var("SPOKEFLOW_SEARCH_DEPTH")
         .ok()
@@ -22,8 +23,8 @@
     counts
 }
 
-/// A leader that has led for longer than a lease, and both routers with a lease.
-fn settled() -> World {
+/// Returns a world whose leader was elected more than a lease ago, and in which both routers hold a lease.
+fn stable_world() -> World {
     let mut world = World::new();
     world.run_without_faults(&ALL, |world| world.leader().is_some());
     let elected_at = world.now;
@@ -41,15 +42,15 @@
     (0..NODES).filter(|other| *other != node).collect()
 }
 
-/// The one of these nodes that was elected, whether it may act yet or not.
+/// Returns the node among `nodes` that was elected leader, whether or not it may act as leader yet.
 fn elected_of(world: &World, nodes: &[usize]) -> Option<usize> {
     let mut nodes = nodes.iter().copied();
     nodes.find(|node| world.nodes[*node].raft().is_leader())
 }
 
 #[test]
-fn every_order_after_a_proposal_keeps_the_bound() {
-    let mut world = settled();
+fn every_order_of_events_after_a_proposal_keeps_the_contradiction_bound() {
+    let mut world = stable_world();
     world.budget = Budget {
         losses: 1,
         kills: 1,
@@ -62,10 +63,10 @@
     assert!(counts.worlds > 10_000, "{counts:?}");
 }
 
-/// One revision is pending and one router knows it; what follows decides when it comes into force.
+/// One revision is pending and known to one router of two. Guards against putting it in force too early.
 #[test]
-fn every_order_while_a_revision_is_pending_keeps_the_bound() {
-    let mut world = settled();
+fn every_order_of_events_while_a_revision_is_pending_keeps_the_contradiction_bound() {
+    let mut world = stable_world();
     let leader = world.leader().unwrap();
     world.propose(leader);
     world.run_without_faults(&ALL, |world| {
@@ -73,7 +74,7 @@
     });
     world.request_lease(0, leader);
     world.run_without_faults(&ALL, |world| world.holders[0].newest().0 == 1);
-    // The other has not asked since: its lease and the wait for it end a moment from now.
+    // The other router has not renewed since. Its lease, and the leader's wait for it, are about to expire.
     let almost_expired_at = world.proposed_at[&1] + LEASE - ELECTION_TIMEOUT / 3;
     world.run_without_faults(&ALL, |world| world.now > almost_expired_at);
     world.budget = Budget {
@@ -88,13 +89,14 @@
     assert!(counts.worlds > 10_000 && counts.activated > 0, "{counts:?}");
 }
 
-/// The leader is gone with what it has granted; another has been elected while those leases are still live.
+/// The leader stopped after granting leases, and another was elected while they are live. Guards against a new leader
+/// that does not wait for leases it does not know.
 #[test]
-fn every_order_after_a_change_of_leader_keeps_the_bound() {
-    let mut world = settled();
+fn every_order_of_events_after_a_change_of_leader_keeps_the_contradiction_bound() {
+    let mut world = stable_world();
     let first = world.leader().unwrap();
     let others = nodes_but(first);
-    // Renewed as late as it can be: the leases are fresh when the next leader is elected.
+    // Renewed just before the leader stops, so that the leases are still live when the next leader is elected.
     (0..ROUTERS).for_each(|router| world.request_lease(router, first));
     world.run_without_faults(&[first], |world| world.in_flight.is_empty());
     world.run_without_faults(&others, |world| {
@@ -117,13 +119,14 @@
     assert!(counts.worlds > 10_000, "{counts:?}");
 }
 
-/// A leader that has just been elected and has an entry of the one before: it grants nothing until that is committed.
+/// A new leader has a proposal of the earlier leader in its log that it does not know to be committed. Guards against
+/// granting leases before it is.
 #[test]
-fn every_order_in_which_an_earlier_leaders_proposal_is_committed_keeps_the_bound() {
-    let mut world = settled();
+fn every_order_of_events_with_an_earlier_leaders_proposal_keeps_the_contradiction_bound() {
+    let mut world = stable_world();
     let first = world.leader().unwrap();
     let others = nodes_but(first);
-    // Proposed by the first, known to be committed by itself alone; it has granted on it, and is gone.
+    // Only the first leader knows that its proposal is committed. It grants a lease with it, then stops.
     world.propose(first);
     world.run_without_faults(&ALL, |world| world.proposed_at.len() == 1);
     world.request_lease(0, first);
@@ -142,28 +145,28 @@
     assert!(counts.worlds > 10_000, "{counts:?}");
 }
 
-/// A leader that has just been elected may have a committed revision that its state does not show yet: others have been
-/// granted leases on it.
+/// A new leader may have a committed revision in its log that it has not applied, while routers hold leases on that
+/// revision. Guards against granting leases on the state without it.
 #[test]
-fn a_leader_whose_own_entry_is_not_committed_yet_grants_nothing() {
-    let mut world = settled();
+fn a_leader_grants_no_lease_before_an_entry_of_its_own_term_is_committed() {
+    let mut world = stable_world();
     let first = world.leader().unwrap();
     let others = nodes_but(first);
     world.propose(first);
     world.run_without_faults(&ALL, |world| world.proposed_at.len() == 1);
-    // Known to be committed by the first alone, which is gone.
+    // Only the first leader, which then stops, knows that its proposal is committed.
     world.in_flight.clear();
     world.run_without_faults(&others, |world| elected_of(world, &others).is_some());
     let second = elected_of(&world, &others).unwrap();
     let third = others.into_iter().find(|node| *node != second).unwrap();
     assert!(
         world.nodes[second].config().pending.is_none(),
-        "the state does not show it yet"
+        "the second leader has applied the proposal already"
     );
-    answer_without_syncing(&mut world, first, third);
+    answer_without_leader_sync(&mut world, first, third);
     assert!(
         world.nodes[second].raft().has_recent_quorum(world.now),
-        "its leader lease holds"
+        "the second leader has no recent quorum"
     );
     world.in_flight.clear();
     world.request_lease(1, second);
@@ -197,9 +200,9 @@
     assert!(grant.pending.is_some(), "{:?}", world.in_flight);
 }
 
-/// The third node answers the leader, so that it has its lease; the leader's own write is not on the disk, so that
-/// nothing is committed.
-fn answer_without_syncing(world: &mut World, first: usize, third: usize) {
+/// Delivers messages between the second leader and the third node, so that the leader has a recent quorum. The leader's
+/// own write is not synced, so that it commits nothing.
+fn answer_without_leader_sync(world: &mut World, first: usize, third: usize) {
     for _ in 0..20 {
         let is_to_other =
             |message: &Message| matches!(message, Message::BetweenNodes { to, .. } if *to != first);
--- a/crates/spokeflow-coordination/tests/frames_of_start.rs
+++ b/crates/spokeflow-coordination/tests/frames_of_start.rs
@@ -1,13 +1,11 @@
-//! Frames of the control protocol and durable records that commit d62ab1d encoded, read by the
-//! present code.
+//! Compatibility of the control protocol and of durable records with commit d62ab1d: the current code must read and
+//! write the same bytes.
 //!
-//! `fixtures/d62ab1d/frames.txt` holds one message a line: the name that it had at that commit,
-//! then the whole frame (length and body) in hexadecimal digits. `fixtures/d62ab1d/records.txt`
-//! holds in the same way what the log and its snapshots store: commands, and the state that a
-//! sequence of commands makes; these have no length in front. Each line is decoded and compared with a value that
-//! is written out here, in which no two fields hold the same number, so that fields which changed
-//! places are noticed; encoding that value has to give the same bytes. The names are those of
-//! d62ab1d and stay as they are when a type is renamed.
+//! `fixtures/d62ab1d/frames.txt` has one message per line: its name at that commit, then the whole frame (length and
+//! body) in hexadecimal digits. `fixtures/d62ab1d/records.txt` has the records of the log and its snapshots in the same
+//! form, without a length: commands, and the state after a sequence of commands. Each line is decoded and compared with
+//! a value that is written out here, and that value must encode to the same bytes. No two fields of a value hold the
+//! same number, so that swapped fields are noticed. The names are those of d62ab1d and stay when a type is renamed.
 //!
 //! The file is long because every message and record is written out with all its fields.
 
@@ -29,7 +27,7 @@
 const FRAMES: &str = include_str!("fixtures/d62ab1d/frames.txt");
 const RECORDS: &str = include_str!("fixtures/d62ab1d/records.txt");
 
-/// A value beside the name under which its bytes are found in the file.
+/// A value, and the name of its line in the fixture file.
 type Named<Value> = (&'static str, Value);
 
 fn bytes_of(digits: &str) -> Vec<u8> {
@@ -38,7 +36,7 @@
     pairs.map(byte).collect()
 }
 
-/// Names and bytes of all lines whose name begins with this type's.
+/// Returns the names and bytes of all lines whose name starts with this type name.
 fn lines_of(file: &'static str, type_name: &str) -> Vec<Named<Vec<u8>>> {
     let lines = file.lines().map(|line| line.split_once(' ').unwrap());
     let of_type = lines.filter(|(name, _)| name.split("::").next() == Some(type_name));
@@ -47,14 +45,18 @@
         .collect()
 }
 
-/// The body of a frame, whose length has to be the one that its first four bytes say.
+/// Returns the body of a frame, after checking its length against the first four bytes.
 fn body_of(frame: &[u8]) -> &[u8] {
     let (length, body) = frame.split_first_chunk::<4>().unwrap();
-    assert_eq!(u32::from_be_bytes(*length) as usize, body.len());
+    assert_eq!(
+        u32::from_be_bytes(*length) as usize,
+        body.len(),
+        "length of the frame's body"
+    );
     body
 }
 
-/// Frames of this type, their lengths taken off.
+/// Returns the bodies of all frames of this type.
 fn bodies_of(type_name: &str) -> Vec<Named<Vec<u8>>> {
     let frames = lines_of(FRAMES, type_name);
     frames
@@ -63,7 +65,7 @@
         .collect()
 }
 
-/// Each stored value, in the file's order, against the one written out for it.
+/// Checks that each stored value, in the order of the file, decodes to the expected one, and encodes to the same bytes.
 fn check_values<Value>(stored: &[Named<Vec<u8>>], expected: &[Named<Value>])
 where
     Value: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -74,13 +76,17 @@
     for ((name, bytes), (_, value)) in stored.iter().zip(expected) {
         let (read, rest) = postcard::take_from_bytes::<Value>(bytes).unwrap();
         assert_eq!(&read, value, "{name}");
-        assert!(rest.is_empty(), "{name}: bytes follow");
+        assert!(
+            rest.is_empty(),
+            "{name}: {} bytes follow the value",
+            rest.len()
+        );
         assert_eq!(&postcard::to_stdvec(value).unwrap(), bytes, "{name}");
     }
 }
 
-/// Each value is of the variant that its name says. The functions that tell the variants have no
-/// arm for all others, so that a new variant does not compile before it is named there.
+/// Checks that each value is of the variant that its name says. The functions that return a variant's name match
+/// without a wildcard arm, so that a new variant does not compile before it is named there.
 fn check_names<Value>(expected: &[Named<Value>], name_of: impl Fn(&Value) -> &'static str) {
     for (name, value) in expected {
         let rest = name.strip_prefix(name_of(value));
@@ -91,27 +97,27 @@
     }
 }
 
-/// The numbers of variants that stand after `prefix` in the bytes are all that there are: the
-/// number after the greatest one is not read as the beginning of any value.
-fn check_every_kind<Value>(stored: &[Named<Vec<u8>>], prefix: &[u8])
+/// Checks that the stored values cover all variants whose number follows `prefix`: decoding must fail for the number
+/// after the greatest one.
+fn check_all_variants<Value>(stored: &[Named<Vec<u8>>], prefix: &[u8])
 where
     Value: DeserializeOwned + Debug,
 {
-    let kinds = stored
+    let variants = stored
         .iter()
         .filter_map(|line| line.1.strip_prefix(prefix)?.first().copied());
-    let kinds: BTreeSet<u8> = kinds.collect();
-    let count = kinds.len() as u8;
+    let variants: BTreeSet<u8> = variants.collect();
+    let count = variants.len() as u8;
     assert!(
-        count > 0 && kinds.into_iter().eq(0..count),
-        "after {prefix:?}"
+        count > 0 && variants.into_iter().eq(0..count),
+        "stored variants after {prefix:?} are not consecutive from 0"
     );
     let next = [prefix, &[count]].concat();
-    let fault = postcard::from_bytes::<Value>(&next).unwrap_err();
+    let error = postcard::from_bytes::<Value>(&next).unwrap_err();
     assert_ne!(
-        fault,
+        error,
         postcard::Error::DeserializeUnexpectedEnd,
-        "after {prefix:?}"
+        "variant {count} after {prefix:?} exists and is not stored"
     );
 }
 
@@ -180,8 +186,8 @@
     ]
 }
 
-/// The states that [`hosts_in_each_state`] has are all that there are: another one does not compile
-/// here.
+/// Returns the name of the variant. A new variant does not compile here, as a reminder to add it to
+/// [`hosts_in_each_state`].
 fn name_of_state(state: HostState) -> &'static str {
     match state {
         HostState::Gone => "Gone",
@@ -225,8 +231,8 @@
     ]
 }
 
-/// The payloads that [`entries_of_each_payload`] has are all that there are: another one does not
-/// compile here.
+/// Returns the name of the variant at d62ab1d. A new variant does not compile here, as a reminder to add it to
+/// [`entries_of_each_payload`].
 fn name_of_payload(payload: &Payload) -> &'static str {
     match payload {
         Payload::Noop => "Begin",
@@ -530,9 +536,9 @@
         before: 1_024,
         missing: 1_025,
     };
-    let least = response(Response::Status(Box::new(status_without_options())));
+    let without_options = response(Response::Status(Box::new(status_without_options())));
     vec![
-        ("FromKeeper::Answer/View/no-rejection", least),
+        ("FromKeeper::Answer/View/no-rejection", without_options),
         ("FromKeeper::Answer/View/Backwards", rejected(backwards)),
         ("FromKeeper::Answer/View/Forked", rejected(forked)),
         ("FromKeeper::Answer/View/Halved", rejected(halved)),
@@ -644,7 +650,8 @@
     }
 }
 
-/// One revision in force, another pending, proposals with each outcome, hosts in each state, an address.
+/// Returns a state with one revision in force, another pending, proposals with each outcome, hosts in each state, and
+/// an address.
 fn state() -> ConfigState {
     let (node, address) = address(5);
     let first = Proposal {
@@ -684,19 +691,19 @@
 }
 
 #[test]
-fn messages_to_a_node_are_read_and_written_as_before() {
+fn messages_to_a_node_keep_their_encoding() {
     let bodies = bodies_of("ToKeeper");
     check_values(&bodies, &to_node());
     check_names(&to_node(), name_of_to_node);
-    check_every_kind::<ToNode>(&bodies, &[]);
+    check_all_variants::<ToNode>(&bodies, &[]);
 }
 
 #[test]
-fn no_kind_of_caller_raft_message_or_request_is_left_out() {
+fn all_variants_of_callers_raft_messages_and_requests_are_covered() {
     let bodies = bodies_of("ToKeeper");
-    check_every_kind::<ToNode>(&bodies, &[0, b'S', b'P', b'K', b'K', 1]);
-    check_every_kind::<ToNode>(&bodies, &[1]);
-    check_every_kind::<ToNode>(&bodies, &[2, 5]);
+    check_all_variants::<ToNode>(&bodies, &[0, b'S', b'P', b'K', b'K', 1]);
+    check_all_variants::<ToNode>(&bodies, &[1]);
+    check_all_variants::<ToNode>(&bodies, &[2, 5]);
     let names = entries_of_each_payload()
         .iter()
         .map(|entry| name_of_payload(&entry.payload))
@@ -705,19 +712,19 @@
 }
 
 #[test]
-fn messages_from_a_node_are_read_and_written_as_before() {
+fn messages_from_a_node_keep_their_encoding() {
     let bodies = bodies_of("FromKeeper");
     check_values(&bodies, &from_node());
     check_names(&from_node(), name_of_from_node);
-    check_every_kind::<FromNode>(&bodies, &[]);
+    check_all_variants::<FromNode>(&bodies, &[]);
 }
 
 #[test]
-fn no_kind_of_refusal_response_or_outcome_is_left_out() {
+fn all_variants_of_refusals_responses_and_outcomes_are_covered() {
     let bodies = bodies_of("FromKeeper");
-    check_every_kind::<FromNode>(&bodies, &[1]);
-    check_every_kind::<FromNode>(&bodies, &[2, 5]);
-    check_every_kind::<FromNode>(&bodies, &[2, 5, 2]);
+    check_all_variants::<FromNode>(&bodies, &[1]);
+    check_all_variants::<FromNode>(&bodies, &[2, 5]);
+    check_all_variants::<FromNode>(&bodies, &[2, 5, 2]);
     let names = hosts_in_each_state()
         .iter()
         .map(|host| name_of_state(host.state))
@@ -726,11 +733,11 @@
 }
 
 #[test]
-fn commands_in_the_log_are_read_and_written_as_before() {
+fn commands_in_the_log_keep_their_encoding() {
     let stored = lines_of(RECORDS, "Act");
     check_values(&stored, &commands());
     check_names(&commands(), name_of_command);
-    check_every_kind::<LogCommand>(&stored, &[]);
+    check_all_variants::<LogCommand>(&stored, &[]);
     for ((_, bytes), (_, command)) in stored.iter().zip(commands()) {
         assert_eq!(LogCommand::decode(bytes).as_ref(), Some(&command));
         assert_eq!(&command.encode(), bytes);
@@ -738,7 +745,7 @@
 }
 
 #[test]
-fn the_state_in_a_snapshot_is_read_and_written_as_before() {
+fn the_state_in_a_snapshot_keeps_its_encoding() {
     let stored = lines_of(RECORDS, "Ledger");
     check_values(&stored, &[("Ledger", state())]);
     assert_eq!(ConfigState::decode(&stored[0].1).unwrap(), state());
--- a/crates/spokeflow-coordination/tests/lease_granter.rs
+++ b/crates/spokeflow-coordination/tests/lease_granter.rs
@@ -1,5 +1,5 @@
-//! The granter keeps its leases ordered by expiry and counted by revision. A reference, which keeps nothing but the
-//! leases and looks at all of them each time, gives the same answers after every step of random runs.
+//! The granter indexes its leases by expiry and counts them by revision. A reference implementation that iterates over
+//! all leases each time must give the same results after every step of random runs.
 
 mod common;
 
@@ -19,7 +19,7 @@
     duration: 2 * SECOND,
     max_clock_drift: 0.01,
 };
-/// Leases that a granter tracks.
+/// Maximum number of leases that a granter tracks.
 const MAX_TRACKED_LEASES: usize = 8192;
 
 #[derive(Clone, Copy)]
@@ -28,7 +28,7 @@
     applied_revision: RevisionNumber,
 }
 
-/// By definition: who holds a lease, and when the pending revision may come into force.
+/// Reference implementation of the granter, without indexes.
 struct ReferenceGranter {
     leader_since: Micros,
     pending: Option<(RevisionNumber, Micros)>,
@@ -90,9 +90,9 @@
     }
 }
 
-/// What the random runs have met, so that none compares nothing.
+/// Totals of the random runs, which show that they reached the cases to compare.
 #[derive(Debug, Default)]
-struct Met {
+struct Counts {
     steps: usize,
     /// Revisions found ready before a lease had passed.
     ready_early: usize,
@@ -109,7 +109,7 @@
     granter: LeaseGranter,
     reference: ReferenceGranter,
     proposed_at: Micros,
-    met: Met,
+    counts: Counts,
 }
 
 impl Run {
@@ -122,7 +122,7 @@
             granter: LeaseGranter::new(CONFIG, now),
             reference: ReferenceGranter::new(now),
             proposed_at: now,
-            met: Met::default(),
+            counts: Counts::default(),
         }
     }
 
@@ -148,7 +148,7 @@
         );
     }
 
-    /// By a router that has just started, is up to date, or whose request was overtaken.
+    /// Requests a lease for a random router: one that is up to date, that is behind, or that has just started.
     fn request_at_random(&mut self, processes: u64) {
         let process = self.rng.random_range(0..processes);
         let newest = self.state.newest().0;
@@ -171,18 +171,18 @@
     fn check_ready(&mut self) {
         let ready = self.granter.ready_revision(self.now, &self.state);
         let expected = self.reference.ready_revision(self.now, &self.state);
-        assert_eq!(ready, expected, "at {}", self.now);
+        assert_eq!(ready, expected, "ready revision at {} us", self.now);
         let is_early = self.now - self.proposed_at < CONFIG.granter_duration();
         let has_pending = self.state.pending.is_some();
-        self.met.ready_early += usize::from(ready.is_some() && is_early);
-        self.met.not_ready += usize::from(ready.is_none() && has_pending);
+        self.counts.ready_early += usize::from(ready.is_some() && is_early);
+        self.counts.not_ready += usize::from(ready.is_none() && has_pending);
         if let Some(revision) = ready.filter(|_| self.rng.random_bool(0.3)) {
             self.state
                 .apply(LogCommand::PutInForce { revision, at_s: 0 });
         }
     }
 
-    /// To the end of a lease, to one microsecond before it, or anywhere.
+    /// Advances the time to the end of a random lease, to one microsecond before it, or by a random step.
     fn advance_time(&mut self) {
         let lease_ends: Vec<Micros> = self
             .reference
@@ -197,9 +197,9 @@
         } else {
             SECOND / 10
         };
-        let anywhere = self.rng.random_range(0..longest);
+        let random_step = self.rng.random_range(0..longest);
         let step = match self.rng.random_range(0..4_usize) {
-            0 | 1 => anywhere,
+            0 | 1 => random_step,
             2 => lease_end,
             _ => lease_end - 1,
         };
@@ -216,27 +216,27 @@
         self.compare();
     }
 
-    /// Also at a later time, when some of the leases have expired and are not removed.
+    /// Compares the lease counts now and at a later time, when some leases have expired and are not removed yet.
     fn compare(&mut self) {
-        self.met.steps += 1;
+        self.counts.steps += 1;
         let counts = self.reference.counts(self.now, &self.state);
         let is_mixed = 0 < counts.up_to_date && counts.up_to_date < counts.live;
-        self.met.mixed += usize::from(is_mixed);
+        self.counts.mixed += usize::from(is_mixed);
         let later = self.now + self.rng.random_range(0..3 * SECOND);
         for now in [self.now, later] {
             assert_eq!(
                 self.granter.lease_counts(now, &self.state),
                 self.reference.counts(now, &self.state),
-                "step {}, at {now}",
-                self.met.steps
+                "lease counts after step {}, at {now} us",
+                self.counts.steps
             );
         }
     }
 }
 
 #[test]
-fn ordered_leases_give_what_a_look_at_all_of_them_gives() {
-    let mut met = Met::default();
+fn the_granter_gives_the_same_results_as_the_reference() {
+    let mut counts = Counts::default();
     for seed in 0..600 {
         let mut run = Run::new(seed);
         let processes = match seed % 4 {
@@ -246,31 +246,32 @@
             _ => 40,
         };
         (0..500).for_each(|_| run.step(processes));
-        met.steps += run.met.steps;
-        met.ready_early += run.met.ready_early;
-        met.not_ready += run.met.not_ready;
-        met.mixed += run.met.mixed;
+        counts.steps += run.counts.steps;
+        counts.ready_early += run.counts.ready_early;
+        counts.not_ready += run.counts.not_ready;
+        counts.mixed += run.counts.mixed;
     }
-    println!("{met:?}");
+    println!("{counts:?}");
     assert!(
-        met.ready_early > 500 && met.not_ready > 500 && met.mixed > 5_000,
-        "{met:?}"
+        counts.ready_early > 500 && counts.not_ready > 500 && counts.mixed > 5_000,
+        "{counts:?}"
     );
 }
 
-/// A router whose lease is not tracked may act on any revision: no applied revision counts from then on.
+/// The revision that an untracked router has applied is not known. Guards against putting a revision in force early
+/// because all tracked routers have applied it.
 #[test]
-fn with_more_routers_than_are_tracked_only_time_makes_a_revision_ready() {
+fn with_untracked_leases_a_revision_is_ready_only_after_a_lease_duration() {
     let mut run = Run::new(1);
     let one_more = MAX_TRACKED_LEASES as u64;
     (0..one_more).for_each(|process| run.request(process, RevisionNumber(0)));
     run.compare();
     run.now += CONFIG.granter_duration() - 1;
-    // One that is known keeps its place, and nobody else gets one, not even by asking again.
+    // At the limit no lease is recorded for a router without an applied revision. Router 0 keeps its earlier entry.
     run.request(0, RevisionNumber(0));
     run.request(one_more, RevisionNumber(0));
     run.compare();
-    // The place of one whose lease has expired is free.
+    // Expired leases make room for new ones.
     run.now += 1;
     run.request(one_more, RevisionNumber(0));
     run.compare();
@@ -280,5 +281,5 @@
     run.check_ready();
     run.now += CONFIG.granter_duration();
     run.check_ready();
-    assert_eq!((run.met.ready_early, run.met.not_ready), (0, 1));
+    assert_eq!((run.counts.ready_early, run.counts.not_ready), (0, 1));
 }
--- a/crates/spokeflow-coordination/tests/leases.rs
+++ b/crates/spokeflow-coordination/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Leases of routers: no two of them act on revisions that contradict each other for longer than one lease, whatever
-//! messages, clocks and leaders do; and the single rules that this rests on.
+//! Leases of routers: no two routers act on contradicting revisions for longer than one lease, whatever messages,
+//! clocks and leaders do. Also tested are the individual rules that this depends on.
 
 mod common;
 #[path = "common/lease_simulation.rs"]
@@ -27,21 +27,29 @@
     for seed in 0..60 {
         let mut world = World::new(seed);
         (0..30_000).for_each(|_| world.step());
-        revisions += world.pending_times.len();
+        revisions += world.pending_durations.len();
         longest = longest.max(world.longest_contradiction);
-        let times = world.pending_times.iter();
-        early += times.filter(|time| **time < CONFIG.duration).count();
+        let durations = world.pending_durations.iter();
+        early += durations
+            .filter(|duration| **duration < CONFIG.duration)
+            .count();
     }
     println!(
         "{revisions} revisions in force, {early} of them before a lease had passed; longest contradiction {longest} us"
     );
-    // The runs must come near the bound, and some revisions must be ready because all have applied them.
-    assert!(revisions > 1000 && early > 50, "{revisions} {early}");
-    assert!(longest > CONFIG.duration * 8 / 10, "{longest}");
+    // The runs must come near the bound, and some revisions must be ready early because all routers have applied them.
+    assert!(
+        revisions > 1000 && early > 50,
+        "{revisions} revisions in force, {early} of them early"
+    );
+    assert!(
+        longest > CONFIG.duration * 8 / 10,
+        "longest contradiction {longest} us"
+    );
 }
 
 #[test]
-fn a_proposal_sent_twice_is_one_and_one_against_an_old_revision_is_refused() {
+fn a_repeated_proposal_counts_once_and_one_based_on_an_old_revision_is_refused() {
     let mut state = ConfigState::default();
     let propose = |token, base| LogCommand::Propose(proposal(token, RevisionNumber(base)));
     state.apply(propose(1, 0));
@@ -64,7 +72,7 @@
             pending: RevisionNumber(1)
         })
     );
-    // Put in force twice, by two leaders: the second changes nothing.
+    // Put in force twice, by two leaders: the second command has no effect.
     state.apply(LogCommand::PutInForce {
         revision: RevisionNumber(1),
         at_s: 5,
@@ -82,46 +90,52 @@
 }
 
 #[test]
-fn a_lease_runs_from_the_sending_of_its_request_and_no_answer_takes_anything_back() {
+fn a_lease_starts_when_its_request_is_sent_and_a_late_grant_undoes_nothing() {
     let mut holder = LeaseHolder::new(CONFIG, 1, 0);
     let mut state = ConfigState::default();
     let mut granter = LeaseGranter::new(CONFIG, 0);
     let voters = VoterAddresses::default();
     let (first, request) = holder.request(0);
-    let early = granter.grant(0, &request, &state, &voters);
+    let first_grant = granter.grant(0, &request, &state, &voters);
     state.apply(LogCommand::Propose(proposal(1, RevisionNumber(0))));
     let (second, request) = holder.request(SECOND);
-    let late = granter.grant(SECOND, &request, &state, &voters);
-    assert!(holder.on_grant(second, late.clone()));
+    let second_grant = granter.grant(SECOND, &request, &state, &voters);
+    assert!(holder.on_grant(second, second_grant.clone()));
     assert_eq!(holder.expires_at(), Some(SECOND + CONFIG.holder_duration()));
-    assert!(!holder.on_grant(first, early), "overtaken");
-    assert!(!holder.on_grant(second, late), "an answer counts once");
+    assert!(
+        !holder.on_grant(first, first_grant),
+        "a grant older than the accepted one changes nothing"
+    );
+    assert!(
+        !holder.on_grant(second, second_grant),
+        "a repeated grant changes nothing"
+    );
     assert_eq!(holder.newest(), RevisionNumber(1));
 }
 
-/// The request sent first arrives last: its answer knows more, and comes first.
+/// The first request reaches the leader last, so its grant has the newer revision, and this grant arrives first.
 #[test]
-fn an_answer_that_knows_less_is_not_accepted_though_its_lease_is_longer() {
+fn a_grant_without_the_newest_known_revision_is_refused_even_if_it_expires_later() {
     let mut holder = LeaseHolder::new(CONFIG, 1, 0);
     let mut state = ConfigState::default();
     let mut granter = LeaseGranter::new(CONFIG, 0);
     let voters = VoterAddresses::default();
     let (first, first_request) = holder.request(0);
     let (second, second_request) = holder.request(1);
-    let knows_less = granter.grant(10, &second_request, &state, &voters);
+    let older_grant = granter.grant(10, &second_request, &state, &voters);
     state.apply(LogCommand::Propose(proposal(1, RevisionNumber(0))));
-    let knows_more = granter.grant(20, &first_request, &state, &voters);
-    assert!(holder.on_grant(first, knows_more));
+    let newer_grant = granter.grant(20, &first_request, &state, &voters);
+    assert!(holder.on_grant(first, newer_grant));
     assert!(
-        !holder.on_grant(second, knows_less),
-        "it would take the pending revision back"
+        !holder.on_grant(second, older_grant),
+        "the older grant must not remove the pending revision"
     );
     assert_eq!(holder.newest(), RevisionNumber(1));
 }
 
-/// The slowest clock that holds and the fastest that waits.
+/// The holder's clock may run slowest and the granter's fastest.
 #[test]
-fn the_wait_is_not_shorter_than_a_lease_whatever_clocks_do_within_the_drift() {
+fn the_granter_waits_at_least_as_long_as_a_holder_may_act_at_the_largest_clock_drift() {
     let true_time = |local: Micros, clock_rate: f64| local as f64 / clock_rate;
     let slowest = 1.0 - CONFIG.max_clock_drift;
     let fastest = 1.0 + CONFIG.max_clock_drift;
--- a/crates/spokeflow-coordination/tests/wire.rs
+++ b/crates/spokeflow-coordination/tests/wire.rs
@@ -1,4 +1,4 @@
-//! JSON that operators' programs read: its keys stay, whatever the fields are called here.
+//! JSON output that operators' programs read: its keys must not change when fields are renamed.
 
 use spokeflow_coordination::wire::ClusterStatus;
 use spokeflow_coordination::{Rejection, Revision, RevisionRecord};
@@ -23,9 +23,9 @@
     }
 }
 
-/// `spokeflowctl status --json` prints them.
+/// The output of `spokeflowctl status --json`.
 #[test]
-fn json_keys_of_a_status_stay() {
+fn json_keys_of_a_status_are_unchanged() {
     let json = serde_json::to_value(status()).unwrap();
     let keys: Vec<&str> = json
         .as_object()
@@ -56,9 +56,9 @@
     );
 }
 
-/// `spokeflowctl history --json` prints records, and `status --json` why the list's source was rejected.
+/// `spokeflowctl history --json` prints revision records, and `status --json` why a list update was rejected.
 #[test]
-fn json_keys_of_records_and_rejections_stay() {
+fn json_keys_of_records_and_rejections_are_unchanged() {
     let record = RevisionRecord {
         revision: Revision::default(),
         who: "operator".into(),
