--- a/crates/spokeflow-http/src/body.rs
+++ b/crates/spokeflow-http/src/body.rs
@@ -1,30 +1,30 @@
-//! Bodies: how long they are, and the pieces in which they come.
+//! Reading of message bodies: their framing, and the pieces in which they arrive.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::{Fields, HttpError, HEAD_LIMIT};
 
-/// Digits of a length at most: any such number fits into 64 bits.
+/// Maximum number of digits in `Content-Length`: every such number fits into 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
-/// Hexadecimal digits of a chunk's size at most: any such number fits into 64 bits.
+/// Maximum number of hexadecimal digits in a chunk size: every such number fits into 64 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
-/// Bytes of the line with a chunk's size and its extensions at most.
-const CHUNK_SIZE_LINE_LIMIT: usize = 256;
+/// Maximum length of the line with a chunk's size and its extensions, in bytes.
+pub(crate) const CHUNK_SIZE_LINE_LIMIT: usize = 256;
 
-/// How much of a body is still to come.
+/// The part of a body that is still to be read.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Body {
-    /// So many bytes.
+    /// This many bytes.
     Length(u64),
     /// The line with the size of the next chunk.
     ChunkSize,
-    /// So many bytes of this chunk.
+    /// This many bytes of the current chunk.
     Chunk(u64),
-    /// The end of the line behind a chunk.
+    /// The line end after the data of a chunk.
     ChunkEnd,
-    /// Fields after the last chunk, of which so many bytes have come.
+    /// The trailer fields after the last chunk, of which this many bytes have been read.
     Trailer(usize),
-    /// All until the connection ends.
+    /// All bytes until the connection ends.
     UntilClose,
 }
 
@@ -37,21 +37,27 @@
 }
 
 impl Body {
-    /// The body that these fields announce (RFC 9112, 6.3); `unannounced` where they say nothing. A length beside a
-    /// transfer coding may hide another message: an error, not a choice.
-    pub(crate) fn of(fields: &Fields, unannounced: Body) -> Result<Body, HttpError> {
+    /// Returns the body that the header fields announce (RFC 9112, 6.3), or `default` if they announce none.
+    /// `Content-Length` together with `Transfer-Encoding` may hide a second message (request smuggling), so it is an
+    /// error.
+    pub(crate) fn from_fields(fields: &Fields, default: Body) -> Result<Body, HttpError> {
         let codings = fields.all("transfer-encoding").count();
         let lengths = fields.all("content-length").count();
         match (codings, lengths) {
-            (0, 0) => Ok(unannounced),
-            (0, 1) => content_length(fields).ok_or(HttpError::Lengths("no number")),
+            (0, 0) => Ok(default),
+            (0, 1) => content_length(fields).ok_or(HttpError::InvalidLength(
+                "Content-Length is not a decimal number",
+            )),
             (1, 0) if is_chunked(fields) => Ok(Body::ChunkSize),
-            (1, 0) => Err(HttpError::Lengths("a coding that is not known")),
-            _ => Err(HttpError::Lengths("said more than once")),
+            (1, 0) => Err(HttpError::InvalidLength("Transfer-Encoding is not chunked")),
+            _ => Err(HttpError::InvalidLength(
+                "more than one Content-Length or Transfer-Encoding field",
+            )),
         }
     }
 
-    /// The next piece, or `None` until more has come. After `End` nothing more of the buffer is touched.
+    /// Takes the next piece out of the buffer; `None` until more bytes have been read. Once it has returned `End`, it
+    /// leaves the rest of the buffer alone.
     pub(crate) fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Piece>, HttpError> {
         loop {
             match self {
@@ -67,7 +73,9 @@
                         return Ok(None);
                     };
                     if end != b"\r\n" {
-                        return Err(HttpError::Lengths("a chunk goes on past its size"));
+                        return Err(HttpError::InvalidLength(
+                            "chunk data continues past the chunk size",
+                        ));
                     }
                     buffer.advance(end.len());
                     *self = Body::ChunkSize;
@@ -79,7 +87,11 @@
                     *self = match chunk_size(&line) {
                         Some(0) => Body::Trailer(0),
                         Some(size) => Body::Chunk(size),
-                        None => return Err(HttpError::Lengths("a chunk's size is no number")),
+                        None => {
+                            return Err(HttpError::InvalidLength(
+                                "chunk size is not a hexadecimal number",
+                            ))
+                        }
                     };
                 }
                 Body::Trailer(received) => {
@@ -100,7 +112,7 @@
 
 fn content_length(fields: &Fields) -> Option<Body> {
     let text = fields.single("content-length")?;
-    // The parser of numbers would take a sign as well.
+    // `parse` also accepts a sign, so the digits are checked as well.
     let is_decimal =
         !text.is_empty() && text.len() <= MAX_LENGTH_DIGITS && text.iter().all(u8::is_ascii_digit);
     let number = std::str::from_utf8(text).ok()?.parse().ok()?;
@@ -112,10 +124,10 @@
     coding.is_some_and(|coding| coding.eq_ignore_ascii_case(b"chunked"))
 }
 
-/// The size in front of a chunk's extensions.
+/// Parses the size in front of a chunk's extensions.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.split(|byte| *byte == b';').next()?.trim_ascii_end();
-    // The parser of numbers would take a sign as well.
+    // `parse` also accepts a sign, so the digits are checked as well.
     let is_hexadecimal = !digits.is_empty()
         && digits.len() <= MAX_CHUNK_SIZE_DIGITS
         && digits.iter().all(u8::is_ascii_hexdigit);
@@ -124,7 +136,7 @@
     is_hexadecimal.then_some(size)
 }
 
-/// What the buffer has of the `left` bytes; `None` where it is empty.
+/// Takes up to `left` bytes out of the buffer and subtracts them from `left`; `None` if there are none.
 fn take_data(buffer: &mut BytesMut, left: &mut u64) -> Option<Piece> {
     let length = (*left).min(buffer.len() as u64);
     *left -= length;
@@ -132,7 +144,8 @@
     (!data.is_empty()).then_some(Piece::Data(data))
 }
 
-/// A line without its end, once it has come; longer than `limit` bytes it is an error.
+/// Takes a line out of the buffer and returns it without its line end; `None` until its end has been read. A line
+/// longer than `limit` bytes is an error.
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, HttpError> {
     let line_feed = buffer.iter().take(limit).position(|byte| *byte == b'\n');
     let Some(index) = line_feed else {
@@ -145,8 +158,6 @@
     let line = buffer.split_to(index + 1).freeze();
     match line.strip_suffix(b"\r\n") {
         Some(text) => Ok(Some(line.slice_ref(text))),
-        None => Err(HttpError::Unreadable(
-            "a line ends without a carriage return",
-        )),
+        None => Err(HttpError::Unreadable("line ends without a carriage return")),
     }
 }
--- a/crates/spokeflow-http/src/error.rs
+++ b/crates/spokeflow-http/src/error.rs
@@ -1,29 +1,36 @@
-//! Why what was read is no message.
+//! Errors of reading HTTP messages.
 
 use std::io;
 
+use crate::body::CHUNK_SIZE_LINE_LIMIT;
+use crate::head::MAX_FIELDS;
 use crate::HEAD_LIMIT;
 
-/// Why what was read is no message. Nothing that follows it on the connection can be trusted.
+/// The reason why a message cannot be read. The reader cannot tell where the next message begins, so nothing that
+/// follows on the connection may be used.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The head, or the trailer, is longer than [`HEAD_LIMIT`] or has too many fields.
-    #[error("a head of more than {HEAD_LIMIT} bytes")]
+    /// The head or the trailer is longer than [`HEAD_LIMIT`] or has too many fields, or the line with a chunk's size
+    /// is too long.
+    #[error("head, trailer or chunk-size line too long: expected at most {HEAD_LIMIT} bytes and {MAX_FIELDS} fields, {CHUNK_SIZE_LINE_LIMIT} bytes in a chunk-size line")]
     HeadTooLong,
-    /// The bytes are no HTTP/1.1, for this reason.
+    /// The bytes are not a message of HTTP/1.1, for this reason.
     #[error("not HTTP/1.1: {0}")]
     Unreadable(&'static str),
-    /// The body's length is said twice, in two ways, or by no number (RFC 9112, 6.3).
-    #[error("the body's length: {0}")]
-    Lengths(&'static str),
+    /// The length of the body is announced more than once or is not a valid number (RFC 9112, 6.3).
+    #[error("invalid body length: {0}")]
+    InvalidLength(&'static str),
     /// The body is longer than the reader allows.
-    #[error("the body is too long")]
-    BodyTooLong,
+    #[error("body too long: expected at most {limit} bytes")]
+    BodyTooLong {
+        /// The longest body that the reader allows, in bytes.
+        limit: u64,
+    },
     /// The connection ended within a message.
-    #[error("ended within a message")]
+    #[error("connection ended within a message")]
     Truncated,
-    /// The reader has no capacity for it now.
-    #[error("no capacity for it now")]
+    /// The reader has no capacity for the message now.
+    #[error("no capacity for the message: the connection has to make room for another")]
     Overloaded,
     /// The connection failed.
     #[error(transparent)]
@@ -31,12 +38,12 @@
 }
 
 impl HttpError {
-    /// The status for the client; `None` where no client is left to get one.
+    /// Returns the status to answer the client with, or `None` if the connection is lost.
     pub fn status(&self) -> Option<u16> {
         match self {
             HttpError::HeadTooLong => Some(431),
-            HttpError::Unreadable(_) | HttpError::Lengths(_) => Some(400),
-            HttpError::BodyTooLong => Some(413),
+            HttpError::Unreadable(_) | HttpError::InvalidLength(_) => Some(400),
+            HttpError::BodyTooLong { .. } => Some(413),
             HttpError::Overloaded => Some(503),
             HttpError::Truncated | HttpError::Io(_) => None,
         }
--- a/crates/spokeflow-http/src/head.rs
+++ b/crates/spokeflow-http/src/head.rs
@@ -1,17 +1,17 @@
-//! Heads of messages: where they end, and their fields.
+//! Reading of message heads: where a head ends, and its fields.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::HttpError;
 
-/// Bytes of a head, or of the trailer of a chunked body, at most.
+/// Maximum length of a head, or of the trailer of a chunked body, in bytes.
 pub const HEAD_LIMIT: usize = 8 << 10;
-/// Fields of one head at most.
+/// Maximum number of fields in a head.
 pub(crate) const MAX_FIELDS: usize = 64;
-/// The empty line that ends a head, with the end of the line before.
+/// The empty line that ends a head, preceded by the end of the last field line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The fields of a head, by name in any case.
+/// The fields of a head; names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields(Vec<Field>);
 
@@ -22,8 +22,8 @@
 }
 
 impl Fields {
-    /// The fields that the parser has found in `head`, without a copy.
-    pub(crate) fn of(head: &Bytes, parsed: &[httparse::Header]) -> Fields {
+    /// Returns the fields that the parser found in `head`, as slices of it that share its memory.
+    pub(crate) fn from_parsed(head: &Bytes, parsed: &[httparse::Header]) -> Fields {
         let field = |header: &httparse::Header| Field {
             name: head.slice_ref(header.name.as_bytes()),
             value: head.slice_ref(header.value),
@@ -31,7 +31,7 @@
         Fields(parsed.iter().map(field).collect())
     }
 
-    /// Every value under this name, in order.
+    /// Returns the values of all fields of this name, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Bytes> {
         self.0
             .iter()
@@ -39,14 +39,14 @@
             .map(|field| &field.value)
     }
 
-    /// The value of a field that is there exactly once.
+    /// Returns the value of the field of this name if there is exactly one.
     pub fn single<'a>(&'a self, name: &'a str) -> Option<&'a Bytes> {
         let mut values = self.all(name);
         let first = values.next();
         first.filter(|_| values.next().is_none())
     }
 
-    /// Whether a field of this name lists this token, in any case.
+    /// Whether a field of this name lists this token; tokens are compared without regard to case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
         self.all(name)
@@ -57,24 +57,24 @@
 /// Finds the end of each head on one connection.
 #[derive(Debug, Default)]
 pub(crate) struct HeadReader {
-    /// Bytes of the buffer in which no head ends.
+    /// Length of the start of the buffer that has been searched and contains no end of a head, in bytes.
     searched: usize,
 }
 
 impl HeadReader {
-    /// Has the next head begin anew, after bytes in front of it were dropped.
+    /// Starts the search again, after bytes in front of the next head were dropped.
     pub(crate) fn restart(&mut self) {
         self.searched = 0;
     }
 
-    /// Cuts a head off once it is complete. `check_part` is given parts of one: what cannot become a head is an error
-    /// before its end has come.
+    /// Takes a head out of the buffer; `None` until it is complete. `check_prefix` is called with the bytes of an
+    /// incomplete head, so that bytes that cannot become a head are an error before the end of the head arrives.
     pub(crate) fn take(
         &mut self,
         buffer: &mut BytesMut,
-        check_part: fn(&[u8]) -> Result<(), HttpError>,
+        check_prefix: fn(&[u8]) -> Result<(), HttpError>,
     ) -> Result<Option<Bytes>, HttpError> {
-        // The end may have come in part.
+        // The bytes searched before may end with a part of `HEAD_END`.
         let overlap = HEAD_END.len() - 1;
         let from = self.searched.saturating_sub(overlap).min(buffer.len());
         let end = buffer[from..]
@@ -86,7 +86,7 @@
         }
         let Some(end) = end else {
             if self.searched < buffer.len() {
-                check_part(buffer)?;
+                check_prefix(buffer)?;
             }
             self.searched = buffer.len();
             return Ok(None);
@@ -94,17 +94,16 @@
         self.restart();
         let head = buffer.split_to(end).freeze();
         if has_bare_line_feed(&head) {
-            return Err(HttpError::Unreadable(
-                "a line ends without a carriage return",
-            ));
+            return Err(HttpError::Unreadable("line ends without a carriage return"));
         }
         Ok(Some(head))
     }
 }
 
-/// A line that ends without a carriage return ends a head for some readers only.
+/// Whether a line ends without a carriage return: only some readers take it for a line end, so two readers could
+/// find different ends of the head.
 fn has_bare_line_feed(head: &[u8]) -> bool {
-    let starts_with_one = head.starts_with(b"\n");
-    let contains_one = |pair: &[u8]| pair[1] == b'\n' && pair[0] != b'\r';
-    starts_with_one || head.windows(2).any(contains_one)
+    let starts_with_line_feed = head.starts_with(b"\n");
+    let is_bare_line_feed = |pair: &[u8]| pair[1] == b'\n' && pair[0] != b'\r';
+    starts_with_line_feed || head.windows(2).any(is_bare_line_feed)
 }
--- a/crates/spokeflow-http/src/lib.rs
+++ b/crates/spokeflow-http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 (RFC 9112) as tokio-util codecs, without I/O. A full library hides when the last byte of a request
-//! has left and when its connection is given up; the rules on retries and on exposure rest on both.
+//! HTTP/1.1 (RFC 9112) as tokio-util codecs, without I/O. A full HTTP library hides when the last byte of a request
+//! is sent and when its connection is closed; the rules on retries and on exposure depend on both.
 //!
-//! Strict on reading: what two readers could take in two ways is an error. Canonical on writing: heads are
-//! written anew and never copied through.
+//! Reading is strict: a message that two readers could interpret in two ways is an error. Writing is canonical: heads
+//! are always generated and never copied from the message received.
 
 mod body;
 mod error;
--- a/crates/spokeflow-http/src/request.rs
+++ b/crates/spokeflow-http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests: a server's codec that reads them.
+//! The server's codec, which reads requests and writes responses.
 
 use bytes::{Buf, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -10,37 +10,40 @@
 /// One request with its whole body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Such as `POST`.
+    /// The method, such as `POST`.
     pub method: Bytes,
-    /// Path and query, as sent.
+    /// The request target: path and query, as sent.
     pub target: Bytes,
-    /// The fields.
+    /// The header fields.
     pub fields: Fields,
     /// The whole body.
     pub body: Bytes,
-    /// Whether the client keeps the connection after the response.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
-/// A server's side of a connection.
+/// The server's side of one connection.
 #[derive(Debug)]
 pub struct ServerCodec {
     body_limit: usize,
     heads: HeadReader,
-    /// The request whose body is coming.
+    /// The request whose body is being read.
     current: Option<PartialRequest>,
 }
 
+/// A request whose head has been read and whose body has not.
 #[derive(Debug)]
 struct PartialRequest {
-    /// Without its body.
+    /// The request with an empty body.
     request: Request,
     body: Body,
+    /// The bytes of the body that have been read.
     received: BytesMut,
 }
 
 impl ServerCodec {
-    /// `body_limit` in bytes; a longer body is an error as soon as its length is known.
+    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length is
+    /// known.
     pub fn new(body_limit: usize) -> Self {
         ServerCodec {
             body_limit,
@@ -49,20 +52,20 @@
         }
     }
 
-    /// Whether a head has come whose body has not.
+    /// Whether the head of a request has been read and its body has not been read whole.
     pub fn is_mid_message(&self) -> bool {
         self.current.is_some()
     }
 
-    /// The next head, or `None` until more has come.
+    /// Takes the next head out of the buffer; `None` until it is complete.
     fn take_head(&mut self, buffer: &mut BytesMut) -> Result<Option<PartialRequest>, HttpError> {
         const EMPTY_LINE: &[u8] = b"\r\n";
-        // An empty line or two before a request are left over from the one before (RFC 9112, 2.2).
+        // Some clients send empty lines after a request; they are skipped (RFC 9112, 2.2).
         while buffer.starts_with(EMPTY_LINE) {
             buffer.advance(EMPTY_LINE.len());
             self.heads.restart();
         }
-        let head = self.heads.take(buffer, check_part)?;
+        let head = self.heads.take(buffer, check_prefix)?;
         head.map(|head| read_head(&head)).transpose()
     }
 }
@@ -78,13 +81,14 @@
         let Some(current) = &mut self.current else {
             return Ok(None);
         };
-        if matches!(current.body, Body::Length(left) if left > self.body_limit as u64) {
-            return Err(HttpError::BodyTooLong);
+        let limit = self.body_limit as u64;
+        if matches!(current.body, Body::Length(left) if left > limit) {
+            return Err(HttpError::BodyTooLong { limit });
         }
         while let Some(piece) = current.body.take(buffer)? {
             match piece {
                 Piece::Data(data) if current.received.len() + data.len() > self.body_limit => {
-                    return Err(HttpError::BodyTooLong);
+                    return Err(HttpError::BodyTooLong { limit });
                 }
                 Piece::Data(data) => current.received.extend_from_slice(&data),
                 Piece::End => return Ok(self.current.take().map(PartialRequest::complete)),
@@ -122,14 +126,14 @@
 fn head_error(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError::HeadTooLong,
-        _ => HttpError::Unreadable("the head of a request"),
+        _ => HttpError::Unreadable("malformed request head"),
     }
 }
 
-fn check_part(part: &[u8]) -> Result<(), HttpError> {
+fn check_prefix(prefix: &[u8]) -> Result<(), HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     httparse::Request::new(&mut headers)
-        .parse(part)
+        .parse(prefix)
         .map(drop)
         .map_err(head_error)
 }
@@ -139,12 +143,14 @@
     let mut parsed = httparse::Request::new(&mut headers);
     let end = parsed.parse(head).map_err(head_error)?;
     if end != httparse::Status::Complete(head.len()) {
-        return Err(HttpError::Unreadable("the head ends too soon"));
+        return Err(HttpError::Unreadable(
+            "request head does not end at its first empty line",
+        ));
     }
     let slice = |text: Option<&str>| head.slice_ref(text.unwrap_or_default().as_bytes());
     let is_http_1_1 = parsed.version == Some(1);
-    let fields = Fields::of(head, parsed.headers);
-    let body = Body::of(&fields, Body::Length(0))?;
+    let fields = Fields::from_parsed(head, parsed.headers);
+    let body = Body::from_fields(&fields, Body::Length(0))?;
     let request = Request {
         method: slice(parsed.method),
         target: slice(parsed.path),
--- a/crates/spokeflow-http/src/response.rs
+++ b/crates/spokeflow-http/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses: a client's codec that reads them, and how a server writes one.
+//! The client's codec, which reads responses, and the writing of a server's responses.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio_util::codec::Decoder;
@@ -7,42 +7,44 @@
 use crate::head::{HeadReader, MAX_FIELDS};
 use crate::{Fields, HttpError};
 
-const UNREADABLE_HEAD: HttpError = HttpError::Unreadable("the head of a response");
+const MALFORMED_HEAD: HttpError = HttpError::Unreadable("malformed response head");
 
-/// A response as it comes in.
+/// A part of a response, in the order in which the parts are read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponsePart {
     /// The head; the body follows.
     Head {
         /// The status, 200 to 599.
         status: u16,
-        /// The fields.
+        /// The header fields.
         fields: Fields,
     },
     /// The next bytes of the body.
     Data(Bytes),
-    /// The response is complete. Whatever else is in the buffer does not belong to it.
+    /// The end of the response. What is left in the buffer does not belong to it.
     End,
 }
 
-/// A client's side of a connection, for one response after another. Responses of 1xx are passed over (RFC 9110, 15.2).
+/// The client's side of one connection, for one response after another. Interim responses (status 1xx) are skipped
+/// (RFC 9110, 15.2).
 #[derive(Debug)]
 pub struct ResponseCodec {
     body_limit: u64,
     heads: HeadReader,
-    /// The response whose body is coming.
+    /// The body that is being read.
     current: Option<ResponseBody>,
 }
 
 #[derive(Debug)]
 struct ResponseBody {
     body: Body,
-    /// Bytes of it so far.
+    /// Number of its bytes that have been read.
     received: u64,
 }
 
 impl ResponseCodec {
-    /// `body_limit` in bytes; a longer body is an error as soon as its length is known.
+    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length is
+    /// known.
     pub fn new(body_limit: u64) -> Self {
         ResponseCodec {
             body_limit,
@@ -51,25 +53,31 @@
         }
     }
 
-    /// Whether a head has come whose body has not ended.
+    /// Whether the head of a response has been read and its body has not been read whole.
     pub fn is_mid_message(&self) -> bool {
         self.current.is_some()
     }
 
-    /// The next head that is not of 1xx, or `None` until more has come.
+    /// Takes the next head of a final response out of the buffer; `None` until it is complete.
     fn take_head(&mut self, buffer: &mut BytesMut) -> Result<Option<ResponsePart>, HttpError> {
-        while let Some(head) = self.heads.take(buffer, check_part)? {
+        while let Some(head) = self.heads.take(buffer, check_prefix)? {
             let ResponseHead {
                 status,
                 fields,
                 body,
             } = read_head(&head)?;
             match status {
-                // Another protocol was not requested.
-                101 => return Err(HttpError::Unreadable("a response that was not requested")),
+                // The client never requests another protocol.
+                101 => {
+                    return Err(HttpError::Unreadable(
+                        "status 101 without an upgrade request",
+                    ))
+                }
                 100..=199 => continue,
                 _ if matches!(body, Body::Length(length) if length > self.body_limit) => {
-                    return Err(HttpError::BodyTooLong);
+                    return Err(HttpError::BodyTooLong {
+                        limit: self.body_limit,
+                    });
                 }
                 _ => {
                     self.current = Some(ResponseBody { body, received: 0 });
@@ -94,7 +102,9 @@
             Some(Piece::Data(data)) => {
                 current.received += data.len() as u64;
                 if current.received > self.body_limit {
-                    return Err(HttpError::BodyTooLong);
+                    return Err(HttpError::BodyTooLong {
+                        limit: self.body_limit,
+                    });
                 }
                 Some(ResponsePart::Data(data))
             }
@@ -127,21 +137,21 @@
     body: Body,
 }
 
-fn check_part(part: &[u8]) -> Result<(), HttpError> {
+fn check_prefix(prefix: &[u8]) -> Result<(), HttpError> {
     const START: &[u8] = b"HTTP/1.";
-    // The parser passes over empty lines ahead of the head; no response begins with one.
-    if !part.starts_with(&START[..part.len().min(START.len())]) {
-        return Err(UNREADABLE_HEAD);
+    // The parser skips empty lines in front of the head, but no response begins with one.
+    if !prefix.starts_with(&START[..prefix.len().min(START.len())]) {
+        return Err(MALFORMED_HEAD);
     }
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     httparse::Response::new(&mut headers)
-        .parse(part)
+        .parse(prefix)
         .map(drop)
-        .map_err(|_| UNREADABLE_HEAD)
+        .map_err(|_| MALFORMED_HEAD)
 }
 
 fn read_head(head: &Bytes) -> Result<ResponseHead, HttpError> {
-    check_part(head)?;
+    check_prefix(head)?;
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut headers);
     let is_complete = parsed
@@ -150,11 +160,11 @@
     let status = parsed
         .code
         .filter(|status| is_complete && (100..600).contains(status))
-        .ok_or(UNREADABLE_HEAD)?;
-    let fields = Fields::of(head, parsed.headers);
+        .ok_or(MALFORMED_HEAD)?;
+    let fields = Fields::from_parsed(head, parsed.headers);
     let body = match status {
         100..=199 | 204 | 304 => Body::Length(0),
-        _ => Body::of(&fields, Body::UntilClose)?,
+        _ => Body::from_fields(&fields, Body::UntilClose)?,
     };
     Ok(ResponseHead {
         status,
@@ -163,23 +173,23 @@
     })
 }
 
-/// What a server sends back.
+/// A response that a server writes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// The status; its reason phrase follows from it.
+    /// The status, which also determines the reason phrase.
     pub status: u16,
     /// The whole body.
     pub body: Bytes,
-    /// Seconds after which a retry is best.
+    /// Value of `Retry-After` in seconds; `None` writes no such field.
     pub retry_after: Option<f64>,
-    /// Whether the server closes the connection after it.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
 }
 
-/// Bytes of a head at most, as written here.
+/// Maximum length of a head as [`write_response`] writes it, in bytes.
 const WRITTEN_HEAD_SIZE: usize = 160;
 
-/// Appends a response.
+/// Appends a response to the buffer.
 pub fn write_response(response: &Response, buffer: &mut BytesMut) {
     let status = response.status;
     let reason = reason_phrase(status);
--- a/crates/spokeflow-http/tests/codecs.rs
+++ b/crates/spokeflow-http/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! What is read is the same however the bytes are split, nothing panics, and what two readers could take in two ways
-//! is an error.
+//! Decoding gives the same messages wherever the bytes are split, never panics, and rejects messages that two readers
+//! could interpret in two ways.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -8,7 +8,8 @@
 };
 use tokio_util::codec::Decoder;
 
-/// Everything decoded from the bytes, split at the given places and then ended, and the error at the end, if any.
+/// Decodes the bytes, split at `cuts` and followed by the end of the connection. Returns the items and the text of the
+/// error, which is empty if there was none.
 fn decode_all<Codec: Decoder<Error = HttpError>>(
     mut codec: Codec,
     bytes: &[u8],
@@ -44,7 +45,7 @@
     decode_all(ServerCodec::new(1024), bytes, &[])
 }
 
-/// Status, body and whether it ended, of each response.
+/// Returns the status, the body and whether the end was read, of each response.
 fn responses(parts: &[ResponsePart]) -> Vec<(u16, Vec<u8>, bool)> {
     let mut responses: Vec<(u16, Vec<u8>, bool)> = Vec::new();
     for part in parts {
@@ -57,12 +58,12 @@
     responses
 }
 
-const TWO: &[u8] = b"POST /a/k HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc\
+const TWO_REQUESTS: &[u8] = b"POST /a/k HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc\
 \r\nPOST /b HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: v\r\n\r\n";
 
 #[test]
 fn pipelined_requests_are_read_one_by_one() {
-    let (read, end) = requests(TWO);
+    let (read, end) = requests(TWO_REQUESTS);
     let bodies: Vec<&[u8]> = read.iter().map(|request| request.body.as_ref()).collect();
     assert_eq!((bodies, end.as_str()), (vec![&b"abc"[..], b"def"], ""));
     assert_eq!(
@@ -71,7 +72,7 @@
     );
 }
 
-/// Each of these could be read in two ways, or never ends: none may become a request.
+/// Each of these bytes could be interpreted in two ways, or are a message that never ends: none may become a request.
 #[test]
 fn ambiguous_requests_are_errors() {
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(9000));
@@ -106,7 +107,7 @@
         let (read, end) = requests(bad.as_bytes());
         let chunk_of_1025 = bad.contains("\r\n401\r\n") && end.contains("within");
         assert!(read.is_empty() && !end.is_empty(), "{bad:?}: {read:?}");
-        assert!(chunk_of_1025 || !end.contains("within"), "{bad:?} was waited for: {end}");
+        assert!(chunk_of_1025 || !end.contains("within"), "{bad:?} must be an error before the connection ends, got: {end}");
     }
 }
 
@@ -118,12 +119,12 @@
     );
     assert!(matches!(
         ServerCodec::new(1024).decode(&mut bad.as_bytes().into()),
-        Err(HttpError::BodyTooLong)
+        Err(HttpError::BodyTooLong { limit: 1024 })
     ));
 }
 
 #[test]
-fn responses_of_every_framing_and_interim_ones_are_read() {
+fn responses_of_every_framing_are_read_and_interim_responses_skipped() {
     let bytes = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
 HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 204 None\r\n\r\n\
 HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\nHTTP/1.1 500 No\r\n\r\nrest";
@@ -160,7 +161,7 @@
 proptest! {
     #[test]
     fn any_split_of_the_bytes_gives_the_same_requests(cuts in prop::collection::vec(0usize..400, 0..8)) {
-        prop_assert_eq!(decode_all(ServerCodec::new(1024), TWO, &cuts), requests(TWO));
+        prop_assert_eq!(decode_all(ServerCodec::new(1024), TWO_REQUESTS, &cuts), requests(TWO_REQUESTS));
     }
 
     #[test]
@@ -183,9 +184,9 @@
         at in 0usize..200,
         cuts in prop::collection::vec(0usize..400, 0..4),
     ) {
-        let mut bytes = TWO.to_vec();
+        let mut bytes = TWO_REQUESTS.to_vec();
         let at = at % bytes.len();
-        bytes.splice(at..(at + noise.len() / 8).min(TWO.len()), noise);
+        bytes.splice(at..(at + noise.len() / 8).min(TWO_REQUESTS.len()), noise);
         decode_all(ServerCodec::new(1024), &bytes, &cuts);
         decode_all(ResponseCodec::new(1024), &bytes, &cuts);
     }
