--- a/crates/spokeflow-http/src/request.rs
+++ b/crates/spokeflow-http/src/request.rs
@@ -42,8 +42,8 @@
 }
 
 impl ServerCodec {
-    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length is
-    /// known.
+    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length
+    /// is known.
     pub fn new(body_limit: usize) -> Self {
         ServerCodec {
             body_limit,
--- a/crates/spokeflow-http/src/response.rs
+++ b/crates/spokeflow-http/src/response.rs
@@ -43,8 +43,8 @@
 }
 
 impl ResponseCodec {
-    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length is
-    /// known.
+    /// Creates the codec of a new connection. `body_limit` is in bytes; a longer body is an error as soon as its length
+    /// is known.
     pub fn new(body_limit: u64) -> Self {
         ResponseCodec {
             body_limit,
--- a/crates/spokeflow-platform/src/acceptor.rs
+++ b/crates/spokeflow-platform/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients, and closes one where as many are open as may be.
+//! Accepts connections of clients, and closes one without an open command when the limit on connections is reached.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,20 +13,20 @@
 use crate::connection_state::ConnectionState;
 use crate::listener_context::ListenerContext;
 
-/// Bytes that the system keeps for a client that sends faster than it is read.
-const SYSTEM_QUEUE: u32 = 64 << 10;
-/// Connections that the system keeps until they are accepted.
+/// Size of the socket's receive buffer, in bytes: holds what a client sends faster than it is read.
+const RECEIVE_BUFFER_SIZE: u32 = 64 << 10;
+/// Maximum number of connections that the operating system holds until they are accepted.
 const BACKLOG: u32 = 1024;
-/// Pause after a failed accept. Out of descriptors, most likely: trying at once again would only spin.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Delay after a connection was requested to close: its task has to be scheduled to do so.
-const CLOSE_WAIT: Duration = Duration::from_millis(1);
+/// Delay after a failed accept. The process is most likely out of descriptors, and an immediate retry would fail again.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay after a connection was requested to close: its task has to be scheduled first.
+const CLOSE_REQUEST_DELAY: Duration = Duration::from_millis(1);
 
 /// The task that accepts connections.
 pub(crate) struct Acceptor {
     pub(crate) listener: TcpListener,
     pub(crate) context: Arc<ListenerContext>,
-    /// Connections at most; for one more, one that has no open command is closed.
+    /// Maximum number of open connections. To accept one more, one without an open command is closed.
     pub(crate) max_connections: usize,
     pub(crate) clients: TaskTracker,
 }
@@ -39,8 +39,8 @@
             let stream = match self.listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(%error, "cannot accept");
-                    sleep(ACCEPT_RETRY).await;
+                    warn!(%error, "cannot accept a client connection");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
@@ -57,19 +57,21 @@
         }
     }
 
-    /// Returns once there is room for one more connection.
+    /// Closes connections until one more may be opened.
     async fn free_capacity(&self, states: &mut Vec<Arc<ConnectionState>>) {
         while states.len() >= self.max_connections {
             states.retain(|state| Arc::strong_count(state) > 1);
             if states.len() >= self.max_connections {
                 request_close(states);
-                sleep(CLOSE_WAIT).await;
+                sleep(CLOSE_REQUEST_DELAY).await;
             }
         }
     }
 }
 
-/// Requests one connection to close: the one that has longest sent nothing since it came, else the one longest idle.
+/// Requests one connection to close, the one of lowest [`ConnectionState::close_priority`]. That is the oldest of those
+/// that have sent nothing since they were accepted, or else the one idle longest, or else the one that has been sending
+/// an incomplete request longest.
 fn request_close(states: &[Arc<ConnectionState>]) {
     let closable = states
         .iter()
@@ -79,7 +81,7 @@
     }
 }
 
-/// Listens with little room for what is not read, so that what clients send at full speed waits with them.
+/// Opens the listener, with a small receive buffer so that clients that send at full speed are held back by TCP.
 pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -87,7 +89,7 @@
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    socket.set_recv_buffer_size(SYSTEM_QUEUE)?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_SIZE)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
--- a/crates/spokeflow-platform/src/client_connection.rs
+++ b/crates/spokeflow-platform/src/client_connection.rs
@@ -1,6 +1,7 @@
-//! A client's connection: one request at a time, read whole, checked, and handed to the engine's task; what cannot be a
-//! command is refused here and reaches nothing else.
+//! A client's connection. Requests are read whole and checked one at a time, and each command is handed to the task
+//! that owns the engine. A request that is no valid command is refused here and never reaches the engine.
 
+use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -22,52 +23,55 @@
 use crate::request_wait::{RequestWait, Wake};
 use crate::unread::{unread_state, UnreadState};
 
-/// A client that has not taken its answer whole by then is closed. Guards the descriptors; no term names a time.
+/// Time for a client to take its whole answer; after it the connection is closed, so that clients that do not read
+/// cannot use up the descriptors. The platform's protocol sets no such time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// For so long what a refused client still sends is read and dropped, so that it gets to read why.
+/// Time for which input of a refused client is read and dropped, so that it can read the answer.
 const LINGER: Duration = Duration::from_millis(100);
-/// Reads of a lingering connection at most.
+/// Maximum number of reads while the connection of a refused client lingers.
 const LINGER_READS: usize = 32;
-/// Bytes kept ready for each direction of a connection.
-const BUFFER: usize = 2 << 10;
-/// Bytes read ahead beside an open command: one more request.
+/// Size of a connection's read buffer, in bytes.
+const BUFFER_SIZE: usize = 2 << 10;
+/// Maximum number of bytes read while a command is open: the size of one more request.
 const READ_AHEAD: usize = BODY_LIMIT + HEAD_LIMIT;
 
-/// The task of one connection.
+/// The task that serves one client's connection.
 pub(crate) struct ClientConnection {
-    /// Its number, never used twice by this process.
+    /// Number of the connection, never used twice by this process.
     pub(crate) connection: u64,
     pub(crate) context: Arc<ListenerContext>,
     pub(crate) state: Arc<ConnectionState>,
 }
 
-/// A connection's socket: what it sends is read here alone, so that nothing is dropped that has been read.
+/// A connection's socket and decoder. All input is read through it, so that bytes that have been read are never lost.
 struct Link {
     stream: TcpStream,
     buffer: BytesMut,
     codec: ServerCodec,
 }
 
-/// What one reading has brought.
+/// The result of one read.
 enum ReadOutcome {
     Request(Request),
-    /// A part of one, or nothing but empty lines between requests.
+    /// A part of a request, or only empty lines between requests.
     Part,
+    /// The client has closed the connection.
     End,
 }
 
 impl Link {
-    /// Whether a request has begun and is not whole. Empty lines between two begin none (RFC 9112, 2.2).
+    /// Whether a part of a request has been read. Empty lines between two requests belong to neither (RFC 9112, 2.2).
     fn has_begun(&self) -> bool {
         self.codec.is_mid_message() || self.buffer.iter().any(|byte| !b"\r\n".contains(byte))
     }
 
-    /// One more reading. Dropped half way it has read nothing.
+    /// Reads once from the socket, unless a whole request is in the buffer. Cancel-safe: if the future is dropped, no
+    /// input is lost.
     async fn read(&mut self) -> Result<ReadOutcome, HttpError> {
         if let Some(request) = self.codec.decode(&mut self.buffer)? {
             return Ok(ReadOutcome::Request(request));
         }
-        self.buffer.reserve(BUFFER);
+        self.buffer.reserve(BUFFER_SIZE);
         if self.stream.read_buf(&mut self.buffer).await? == 0 {
             let last = self.codec.decode_eof(&mut self.buffer)?;
             return Ok(last.map_or(ReadOutcome::End, ReadOutcome::Request));
@@ -76,16 +80,16 @@
         Ok(request.map_or(ReadOutcome::Part, ReadOutcome::Request))
     }
 
-    /// Ends once the client has closed. What it sends meanwhile is kept for after the answer.
-    async fn closed(&mut self) {
+    /// Returns once the client has closed the connection. What it sends meanwhile is kept and decoded after the answer.
+    async fn wait_for_close(&mut self) {
         while self.buffer.len() < READ_AHEAD {
-            self.buffer.reserve(BUFFER);
+            self.buffer.reserve(BUFFER_SIZE);
             let read = self.stream.read_buf(&mut self.buffer).await;
             if !matches!(read, Ok(bytes) if bytes > 0) {
                 return;
             }
         }
-        // More than a request ahead is no usual client; the rest waits with it.
+        // The client has sent more than one request ahead: the rest is not read before the answer.
         std::future::pending().await
     }
 
@@ -94,12 +98,12 @@
         write_response(answer, &mut bytes);
         timeout(WRITE_TIMEOUT, self.stream.write_all(&bytes))
             .await
-            .map_err(|_| HttpError::Truncated)??;
+            .map_err(|_| write_timed_out())??;
         Ok(())
     }
 
-    /// Ends a connection whose client has had its answer. What comes now has crossed it and is not read: its client
-    /// sees that and sends it again.
+    /// Closes a connection after an answer that announced it. Input that arrives now was sent before the client read
+    /// that answer; it is not read, and the client sees the close and sends it again.
     async fn finish(&mut self) {
         let finishing = async {
             self.stream.shutdown().await?;
@@ -108,19 +112,19 @@
         let _ = timeout(LINGER, finishing).await;
     }
 
-    /// Whether the client has sent more than what was read and decoded.
-    fn has_more(&self) -> bool {
+    /// Whether the client has sent bytes that have not been decoded.
+    fn has_more_input(&self) -> bool {
         self.has_begun() || unread_state(&self.stream) == UnreadState::Bytes
     }
 }
 
 impl ClientConnection {
-    /// Serves the connection until it ends.
+    /// Serves the connection until it is closed.
     pub(crate) async fn run(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut link = Link {
             stream,
-            buffer: BytesMut::with_capacity(BUFFER),
+            buffer: BytesMut::with_capacity(BUFFER_SIZE),
             codec: ServerCodec::new(BODY_LIMIT),
         };
         let mut is_known = false;
@@ -133,9 +137,11 @@
         }
     }
 
+    /// Logs the error and answers the client with its status, if the client may still read it.
     async fn refuse(&self, link: &mut Link, error: HttpError) {
         if let Some(kept_back) = self.context.clock.allow_log_line() {
-            info!(connection = self.connection, kept_back, %error, "client refused");
+            let peer = link.stream.peer_addr().ok();
+            info!(connection = self.connection, ?peer, kept_back, %error, "client refused");
         }
         let Some(status) = error.status() else {
             return;
@@ -150,14 +156,14 @@
         linger(&mut link.stream).await;
     }
 
-    /// The next request; `None` where the connection is to be closed between two, which it is only when nothing of
-    /// the next one has come: that would be a request accepted and never answered.
+    /// Waits for the next request; `None` if the connection is to be closed between two requests. It is closed only if
+    /// no byte of the next request has arrived: otherwise a request would be accepted and never answered.
     async fn next_request(
         &self,
         link: &mut Link,
-        had_answer: bool,
+        has_had_answer: bool,
     ) -> Result<Option<Request>, HttpError> {
-        let mut wait = RequestWait::starting_now(had_answer);
+        let mut wait = RequestWait::starting_now(has_had_answer);
         self.state.set(wait.activity(), &self.context.clock);
         loop {
             if !wait.has_begun && link.has_begun() {
@@ -166,15 +172,15 @@
             }
             match self.wait(link, &mut wait).await? {
                 Wake::Request(request) => return Ok(Some(request)),
-                Wake::Again => continue,
-                Wake::End => return Ok(None),
+                Wake::Continue => continue,
+                Wake::Disconnected => return Ok(None),
                 Wake::Close => {}
             }
             if unread_state(&link.stream) != UnreadState::Bytes {
                 return Ok(None);
             }
-            // It has crossed the closing: the runtime has not learned of it yet.
-            wait.cross_closing();
+            // A request arrived while the connection was about to be closed, and the runtime does not know of it yet.
+            wait.begin_instead_of_closing();
         }
     }
 
@@ -185,8 +191,8 @@
             biased;
             read = link.read() => Ok(match read? {
                 ReadOutcome::Request(request) => Wake::Request(request),
-                ReadOutcome::Part => Wake::Again,
-                ReadOutcome::End => Wake::End,
+                ReadOutcome::Part => Wake::Continue,
+                ReadOutcome::End => Wake::Disconnected,
             }),
             _ = self.state.close_requested.notified() => {
                 if link.has_begun() {
@@ -195,21 +201,22 @@
                 Ok(Wake::Close)
             }
             _ = async { closing.wait_for(|closing| *closing).await.is_ok() },
-                if !wait.has_begun && !wait.saw_closing => Ok(wait.on_closing()),
+                if !wait.has_begun && !wait.has_seen_closing => Ok(wait.on_closing()),
             _ = sleep_until(wait.until) => {
                 if link.has_begun() {
-                    return Err(HttpError::Unreadable("it does not go on"));
+                    return Err(HttpError::Unreadable("request not received whole in time"));
                 }
                 Ok(Wake::Close)
             }
         }
     }
 
-    /// Serves requests until the connection is to be closed. `is_known`: whether the engine knows this connection.
+    /// Serves requests until the connection is to be closed. Sets `is_known` once the engine gets a command of this
+    /// connection and has to learn of its end.
     async fn serve(&self, link: &mut Link, is_known: &mut bool) -> Result<(), HttpError> {
         let mut commands = 0;
         while let Some(request) = self.next_request(link, commands > 0).await? {
-            let stays = request.keep_alive;
+            let keep_alive = request.keep_alive;
             let mut answer = match self.check(request) {
                 Checked::Answer(answer) => answer,
                 Checked::Command { id, mut command } => {
@@ -223,9 +230,9 @@
                     }
                 }
             };
-            // One that has already sent its next request gets an answer to that as well.
-            let ends = self.context.clock.is_shutting_down() && !link.has_more();
-            answer.close |= !stays || ends;
+            // A client that has already sent its next request gets an answer to that request as well.
+            let shutting_down = self.context.clock.is_shutting_down() && !link.has_more_input();
+            answer.close |= !keep_alive || shutting_down;
             link.send(&answer).await?;
             if answer.close {
                 link.finish().await;
@@ -235,6 +242,7 @@
         Ok(())
     }
 
+    /// Answers the health check, and checks any other request against the schema.
     fn check(&self, request: Request) -> Checked {
         if request.target.as_ref() == b"/up" {
             let status = if self.context.is_up() { 200 } else { 503 };
@@ -246,14 +254,15 @@
         self.context.schema.check(request)
     }
 
-    /// Hands a command to the engine's task and waits for its answer; `None` where the client or the engine has gone.
+    /// Hands a command to the engine's task and waits for the answer; `None` if the client has closed the connection or
+    /// the engine's task has ended.
     async fn execute(
         &self,
         link: &mut Link,
         id: bytes::Bytes,
         command: Command,
     ) -> Option<Response> {
-        let (answer, mut answered) = oneshot::channel();
+        let (answer, mut answer_receiver) = oneshot::channel();
         let event = EngineEvent::Command {
             connection: self.connection,
             id,
@@ -263,9 +272,9 @@
         self.context.events.send(event).await.ok()?;
         let message = tokio::select! {
             biased;
-            message = &mut answered => message,
-            // Whoever closes has gone away and waits for nothing.
-            _ = link.closed() => return None,
+            message = &mut answer_receiver => message,
+            // A client that closes the connection does not wait for the answer.
+            _ = link.wait_for_close() => return None,
         };
         Some(match message {
             Ok(message) => to_answer(message),
@@ -277,7 +286,14 @@
     }
 }
 
-/// Reads and drops for a short time what a client still sends, so that the answer is not taken back by a reset.
+/// Returns the error of a client that does not take its answer.
+fn write_timed_out() -> HttpError {
+    let text = format!("client did not take the whole answer within {WRITE_TIMEOUT:?}");
+    io::Error::new(io::ErrorKind::TimedOut, text).into()
+}
+
+/// Reads and drops a client's input for a short time: closing a connection with unread input sends a reset, and the
+/// client could lose the answer.
 async fn linger(stream: &mut TcpStream) {
     let lingering = async {
         stream.shutdown().await?;
@@ -287,11 +303,12 @@
                 break;
             }
         }
-        std::io::Result::Ok(())
+        io::Result::Ok(())
     };
     let _ = timeout(LINGER, lingering).await;
 }
 
+/// Returns the response that carries the engine's answer.
 fn to_answer(message: ToClient) -> Response {
     match message {
         ToClient::Acked { body, .. } => Response {
@@ -299,16 +316,13 @@
             body,
             ..Response::default()
         },
-        ToClient::Nacked {
-            retry_after_us: come_back_us,
-            ..
-        } => Response {
+        ToClient::Nacked { retry_after_us, .. } => Response {
             status: 503,
-            retry_after: come_back_us.map(|us| us as f64 / 1e6),
+            retry_after: retry_after_us.map(|us| us as f64 / 1e6),
             ..Response::default()
         },
         ToClient::Refused(refused) => {
-            debug!(refused.text, "command refused");
+            debug!(reason = refused.text, "command refused");
             Response {
                 status: 409,
                 close: true,
--- a/crates/spokeflow-platform/src/connection_state.rs
+++ b/crates/spokeflow-platform/src/connection_state.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is doing, for the choice of one to close when another needs its place.
+//! The activity of a client's connection, which decides which one is closed when a new one needs its place.
 
 use std::sync::atomic::{AtomicI64, AtomicU8, Ordering};
 
@@ -6,26 +6,27 @@
 use spokeflow_runtime::Clock;
 use tokio::sync::Notify;
 
-/// In the order in which connections are closed where another needs their place; one that is served never is.
+/// What a connection is doing. Connections are closed in the order of the variants when a new one needs their place;
+/// one that is `Serving` is never closed for that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum Activity {
-    /// Nothing has come since it was accepted.
+    /// It has sent nothing since it was accepted.
     New,
-    /// Its requests have had their answers.
+    /// All its requests have been answered.
     Idle,
-    /// A part of a request has come.
+    /// It has sent a part of a request.
     Receiving,
-    /// A command of it is owed an answer.
+    /// It has an open command.
     Serving,
 }
 
-/// Shared by the acceptor and the task of one connection.
+/// State that the acceptor shares with the task of one connection.
 pub(crate) struct ConnectionState {
     activity: AtomicU8,
-    /// Since when, by the clock of the process.
+    /// When the activity began, in microseconds by the clock of the process.
     since: AtomicI64,
-    /// Requests the task to close the connection, if it can.
+    /// Notified to request the task to close the connection, if no command is open.
     pub(crate) close_requested: Notify,
 }
 
@@ -43,7 +44,7 @@
         self.since.store(clock.now(), Ordering::Relaxed);
     }
 
-    /// The lowest is closed first; `None` while a command is served.
+    /// Returns the key by which connections are chosen for closing, lowest first; `None` while a command is open.
     pub(crate) fn close_priority(&self) -> Option<(u8, Micros)> {
         let activity = self.activity.load(Ordering::Relaxed);
         let since = self.since.load(Ordering::Relaxed);
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -205,7 +205,8 @@
         Ok(listing)
     }
 
-    /// Reads once. An empty line in the middle of a listing is no sign of life: the listing has to become whole in time.
+    /// Reads once. An empty line in the middle of a listing is no sign of life: the listing has to become whole in
+    /// time.
     async fn read(&mut self) -> Result<(), WatchError> {
         if self.listings.is_mid_object() {
             self.mid_listing_since.get_or_insert(Instant::now());
--- a/crates/spokeflow-platform/src/event.rs
+++ b/crates/spokeflow-platform/src/event.rs
@@ -10,35 +10,36 @@
 use crate::idle_connections::Connection;
 use crate::idle_lifetime::ConnectionUse;
 
-/// What reaches the task that owns the engine.
+/// An event for the task that owns the engine.
 pub(crate) enum EngineEvent {
-    /// A client's request, checked and whole. It gets one message on `answer`, none if the client goes first.
+    /// A command of a client, received whole and checked. Exactly one message is sent on `answer`, or none if the
+    /// client disconnects first.
     Command {
         connection: u64,
-        /// The id as the client wrote it, for the log and to find a second use of it.
+        /// The `Request-Id` as the client sent it, for the log and to detect that it is used twice.
         id: Bytes,
         command: Command,
         answer: oneshot::Sender<ToClient>,
     },
-    /// The connection of a client is closed.
+    /// The connection of this number, which a client had opened, is closed.
     ClientDisconnected(u64),
-    /// A delivery to a host has ended, as `input` tells the engine.
+    /// A delivery to a host has ended; `input` is the result for the engine.
     DeliveryEnded {
         host: HostId,
         delivery: u64,
         input: Input,
-        /// The connection, where it may carry another delivery.
+        /// The connection, if it may carry another delivery.
         connection: Option<Connection>,
-        /// What became of the connection, where that says something of how long one may rest.
+        /// Whether the connection broke, if that is evidence of how long connections may stay idle.
         connection_use: Option<ConnectionUse>,
     },
-    /// Discovery has listed the hosts.
+    /// Discovery has sent the host list or changes of it.
     EndpointsListed(Listing),
-    /// The release controller sends the state of a rollout.
+    /// The release controller has sent the state of a rollout.
     RolloutStatus(RolloutUpdate),
-    /// The release controller says that an answer of this host was wrong, to a delivery sent so many microseconds ago.
+    /// The release controller has reported a wrong answer of this host, to a delivery sent `ago_us` microseconds ago.
     WrongAnswerReport { host_name: String, ago_us: u64 },
-    /// What became of a vote; no result where it may count or not.
+    /// A vote has been answered; `result` is `None` if it is unknown whether the vote counts.
     VoteAnswered {
         ballot: u64,
         result: Option<VoteResult>,
--- a/crates/spokeflow-platform/src/limits.rs
+++ b/crates/spokeflow-platform/src/limits.rs
@@ -1,27 +1,33 @@
-//! What the platform grants this router, and how its descriptors are shared out.
+//! The resources that the platform grants to this router, and how its file descriptors are divided.
 
 use serde::Deserialize;
 use spokeflow_core::ROUTERS_PER_HOST;
 
-/// Bytes of a body at most, as the platform says.
+/// Maximum length of a body in bytes, as the platform's protocol sets it.
 pub(crate) const BODY_LIMIT: usize = 64 << 10;
-/// Descriptors for all but clients and hosts: standard streams, signals, the listener, discovery, the release
-/// controller.
+/// Number of descriptors that are not for clients or hosts: standard streams, signals, the listener, discovery and the
+/// release controller.
 const RESERVED_DESCRIPTORS: u64 = 24;
-/// Descriptors without which nothing can be served: two clients' and one host's beside the reserved ones.
+/// Minimum number of descriptors to serve any command: the reserved ones, two for clients and one for a host.
 pub(crate) const MIN_DESCRIPTORS: u64 = RESERVED_DESCRIPTORS + 3;
 
-/// What the platform grants this router.
+/// The resources that the platform grants to this router.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct Limits {
-    /// Parts of a core.
+    /// Share of the processor, in cores.
     #[serde(default = "one")]
-    #[expect(dead_code, reason = "checked as a part of the file")]
+    #[expect(
+        dead_code,
+        reason = "must be present and valid in the configuration file"
+    )]
     pub(crate) cores: f64,
-    /// Mebibytes.
-    #[expect(dead_code, reason = "checked as a part of the file")]
+    /// Memory, in mebibytes.
+    #[expect(
+        dead_code,
+        reason = "must be present and valid in the configuration file"
+    )]
     pub(crate) memory_mb: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub(crate) sockets: u64,
 }
 
@@ -29,7 +35,7 @@
     1.0
 }
 
-/// Connections of clients and to hosts at most.
+/// Maximum numbers of connections of clients and to hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionLimits {
     pub(crate) clients: usize,
@@ -37,16 +43,17 @@
 }
 
 impl ConnectionLimits {
-    /// Shares out what the reserved descriptors leave. A command holds a connection of a client and one to a host, and
-    /// those to the hosts that this router reaches are idle between: what the fleet's size, the number of `hosts` and
-    /// the commands `in_flight` come to, a third at least and half at most, goes to hosts.
+    /// Divides the descriptors that are not reserved. A command holds a connection of a client and one to a host, and
+    /// between commands one idle connection is kept to each host that this router reaches. Hosts therefore get one
+    /// descriptor for each host reached, which depends on the size of the `fleet` of routers and the number of `hosts`,
+    /// and one for each of the commands `in_flight`; at least a third of the descriptors and at most half of them.
     pub(crate) fn new(limits: &Limits, fleet: u32, hosts: usize, in_flight: f64) -> Self {
         let free = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS) as usize;
         let reached = hosts as f64 * (ROUTERS_PER_HOST / f64::from(fleet.max(1))).min(1.0);
-        let to_hosts = ((reached + in_flight).ceil() as usize).clamp(free / 3, free / 2);
+        let for_hosts = ((reached + in_flight).ceil() as usize).clamp(free / 3, free / 2);
         ConnectionLimits {
-            clients: free - to_hosts,
-            hosts: to_hosts,
+            clients: free - for_hosts,
+            hosts: for_hosts,
         }
     }
 }
--- a/crates/spokeflow-platform/src/release_controller.rs
+++ b/crates/spokeflow-platform/src/release_controller.rs
@@ -1,5 +1,5 @@
-//! The release controller's lines: one subscription that is kept, and a connection of its own for each vote. Votes are few,
-//! and so their answers can neither be mixed up nor wait behind one another.
+//! The release controller's lines: one subscription that is kept, and a connection of its own for each vote. Votes are
+//! few, and so their answers can neither be mixed up nor wait behind one another.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/crates/spokeflow-platform/src/request_wait.rs
+++ b/crates/spokeflow-platform/src/request_wait.rs
@@ -1,4 +1,4 @@
-//! How long a connection waits for a request, and what ends the wait.
+//! The wait of a client's connection for a request: how long it lasts and what ends it.
 
 use std::time::Duration;
 
@@ -7,87 +7,91 @@
 
 use crate::connection_state::Activity;
 
-/// A connection that has sent nothing whole for so long is closed: "a connection with no open request may be closed
-/// after 2 s" (days in service).
+/// Time for the first request on a connection to arrive whole, and for a later one once a part of it has arrived; after
+/// it the connection is closed. The platform lets a router close a connection with no open request after 2 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that had its answers and is used no more is closed, if room has not been wanted before: by the same term
-/// it might be after 2 s, and a client that comes back finds it open for longer.
+/// Time for the next request on a connection whose requests have been answered; after it the connection is closed, or
+/// earlier if a new connection needs its place. The platform allows closing after 2 s; a longer time lets more clients
+/// find their connection still open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A first request that began within its time gets so much more to come whole, at the least.
+/// Minimum time for a first request to arrive whole once a part of it has arrived, and the time for one that begins to
+/// arrive when the connection is about to be closed.
 const BEGUN_TIMEOUT: Duration = Duration::from_millis(500);
-/// After idle connections are closed, a client that has just connected gets so much more to send its first request.
+/// Time for a new client to send its first request after the shutdown has begun to close idle connections.
 const CLOSING_GRACE: Duration = Duration::from_millis(100);
 
 /// What ends a wait for a request.
 pub(crate) enum Wake {
     Request(Request),
-    /// A part of one, or nothing that ends the wait.
-    Again,
+    /// The wait goes on: a part of a request arrived, or the deadline has changed.
+    Continue,
     /// The client has closed the connection.
-    End,
-    /// The connection is to be closed, unless something of a request has come.
+    Disconnected,
+    /// The connection is to be closed, unless a part of a request has arrived.
     Close,
 }
 
-/// The wait for a request: until when, and what has happened in it.
+/// The state of one wait for a request.
 pub(crate) struct RequestWait {
     /// Whether an earlier request on the connection has had its answer.
-    had_answer: bool,
+    has_had_answer: bool,
+    /// Deadline of the wait.
     pub(crate) until: Instant,
-    /// Something of a request has come, maybe only as far as the system.
+    /// Whether a part of a request has arrived; it may still be unread in the operating system's buffer.
     pub(crate) has_begun: bool,
-    pub(crate) saw_closing: bool,
+    /// Whether [`RequestWait::on_closing`] has been called.
+    pub(crate) has_seen_closing: bool,
 }
 
 impl RequestWait {
-    pub(crate) fn starting_now(had_answer: bool) -> Self {
-        let limit = if had_answer {
+    pub(crate) fn starting_now(has_had_answer: bool) -> Self {
+        let limit = if has_had_answer {
             IDLE_TIMEOUT
         } else {
             FIRST_REQUEST_TIMEOUT
         };
         RequestWait {
-            had_answer,
+            has_had_answer,
             until: Instant::now() + limit,
             has_begun: false,
-            saw_closing: false,
+            has_seen_closing: false,
         }
     }
 
-    /// What the connection is doing before anything of the request has come.
+    /// Returns the activity of the connection before any part of the request has arrived.
     pub(crate) fn activity(&self) -> Activity {
-        if self.had_answer {
+        if self.has_had_answer {
             Activity::Idle
         } else {
             Activity::New
         }
     }
 
-    /// Something of the request has been read.
+    /// Notes that a part of the request has been read.
     pub(crate) fn begin(&mut self) {
         self.has_begun = true;
         let now = Instant::now();
-        self.until = if self.had_answer {
+        self.until = if self.has_had_answer {
             now + FIRST_REQUEST_TIMEOUT
         } else {
             self.until.max(now + BEGUN_TIMEOUT)
         };
     }
 
-    /// Something of the request has come when the connection was to be closed.
-    pub(crate) fn cross_closing(&mut self) {
+    /// Notes that a part of the request arrived when the connection was to be closed.
+    pub(crate) fn begin_instead_of_closing(&mut self) {
         self.has_begun = true;
         self.until = Instant::now() + BEGUN_TIMEOUT;
     }
 
-    /// Idle connections are being closed.
+    /// Handles the shutdown's request to close idle connections.
     pub(crate) fn on_closing(&mut self) -> Wake {
-        self.saw_closing = true;
-        if self.had_answer {
+        self.has_seen_closing = true;
+        if self.has_had_answer {
             return Wake::Close;
         }
-        // Whoever has just connected is about to send a request.
+        // A client that has just connected is about to send a request.
         self.until = self.until.min(Instant::now() + CLOSING_GRACE);
-        Wake::Again
+        Wake::Continue
     }
 }
--- a/crates/spokeflow-platform/src/transport.rs
+++ b/crates/spokeflow-platform/src/transport.rs
@@ -1,5 +1,5 @@
-//! The engine's transport on the platform: answers go to the tasks of clients' connections, each delivery gets a task of
-//! its own, and votes go to the release controller.
+//! The engine's transport on the platform: answers go to the tasks of clients' connections, each delivery gets a task
+//! of its own, and votes go to the release controller.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/spokeflow-platform/src/unread.rs
+++ b/crates/spokeflow-platform/src/unread.rs
@@ -1,20 +1,21 @@
-//! What the system holds unread for a connection, by a call to the system.
+//! Asks the operating system whether a connection has unread input.
 
 use std::mem::MaybeUninit;
 
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// What the system holds unread for a connection.
+/// The unread input of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum UnreadState {
     Nothing,
     Bytes,
-    /// The peer has ended it, or it broke.
+    /// The peer has closed the connection, or it is broken.
     End,
 }
 
-/// What the system holds for `stream`, without reading it. The runtime knows only what it learned when it last waited.
+/// Returns the unread input of `stream` without reading it. Asks the operating system, since the runtime's readiness is
+/// only as recent as its last wait.
 pub(crate) fn unread_state(stream: &TcpStream) -> UnreadState {
     let mut byte = [MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut byte) {
--- a/crates/spokeflow-platform/tests/unit/limits.rs
+++ b/crates/spokeflow-platform/tests/unit/limits.rs
@@ -1,8 +1,8 @@
-//! How descriptors are shared out.
+//! Division of the file descriptors between clients and hosts.
 
 use super::*;
 
-fn parts(sockets: u64, fleet: u32, hosts: usize, in_flight: f64) -> (usize, usize) {
+fn connection_limits(sockets: u64, fleet: u32, hosts: usize, in_flight: f64) -> (usize, usize) {
     let limits = Limits {
         cores: 1.0,
         memory_mb: 64,
@@ -12,25 +12,29 @@
     (connections.clients, connections.hosts)
 }
 
-/// Two thirds and one third whatever was told: a router of few that meets a thousand hosts went on making
-/// connections anew while clients left half of theirs unused.
+/// Guards against a fixed division into two thirds and one third: a router of a small fleet that reaches a thousand
+/// hosts would open new connections all the time while half of those for clients stay unused.
 #[test]
-fn descriptors_are_shared_by_fleet_hosts_and_load() {
+fn descriptors_are_divided_by_fleet_size_hosts_and_load() {
     assert_eq!(
-        parts(1_024, 300, 150, 2.0),
+        connection_limits(1_024, 300, 150, 2.0),
         (667, 333),
-        "few hosts of many, little load: a third is plenty"
+        "this router reaches few of the hosts and has little load: hosts get the minimum of a third"
     );
     assert_eq!(
-        parts(1_024, 3, 420, 5.0),
+        connection_limits(1_024, 3, 420, 5.0),
         (575, 425),
-        "every host, and five commands in flight"
+        "this router reaches all hosts, five commands in flight"
     );
-    assert_eq!(parts(1_024, 3, 5_000, 5.0), (500, 500), "clients keep half");
     assert_eq!(
-        parts(256, 350, 300, 100.0),
+        connection_limits(1_024, 3, 5_000, 5.0),
+        (500, 500),
+        "clients keep half of the descriptors"
+    );
+    assert_eq!(
+        connection_limits(256, 350, 300, 100.0),
         (116, 116),
-        "fifty hosts and a hundred commands"
+        "fifty hosts reached and a hundred commands in flight: hosts get the maximum of half"
     );
-    assert_eq!(parts(27, 350, 300, 1.0), (2, 1));
+    assert_eq!(connection_limits(27, 350, 300, 1.0), (2, 1));
 }
