--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The file that `GW_CONFIG` names.
+//! The configuration file, whose path is in `GW_CONFIG`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 
 use crate::endpoint_table::Listing;
 use crate::limits::{Limits, MIN_DESCRIPTORS};
-use crate::rollout_line::RolloutLine;
+use crate::rollout_line::{RolloutLine, EXPECTED_STATE};
 
-/// The file, in the platform's words.
+/// The configuration file, in the platform's form.
 #[derive(Clone, Debug, Deserialize)]
 struct File {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// A hexadecimal number.
+    /// Seed of the random draws, a hexadecimal number.
     #[serde(default)]
     seed: String,
     limits: Limits,
@@ -29,7 +29,7 @@
     settings: serde_json::Value,
 }
 
-/// The release controller, and the rollout as it was when the file was written.
+/// The release controller, and the state of the rollout when the file was written.
 #[derive(Clone, Debug, Deserialize)]
 struct Deployer {
     address: SocketAddr,
@@ -37,23 +37,23 @@
     rollout: Option<RolloutLine>,
 }
 
-/// What a router is configured with.
+/// The configuration of a router.
 pub(crate) struct Configuration {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
-    /// The release controller.
-    pub(crate) deployer: SocketAddr,
+    /// Address of the release controller.
+    pub(crate) release_controller: SocketAddr,
     pub(crate) seed: u64,
     pub(crate) limits: Limits,
-    /// The rollout as it was when the file was written.
+    /// State of the rollout when the file was written.
     pub(crate) rollout: Option<RolloutUpdate>,
-    /// The hosts as they were when the file was written.
+    /// The host list when the file was written.
     pub(crate) known: Option<Listing>,
     pub(crate) settings: Settings,
 }
 
-/// Why a file is no configuration.
+/// The reason why a file is not a valid configuration.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigurationError {
     #[error(transparent)]
@@ -62,20 +62,20 @@
     Json(#[from] serde_json::Error),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("settings name no op type")]
+    #[error("settings: no op type, expected at least one")]
     NoOperations,
-    #[error("settings name an op type, a customer or a zone twice")]
-    RepeatedName,
-    #[error("limits.sockets {0}: {MIN_DESCRIPTORS} at least are needed")]
+    #[error("settings: {kind} '{name}' is listed more than once")]
+    RepeatedName { kind: &'static str, name: String },
+    #[error("limits.sockets: {0} file descriptors, expected at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(u64),
-    #[error("deployer.news is no state of a build")]
-    Rollout,
-    #[error("seed '{0}' is no hexadecimal number")]
+    #[error("deployer.news: {0:?} is not a rollout state, expected {EXPECTED_STATE}")]
+    Rollout(RolloutLine),
+    #[error("seed: '{0}' is not a hexadecimal number of at most 64 bits")]
     Seed(String),
 }
 
 impl ConfigurationError {
-    /// Whether the file is no whole text: it may be in the middle of being replaced.
+    /// Whether the file is missing or is not complete JSON, as it may be while it is being replaced.
     pub(crate) fn is_incomplete_file(&self) -> bool {
         match self {
             ConfigurationError::Io(error) => error.kind() == io::ErrorKind::NotFound,
@@ -86,9 +86,11 @@
 }
 
 impl Configuration {
+    /// Reads and checks the configuration file.
+    ///
     /// # Errors
     ///
-    /// The file cannot be read, or something in it does not fit.
+    /// The file cannot be read, or a value in it is not valid.
     pub(crate) fn read(path: &Path) -> Result<Configuration, ConfigurationError> {
         let text = std::fs::read(path)?;
         let file: File = serde_json::from_slice(&text)?;
@@ -99,14 +101,17 @@
         }
         let rollout = file.deployer.rollout.as_ref();
         let rollout = rollout
-            .map(|line| line.to_update().ok_or(ConfigurationError::Rollout))
+            .map(|line| {
+                let update = line.to_update();
+                update.ok_or_else(|| ConfigurationError::Rollout(line.clone()))
+            })
             .transpose()?;
         let seed = u64::from_str_radix(&file.seed, 16);
         Ok(Configuration {
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
-            deployer: file.deployer.address,
+            release_controller: file.deployer.address,
             seed: seed.map_err(|_| ConfigurationError::Seed(file.seed))?,
             limits: file.limits,
             rollout,
@@ -116,25 +121,34 @@
     }
 }
 
-/// The platform's routers find operations, tenants and zones by their names.
+/// Checks that there is an operation and that no name is listed twice: requests and listings refer to operations,
+/// tenants and zones by name.
 fn check_settings(settings: &Settings) -> Result<(), ConfigurationError> {
     if settings.config.ops.is_empty() {
         return Err(ConfigurationError::NoOperations);
     }
-    let names = [&settings.ops, &settings.customers, &settings.zones];
-    if names.into_iter().any(|names| has_repeated(names)) {
-        return Err(ConfigurationError::RepeatedName);
+    let lists = [
+        ("op type", &settings.ops),
+        ("tenant", &settings.customers),
+        ("zone", &settings.zones),
+    ];
+    for (kind, names) in lists {
+        if let Some(name) = repeated_name(names) {
+            let name = name.to_string();
+            return Err(ConfigurationError::RepeatedName { kind, name });
+        }
     }
     Ok(())
 }
 
-fn has_repeated(names: &[String]) -> bool {
+/// Returns the first name that occurs again later in the list.
+fn repeated_name(names: &[String]) -> Option<&str> {
     let mut rest = names;
     while let Some((name, others)) = rest.split_first() {
         if others.contains(name) {
-            return true;
+            return Some(name);
         }
         rest = others;
     }
-    false
+    None
 }
--- a/crates/spokeflow-platform/src/derived.rs
+++ b/crates/spokeflow-platform/src/derived.rs
@@ -1,4 +1,4 @@
-//! Times and limits that follow from the configuration.
+//! Times and limits that are computed from the configuration.
 
 use std::time::Duration;
 
@@ -7,25 +7,28 @@
 use crate::configuration::Configuration;
 use crate::limits::ConnectionLimits;
 
-/// Where the settings name no time for a connection to a host: "some connections to hosts come up late (up to 1 s)"
-/// (standing test).
+/// Timeout of opening a connection to a host if the settings set none. On the platform, opening a connection to a host
+/// can take up to 1 s.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// In microseconds, and far enough from the largest number that sums of a few do not overflow.
+/// Converts a duration to microseconds, limited to a quarter of the largest value so that sums of a few do not
+/// overflow.
 pub(crate) fn to_micros(duration: Duration) -> Micros {
     duration.as_micros().min(Micros::MAX as u128 / 4) as Micros
 }
 
-/// A time of the engine; none is negative.
+/// Converts a span of the engine to a duration; a negative one becomes zero.
 pub(crate) fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.max(0) as u64)
 }
 
-/// Times and loads that follow from the settings.
+/// Times and limits that are computed from the configuration.
 pub(crate) struct Derived {
+    /// The longest command timeout of all operations.
     pub(crate) longest_timeout: Duration,
+    /// Timeout of opening a connection to a host.
     pub(crate) connect_timeout: Duration,
-    /// Connections to hosts that rested for longer are closed.
+    /// Connections to hosts that have been idle for longer are closed.
     pub(crate) idle_timeout: Duration,
     pub(crate) limits: ConnectionLimits,
 }
@@ -40,8 +43,9 @@
             0 => DEFAULT_CONNECT_TIMEOUT.min(longest_timeout),
             limit => to_duration(limit),
         };
-        // Hosts close at the latest after their own time: well before it, nothing can cross their closing. Where the
-        // settings have none, it is learned from what breaks (`idle_lifetime.rs`).
+        // Hosts close a connection that has been idle for the time in the settings. Half of that time leaves a margin,
+        // so that no request is sent while the host closes. If the settings have no such time, it is learned from
+        // connections that break (`idle_lifetime.rs`).
         let idle_timeout = match settings.connection_idle {
             0 => Duration::MAX,
             limit => to_duration(limit) / 2,
@@ -59,7 +63,8 @@
     }
 }
 
-/// Commands that a router of mean traffic has in flight where each takes the longest objective.
+/// Estimates the number of commands in flight at a router: an even share of the tenants' quotas, each command taking
+/// the longest latency objective.
 fn mean_in_flight(service: &ServiceConfig) -> f64 {
     let objectives = service.ops.iter().map(|op| op.latency_objective);
     let objective = to_duration(objectives.max().unwrap_or(0));
--- a/crates/spokeflow-platform/src/engine_task.rs
+++ b/crates/spokeflow-platform/src/engine_task.rs
@@ -1,4 +1,4 @@
-//! The loop of the task that owns the engine.
+//! The task that owns the engine, and its event loop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::reload::Reload;
 use crate::shutdown::{Shutdown, Step};
 
-/// Events taken in at one go, so that time is looked at often enough.
+/// Maximum number of events processed between two checks of the timers, so that timers are not late under load.
 const EVENTS_PER_BATCH: usize = 256;
-/// What the engine believes is compared with the sockets in the log this often.
+/// Interval at which the status line is logged; see [`EngineState::log_status`].
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
-/// Idle connections are expired this often at least.
+/// Maximum interval between two checks for idle connections to close.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The task that owns the engine.
@@ -28,25 +28,32 @@
     pub(crate) state: EngineState,
     pub(crate) events: mpsc::Receiver<EngineEvent>,
     pub(crate) signals: Signals,
-    /// Where discovery is, for its watch.
+    /// Address of discovery, for the task that watches it.
     pub(crate) discovery_address: watch::Sender<SocketAddr>,
-    /// Set once idle connections of clients are to be closed.
+    /// Set to `true` when idle connections of clients are to be closed.
     pub(crate) closing: watch::Sender<bool>,
+    /// The tasks of the clients' connections.
     pub(crate) clients: TaskTracker,
     pub(crate) shutdown: Shutdown,
+    /// The reload of the configuration in progress, if any.
     pub(crate) reload: Option<Reload>,
+    /// Connections to hosts that have been idle for longer are closed.
     pub(crate) idle_timeout: Duration,
     pub(crate) max_host_connections: usize,
+    /// When idle connections were last checked.
     pub(crate) expired_at: Instant,
+    /// When the status line was last logged.
     pub(crate) logged_at: Instant,
 }
 
 impl EngineTask {
+    /// Processes events, signals and timers until the shutdown has ended.
     pub(crate) async fn run(mut self) {
         let mut batch = Vec::with_capacity(EVENTS_PER_BATCH);
         loop {
             self.wait(&mut batch).await;
-            // Whatever woke this task, what has come meanwhile is taken in as well: neither starves the other.
+            // Queued events are processed after every wake-up, also one by a timer or a signal, so that none of these
+            // starves the others.
             while batch.len() < EVENTS_PER_BATCH {
                 let Ok(event) = self.events.try_recv() else {
                     break;
@@ -93,20 +100,22 @@
     }
 
     fn reload_if_due(&mut self) {
-        let due = self.reload.as_mut();
-        let Some(due) = due.filter(|reload| reload.next() <= Instant::now()) else {
+        let reload = self.reload.as_mut();
+        let Some(reload) = reload.filter(|reload| reload.next() <= Instant::now()) else {
             return;
         };
-        let Some(read) = due.read(&self.program) else {
+        let Some(read) = reload.read(&self.program) else {
             return;
         };
         self.reload = None;
-        let Some(fresh) = read else {
+        let Some(configuration) = read else {
             return;
         };
-        info!(discovery = %fresh.discovery, deployer = %fresh.deployer, "configuration read again");
-        move_to(&self.discovery_address, fresh.discovery);
-        move_to(&self.state.transport.controller_address, fresh.deployer);
+        let discovery = configuration.discovery;
+        let deployer = configuration.release_controller;
+        info!(%discovery, %deployer, "configuration reloaded");
+        set_address(&self.discovery_address, discovery);
+        set_address(&self.state.transport.controller_address, deployer);
     }
 
     fn expire_idle_connections(&mut self) {
@@ -126,7 +135,7 @@
         }
     }
 
-    /// Whether the router has ended.
+    /// Advances the shutdown. Returns `true` once the router is to end.
     fn step_shutdown(&mut self) -> bool {
         let waiting = self.state.engine.waiting_commands();
         match self
@@ -145,7 +154,7 @@
     }
 }
 
-/// Tells the receivers of an address where it differs.
-fn move_to(sender: &watch::Sender<SocketAddr>, address: SocketAddr) {
+/// Sets an address and notifies its receivers, unless it is unchanged.
+fn set_address(sender: &watch::Sender<SocketAddr>, address: SocketAddr) {
     sender.send_if_modified(|present| std::mem::replace(present, address) != address);
 }
--- a/crates/spokeflow-platform/src/lib.rs
+++ b/crates/spokeflow-platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router on the platform: its protocol on sockets around `spokeflow-engine`. `docs/platform.md` says what each
-//! exchange becomes and why.
+//! The router on the platform: the platform's protocol on sockets around `spokeflow-engine`. `docs/platform.md` maps
+//! each exchange of the protocol to the engine's messages and gives the reasons.
 //!
-//! One task owns the engine (`serve.rs`); tasks of connections only read and write. All that is decided on commands
-//! and deliveries is decided by the module inside the engine.
+//! One task owns the engine (`engine_task.rs`); the tasks of connections only read and write. Every decision on
+//! commands and deliveries is made by the decision module inside the engine.
 
 mod acceptor;
 mod client_connection;
--- a/crates/spokeflow-platform/src/program.rs
+++ b/crates/spokeflow-platform/src/program.rs
@@ -1,4 +1,4 @@
-//! The router on the platform as a program: its command line, its signals and its exit codes.
+//! The program that runs the router on the platform: its command line, its signals and its exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,23 +16,25 @@
 use crate::reload::{RETRY_INTERVAL, WRITE_TIMEOUT};
 use crate::serve::{serve, ServeError};
 
-/// Exit code of a router that could not go on.
+/// Exit code of a router that failed to start or to run.
 const FAILED: u8 = 1;
-/// Exit code of flags or a file that do not fit.
+/// Exit code if the flags or the configuration file are not valid.
 const BAD_CONFIGURATION: u8 = 2;
 
-/// The signals that the platform sends; one that comes before it is waited for is kept.
+/// The signals that the platform sends. A signal that arrives before it is awaited is not lost.
 pub(crate) struct Signals {
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub(crate) reload: Signal,
-    /// SIGTERM: end.
+    /// SIGTERM: shut down.
     pub(crate) terminate: Signal,
 }
 
 impl Signals {
+    /// Registers the handlers of the signals.
+    ///
     /// # Errors
     ///
-    /// The system does not let them be caught.
+    /// The operating system does not accept a handler.
     fn register() -> io::Result<Signals> {
         Ok(Signals {
             reload: signal(SignalKind::hangup())?,
@@ -41,7 +43,7 @@
     }
 }
 
-/// Why flags and file are no configuration, in one line that names the flag.
+/// The reason why the flags and the configuration file are not valid, in one line that names the flag.
 #[derive(Debug, Error)]
 pub(crate) enum FlagError {
     #[error("--config {}: {source}", .path.display())]
@@ -49,25 +51,25 @@
         path: PathBuf,
         source: ConfigurationError,
     },
-    #[error("--name {flag}: the file says {file}")]
+    #[error("--name {flag}: the configuration file has the name '{file}', expected the same")]
     Name { flag: String, file: String },
-    #[error("--listen {flag}: the file says {file}")]
+    #[error("--listen {flag}: the configuration file has the address {file}, expected the same")]
     Listen { flag: SocketAddr, file: SocketAddr },
 }
 
 impl FlagError {
-    /// Whether the file may be in the middle of being replaced.
+    /// Whether the file is incomplete, as it may be while it is being replaced.
     pub(crate) fn is_incomplete_file(&self) -> bool {
         matches!(self, FlagError::Config { source, .. } if source.is_incomplete_file())
     }
 }
 
-/// Why the program has failed.
+/// The reason why the program has failed.
 #[derive(Debug, Error)]
 enum ProgramError {
-    #[error("cannot start: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    #[error("signals: {0}")]
+    #[error("cannot register the handlers of SIGHUP and SIGTERM: {0}")]
     Signals(#[source] io::Error),
     #[error(transparent)]
     Flags(#[from] FlagError),
@@ -86,33 +88,33 @@
     }
 }
 
-/// Runs the router on the platform: its configuration is in the variables `GW_*` and in the file that one of them
-/// names. SIGHUP reads that file again, SIGTERM ends the router once all it has accepted is answered.
+/// Runs the router on the platform. The variables `GW_*` and the file that `GW_CONFIG` names configure it. SIGHUP
+/// reloads that file, SIGTERM ends the router once it has answered every request that it has accepted.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "spokeflow-router platform", version)]
 pub struct PlatformProgram {
-    /// The configuration, as JSON
+    /// Path of the configuration file, in JSON
     #[arg(long, env = "GW_CONFIG")]
     pub config: PathBuf,
-    /// This router's name; must be the file's
+    /// Name of this router; must equal the name in the configuration file
     #[arg(long, env = "GW_NAME")]
     pub name: Option<String>,
-    /// Where clients connect; must be the file's
+    /// Address on which to listen for clients; must equal the address in the configuration file
     #[arg(long, env = "GW_LISTEN")]
     pub listen: Option<SocketAddr>,
-    /// Subtracted from the time that each client waits, for the way of the answer
+    /// Time subtracted from each client's timeout, so that the answer arrives before the client gives up
     #[arg(long, env = "SPOKEFLOW_ANSWER_MARGIN", default_value = "30ms", value_parser = humantime::parse_duration)]
     pub answer_margin: Duration,
-    /// What is logged to standard error: a level, or levels by target
+    /// Lines to log to standard error: a level, or levels by target
     #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
     pub log: String,
-    /// Form of the log lines
+    /// Format of the log lines
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
     pub log_form: LogFormat,
 }
 
 impl PlatformProgram {
-    /// Reads the file and checks it against the flags.
+    /// Reads the configuration file and checks it against the flags.
     pub(crate) fn configuration(&self) -> Result<Configuration, FlagError> {
         let file = Configuration::read(&self.config).map_err(|source| FlagError::Config {
             path: self.config.clone(),
@@ -133,8 +135,8 @@
         Ok(file)
     }
 
-    /// The same at the start, where there is no earlier configuration to go on with: guards against a file that is
-    /// being written just then.
+    /// Reads the configuration at the start, when there is no earlier one to keep. Retries for up to [`WRITE_TIMEOUT`]
+    /// while the file is incomplete, since another process may be writing it.
     async fn first_configuration(&self) -> Result<Configuration, FlagError> {
         let started = Instant::now();
         loop {
@@ -148,7 +150,8 @@
     }
 }
 
-/// Runs the router until SIGTERM. Exit code 0: ended by the signal; 1: could not go on; 2: bad flags or a bad file.
+/// Runs the router until SIGTERM. Exit code 0: ended by the signal; 1: failed to start or to run; 2: invalid flags or
+/// configuration file.
 pub fn main_with(program: PlatformProgram) -> ExitCode {
     match run(program) {
         Ok(()) => ExitCode::SUCCESS,
@@ -160,13 +163,14 @@
 }
 
 fn run(program: PlatformProgram) -> Result<(), ProgramError> {
-    // One thread: the platform gives part of one core.
+    // One thread: the platform grants at most a part of one core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(ProgramError::Runtime)?;
     runtime.block_on(async {
-        // Before all else: one that came earlier would end the process, or be lost between the reading and this.
+        // The handlers come first: without one, a signal would end the process, or a SIGHUP during the first read of
+        // the file would be lost.
         let signals = Signals::register().map_err(ProgramError::Signals)?;
         let configuration = program.first_configuration().await?;
         init_logging(&program.log, program.log_form)?;
--- a/crates/spokeflow-platform/src/reload.rs
+++ b/crates/spokeflow-platform/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration again after SIGHUP.
+//! Reload of the configuration after SIGHUP.
 
 use std::time::Duration;
 
@@ -8,18 +8,21 @@
 use crate::configuration::Configuration;
 use crate::program::PlatformProgram;
 
-/// A file that is no whole text is read again this often: whoever writes it is at it.
+/// Interval at which an incomplete file is read again: another process may be writing it.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// and for so long.
+/// Time after which an incomplete file is an error.
 pub(crate) const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A configuration that is to be read, since SIGHUP, and again while it is no whole text.
+/// A reload in progress: the file is read, and read again while it is incomplete.
 pub(crate) struct Reload {
+    /// When the file is to be read next.
     next: Instant,
+    /// Deadline after which an incomplete file is no longer read again.
     until: Instant,
 }
 
 impl Reload {
+    /// Starts a reload; the file is to be read at once.
     pub(crate) fn new(now: Instant) -> Self {
         Reload {
             next: now,
@@ -27,21 +30,22 @@
         }
     }
 
-    /// When the file is to be read next.
+    /// Returns when the file is to be read next.
     pub(crate) fn next(&self) -> Instant {
         self.next
     }
 
-    /// Reads the file. `None`: it is to be read again. `Some(None)`: the configuration before stays.
+    /// Reads the file. Returns `None` if it is incomplete and is to be read again, and `Some(None)` if it is not valid
+    /// and the previous configuration stays in force.
     pub(crate) fn read(&mut self, program: &PlatformProgram) -> Option<Option<Configuration>> {
         match program.configuration() {
-            Ok(fresh) => Some(Some(fresh)),
+            Ok(configuration) => Some(Some(configuration)),
             Err(error) if error.is_incomplete_file() && self.next < self.until => {
                 self.next = Instant::now() + RETRY_INTERVAL;
                 None
             }
             Err(error) => {
-                warn!(%error, "configuration cannot be read: the previous one stays");
+                warn!(%error, "configuration not reloaded: the previous one stays in force");
                 Some(None)
             }
         }
--- a/crates/spokeflow-platform/src/request_schema.rs
+++ b/crates/spokeflow-platform/src/request_schema.rs
@@ -1,4 +1,4 @@
-//! What a client's request is checked against, and the command that it becomes.
+//! Checks of a client's request, and its conversion to a command.
 
 use std::collections::HashMap;
 
@@ -7,16 +7,16 @@
 use spokeflow_http::{Request, Response};
 use spokeflow_proto::Command;
 
-/// Longest `Request-Id`, in bytes.
+/// Maximum length of a `Request-Id`, in bytes.
 const MAX_ID: usize = 64;
-/// Longest `Idempotency-Key`, in bytes.
+/// Maximum length of an `Idempotency-Key`, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 256;
-/// Digits of a time at most.
+/// Maximum number of digits in a `Request-Timeout`.
 const MAX_DIGITS: usize = 12;
-/// `Host` where the client names none.
+/// Value of `Host` in a forwarded request whose client sent none.
 const DEFAULT_HOST: &[u8] = b"origin.svc";
 
-/// An operation by the number that the decision module knows it by.
+/// An operation, with the number by which the decision module knows it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Operation {
     pub(crate) number: u16,
@@ -25,38 +25,40 @@
 
 /// The operations and tenants that requests may name.
 pub(crate) struct RequestSchema {
+    /// The operations by name.
     pub(crate) operations: HashMap<Bytes, Operation>,
-    /// Numbers of the tenants by name.
+    /// Number of each tenant by name.
     pub(crate) tenants: HashMap<Bytes, u32>,
 }
 
-/// What one request comes to before the engine.
+/// The result of checking a request: a command for the engine, or an answer without it.
 pub(crate) enum Checked {
     Command { id: Bytes, command: Command },
     Answer(Response),
 }
 
-/// The status of the answer to a request that is no command.
+/// The status that answers a request that is not a valid command.
 type Status = u16;
 
 const BAD_REQUEST: Status = 400;
 const NOT_FOUND: Status = 404;
 const METHOD_NOT_ALLOWED: Status = 405;
 
-/// What the header fields of a request say.
+/// The header fields of a request, parsed.
 struct Fields<'a> {
     id: &'a Bytes,
     operation_name: &'a Bytes,
     operation: Operation,
     tenant_name: &'a Bytes,
     tenant: u32,
+    /// How much longer the client waits, in microseconds.
     left_us: u64,
     idempotency_key: Option<&'a Bytes>,
 }
 
 impl RequestSchema {
-    /// The command that a request is. What is none of this deployment is answered so, and its connection ends with
-    /// that.
+    /// Converts a request to a command. A request that is not valid in this deployment gets an error answer that closes
+    /// its connection.
     pub(crate) fn check(&self, request: Request) -> Checked {
         match self.parse(&request) {
             Ok(checked) => checked,
@@ -84,7 +86,7 @@
             key: if key.is_empty() { 0 } else { hash_key(key) },
             idempotency_key: 0,
             left_us: fields.left_us,
-            body: forwarded(request, &fields, idempotency_key),
+            body: forwarded_request(request, &fields, idempotency_key),
         };
         Ok(Checked::Command {
             id: fields.id.clone(),
@@ -110,10 +112,11 @@
         if id.len() > MAX_ID || !id.iter().all(is_id_byte) {
             return Err(BAD_REQUEST);
         }
-        // A host that drops repeats knows them by this key; without it the request is not what its client sent.
-        let is_visible = |byte: &u8| (0x21..0x7f).contains(byte);
+        // A key that is not valid counts as none: hosts recognise repeats by the key, so it is forwarded as sent or not
+        // at all.
+        let is_visible_ascii = |byte: &u8| (0x21..0x7f).contains(byte);
         let idempotency_key = field("idempotency-key")
-            .filter(|key| key.len() <= MAX_IDEMPOTENCY_KEY && key.iter().all(is_visible));
+            .filter(|key| key.len() <= MAX_IDEMPOTENCY_KEY && key.iter().all(is_visible_ascii));
         Ok(Fields {
             id,
             operation_name,
@@ -126,7 +129,7 @@
     }
 }
 
-/// What may run again is requested by GET and has no body; what must not, by POST.
+/// Checks the method: an idempotent operation is requested by GET without a body, any other by POST.
 fn check_method(request: &Request, repeat: Repeat) -> Result<(), Status> {
     let idempotent = repeat == Repeat::Idempotent;
     let method: &[u8] = if idempotent { b"GET" } else { b"POST" };
@@ -139,7 +142,7 @@
     Ok(())
 }
 
-/// The key that the path names behind the operation; empty where it names none.
+/// Returns the key in the path, which is the last segment after the operation; empty if there is none.
 fn key_in_path<'a>(request: &'a Request, operation: &[u8]) -> Result<&'a [u8], Status> {
     let path = request.target.split(|byte| *byte == b'?').next();
     let path = path.unwrap_or_default();
@@ -154,7 +157,8 @@
     Ok(key.unwrap_or_default())
 }
 
-/// `480m` milliseconds or `480u` microseconds, as microseconds; at least one.
+/// Parses a time such as `480m` (milliseconds) or `480u` (microseconds) and returns it in microseconds; `None` if it is
+/// not valid or less than one microsecond.
 fn parse_timeout(text: &Bytes) -> Option<u64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let is_number = !number.is_empty()
@@ -172,15 +176,16 @@
     (micros >= 1.0).then_some(micros as u64)
 }
 
-/// FNV-1a, 64 bits: the same key, the same number at every router. Never 0, which says that there is none.
+/// Hashes a key with 64-bit FNV-1a, so that every router maps the same key to the same number. Never returns 0, which
+/// stands for no key.
 fn hash_key(key: &[u8]) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
     key.iter().fold(0xcbf2_9ce4_8422_2325, step).max(1)
 }
 
-/// The request as hosts get it, but for the time left, which goes after the first line and is not known before
-/// it is sent.
-fn forwarded(request: &Request, fields: &Fields, idempotency_key: Option<&Bytes>) -> Bytes {
+/// Returns the request as it is forwarded to hosts, without `Request-Timeout`: that field is inserted after the first
+/// line when the request is sent, since the time left is not known before.
+fn forwarded_request(request: &Request, fields: &Fields, idempotency_key: Option<&Bytes>) -> Bytes {
     let mut head = BytesMut::with_capacity(192 + request.target.len() + request.body.len());
     let mut put = |parts: &[&[u8]]| parts.iter().for_each(|part| head.put_slice(part));
     put(&[&request.method, b" ", &request.target, b" HTTP/1.1\r\n"]);
--- a/crates/spokeflow-platform/src/rollout_line.rs
+++ b/crates/spokeflow-platform/src/rollout_line.rs
@@ -1,20 +1,30 @@
-//! The state of a rollout in the platform's form: fields of a line, or an object of the configuration.
+//! The state of a rollout in the platform's form: the fields of a line, or an object in the configuration.
 
 use serde::Deserialize;
 use spokeflow_proto::{RolloutPhase, RolloutUpdate};
 
-/// The newest build's state, as the platform words it.
+/// What a state must contain to be accepted, for error messages.
+pub(crate) const EXPECTED_STATE: &str =
+    "mode IN_PROGRESS, ROLLING_BACK, COMPLETE or ROLLED_BACK and an exposure from 0 to 1";
+
+/// The state of the newest build's rollout, in the platform's terms.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct RolloutLine {
+    /// Number of the build.
     release: u16,
+    /// Number of the stage.
     tranche: u8,
+    /// Phase of the rollout.
     mode: String,
+    /// Exposure cap, a fraction.
     exposure: f64,
+    /// Age of the state, in milliseconds.
     old_ms: u64,
 }
 
 impl RolloutLine {
-    /// Parses the fields of a line, in the order in which the platform sends them.
+    /// Parses the fields of a line, in the order in which the platform sends them; `None` if their number is wrong or
+    /// one is not a valid number.
     pub(crate) fn parse(words: &[&str]) -> Option<RolloutLine> {
         let [release, tranche, mode, exposure, old_ms] = words else {
             return None;
@@ -28,7 +38,7 @@
         })
     }
 
-    /// `None` where the mode is not known or the exposure is no fraction.
+    /// Converts the state to the engine's form; `None` if the mode is unknown or the exposure is not from 0 to 1.
     pub(crate) fn to_update(&self) -> Option<RolloutUpdate> {
         let phase = match self.mode.as_str() {
             "IN_PROGRESS" => RolloutPhase::Canary,
--- a/crates/spokeflow-platform/src/serve.rs
+++ b/crates/spokeflow-platform/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a router on the platform: puts its parts together.
+//! Runs a router on the platform: creates its parts and starts their tasks.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -35,12 +35,14 @@
 use crate::transport::PlatformTransport;
 use crate::upstream::UpstreamConfig;
 
-/// Events that wait for the engine at most; a task whose event finds the queue full waits, and so does its peer.
+/// Capacity of the queue of events for the engine. A task that finds it full waits and reads nothing meanwhile, which
+/// holds back its peer.
 const EVENT_QUEUE: usize = 4096;
-/// Numbers of the connections that back off, each with a generator of its own.
+/// Numbers that give the connections to discovery and to the release controller separate random draws for backoff.
 const DISCOVERY_PEER: u64 = 0;
 const CONTROLLER_PEER: u64 = 1;
 
+/// Numbers the operations and tenants by their position in the settings.
 fn request_schema(settings: &Settings) -> RequestSchema {
     let numbered = |names: &[String]| -> Vec<(Bytes, u32)> {
         let names = names.iter().map(|name| Bytes::from(name.clone()));
@@ -59,25 +61,25 @@
     }
 }
 
-/// Why a router cannot run, in one line that names the flag.
+/// The reason why a router cannot run, in one line that names the flag.
 #[derive(Debug, Error)]
 pub(crate) enum ServeError {
-    /// The address for clients cannot be listened on.
-    #[error("--listen {address}: {source}")]
+    /// The listener for clients cannot be opened.
+    #[error("--listen {address}: cannot listen for clients: {source}")]
     Listen {
         address: SocketAddr,
         source: io::Error,
     },
 }
 
-/// What is shared by the tasks that follow discovery and the release controller.
+/// What the tasks that follow discovery and the release controller need.
 struct Sources {
     discovery: watch::Receiver<SocketAddr>,
     controller: watch::Receiver<SocketAddr>,
     clock: Arc<Clock>,
     events: mpsc::Sender<EngineEvent>,
     seed: u64,
-    /// The newest revision of the host list that the configuration has.
+    /// Revision of the host list in the configuration; 0 if it has none.
     after: u64,
 }
 
@@ -105,7 +107,7 @@
     }
 }
 
-/// Where the sources are, as the configuration that is read again may change it.
+/// Senders of the addresses of discovery and the release controller, which a reload of the configuration may change.
 struct SourceAddresses {
     discovery: watch::Sender<SocketAddr>,
     controller: watch::Sender<SocketAddr>,
@@ -117,7 +119,7 @@
     events: mpsc::Sender<EngineEvent>,
 ) -> (SourceAddresses, Sources) {
     let (discovery_address, discovery) = watch::channel(configuration.discovery);
-    let (controller_address, controller) = watch::channel(configuration.deployer);
+    let (controller_address, controller) = watch::channel(configuration.release_controller);
     let known = configuration.known.as_ref();
     let addresses = SourceAddresses {
         discovery: discovery_address,
@@ -134,7 +136,7 @@
     (addresses, sources)
 }
 
-/// Runs a router on the platform until SIGTERM; then answers all that it has accepted and returns.
+/// Runs a router on the platform until SIGTERM; then answers every command that it has accepted and returns.
 pub(crate) async fn serve(
     program: PlatformProgram,
     configuration: Configuration,
@@ -220,7 +222,7 @@
     }
 }
 
-/// The engine with what the configuration says of hosts and rollout.
+/// Creates the engine and feeds it the host list and the rollout state of the configuration.
 fn engine_state(
     configuration: Configuration,
     program: &PlatformProgram,
