--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -24,9 +24,9 @@
 /// Time without input, or with an incomplete listing, after which the connection counts as dead. Discovery sends an
 /// empty line every 2 s while nothing changes, so this is more than two of them.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Shortest backoff, for discovery and for the release controller.
+/// Shortest backoff before jitter, for discovery and for the release controller.
 pub(crate) const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Longest backoff, for discovery and for the release controller.
+/// Longest backoff before jitter, for discovery and for the release controller.
 pub(crate) const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// Time for discovery to accept a connection, and to answer the request. The address belongs to an agent on the
 /// router's own machine, which answers at once. What a silent watch misses counts as known after 6 s, so the time has
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -328,7 +328,7 @@
             let has_begun = codec.is_mid_message() || !buffer.is_empty();
             let reading = stream.read_buf(buffer);
             let read = if has_begun {
-                // An answer that stops half way must not hold its command until the client's timeout.
+                // An answer that stops before its end must not hold its command until the client's timeout.
                 timeout(self.config.connect_timeout, reading)
                     .await
                     .map_err(|_| {
