--- a/crates/spokeflow-experiments/tests/outer_names/main.rs
+++ b/crates/spokeflow-experiments/tests/outer_names/main.rs
@@ -66,14 +66,14 @@
         .collect()
 }
 
-/// `fast-errors` as the name of a variant, `FastErrors`.
+/// The variant from which `fast-errors` or `fast_errors` is derived: `FastErrors`.
 fn camel_case(name: &str) -> String {
     let capitalize = |part: &str| {
         let mut characters = part.chars();
         let first = characters.next().map(|first| first.to_ascii_uppercase());
         first.into_iter().chain(characters).collect::<String>()
     };
-    name.split('-').map(capitalize).collect()
+    name.split(['-', '_']).map(capitalize).collect()
 }
 
 /// A name stands in the source as a text, or as the field or variant from which it is derived.
@@ -85,7 +85,11 @@
         bare.to_lowercase().replace('-', "_"),
         camel_case(bare),
     ];
-    let quoted = [format!("\"{name}\""), format!("\"{bare}\"")];
+    let quoted = [
+        format!("\"{name}\""),
+        format!("\"{bare}\""),
+        format!("\"{name} "),
+    ];
     derived.iter().any(|one| identifiers.contains(one.as_str()))
         || quoted.iter().any(|one| source.contains(one))
 }
@@ -105,7 +109,11 @@
         }
     }
     assert!(looked_up > 1_000, "the list holds {looked_up} names only");
-    assert!(missing.is_empty(), "names are gone:\n{}", missing.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "names are gone:\n{}",
+        missing.join("\n")
+    );
 }
 
 #[test]
