--- a/crates/spokeflow-router/tests/migrate/conversion.rs
+++ b/crates/spokeflow-router/tests/migrate/conversion.rs
@@ -47,7 +47,7 @@
         ),
         (
             "SPOKEFLOW_BACK_VOTES=3",
-            "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 of 1 routers",
+            "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 votes, but the fleet has 1 routers",
         ),
     ];
     for (more, said) in cases {
@@ -71,7 +71,7 @@
     let errors = migrate(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
     assert_eq!(
         lines(&errors),
-        ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 of 4 routers"]
+        ["--set SPOKEFLOW_BACK_VOTES: --back-votes: 9 votes, but the fleet has 4 routers"]
     );
     assert_eq!(folder.files(), 1);
 }
