--- a/crates/spokeflow-router/src/client_connection.rs
+++ b/crates/spokeflow-router/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its opening message to its end.
+//! The task that serves one client's connection, from the opening message until the connection is closed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,25 +21,25 @@
 
 use crate::event::EngineEvent;
 
-/// A peer that has connected sends its opening message within this time.
+/// Time within which a connected peer must send its opening message.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// A peer that takes no byte for this time is closed.
+/// Time within which a peer must take what is written to it; otherwise its connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// What a closed peer had still sent is read for this long at most.
+/// Maximum time for which bytes are still read, and discarded, before a connection is closed.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
-/// First size of the buffers of a connection, in bytes each: most connections are idle.
+/// Initial size of each buffer of a connection, in bytes. It is small because most connections are idle.
 const BUFFER_SIZE: usize = 512;
 
-/// The task of one client.
+/// The task that serves one client.
 pub(crate) struct ClientConnection {
     /// Number of the connection.
     pub(crate) connection: u64,
     pub(crate) peer: SocketAddr,
     pub(crate) events: mpsc::Sender<EngineEvent>,
-    /// Messages that wait for the client at most.
+    /// Maximum number of messages queued for the client.
     pub(crate) queue: usize,
     pub(crate) clock: Arc<Clock>,
-    /// Held while the connection is open: so many are allowed.
+    /// Held while the connection is open, which limits the number of open connections.
     pub(crate) _permit: OwnedSemaphorePermit,
 }
 
@@ -47,7 +47,7 @@
 
 impl ClientConnection {
     pub(crate) async fn run(self, stream: TcpStream) {
-        // Small frames that wait for one another would cost each command a round trip.
+        // With Nagle's algorithm small frames wait for acknowledgements, which costs each command a round trip.
         let _ = stream.set_nodelay(true);
         let mut link = Framed::with_capacity(stream, FrameCodec::new(HELLO_LIMIT), BUFFER_SIZE);
         match self.serve(&mut link).await {
@@ -67,10 +67,10 @@
     }
 
     async fn refuse(&self, link: &mut Link, error: FrameError) {
-        if let Some(kept_back) = self.clock.allow_log_line() {
-            info!(connection = self.connection, peer = %self.peer, kept_back, %error, "client refused");
+        if let Some(suppressed) = self.clock.allow_log_line() {
+            info!(connection = self.connection, peer = %self.peer, suppressed, %error, "client refused");
         }
-        // A peer that reads nothing would not read this either.
+        // A peer that is closed because it does not read would not read the refusal either.
         if !matches!(error, FrameError::TooSlow) {
             let refused = ToClient::Refused(error.refused());
             let _ = timeout(WRITE_TIMEOUT, link.send(refused)).await;
@@ -109,7 +109,7 @@
                 },
                 answer = queue.recv() => match answer {
                     Some(answer) => write(link, answer, &mut queue).await?,
-                    // Dropped by the engine's task: it has closed this client or is ending.
+                    // The engine's task has dropped the sender: it has closed this client, or is ending.
                     None => return self.write_last(link).await,
                 },
             };
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Hands a message to the engine. `Break`: the engine's task is gone.
+    /// Passes a message to the engine. `Break`: the engine's task has ended.
     async fn forward(&self, message: FromClient) -> Result<ControlFlow<()>, FrameError> {
         let conn = self.connection;
         let input = match message {
@@ -128,14 +128,18 @@
             FromClient::WrongAnswer { receipt } => Input::WrongAnswer { conn, receipt },
             FromClient::Hello(_) | FromClient::Gossip { .. } => return Err(FrameError::OutOfOrder),
         };
-        // Waits where the engine is behind: that is what the client's socket then does too.
+        // Waits while the engine's queue is full, so that the client's socket fills up and the client has to wait too.
         Ok(match self.events.send(EngineEvent::Input(input)).await {
             Ok(()) => ControlFlow::Continue(()),
             Err(_) => ControlFlow::Break(()),
         })
     }
 
-    /// Writes what is left once the engine's task has closed the client.
+    /// Writes the buffered frames once the engine's task has dropped the client's queue.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::TooSlow`]: the client was closed because it does not read, not because of a shutdown.
     async fn write_last(&self, link: &mut Link) -> Result<(), FrameError> {
         flush(link).await?;
         if self.clock.is_shutting_down() {
@@ -146,7 +150,7 @@
     }
 }
 
-/// Writes an answer and all that wait behind it. `Break`: it was the last one.
+/// Writes `answer` and all answers queued after it. `Break`: `answer` was a refusal, after which the connection closes.
 async fn write(
     link: &mut Link,
     answer: ToClient,
@@ -170,7 +174,8 @@
         .map_err(|_| FrameError::TooSlow)?
 }
 
-/// Reads and drops what is still on its way in: closing over unread bytes would take back the last frames out as well.
+/// Reads and discards what the peer still sends. Closing a socket with unread bytes resets the connection, and the peer
+/// would lose the last frames written to it.
 async fn discard(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
     let mut rest = [0; 1024];
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -1,6 +1,6 @@
-//! The link to the control plane: one node at a time, which is requested for a lease three times within one and is left
-//! for the next where it grants none. Revisions are checked here and reach the engine as one configuration, together
-//! with the lease.
+//! The link to the control plane. The router is connected to one node at a time, requests a lease from it three times per
+//! lease duration, and moves on to the next node if it grants none. Revisions are checked against the router's flags here
+//! and are passed to the engine as one configuration, together with the lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,59 +29,60 @@
 use crate::links::{Link, CONTROL_PLANE_LINK, READ_BUFFER};
 use crate::RouterFlags;
 
-/// A node that is not reached, or sends nothing, for this long is left for the next.
+/// Time within which a node must be connected and must answer a request; otherwise the router moves on to the next node.
 const NODE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before the next node is tried, doubled with each that gives no lease.
+/// Shortest delay before the next node is tried, doubled with each node in a row that grants no lease.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Longest such delay: well within a lease.
+/// Longest delay before the next node is tried; well below the duration of a lease.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// Shortest time between two requests, in microseconds, whatever the lease.
+/// Shortest time between two lease requests, in microseconds, however short the lease is.
 const MIN_RENEWAL_INTERVAL: Micros = 1000;
 
 type NodeLink = Link<FromNode, ToNode>;
 
-/// The control side of one router: its link to the control plane.
+/// The task that keeps one router connected to the control plane and renews its lease.
 pub struct ControlPlaneLink {
     flags: RouterFlags,
+    /// Distinguishes this process from earlier ones with the same index.
     process: u64,
     backoff: Backoff,
     clock: Arc<Clock>,
     events: mpsc::Sender<EngineEvent>,
     applied: watch::Receiver<RevisionNumber>,
-    /// The newest revision that does not fit this router: logged once.
+    /// Revision that was last rejected because it does not fit this router's flags; each is logged once. 0: none.
     rejected: RevisionNumber,
 }
 
-/// Why the exchange with a node ended.
+/// Why the router moves on from a node.
 #[derive(Debug, Error)]
 enum LinkError {
-    /// The engine's task is gone.
+    /// The engine's task has ended.
     #[error("the router shuts down")]
     ShuttingDown,
-    #[error("not reached")]
+    #[error("node not connected and welcomed within {:?}", NODE_TIMEOUT)]
     NotReached,
-    #[error("does not read")]
+    #[error("lease request not sent within {:?}", NODE_TIMEOUT)]
     SendTimedOut,
-    #[error("does not answer")]
+    #[error("lease request not answered within {:?}", NODE_TIMEOUT)]
     NoResponse,
-    #[error("knows no leader")]
+    #[error("node knows no leader")]
     NoLeader,
-    #[error("refuses")]
+    #[error("node refused the request")]
     Refused,
     #[error("connection lost")]
     ConnectionLost,
 }
 
-/// When requests are sent, and when the node is given up.
+/// Decides when the next lease request is sent, and when to stop waiting for the node.
 struct RenewalTimer {
     interval: Duration,
     next_request: Instant,
-    /// Since when a request has had no response.
+    /// When the oldest request without a response was sent; `None`: all were answered.
     unanswered_since: Option<Instant>,
 }
 
 impl RenewalTimer {
-    /// The first request is due at once.
+    /// `interval`: time between two requests, in microseconds. The first request is due at once.
     fn new(interval: Micros) -> Self {
         RenewalTimer {
             interval: Duration::from_micros(interval.max(MIN_RENEWAL_INTERVAL) as u64),
@@ -113,7 +114,8 @@
 }
 
 impl ControlPlaneLink {
-    /// `events` gets what may be acted on; `applied` has the newest revision that the engine acts on since.
+    /// `events` receives leases with their configuration, and host lists. `applied` holds the newest revision that the
+    /// engine acts on.
     pub fn new(
         flags: &RouterFlags,
         seed: u64,
@@ -123,7 +125,7 @@
     ) -> Self {
         ControlPlaneLink {
             flags: flags.clone(),
-            // Not from the seed: two processes with one seed must not be taken for one.
+            // Independent of the seed: two processes with the same seed must not be taken for the same lease holder.
             process: rand::rng().random(),
             backoff: Backoff::new(
                 seed,
@@ -138,9 +140,9 @@
         }
     }
 
-    /// Runs until the receiver of events or the sender of `applied` is gone.
+    /// Runs until the receiver of the events or the sender of the applied revisions is dropped.
     pub async fn run(mut self) {
-        // Spread over the nodes: each router begins with another one.
+        // Routers begin with different nodes, which spreads them over the cluster.
         let mut turn = self.flags.index as usize;
         let mut failures = 0;
         let mut lease_holder = None;
@@ -167,7 +169,7 @@
         }
     }
 
-    /// The nodes that the flags name, and those that were added since.
+    /// Returns the addresses of the nodes that the flags name, followed by those of voters that were added since.
     fn nodes(&self, lease_holder: Option<&LeaseHolder>) -> Vec<SocketAddr> {
         let named = &self.flags.control_plane;
         let added = lease_holder
@@ -178,7 +180,7 @@
         named.iter().copied().chain(added).collect()
     }
 
-    /// Connects to a node and takes leases from it; answers why it is left.
+    /// Connects to a node and renews the lease there as long as the node grants it. Returns why the node is left.
     async fn follow(
         &mut self,
         node: SocketAddr,
@@ -212,7 +214,7 @@
     fn new_lease_holder(&self, parameters: &ClusterParameters) -> LeaseHolder {
         info!(
             lease_us = parameters.lease_us,
-            "follows the control plane; longest contradiction is one lease"
+            "control plane connected; two routers act on contradicting revisions for at most one lease"
         );
         let config = LeaseConfig {
             duration: parameters.lease_us as Micros,
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Requests leases until the node grants none.
+    /// Renews the lease until the node grants none.
     async fn exchange(
         &mut self,
         mut link: NodeLink,
@@ -243,7 +245,7 @@
                 }
                 _ = sleep_until(timer.give_up_at()) => return Err(LinkError::NoResponse),
                 read = link.next() => {
-                    let (number, grant) = granted(read)?;
+                    let (number, grant) = parse_grant(read)?;
                     timer.on_response();
                     if lease_holder.on_grant(number, grant) {
                         self.apply(lease_holder).await?;
@@ -252,7 +254,8 @@
                 changed = self.applied.changed() => {
                     changed.map_err(|_| LinkError::ShuttingDown)?;
                     let revision = *self.applied.borrow_and_update();
-                    // Confirmed at once: the revision comes into force the sooner.
+                    // The next request confirms the applied revision. Without delay, the pending revision comes into
+                    // force sooner.
                     if lease_holder.pending().is_some() {
                         timer.request_now();
                     }
@@ -262,12 +265,12 @@
         }
     }
 
-    /// Hands the engine what may be acted on.
+    /// Passes an update of the host list and the lease, with the configuration that it permits, to the engine.
     async fn apply(&mut self, lease_holder: &mut LeaseHolder) -> Result<(), LinkError> {
         if let Some(update) = lease_holder.take_list_update() {
             let list = Input::ReplicatedList {
                 complete: update.complete,
-                hosts: update.hosts.into_iter().map(line).collect(),
+                hosts: update.hosts.into_iter().map(endpoint_record).collect(),
             };
             self.send(EngineEvent::Input(list)).await?;
         }
@@ -288,13 +291,13 @@
                 self.send(granted).await
             }
             Err(errors) => {
-                // The lease binds to a revision that this router cannot act on: it acts on none.
+                // The lease requires a revision that this router cannot act on, so the lease is not used at all.
                 if self.rejected != revision {
                     self.rejected = revision;
                     warn!(
                         revision = revision.0,
                         errors = errors.to_string(),
-                        "a revision does not fit: no lease is acted on"
+                        "revision rejected: it does not fit the flags of this router; lease not applied"
                     );
                 }
                 Ok(())
@@ -318,8 +321,8 @@
     }
 }
 
-/// The number of the request and the lease that it was granted.
-fn granted(read: Option<Result<FromNode, FrameError>>) -> Result<(u64, LeaseGrant), LinkError> {
+/// Returns the number of the request and the lease that was granted to it.
+fn parse_grant(read: Option<Result<FromNode, FrameError>>) -> Result<(u64, LeaseGrant), LinkError> {
     match read {
         Some(Ok(FromNode::Response {
             number,
@@ -331,7 +334,7 @@
     }
 }
 
-fn line(listed: ListedHost) -> EndpointRecord {
+fn endpoint_record(listed: ListedHost) -> EndpointRecord {
     let phase = match listed.state {
         HostState::Gone => EndpointPhase::Gone,
         HostState::Ready => EndpointPhase::Ready,
--- a/crates/spokeflow-router/src/host_connection.rs
+++ b/crates/spokeflow-router/src/host_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to one host: opened with a hello and a welcome, then frames both ways until it ends.
+//! The connection to one host: opened with a hello and a welcome, after which frames are moved both ways until it ends.
 
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
@@ -21,11 +21,12 @@
 use crate::event::EngineEvent;
 use crate::host_link::{HostLink, QueuedMessage, MAX_OUTGOING};
 
-/// Bytes encoded and not yet taken by the system at most, beside what one message adds.
+/// Number of encoded bytes waiting to be written at which no further message is encoded. The last message encoded may
+/// exceed it.
 const MAX_ENCODED: usize = 16 << 10;
-/// Bytes that the system queues for a host at most.
+/// Size of the socket's send buffer, in bytes.
 const SEND_BUFFER: u32 = 64 << 10;
-/// First size of the buffer for what a host sends, in bytes.
+/// Initial size of the buffer for received bytes.
 const READ_BUFFER: usize = 1024;
 
 type Reader = FramedRead<OwnedReadHalf, FrameCodec<FromHost, ToHost>>;
@@ -33,9 +34,9 @@
 /// Why a connection to a host could not be opened.
 #[derive(Debug, Error)]
 pub(crate) enum OpenError {
-    #[error("not connected in time")]
+    #[error("not connected and welcomed within --connect-timeout")]
     TimedOut,
-    #[error("'{address}' is no address")]
+    #[error("listed address '{address}' is not IP:PORT")]
     Address {
         address: String,
         source: AddrParseError,
@@ -44,35 +45,35 @@
     Io(#[from] io::Error),
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("refused: {0}")]
+    #[error("host refused the connection: {0}")]
     Refused(String),
-    #[error("no welcome")]
+    #[error("expected a welcome from the host, got another message")]
     NoWelcome,
-    #[error("closed before its welcome")]
+    #[error("host closed the connection before its welcome")]
     Closed,
     #[error("host {actual} answers at the address of host {expected}")]
     OtherHost { actual: u32, expected: u32 },
 }
 
-/// Why a connection has ended.
+/// Why a connection ended.
 #[derive(Debug)]
 pub(crate) enum ConnectionEnd {
-    /// Nothing was to be sent for long.
+    /// There was no work for the idle timeout.
     Idle,
     Broken,
-    /// Dropped by the router, since nothing has arrived on it.
+    /// Dropped by the router because the host sent nothing within the ping timeout.
     Unresponsive,
-    /// The router shuts down, or the host is gone and nothing is left to send.
+    /// The engine's task has ended, or the host is no longer listed and nothing is outstanding.
     Done,
 }
 
-/// An open connection, before its first use.
+/// A connection on which the host has sent its welcome.
 pub(crate) struct HostConnection {
     reader: Reader,
     writer: OwnedWriteHalf,
     /// The host's answer to the hello.
     pub(crate) welcome: FromHost,
-    /// The host's process, by what it says in its welcome.
+    /// Incarnation of the host's process, from its welcome.
     pub(crate) incarnation: u64,
 }
 
@@ -121,14 +122,14 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // What the system has taken cannot be taken back when the host drains: little of it, then.
+    // Bytes in the socket's send buffer cannot be taken back when the host drains, so the buffer is kept small.
     let _ = socket.set_send_buffer_size(SEND_BUFFER);
     let stream = socket.connect(address).await?;
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// Whether the host still answers: since when it has sent nothing, and whether it was pinged since.
+/// How long the host has sent nothing, and whether it was pinged since.
 struct Liveness {
     silent_since: Instant,
     pinged: bool,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// When a host that goes on sending nothing is pinged or, after that, given up.
+    /// Returns when a host that has still sent nothing is pinged or, if it was pinged already, given up.
     fn next_check(&self, ping_timeout: Duration) -> Instant {
         let silence = if self.pinged {
             ping_timeout
@@ -153,15 +154,15 @@
     }
 }
 
-/// What ends a wait of [`Exchange`].
+/// The event that ended [`Exchange::wait`].
 enum Wake {
-    /// The listing has changed; an error says that the engine's task is gone.
+    /// The listing has changed; `Err`: the engine's task has ended.
     Listing(Result<(), tokio::sync::watch::error::RecvError>),
-    /// The time for a drain is over in the middle of a frame.
+    /// The drain deadline has passed while a frame was partly written.
     DrainTimeout,
     Written(io::Result<usize>),
     Read(Option<Result<FromHost, FrameError>>),
-    /// A message to send; `None`: the engine's task is gone.
+    /// A message to send; `None`: the engine's task has ended.
     Message(Option<QueuedMessage>),
     IdleTimeout,
     Silence,
@@ -174,7 +175,7 @@
     reader: Reader,
     writer: OwnedWriteHalf,
     codec: FrameCodec<FromHost, ToHost>,
-    /// Encoded and not yet taken by the system.
+    /// Encoded bytes that the system has not taken yet.
     bytes: BytesMut,
     idle_at: Instant,
     was_idle: bool,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Moves frames both ways until the connection ends; tells the engine of the deliveries that were on it.
+    /// Moves frames both ways until the connection ends, and reports the deliveries that were lost with it to the engine.
     pub(crate) async fn run(mut self) -> ConnectionEnd {
         let end = loop {
             self.encode().await;
@@ -222,30 +223,30 @@
         end
     }
 
-    /// Encodes what waits, as far as there is room; fails what can no longer leave.
+    /// Encodes waiting messages up to [`MAX_ENCODED`], and reports deliveries that are too late or too long to be sent.
     async fn encode(&mut self) {
-        let mut late = Vec::new();
+        let mut unsent = Vec::new();
         while self.bytes.len() < MAX_ENCODED {
-            let Some(message) = self.outgoing.next(self.link.clock.now(), &mut late) else {
+            let Some(message) = self.outgoing.next(self.link.clock.now(), &mut unsent) else {
                 break;
             };
             let before = self.bytes.len();
             if self.codec.write(&message, &mut self.bytes).is_err() {
-                // Too long for the host's link: it never leaves.
+                // Longer than the frame limit of host links.
                 if let ToHost::Deliver { delivery, .. } = message {
-                    late.push(delivery);
+                    unsent.push(delivery);
                 }
                 continue;
             }
             self.outgoing
                 .on_encoded(&message, self.bytes.len() - before);
         }
-        if !late.is_empty() {
-            self.link.fail(late, TransportFailure::NotSent).await;
+        if !unsent.is_empty() {
+            self.link.fail(unsent, TransportFailure::NotSent).await;
         }
     }
 
-    /// Restarts the idle timeout while there is work, and the time without an answer when work begins.
+    /// Restarts the idle timeout while there is work, and the ping timeout when work begins.
     fn note_activity(&mut self) {
         let is_idle = self.outgoing.is_idle();
         if !is_idle {
@@ -259,14 +260,14 @@
 
     async fn wait(&mut self) -> Wake {
         let silence_at = self.liveness.next_check(self.link.config.ping_timeout);
-        let close_by = self.link.listing.borrow().close_by;
-        // A frame that the host has not taken by the end of the grace must not arrive after it.
-        let close_by =
-            close_by.filter(|_| self.outgoing.is_closed() && self.outgoing.is_mid_frame());
+        let drain_deadline = self.link.listing.borrow().drain_deadline;
+        // A frame that the host has not taken whole by then must not arrive after the drain grace has ended.
+        let drain_deadline =
+            drain_deadline.filter(|_| self.outgoing.is_closed() && self.outgoing.is_mid_frame());
         tokio::select! {
             biased;
             changed = self.link.listing.changed() => Wake::Listing(changed),
-            _ = sleep_until(close_by.unwrap_or_else(Instant::now)), if close_by.is_some() => Wake::DrainTimeout,
+            _ = sleep_until(drain_deadline.unwrap_or_else(Instant::now)), if drain_deadline.is_some() => Wake::DrainTimeout,
             written = self.writer.write_buf(&mut self.bytes), if !self.bytes.is_empty() => Wake::Written(written),
             read = self.reader.next() => Wake::Read(read),
             message = self.link.messages.recv(), if self.outgoing.waiting() < MAX_OUTGOING => Wake::Message(message),
@@ -287,7 +288,7 @@
             Wake::DrainTimeout => {
                 let host = self.link.host.0;
                 info!(host, "draining host does not read: connection dropped");
-                self.discard();
+                self.discard_unsent();
                 ControlFlow::Break(ConnectionEnd::Broken)
             }
             Wake::Written(Ok(count)) if count > 0 => {
@@ -312,8 +313,8 @@
         let message = match read {
             Some(Ok(message)) => message,
             Some(Err(error)) => {
-                if let Some(kept_back) = self.link.clock.allow_log_line() {
-                    info!(host = self.link.host.0, kept_back, %error, "host connection broken");
+                if let Some(suppressed) = self.link.clock.allow_log_line() {
+                    info!(host = self.link.host.0, suppressed, %error, "host connection broken");
                 }
                 return ControlFlow::Break(ConnectionEnd::Broken);
             }
@@ -348,17 +349,17 @@
             self.outgoing.push(ToHost::Ping, Micros::MAX);
             return ControlFlow::Continue(());
         }
-        if let Some(kept_back) = self.link.clock.allow_log_line() {
+        if let Some(suppressed) = self.link.clock.allow_log_line() {
             let host = self.link.host.0;
-            info!(host, kept_back, "host unresponsive: connection dropped");
+            info!(host, suppressed, "host unresponsive: connection dropped");
         }
-        self.discard();
+        self.discard_unsent();
         ControlFlow::Break(ConnectionEnd::Unresponsive)
     }
 
-    /// Makes the system drop what it still holds for the host: across a partition it would arrive when that ends, after
-    /// hosts have forgotten the idempotency key of a retry.
-    fn discard(&self) {
+    /// Makes the system discard the bytes in the send buffer when the connection is closed. They would otherwise arrive
+    /// when a network partition ends, after hosts have forgotten the idempotency key of a retry.
+    fn discard_unsent(&self) {
         let _ = self.writer.as_ref().set_zero_linger();
     }
 }
--- a/crates/spokeflow-router/src/host_link.rs
+++ b/crates/spokeflow-router/src/host_link.rs
@@ -1,4 +1,5 @@
-//! One task for each host: its connection, opened when there is work, kept, and opened again with growing backoff.
+//! The task that serves one host. It opens the connection when there is work, keeps it, and reconnects with exponential
+//! backoff.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -15,33 +16,34 @@
 use crate::host_connection::{ConnectionEnd, Exchange, HostConnection, OpenError};
 use crate::link_config::LinkConfig;
 
-/// Messages taken from the queue of `--host-queue` ahead of the connection: what a host does not read stays in
-/// that queue and fills it, and does not pile up here.
+/// Maximum number of messages taken from the queue of `--host-queue` before the connection can send them. Messages for a
+/// host that does not read stay in that queue and fill it instead of accumulating in the task.
 pub(crate) const MAX_OUTGOING: usize = 16;
 
-/// What the list says of the host.
+/// State of the host according to the host list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HostListing {
     pub(crate) address: String,
-    /// The host's process, as the list knows it.
+    /// Incarnation of the host's process, as listed.
     pub(crate) incarnation: u64,
-    /// Whether it may get deliveries.
+    /// Whether the host may get new deliveries.
     pub(crate) open: bool,
-    /// Whether it is no longer listed.
+    /// Whether the host is no longer listed.
     pub(crate) gone: bool,
-    /// When its drain must have ended.
-    pub(crate) close_by: Option<Instant>,
+    /// When a frame that a draining host has not taken yet is discarded with its connection; `None` while the host is
+    /// open.
+    pub(crate) drain_deadline: Option<Instant>,
 }
 
-/// A message of the engine to a host.
+/// A message from the engine to a host.
 #[derive(Debug)]
 pub(crate) struct QueuedMessage {
     pub(crate) message: ToHost,
-    /// A delivery that has not left by then never leaves, in microseconds of the router's clock.
+    /// Time after which a delivery is no longer sent, in microseconds of the router's clock.
     pub(crate) leave_by: Micros,
 }
 
-/// The task of one host.
+/// The task that serves one host.
 pub(crate) struct HostLink {
     pub(crate) host: HostId,
     pub(crate) config: Arc<LinkConfig>,
@@ -51,10 +53,10 @@
     pub(crate) listing: watch::Receiver<HostListing>,
 }
 
-/// When a host is connected to again.
+/// Decides when the next connection to a host may be attempted.
 struct RetryTimer {
     backoff: Backoff,
-    /// In a row.
+    /// Consecutive failures.
     failures: u32,
     not_before: Instant,
 }
@@ -68,13 +70,13 @@
         }
     }
 
-    /// The host could not be connected to, or the connection broke at once.
+    /// Notes that the host could not be connected to, or that the connection broke soon after it was opened.
     fn on_failure(&mut self) {
         self.failures += 1;
         self.delay();
     }
 
-    /// A connection that had lasted broke.
+    /// Notes that a connection broke after it had been open for longer than the longest backoff.
     fn on_lost(&mut self) {
         self.failures = 0;
         self.delay();
@@ -87,7 +89,7 @@
 }
 
 impl HostLink {
-    /// Serves the host until it is gone or the engine's task is.
+    /// Serves the host until it is gone or the engine's task has ended.
     pub(crate) async fn run(mut self) {
         let mut outgoing = Outgoing::default();
         let mut retry = RetryTimer::new(self.config.backoff(u64::from(self.host.0)));
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Waits for a message or a change of the listing. `Break`: this task is to end.
+    /// Waits for a message or a change of the listing. `Break`: this task must end.
     async fn wait_for_work(&mut self, outgoing: &mut Outgoing) -> ControlFlow<()> {
         tokio::select! {
             message = self.messages.recv() => match message {
@@ -137,7 +139,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Uses a connection until it ends. `Break`: this task is to end.
+    /// Uses a connection until it ends. `Break`: this task must end.
     async fn exchange(
         &mut self,
         outgoing: &mut Outgoing,
@@ -149,7 +151,7 @@
             ConnectionEnd::Idle => {}
             ConnectionEnd::Done => return ControlFlow::Break(()),
             ConnectionEnd::Broken | ConnectionEnd::Unresponsive => {
-                // A host that accepts connections and breaks them at once is left alone as well.
+                // Backoff must also grow for a host that accepts connections and breaks them at once.
                 if since.elapsed() > self.config.max_reconnect_delay {
                     retry.on_lost();
                 } else {
@@ -160,14 +162,15 @@
         ControlFlow::Continue(())
     }
 
-    /// Queues a message for the connection; tells the engine of a delivery that this proves not sent.
+    /// Queues a message for the connection. Reports a delivery that this proves not sent: the message's own while
+    /// `outgoing` is closed, or the unsent one that it cancels.
     pub(crate) async fn queue(&self, outgoing: &mut Outgoing, queued: QueuedMessage) {
         if let Some(delivery) = outgoing.push(queued.message, queued.leave_by) {
             self.fail(vec![delivery], TransportFailure::NotSent).await;
         }
     }
 
-    /// Does what the list says; `true` where this task is to end.
+    /// Opens or closes `outgoing` as the listing says. Returns `true` if this task must end.
     pub(crate) async fn apply_listing(&mut self, outgoing: &mut Outgoing) -> bool {
         let listing = self.listing.borrow_and_update().clone();
         if listing.open {
@@ -179,7 +182,7 @@
         listing.gone && outgoing.is_idle()
     }
 
-    /// Tells the engine that deliveries have failed.
+    /// Reports deliveries to the engine as failed.
     pub(crate) async fn fail(&self, deliveries: Vec<u64>, failure: TransportFailure) {
         for delivery in deliveries {
             let input = Input::DeliveryFailed {
@@ -191,13 +194,14 @@
         }
     }
 
-    /// Fails all that waits for a connection.
+    /// Reports all deliveries that wait for a connection as failed.
     async fn fail_unsent(&self, outgoing: &mut Outgoing) {
         let unsent = outgoing.on_disconnected(0).unsent;
         self.fail(unsent, TransportFailure::NotConnected).await;
     }
 
-    /// Opens the connection; messages are taken meanwhile, so that a drain or a cancel does not wait for it.
+    /// Opens the connection. Messages and changes of the listing are handled meanwhile, so that a drain or a cancel does
+    /// not wait for the connection.
     async fn connect(&mut self, outgoing: &mut Outgoing) -> Result<HostConnection, OpenError> {
         let address = self.listing.borrow().address.clone();
         let hello = self.config.hello.clone();
@@ -215,7 +219,8 @@
                 }
             }
         };
-        // The engine learns of the process first: what is placed on it from now on counts it as recently started.
+        // The engine must know the host's process before it places more deliveries on it, so that a process that has
+        // just started is treated as such.
         let listed = self.listing.borrow().incarnation;
         let welcome = Input::FromHost {
             host: self.host.0,
@@ -224,7 +229,7 @@
         let _ = self.events.send(EngineEvent::Input(welcome)).await;
         let incarnation = connection.incarnation;
         if incarnation != listed {
-            // What waits was meant for another process, maybe another build.
+            // The waiting deliveries were placed on another process of the host, which may have run another build.
             self.fail_unsent(outgoing).await;
         }
         debug!(host = self.host.0, incarnation, "host connected");
@@ -232,8 +237,8 @@
     }
 
     fn log_not_connected(&self, failures: u32, error: &OpenError) {
-        if let Some(kept_back) = self.clock.allow_log_line() {
-            info!(host = self.host.0, failures, kept_back, %error, "host not connected");
+        if let Some(suppressed) = self.clock.allow_log_line() {
+            info!(host = self.host.0, failures, suppressed, %error, "host not connected");
         }
     }
 }
--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -1,5 +1,5 @@
-//! The link to a service that every router has one connection to: opened again whenever it is lost, and one loop that
-//! moves its frames.
+//! The link to a service that every router keeps one connection to. The link reconnects whenever the connection is lost,
+//! and moves frames between the service and the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,61 +18,63 @@
 use crate::event::EngineEvent;
 use crate::link_config::LinkConfig;
 
-/// Numbers of the links beside those to hosts, whose ids are below them: each link draws its backoff by its number.
+/// Numbers of the links to services. The number selects the random stream of a link's backoff; links to hosts use the
+/// host's id, which is always smaller.
 pub(crate) const LIST_LINK: u64 = 1 << 32;
 pub(crate) const RELEASE_CONTROLLER_LINK: u64 = LIST_LINK + 1;
 pub(crate) const CONTROL_PLANE_LINK: u64 = LIST_LINK + 2;
 
-/// The shortest time that a service is given to answer the opening message: it is called once and has much to send.
+/// Minimum time allowed to connect to a service and to get its answer to the opening message. It is longer than for a
+/// host: a service is connected to once and has much to send.
 const MIN_OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// First size of the buffer for what a service sends, in bytes.
+/// Initial size of the buffer for received bytes.
 pub(crate) const READ_BUFFER: usize = 1024;
 
-/// A connection on which `In` is read and `Out` is written.
+/// A connection on which messages of type `In` are read and messages of type `Out` are written.
 pub(crate) type Link<In, Out> = Framed<TcpStream, FrameCodec<In, Out>>;
 
-/// What one service's link does with its messages.
+/// The messages of the link to one service, and how they are handled.
 pub(crate) trait LinkProtocol {
-    /// What the service sends.
+    /// A message from the service.
     type Incoming: DeserializeOwned + Send;
-    /// What the router sends.
+    /// A message from the router.
     type Outgoing: Serialize + Send;
 
-    /// Number of the link.
+    /// Number of the link, which selects the random stream of its backoff.
     const LINK: u64;
-    /// Longest frame, in bytes.
+    /// Maximum size of a frame, in bytes.
     const FRAME_LIMIT: usize;
 
-    /// The opening message.
+    /// Returns the opening message.
     fn hello(&self, hello: Hello) -> Self::Outgoing;
 
-    /// Whether this is the answer to the opening message.
+    /// Returns whether `message` is the answer to the opening message.
     fn is_welcome(message: &Self::Incoming) -> bool;
 
-    /// The connection was opened.
+    /// Called when the connection has been opened; `queue` holds the messages that wait to be sent.
     fn on_connected(&mut self, queue: &mut mpsc::Receiver<Self::Outgoing>);
 
-    /// What to send after the welcome, before what is queued.
+    /// Returns the message that is sent after the welcome and before the queued messages, if any.
     fn first_message(&self) -> Option<Self::Outgoing>;
 
-    /// The input that a message is to the engine.
+    /// Converts a message to an input of the engine.
     fn on_message(&mut self, message: Self::Incoming) -> Input;
 
-    /// After which time without any message [`LinkProtocol::on_silence`] is called; `None`: never.
+    /// Returns the time without any message after which [`LinkProtocol::on_silence`] is called; `None`: never.
     fn silence_timeout(&self) -> Option<Duration>;
 
-    /// What to send after a time without any message.
+    /// Returns the message that is sent after [`LinkProtocol::silence_timeout`] without any message.
     ///
     /// # Errors
     ///
-    /// The connection is to be given up.
+    /// The connection must be closed.
     fn on_silence(&mut self) -> Result<Self::Outgoing, FrameError>;
 
-    /// The connection was lost or could not be opened; the input tells the engine.
+    /// Called when the connection was lost or could not be opened; returns the input that reports this to the engine.
     fn on_lost(&mut self, queue: &mut mpsc::Receiver<Self::Outgoing>) -> Input;
 
-    /// Logs that the connection was lost.
+    /// Logs that the connection was lost or could not be opened. `failures`: failures in a row.
     fn log_lost(&self, failures: u32, error: &FrameError);
 }
 
@@ -86,7 +88,7 @@
 }
 
 impl<P: LinkProtocol> ServiceLink<P> {
-    /// Connects again and again until the engine's task is gone.
+    /// Keeps the service connected, reconnecting with backoff, until the engine's task has ended.
     pub(crate) async fn run(mut self) {
         let mut failures = 0_u32;
         let mut backoff = self.config.backoff(P::LINK);
@@ -134,7 +136,7 @@
             .unwrap_or(Err(FrameError::TooSlow))
     }
 
-    /// Moves frames both ways until the connection fails; answers why.
+    /// Moves frames both ways until the connection fails. Returns why it failed.
     async fn exchange(&mut self, mut link: Link<P::Incoming, P::Outgoing>) -> FrameError {
         self.protocol.on_connected(&mut self.queue);
         if let Some(first) = self.protocol.first_message() {
@@ -151,7 +153,7 @@
                     }
                 }
                 Some(message) = self.queue.recv() => message,
-                () = after(self.protocol.silence_timeout()) => match self.protocol.on_silence() {
+                () = optional_sleep(self.protocol.silence_timeout()) => match self.protocol.on_silence() {
                     Ok(message) => message,
                     Err(error) => return error,
                 },
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Hands the engine what was read.
+    /// Passes a message that was read to the engine.
     async fn forward(
         &mut self,
         read: Option<Result<P::Incoming, FrameError>>,
@@ -176,8 +178,8 @@
     }
 }
 
-/// Ends after `duration`; never without one.
-async fn after(duration: Option<Duration>) {
+/// Completes after `duration`; never completes where that is `None`.
+async fn optional_sleep(duration: Option<Duration>) {
     match duration {
         Some(duration) => sleep(duration).await,
         None => std::future::pending().await,
--- a/crates/spokeflow-router/src/serve.rs
+++ b/crates/spokeflow-router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a router: puts its parts together, and the loop of the task that owns the engine.
+//! Runs a router: starts its tasks, and runs the event loop of the task that owns the engine.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -32,16 +32,17 @@
 use crate::transport::RouterTransport;
 use crate::RouterFlags;
 
-/// Events that wait for the engine at most; a task whose event finds the queue full waits, and so does its peer.
+/// Maximum number of events queued for the engine. A task that finds the queue full waits, and its peer with it.
 const EVENT_QUEUE: usize = 4096;
-/// Events taken in at one go, so that time is looked at often enough.
+/// Maximum number of events processed before timers are checked again.
 const EVENTS_PER_BATCH: usize = 256;
-/// Messages that wait for the list or the release controller at most; more are dropped, and the engine knows.
+/// Maximum number of messages queued for the list or the release controller. The engine is told of each message beyond
+/// that, which is dropped.
 const SERVICE_QUEUE: usize = 64;
-/// How long the tasks of clients are given at the end to write what is queued for them.
+/// Time that the tasks of clients have at the end of a shutdown to write the answers queued for them.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the tasks of this router share.
+/// State from which the tasks of this router are created.
 struct Shared {
     flags: RouterFlags,
     seed: u64,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// How links are opened whose peer sends what only the newest version of the protocol has, where the flag says so.
+    /// Returns the configuration of links. With `newest_version` the router announces the newest protocol version, which
+    /// a peer needs before it sends the messages added in that version.
     fn links(&self, newest_version: bool) -> Arc<LinkConfig> {
         match newest_version {
             true => Arc::new(self.links.with_newest_version()),
@@ -123,7 +125,7 @@
         }
     }
 
-    /// The engine with all around it, before any input.
+    /// Creates the engine with its transport and its recorder, before any input.
     fn engine_state(
         &self,
         mut transport: RouterTransport,
@@ -144,10 +146,10 @@
         })
     }
 
-    /// The inputs before any event: what holds until control plane and list are heard from.
-    fn first_inputs(&self, state: &mut EngineState) {
+    /// Gives the engine the inputs that hold until the control plane and the list have sent something.
+    fn apply_initial_inputs(&self, state: &mut EngineState) {
         if !self.flags.control_plane.is_empty() {
-            // Nothing has been granted yet.
+            // A lease that ends now: none has been granted yet.
             let config = EffectiveConfig::from(&self.flags.engine_config().service);
             let until = self.clock.now();
             state.input(Input::Lease {
@@ -163,8 +165,8 @@
         }
         if let Some(file) = &self.flags.list_file {
             match read_cached_list(file) {
-                Ok(lines) => state.input(Input::CachedList(lines)),
-                Err(error) => info!(file = %file.display(), %error, "no cached list"),
+                Ok(endpoints) => state.input(Input::CachedList(endpoints)),
+                Err(error) => info!(file = %file.display(), %error, "cached host list not used"),
             }
         }
     }
@@ -181,12 +183,12 @@
 }
 
 impl EngineTask {
-    async fn run(mut self, ending: impl Future<Output = ()>) {
-        let mut ending = pin!(ending);
+    async fn run(mut self, shutdown_signal: impl Future<Output = ()>) {
+        let mut shutdown_signal = pin!(shutdown_signal);
         let mut batch = Vec::with_capacity(EVENTS_PER_BATCH);
         loop {
-            self.wait(ending.as_mut(), &mut batch).await;
-            // Whatever woke this task, what has come meanwhile is taken in as well: neither starves the other.
+            self.wait(shutdown_signal.as_mut(), &mut batch).await;
+            // Queued events are processed whatever woke this task, so that timers and events do not starve each other.
             while batch.len() < EVENTS_PER_BATCH {
                 let Ok(event) = self.events.try_recv() else {
                     break;
@@ -205,16 +207,16 @@
         self.finish().await;
     }
 
-    /// Waits for the next event, the end or a timer.
+    /// Waits for the next event, the shutdown signal or a timer.
     async fn wait(
         &mut self,
-        ending: Pin<&mut impl Future<Output = ()>>,
+        shutdown_signal: Pin<&mut impl Future<Output = ()>>,
         batch: &mut Vec<EngineEvent>,
     ) {
         let wake = self.state.clock.instant_at(self.state.engine.next_wake());
         tokio::select! {
             biased;
-            _ = ending, if !self.shutdown.has_begun() => {
+            _ = shutdown_signal, if !self.shutdown.has_begun() => {
                 self.begin_shutdown();
                 batch.push(EngineEvent::Close);
             }
@@ -231,7 +233,7 @@
         self.acceptor.abort();
     }
 
-    /// Closes all connections. Tasks of clients write out what is queued for them once their channels close.
+    /// Closes all connections. The tasks of clients write the answers queued for them once their channels are closed.
     async fn finish(self) {
         let EngineTask {
             state,
@@ -249,7 +251,7 @@
     }
 }
 
-/// Runs a router until `ending` resolves; then accepts nothing new, answers all that it holds and returns.
+/// Runs a router until `shutdown_signal` resolves. Then accepts no more commands, answers the waiting ones and returns.
 ///
 /// # Errors
 ///
@@ -257,7 +259,7 @@
 pub async fn serve(
     flags: RouterFlags,
     listening: Listening,
-    ending: impl Future<Output = ()>,
+    shutdown_signal: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE);
     let shared = Shared::new(flags, events);
@@ -287,7 +289,7 @@
         clients: clients.clone(),
     };
     let acceptor = tasks.spawn(acceptor.run());
-    shared.first_inputs(&mut state);
+    shared.apply_initial_inputs(&mut state);
     let task = EngineTask {
         state,
         events: event_queue,
@@ -296,6 +298,6 @@
         shutdown: Shutdown::default(),
         shutdown_timeout: flags.shutdown_within,
     };
-    task.run(ending).await;
+    task.run(shutdown_signal).await;
     Ok(())
 }
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -1,4 +1,4 @@
-//! The engine's [`Transport`]: hands its messages to the tasks of connections. Nothing here waits.
+//! The engine's [`Transport`]: passes its messages to the connection tasks over bounded queues, and never blocks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,30 +16,32 @@
 use crate::host_link::{HostLink, HostListing, QueuedMessage};
 use crate::link_config::LinkConfig;
 
-/// The task of one host, as the engine's task reaches it.
+/// The engine's side of the channels to the task of one host.
 pub(crate) struct HostHandle {
     messages: mpsc::Sender<QueuedMessage>,
     listing: watch::Sender<HostListing>,
 }
 
-/// Senders to all connections, by the numbers that the engine knows them by.
+/// The senders to all connection tasks. Clients are identified by connection number, hosts by id.
 pub(crate) struct RouterTransport {
     pub(crate) clock: Arc<Clock>,
     pub(crate) events: mpsc::Sender<EngineEvent>,
     pub(crate) clients: HashMap<u64, mpsc::Sender<ToClient>>,
-    /// Clients closed because they do not read; the engine learns of them after its call.
+    /// Connections of clients that were closed because their queue was full. They are reported to the engine once it
+    /// has returned from the present call.
     pub(crate) closed_clients: Vec<u64>,
     pub(crate) hosts: HashMap<HostId, HostHandle>,
     pub(crate) list: mpsc::Sender<ToList>,
     pub(crate) release_controller: mpsc::Sender<ToController>,
     pub(crate) host_links: Arc<LinkConfig>,
-    /// Messages that wait for one host at most.
+    /// Maximum number of messages queued for one host.
     pub(crate) host_queue: usize,
+    /// Time after the start of a host's drain within which sent messages must have arrived.
     pub(crate) drain_grace: Duration,
 }
 
 impl RouterTransport {
-    /// Tells all clients that the router accepts nothing more.
+    /// Tells all clients that the router accepts no more commands.
     pub(crate) fn send_closing(&self) {
         for client in self.clients.values() {
             let _ = client.try_send(ToClient::Closing);
@@ -65,7 +67,7 @@
 
 impl Transport for RouterTransport {
     fn to_client(&mut self, conn: u64, message: ToClient) {
-        debug!(connection = conn, ?message, "answer");
+        debug!(connection = conn, ?message, "message to client");
         let Some(client) = self.clients.get(&conn) else {
             return;
         };
@@ -100,7 +102,7 @@
             incarnation,
             open: true,
             gone: false,
-            close_by: None,
+            drain_deadline: None,
         };
         let handle = self.hosts.get(&host);
         match handle.filter(|handle| !handle.messages.is_closed()) {
@@ -120,23 +122,24 @@
         let Some(handle) = self.hosts.get(&host) else {
             return;
         };
-        // Well within the grace: what the host has not read by then must not arrive after it.
-        let close_by = Instant::now() + self.drain_grace * 3 / 4;
+        // Three quarters of the grace period: a frame that the host has not read by then must not arrive after the
+        // period has ended.
+        let drain_deadline = Instant::now() + self.drain_grace * 3 / 4;
         update(&handle.listing, |before| HostListing {
             open: false,
             gone,
-            close_by: before.close_by.or(Some(close_by)),
+            drain_deadline: before.drain_deadline.or(Some(drain_deadline)),
             ..before.clone()
         });
     }
 }
 
-/// Changes a listing; its receiver wakes only where it differs.
+/// Replaces a listing. The host's task is woken only if the listing has changed.
 fn update(listing: &watch::Sender<HostListing>, change: impl FnOnce(&HostListing) -> HostListing) {
-    listing.send_if_modified(|present| {
-        let changed = change(present);
-        let differs = *present != changed;
-        *present = changed;
-        differs
+    listing.send_if_modified(|listing| {
+        let new_listing = change(listing);
+        let has_changed = *listing != new_listing;
+        *listing = new_listing;
+        has_changed
     });
 }
--- a/crates/spokeflow-router/tests/unit/host_link.rs
+++ b/crates/spokeflow-router/tests/unit/host_link.rs
@@ -72,7 +72,7 @@
             incarnation: 1,
             open: true,
             gone: false,
-            close_by: None,
+            drain_deadline: None,
         };
         let (_listing, listing_updates) = watch::channel(listing);
         let link = HostLink {
