--- a/crates/spokeflow-router/src/acceptor.rs
+++ b/crates/spokeflow-router/src/acceptor.rs
@@ -1,4 +1,5 @@
-//! Listens for clients and accepts their connections, apart from the engine's task so that neither waits for the other.
+//! Listens for clients and accepts their connections. This runs in a task of its own, so that it and the engine's task
+//! do not wait for each other.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +18,8 @@
 use crate::event::EngineEvent;
 use crate::RouterFlags;
 
-/// Delay after a failed accept. Out of descriptors, most likely: trying at once again would only spin.
+/// Delay after a failed accept. The usual cause is a lack of file descriptors, with which an immediate retry would fail
+/// again in a busy loop.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// The socket that clients connect to.
@@ -27,7 +29,7 @@
 }
 
 impl Listening {
-    /// Listens where the flags say.
+    /// Listens on the address of `--listen`.
     ///
     /// # Errors
     ///
@@ -42,7 +44,7 @@
         Ok(Listening { listener, address })
     }
 
-    /// The address, with the port that was chosen where the flag gives none.
+    /// Returns the address that is listened on, with the port that the system chose where the flag gives port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -54,7 +56,7 @@
     /// One permit for each connection that may be open.
     pub(crate) permits: Arc<Semaphore>,
     pub(crate) events: mpsc::Sender<EngineEvent>,
-    /// Messages that wait for one client at most.
+    /// Maximum number of messages queued for one client.
     pub(crate) client_queue: usize,
     pub(crate) clock: Arc<Clock>,
     pub(crate) clients: TaskTracker,
@@ -67,7 +69,7 @@
             let (stream, peer) = match self.listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    warn!(%error, "cannot accept");
+                    warn!(%error, "client connection not accepted");
                     sleep(ACCEPT_RETRY).await;
                     continue;
                 }
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Starts the task of a connection. `false`: as many are open as may be, and this one is closed unread; no command
-    /// has been accepted from it.
+    /// Starts the task of a connection. Returns `false` if `--max-clients` connections are open already; the new one is
+    /// closed unread then, so that no command is accepted from it.
     fn start(&self, connection: u64, stream: TcpStream, peer: SocketAddr) -> bool {
         let Ok(permit) = self.permits.clone().try_acquire_owned() else {
-            if let Some(kept_back) = self.clock.allow_log_line() {
-                warn!(%peer, kept_back, "as many clients as --max-clients: closed");
+            if let Some(suppressed) = self.clock.allow_log_line() {
+                warn!(%peer, suppressed, "client connection closed: --max-clients reached");
             }
             return false;
         };
--- a/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
+++ b/crates/spokeflow-router/src/bin/spokeflow-migrate.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use spokeflow_router::migrate::{migrate, MigrateProgram};
 
-/// Exit code of a file that cannot be migrated; nothing was written, and each reason is a line of standard error.
+/// Exit code if the file cannot be migrated. Nothing was written, and each reason is a line on standard error.
 const CANNOT_MIGRATE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/spokeflow-router/src/cached_list.rs
+++ b/crates/spokeflow-router/src/cached_list.rs
@@ -1,4 +1,4 @@
-//! The host list as it was received last, in a file, for a start while the list cannot be reached.
+//! A file that caches the host list as it was last received, for a start while the list cannot be reached.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -11,73 +11,70 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// The first bytes of the file: what it is, and the version of its form.
+/// The first bytes of the file, which identify its type and the version of its format.
 const FILE_MARK: &[u8; 8] = b"SPKFLST1";
 
-/// The list, and the file that follows it.
+/// The host list as it was last received, and the file that it is written to.
 pub(crate) struct CachedList {
     file: PathBuf,
-    lines: BTreeMap<u32, EndpointRecord>,
+    endpoints: BTreeMap<u32, EndpointRecord>,
     is_writing: Arc<AtomicBool>,
 }
 
-/// Why the file of an earlier process is not used.
+/// Why the file of an earlier process cannot be used.
 #[derive(Debug, Error)]
 pub(crate) enum CachedListError {
     #[error(transparent)]
     Read(#[from] io::Error),
-    #[error("not a cached list of this version")]
+    #[error("not a cached host list of this version: must begin with SPKFLST1")]
     OtherFile,
-    #[error("the cached list is damaged")]
+    #[error("cached host list is damaged: its content cannot be decoded")]
     Damaged,
 }
 
 impl CachedList {
-    /// Nothing is read or written before the first update.
+    /// `file` is neither read nor written before the first update.
     pub(crate) fn new(file: PathBuf) -> Self {
         CachedList {
             file,
-            lines: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             is_writing: Arc::default(),
         }
     }
 
-    /// Follows a message of the list, and writes the file where lines have come.
+    /// Applies a message from the list, and writes the file if the message holds endpoints.
     pub(crate) fn update(&mut self, message: &FromList) {
-        let lines = match message {
-            FromList::Complete {
-                endpoints: lines, ..
-            } => {
-                self.lines.clear();
-                lines
+        let endpoints = match message {
+            FromList::Complete { endpoints, .. } => {
+                self.endpoints.clear();
+                endpoints
             }
-            FromList::Changes {
-                endpoints: lines, ..
-            } => lines,
+            FromList::Changes { endpoints, .. } => endpoints,
             _ => return,
         };
-        for line in lines {
-            if line.phase == EndpointPhase::Gone {
-                self.lines.remove(&line.host);
+        for endpoint in endpoints {
+            if endpoint.phase == EndpointPhase::Gone {
+                self.endpoints.remove(&endpoint.host);
             } else {
-                self.lines.insert(line.host, line.clone());
+                self.endpoints.insert(endpoint.host, endpoint.clone());
             }
         }
-        if !lines.is_empty() {
+        if !endpoints.is_empty() {
             self.write();
         }
     }
 
-    /// Writes off the path of commands, one file at a time: what changes meanwhile is written with the next change.
+    /// Writes the file on a blocking thread, so that no command waits for the disk. Only one write runs at a time; changes
+    /// that arrive during a write are written with the next change.
     fn write(&self) {
         if self.is_writing.swap(true, Ordering::AcqRel) {
             return;
         }
         let file = self.file.clone();
-        let lines: Vec<EndpointRecord> = self.lines.values().cloned().collect();
+        let endpoints: Vec<EndpointRecord> = self.endpoints.values().cloned().collect();
         let is_writing = self.is_writing.clone();
         tokio::task::spawn_blocking(move || {
-            if let Err(error) = write_file(&file, &lines) {
+            if let Err(error) = write_file(&file, &endpoints) {
                 warn!(file = %file.display(), %error, "host list cannot be cached");
             }
             is_writing.store(false, Ordering::Release);
@@ -85,29 +82,29 @@
     }
 }
 
-fn write_file(file: &Path, lines: &[EndpointRecord]) -> io::Result<()> {
-    let body = postcard::to_stdvec(lines).map_err(io::Error::other)?;
+fn write_file(file: &Path, endpoints: &[EndpointRecord]) -> io::Result<()> {
+    let body = postcard::to_stdvec(endpoints).map_err(io::Error::other)?;
     let new_file = file.with_extension("new");
     let mut output = File::create(&new_file)?;
     output.write_all(FILE_MARK)?;
     output.write_all(&body)?;
     output.sync_all()?;
-    // Whole or not at all: a crash in between leaves the old one.
+    // The rename is atomic: a crash before it leaves the previous file intact.
     std::fs::rename(&new_file, file)
 }
 
-/// The list that an earlier process has left.
+/// Reads the host list that an earlier process has cached.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is not such a file, or is damaged.
+/// The file cannot be read, is not a cached host list of this version, or is damaged.
 pub(crate) fn read_cached_list(file: &Path) -> Result<Vec<EndpointRecord>, CachedListError> {
     let bytes = std::fs::read(file)?;
     let body = bytes
         .strip_prefix(FILE_MARK)
         .ok_or(CachedListError::OtherFile)?;
     match postcard::take_from_bytes::<Vec<EndpointRecord>>(body) {
-        Ok((lines, [])) => Ok(lines),
+        Ok((endpoints, [])) => Ok(endpoints),
         _ => Err(CachedListError::Damaged),
     }
 }
--- a/crates/spokeflow-router/src/engine_state.rs
+++ b/crates/spokeflow-router/src/engine_state.rs
@@ -1,4 +1,4 @@
-//! The engine with its transport and its recording, and what each event of a connection task is to it.
+//! The engine with its transport and its recorder, and the handling of the events that connection tasks send.
 
 use std::sync::Arc;
 
@@ -12,17 +12,19 @@
 use crate::recorder::Recorder;
 use crate::transport::RouterTransport;
 
-/// What the engine's task owns.
+/// The engine and what it is run with, owned by the engine's task.
 pub(crate) struct EngineState {
     pub(crate) engine: Engine,
     pub(crate) transport: RouterTransport,
     pub(crate) recorder: Option<Recorder>,
     pub(crate) clock: Arc<Clock>,
-    /// The revision that the engine applies. Sent after the engine has it: only then may this router report it.
+    /// The revision that the engine applies. It is sent only once the engine has the revision, because the router must
+    /// not report it as applied earlier.
     pub(crate) applied: watch::Sender<RevisionNumber>,
 }
 
 impl EngineState {
+    /// Records an input and passes it to the engine.
     pub(crate) fn input(&mut self, input: Input) {
         let now = self.clock.now();
         if let Some(recorder) = &mut self.recorder {
@@ -31,7 +33,7 @@
         self.engine.on_input(now, input, &mut self.transport);
     }
 
-    /// Runs the engine's timers where one is due.
+    /// Runs the engine's timers if one is due.
     pub(crate) fn run_timers(&mut self) {
         if self.clock.now() >= self.engine.next_wake() {
             self.input(Input::Timer);
@@ -72,7 +74,7 @@
         self.report_closed_clients();
     }
 
-    /// Tells the engine of the clients that the transport has closed.
+    /// Reports the clients that the transport has closed to the engine as disconnected.
     fn report_closed_clients(&mut self) {
         while let Some(connection) = self.transport.closed_clients.pop() {
             self.input(Input::ClientDisconnected { conn: connection });
--- a/crates/spokeflow-router/src/error.rs
+++ b/crates/spokeflow-router/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a router cannot run.
+//! The errors with which a router ends.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-/// Why a router cannot run, in one line that names the flag.
+/// An error with which a router ends, displayed as one line that names the flag.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The address for clients cannot be listened on.
@@ -14,7 +14,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The recording cannot be written.
@@ -22,7 +22,7 @@
     Record {
         /// The file of the recording.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/spokeflow-router/src/event.rs
+++ b/crates/spokeflow-router/src/event.rs
@@ -6,15 +6,15 @@
 use spokeflow_proto::ToClient;
 use tokio::sync::mpsc;
 
-/// What reaches the task that owns the engine.
+/// An event for the task that owns the engine.
 pub enum EngineEvent {
-    /// For the engine as it is.
+    /// An input that is passed to the engine unchanged.
     Input(Input),
-    /// A client was admitted; its messages go to the sender.
+    /// A client was connected and welcomed.
     ClientConnected {
         /// Number of the connection.
         connection: u64,
-        /// Bounded; a client that does not read is closed.
+        /// Queue of the messages to the client. It is bounded; a client that does not read is closed once it is full.
         messages: mpsc::Sender<ToClient>,
     },
     /// The connection of a client was closed.
@@ -26,11 +26,11 @@
     LeaseGranted {
         /// When the lease ends, in microseconds of the router's clock.
         until: Micros,
-        /// What may be acted on until then.
+        /// The configuration that the router may act on until then.
         config: Box<EffectiveConfig>,
         /// The newest revision that `config` respects.
         revision: RevisionNumber,
     },
-    /// The router shuts down: it takes nothing new.
+    /// The router shuts down and accepts no more commands.
     Close,
 }
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -11,31 +11,31 @@
 use spokeflow_engine::EngineConfig;
 use spokeflow_runtime::LogFormat;
 
-/// Shortest timeout of a command, in answer margins: most of the time is left for the command itself.
+/// Minimum ratio of a command's timeout to the answer margin, so that most of the time is left for the command itself.
 const MIN_TIMEOUT_PER_ANSWER_MARGIN: u32 = 4;
 /// The `tick` of [`ServiceConfig`], in microseconds.
 const TICK: Micros = 1000;
 
-/// In microseconds, and far enough from the largest number that sums of a few do not overflow.
+/// Converts a duration to microseconds, capped at a quarter of the largest number so that small sums do not overflow.
 fn micros(duration: Duration) -> Micros {
     duration.as_micros().min(Micros::MAX as u128 / 4) as Micros
 }
 
-/// Everything that one router is configured with.
+/// The configuration of one router.
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "This router")]
 pub struct RouterFlags {
-    /// Where clients connect; port 0 takes a free one, which is printed
+    /// Address that clients connect to; port 0 takes a free port, which is printed
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7400")]
     pub listen: SocketAddr,
-    /// The host list
+    /// Address of the host list
     #[arg(long, env = "SPOKEFLOW_LIST")]
     pub list: SocketAddr,
-    /// The release controller
+    /// Address of the release controller
     #[arg(long, alias = "desk", env = "SPOKEFLOW_RELEASE_CONTROLLER")]
     pub release_controller: SocketAddr,
-    /// A control-plane node, whose revisions of the service flags this router then follows; repeat the flag for
-    /// each. Without any the router follows its flags alone
+    /// Address of a control-plane node; repeat the flag for each node. The router then follows the control plane's
+    /// revisions of the service flags; without any node it follows its flags alone
     #[arg(
         long = "control-plane",
         alias = "keeper",
@@ -43,11 +43,11 @@
         value_delimiter = ','
     )]
     pub control_plane: Vec<SocketAddr>,
-    /// The host list comes from the control plane, alike for all routers; the list named by --list then only removes
+    /// Takes the host list from the control plane, the same for all routers; the list named by --list then only removes
     /// hosts
     #[arg(long, alias = "agreed-list", env = "SPOKEFLOW_REPLICATED_LIST")]
     pub replicated_list: bool,
-    /// Without effect: routers exchange no messages
+    /// No effect: routers exchange no messages
     #[arg(
         long = "peer",
         env = "SPOKEFLOW_PEER",
@@ -58,16 +58,16 @@
     /// Number of this router in the deployment, from 0
     #[arg(long, env = "SPOKEFLOW_INDEX", default_value_t = 0)]
     pub index: u32,
-    /// Number of the site that it runs in
+    /// Number of the site that this router runs in
     #[arg(long, env = "SPOKEFLOW_SITE", default_value_t = 0)]
     pub site: u16,
-    /// Seed of the router's random numbers; drawn at start where not given
+    /// Seed of the router's random numbers; drawn at random at start if not given
     #[arg(long, env = "SPOKEFLOW_SEED")]
     pub seed: Option<u64>,
-    /// Subtracted from the time that each client waits, for the way of the answer
+    /// Time subtracted from the time that each client waits, so that the answer reaches the client in time
     #[arg(long, env = "SPOKEFLOW_ANSWER_MARGIN", default_value = "30ms", value_parser = parse_duration)]
     pub answer_margin: Duration,
-    /// Commands that wait at most; more are nacked at once
+    /// Maximum number of waiting commands; more are nacked at once
     #[arg(
         long,
         alias = "held-at-most",
@@ -75,7 +75,7 @@
         default_value_t = 20_000
     )]
     pub max_waiting: usize,
-    /// Client connections at most; more are closed at once
+    /// Maximum number of client connections; more are closed at once
     #[arg(
         long,
         alias = "clients-at-most",
@@ -83,45 +83,45 @@
         default_value_t = 12_000
     )]
     pub max_clients: usize,
-    /// Answers that wait for one client at most; one that does not read them is closed
+    /// Maximum number of answers queued for one client; a client that does not read them is closed
     #[arg(long, env = "SPOKEFLOW_CLIENT_QUEUE", default_value_t = 1024)]
     pub client_queue: usize,
-    /// Messages that wait for one host at most; a delivery beyond that goes elsewhere
+    /// Maximum number of messages queued for one host; further deliveries go to other hosts
     #[arg(long, env = "SPOKEFLOW_HOST_QUEUE", default_value_t = 256)]
     pub host_queue: usize,
-    /// A connection to a host that is not made within this time counts as refused
+    /// Time within which a connection to a host must be made; otherwise it counts as refused
     #[arg(long, env = "SPOKEFLOW_CONNECT_TIMEOUT", default_value = "250ms", value_parser = parse_duration)]
     pub connect_timeout: Duration,
-    /// Delay after the first failed connection, doubled with each, with jitter
+    /// Delay after the first failed connection attempt, doubled with each further one, with jitter
     #[arg(long, env = "SPOKEFLOW_RECONNECT_FIRST", default_value = "50ms", value_parser = parse_duration)]
     pub reconnect_first: Duration,
-    /// Longest such delay
+    /// Longest delay between two connection attempts
     #[arg(long, env = "SPOKEFLOW_RECONNECT_MOST", default_value = "2s", value_parser = parse_duration)]
     pub reconnect_most: Duration,
-    /// A connection to a host without work is closed after this time
+    /// Time after which a connection to a host without work is closed
     #[arg(long, env = "SPOKEFLOW_CONNECTION_IDLE", default_value = "30s", value_parser = parse_duration)]
     pub connection_idle: Duration,
-    /// A connection to a host on which nothing has come for this time, a ping unanswered, is dropped with all
-    /// that has not arrived; shorter than every memory= of a deduplicated op type
+    /// Time without a message, or an answer to a ping, after which a connection to a host is dropped with everything
+    /// that has not arrived; must be shorter than every memory= of a deduplicated op type
     #[arg(long, alias = "way-timeout", env = "SPOKEFLOW_PING_TIMEOUT", default_value = "1s", value_parser = parse_duration)]
     pub ping_timeout: Duration,
-    /// The watch on the list is renewed where nothing has come for this time, and the connection opened anew after
-    /// three renewals
+    /// Time without a message after which the watch on the host list is renewed; after three renewals without a message
+    /// the connection is opened again
     #[arg(long, env = "SPOKEFLOW_LIST_RENEW", default_value = "5s", value_parser = parse_duration)]
     pub list_renew: Duration,
-    /// File that caches the last list, for a start while the list cannot be reached
+    /// File that caches the host list as last received, for a start while the list cannot be reached
     #[arg(long, env = "SPOKEFLOW_LIST_FILE")]
     pub list_file: Option<PathBuf>,
-    /// After SIGTERM all waiting commands are answered and the program ends within this time
+    /// Time after SIGTERM within which all waiting commands are answered and the program ends
     #[arg(long, env = "SPOKEFLOW_SHUTDOWN_WITHIN", default_value = "15s", value_parser = parse_duration)]
     pub shutdown_within: Duration,
-    /// Writes all inputs to this file, for replay
+    /// File to which all inputs are written, for replay
     #[arg(long, env = "SPOKEFLOW_RECORD")]
     pub record: Option<PathBuf>,
-    /// Which lines are logged, in the form of the tracing library, such as info or debug
+    /// Filter of the log lines, in the syntax of the tracing library, such as info or debug
     #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
     pub log: String,
-    /// Form of the log
+    /// Format of the log lines
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
     pub log_form: LogFormat,
     /// The flags that all routers of the service share.
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// Every fault, one a line, naming its flag.
+    /// All faults, one line for each, which names its flag.
     pub fn check(&self) -> Result<(), ConfigErrors> {
         let mut errors = ConfigErrors::default();
         self.service.check(&mut errors);
@@ -149,12 +149,15 @@
         errors.add_if(
             self.index >= fleet_size,
             "index",
-            format!("{} is not below --fleet-size {fleet_size}", self.index),
+            format!(
+                "must be below --fleet-size {fleet_size}, got {}",
+                self.index
+            ),
         );
         errors.add_if(
             self.replicated_list && self.control_plane.is_empty(),
             "replicated-list",
-            "needs --control-plane",
+            "requires --control-plane",
         );
     }
 
@@ -165,12 +168,15 @@
         errors.add_if(
             self.answer_margin * MIN_TIMEOUT_PER_ANSWER_MARGIN > shortest,
             "answer-margin",
-            format!("over a quarter of timeout= {shortest:?}"),
+            format!(
+                "must be at most a quarter of timeout= {shortest:?}, got {:?}",
+                self.answer_margin
+            ),
         );
         errors.add_if(
             self.connect_timeout.is_zero(),
             "connect-timeout",
-            "above 0s",
+            "must be above 0s",
         );
         let shortest_memory = ops
             .iter()
@@ -181,23 +187,36 @@
         errors.add_if(
             self.ping_timeout >= shortest_memory,
             "ping-timeout",
-            format!("not shorter than memory= {shortest_memory:?}"),
+            format!(
+                "must be shorter than memory= {shortest_memory:?}, got {:?}",
+                self.ping_timeout
+            ),
+        );
+        errors.add_if(
+            self.ping_timeout.is_zero(),
+            "ping-timeout",
+            "must be above 0s",
         );
-        errors.add_if(self.ping_timeout.is_zero(), "ping-timeout", "above 0s");
         let longest = timeouts().max().unwrap_or_default();
         errors.add_if(
             self.shutdown_within < longest,
             "shutdown-within",
-            format!("shorter than timeout= {longest:?}"),
+            format!(
+                "must be at least timeout= {longest:?}, got {:?}",
+                self.shutdown_within
+            ),
         );
         let first_delay = self.reconnect_first;
-        errors.add_if(first_delay.is_zero(), "reconnect-first", "above 0s");
+        errors.add_if(first_delay.is_zero(), "reconnect-first", "must be above 0s");
         errors.add_if(
             self.reconnect_most < first_delay,
             "reconnect-most",
-            format!("shorter than --reconnect-first {first_delay:?}"),
+            format!(
+                "must be at least --reconnect-first {first_delay:?}, got {:?}",
+                self.reconnect_most
+            ),
         );
-        errors.add_if(self.list_renew.is_zero(), "list-renew", "above 0s");
+        errors.add_if(self.list_renew.is_zero(), "list-renew", "must be above 0s");
     }
 
     fn check_limits(&self, errors: &mut ConfigErrors) {
@@ -207,11 +226,11 @@
             (self.client_queue, "client-queue"),
             (self.host_queue, "host-queue"),
         ] {
-            errors.add_if(limit == 0, flag, "at least 1");
+            errors.add_if(limit == 0, flag, "must be at least 1");
         }
     }
 
-    /// The configuration of the engine.
+    /// Returns the configuration of the engine.
     pub fn engine_config(&self) -> EngineConfig {
         EngineConfig {
             service: self.service_config(),
@@ -265,11 +284,12 @@
         }
     }
 
-    /// What this router may act on while `in_force` is in force and `pending` may be acted on by others.
+    /// Returns the configuration that this router may act on while `in_force` is in force and other routers may already
+    /// act on `pending`.
     ///
     /// # Errors
     ///
-    /// One of both does not fit this router: every fault, one a line, naming its flag.
+    /// One of the revisions does not fit this router: all faults, one line for each, which names its flag.
     pub(crate) fn effective_config(
         &self,
         in_force: &Revision,
@@ -282,7 +302,7 @@
         })
     }
 
-    /// These flags with a revision's values in place of their own, checked.
+    /// Returns the configuration with the revision's values in place of those of the flags, once it has been checked.
     fn revised_config(&self, revision: &Revision) -> Result<EffectiveConfig, ConfigErrors> {
         let revised = RouterFlags {
             service: self.service.revised(&revision.values)?,
--- a/crates/spokeflow-router/src/link_config.rs
+++ b/crates/spokeflow-router/src/link_config.rs
@@ -1,28 +1,30 @@
-//! How a router's links are opened: what it says of itself, and the times that it allows.
+//! The configuration of a router's links: the opening message, and the timeouts and backoff.
 
 use std::time::Duration;
 
 use spokeflow_proto::Hello;
 use spokeflow_runtime::Backoff;
 
-/// How connections are opened and when they are given up.
+/// Settings by which connections are opened and closed.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkConfig {
+    /// The opening message, by which the router introduces itself.
     pub(crate) hello: Hello,
-    /// Seed of the jitter of all backoff.
+    /// Seed of the backoff's jitter, for all links.
     pub(crate) seed: u64,
     pub(crate) connect_timeout: Duration,
     /// Backoff after the first failure.
     pub(crate) min_reconnect_delay: Duration,
     pub(crate) max_reconnect_delay: Duration,
-    /// A connection to a host that has carried nothing for this long is closed.
+    /// Time without work after which a connection to a host is closed.
     pub(crate) idle_timeout: Duration,
-    /// A connection on which nothing has arrived for this long, the answer to a ping included, is dropped.
+    /// Time after which a connection to a host is dropped if work is outstanding and nothing, not even the answer to a
+    /// ping, has arrived on it.
     pub(crate) ping_timeout: Duration,
 }
 
 impl LinkConfig {
-    /// The backoff of one of this router's links, by the link's number.
+    /// Creates the backoff of the link with number `link`.
     pub(crate) fn backoff(&self, link: u64) -> Backoff {
         Backoff::new(
             self.seed,
@@ -32,7 +34,7 @@
         )
     }
 
-    /// The same, with the newest version of the protocol in the opening message.
+    /// Returns a copy whose opening message announces the newest version of the protocol.
     pub(crate) fn with_newest_version(&self) -> Self {
         LinkConfig {
             hello: self.hello.clone().with_newest_version(),
--- a/crates/spokeflow-router/src/list.rs
+++ b/crates/spokeflow-router/src/list.rs
@@ -1,4 +1,4 @@
-//! The link to the host list: the router watches it, and renews the watch where nothing comes.
+//! The link to the host list. The router watches the list, and renews the watch when no message has arrived for a while.
 
 use std::time::Duration;
 
@@ -10,24 +10,26 @@
 use crate::cached_list::CachedList;
 use crate::links::{LinkProtocol, LIST_LINK};
 
-/// Renewals of the watch without any message, after which the connection is opened anew.
+/// Number of renewals in a row without any message after which the connection is closed and opened again.
 const MAX_UNANSWERED: u32 = 3;
 
-/// The host list's side of a [`crate::links::ServiceLink`].
+/// The protocol of the [`crate::links::ServiceLink`] to the host list.
 pub(crate) struct ListProtocol {
-    renew: Duration,
-    /// The list as it was received last, where it is kept in a file.
+    /// Time without a message after which the watch is renewed.
+    renewal_interval: Duration,
+    /// The cache of the list; `None`: the list is not cached.
     cached: Option<CachedList>,
-    /// The version that was received last.
+    /// Version of the list that was received last.
     version: Option<u64>,
+    /// Renewals since the last message.
     unanswered: u32,
 }
 
 impl ListProtocol {
-    /// `renew`: after how long without a message the watch is renewed.
-    pub(crate) fn new(renew: Duration, cached: Option<CachedList>) -> Self {
+    /// `renewal_interval`: time without a message after which the watch is renewed.
+    pub(crate) fn new(renewal_interval: Duration, cached: Option<CachedList>) -> Self {
         ListProtocol {
-            renew,
+            renewal_interval,
             cached,
             version: None,
             unanswered: 0,
@@ -55,7 +57,7 @@
     }
 
     fn on_connected(&mut self, queue: &mut mpsc::Receiver<ToList>) {
-        // What was requested of the previous connection is requested anew by the watch.
+        // Requests that were queued for the previous connection are replaced by the watch that is sent first.
         while queue.try_recv().is_ok() {}
         self.unanswered = 0;
     }
@@ -76,7 +78,7 @@
     }
 
     fn silence_timeout(&self) -> Option<Duration> {
-        Some(self.renew)
+        Some(self.renewal_interval)
     }
 
     fn on_silence(&mut self) -> Result<ToList, FrameError> {
--- a/crates/spokeflow-router/src/main.rs
+++ b/crates/spokeflow-router/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `spokeflow-router`: a router of the project's own protocol or, with `platform` as the first argument, of
-//! the platform's protocol, with flags of its own.
+//! The program `spokeflow-router`: a router of the project's own protocol. With `platform` as the first argument it is a
+//! router of the platform's protocol, which has its own flags.
 
 use std::process::ExitCode;
 
--- a/crates/spokeflow-router/src/migrate/check.rs
+++ b/crates/spokeflow-router/src/migrate/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings by the router's own parser, apart from the environment of this process.
+//! Checks settings with the router's own parser, which ignores the environment of this process here.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 use super::setting::Setting;
 use crate::{RouterFlags, RouterProgram};
 
-/// The first word of the command lines that are parsed.
+/// Name of the program in the command lines that are parsed.
 const PROGRAM: &str = "spokeflow-router";
 
 /// A flag of the router.
 struct Flag {
-    /// Without the dashes.
+    /// Name without the dashes.
     name: String,
     is_switch: bool,
     is_required: bool,
 }
 
-/// The router's flags by the variables that set them.
+/// The router's flags, by the names of the environment variables that set them.
 struct FlagTable(BTreeMap<String, Flag>);
 
 impl FlagTable {
@@ -39,7 +39,7 @@
         FlagTable(command.get_arguments().filter_map(flag).collect())
     }
 
-    /// A setting as a word of the command line; `None` for a switch that is off.
+    /// Converts a setting to a command-line argument; `None` for a switch that is off.
     fn argument(&self, setting: &Setting) -> Result<Option<String>, MigrationError> {
         let flag = self
             .0
@@ -57,7 +57,7 @@
         }
     }
 
-    /// An error for each required setting that is not there.
+    /// Returns an error for each required setting that is missing.
     fn missing<'a>(&'a self, settings: &'a [Setting]) -> impl Iterator<Item = MigrationError> + 'a {
         let required = self.0.iter().filter(|(_, flag)| flag.is_required);
         let is_given = |name: &str| settings.iter().any(|setting| setting.name == name);
@@ -66,25 +66,25 @@
             .map(|(name, _)| MigrationError::Missing(name.clone()))
     }
 
-    /// A line of the router's check, with the setting whose flag it names.
-    fn unfit(&self, settings: &[Setting], message: &str) -> MigrationError {
+    /// Converts a fault that the router's check found to an error with the setting whose flag the fault names.
+    fn inconsistent(&self, settings: &[Setting], message: &str) -> MigrationError {
         let is_named = |setting: &&Setting| {
             let flag = self.0.get(&setting.name);
             flag.is_some_and(|flag| message.starts_with(&format!("--{}:", flag.name)))
         };
-        MigrationError::Unfit {
+        MigrationError::Inconsistent {
             setting: settings.iter().find(is_named).map(Setting::origin),
             message: message.into(),
         }
     }
 }
 
-/// Checks settings as the router would at its start.
+/// Checks settings as the router does at its start.
 ///
 /// # Errors
 ///
-/// All settings that are unknown, missing or rejected; where there are none, what the router's check says of them
-/// together.
+/// All settings that are unknown, missing or rejected by the parser. If there are none, the faults that the router's
+/// check finds in the settings as a whole.
 pub fn check_settings(settings: &[Setting]) -> Result<RouterFlags, MigrationErrors> {
     let command = RouterProgram::command().mut_args(|arg| arg.env(Resettable::Reset));
     let table = FlagTable::of_router();
@@ -104,7 +104,7 @@
         }
     }
     errors.0.extend(table.missing(settings));
-    errors.or(())?;
+    errors.or_value(())?;
     let flags = command
         .try_get_matches_from(arguments)
         .and_then(|matches| RouterProgram::from_arg_matches(&matches))
@@ -112,12 +112,20 @@
         .flags;
     flags.check().map_err(|errors| {
         let lines = errors.lines().iter();
-        MigrationErrors(lines.map(|line| table.unfit(settings, line)).collect())
+        MigrationErrors(
+            lines
+                .map(|line| table.inconsistent(settings, line))
+                .collect(),
+        )
     })?;
     Ok(flags)
 }
 
-/// Parses one argument by itself: what is required beside X. Errors: the parser's first line.
+/// Parses one argument by itself; required flags may be missing.
+///
+/// # Errors
+///
+/// The first line of the parser's error.
 fn check_argument(command: &Command, argument: &str) -> Result<(), String> {
     let matches = command.clone().try_get_matches_from([PROGRAM, argument]);
     match matches {
--- a/crates/spokeflow-router/src/migrate/error.rs
+++ b/crates/spokeflow-router/src/migrate/error.rs
@@ -1,4 +1,4 @@
-//! Why a file cannot be migrated.
+//! The errors of a migration.
 
 use std::fmt;
 use std::io;
@@ -8,21 +8,21 @@
 
 use super::setting::SettingOrigin;
 
-/// Why a text is no setting.
+/// Why a text is not a setting.
 #[derive(Debug, Error)]
 pub enum SettingError {
     /// There is no equals sign.
     #[error("'{0}' is not NAME=VALUE")]
     NotAssignment(String),
-    /// The name has other characters than capitals, digits and underscores.
-    #[error("'{0}' is no name of a variable")]
-    Name(String),
-    /// A value that begins with a quote does not end with it.
-    #[error("{0}: the quote does not end")]
+    /// The name is empty or has other characters than capitals, digits and underscores.
+    #[error("'{0}' is not a variable name: must consist of capitals, digits and underscores")]
+    InvalidName(String),
+    /// The value begins with a quote and does not end with the same one.
+    #[error("{0}: the closing quote is missing")]
     UnterminatedQuote(String),
     /// The value has characters that a shell would interpret.
-    #[error("{0}: quotes, backslashes and $ within a value are not read")]
-    Value(String),
+    #[error("{0}: quotes, backslashes, $ and ` are not supported within a value")]
+    UnsupportedValue(String),
 }
 
 /// One reason why a file cannot be migrated.
@@ -33,41 +33,41 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The counterpart would replace the file that is migrated.
-    #[error("{}: is the file that is read", .0.display())]
+    /// The migrated file would replace the file that it is read from.
+    #[error("{}: --to must not name the file that --from names", .0.display())]
     SameFile(PathBuf),
-    /// There is a file where the counterpart is to be written.
-    #[error("{}: stands already; --replace overwrites it", .0.display())]
+    /// There is a file already where the migrated one would be written.
+    #[error("{}: exists already; --replace overwrites it", .0.display())]
     FileExists(PathBuf),
-    /// A line of the file is no setting.
+    /// A line of the file is not a setting.
     #[error("line {line}: {source}")]
     Syntax {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why the line is not a setting.
         source: SettingError,
     },
-    /// A setting of the command line is none.
+    /// A value of `--set` is not a setting.
     #[error("--set: {0}")]
     GivenSyntax(#[source] SettingError),
-    /// A setting of the file is in it twice.
-    #[error("{setting}: given before, on line {first_line}")]
+    /// The file has a setting twice.
+    #[error("{setting}: already given on line {first_line}")]
     Repeated {
-        /// The second one.
+        /// The second occurrence.
         setting: SettingOrigin,
-        /// Line of the first one, from 1.
+        /// Line of the first occurrence, from 1.
         first_line: usize,
     },
-    /// A setting is on the command line twice.
+    /// The command line has a setting twice.
     #[error("{0}: given twice")]
     GivenTwice(SettingOrigin),
-    /// No flag of the router has this variable.
+    /// No flag of the router is set by this variable.
     #[error("{0}: not a setting of the router")]
     Unknown(SettingOrigin),
-    /// The value of a switch.
+    /// The value of a switch is neither true nor false.
     #[error("{setting}: '{value}' is neither true nor false")]
     NotBoolean {
         /// The setting.
@@ -80,32 +80,32 @@
     Rejected {
         /// The setting.
         setting: SettingOrigin,
-        /// The parser's first line.
+        /// The first line of the parser's error.
         message: String,
     },
-    /// A setting that the router requires.
+    /// A setting that the router requires is missing.
     #[error("{0}: missing")]
     Missing(String),
-    /// The router's parser rejects all settings together, with the parser's first line.
+    /// The router's parser rejects the combination of all settings; holds the first line of the parser's error.
     #[error("{0}")]
     RejectedTogether(String),
-    /// A value does not fit the others.
+    /// The router's check finds a value invalid or inconsistent with others.
     #[error("{}{message}", .setting.iter().map(|setting| format!("{setting}: ")).collect::<String>())]
-    Unfit {
-        /// The setting, where the message names its flag.
+    Inconsistent {
+        /// The setting whose flag the message names, if any.
         setting: Option<SettingOrigin>,
-        /// The line of the router's check.
+        /// The fault that the router's check found, in one line.
         message: String,
     },
 }
 
-/// Why a file cannot be migrated: one line for each reason, with the setting and its line.
+/// The reasons why a file cannot be migrated, displayed as one line for each, with the setting and its line.
 #[derive(Debug, Default)]
 pub struct MigrationErrors(pub Vec<MigrationError>);
 
 impl MigrationErrors {
-    /// `value` where there is no error.
-    pub(super) fn or<T>(self, value: T) -> Result<T, MigrationErrors> {
+    /// Returns `value` if there is no error.
+    pub(super) fn or_value<T>(self, value: T) -> Result<T, MigrationErrors> {
         if self.0.is_empty() {
             Ok(value)
         } else {
--- a/crates/spokeflow-router/src/migrate/mapping.rs
+++ b/crates/spokeflow-router/src/migrate/mapping.rs
@@ -1,14 +1,14 @@
-//! Which settings are kept, dropped or added, and why.
+//! The rules by which settings are kept, dropped or added.
 
 use super::setting::Setting;
 
-/// A setting that no earlier file has.
+/// A setting that is added to every migrated file, whatever its value in the earlier file.
 struct Added {
     name: &'static str,
     value: &'static str,
 }
 
-/// A setting without a counterpart.
+/// A setting that is not carried over.
 struct Dropped {
     name: &'static str,
     reason: &'static str,
@@ -39,7 +39,7 @@
 const DROPPED: [Dropped; 5] = [
     Dropped {
         name: "SPOKEFLOW_FORWARD_ONLY",
-        reason: "the earlier hosts stay until the release, keys may go back to them",
+        reason: "hosts of the earlier build stay until the new one is released, and keys may return to them",
     },
     Dropped {
         name: "SPOKEFLOW_MAY_TELL",
@@ -51,7 +51,7 @@
     },
     Dropped {
         name: "SPOKEFLOW_LIST_FILE",
-        reason: "the cached list names hosts of the old fleet; name a new file with --set",
+        reason: "the cached list holds hosts of the old fleet; name a new file with --set",
     },
     Dropped {
         name: "SPOKEFLOW_RECORD",
@@ -59,7 +59,7 @@
     },
 ];
 
-/// Settings that are kept though a new fleet often has other values.
+/// Settings that are kept, with a note, because a new fleet often needs other values.
 const FLEET_SPECIFIC: [&str; 6] = [
     "SPOKEFLOW_FLEET_SIZE",
     "SPOKEFLOW_GATE",
@@ -69,15 +69,16 @@
     "SPOKEFLOW_GUARDED_STAGES",
 ];
 
-/// Settings of the new deployment.
-pub(super) struct Mapped {
+/// The settings of the new deployment.
+pub(super) struct MappedSettings {
     pub(super) settings: Vec<Setting>,
-    /// What was not carried over or should be looked at, one line each.
+    /// Settings that were not carried over or should be reviewed, one line each.
     pub(super) notes: Vec<String>,
 }
 
-/// Maps the settings of the earlier deployment; those `given` replace them.
-pub(super) fn map(old: &[Setting], given: &[Setting]) -> Mapped {
+/// Maps the settings of the earlier deployment to those of the new one. The settings in `given`, from the command line,
+/// take precedence.
+pub(super) fn map_settings(old: &[Setting], given: &[Setting]) -> MappedSettings {
     let mut settings = Vec::new();
     let mut notes = Vec::new();
     for setting in old {
@@ -112,7 +113,7 @@
         value: added.value.into(),
     }));
     settings.extend(given.iter().cloned());
-    Mapped { settings, notes }
+    MappedSettings { settings, notes }
 }
 
 fn contains(settings: &[Setting], name: &str) -> bool {
--- a/crates/spokeflow-router/src/migrate/mod.rs
+++ b/crates/spokeflow-router/src/migrate/mod.rs
@@ -1,6 +1,6 @@
 //! Migrates a router's file of environment variables to a deployment where both builds run side by side.
 //!
-//! Which settings are kept, dropped or added is in `mapping.rs`; nothing here decides on traffic.
+//! The rules by which settings are kept, dropped or added are in `mapping.rs`. Nothing here takes part in routing.
 
 mod check;
 mod error;
@@ -27,13 +27,13 @@
     /// Where the counterpart is written
     #[arg(long, required_unless_present = "check")]
     pub to: Option<PathBuf>,
-    /// A value for the new deployment, in place of the old file's: NAME=VALUE, such as SPOKEFLOW_GATE=majority
+    /// A setting of the new deployment that replaces the old file's: NAME=VALUE, such as SPOKEFLOW_GATE=majority
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
-    /// Writes nothing: prints the counterpart instead
+    /// Prints the counterpart and writes no file
     #[arg(long)]
     pub check: bool,
-    /// Overwrites a file that exists at --to
+    /// Overwrites the file of --to if it exists
     #[arg(long)]
     pub replace: bool,
 }
@@ -43,7 +43,7 @@
 pub struct Migration {
     /// The counterpart, as it was or would be written.
     pub text: String,
-    /// What was not carried over or should be looked at, one line each.
+    /// Settings that were not carried over or should be reviewed, one line each.
     pub notes: Vec<String>,
 }
 
@@ -51,7 +51,8 @@
 ///
 /// # Errors
 ///
-/// What cannot be read or does not fit, all that is found at once. Nothing has been written.
+/// All faults that are found in the file or in the migrated settings, or the error of a file that cannot be read or
+/// written. The file of `--to` has not been written.
 pub fn migrate(program: &MigrateProgram) -> Result<Migration, MigrationErrors> {
     let text = std::fs::read_to_string(&program.from).map_err(|source| MigrationError::File {
         path: program.from.clone(),
@@ -60,7 +61,7 @@
     let old = parse_settings(&text)?;
     check_settings(&old)?;
     let given = given_settings(&program.set)?;
-    let mapped = mapping::map(&old, &given);
+    let mapped = mapping::map_settings(&old, &given);
     check_settings(&mapped.settings)?;
     let text = setting::write_settings(&mapped.settings);
     if let Some(to) = program.to.as_ref().filter(|_| !program.check) {
@@ -72,7 +73,7 @@
     })
 }
 
-/// The settings that the command line gives.
+/// Parses the settings that the command line gives.
 fn given_settings(set: &[String]) -> Result<Vec<Setting>, MigrationError> {
     let mut given: Vec<Setting> = Vec::new();
     for text in set {
--- a/crates/spokeflow-router/src/migrate/output.rs
+++ b/crates/spokeflow-router/src/migrate/output.rs
@@ -1,4 +1,4 @@
-//! Writes the migrated file: all of it or nothing.
+//! Writes the migrated file atomically.
 
 use std::ffi::OsString;
 use std::fs::{self, File};
@@ -43,7 +43,7 @@
     if replace {
         return fs::rename(temporary, to);
     }
-    // A link fails where a file exists, also one that was created a moment ago.
+    // Unlike a rename, creating a hard link fails if the file exists, even if it was created just before.
     fs::hard_link(temporary, to)?;
     fs::remove_file(temporary)
 }
--- a/crates/spokeflow-router/src/migrate/setting.rs
+++ b/crates/spokeflow-router/src/migrate/setting.rs
@@ -1,4 +1,4 @@
-//! Settings in the form of a file of environment variables.
+//! Reads and writes settings in the format of a file of environment variables.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 /// One environment variable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
-    /// Line in the file, from 1; `None` for one that is not from the file.
+    /// Line in the file, from 1; `None` for a setting that is not from the file.
     pub line: Option<usize>,
     /// The variable's current name.
     pub name: String,
@@ -20,7 +20,7 @@
 /// Where a setting comes from, as errors and notes name it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingOrigin {
-    /// Line in the file, from 1; `None` for one of the command line.
+    /// Line in the file, from 1; `None` for a setting from the command line.
     pub line: Option<usize>,
     /// The variable's current name.
     pub name: String,
@@ -43,17 +43,17 @@
         }
     }
 
-    /// Parses NAME=VALUE; a variable's former name becomes the current one.
+    /// Parses NAME=VALUE. A variable's former name is replaced by the current one.
     pub(super) fn parse(line: Option<usize>, text: &str) -> Result<Setting, SettingError> {
         let (name, value) = text
             .split_once('=')
             .ok_or_else(|| SettingError::NotAssignment(text.into()))?;
         if name.is_empty() || !name.chars().all(is_name_character) {
-            return Err(SettingError::Name(name.into()));
+            return Err(SettingError::InvalidName(name.into()));
         }
         let value = unquote(value).ok_or_else(|| SettingError::UnterminatedQuote(name.into()))?;
         if value.contains(['"', '\'', '\\', '$', '`']) {
-            return Err(SettingError::Value(name.into()));
+            return Err(SettingError::UnsupportedValue(name.into()));
         }
         Ok(Setting {
             line,
@@ -67,7 +67,7 @@
     character.is_ascii_uppercase() || character.is_ascii_digit() || character == '_'
 }
 
-/// A value without the quotes around it; `None` where they do not end.
+/// Removes the quotes around a value; `None` if the closing quote is missing.
 fn unquote(value: &str) -> Option<&str> {
     match value.chars().next() {
         Some(quote @ ('"' | '\'')) => value.strip_prefix(quote)?.strip_suffix(quote),
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// Each line that is none of these, and each setting that is there twice.
+/// Each line that cannot be parsed, and each setting that is given twice.
 pub fn parse_settings(text: &str) -> Result<Vec<Setting>, MigrationErrors> {
     let mut settings: Vec<Setting> = Vec::new();
     let mut errors = MigrationErrors::default();
@@ -105,10 +105,10 @@
             None => settings.push(setting),
         }
     }
-    errors.or(settings)
+    errors.or_value(settings)
 }
 
-/// The settings as lines of a file.
+/// Formats settings as the lines of a file.
 pub(super) fn write_settings(settings: &[Setting]) -> String {
     let line = |Setting { name, value, .. }: &Setting| match value.contains([' ', '#']) {
         true => format!("{name}=\"{value}\"\n"),
--- a/crates/spokeflow-router/src/program.rs
+++ b/crates/spokeflow-router/src/program.rs
@@ -8,7 +8,7 @@
 use crate::error::ServeError;
 use crate::{serve, Listening, RouterFlags};
 
-/// Exit code of flags that do not fit.
+/// Exit code of flags that are invalid.
 const BAD_FLAGS: u8 = 2;
 
 /// Sends commands to hosts, keeps every key at one build while a release is rolled out, and votes to promote or roll
@@ -19,12 +19,13 @@
     after_help = "On the platform, `spokeflow-router platform` serves its protocol; see `spokeflow-router platform --help`."
 )]
 pub struct RouterProgram {
-    /// What the router is configured with.
+    /// The router's configuration.
     #[command(flatten)]
     pub flags: RouterFlags,
 }
 
-/// Runs the router until SIGTERM or SIGINT. Exit code 0: ended by a signal; 1: could not go on; 2: bad flags.
+/// Runs the router until SIGTERM or SIGINT. Exit code 0: ended by a signal; 1: an error kept it from running; 2: invalid
+/// flags.
 pub fn main_with(program: RouterProgram) -> ExitCode {
     let flags = program.flags;
     if let Err(errors) = flags.check() {
@@ -37,14 +38,14 @@
         eprintln!("spokeflow-router: {error}");
         return ExitCode::from(BAD_FLAGS);
     }
-    // One thread: the engine is one task, and waking it across threads costs more than its peers' frames.
+    // One thread: the engine is one task, and waking it from other threads would cost more than handling the frames.
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("spokeflow-router: cannot start: {error}");
+            eprintln!("spokeflow-router: cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/spokeflow-router/src/recorder.rs
+++ b/crates/spokeflow-router/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The recording of all inputs to the engine, written by a thread of its own.
+//! Records all inputs to the engine in a file, which a separate thread writes.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -12,16 +12,19 @@
 
 use crate::error::ServeError;
 
-/// Entries that wait to be written at most: some seconds of traffic, which a busy disk may take to come back.
+/// Maximum number of entries waiting to be written: some seconds of traffic, for which a busy disk may not respond.
 const ENTRY_QUEUE: usize = 1 << 16;
 
-/// Writes inputs to a file. Where the file falls behind, the recording ends there, and the log says so.
+/// Records inputs in a file. If writing falls behind by more than the queue holds, the recording ends and a warning is
+/// logged.
 pub(crate) struct Recorder {
     /// `None` once the recording has ended.
     entries: Option<SyncSender<Vec<u8>>>,
 }
 
 impl Recorder {
+    /// Creates the file and starts the thread that writes it.
+    ///
     /// # Errors
     ///
     /// The file cannot be created or written.
@@ -46,7 +49,7 @@
             return;
         };
         if entries.try_send(Recording::entry(now, input)).is_err() {
-            warn!("recording ends: its file is slower than the inputs");
+            warn!("recording stopped: its file is written more slowly than inputs arrive");
             self.entries = None;
         }
     }
@@ -55,7 +58,7 @@
 fn write_entries(mut output: BufWriter<File>, queue: Receiver<Vec<u8>>) {
     for entry in queue {
         if let Err(error) = output.write_all(&entry) {
-            warn!(%error, "recording ends");
+            warn!(%error, "recording stopped: its file cannot be written");
             return;
         }
     }
--- a/crates/spokeflow-router/src/release_controller.rs
+++ b/crates/spokeflow-router/src/release_controller.rs
@@ -9,7 +9,7 @@
 
 use crate::links::{LinkProtocol, RELEASE_CONTROLLER_LINK};
 
-/// The release controller's side of a [`crate::links::ServiceLink`].
+/// The protocol of the [`crate::links::ServiceLink`] to the release controller.
 pub(crate) struct ReleaseControllerProtocol;
 
 impl LinkProtocol for ReleaseControllerProtocol {
@@ -39,7 +39,7 @@
         Input::FromController(message)
     }
 
-    /// The release controller sends only when something changes.
+    /// There is no timeout: the release controller sends only when something changes.
     fn silence_timeout(&self) -> Option<Duration> {
         None
     }
@@ -49,7 +49,8 @@
     }
 
     fn on_lost(&mut self, queue: &mut mpsc::Receiver<ToController>) -> Input {
-        // A vote that was sent when the link broke may count: none of them is sent a second time.
+        // A vote that was sent before the link broke may have been counted. Queued votes are dropped, not sent on the
+        // next connection, so that none is sent twice.
         while queue.try_recv().is_ok() {}
         Input::ControllerUnavailable
     }
--- a/crates/spokeflow-router/src/shutdown.rs
+++ b/crates/spokeflow-router/src/shutdown.rs
@@ -1,34 +1,34 @@
-//! Graceful shutdown, without I/O: when a router that accepts nothing more has ended.
+//! Decides when a graceful shutdown is complete; does no I/O.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// After the last answer, commands that were on their way are still nacked for this long.
+/// Time after the last answer in which commands that were already on their way to the router are still nacked.
 const LINGER: Duration = Duration::from_millis(250);
 
-/// The shutdown, once it has begun.
+/// The state of the shutdown; before [`Shutdown::begin`] none is in progress.
 #[derive(Default)]
 pub(crate) struct Shutdown {
-    /// The end at the latest.
-    end_by: Option<Instant>,
-    /// Since when no command has waited for an answer.
+    /// When the shutdown ends at the latest; `None`: it has not begun.
+    deadline: Option<Instant>,
+    /// Since when no command has been waiting for an answer; `None`: one is waiting, or the shutdown has not begun.
     idle_since: Option<Instant>,
 }
 
 impl Shutdown {
     pub(crate) fn has_begun(&self) -> bool {
-        self.end_by.is_some()
+        self.deadline.is_some()
     }
 
-    /// Begins it, to end at `end_by` at the latest.
-    pub(crate) fn begin(&mut self, end_by: Instant) {
-        self.end_by = Some(end_by);
+    /// Begins the shutdown, which ends at `deadline` at the latest.
+    pub(crate) fn begin(&mut self, deadline: Instant) {
+        self.deadline = Some(deadline);
     }
 
-    /// Whether the router has ended. `waiting`: commands that are owed an answer.
+    /// Returns whether the router may end. `waiting`: number of commands that still wait for an answer.
     pub(crate) fn is_over(&mut self, now: Instant, waiting: usize) -> bool {
-        let Some(end_by) = self.end_by else {
+        let Some(deadline) = self.deadline else {
             return false;
         };
         self.idle_since = match waiting {
@@ -36,6 +36,6 @@
             _ => None,
         };
         let has_lingered = self.idle_since.is_some_and(|since| now >= since + LINGER);
-        now >= end_by || has_lingered
+        now >= deadline || has_lingered
     }
 }
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -1,16 +1,16 @@
-//! The router's flags: what they become, and how faults in them are reported.
+//! The router's flags: the configuration that they result in, and how faults in them are reported.
 
 use clap::Parser;
 use spokeflow_core::Repeat;
 use spokeflow_router::RouterFlags;
 
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(flatten)]
     flags: RouterFlags,
 }
 
-fn read(more: &[&str]) -> Result<RouterFlags, String> {
+fn parse(more: &[&str]) -> Result<RouterFlags, String> {
     let base = [
         "router",
         "--list=127.0.0.1:1",
@@ -18,16 +18,18 @@
         "--op=set-threshold:redeliverable:target=1.2s:timeout=4s:importance=2",
         "--op=close-trip:at-most-once:target=2s:timeout=6s:importance=3",
     ];
-    let line = Line::try_parse_from(base.iter().chain(more)).map_err(|error| error.to_string())?;
-    line.flags
+    let command_line =
+        CommandLine::try_parse_from(base.iter().chain(more)).map_err(|error| error.to_string())?;
+    command_line
+        .flags
         .check()
-        .map(|()| line.flags)
+        .map(|()| command_line.flags)
         .map_err(|errors| errors.to_string())
 }
 
 #[test]
 fn valid_flags_become_the_engine_configuration() {
-    let config = read(&[
+    let config = parse(&[
         "--customer=a=25,b=3.5",
         "--forward-only",
         "--answer-margin=20ms",
@@ -43,7 +45,7 @@
 
 #[test]
 fn each_fault_is_one_line_that_names_its_flag() {
-    let faults = read(&[
+    let faults = parse(&[
         "--stage-cap=0.5,0.2",
         "--cold-from=0",
         "--index=4",
@@ -71,21 +73,21 @@
         "{faults}"
     );
     assert!(
-        faults.contains("--ping-timeout: not shorter than memory="),
+        faults.contains("--ping-timeout: must be shorter than memory="),
         "{faults}"
     );
     assert_eq!(lines.len(), 9, "{faults}");
 }
 
 #[test]
-fn what_cannot_be_parsed_is_refused_at_once() {
-    assert!(read(&["--drain-grace=soon"])
+fn values_that_cannot_be_parsed_are_rejected() {
+    assert!(parse(&["--drain-grace=soon"])
         .unwrap_err()
         .contains("--drain-grace"));
-    assert!(read(&["--op=x:sometimes"])
+    assert!(parse(&["--op=x:sometimes"])
         .unwrap_err()
         .contains("'sometimes' is not"));
-    assert!(read(&["--customer=x"])
+    assert!(parse(&["--customer=x"])
         .unwrap_err()
         .contains("NAME=COMMANDS_A_SECOND"));
 }
--- a/crates/spokeflow-router/tests/migrate/conversion.rs
+++ b/crates/spokeflow-router/tests/migrate/conversion.rs
@@ -1,4 +1,4 @@
-//! What a migrated file holds, and files that cannot be migrated.
+//! The content of a migrated file, and files that cannot be migrated.
 
 use clap::Parser;
 use spokeflow_router::migrate::{
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn each_fault_is_one_line_with_setting_and_line_and_nothing_is_written() {
+fn each_fault_is_one_line_with_its_setting_and_line_number_and_nothing_is_written() {
     let base = "SPOKEFLOW_LIST=127.0.0.1:1\nSPOKEFLOW_DESK=127.0.0.1:2\n\
                 SPOKEFLOW_OP=a:redeliverable:target=1s:timeout=4s\n";
     let cases = [
@@ -23,7 +23,7 @@
         ),
         (
             "SPOKEFLOW_SITE=1\nSPOKEFLOW_SITE=2",
-            "line 5: SPOKEFLOW_SITE: given before, on line 4",
+            "line 5: SPOKEFLOW_SITE: already given on line 4",
         ),
         (
             "no setting at all",
@@ -31,7 +31,7 @@
         ),
         (
             "SPOKEFLOW_SITE=\"1",
-            "line 4: SPOKEFLOW_SITE: the quote does not end",
+            "line 4: SPOKEFLOW_SITE: the closing quote is missing",
         ),
         (
             "SPOKEFLOW_SITE=here",
@@ -50,11 +50,11 @@
             "line 4: SPOKEFLOW_BACK_VOTES: --back-votes: 3 votes, but the fleet has 1 routers",
         ),
     ];
-    for (more, said) in cases {
+    for (more, expected) in cases {
         let folder = Folder::new("faults", &format!("{base}{more}\n"));
         let errors = migrate(&folder.program(&[])).unwrap_err();
         assert_eq!(errors.0.len(), 1, "{more}: {errors}");
-        assert!(lines(&errors)[0].starts_with(said), "{more}: {errors}");
+        assert!(lines(&errors)[0].starts_with(expected), "{more}: {errors}");
         assert_eq!(folder.files(), 1, "{more}");
     }
     let missing = Folder::new("missing", "SPOKEFLOW_LIST=127.0.0.1:1\n");
@@ -66,7 +66,7 @@
             "SPOKEFLOW_RELEASE_CONTROLLER: missing"
         ]
     );
-    // What is wrong only in the new shape is found as well, before anything is written.
+    // A fault that only the migrated settings have is found as well, before anything is written.
     let folder = Folder::new("new", OLD);
     let errors = migrate(&folder.program(&["--set", "SPOKEFLOW_BACK_VOTES=9"])).unwrap_err();
     assert_eq!(
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn the_input_stays_an_output_is_not_overwritten_unasked_and_a_check_writes_nothing() {
+fn input_is_unchanged_output_is_overwritten_only_with_replace_and_check_writes_nothing() {
     let folder = Folder::new("files", OLD);
     let checked = migrate(&folder.program(&["--check"])).unwrap();
     let notes = checked.notes;
     assert_eq!(folder.files(), 1);
     for (line, name) in [(5, "FORWARD_ONLY"), (9, "MAY_TELL"), (10, "PEER")] {
-        let said = format!("line {line}: SPOKEFLOW_{name}: not carried over");
+        let expected = format!("line {line}: SPOKEFLOW_{name}: not carried over");
         assert!(
-            notes.iter().any(|n| n.starts_with(&said)),
-            "{said}: {notes:?}"
+            notes.iter().any(|n| n.starts_with(&expected)),
+            "{expected}: {notes:?}"
         );
     }
     assert!(
@@ -117,11 +117,11 @@
         (service.fleet_size, flags.site, service.ops.len()),
         (4, 1, 2)
     );
-    // Carried over again it stays what it is.
+    // Migrating the migrated file again changes nothing.
     let again = Folder::new("again", &new);
     assert_eq!(migrate(&again.program(&["--check"])).unwrap().text, new);
     let to = to.to_str().unwrap();
-    let same = MigrateProgram::parse_from(["move", "--from", to, "--to", to]);
+    let same = MigrateProgram::parse_from(["spokeflow-migrate", "--from", to, "--to", to]);
     let errors = migrate(&same).unwrap_err();
-    assert!(lines(&errors)[0].contains("is the file that is read"));
+    assert!(lines(&errors)[0].contains("--to must not name the file that --from names"));
 }
--- a/crates/spokeflow-router/tests/migrate/main.rs
+++ b/crates/spokeflow-router/tests/migrate/main.rs
@@ -1,4 +1,4 @@
-//! A router's file of settings migrated: what the new file holds, and the real router started with it.
+//! Migration of a router's settings file: the content of the new file, and the real router started with it.
 
 mod conversion;
 mod started_router;
@@ -8,7 +8,7 @@
 use clap::Parser;
 use spokeflow_router::migrate::MigrateProgram;
 
-/// A file of an earlier deployment.
+/// The settings file of an earlier deployment.
 const OLD: &str = "# the old fleet
 SPOKEFLOW_LIST=127.0.0.1:1
 SPOKEFLOW_DESK=127.0.0.1:2
@@ -21,7 +21,7 @@
 SPOKEFLOW_PEER=1=127.0.0.1:3
 ";
 
-/// A folder of a test's own, gone with it.
+/// A folder with the old settings file, removed when the test ends.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -37,7 +37,7 @@
         let from = self.0.join("old.env");
         let to = self.0.join("new.env");
         let line = [
-            "move",
+            "spokeflow-migrate",
             "--from",
             from.to_str().unwrap(),
             "--to",
