--- a/crates/spokeflow-router/src/host_connection.rs
+++ b/crates/spokeflow-router/src/host_connection.rs
@@ -132,20 +132,20 @@
 /// How long the host has sent nothing, and whether it was pinged since.
 struct Liveness {
     silent_since: Instant,
-    pinged: bool,
+    is_pinged: bool,
 }
 
 impl Liveness {
     fn starting_now() -> Self {
         Liveness {
             silent_since: Instant::now(),
-            pinged: false,
+            is_pinged: false,
         }
     }
 
     /// Returns when a host that has still sent nothing is pinged or, if it was pinged already, given up.
     fn next_check(&self, ping_timeout: Duration) -> Instant {
-        let silence = if self.pinged {
+        let silence = if self.is_pinged {
             ping_timeout
         } else {
             ping_timeout / 2
@@ -344,8 +344,8 @@
 
     /// Pings a host that has sent nothing for half the ping timeout, and gives it up after all of it.
     fn on_silence(&mut self) -> ControlFlow<ConnectionEnd> {
-        if !self.liveness.pinged {
-            self.liveness.pinged = true;
+        if !self.liveness.is_pinged {
+            self.liveness.is_pinged = true;
             self.outgoing.push(ToHost::Ping, Micros::MAX);
             return ControlFlow::Continue(());
         }
--- a/crates/spokeflow-router/src/host_link.rs
+++ b/crates/spokeflow-router/src/host_link.rs
@@ -27,9 +27,9 @@
     /// Incarnation of the host's process, as listed.
     pub(crate) incarnation: u64,
     /// Whether the host may get new deliveries.
-    pub(crate) open: bool,
+    pub(crate) is_open: bool,
     /// Whether the host is no longer listed.
-    pub(crate) gone: bool,
+    pub(crate) is_gone: bool,
     /// When a frame that a draining host has not taken yet is discarded with its connection; `None` while the host is
     /// open.
     pub(crate) drain_deadline: Option<Instant>,
@@ -89,7 +89,7 @@
 }
 
 impl HostLink {
-    /// Serves the host until it is gone or the engine's task has ended.
+    /// Serves the host until it is no longer listed or the engine's task has ended.
     pub(crate) async fn run(mut self) {
         let mut outgoing = Outgoing::default();
         let mut retry = RetryTimer::new(self.config.backoff(u64::from(self.host.0)));
@@ -173,13 +173,13 @@
     /// Opens or closes `outgoing` as the listing says. Returns `true` if this task must end.
     pub(crate) async fn apply_listing(&mut self, outgoing: &mut Outgoing) -> bool {
         let listing = self.listing.borrow_and_update().clone();
-        if listing.open {
+        if listing.is_open {
             outgoing.open();
         } else {
             let unsent = outgoing.close();
             self.fail(unsent, TransportFailure::NotSent).await;
         }
-        listing.gone && outgoing.is_idle()
+        listing.is_gone && outgoing.is_idle()
     }
 
     /// Reports deliveries to the engine as failed.
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -100,8 +100,8 @@
         let listing = HostListing {
             address: address.to_string(),
             incarnation,
-            open: true,
-            gone: false,
+            is_open: true,
+            is_gone: false,
             drain_deadline: None,
         };
         let handle = self.hosts.get(&host);
@@ -126,8 +126,8 @@
         // period has ended.
         let drain_deadline = Instant::now() + self.drain_grace * 3 / 4;
         update(&handle.listing, |before| HostListing {
-            open: false,
-            gone,
+            is_open: false,
+            is_gone: gone,
             drain_deadline: before.drain_deadline.or(Some(drain_deadline)),
             ..before.clone()
         });
--- a/crates/spokeflow-router/tests/crossings/late_connections.rs
+++ b/crates/spokeflow-router/tests/crossings/late_connections.rs
@@ -231,15 +231,15 @@
     run(async {
         let late = LateHost::start().await;
         let seen: std::sync::Arc<std::sync::Mutex<Vec<Instant>>> = Default::default();
-        let at = seen.clone();
-        let breaks = Host::start(move |_| {
-            at.lock().unwrap().push(Instant::now());
+        let request_times = seen.clone();
+        let closing_host = Host::start(move |_| {
+            request_times.lock().unwrap().push(Instant::now());
             HostAction::Close
         })
         .await;
         let (controller, _) = deployer(vec![]).await;
         let hosts = [
-            ("s-a", breaks.address.as_str(), "Ready", 1),
+            ("s-a", closing_host.address.as_str(), "Ready", 1),
             ("s-b", &*late.host.address, "Ready", 1),
         ];
         let change = |text| with_deduplication(with_long_connect_timeout(text));
@@ -255,7 +255,7 @@
             // Spaced out, so that the router knows the outcome of the previous request.
             sleep(Duration::from_millis(20)).await;
         }
-        breaks.wait_for_requests(1).await;
+        closing_host.wait_for_requests(1).await;
         late.wait_for_connect().await;
         late.release();
         for client in &mut clients {
@@ -270,12 +270,18 @@
                 .find_map(|l| l.strip_prefix("Request-Id: ").map(str::to_string))
                 .unwrap()
         };
-        let broken: Vec<String> = breaks.requests.lock().unwrap().iter().map(id).collect();
+        let failed: Vec<String> = closing_host
+            .requests
+            .lock()
+            .unwrap()
+            .iter()
+            .map(id)
+            .collect();
         let repeated: Vec<String> = late.host.requests.lock().unwrap().iter().map(id).collect();
-        assert!(!broken.is_empty());
+        assert!(!failed.is_empty());
         assert!(
-            !repeated.iter().any(|id| broken.contains(id)),
-            "{broken:?} then {repeated:?}"
+            !repeated.iter().any(|id| failed.contains(id)),
+            "{failed:?} then {repeated:?}"
         );
     });
 }
--- a/crates/spokeflow-router/tests/platform/hosts.rs
+++ b/crates/spokeflow-router/tests/platform/hosts.rs
@@ -22,16 +22,16 @@
     ];
     run(async {
         for bytes in malformed {
-            let sick = Host::start(move |_| HostAction::Respond(bytes.to_vec())).await;
-            let well = Host::start(|_| HostAction::Respond(ok_response("good"))).await;
+            let malformed_host = Host::start(move |_| HostAction::Respond(bytes.to_vec())).await;
+            let healthy_host = Host::start(|_| HostAction::Respond(ok_response("good"))).await;
             let (controller, _) = deployer(vec![]).await;
             let both = [
-                ("s-a", &*sick.address, "Ready", 1),
-                ("s-b", &*well.address, "Ready", 1),
+                ("s-a", &*malformed_host.address, "Ready", 1),
+                ("s-b", &*healthy_host.address, "Ready", 1),
             ];
             let router = TestRouter::start(list(1, &both), &controller, 256).await;
             let mut n = 0;
-            while sick.count() == 0 {
+            while malformed_host.count() == 0 {
                 n += 1;
                 let answer = exchange(&mut router.connect().await, &read_request(&format!("r{n}")))
                     .await
@@ -44,14 +44,14 @@
             }
             router.host_list.send(list(2, &both[..1])).unwrap();
             sleep(Duration::from_millis(700)).await;
-            let before = sick.count();
+            let before = malformed_host.count();
             assert_eq!(
                 router.status(&seal_request("once")).await,
                 Some(502),
                 "{bytes:?}"
             );
             assert_eq!(
-                sick.count(),
+                malformed_host.count(),
                 before + 1,
                 "a command that must not run twice was sent again"
             );
@@ -88,14 +88,14 @@
 #[test]
 fn an_at_most_once_command_is_retried_only_if_it_cannot_have_run() {
     run(async {
-        let dead = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let dead_address = dead.local_addr().unwrap().to_string();
-        drop(dead);
-        let well = Host::start(|_| HostAction::Respond(ok_response("good"))).await;
+        let unused = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let dead_address = unused.local_addr().unwrap().to_string();
+        drop(unused);
+        let healthy_host = Host::start(|_| HostAction::Respond(ok_response("good"))).await;
         let (controller, _) = deployer(vec![]).await;
         let hosts = [
             ("s-a", dead_address.as_str(), "Ready", 1),
-            ("s-b", &*well.address, "Ready", 1),
+            ("s-b", &*healthy_host.address, "Ready", 1),
         ];
         let router = TestRouter::start(list(1, &hosts), &controller, 256).await;
         for n in 0..12 {
@@ -104,15 +104,15 @@
                 Some(200)
             );
         }
-        let breaks = Host::start(|_| HostAction::Close).await;
+        let closing_host = Host::start(|_| HostAction::Close).await;
         router
             .host_list
-            .send(list(2, &[("s-c", &breaks.address, "Ready", 1)]))
+            .send(list(2, &[("s-c", &closing_host.address, "Ready", 1)]))
             .unwrap();
         sleep(Duration::from_millis(200)).await;
         assert_eq!(router.status(&seal_request("once")).await, Some(502));
-        assert_eq!(breaks.count(), 1);
-        let full = Host::start(|_| {
+        assert_eq!(closing_host.count(), 1);
+        let full_host = Host::start(|_| {
             HostAction::Respond(
                 b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
             )
@@ -120,7 +120,7 @@
         .await;
         router
             .host_list
-            .send(list(3, &[("s-d", &full.address, "Ready", 1)]))
+            .send(list(3, &[("s-d", &full_host.address, "Ready", 1)]))
             .unwrap();
         sleep(Duration::from_millis(200)).await;
         let refused = exchange(&mut router.connect().await, &seal_request("full"))
--- a/crates/spokeflow-router/tests/unit/host_link.rs
+++ b/crates/spokeflow-router/tests/unit/host_link.rs
@@ -70,8 +70,8 @@
         let listing = HostListing {
             address,
             incarnation: 1,
-            open: true,
-            gone: false,
+            is_open: true,
+            is_gone: false,
             drain_deadline: None,
         };
         let (_listing, listing_updates) = watch::channel(listing);
