--- a/crates/spokeflow-router/src/links.rs
+++ b/crates/spokeflow-router/src/links.rs
@@ -24,8 +24,8 @@
 pub(crate) const RELEASE_CONTROLLER_LINK: u64 = LIST_LINK + 1;
 pub(crate) const CONTROL_PLANE_LINK: u64 = LIST_LINK + 2;
 
-/// Minimum time allowed to connect to a service and to get its answer to the opening message. It is longer than for a
-/// host: a service is connected to once and has much to send.
+/// Minimum time allowed to connect to a service and to get its answer to the opening message, even if `--connect-timeout`
+/// is shorter: a service is connected to once and has much to send.
 const MIN_OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Initial size of the buffer for received bytes.
--- a/crates/spokeflow-router/tests/common/peers.rs
+++ b/crates/spokeflow-router/tests/common/peers.rs
@@ -26,7 +26,7 @@
     )
 }
 
-/// Starts a discovery that sends each text set in `lines` as one line. Returns its address.
+/// Starts a discovery that sends the current text of `lines`, and each later one, as a line. Returns its address.
 pub(crate) async fn discovery(lines: watch::Receiver<String>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
