--- a/crates/spokeflow-testbed/src/commands/commits.rs
+++ b/crates/spokeflow-testbed/src/commands/commits.rs
@@ -1,4 +1,4 @@
-//! `commits`: measures what a commit costs.
+//! `commits`: measures the rate and latency of control-plane commits.
 
 use std::process::ExitCode;
 
--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -1,4 +1,5 @@
-//! What a commit of three nodes costs, against bare syncs of the same disk in the same run.
+//! Measures the rate and latency of commits by three control-plane nodes, and of bare disk syncs in the same run for
+//! comparison.
 
 use std::collections::HashMap;
 use std::io::Write as _;
@@ -18,74 +19,75 @@
 
 use crate::routers::{RouterProcess, StartError, Starting};
 
-/// Nodes that commit: the smallest control plane that survives a failure.
-const NODES: usize = 3;
-/// About the size of a log entry with a small revision.
+/// Number of control-plane nodes: the smallest control plane that survives the failure of one node.
+const NODE_COUNT: usize = 3;
+/// Record written for a bare sync: about the size of a log entry with a small revision.
 const BARE_RECORD: [u8; 128] = [7; 128];
-/// Within which the nodes elect a leader.
+/// Time within which the nodes must elect a leader.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Significant figures of the latencies.
+/// Significant figures of the recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Flags of the measurement.
+/// Flags of `commits`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CommitFlags {
-    /// Where the stores are put
+    /// Directory for the stores of the nodes. Without it they go to a temporary directory that is removed at the end
     #[arg(long)]
     pub stores: Option<PathBuf>,
-    /// Requests that are out at a time
+    /// Numbers of proposals in flight; each is measured separately
     #[arg(long, value_delimiter = ',', default_values_t = [1, 16, 64])]
     pub out: Vec<usize>,
-    /// Seconds of each
+    /// Duration of each measurement, in seconds
     #[arg(long, default_value_t = 4)]
     pub seconds: u64,
-    /// Runs of each, in turn
+    /// Number of rounds; each measures bare syncs and then every number of proposals
     #[arg(long, default_value_t = 3)]
     pub runs: u32,
 }
 
-/// Why commits cannot be measured.
+/// Why a measurement of commits failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommitsError {
     /// The directory of the stores, or a file in it, cannot be written.
-    #[error("cannot write to {}: {source}", path.display())]
+    #[error("cannot write to store directory {}: {source}", path.display())]
     Write {
         /// The directory.
         path: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// This program cannot be started once more.
-    #[error("cannot find this program: {0}")]
+    /// The path of this program, which also runs the nodes, is not known.
+    #[error("cannot find the path of this program: {0}")]
     OwnProgram(#[source] std::io::Error),
-    /// No loopback port can be had.
-    #[error("cannot listen on loopback: {0}")]
+    /// No loopback port is available.
+    #[error("cannot listen on a loopback port: {0}")]
     Listen(#[source] std::io::Error),
-    /// A node does not start.
+    /// A node did not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The nodes elect no leader.
-    #[error("no leader within 10 s")]
+    /// The nodes did not elect a leader in time.
+    #[error("nodes elected no leader within 10 s")]
     NoLeader,
-    /// The leader cannot be reached.
-    #[error("cannot connect: {0}")]
+    /// The leader does not accept a connection.
+    #[error("cannot connect to the leader: {0}")]
     Connect(#[source] std::io::Error),
-    /// A frame cannot be sent or read.
+    /// A frame to or from the leader cannot be sent or read.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The leader ended the connection.
-    #[error("the connection ended")]
+    /// The leader closed the connection before all proposals were answered.
+    #[error("leader closed the connection before all proposals were answered")]
     Disconnected,
-    /// The leader sent something else than the outcome of a proposal.
-    #[error("not an answer to a proposal: {0:?}")]
+    /// The leader sent a message other than the outcome of a proposal.
+    #[error("leader sent an unexpected message: expected the outcome of a proposal, got {0:?}")]
     UnexpectedMessage(Box<FromNode>),
 }
 
-/// Starts three nodes, measures and prints.
+/// Starts three nodes, measures bare syncs and commits, and prints a line for each measurement.
 ///
 /// # Errors
 ///
-/// Something cannot be started, or the leader answers otherwise than expected.
+/// Fails if the stores cannot be written, a node does not start, no leader is elected, or the connection to the leader
+/// fails.
 pub async fn commits(flags: &CommitFlags) -> Result<(), CommitsError> {
     let directory = flags.stores.clone().unwrap_or_else(|| {
         std::env::temp_dir().join(format!("spokeflow-commits-{}", std::process::id()))
@@ -103,10 +105,10 @@
     for _ in 0..flags.runs {
         let latencies = sync_bare_records(&directory, length).map_err(write_error)?;
         println!("{}", row("bare syncs", &latencies, length));
-        for &out in &flags.out {
+        for &in_flight in &flags.out {
             let start = Instant::now();
-            let latencies = commit_proposals(leader, out.max(1), length).await?;
-            let name = format!("commits, {out} out");
+            let latencies = commit_proposals(leader, in_flight.max(1), length).await?;
+            let name = format!("commits, {in_flight} out");
             println!("{}", row(&name, &latencies, start.elapsed()));
         }
     }
@@ -114,7 +116,7 @@
         node.kill().await;
     }
     if flags.stores.is_none() {
-        // Temporary files: what cannot be removed now is the system's to remove.
+        // Files that cannot be removed are left to the system's cleaning of its temporary directory.
         let _ = std::fs::remove_dir_all(&directory);
     }
     Ok(())
@@ -124,7 +126,7 @@
     Histogram::new(LATENCY_DIGITS).expect("this many digits are supported")
 }
 
-/// Records the time since an instant; out of range only beyond hours.
+/// Records the time since `start`, in microseconds. Only latencies of hours are out of the histogram's range.
 fn record_since(latencies: &mut Histogram<u64>, start: Instant) {
     let _ = latencies.record(start.elapsed().as_micros() as u64);
 }
@@ -139,7 +141,7 @@
     )
 }
 
-/// Writes one small record after the other, each synced.
+/// Writes one small record after the other and syncs each; returns the latency of each write with its sync.
 fn sync_bare_records(directory: &Path, length: Duration) -> std::io::Result<Histogram<u64>> {
     let mut latencies = latency_histogram();
     let mut file = std::fs::File::create(directory.join("bare"))?;
@@ -153,17 +155,18 @@
     Ok(latencies)
 }
 
-/// Addresses that were free a moment ago: each node must know those of all others before it starts.
+/// Returns loopback addresses that were free when they were reserved; the nodes bind them later, since each must know
+/// the addresses of all others before it starts.
 async fn free_addresses() -> std::io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
-    for _ in 0..NODES {
+    for _ in 0..NODE_COUNT {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         addresses.push(listener.local_addr()?);
     }
     Ok(addresses)
 }
 
-/// Starts the nodes on empty stores, numbered by their addresses.
+/// Starts a node with an empty store for each address; a node's number is the index of its address.
 async fn start_nodes(
     directory: &Path,
     addresses: &[SocketAddr],
@@ -176,7 +179,7 @@
     for (id, address) in addresses.iter().enumerate() {
         let name = format!("keeper-{id}");
         let store = directory.join(format!("{name}.redb"));
-        // Of an earlier run in the same directory, if any.
+        // An earlier run in the same directory may have left a store.
         let _ = std::fs::remove_file(&store);
         let mut flags = vec![
             format!("--id={id}"),
@@ -197,8 +200,8 @@
     }
 }
 
-/// A proposal whose base is not the newest revision: it is an entry of the log, answered once that is committed, and
-/// changes nothing.
+/// Builds a proposal whose base is not the newest revision: the leader appends it to the log and answers once that
+/// entry is committed, but no revision results from it.
 fn stale_proposal() -> Proposal {
     Proposal {
         token: rand::rng().random(),
@@ -210,10 +213,10 @@
     }
 }
 
-/// Keeps so many proposals out at a time, and measures each until its outcome.
+/// Keeps `in_flight` proposals in flight for `length`; returns the time from sending each to its outcome.
 async fn commit_proposals(
     leader: SocketAddr,
-    out: usize,
+    in_flight: usize,
     length: Duration,
 ) -> Result<Histogram<u64>, CommitsError> {
     let mut latencies = latency_histogram();
@@ -227,7 +230,7 @@
     let mut number = 0;
     let start = Instant::now();
     loop {
-        while sent_at.len() < out && start.elapsed() < length {
+        while sent_at.len() < in_flight && start.elapsed() < length {
             number += 1;
             let request = Request::Propose(stale_proposal());
             sent_at.insert(number, Instant::now());
