--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -115,7 +115,7 @@
 
 /// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptEnd {
     /// Acknowledged.
     Acked {
         /// The build that answered.
@@ -135,15 +135,17 @@
     GivenUp,
 }
 
-impl TryEnd {
+impl AttemptEnd {
     /// What the command has come to when this attempt is its last, and the build that answered.
     pub fn last(self) -> (End, u16) {
         match self {
-            TryEnd::Acked { build, wrong } => (if wrong { End::Wrong } else { End::Acked }, build),
-            TryEnd::Nacked(_) => (End::Nacked, 0),
-            TryEnd::Unreachable => (End::Unreachable, 0),
-            TryEnd::Failed | TryEnd::Broken => (End::Failed, 0),
-            TryEnd::GivenUp => (End::GivenUp, 0),
+            AttemptEnd::Acked { build, wrong } => {
+                (if wrong { End::Wrong } else { End::Acked }, build)
+            }
+            AttemptEnd::Nacked(_) => (End::Nacked, 0),
+            AttemptEnd::Unreachable => (End::Unreachable, 0),
+            AttemptEnd::Failed | AttemptEnd::Broken => (End::Failed, 0),
+            AttemptEnd::GivenUp => (End::GivenUp, 0),
         }
     }
 }
@@ -204,13 +206,13 @@
         day: &Scenario,
         faults: &ActiveFaults,
         now: Micros,
-        end: TryEnd,
+        end: AttemptEnd,
     ) -> Option<Micros> {
         let (again, pause) = match end {
-            TryEnd::Acked { .. } => return None,
-            TryEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
-            TryEnd::Unreachable => (true, 0),
-            TryEnd::Failed | TryEnd::Broken | TryEnd::GivenUp => (false, 0),
+            AttemptEnd::Acked { .. } => return None,
+            AttemptEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
+            AttemptEnd::Unreachable => (true, 0),
+            AttemptEnd::Failed | AttemptEnd::Broken | AttemptEnd::GivenUp => (false, 0),
         };
         let op = &day.ops[self.command.op];
         let harmless = match op.repeat {
--- a/crates/spokeflow-scenario/tests/traffic.rs
+++ b/crates/spokeflow-scenario/tests/traffic.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_scenario::active_faults::ActiveFaults;
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, Client, PlannedCommand, Traffic};
 use spokeflow_scenario::SECOND;
 
 #[test]
@@ -49,15 +49,15 @@
         client.try_again(&day, &faults, now).unwrap();
         client.after(&day, &faults, now, end)
     };
-    assert!(again(0, TryEnd::Failed, 0).is_some() && again(2, TryEnd::Failed, 0).is_none());
+    assert!(again(0, AttemptEnd::Failed, 0).is_some() && again(2, AttemptEnd::Failed, 0).is_none());
     assert!(
-        again(1, TryEnd::Broken, SECOND).is_some()
-            && again(1, TryEnd::Broken, 3 * SECOND).is_none()
+        again(1, AttemptEnd::Broken, SECOND).is_some()
+            && again(1, AttemptEnd::Broken, 3 * SECOND).is_none()
     );
-    assert!(again(2, TryEnd::Nacked(Some(SECOND)), 0).is_some_and(|p| p >= SECOND));
+    assert!(again(2, AttemptEnd::Nacked(Some(SECOND)), 0).is_some_and(|p| p >= SECOND));
     assert!(again(
         0,
-        TryEnd::Acked {
+        AttemptEnd::Acked {
             build: 1,
             wrong: false
         },
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -7,7 +7,7 @@
 use spokeflow_scenario::observation::{AnswerKind, Observation, Process};
 use spokeflow_scenario::report::Outcome;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::traffic::{Client, PlannedCommand, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, Client, PlannedCommand};
 use spokeflow_scenario::{Micros, SECOND};
 
 use super::event::Event;
@@ -65,7 +65,7 @@
         let wanted = asking.client.command;
         let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now)
         else {
-            return self.command_ended(key, TryEnd::GivenUp);
+            return self.command_ended(key, AttemptEnd::GivenUp);
         };
         let (number, nth) = (asking.number, asking.client.tries - 1);
         let down = |r: usize| self.routers[r].down_since;
@@ -74,7 +74,7 @@
             .router_for(wanted.site, wanted.seed, nth, self.now, down);
         let by = self.routers[router].process;
         if self.routers[router].down_since.is_some() {
-            return self.ended(key, TryEnd::Unreachable);
+            return self.ended(key, AttemptEnd::Unreachable);
         }
         let counted = self.number();
         let entry = self.attempts.vacant_entry();
@@ -132,18 +132,18 @@
         self.give(by, Input::Command { conn, command });
     }
 
-    pub(super) fn at_client(&mut self, tried: u64, end: TryEnd, receipt: u64) {
+    pub(super) fn at_client(&mut self, tried: u64, end: AttemptEnd, receipt: u64) {
         let Some(t) = self.trying(tried) else { return };
         let (by, client) = (t.router, t.client);
         let kind = match end {
-            TryEnd::Acked { .. } => Some(AnswerKind::Acked),
-            TryEnd::Nacked(_) => Some(AnswerKind::Nacked),
-            TryEnd::Failed => Some(AnswerKind::Failed),
+            AttemptEnd::Acked { .. } => Some(AnswerKind::Acked),
+            AttemptEnd::Nacked(_) => Some(AnswerKind::Nacked),
+            AttemptEnd::Failed => Some(AnswerKind::Failed),
             _ => None,
         };
         let again = std::mem::replace(&mut t.answered, true);
         if let Some(kind) = kind {
-            let build = if let TryEnd::Acked { build, .. } = end {
+            let build = if let AttemptEnd::Acked { build, .. } = end {
                 build
             } else {
                 0
@@ -158,7 +158,7 @@
         if again {
             return;
         }
-        if matches!(end, TryEnd::Acked { wrong: true, .. })
+        if matches!(end, AttemptEnd::Acked { wrong: true, .. })
             && self.rng.random_bool(self.day.reported)
         {
             self.plan(LOCAL_DELAY, Event::WrongAnswerAtRouter { by, receipt });
@@ -179,10 +179,10 @@
         self.note(Observation::Left { attempt: tried });
         self.plan(LOCAL_DELAY, Event::AbandonAtRouter { tried, by });
         self.plan(SECOND, Event::ClientLeaves { tried });
-        self.ended(client, TryEnd::GivenUp);
+        self.ended(client, AttemptEnd::GivenUp);
     }
 
-    pub(super) fn ended(&mut self, key: usize, end: TryEnd) {
+    pub(super) fn ended(&mut self, key: usize, end: AttemptEnd) {
         let Some(asking) = self.clients.get_mut(key) else {
             return;
         };
@@ -192,7 +192,7 @@
         }
     }
 
-    fn command_ended(&mut self, key: usize, end: TryEnd) {
+    fn command_ended(&mut self, key: usize, end: AttemptEnd) {
         let asking = self.clients.remove(key);
         let PlannedCommand {
             op,
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -7,7 +7,7 @@
 use spokeflow_proto::{FromList, VoteResult};
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::release_controller::{ControllerVote, State};
-use spokeflow_scenario::traffic::{PlannedCommand, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, PlannedCommand};
 use spokeflow_scenario::Micros;
 
 use crate::host_link::Message;
@@ -39,7 +39,7 @@
     },
     AnswerAtClient {
         tried: u64,
-        end: TryEnd,
+        end: AttemptEnd,
         receipt: u64,
     },
     ClientLeaves {
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -9,7 +9,7 @@
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::release_controller::ControllerVote;
 use spokeflow_scenario::scenario::BuildDefect;
-use spokeflow_scenario::traffic::TryEnd;
+use spokeflow_scenario::traffic::AttemptEnd;
 use spokeflow_scenario::Micros;
 
 use super::clients::read_body;
@@ -103,7 +103,7 @@
                 body,
             } => (
                 id,
-                TryEnd::Acked {
+                AttemptEnd::Acked {
                     build,
                     wrong: &body[..] == b"wrong",
                 },
@@ -112,8 +112,8 @@
             ToClient::Nacked {
                 id,
                 retry_after_us: come_back_us,
-            } => (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
-            ToClient::Failed { id } => (id, TryEnd::Failed, 0),
+            } => (id, AttemptEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
+            ToClient::Failed { id } => (id, AttemptEnd::Failed, 0),
             _ => return,
         };
         self.world.plan(
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -5,7 +5,7 @@
 use spokeflow_engine::Input;
 use spokeflow_scenario::observation::{Observation, Process};
 use spokeflow_scenario::release_controller::State;
-use spokeflow_scenario::traffic::TryEnd;
+use spokeflow_scenario::traffic::AttemptEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
 use super::event::Event;
@@ -117,7 +117,7 @@
                 LOCAL_DELAY,
                 Event::AnswerAtClient {
                     tried,
-                    end: TryEnd::Broken,
+                    end: AttemptEnd::Broken,
                     receipt: 0,
                 },
             );
--- a/crates/spokeflow-testbed/src/client_connection.rs
+++ b/crates/spokeflow-testbed/src/client_connection.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use spokeflow_proto::{Command, FrameCodec, FromClient, Hello, Role, ToClient, WORK_LIMIT};
 use spokeflow_scenario::observation::{AnswerKind, Observation, Process};
-use spokeflow_scenario::traffic::TryEnd;
+use spokeflow_scenario::traffic::AttemptEnd;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
@@ -44,12 +44,12 @@
     pub(crate) number: u64,
     pub(crate) patience: Micros,
     /// Receives how the attempt ended.
-    pub(crate) end: oneshot::Sender<TryEnd>,
+    pub(crate) end: oneshot::Sender<AttemptEnd>,
 }
 
 impl Attempt {
     /// Ends it with the result, for which its client may have stopped waiting.
-    fn finish(self, end: TryEnd) {
+    fn finish(self, end: AttemptEnd) {
         let _ = self.end.send(end);
     }
 }
@@ -71,7 +71,7 @@
 }
 
 /// The attempts of one connection that were sent, by their number; the sender is taken by the first answer.
-type OpenAttempts = HashMap<u64, Option<oneshot::Sender<TryEnd>>>;
+type OpenAttempts = HashMap<u64, Option<oneshot::Sender<AttemptEnd>>>;
 
 /// Why a connection is no longer used.
 enum Closed {
@@ -111,7 +111,7 @@
             tokio::select! {
                 () = sleep_until(until) => return Closed::ByRouter,
                 request = self.requests.recv() => match request {
-                    Some(ClientRequest::Send(attempt)) => attempt.finish(TryEnd::Unreachable),
+                    Some(ClientRequest::Send(attempt)) => attempt.finish(AttemptEnd::Unreachable),
                     Some(ClientRequest::Abandon(_)) => {}
                     None => return Closed::ByClients,
                 }
@@ -135,7 +135,7 @@
         if matches!(closed, Closed::ByRouter) {
             for end in open.into_values().flatten() {
                 // Its client may have stopped waiting.
-                let _ = end.send(TryEnd::Broken);
+                let _ = end.send(AttemptEnd::Broken);
             }
         }
         closed
@@ -158,7 +158,7 @@
                 },
                 request = self.requests.recv() => match request {
                     Some(ClientRequest::Send(attempt)) if closing => {
-                        attempt.finish(TryEnd::Unreachable);
+                        attempt.finish(AttemptEnd::Unreachable);
                     }
                     Some(ClientRequest::Send(attempt)) => {
                         let command = self.begin(router, open, attempt);
@@ -214,13 +214,18 @@
                     // A connection that has ended is read as such.
                     let _ = link.send(FromClient::WrongAnswer { receipt }).await;
                 }
-                (id, AnswerKind::Acked, build, TryEnd::Acked { build, wrong })
+                (
+                    id,
+                    AnswerKind::Acked,
+                    build,
+                    AttemptEnd::Acked { build, wrong },
+                )
             }
             ToClient::Nacked { id, retry_after_us } => {
                 let retry_after = retry_after_us.map(|time| time as Micros);
-                (id, AnswerKind::Nacked, 0, TryEnd::Nacked(retry_after))
+                (id, AnswerKind::Nacked, 0, AttemptEnd::Nacked(retry_after))
             }
-            ToClient::Failed { id } => (id, AnswerKind::Failed, 0, TryEnd::Failed),
+            ToClient::Failed { id } => (id, AnswerKind::Failed, 0, AttemptEnd::Failed),
             ToClient::Welcome | ToClient::Closing | ToClient::Refused(_) => return,
         };
         let Some(waiting) = open.get_mut(&id) else {
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -9,7 +9,7 @@
 use spokeflow_scenario::report::{End, Outcome};
 use spokeflow_scenario::router_picker::RouterPicker;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, Client, PlannedCommand, Traffic};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, sleep_until, timeout};
 
@@ -128,11 +128,11 @@
             }
             let answer_timeout = Duration::from_micros(answer_timeout as u64);
             let end = match timeout(answer_timeout, ended).await {
-                Ok(ended) => ended.unwrap_or(TryEnd::Failed),
+                Ok(ended) => ended.unwrap_or(AttemptEnd::Failed),
                 Err(_) => {
                     // A connection that has ended knows of no attempt.
                     let _ = connection.send(ClientRequest::Abandon(id)).await;
-                    TryEnd::GivenUp
+                    AttemptEnd::GivenUp
                 }
             };
             match client.after(scenario, &context.faults(), context.tap.now(), end) {
