--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -6,7 +6,7 @@
 
 /// What the link between two sites carries; a cut may concern one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkDirection {
+pub enum LinkKind {
     /// Commands between routers and hosts.
     Hosts,
     /// News of the host list and the release controller.
@@ -116,14 +116,14 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn delay(&self, from: u16, to: u16, direction: LinkDirection) -> Option<Micros> {
+    pub fn delay(&self, from: u16, to: u16, direction: LinkKind) -> Option<Micros> {
         if from == to {
             return Some(0);
         }
         let touches = |site: u16| site == from || site == to;
         let cut = match direction {
-            LinkDirection::Hosts => self.cut_hosts,
-            LinkDirection::ControlSite => self.cut_control_site,
+            LinkKind::Hosts => self.cut_hosts,
+            LinkKind::ControlSite => self.cut_control_site,
         };
         if cut.is_some_and(touches) {
             return None;
--- a/crates/spokeflow-scenario/tests/active_faults.rs
+++ b/crates/spokeflow-scenario/tests/active_faults.rs
@@ -1,6 +1,6 @@
 //! Faults that overlap.
 
-use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, BETWEEN_SITES};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkKind, BETWEEN_SITES};
 use spokeflow_scenario::scenario::{Fault, Scenario};
 use spokeflow_scenario::SECOND;
 
@@ -11,18 +11,15 @@
     let (first, second) = (cut("cut:at=1s"), cut("cut:at=2s"));
     let mut faults = ActiveFaults::default();
     assert!(faults.begin(&day, 0, &first) && faults.begin(&day, 1, &second));
-    assert_eq!(faults.delay(0, 1, LinkDirection::Hosts), None);
+    assert_eq!(faults.delay(0, 1, LinkKind::Hosts), None);
     faults.end(&day, &first, &[(1, second)]);
     assert_eq!(
         (
-            faults.delay(0, 1, LinkDirection::Hosts),
-            faults.delay(0, 2, LinkDirection::ControlSite)
+            faults.delay(0, 1, LinkKind::Hosts),
+            faults.delay(0, 2, LinkKind::ControlSite)
         ),
         (None, Some(BETWEEN_SITES))
     );
     faults.end(&day, &second, &[]);
-    assert_eq!(
-        faults.delay(0, 1, LinkDirection::Hosts),
-        Some(BETWEEN_SITES)
-    );
+    assert_eq!(faults.delay(0, 1, LinkKind::Hosts), Some(BETWEEN_SITES));
 }
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -19,7 +19,7 @@
 use slab::Slab;
 use spokeflow_engine::Input;
 use spokeflow_proto::FromController;
-use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkKind, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::EndpointRegistry;
 use spokeflow_scenario::host::DeduplicationTable;
 use spokeflow_scenario::observation::Observation;
@@ -275,7 +275,7 @@
                 let site = self.routers[by.router as usize].site;
                 if self
                     .faults
-                    .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
+                    .delay(CONTROL_SITE, site, LinkKind::ControlSite)
                     .is_none()
                 {
                     return self
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::active_faults::{LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{LinkKind, RESENT_AFTER};
 use spokeflow_scenario::host::Job;
 use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
@@ -30,7 +30,7 @@
             self.routers[router as usize].site,
         );
         self.faults
-            .delay(a, b, LinkDirection::Hosts)
+            .delay(a, b, LinkKind::Hosts)
             .map(|way| way.max(LOCAL_DELAY))
     }
 
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use spokeflow_engine::Input;
 use spokeflow_proto::{EndpointPhase, EndpointRecord, FromList};
-use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::Entry;
 use spokeflow_scenario::observation::{Observation, Phase, Process};
 use spokeflow_scenario::{Micros, MS, SECOND};
@@ -77,7 +77,7 @@
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
-            .delay(CONTROL_SITE, seat.site, LinkDirection::ControlSite)
+            .delay(CONTROL_SITE, seat.site, LinkKind::ControlSite)
             .unwrap_or(2 * MS)
             .max(LOCAL_DELAY);
         let at = (self.now + way).max(seat.office_last[0]);
@@ -89,7 +89,7 @@
         let seat = &self.routers[by.router as usize];
         let way = self
             .faults
-            .delay(seat.site, CONTROL_SITE, LinkDirection::ControlSite)
+            .delay(seat.site, CONTROL_SITE, LinkKind::ControlSite)
             .unwrap_or(2 * MS)
             .max(LOCAL_DELAY);
         let at = (self.now + way).max(seat.office_last[1]);
@@ -100,7 +100,7 @@
     pub(super) fn office_cut(&self, by: Process) -> bool {
         let site = self.routers[by.router as usize].site;
         self.faults
-            .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
+            .delay(CONTROL_SITE, site, LinkKind::ControlSite)
             .is_none()
     }
 
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -5,7 +5,7 @@
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
-use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkKind;
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::release_controller::ControllerVote;
 use spokeflow_scenario::scenario::BuildDefect;
@@ -230,7 +230,7 @@
             };
             let (by, site) = (seat.process, seat.site);
             // Event meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
+            if let Some(way) = self.world.faults.delay(own, site, LinkKind::Hosts) {
                 let text = text.clone();
                 self.world.plan(
                     way.max(LOCAL_DELAY),
--- a/crates/spokeflow-testbed/src/context.rs
+++ b/crates/spokeflow-testbed/src/context.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_scenario::active_faults::{ActiveFaults, LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkKind, RESENT_AFTER};
 use spokeflow_scenario::host::DeduplicationTable;
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::scenario::Scenario;
@@ -26,7 +26,7 @@
     pub(crate) from: u16,
     pub(crate) to: u16,
     /// Which links of the sites it belongs to: faults cut them apart.
-    pub(crate) links: LinkDirection,
+    pub(crate) links: LinkKind,
 }
 
 impl Path {
--- a/crates/spokeflow-testbed/src/endpoint_registry.rs
+++ b/crates/spokeflow-testbed/src/endpoint_registry.rs
@@ -8,7 +8,7 @@
 use spokeflow_proto::{
     EndpointPhase, EndpointRecord, FrameCodec, FromList, Role, ToList, LIST_LIMIT,
 };
-use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::{EndpointRegistry, Entry};
 use spokeflow_scenario::observation::{Observation, Phase, Process};
 use tokio::net::{TcpListener, TcpStream};
@@ -78,7 +78,7 @@
         let (outbound, mut delayed) = self.context.delayed_channel::<FromList>(Path {
             from: CONTROL_SITE,
             to: hello.zone,
-            links: LinkDirection::ControlSite,
+            links: LinkKind::ControlSite,
         });
         let mut watched: Option<u64> = None;
         let mut ticks = interval(WATCH_INTERVAL);
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::{FrameCodec, FromHost, Hello, Role, ToHost, WORK_LIMIT};
-use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkKind;
 use spokeflow_scenario::host::{Host, Job, JobOutcome};
 use spokeflow_scenario::observation::{Observation, Process, ReplyKind};
 use tokio::net::{TcpListener, TcpStream};
@@ -227,7 +227,7 @@
         Path {
             from: hello.zone,
             to: self.identity.site,
-            links: LinkDirection::Hosts,
+            links: LinkKind::Hosts,
         }
     }
 
--- a/crates/spokeflow-testbed/src/release_controller.rs
+++ b/crates/spokeflow-testbed/src/release_controller.rs
@@ -11,7 +11,7 @@
     FrameCodec, FromController, Hello, Role, RolloutPhase, RolloutUpdate, ToController, VoteChoice,
     VoteResult, WORK_LIMIT,
 };
-use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::observation::{Observation, Process, RolloutState};
 use spokeflow_scenario::release_controller::{
     ControllerVote, ReleaseController, State, VoteOutcome,
@@ -102,7 +102,7 @@
         let outbound_path = Path {
             from: CONTROL_SITE,
             to: hello.zone,
-            links: LinkDirection::ControlSite,
+            links: LinkKind::ControlSite,
         };
         let (outbound, mut delayed_outbound) = self.context.delayed_channel(outbound_path);
         let (inbound, mut delayed_inbound) = self
