--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -41,9 +41,9 @@
     /// It counts until it expires or another one of its router replaces it.
     Counted,
     /// It does not fit how the rollout stands.
-    Moot,
+    Stale,
     /// Votes come faster than they are taken.
-    TooMany,
+    RateLimited,
 }
 
 /// A place in the fleet and the hosts that fill it.
@@ -305,10 +305,10 @@
         vote: ControllerVote,
     ) -> VoteOutcome {
         if !self.allowance.take(now) {
-            return VoteOutcome::TooMany;
+            return VoteOutcome::RateLimited;
         }
         if !self.fits(build, stage, vote) {
-            return VoteOutcome::Moot;
+            return VoteOutcome::Stale;
         }
         let counted = CountedVote {
             build,
--- a/crates/spokeflow-scenario/tests/release_controller.rs
+++ b/crates/spokeflow-scenario/tests/release_controller.rs
@@ -63,7 +63,7 @@
     assert!(controller.slots.iter().all(|p| p.build == 1));
     assert_eq!(
         controller.vote(5, 1, 2, 0, ControllerVote::On),
-        VoteOutcome::Moot
+        VoteOutcome::Stale
     );
 }
 
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -145,8 +145,8 @@
             }
             match counted {
                 VoteOutcome::Counted => VoteResult::Counted,
-                VoteOutcome::Moot => VoteResult::Stale,
-                VoteOutcome::TooMany => VoteResult::RateLimited,
+                VoteOutcome::Stale => VoteResult::Stale,
+                VoteOutcome::RateLimited => VoteResult::RateLimited,
             }
         };
         self.tell_router(by, |by| Event::VoteResultAtRouter { by, ballot, result });
--- a/crates/spokeflow-testbed/src/release_controller.rs
+++ b/crates/spokeflow-testbed/src/release_controller.rs
@@ -225,8 +225,8 @@
         }
         Some(match outcome {
             VoteOutcome::Counted => VoteResult::Counted,
-            VoteOutcome::Moot => VoteResult::Stale,
-            VoteOutcome::TooMany => VoteResult::RateLimited,
+            VoteOutcome::Stale => VoteResult::Stale,
+            VoteOutcome::RateLimited => VoteResult::RateLimited,
         })
     }
 
