--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -176,7 +176,7 @@
     }
 
     /// Begins an attempt: how long the client says that it waits, and how long it does. `None`: no time is left.
-    pub fn try_again(
+    pub fn begin_attempt(
         &mut self,
         day: &Scenario,
         faults: &ActiveFaults,
--- a/crates/spokeflow-scenario/tests/traffic.rs
+++ b/crates/spokeflow-scenario/tests/traffic.rs
@@ -46,7 +46,7 @@
             seed: 3,
         };
         let mut client = Client::new(wanted);
-        client.try_again(&day, &faults, now).unwrap();
+        client.begin_attempt(&day, &faults, now).unwrap();
         client.after(&day, &faults, now, end)
     };
     assert!(again(0, AttemptEnd::Failed, 0).is_some() && again(2, AttemptEnd::Failed, 0).is_none());
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -63,7 +63,10 @@
             return;
         };
         let wanted = asking.client.command;
-        let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now)
+        let Some((patience, waits)) =
+            asking
+                .client
+                .begin_attempt(&self.day, &self.faults, self.now)
         else {
             return self.command_ended(key, AttemptEnd::GivenUp);
         };
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -107,7 +107,7 @@
         let context = &self.context;
         let scenario = &context.scenario;
         loop {
-            let times = client.try_again(scenario, &context.faults(), context.tap.now());
+            let times = client.begin_attempt(scenario, &context.faults(), context.tap.now());
             let Some((patience, answer_timeout)) = times else {
                 return (End::GivenUp, 0);
             };
