--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -201,7 +201,7 @@
     }
 
     /// After how long the client tries again; `None`: this end is the last.
-    pub fn after(
+    pub fn retry_delay(
         &mut self,
         day: &Scenario,
         faults: &ActiveFaults,
--- a/crates/spokeflow-scenario/tests/traffic.rs
+++ b/crates/spokeflow-scenario/tests/traffic.rs
@@ -47,7 +47,7 @@
         };
         let mut client = Client::new(wanted);
         client.begin_attempt(&day, &faults, now).unwrap();
-        client.after(&day, &faults, now, end)
+        client.retry_delay(&day, &faults, now, end)
     };
     assert!(again(0, AttemptEnd::Failed, 0).is_some() && again(2, AttemptEnd::Failed, 0).is_none());
     assert!(
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -189,7 +189,10 @@
         let Some(asking) = self.clients.get_mut(key) else {
             return;
         };
-        match asking.client.after(&self.day, &self.faults, self.now, end) {
+        match asking
+            .client
+            .retry_delay(&self.day, &self.faults, self.now, end)
+        {
             Some(pause) => self.plan(pause, Event::RetryDue(key)),
             None => self.command_ended(key, end),
         }
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -135,7 +135,7 @@
                     AttemptEnd::GivenUp
                 }
             };
-            match client.after(scenario, &context.faults(), context.tap.now(), end) {
+            match client.retry_delay(scenario, &context.faults(), context.tap.now(), end) {
                 Some(pause) => sleep(Duration::from_micros(pause as u64)).await,
                 None => return end.last(),
             }
