--- a/crates/spokeflow-experiments/src/commands/run.rs
+++ b/crates/spokeflow-experiments/src/commands/run.rs
@@ -50,7 +50,10 @@
 /// # Errors
 /// A flag is wrong, or the charts cannot be written.
 pub(crate) fn run(flags: &RunFlags) -> Result<Outcome, CommandError> {
-    let mut scenario = flags.scenario.day().map_err(CommandError::scenario)?;
+    let mut scenario = flags
+        .scenario
+        .to_scenario()
+        .map_err(CommandError::scenario)?;
     flags.overrides.apply(&mut scenario);
     let began = Instant::now();
     let played = play(&scenario, flags.strategy, true);
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// Names the first flag with a value it does not take.
-    pub fn day(&self) -> Result<Scenario, ScenarioFlagError> {
+    pub fn to_scenario(&self) -> Result<Scenario, ScenarioFlagError> {
         self.with_seed(self.seed)
     }
 
--- a/crates/spokeflow-scenario/tests/flags.rs
+++ b/crates/spokeflow-scenario/tests/flags.rs
@@ -12,7 +12,7 @@
 
 fn day(flags: &[&str]) -> Result<Scenario, String> {
     let program = Program::parse_from([&["x"], flags].concat());
-    program.day.day().map_err(|error| error.to_string())
+    program.day.to_scenario().map_err(|error| error.to_string())
 }
 
 #[test]
--- a/crates/spokeflow-simulator/tests/fleet.rs
+++ b/crates/spokeflow-simulator/tests/fleet.rs
@@ -18,7 +18,10 @@
         "day --scenario plain --bare --seed {seed} --seconds {seconds} --routers 300 --hosts 150 --rate 420 \
          --build 2:at=1s:flaw=none {script}"
     );
-    let day = Day::parse_from(flags.split_whitespace()).day.day().unwrap();
+    let day = Day::parse_from(flags.split_whitespace())
+        .day
+        .to_scenario()
+        .unwrap();
     let report = play(&day, StrategyKind::Engine, false).report;
     assert!(report.passed(), "{}", report.text());
     assert_eq!(report.false_backs, 0, "{}", report.text());
--- a/crates/spokeflow-simulator/tests/kept.rs
+++ b/crates/spokeflow-simulator/tests/kept.rs
@@ -13,7 +13,7 @@
 /// The rules hold on it now.
 fn sound(flags: &str) {
     let words = std::iter::once("day").chain(flags.split_whitespace());
-    let day = Day::parse_from(words).day.day().unwrap();
+    let day = Day::parse_from(words).day.to_scenario().unwrap();
     let report = play(&day, StrategyKind::Engine, true).report;
     assert!(report.passed() && report.acked > 200, "{}", report.text());
 }
@@ -59,7 +59,10 @@
 fn a_cut_between_sites_sends_no_good_build_back() {
     for seed in 1..25 {
         let flags = format!("day --only cut --seed {seed} --seconds 60");
-        let day = Day::parse_from(flags.split_whitespace()).day.day().unwrap();
+        let day = Day::parse_from(flags.split_whitespace())
+            .day
+            .to_scenario()
+            .unwrap();
         let report = play(&day, StrategyKind::Engine, false).report;
         assert_eq!(report.false_backs, 0, "{}", report.text());
     }
--- a/crates/spokeflow-testbed/src/commands/day.rs
+++ b/crates/spokeflow-testbed/src/commands/day.rs
@@ -29,7 +29,7 @@
 }
 
 pub(crate) fn run_day(flags: &DayFlags) -> CommandResult {
-    let scenario = flags.scenario.day()?;
+    let scenario = flags.scenario.to_scenario()?;
     let starting = flags.logs.starting()?;
     let runtime = runtime(2)?;
     let is_terminal = std::io::stderr().is_terminal();
