--- a/crates/spokeflow-experiments/tests/program.rs
+++ b/crates/spokeflow-experiments/tests/program.rs
@@ -212,7 +212,7 @@
     };
     let days = [FaultKind::None, FaultKind::Cut, FaultKind::Kill].map(|kind| {
         let mut day = Scenario::only(kind, 11, 12 * SECOND);
-        day.at_rate(30.0);
+        day.set_rate(30.0);
         day
     });
     let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -228,7 +228,7 @@
         day.hosts = hosts;
         day.cores = cores;
         if (rate - day.rate).abs() > SAME_RATE {
-            day.at_rate(rate);
+            day.set_rate(rate);
         }
         Ok(())
     }
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -32,12 +32,12 @@
         };
         self.routers = routers;
         self.hosts = hosts;
-        self.at_rate(rate);
+        self.set_rate(rate);
         self
     }
 
     /// Another rate, in commands a second, with tenants and keys in step.
-    pub fn at_rate(&mut self, rate: f64) {
+    pub fn set_rate(&mut self, rate: f64) {
         let growth = rate / self.rate;
         self.rate = rate;
         for tenant in &mut self.customers {
