--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -209,7 +209,7 @@
         day.sites = self.sites.unwrap_or(day.sites);
         self.apply_capacity(&mut day)?;
         if self.majority {
-            day = day.by_majority();
+            day = day.with_majority_gate();
         }
         self.apply_habits(&mut day)?;
         Ok(day)
--- a/crates/spokeflow-simulator/tests/days.rs
+++ b/crates/spokeflow-simulator/tests/days.rs
@@ -88,7 +88,7 @@
 fn many_routers_tell_each_other_and_rules_hold() {
     let mut day = Scenario::bad_day(8, 40 * SECOND)
         .sized(FleetSize::Middle)
-        .by_majority();
+        .with_majority_gate();
     day.faults.push("cut:at=10s:lasts=8s".parse().unwrap());
     let report = play(&day, StrategyKind::Engine, true).report;
     assert!(report.passed(), "{}", report.text());
