--- a/crates/spokeflow-scenario/src/endpoint_registry.rs
+++ b/crates/spokeflow-scenario/src/endpoint_registry.rs
@@ -65,7 +65,7 @@
     }
 
     /// The list learns this at `at`, and of one host in order. Returns when it does.
-    pub fn know_at(&mut self, at: Micros, entry: Entry) -> Micros {
+    pub fn schedule_update(&mut self, at: Micros, entry: Entry) -> Micros {
         let of_host = self
             .upcoming
             .iter()
--- a/crates/spokeflow-scenario/tests/endpoint_registry.rs
+++ b/crates/spokeflow-scenario/tests/endpoint_registry.rs
@@ -19,13 +19,13 @@
 #[test]
 fn one_who_missed_too_much_is_told_all_and_the_gone_are_forgotten() {
     let mut registry = EndpointRegistry::default();
-    registry.know_at(1, entry(1, Phase::Ready));
-    registry.know_at(1, entry(2, Phase::Ready));
+    registry.schedule_update(1, entry(1, Phase::Ready));
+    registry.schedule_update(1, entry(2, Phase::Ready));
     registry.tick(5);
     assert_eq!(registry.since(Some(1)).1.len(), 1);
-    registry.know_at(6, entry(2, Phase::Gone));
+    registry.schedule_update(6, entry(2, Phase::Gone));
     for n in 0..REMEMBERED_CHANGES as Micros + 3 {
-        registry.know_at(10 + n, entry(1, Phase::Ready));
+        registry.schedule_update(10 + n, entry(1, Phase::Ready));
         registry.tick(10 + n);
     }
     let (whole, lines) = registry.since(Some(2));
@@ -39,8 +39,8 @@
 #[test]
 fn what_is_learned_of_one_host_is_learned_in_order() {
     let mut registry = EndpointRegistry::default();
-    registry.know_at(100, entry(1, Phase::Ready));
-    assert_eq!(registry.know_at(50, entry(1, Phase::Gone)), 101);
+    registry.schedule_update(100, entry(1, Phase::Ready));
+    assert_eq!(registry.schedule_update(50, entry(1, Phase::Gone)), 101);
     registry.tick(200);
     assert!(registry.since(None).1.is_empty());
 }
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -103,7 +103,7 @@
             incarnation,
             started,
         };
-        let at = self.registry.know_at(self.now + late, entry);
+        let at = self.registry.schedule_update(self.now + late, entry);
         if at > self.now {
             self.plan_at(at, Event::RegistryTick);
         }
--- a/crates/spokeflow-testbed/src/endpoint_registry.rs
+++ b/crates/spokeflow-testbed/src/endpoint_registry.rs
@@ -54,7 +54,7 @@
 
     /// The registry learns of an entry at a time.
     pub(crate) fn announce(&self, at: Micros, entry: Entry) {
-        locked(&self.registry).know_at(at, entry);
+        locked(&self.registry).schedule_update(at, entry);
     }
 
     /// Publishes what the registry has learned by now.
