--- a/crates/spokeflow-scenario/src/endpoint_registry.rs
+++ b/crates/spokeflow-scenario/src/endpoint_registry.rs
@@ -109,7 +109,7 @@
     }
 
     /// What one who holds version `have` must be told; true where it is the whole list.
-    pub fn since(&self, have: Option<u64>) -> (bool, Vec<&Entry>) {
+    pub fn updates_since(&self, have: Option<u64>) -> (bool, Vec<&Entry>) {
         let oldest = self.changes.front().map_or(0, |change| change.version - 1);
         let known = have.filter(|version| *version <= self.version && *version >= oldest);
         match known {
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -37,7 +37,7 @@
 
     fn tell_list(&mut self, by: Process, link: u32, have: Option<u64>) {
         let now = self.now;
-        let (whole, entries) = self.registry.since(have);
+        let (whole, entries) = self.registry.updates_since(have);
         let line = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: String::new(),
--- a/crates/spokeflow-testbed/src/endpoint_registry.rs
+++ b/crates/spokeflow-testbed/src/endpoint_registry.rs
@@ -121,7 +121,7 @@
     fn update(&self, registry: &EndpointRegistry, since: Option<u64>) -> FromList {
         let now = self.context.tap.now();
         let version = registry.version();
-        let (complete, entries) = registry.since(since);
+        let (complete, entries) = registry.updates_since(since);
         let endpoints = entries
             .into_iter()
             .map(|entry| endpoint_record(entry, now))
