--- a/crates/spokeflow-scenario/src/check/mod.rs
+++ b/crates/spokeflow-scenario/src/check/mod.rs
@@ -49,7 +49,7 @@
 pub fn check(config: &RuleConfig, trace: &Trace) -> Vec<Broken> {
     let mut checker = Checker::new(config.clone());
     for (at, observation) in trace {
-        checker.see(*at, observation);
+        checker.observe(*at, observation);
     }
     let mut broken = checker.finish();
     explain(&mut broken, trace);
@@ -106,7 +106,7 @@
     }
 
     /// Takes in the next observation. Times never go back.
-    pub fn see(&mut self, at: Micros, observation: &Observation) {
+    pub fn observe(&mut self, at: Micros, observation: &Observation) {
         self.advance(at);
         match observation {
             Observation::Taken { .. } => self.on_accepted(at, observation),
--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -109,8 +109,8 @@
     }
 
     /// Takes in the next observation. Times never go back.
-    pub fn see(&mut self, at: Micros, observation: &Observation) {
-        self.checker.see(at, observation);
+    pub fn observe(&mut self, at: Micros, observation: &Observation) {
+        self.checker.observe(at, observation);
         match observation {
             Observation::Taken { .. } => self.attempts += 1,
             Observation::Delivered { build, .. } => self.on_delivery(at, *build),
--- a/crates/spokeflow-scenario/tests/check.rs
+++ b/crates/spokeflow-scenario/tests/check.rs
@@ -391,7 +391,7 @@
 
 /// An attempt that is accepted, delivered, run and answered at once.
 fn see_one_command(checker: &mut Checker, at: Micros, n: u64) {
-    checker.see(
+    checker.observe(
         at,
         &Taken {
             by: P,
@@ -402,7 +402,7 @@
             timeout: SECOND,
         },
     );
-    checker.see(
+    checker.observe(
         at,
         &Delivered {
             host: 1,
@@ -412,7 +412,7 @@
             delivery: n,
         },
     );
-    checker.see(
+    checker.observe(
         at,
         &Ran {
             host: 1,
@@ -422,7 +422,7 @@
             op: 1,
         },
     );
-    checker.see(
+    checker.observe(
         at,
         &Answered {
             by: P,
@@ -443,7 +443,7 @@
         state: RolloutState::Released,
         cap: 1.0,
     };
-    checker.see(
+    checker.observe(
         0,
         &Listed {
             to: P,
@@ -456,7 +456,7 @@
         let at = n as Micros * 10 * MS;
         see_one_command(&mut checker, at, n);
         if n % 400 == 0 {
-            checker.see(at, &news);
+            checker.observe(at, &news);
         }
         let retained = checker.retained();
         most = most.max(retained.attempts + retained.commands);
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -172,7 +172,7 @@
 
     fn note(&mut self, seen: Observation) {
         if let Some(record) = &mut self.record {
-            record.see(self.now, &seen);
+            record.observe(self.now, &seen);
         }
         self.observations.push((self.now, seen));
     }
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -250,7 +250,7 @@
         let failures = self.routers.take_failures();
         let mut recorder = RunRecorder::new(&day, self.start);
         for (at, observation) in &seen {
-            recorder.see(*at, observation);
+            recorder.observe(*at, observation);
         }
         for outcome in &outcomes {
             recorder.ended(outcome);
