--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -251,7 +251,7 @@
     }
 
     /// A host runs: it takes its slot, and the one before is drained.
-    pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
+    pub fn on_host_started(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
         let Some(slot) = self
             .slots
             .iter_mut()
--- a/crates/spokeflow-scenario/tests/release_controller.rs
+++ b/crates/spokeflow-scenario/tests/release_controller.rs
@@ -11,7 +11,7 @@
 fn settle(controller: &mut ReleaseController, now: Micros, orders: &mut Vec<FleetOrder>) {
     while let Some(order) = orders.pop() {
         if let FleetOrder::Start { host, .. } = order {
-            controller.runs(now, host, orders);
+            controller.on_host_started(now, host, orders);
         }
     }
 }
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -149,7 +149,7 @@
         self.host_slots[seat].started = Some(self.now);
         self.run_host(host);
         let mut orders = Vec::new();
-        self.controller.runs(self.now, host, &mut orders);
+        self.controller.on_host_started(self.now, host, &mut orders);
         self.carry_out(orders);
     }
 
--- a/crates/spokeflow-testbed/src/day/hosts.rs
+++ b/crates/spokeflow-testbed/src/day/hosts.rs
@@ -193,7 +193,7 @@
         }
         self.start_host(host).await?;
         let mut orders = Vec::new();
-        locked(&self.controller.controller).runs(now, host, &mut orders);
+        locked(&self.controller.controller).on_host_started(now, host, &mut orders);
         self.carry_out(orders);
         Ok(())
     }
