--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -9,7 +9,7 @@
 
 /// How the newest build's rollout stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
+pub struct RolloutStatus {
     /// The newest build.
     pub build: u16,
     /// Its stage, from 0.
@@ -103,7 +103,7 @@
 /// The release controller of a run.
 pub struct ReleaseController {
     /// How the newest build's rollout stands.
-    pub state: State,
+    pub state: RolloutStatus,
     /// The fleet's slots.
     pub slots: Vec<HostSlot>,
     /// By stage, the fraction of slots that run the new build.
@@ -148,7 +148,7 @@
             })
             .collect();
         ReleaseController {
-            state: State {
+            state: RolloutStatus {
                 build: 1,
                 stage: 0,
                 rollout: RolloutState::Released,
@@ -186,7 +186,7 @@
                     self.earlier = self.state.build;
                 }
                 self.votes.clear();
-                self.state = State {
+                self.state = RolloutStatus {
                     build,
                     stage: 0,
                     rollout: RolloutState::Canary,
@@ -271,7 +271,7 @@
     /// Rolls the newest build back.
     pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let bad = self.state.build;
-        self.state = State {
+        self.state = RolloutStatus {
             rollout: RolloutState::RollingBack,
             cap: 0.0,
             since: now,
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -6,7 +6,7 @@
 use spokeflow_engine::TransportFailure;
 use spokeflow_proto::{FromList, VoteResult};
 use spokeflow_scenario::observation::Process;
-use spokeflow_scenario::release_controller::{ControllerVote, State};
+use spokeflow_scenario::release_controller::{ControllerVote, RolloutStatus};
 use spokeflow_scenario::traffic::{AttemptEnd, PlannedCommand};
 use spokeflow_scenario::Micros;
 
@@ -112,7 +112,7 @@
     },
     RolloutAtRouter {
         by: Process,
-        state: State,
+        state: RolloutStatus,
     },
     VoteAtController {
         by: Process,
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -4,7 +4,7 @@
 use spokeflow_engine::Input;
 use spokeflow_proto::{FromController, RolloutPhase, RolloutUpdate, VoteResult};
 use spokeflow_scenario::observation::{Observation, Process, RolloutState};
-use spokeflow_scenario::release_controller::{ControllerVote, State, VoteOutcome};
+use spokeflow_scenario::release_controller::{ControllerVote, RolloutStatus, VoteOutcome};
 
 use super::event::Event;
 use super::{World, CONTROLLER_TICK};
@@ -29,7 +29,7 @@
         self.controller.tick(self.now, &mut orders);
         let state = self.controller.state;
         if state != before {
-            let State {
+            let RolloutStatus {
                 build,
                 stage,
                 rollout: standing,
@@ -65,14 +65,14 @@
         }
     }
 
-    pub(super) fn news_to(&mut self, by: Process, state: State) {
+    pub(super) fn news_to(&mut self, by: Process, state: RolloutStatus) {
         if self.routers[by.router as usize].process != by {
             return;
         }
         if self.faults.stalled_controller || self.office_cut(by) {
             return self.blocked.push(Event::RolloutAtRouter { by, state });
         }
-        let State {
+        let RolloutStatus {
             build,
             stage,
             rollout: standing,
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -4,7 +4,7 @@
 
 use spokeflow_engine::Input;
 use spokeflow_scenario::observation::{Observation, Process};
-use spokeflow_scenario::release_controller::State;
+use spokeflow_scenario::release_controller::RolloutStatus;
 use spokeflow_scenario::traffic::AttemptEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
@@ -32,7 +32,7 @@
     pub(super) list_unheard: u32,
     pub(super) list_held: Option<u64>,
     pub(super) watches: bool,
-    pub(super) told: Option<State>,
+    pub(super) told: Option<RolloutStatus>,
     pub(super) told_at: Micros,
     pub(super) news_last: Micros,
     pub(super) office_last: [Micros; 2],
--- a/crates/spokeflow-testbed/src/release_controller.rs
+++ b/crates/spokeflow-testbed/src/release_controller.rs
@@ -14,7 +14,7 @@
 use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::observation::{Observation, Process, RolloutState};
 use spokeflow_scenario::release_controller::{
-    ControllerVote, ReleaseController, State, VoteOutcome,
+    ControllerVote, ReleaseController, RolloutStatus, VoteOutcome,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -44,19 +44,19 @@
         result: VoteResult,
     },
     /// Becomes an update when it leaves: its age is counted then.
-    State(State),
+    State(RolloutStatus),
 }
 
 /// States that a router is to be told of, each at its time.
 struct StateSchedule {
-    last: Option<State>,
+    last: Option<RolloutStatus>,
     last_at: Micros,
     due: VecDeque<DueState>,
 }
 
 struct DueState {
     at: Micros,
-    state: State,
+    state: RolloutStatus,
 }
 
 impl ReleaseControllerServer {
@@ -231,7 +231,7 @@
     }
 
     /// Records and builds an update.
-    fn rollout_update(&self, router: Process, state: State) -> RolloutUpdate {
+    fn rollout_update(&self, router: Process, state: RolloutStatus) -> RolloutUpdate {
         self.context.tap.record(Observation::News {
             to: router,
             build: state.build,
