--- a/crates/spokeflow-scenario/src/host/job.rs
+++ b/crates/spokeflow-scenario/src/host/job.rs
@@ -71,7 +71,7 @@
     /// An op type that needs more work, and how much.
     pub slow_op: (usize, f64),
     /// What a build that slows all hosts does.
-    pub drag: f64,
+    pub shared_slowdown: f64,
     /// What busy hosts on the same machine do.
     pub neighbours: f64,
 }
@@ -83,7 +83,7 @@
             slower: 1.0,
             fails: 0.0,
             slow_op: (usize::MAX, 1.0),
-            drag: 1.0,
+            shared_slowdown: 1.0,
             neighbours: 1.0,
         }
     }
--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -298,7 +298,7 @@
     fn conditions(&mut self, job: &Job, now: Micros) -> JobConditions {
         let fault = self.fault;
         let (slow_operation, slow_factor) = fault.slow_op;
-        let mut slowdown = fault.slower * fault.drag * fault.neighbours;
+        let mut slowdown = fault.slower * fault.shared_slowdown * fault.neighbours;
         if job.op == slow_operation {
             slowdown *= slow_factor;
         }
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -60,7 +60,7 @@
             let Some(process) = &mut seat.process else {
                 continue;
             };
-            process.model.fault.drag = drag;
+            process.model.fault.shared_slowdown = drag;
             if group > 1 {
                 let (all, hosts) = busy[n / group];
                 let others = (all - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
--- a/crates/spokeflow-testbed/src/day/inject.rs
+++ b/crates/spokeflow-testbed/src/day/inject.rs
@@ -146,7 +146,7 @@
             .sum();
         let drag = 1.0 + sum / running.len().max(1) as f64;
         self.set_host_fault(&self.all_hosts(), |ailment| {
-            ailment.drag = drag.min(MAX_SHARED_SLOWDOWN);
+            ailment.shared_slowdown = drag.min(MAX_SHARED_SLOWDOWN);
         });
     }
 
