--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -79,7 +79,7 @@
             FaultKind::Shift => self.shift = fault.size.clamp(0.0, 1.0),
             FaultKind::Worthless => self.worthless = fault.size,
             FaultKind::GiveUp => self.give_up = fault.size.clamp(0.0, 1.0),
-            FaultKind::RepeatStorm => self.repeats = fault.size,
+            FaultKind::RetryStorm => self.repeats = fault.size,
             FaultKind::HotKey => self.hot_key = fault.size.clamp(0.0, 1.0),
             _ => return false,
         }
@@ -106,7 +106,7 @@
             FaultKind::Shift => self.shift = 0.0,
             FaultKind::Worthless => self.worthless = 0.0,
             FaultKind::GiveUp => self.give_up = 0.0,
-            FaultKind::RepeatStorm => self.repeats = 0.0,
+            FaultKind::RetryStorm => self.repeats = 0.0,
             FaultKind::HotKey => self.hot_key = 0.0,
             _ => return,
         }
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -46,7 +46,7 @@
         FaultKind::Shift,
         FaultKind::Worthless,
         FaultKind::GiveUp,
-        FaultKind::RepeatStorm,
+        FaultKind::RetryStorm,
         FaultKind::SlowOp,
         FaultKind::HotKey,
     ],
--- a/crates/spokeflow-scenario/src/scenario/fault.rs
+++ b/crates/spokeflow-scenario/src/scenario/fault.rs
@@ -54,7 +54,8 @@
     /// Clients leave early.
     GiveUp,
     /// Clients come back at once and more often.
-    RepeatStorm,
+    #[serde(rename = "repeat-storm")]
+    RetryStorm,
     /// One operation needs more work.
     SlowOp,
     /// A part of the traffic is about one key, another one each second.
@@ -93,7 +94,7 @@
         FaultKind::Shift,
         FaultKind::Worthless,
         FaultKind::GiveUp,
-        FaultKind::RepeatStorm,
+        FaultKind::RetryStorm,
         FaultKind::SlowOp,
         FaultKind::HotKey,
         FaultKind::RouterKill,
@@ -217,7 +218,7 @@
         FaultKind::Shift => (10.0, 0.0, 0.8),
         FaultKind::Worthless => (10.0, 0.0, 2.0),
         FaultKind::GiveUp => (10.0, 0.0, 0.25),
-        FaultKind::RepeatStorm => (8.0, 0.0, 4.0),
+        FaultKind::RetryStorm => (8.0, 0.0, 4.0),
         FaultKind::SlowOp => (10.0, 0.0, 4.0),
         FaultKind::RouterKill => (3.0, 0.34, 0.0),
         FaultKind::RouterRoll => (12.0, 1.0, 0.8),
--- a/crates/spokeflow-testbed/tests/days.rs
+++ b/crates/spokeflow-testbed/tests/days.rs
@@ -89,7 +89,7 @@
     let kinds = [
         FaultKind::RouterKill,
         FaultKind::RouterRoll,
-        FaultKind::RepeatStorm,
+        FaultKind::RetryStorm,
         FaultKind::GiveUp,
     ];
     let days = kinds
