--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -59,7 +59,7 @@
     /// What faults do to it.
     pub fault: HostFault,
     /// It was sent more than it can bear while it was cold, and is down.
-    pub fallen: bool,
+    pub crashed: bool,
     cores: usize,
     queue_limit: usize,
     started: Option<Micros>,
@@ -94,7 +94,7 @@
             defect,
             speed,
             fault: HostFault::default(),
-            fallen: false,
+            crashed: false,
             cores: day.cores as usize,
             queue_limit: QUEUE_PER_CORE * day.cores as usize,
             started,
@@ -154,7 +154,7 @@
             work: self.ops[op].work as f64 / SECOND as f64,
         });
         let sent: f64 = self.reached.iter().map(|work| work.work).sum();
-        self.fallen |= sent > self.budget(now) + self.chance_beyond(now);
+        self.crashed |= sent > self.budget(now) + self.chance_beyond(now);
     }
 
     fn is_cold(&self, now: Micros) -> bool {
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -31,14 +31,14 @@
     // work and 3 more.
     let fell_at = (1..60).find(|n| {
         cold.arrive(1000, job(*n, 0));
-        cold.fallen
+        cold.crashed
     });
     assert_eq!(fell_at, Some(41));
     let (_, mut warm) = host(None);
     (0..60).for_each(|n| {
         warm.arrive(1000, job(n, 0));
     });
-    assert!(!warm.fallen);
+    assert!(!warm.crashed);
 }
 
 #[test]
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -112,7 +112,7 @@
         let runs = self.host_slots[seat]
             .process
             .as_ref()
-            .is_some_and(|p| !p.model.fallen);
+            .is_some_and(|p| !p.model.crashed);
         let p = &mut self.host_links[pair];
         p.epoch += 1;
         p.link = Link::Connecting;
@@ -137,7 +137,7 @@
         let process = self.host_slots[seat]
             .process
             .as_ref()
-            .filter(|p| !p.model.fallen && !fails);
+            .filter(|p| !p.model.crashed && !fails);
         let (incarnation, began) = process.map_or((0, 0), |p| (p.incarnation, p.began));
         if process.is_none() || self.way(pair).is_none() {
             let drawn = self.rng.random_range(0.5..1.0);
@@ -241,7 +241,7 @@
         let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
-            .filter(|p| !p.model.fallen)
+            .filter(|p| !p.model.crashed)
         else {
             return;
         };
@@ -272,7 +272,7 @@
                     expires,
                 };
                 let taken = process.model.arrive(self.now, job);
-                if process.model.fallen {
+                if process.model.crashed {
                     return self.fell(seat);
                 }
                 if !taken {
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -161,7 +161,7 @@
         let busy = self.host_slots[seat]
             .process
             .as_ref()
-            .is_some_and(|p| p.model.queued() > 0 && !p.model.fallen);
+            .is_some_and(|p| p.model.queued() > 0 && !p.model.crashed);
         if busy {
             return self.plan(100 * MS, Event::HostStops(host));
         }
@@ -214,7 +214,7 @@
         let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
-            .filter(|p| !p.model.fallen)
+            .filter(|p| !p.model.crashed)
         else {
             return;
         };
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -279,7 +279,7 @@
         };
         let (seat, _) = self.world.ends_of(pair);
         let seat = &self.world.host_slots[seat];
-        let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
+        let Some(process) = seat.process.as_ref().filter(|p| !p.model.crashed) else {
             return none;
         };
         let (model, now) = (&process.model, self.world.now);
--- a/crates/spokeflow-testbed/src/day/hosts.rs
+++ b/crates/spokeflow-testbed/src/day/hosts.rs
@@ -205,7 +205,7 @@
         };
         let has_work = slot.process.as_ref().is_some_and(|process| {
             let model = locked(&process.model);
-            model.queued() > 0 && !model.fallen
+            model.queued() > 0 && !model.crashed
         });
         if has_work {
             let at = now + STOP_RETRY;
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -155,7 +155,7 @@
                 () = self.changed.notified() => self.advance(),
             }
             while connections.try_join_next().is_some() {}
-            if locked(&self.model).fallen {
+            if locked(&self.model).crashed {
                 let host = self.identity.host;
                 self.context.tap.record(Observation::Fell { host });
                 return;
