--- a/crates/spokeflow-scenario/src/host/job.rs
+++ b/crates/spokeflow-scenario/src/host/job.rs
@@ -15,7 +15,7 @@
     /// The router's number of the delivery.
     pub delivery: u64,
     /// The client's attempt.
-    pub tried: u64,
+    pub attempt: u64,
     /// The client's command.
     pub command: u64,
     /// Index of the operation.
@@ -23,7 +23,7 @@
     /// The sticky key, 0 for none.
     pub key: u64,
     /// The idempotency key, 0 for none.
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// When nobody waits for it any more.
     pub expires: Micros,
 }
@@ -93,7 +93,7 @@
 #[derive(Debug, PartialEq)]
 pub struct StartedJob {
     /// The client's attempt.
-    pub tried: u64,
+    pub attempt: u64,
     /// The client's command.
     pub command: u64,
     /// Index of the operation.
--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -211,7 +211,9 @@
     fn run(&mut self, now: Micros, job: Job, marks: &mut DeduplicationTable) -> StartedJob {
         let conditions = self.conditions(&job, now);
         let effect = match self.ops[job.op].repeat {
-            Repeat::Deduplicated(memory) if job.mark != 0 => marks.first(job.mark, memory, now),
+            Repeat::Deduplicated(memory) if job.idempotency_key != 0 => {
+                marks.first(job.idempotency_key, memory, now)
+            }
             _ => true,
         };
         let failed = self.rng.random_bool(conditions.failure.clamp(0.0, 1.0));
@@ -235,7 +237,7 @@
             }
         };
         let started = StartedJob {
-            tried: job.tried,
+            attempt: job.attempt,
             command: job.command,
             op: job.op,
             effect,
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -8,11 +8,11 @@
     Job {
         from: 1,
         delivery: n,
-        tried: n,
+        attempt: n,
         command: n,
         op,
         key: n,
-        mark: n,
+        idempotency_key: n,
         expires: 100 * SECOND,
     }
 }
@@ -49,9 +49,9 @@
     let mut marks = DeduplicationTable::default();
     let first = host.begin(0, &mut marks);
     assert!(first[0].effect);
-    host.cancel(1, first[0].tried);
+    host.cancel(1, first[0].attempt);
     (2..60).for_each(|n| host.cancel(1, n));
-    host.arrive(1, job(first[0].tried, 1));
+    host.arrive(1, job(first[0].attempt, 1));
     assert!(!host.begin(1, &mut marks)[0].effect);
 }
 
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -264,11 +264,11 @@
                 let job = Job {
                     from,
                     delivery,
-                    tried,
+                    attempt: tried,
                     command,
                     op,
                     key,
-                    mark,
+                    idempotency_key: mark,
                     expires,
                 };
                 let taken = process.model.arrive(self.now, job);
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -234,7 +234,7 @@
             );
         }
         for (job, done) in ended {
-            let (delivery, tried) = (job.delivery, job.tried);
+            let (delivery, tried) = (job.delivery, job.attempt);
             let (word, kind) = match done {
                 JobOutcome::Acked { wrong } => {
                     (RouterMessage::Acked { delivery, wrong }, ReplyKind::Acked)
@@ -251,7 +251,7 @@
             self.reply((job.from >> 32) as usize, job.from as u32, word);
         }
         for begun in begun.into_iter().filter(|b| b.effect) {
-            let (tried, command, op) = (begun.tried, begun.command, begun.op as u16);
+            let (tried, command, op) = (begun.attempt, begun.command, begun.op as u16);
             self.note(Observation::Ran {
                 host,
                 build,
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -180,7 +180,7 @@
                 JobOutcome::Error => FromHost::Error { delivery },
                 JobOutcome::Silent => continue,
             };
-            self.reply(job.from, message, job.tried);
+            self.reply(job.from, message, job.attempt);
         }
         let mut deduplication = locked(&self.context.deduplication);
         for job in model.begin(now, &mut deduplication) {
@@ -188,7 +188,7 @@
                 self.context.tap.record(Observation::Ran {
                     host: self.identity.host,
                     build: self.identity.build,
-                    attempt: job.tried,
+                    attempt: job.attempt,
                     command: job.command,
                     op: job.op as u16,
                 });
@@ -324,11 +324,11 @@
                 let job = Job {
                     from: connection,
                     delivery,
-                    tried: body.attempt,
+                    attempt: body.attempt,
                     command: body.command,
                     op: usize::from(op).min(last_op),
                     key,
-                    mark: idempotency_key,
+                    idempotency_key,
                     expires: now + left_us.min(MAX_TIME_LEFT_US) as Micros,
                 };
                 let accepted = locked(&self.model).arrive(now, job);
