--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -18,7 +18,7 @@
 /// The delay one way between two sites.
 pub const BETWEEN_SITES: Micros = 2 * MS;
 /// How long a lost packet waits to be sent again.
-pub const RESENT_AFTER: Micros = 200 * MS;
+pub const RETRANSMISSION_DELAY: Micros = 200 * MS;
 
 /// The faults that are active now; zero, false or none where one is not.
 #[derive(Clone, Debug, Default)]
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::active_faults::{LinkKind, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{LinkKind, RETRANSMISSION_DELAY};
 use spokeflow_scenario::host::Job;
 use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
@@ -41,10 +41,10 @@
         let mut late = 0;
         while between
             && self.faults.loss > 0.0
-            && late < 8 * RESENT_AFTER
+            && late < 8 * RETRANSMISSION_DELAY
             && self.rng.random_bool(self.faults.loss)
         {
-            late += RESENT_AFTER.max(late);
+            late += RETRANSMISSION_DELAY.max(late);
         }
         self.way(pair).unwrap_or(2 * MS) + late
     }
--- a/crates/spokeflow-testbed/src/context.rs
+++ b/crates/spokeflow-testbed/src/context.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use spokeflow_scenario::active_faults::{ActiveFaults, LinkKind, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{ActiveFaults, LinkKind, RETRANSMISSION_DELAY};
 use spokeflow_scenario::host::DeduplicationTable;
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::scenario::Scenario;
@@ -106,10 +106,10 @@
     /// What lost packets add to the delay: each is sent again after a while, and may be lost again.
     fn retransmission_delay(&self, path: Path) -> Micros {
         let loss = locked(&self.active_faults).loss;
-        let most = MAX_RETRANSMISSIONS * RESENT_AFTER;
+        let most = MAX_RETRANSMISSIONS * RETRANSMISSION_DELAY;
         let mut delay = 0;
         while path.from != path.to && loss > 0.0 && delay < most && rand::rng().random_bool(loss) {
-            delay += RESENT_AFTER.max(delay);
+            delay += RETRANSMISSION_DELAY.max(delay);
         }
         delay
     }
