--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// The part of its capacity that it has by now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn warm_up_fraction(&self, now: Micros) -> f64 {
         let age = self
             .started
             .map_or(self.warm_within, |at| (now - at).clamp(0, self.warm_within));
@@ -174,7 +174,7 @@
 
     /// Seconds of work that the multiple of its capacity allows over the span.
     fn budget(&self, now: Micros) -> f64 {
-        let can = self.warmth(now) * self.cores as f64 * self.speed;
+        let can = self.warm_up_fraction(now) * self.cores as f64 * self.speed;
         self.fall_multiple * can * self.fall_span as f64 / SECOND as f64
     }
 
@@ -224,7 +224,7 @@
         };
         let beyond = self.waiting.len().saturating_sub(2 * self.cores) as f64;
         let slowdown = conditions.slowdown * self.fetch(job.key) * (1.0 + self.thrash * beyond);
-        let mut took = work * slowdown / (self.speed * self.warmth(now));
+        let mut took = work * slowdown / (self.speed * self.warm_up_fraction(now));
         // What fails fast fails at once, and may have had its effect all the same.
         if failed && self.fault.fails > 0.0 {
             took = took.min(FAST_FAILURE);
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -26,7 +26,10 @@
 #[test]
 fn a_cold_host_does_less_and_falls_when_sent_more_than_its_budget() {
     let (_, mut cold) = host(Some(0));
-    assert!((cold.warmth(0) - 0.31).abs() < 1e-9 && (cold.warmth(3_700_000) - 1.0).abs() < 1e-9);
+    assert!(
+        (cold.warm_up_fraction(0) - 0.31).abs() < 1e-9
+            && (cold.warm_up_fraction(3_700_000) - 1.0).abs() < 1e-9
+    );
     // Three times 0.31 cores for three seconds bear 2.79 s of work: 21 of 130 ms, 3 roots of what that is of mean
     // work and 3 more.
     let fell_at = (1..60).find(|n| {
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -287,7 +287,7 @@
             up: !model.fault.hangs,
             work_before: model.work_before(now),
             delay: self.world.way(pair),
-            speed: model.speed * model.warmth(now)
+            speed: model.speed * model.warm_up_fraction(now)
                 / (model.fault.slower * model.fault.shared_slowdown),
             failure_rate: model.fault.fails,
             has_headroom: model.has_headroom(now),
