--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// Begins what a core is free for. Returns what was begun.
-    pub fn begin(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
+    pub fn start_jobs(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
         let mut begun = Vec::new();
         while self.running.len() < self.cores {
             let Some(job) = self.waiting.pop_front() else {
@@ -336,12 +336,12 @@
     }
 
     /// When the next job ends.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_completion(&self) -> Option<Micros> {
         self.running.iter().map(|running| running.ends).min()
     }
 
     /// What has ended by now, in the order of its ends.
-    pub fn ended(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
+    pub fn take_completed(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
         let mut ended: Vec<_> = self
             .running
             .extract_if(.., |running| running.ends <= now)
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -50,12 +50,12 @@
     let taken = (1..60).filter(|n| host.arrive(0, job(*n, 1))).count();
     assert_eq!(taken, 24);
     let mut marks = DeduplicationTable::default();
-    let first = host.begin(0, &mut marks);
+    let first = host.start_jobs(0, &mut marks);
     assert!(first[0].effect);
     host.cancel(1, first[0].attempt);
     (2..60).for_each(|n| host.cancel(1, n));
     host.arrive(1, job(first[0].attempt, 1));
-    assert!(!host.begin(1, &mut marks)[0].effect);
+    assert!(!host.start_jobs(1, &mut marks)[0].effect);
 }
 
 #[test]
@@ -69,19 +69,19 @@
         },
     );
     assert!(host
-        .begin(10, &mut DeduplicationTable::default())
+        .start_jobs(10, &mut DeduplicationTable::default())
         .is_empty());
-    assert_eq!(host.next(), None);
+    assert_eq!(host.next_completion(), None);
 }
 
 #[test]
 fn a_host_that_hangs_says_nothing() {
     let (_, mut host) = host(None);
     host.arrive(0, job(1, 0));
-    host.begin(0, &mut DeduplicationTable::default());
+    host.start_jobs(0, &mut DeduplicationTable::default());
     host.fault.hangs = true;
-    let at = host.next().unwrap();
-    assert_eq!(host.ended(at)[0].1, JobOutcome::Silent);
+    let at = host.next_completion().unwrap();
+    assert_eq!(host.take_completed(at)[0].1, JobOutcome::Silent);
 }
 
 #[test]
@@ -105,7 +105,7 @@
         };
         let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
         assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
-        host.begin(0, &mut DeduplicationTable::default());
+        host.start_jobs(0, &mut DeduplicationTable::default());
         (1..3).for_each(|n| host.cancel(1, n));
         assert_eq!(host.queued(), left);
     }
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -218,9 +218,9 @@
         else {
             return;
         };
-        let ended = process.model.ended(self.now);
-        let begun = process.model.begin(self.now, &mut self.deduplication);
-        let next = process.model.next();
+        let ended = process.model.take_completed(self.now);
+        let begun = process.model.start_jobs(self.now, &mut self.deduplication);
+        let next = process.model.next_completion();
         let incarnation = process.incarnation;
         if let Some(at) = next.filter(|at| *at < process.due) {
             process.due = at;
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -145,7 +145,7 @@
         // Dropped with this task, and with it all connections.
         let mut connections = JoinSet::new();
         loop {
-            let next = locked(&self.model).next();
+            let next = locked(&self.model).next_completion();
             let due = self.context.tap.instant(next.unwrap_or(0));
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
@@ -167,7 +167,7 @@
     fn advance(&self) {
         let now = self.context.tap.now();
         let mut model = locked(&self.model);
-        for (job, outcome) in model.ended(now) {
+        for (job, outcome) in model.take_completed(now) {
             let delivery = job.delivery;
             let message = match outcome {
                 JobOutcome::Acked { wrong } => FromHost::Acked {
@@ -183,7 +183,7 @@
             self.reply(job.from, message, job.attempt);
         }
         let mut deduplication = locked(&self.context.deduplication);
-        for job in model.begin(now, &mut deduplication) {
+        for job in model.start_jobs(now, &mut deduplication) {
             if job.effect {
                 self.context.tap.record(Observation::Ran {
                     host: self.identity.host,
