--- a/crates/spokeflow-experiments/src/charts/over_time.rs
+++ b/crates/spokeflow-experiments/src/charts/over_time.rs
@@ -39,7 +39,7 @@
     fn panels(&self) -> [Panel; PANEL_ROWS * PANEL_COLUMNS] {
         let report = self.report;
         let operations = report.by_op.iter().map(|operation| &operation.0);
-        let customers = report.by_customer.iter().map(|customer| &customer.0);
+        let customers = report.by_tenant.iter().map(|customer| &customer.0);
         [
             Panel {
                 title: "Service by op type",
@@ -53,8 +53,8 @@
                 title: "Service by customer",
                 unit: "part answered in time",
                 lines: self.service_lines(customers, |interval, index| Answered {
-                    asked: interval.asked_by_customer[index],
-                    good: interval.good_by_customer[index],
+                    asked: interval.asked_by_tenant[index],
+                    good: interval.good_by_tenant[index],
                 }),
             },
             Panel {
--- a/crates/spokeflow-scenario/src/report/mod.rs
+++ b/crates/spokeflow-scenario/src/report/mod.rs
@@ -19,7 +19,8 @@
     /// Index of its operation.
     pub op: usize,
     /// Index of its tenant.
-    pub customer: usize,
+    #[serde(rename = "customer")]
+    pub tenant: usize,
     /// The site of its client.
     pub site: u16,
     /// When it was due.
@@ -61,9 +62,11 @@
     /// By operation, priority weight answered within the latency objective.
     pub good_by_op: Vec<f64>,
     /// By tenant, priority weight of the commands due.
-    pub asked_by_customer: Vec<f64>,
+    #[serde(rename = "asked_by_customer")]
+    pub asked_by_tenant: Vec<f64>,
     /// By tenant, priority weight answered within the latency objective.
-    pub good_by_customer: Vec<f64>,
+    #[serde(rename = "good_by_customer")]
+    pub good_by_tenant: Vec<f64>,
     /// Deliveries to hosts.
     pub deliveries: u64,
     /// Of these, to the build in its canary by the release controller's own state.
@@ -118,7 +121,8 @@
     /// By name of the operation, its service.
     pub by_op: Vec<(String, f64)>,
     /// By name of the tenant, its service.
-    pub by_customer: Vec<(String, f64)>,
+    #[serde(rename = "by_customer")]
+    pub by_tenant: Vec<(String, f64)>,
     /// Median time of the acknowledged, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the same.
--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -91,7 +91,7 @@
     fn interval_at(&mut self, at: Micros) -> &mut Interval {
         let index = ((at - self.start).max(0) / self.interval) as usize;
         let operations = self.day.ops.len();
-        let tenants = self.day.customers.len();
+        let tenants = self.day.tenants.len();
         while self.over_time.len() <= index {
             let at_s = seconds(self.over_time.len() as Micros * self.interval);
             let stage = self.controller.last().map_or(0, |state| state.stage);
@@ -99,8 +99,8 @@
                 at_s,
                 asked_by_op: vec![0.0; operations],
                 good_by_op: vec![0.0; operations],
-                asked_by_customer: vec![0.0; tenants],
-                good_by_customer: vec![0.0; tenants],
+                asked_by_tenant: vec![0.0; tenants],
+                good_by_tenant: vec![0.0; tenants],
                 stage,
                 ..Interval::default()
             });
@@ -190,8 +190,8 @@
         let interval = self.interval_at(outcome.due);
         interval.asked_by_op[outcome.op] += weight;
         interval.good_by_op[outcome.op] += gained;
-        interval.asked_by_customer[outcome.customer] += weight;
-        interval.good_by_customer[outcome.customer] += gained;
+        interval.asked_by_tenant[outcome.tenant] += weight;
+        interval.good_by_tenant[outcome.tenant] += gained;
     }
 
     fn service_of_operation(&self, index: usize) -> f64 {
@@ -204,8 +204,8 @@
 
     fn service_of_tenant(&self, index: usize) -> f64 {
         let parts = self.over_time.iter().map(|interval| Service {
-            due: interval.asked_by_customer[index],
-            good: interval.good_by_customer[index],
+            due: interval.asked_by_tenant[index],
+            good: interval.good_by_tenant[index],
         });
         parts.sum::<Service>().fraction()
     }
@@ -226,7 +226,7 @@
     pub fn finish(self, faults: Vec<String>, trace: Option<&[(Micros, Observation)]>) -> Report {
         let day = &self.day;
         let operations = day.ops.iter().enumerate();
-        let tenants = day.customers.iter().enumerate();
+        let tenants = day.tenants.iter().enumerate();
         let builds = self.build_summaries();
         let [acked, wrong, nacked, failed, given_up, unreachable] = self.ends;
         Report {
@@ -251,7 +251,7 @@
                     (operation.name.to_string(), self.service_of_operation(index))
                 })
                 .collect(),
-            by_customer: tenants
+            by_tenant: tenants
                 .map(|(index, tenant)| (tenant.name.to_string(), self.service_of_tenant(index)))
                 .collect(),
             p50_ms: self.milliseconds_at(0.5),
--- a/crates/spokeflow-scenario/src/report/text.rs
+++ b/crates/spokeflow-scenario/src/report/text.rs
@@ -98,7 +98,7 @@
         percent(report.worst_ten_seconds),
         named_percents(&report.by_op)
     )?;
-    writeln!(f, "            {}", named_percents(&report.by_customer))
+    writeln!(f, "            {}", named_percents(&report.by_tenant))
 }
 
 fn write_rule(f: &mut Formatter, rule: u8, broken: &[BrokenRule]) -> fmt::Result {
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -66,7 +66,7 @@
             cores: 1,
             rate: 46.0,
             ops: operations(),
-            customers: tenants(),
+            tenants: tenants(),
             keys: 600,
             builds: vec![good_build(1, 0)],
             stage_fractions: vec![0.04, 0.1, 0.25, 0.55, 1.0],
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -87,7 +87,8 @@
     /// The operations, by index.
     pub ops: Vec<Op>,
     /// The tenants, by index.
-    pub customers: Vec<Tenant>,
+    #[serde(rename = "customers")]
+    pub tenants: Vec<Tenant>,
     /// Distinct sticky keys.
     pub keys: u64,
     /// Builds in the order of their offers; the first is there from the start.
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -40,7 +40,7 @@
     pub fn set_rate(&mut self, rate: f64) {
         let growth = rate / self.rate;
         self.rate = rate;
-        for tenant in &mut self.customers {
+        for tenant in &mut self.tenants {
             tenant.allowed *= growth;
         }
         self.keys = ((self.keys as f64 * growth) as u64).max(1);
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -16,7 +16,7 @@
     /// Index of the operation.
     pub op: usize,
     /// Index of the tenant.
-    pub customer: usize,
+    pub tenant: usize,
     /// The client's site.
     pub site: u16,
     /// The sticky key.
@@ -71,11 +71,11 @@
         let gap = Exp::new(rate).map_or(0.1, |d| d.sample(&mut self.rng));
         self.at += ((gap * SECOND as f64) as Micros).max(1);
         let op = pick(&mut self.rng, day.ops.iter().map(|op| op.share));
-        let weights = day.customers.iter().enumerate().map(|(n, c)| {
+        let weights = day.tenants.iter().enumerate().map(|(n, c)| {
             // Worthless traffic is what one customer sends far beyond its share.
             c.allowed * c.usage * if n == 1 { 1.0 + faults.worthless } else { 1.0 }
         });
-        let customer = pick(&mut self.rng, weights);
+        let tenant = pick(&mut self.rng, weights);
         let shifted = self.rng.random_bool(faults.shift);
         let site = if shifted {
             0
@@ -90,7 +90,7 @@
         };
         PlannedCommand {
             op,
-            customer,
+            tenant,
             site,
             key,
             due: self.at,
--- a/crates/spokeflow-scenario/tests/flags.rs
+++ b/crates/spokeflow-scenario/tests/flags.rs
@@ -19,7 +19,7 @@
 fn sizes_keep_the_load_for_each_host_and_flags_outrank_them() {
     let (small, grown) = (day(&[]).unwrap(), day(&["--size", "grown"]).unwrap());
     assert_eq!((grown.routers, grown.hosts, grown.rate), (150, 300, 1000.0));
-    let share = |d: &Scenario| d.customers.iter().map(|c| c.allowed).sum::<f64>() / d.rate;
+    let share = |d: &Scenario| d.tenants.iter().map(|c| c.allowed).sum::<f64>() / d.rate;
     assert!((share(&small) - share(&grown)).abs() < 1e-9);
     let more = day(&["--hosts", "30", "--routers", "7"]).unwrap();
     assert_eq!((more.routers, more.hosts, more.rate), (7, 30, 92.0));
--- a/crates/spokeflow-scenario/tests/traffic.rs
+++ b/crates/spokeflow-scenario/tests/traffic.rs
@@ -26,9 +26,9 @@
         "bursts of a second each eleven or so add to it: {rate}"
     );
     assert!(one.windows(2).all(|w| w[0].due < w[1].due));
-    let by_customer = |c| one.iter().filter(|w| w.customer == c).count();
+    let by_tenant = |c| one.iter().filter(|w| w.tenant == c).count();
     assert!(
-        by_customer(0) > 2 * by_customer(3),
+        by_tenant(0) > 2 * by_tenant(3),
         "customers send by what they are allowed and use"
     );
 }
@@ -39,7 +39,7 @@
     let again = |op, end, now| {
         let wanted = PlannedCommand {
             op,
-            customer: 0,
+            tenant: 0,
             site: 0,
             key: 1,
             due: 0,
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -28,7 +28,7 @@
     };
     let service = ServiceConfig {
         ops: day.ops.iter().map(op).collect(),
-        tenant_quotas: day.customers.iter().map(|c| c.allowed).collect(),
+        tenant_quotas: day.tenants.iter().map(|c| c.allowed).collect(),
         own_zone: ZoneId((index % u32::from(day.sites)) as u16),
         own_index: index,
         fleet_size: day.routers,
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -125,7 +125,7 @@
         let command = Command {
             id: tried,
             op: wanted.op as u16,
-            tenant: wanted.customer as u32,
+            tenant: wanted.tenant as u32,
             key: wanted.key,
             idempotency_key: if dropped { number } else { 0 },
             left_us: left as u64,
@@ -202,7 +202,7 @@
         let asking = self.clients.remove(key);
         let PlannedCommand {
             op,
-            customer,
+            tenant,
             site,
             due,
             ..
@@ -212,7 +212,7 @@
         let outcome = Outcome {
             command: asking.number,
             op,
-            customer,
+            tenant,
             site,
             due,
             tries,
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -86,7 +86,7 @@
         let outcome = Outcome {
             command: number,
             op: planned.op,
-            customer: planned.customer,
+            tenant: planned.tenant,
             site: planned.site,
             due: planned.due,
             tries: client.tries,
@@ -165,7 +165,7 @@
         Command {
             id: attempt,
             op: planned.op as u16,
-            tenant: planned.customer as u32,
+            tenant: planned.tenant as u32,
             key: planned.key,
             idempotency_key,
             left_us: patience as u64,
--- a/crates/spokeflow-testbed/src/router_flags.rs
+++ b/crates/spokeflow-testbed/src/router_flags.rs
@@ -43,7 +43,7 @@
             .iter()
             .map(|op| format!("--op={}", operation_flag(op))),
     );
-    let tenants = scenario.customers.iter();
+    let tenants = scenario.tenants.iter();
     flags.extend(tenants.map(|tenant| format!("--customer={}={}", tenant.name, tenant.allowed)));
     flags
 }
