--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -65,8 +65,8 @@
     started: Option<Micros>,
     cold_from: f64,
     warm_within: Micros,
-    fall_multiple: f64,
-    fall_span: Micros,
+    overload_multiple: f64,
+    overload_window: Micros,
     ops: Vec<Op>,
     waiting: VecDeque<Job>,
     running: Vec<RunningJob>,
@@ -100,8 +100,8 @@
             started,
             cold_from: day.cold_from,
             warm_within: day.warm_within,
-            fall_multiple: day.fall_multiple,
-            fall_span: day.fall_span,
+            overload_multiple: day.overload_multiple,
+            overload_window: day.overload_window,
             ops: day.ops.clone(),
             waiting: VecDeque::new(),
             running: Vec::new(),
@@ -143,7 +143,7 @@
         if !self.is_cold(now) {
             return self.reached.clear();
         }
-        let horizon = now - self.fall_span;
+        let horizon = now - self.overload_window;
         while self
             .reached
             .pop_front_if(|work| work.at <= horizon)
@@ -166,7 +166,7 @@
         if !self.is_cold(now) {
             return true;
         }
-        let horizon = now - self.fall_span;
+        let horizon = now - self.overload_window;
         let recent = self.reached.iter().filter(|work| work.at > horizon);
         let sent: f64 = recent.map(|work| work.work).sum();
         sent < HEADROOM * self.budget(now)
@@ -175,7 +175,7 @@
     /// Seconds of work that the multiple of its capacity allows over the span.
     fn budget(&self, now: Micros) -> f64 {
         let can = self.warm_up_fraction(now) * self.cores as f64 * self.speed;
-        self.fall_multiple * can * self.fall_span as f64 / SECOND as f64
+        self.overload_multiple * can * self.overload_window as f64 / SECOND as f64
     }
 
     /// What chance brings beyond that before the host falls, as the operators' page on the fleet has it: with room for N
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -119,9 +119,11 @@
     /// How long a host takes to reach all of its capacity.
     pub warm_within: Micros,
     /// A cold host falls when sent more than so many times its capacity,
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// over this time.
-    pub fall_span: Micros,
+    #[serde(rename = "fall_span")]
+    pub overload_window: Micros,
     /// Retries of a client, at most.
     pub retries: u32,
     /// A try is given up after this part of the command timeout, at random in between.
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -45,8 +45,8 @@
         drain_grace: day.drain_grace,
         slow_start_from: day.cold_from,
         warm_up_time: day.warm_within,
-        overload_multiple: day.fall_multiple,
-        overload_window: day.fall_span,
+        overload_multiple: day.overload_multiple,
+        overload_window: day.overload_window,
         gate: match day.gate {
             scenario::Gate::Single => Gate::Single,
             scenario::Gate::Majority => Gate::Majority,
--- a/crates/spokeflow-testbed/src/router_flags.rs
+++ b/crates/spokeflow-testbed/src/router_flags.rs
@@ -29,8 +29,8 @@
         format!("--drain-grace={}us", scenario.drain_grace),
         format!("--cold-from={}", scenario.cold_from),
         format!("--warm-within={}us", scenario.warm_within),
-        format!("--fall-multiple={}", scenario.fall_multiple),
-        format!("--fall-span={}us", scenario.fall_span),
+        format!("--fall-multiple={}", scenario.overload_multiple),
+        format!("--fall-span={}us", scenario.overload_window),
     ];
     flags.extend(rollout_flags(scenario));
     flags.push(format!("--seed={seed}"));
