--- a/crates/spokeflow-experiments/src/hunt.rs
+++ b/crates/spokeflow-experiments/src/hunt.rs
@@ -214,7 +214,7 @@
             scenario.routers, scenario.hosts, scenario.rate
         ),
     ];
-    if scenario.tells {
+    if scenario.may_gossip {
         flags.push("--majority".into());
     }
     let builds = scenario.builds.iter().skip(1);
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -89,7 +89,7 @@
             rollout_delay: [260 * MS, 880 * MS],
             rollout_interval: 4 * SECOND,
             reported: 0.15,
-            tells: false,
+            may_gossip: false,
             key_skew: 0.7,
             wave: 0.15,
             wave_span: 15 * SECOND,
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -139,7 +139,8 @@
     /// Part of the wrong answers that clients report.
     pub reported: f64,
     /// Routers tell each other what they see.
-    pub tells: bool,
+    #[serde(rename = "tells")]
+    pub may_gossip: bool,
     /// How uneven keys are asked for, the exponent of Zipf's law.
     pub key_skew: f64,
     /// The wave of the traffic: how much of the rate, and how long.
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -49,7 +49,7 @@
     /// A fleet in which a share of all routers must vote and routers tell each other what they see.
     pub fn with_majority_gate(mut self) -> Scenario {
         self.gate = Gate::Majority;
-        self.tells = true;
+        self.may_gossip = true;
         self
     }
 }
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -39,7 +39,7 @@
         may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_gossip: day.tells,
+        may_gossip: day.may_gossip,
         may_name_retry_after: true,
         longest_retry_after: 2 * SECOND,
         drain_grace: day.drain_grace,
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -98,7 +98,7 @@
     starting: Starting,
     mut progress: impl FnMut(Micros),
 ) -> Result<Played, PlayError> {
-    if day.tells {
+    if day.may_gossip {
         return Err(PlayError::Gossip);
     }
     let context = RunContext::new(day);
