--- a/crates/spokeflow-proto/src/codec.rs
+++ b/crates/spokeflow-proto/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames: four bytes of length, big-endian, then one message in postcard's form.
+//! Frame codec: a frame is a big-endian `u32` length followed by one message in postcard encoding.
 
 use std::marker::PhantomData;
 
@@ -9,24 +9,24 @@
 
 use crate::FrameError;
 
-/// Longest frame, in bytes, before the peer has opened the connection with a [`crate::Hello`].
+/// Longest frame, in bytes, that is accepted before the peer has sent its [`crate::Hello`].
 pub const HELLO_LIMIT: usize = 64;
-/// Longest frame, in bytes, on links of clients, hosts and the release controller.
+/// Longest frame, in bytes, on the links to clients, hosts and the release controller.
 pub const WORK_LIMIT: usize = 64 << 10;
-/// Longest frame, in bytes, on the endpoint list's link: some 20,000 hosts.
+/// Longest frame, in bytes, on the link to the endpoint list; enough for about 20,000 hosts.
 pub const LIST_LIMIT: usize = 1 << 20;
 
-/// Bytes of the length in front of each frame.
+/// Size in bytes of the length prefix of a frame.
 const LENGTH_SIZE: usize = 4;
 
-/// Reads messages of type `In` and writes those of type `Out`, through `tokio_util::codec::Framed`.
+/// Decodes messages of type `In` and encodes messages of type `Out`, for use with `tokio_util::codec::Framed`.
 pub struct FrameCodec<In, Out> {
     limit: usize,
     types: PhantomData<fn(Out) -> In>,
 }
 
 impl<In, Out> FrameCodec<In, Out> {
-    /// Frames of at most `limit` bytes after the length.
+    /// Creates a codec for frames of at most `limit` bytes, not counting the length prefix.
     pub fn new(limit: usize) -> Self {
         FrameCodec {
             limit,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sets the limit: what a peer may send grows once it is known.
+    /// Sets the longest frame in bytes. The limit is raised once the peer has identified itself with its hello.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
@@ -56,7 +56,7 @@
             });
         }
         if from.len() < LENGTH_SIZE + length {
-            // Never more than one frame's memory: any peer can claim any length.
+            // Reserves memory for this frame only, which the limit bounds: a peer can announce any length.
             from.reserve(LENGTH_SIZE + length - from.len());
             return Ok(None);
         }
@@ -88,26 +88,27 @@
     }
 }
 
-/// Whether some message of this type begins with `kind`: alone, it is then cut short, not unknown.
+/// Returns whether `kind` is the first byte of some message of this type. If it is, the byte alone decodes to a
+/// message or to an unexpected end, not to another error.
 fn is_known_kind<In: DeserializeOwned>(kind: u8) -> bool {
     let error = postcard::from_bytes::<In>(&[kind]).err();
     error.is_none_or(|error| error == postcard::Error::DeserializeUnexpectedEnd)
 }
 
 impl<In, Out: Serialize> FrameCodec<In, Out> {
-    /// Appends one frame.
+    /// Appends `message` to `to` as one frame.
     ///
     /// # Errors
     ///
-    /// [`FrameError::Oversized`], with nothing written, or [`FrameError::Malformed`] for a message that cannot be
-    /// encoded.
+    /// Returns [`FrameError::Oversized`], with nothing appended, if the message exceeds the limit, and
+    /// [`FrameError::Malformed`] if it cannot be encoded.
     pub fn write(&self, message: &Out, to: &mut BytesMut) -> Result<(), FrameError> {
         let start = to.len();
         to.put_u32(0);
         let writer = std::mem::take(to).writer();
         *to = match postcard::to_io(message, writer) {
             Ok(writer) => writer.into_inner(),
-            Err(_) => return Err(FrameError::Malformed("a message that cannot be written")),
+            Err(_) => return Err(FrameError::Malformed("the message cannot be encoded")),
         };
         let length = to.len() - start - LENGTH_SIZE;
         if length > self.limit {
--- a/crates/spokeflow-proto/src/error.rs
+++ b/crates/spokeflow-proto/src/error.rs
@@ -1,57 +1,57 @@
-//! What can be wrong with what a peer sent.
+//! Protocol errors.
 
 use std::io;
 
-use crate::{Refused, VERSION};
+use crate::{Refused, OLDEST_VERSION, VERSION};
 
-/// What is wrong with what a peer sent. Each ends that one connection.
+/// A protocol error on a connection. Every error closes the connection that it occurs on and no other.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection ended within a frame: what there is of it counts as never sent.
+    /// The connection ended within a frame. The incomplete frame is discarded.
     #[error("truncated: the connection ended {have} bytes into a frame")]
     Truncated {
-        /// Bytes of the frame that have come, its length included.
+        /// Bytes of the frame that were received, including the length prefix.
         have: usize,
     },
-    /// A frame is longer than allowed, read or not.
-    #[error("oversized: a frame of {length} bytes, {limit} at most")]
+    /// A frame that was received or is to be sent exceeds the limit.
+    #[error("oversized: frame of {length} bytes, limit {limit} bytes")]
     Oversized {
-        /// Bytes of the frame after its length.
+        /// Bytes of the frame after the length prefix.
         length: usize,
-        /// Bytes allowed.
+        /// Longest frame allowed, in bytes.
         limit: usize,
     },
-    /// No message of this link begins with this byte.
-    #[error("unknown kind {0}")]
+    /// The first byte of the body is not the kind of any message on this link.
+    #[error("unknown message kind {0}")]
     UnknownKind(u8),
-    /// The body of a frame is no message.
+    /// The body of a frame is not a valid message, or a message cannot be encoded.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The opening message lacks the mark of this protocol.
-    #[error("not spokeflow: the opening message lacks its mark")]
+    /// The hello does not begin with [`crate::MAGIC`].
+    #[error("not spokeflow: the hello has other magic bytes than SPKF")]
     NotSpokeflow,
-    /// This end does not know the version that the peer asks for.
-    #[error("wrong version {0}: this end speaks {VERSION}")]
+    /// The peer requested a protocol version that this end does not support.
+    #[error("wrong version {0}: this end supports {OLDEST_VERSION} to {VERSION}")]
     WrongVersion(u16),
-    /// The peer's role, or index, does not fit this port.
-    #[error("wrong role for this port")]
+    /// The role or the index in the hello is not accepted on this port.
+    #[error("wrong role: the role or index in the hello is not accepted on this port")]
     WrongRole,
-    /// Something else came where the opening message belongs, or a second opening message.
-    #[error("out of order: one opening message comes first, and once")]
+    /// The first message is not a hello, or a later message is one.
+    #[error("out of order: the first message must be a hello, and no later one")]
     OutOfOrder,
-    /// A command's number is in use on this connection.
+    /// A command has the id of another command on this connection that has not been answered.
     #[error("id in use: command {0} has not been answered yet")]
     IdInUse(u64),
-    /// The peer does not read what it is sent.
-    #[error("too slow: what is sent is not read")]
+    /// The peer does not read the messages sent to it.
+    #[error("too slow: the peer does not read the messages sent to it")]
     TooSlow,
-    /// The connection failed.
+    /// Reading from or writing to the connection failed.
     #[error("i/o: {0}")]
     Io(#[from] io::Error),
 }
 
 impl FrameError {
-    /// The number of the error in [`Refused`], part of the protocol.
+    /// Returns the error code that [`Refused`] carries. The codes are part of the protocol.
     pub fn code(&self) -> u8 {
         match self {
             FrameError::Truncated { .. } => 1,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The message that tells the peer of the error.
+    /// Returns the message that reports this error to the peer.
     pub fn refused(&self) -> Refused {
         Refused {
             code: self.code(),
--- a/crates/spokeflow-proto/src/lib.rs
+++ b/crates/spokeflow-proto/src/lib.rs
@@ -1,8 +1,10 @@
-//! What crosses the sockets: messages, their frames, limits and errors. No I/O.
+//! The binary protocol between client, router, host, endpoint list and release controller: messages, frames, limits
+//! and errors. No I/O.
 //!
-//! There is one type for each direction of each link. Each message is one frame ([`FrameCodec`]); the first on a
-//! connection is a [`Hello`]. `docs/protocol.md` describes the bytes. The order of variants and fields is the form of a
-//! message: new ones go at the end, none is taken out or moved without a new [`VERSION`].
+//! There is one message type per direction of each link. Each message is one frame ([`FrameCodec`]), and the first
+//! message on a connection is a [`Hello`]. `docs/protocol.md` describes the bytes. The encoding depends on the order of
+//! variants and fields: new ones must be added at the end, and none may be removed or moved without a new
+//! [`VERSION`].
 
 mod codec;
 mod error;
--- a/crates/spokeflow-proto/src/message.rs
+++ b/crates/spokeflow-proto/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages, one module for each link.
+//! Message types, one module per link, and the hello that opens every connection.
 
 pub(crate) mod client;
 pub(crate) mod controller;
--- a/crates/spokeflow-proto/src/message/client.rs
+++ b/crates/spokeflow-proto/src/message/client.rs
@@ -1,4 +1,4 @@
-//! The link between clients and routers.
+//! Messages between clients and routers.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -8,76 +8,76 @@
 /// A command to be delivered to one host of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// The client's own number, not in use on this connection.
+    /// Id assigned by the client, unique among the unanswered commands of the connection.
     pub id: u64,
-    /// Index of the operation among the service's.
+    /// Index of the operation in the service's settings.
     pub op: u16,
-    /// Index of the tenant (customer) among the service's.
+    /// Index of the tenant (`customer` in the settings) in the service's settings.
     pub tenant: u32,
-    /// What the command is about; 0 for none.
+    /// Sticky key, which identifies what the command is about; 0 for none.
     pub key: u64,
-    /// By which hosts recognize a retry of a deduplicated command, the same for each attempt; 0 for none.
+    /// Key by which hosts recognize a repeated deduplicated command, the same for all its attempts; 0 for none.
     pub idempotency_key: u64,
-    /// Microseconds that the client still waits.
+    /// Microseconds that the client will still wait for the answer.
     pub left_us: u64,
-    /// Passed on to the host as it is.
+    /// Body, passed to the host unchanged.
     pub body: Bytes,
 }
 
-/// From a client to a router.
+/// A message from a client to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromClient {
     /// Opens the connection.
     Hello(Hello),
-    /// To be answered once, by `Acked`, `Nacked` or `Failed`.
+    /// Submits a command, which the router answers exactly once, with `Acked`, `Nacked` or `Failed`.
     Command(Command),
-    /// The client no longer waits for this command; no answer is owed.
+    /// The client no longer waits for the command; the router does not have to answer it.
     Abandon {
-        /// The client's number of the command.
+        /// Id of the command.
         id: u64,
     },
-    /// An answer turned out wrong.
+    /// The client found an answer to be wrong.
     WrongAnswer {
-        /// As it came with the answer, on this connection.
+        /// Receipt of the answer, from `Acked` on this connection.
         receipt: u64,
     },
-    /// Was sent by another router of the fleet; refused now.
+    /// Obsolete: formerly sent by other routers of the fleet, now refused. Keeps its place in the encoding.
     Gossip {
-        /// What it sent.
+        /// Content of the former message.
         text: Bytes,
     },
 }
 
-/// From a router to a client.
+/// A message from a router to a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToClient {
-    /// The connection is open.
+    /// Accepts the connection.
     Welcome,
-    /// The connection is closed.
+    /// Refuses the connection or closes it with an error.
     Refused(Refused),
-    /// The command was carried out.
+    /// The command was executed.
     Acked {
-        /// The client's number of the command.
+        /// Id of the command.
         id: u64,
-        /// The build of the host that answered.
+        /// Build of the host that answered.
         build: u16,
-        /// Names the answer, should it turn out wrong.
+        /// Id of the answer, for a later `WrongAnswer`.
         receipt: u64,
         /// The host's answer.
         body: Bytes,
     },
-    /// Trying again is harmless.
+    /// The command was not accepted, and a retry has no additional effect.
     Nacked {
-        /// The client's number of the command.
+        /// Id of the command.
         id: u64,
-        /// Microseconds after which a retry is best, where the router says so.
+        /// Microseconds after which the client should retry; `None` if the router suggests no time.
         retry_after_us: Option<u64>,
     },
-    /// Promises nothing on whether the command had its effect.
+    /// The command failed and may or may not have had its effect.
     Failed {
-        /// The client's number of the command.
+        /// Id of the command.
         id: u64,
     },
-    /// This router takes no more commands; those it has will be answered.
+    /// The router accepts no more commands; those already accepted will be answered.
     Closing,
 }
--- a/crates/spokeflow-proto/src/message/controller.rs
+++ b/crates/spokeflow-proto/src/message/controller.rs
@@ -1,19 +1,19 @@
-//! The link between routers and the release controller.
+//! Messages between routers and the release controller.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Hello, Refused};
 
-/// Where the rollout of a build has got to.
+/// The phase of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// It gets part of the traffic.
+    /// The build gets part of the traffic.
     Canary,
-    /// It is being taken back.
+    /// The build is being rolled back.
     RollingBack,
-    /// It may get all traffic.
+    /// The build may get all traffic.
     Released,
-    /// It was taken back.
+    /// The build was rolled back.
     Withdrawn,
 }
 
@@ -22,43 +22,43 @@
 pub struct RolloutUpdate {
     /// The build.
     pub build: u16,
-    /// Index of its stage.
+    /// Index of the current stage.
     pub stage: u8,
-    /// Where it has got to.
+    /// Phase of the rollout.
     pub phase: RolloutPhase,
-    /// The fraction of traffic that it may get, 0 to 1.
+    /// Fraction of the traffic that the build may get, 0 to 1.
     pub exposure_cap: f32,
-    /// Microseconds that this had been so when it was sent.
+    /// Microseconds between the last change of this state and the sending of this message.
     pub age_us: u64,
 }
 
 /// What a router votes for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoteChoice {
-    /// Takes an earlier vote back.
+    /// Withdraws an earlier vote.
     Abstain,
-    /// The next stage.
+    /// Move to the next stage.
     Promote,
-    /// To stay in this stage.
+    /// Stay in this stage.
     Hold,
-    /// To take the build back.
+    /// Roll the build back.
     RollBack,
 }
 
-/// What became of a vote.
+/// The result of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoteResult {
-    /// It counts.
+    /// The vote counts.
     Counted,
-    /// Not the present build or stage, or no such choice here.
+    /// The vote is not for the current build or stage, or its choice does not apply to the current phase.
     Stale,
-    /// The release controller gets too many votes.
+    /// The release controller received too many votes.
     RateLimited,
-    /// It does not count, for another reason.
+    /// The vote does not count for another reason.
     Refused,
 }
 
-/// One operation at one build, in a sample of all routers' deliveries over a past period.
+/// Statistics of one operation on one build, from a sample of the deliveries of all routers over a past period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeliveryStats {
     /// The build.
@@ -67,48 +67,48 @@
     pub op: u16,
     /// Deliveries in the sample.
     pub sampled: u32,
-    /// Those that did not end with an ack.
+    /// Sampled deliveries that did not end with an ack.
     pub failed: u32,
-    /// Mean microseconds of the others.
+    /// Mean latency of the acked deliveries, in microseconds.
     pub mean_us: u64,
-    /// Microseconds since the period ended.
+    /// Microseconds since the end of the period.
     pub age_us: u64,
 }
 
-/// From a router to the release controller.
+/// A message from a router to the release controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToController {
     /// Opens the connection.
     Hello(Hello),
     /// A vote on the rollout of a build.
     Vote {
-        /// The router's number of the vote, to be returned with the result.
+        /// Id of the vote, assigned by the router and returned with the result.
         ballot: u64,
         /// The build.
         build: u16,
-        /// The stage that the router knows it in.
+        /// Index of the stage that the router votes on.
         stage: u8,
-        /// What is voted for.
+        /// Choice of the router.
         choice: VoteChoice,
     },
 }
 
-/// From the release controller to a router.
+/// A message from the release controller to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromController {
-    /// The connection is open.
+    /// Accepts the connection.
     Welcome,
-    /// The connection is closed.
+    /// Refuses the connection or closes it with an error.
     Refused(Refused),
-    /// Sent after `Welcome`, after each change and from time to time.
+    /// The current state of the rollout, sent after `Welcome`, after each change and periodically.
     RolloutUpdate(RolloutUpdate),
     /// The result of a vote.
     Voted {
-        /// The router's number of the vote.
+        /// Id of the vote.
         ballot: u64,
-        /// What became of it.
+        /// Result of the vote.
         result: VoteResult,
     },
-    /// One message for each operation and build; only to a caller of version 2.
+    /// Delivery statistics, one message per operation and build; sent only to a caller of version 2.
     Stats(DeliveryStats),
 }
--- a/crates/spokeflow-proto/src/message/hello.rs
+++ b/crates/spokeflow-proto/src/message/hello.rs
@@ -1,34 +1,35 @@
-//! The opening of every connection.
+//! The hello that opens every connection, and the message that refuses one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::FrameError;
 
-/// The newest version that a [`Hello`] may name. A router names it only where it wants what came with it: load
-/// reports, statistics of the release controller, sizes of hosts.
+/// The newest protocol version. A router requests it only where it wants the messages added by version 2: load
+/// reports of hosts, delivery statistics of the release controller and host sizes of the endpoint list.
 pub const VERSION: u16 = 2;
-/// The oldest version that a [`Hello`] may name.
+/// The oldest protocol version that is still supported.
 pub const OLDEST_VERSION: u16 = 1;
-/// The mark of this protocol.
+/// The magic bytes at the beginning of every [`Hello`].
 pub const MAGIC: [u8; 4] = *b"SPKF";
 
-/// Opens every connection; the called end answers with `Welcome` or `Refused`.
+/// The first message on every connection, sent by the end that connects. The other end answers with `Welcome` or
+/// `Refused`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`MAGIC`].
+    /// Must be [`MAGIC`].
     pub magic: [u8; 4],
-    /// Of the protocol, as the caller wants it.
+    /// Protocol version that the caller requests.
     pub version: u16,
-    /// What the caller is.
+    /// Role of the caller.
     pub role: Role,
-    /// Index of a router in its fleet; of a client, any number that tells it apart in logs.
+    /// For a router, its index in the fleet; for a client, any number that identifies it in logs.
     pub index: u32,
     /// The caller's zone (site).
     pub zone: u16,
 }
 
 impl Hello {
-    /// A greeting with the oldest version, which every peer accepts.
+    /// Creates a hello with the oldest version, which every peer accepts.
     pub fn new(role: Role, index: u32, zone: u16) -> Self {
         Hello {
             magic: MAGIC,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The same, asking for what came with the newest version.
+    /// Returns this hello with the newest version.
     pub fn with_newest_version(self) -> Self {
         Hello {
             version: VERSION,
@@ -47,16 +48,17 @@
         }
     }
 
-    /// Whether the caller understands what came with the newest version.
+    /// Returns whether the caller requests the newest version.
     pub fn has_newest_version(&self) -> bool {
         self.version >= VERSION
     }
 
-    /// Checks whether this end can serve the caller, which has to have one of these roles.
+    /// Checks the magic bytes, the version, and that the role is one of `roles`.
     ///
     /// # Errors
     ///
-    /// [`FrameError::NotSpokeflow`], [`FrameError::WrongVersion`] or [`FrameError::WrongRole`], the first that applies.
+    /// Returns the first that applies of [`FrameError::NotSpokeflow`], [`FrameError::WrongVersion`] and
+    /// [`FrameError::WrongRole`].
     pub fn check(&self, roles: &[Role]) -> Result<(), FrameError> {
         if self.magic != MAGIC {
             return Err(FrameError::NotSpokeflow);
@@ -71,20 +73,20 @@
     }
 }
 
-/// What a caller is.
+/// The role of the end that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// A client of a router.
+    /// A client, which connects to a router.
     Client,
-    /// A router that calls a host, the endpoint list, the release controller or another router.
+    /// A router, which connects to a host, the endpoint list, the release controller or another router.
     Router,
 }
 
-/// Why a connection is closed, in the last frame on it.
+/// The reason for closing a connection, sent as its last message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// [`FrameError::code`] of the error.
+    /// Error code, as [`FrameError::code`] returns it.
     pub code: u8,
-    /// The error in words.
+    /// Error message for people.
     pub text: String,
 }
--- a/crates/spokeflow-proto/src/message/host.rs
+++ b/crates/spokeflow-proto/src/message/host.rs
@@ -1,94 +1,94 @@
-//! The link between routers and hosts.
+//! Messages between routers and hosts.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::{Hello, Refused};
 
-/// From a router to a host.
+/// A message from a router to a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToHost {
     /// Opens the connection.
     Hello(Hello),
-    /// A command to be carried out, as [`crate::Command`] describes it.
+    /// Delivers a command to be executed. See [`crate::Command`] for the fields of the command.
     Deliver {
-        /// The router's number of this delivery, never used twice on a connection.
+        /// Id of the delivery, assigned by the router and never reused on a connection.
         delivery: u64,
         /// Index of the operation.
         op: u16,
         /// Index of the tenant.
         tenant: u32,
-        /// What the command is about; 0 for none.
+        /// Sticky key of the command; 0 for none.
         key: u64,
-        /// By which the host recognizes a retry; 0 for none.
+        /// Key by which the host recognizes a repeated command; 0 for none.
         idempotency_key: u64,
-        /// After so many microseconds nobody waits for the answer.
+        /// Microseconds after which nobody waits for the answer any longer.
         left_us: u64,
-        /// The client's, as it is.
+        /// Body of the command, unchanged from the client.
         body: Bytes,
     },
-    /// Nobody waits any longer. The host may stop the work or not; it need not answer.
+    /// Nobody waits for the delivery any longer. The host may drop it or carry on, and does not have to answer.
     Cancel {
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
     },
-    /// Asks for `Probed`.
+    /// Requests a `Probed` with the same id.
     Probe {
-        /// To be returned.
+        /// Id of the probe, returned in `Probed`.
         probe: u64,
     },
-    /// Asks whether the connection still works: answered with `Pong` at once, however busy the host is.
+    /// Checks that the connection works. The host answers with `Pong` at once, however busy it is.
     Ping,
 }
 
-/// From a host to a router.
+/// A message from a host to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromHost {
-    /// The connection is open.
+    /// Accepts the connection.
     Welcome {
-        /// The host's number on the endpoint list.
+        /// Number of the host on the endpoint list.
         host: u32,
-        /// The build that it runs.
+        /// Build that the host runs.
         build: u16,
-        /// Grows with each start of the host's process.
+        /// Number that increases with each start of the host's process.
         incarnation: u64,
-        /// Microseconds since that start.
+        /// Microseconds since the process started.
         up_us: u64,
     },
-    /// The connection is closed.
+    /// Refuses the connection or closes it with an error.
     Refused(Refused),
-    /// The command was carried out.
+    /// The command was executed.
     Acked {
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
-        /// The answer.
+        /// The answer to the client.
         body: Bytes,
     },
-    /// It ran, or may have run, and failed.
+    /// The command failed after it ran or may have run.
     Error {
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
     },
-    /// The host has no capacity: it was not looked at and will never run.
+    /// The host has no capacity. The command has not run and will not run.
     Full {
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
     },
-    /// The answer has begun.
+    /// The host has begun to send the answer.
     ResponseStarted {
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
     },
     /// Answers a `Probe`.
     Probed {
-        /// As it came.
+        /// Id of the probe, unchanged.
         probe: u64,
     },
     /// Answers a `Ping`.
     Pong,
-    /// How busy the host is; only to a caller of version 2.
+    /// Reports how busy the host is; sent only to a caller of version 2.
     LoadReport {
-        /// Thousandths of its cores.
+        /// Busy share of the host's cores, in thousandths.
         busy: u16,
     },
 }
--- a/crates/spokeflow-proto/src/message/list.rs
+++ b/crates/spokeflow-proto/src/message/list.rs
@@ -1,90 +1,91 @@
-//! The link between routers and the endpoint list.
+//! Messages between routers and the endpoint list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Hello, Refused};
 
-/// Whether a host may get work.
+/// The phase of a host, which decides whether it may get commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointPhase {
-    /// It runs no more, or is about to end.
+    /// The host has stopped or is about to stop.
     Gone,
-    /// It takes commands.
+    /// The host accepts commands.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The host finishes the commands that it has and must get no new ones.
     Draining,
 }
 
 /// One host on the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Number of the host, which it keeps over restarts.
+    /// Number of the host, which stays the same across restarts.
     pub host: u32,
     /// Address and port, as text.
     pub address: String,
-    /// The build that it runs, where that is known.
+    /// Build that the host runs; `None` if unknown.
     pub build: Option<u16>,
-    /// The cell that it belongs to.
+    /// Cell that the host belongs to.
     pub cell: u16,
-    /// The zone that it runs in.
+    /// Zone that the host runs in.
     pub zone: u16,
-    /// Whether it may get work.
+    /// Phase of the host.
     pub phase: EndpointPhase,
-    /// Grows with each start of the host's process.
+    /// Number that increases with each start of the host's process.
     pub incarnation: u64,
-    /// Microseconds since the start of its process when this was sent; `None` for long ago.
+    /// Microseconds between the start of the host's process and the sending of this record; `None` if it started
+    /// long ago.
     pub up_us: Option<u64>,
 }
 
-/// From a router to the endpoint list.
+/// A message from a router to the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToList {
     /// Opens the connection.
     Hello(Hello),
-    /// Asks for the changes from now on, after those missed.
+    /// Requests the changes since version `have`, then all further changes.
     Watch {
-        /// The version that the router has, if any.
+        /// Version of the list that the router has; `None` for none.
         have: Option<u64>,
     },
-    /// Asks for the complete list, once.
+    /// Requests the complete list once.
     Fetch,
 }
 
-/// From the endpoint list to a router.
+/// A message from the endpoint list to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromList {
-    /// The connection is open.
+    /// Accepts the connection.
     Welcome,
-    /// The connection is closed.
+    /// Refuses the connection or closes it with an error.
     Refused(Refused),
-    /// All hosts: one that is not among them is gone.
+    /// The complete list. A host that is not in it is gone.
     Complete {
         /// Version of the list.
         version: u64,
         /// The hosts.
         endpoints: Vec<EndpointRecord>,
     },
-    /// Hosts that have changed.
+    /// The hosts that have changed.
     Changes {
-        /// Version of the list with these changes.
+        /// Version of the list after these changes.
         version: u64,
-        /// The hosts as they are now.
+        /// The changed hosts in their current state.
         endpoints: Vec<EndpointRecord>,
     },
-    /// The list cannot be read now.
+    /// The list is currently not available.
     Failed,
-    /// Relative capacities of hosts that have been listed before; only to a caller of version 2.
+    /// Relative capacities of hosts that were listed before; sent only to a caller of version 2.
     Sizes {
-        /// Those that are known.
+        /// The known sizes.
         sizes: Vec<HostSize>,
     },
 }
 
-/// The capacity of a host against other hosts'.
+/// The capacity of a host relative to the other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostSize {
     /// Number of the host.
     pub host: u32,
-    /// In any unit, the same for all hosts.
+    /// Capacity in any unit that is the same for all hosts.
     pub size: f32,
 }
--- a/crates/spokeflow-proto/tests/frames.rs
+++ b/crates/spokeflow-proto/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames as a peer could send them: complete, in pieces, truncated, oversized, unknown, and any bytes at all.
+//! Encoding and decoding of frames: complete, fragmented, truncated, oversized and malformed ones, and random bytes.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn the_written_form_is_the_documented_one() {
-    // docs/protocol.md shows these bytes: a change here is a new version of the protocol.
+fn the_encoding_is_the_documented_one() {
+    // docs/protocol.md shows these bytes; changing them requires a new protocol version.
     let hello = bytes_of(&FromClient::Hello(Hello::new(Role::Client, 5, 2)));
     assert_eq!(
         &hello[..],
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_frame_may_come_byte_by_byte() {
+fn a_frame_that_arrives_byte_by_byte_is_decoded() {
     let sent = command(vec![1, 2, 3]);
     let mut codec = Codec::new(WORK_LIMIT);
     let mut decoded = Vec::new();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_frame_cut_by_the_end_is_truncated_and_yields_nothing() {
+fn a_frame_cut_by_the_end_of_the_connection_is_truncated_and_yields_no_message() {
     let whole = bytes_of(&command(vec![9; 50]));
     for cut in 1..whole.len() {
         let mut codec = Codec::new(WORK_LIMIT);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_oversized_frame_is_refused_by_its_length_alone_and_never_written() {
+fn an_oversized_frame_is_refused_by_its_length_alone_and_not_encoded() {
     let mut from = BytesMut::from(&((WORK_LIMIT as u32 + 1).to_be_bytes())[..]);
     let error = Codec::new(WORK_LIMIT).decode(&mut from).unwrap_err();
     assert!(matches!(error, FrameError::Oversized { .. }), "{error}");
@@ -129,7 +129,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_give_messages_or_an_error_and_never_more_memory_than_a_frame(
+    fn random_bytes_give_messages_or_an_error_and_reserve_memory_for_one_frame_only(
         bytes in prop::collection::vec(any::<u8>(), 0..200)
     ) {
         let mut from = BytesMut::from(&bytes[..]);
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn a_written_message_is_read_back(body in prop::collection::vec(any::<u8>(), 0..300), id: u64, key: u64) {
+    fn an_encoded_message_is_decoded_unchanged(body in prop::collection::vec(any::<u8>(), 0..300), id: u64, key: u64) {
         let sent = FromClient::Command(Command {
             id, op: 1, tenant: 2, key, idempotency_key: id ^ key, left_us: 5, body: Bytes::from(body),
         });
--- a/crates/spokeflow-proto/tests/frames_of_start.rs
+++ b/crates/spokeflow-proto/tests/frames_of_start.rs
@@ -1,11 +1,11 @@
-//! Frames that commit d62ab1d encoded, read by the present code.
+//! Compatibility of the encoding with commit d62ab1d.
 //!
-//! `fixtures/d62ab1d/frames.txt` holds one frame a line: the name that the message had at that
+//! `fixtures/d62ab1d/frames.txt` holds one frame per line: the name that the message had at that
 //! commit, then the whole frame (length and body) in hexadecimal digits. Each line is decoded and
-//! compared with a value that is written out here, in which no two fields hold the same number, so
-//! that fields which changed places are noticed; encoding that value has to give the same bytes.
-//! The names are those of d62ab1d and stay as they are when a type is renamed. The values of all links are one file,
-//! longer than others, so that each kind of frame in the fixture has its place in one list.
+//! compared with a value written out here, and encoding that value must give the same bytes. No two
+//! fields of a value hold the same number, so that swapped fields are noticed. The names are those
+//! of d62ab1d and stay when a type is renamed. The values of all links are in this one file, so that
+//! it covers the whole fixture.
 
 use std::fmt::Debug;
 
@@ -17,7 +17,7 @@
 
 const FRAMES: &str = include_str!("fixtures/d62ab1d/frames.txt");
 
-/// A value beside the name under which its frame is found in the file.
+/// A message and the name of its frame in the fixture.
 type Named<Message> = (&'static str, Message);
 
 fn bytes_of(digits: &str) -> Vec<u8> {
@@ -26,7 +26,7 @@
     pairs.map(byte).collect()
 }
 
-/// Names and bytes of all lines whose name begins with this type's.
+/// Returns the names and bytes of all frames of this type in the fixture.
 fn frames_of(type_name: &str) -> Vec<(&'static str, Vec<u8>)> {
     let lines = FRAMES.lines().map(|line| line.split_once(' ').unwrap());
     let of_type = lines.filter(|(name, _)| name.split_once("::").unwrap().0 == type_name);
@@ -49,7 +49,8 @@
     frame.to_vec()
 }
 
-/// Each line of this type, in the file's order, against the value written out for it.
+/// Checks that each frame of this type, in the fixture's order, decodes to the expected message and is encoded
+/// from it.
 fn check_frames<Message>(type_name: &str, expected: &[Named<Message>])
 where
     Message: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -66,7 +67,7 @@
     check_every_kind::<Message>(&frames);
 }
 
-/// The kinds (first byte of a body) that are in the file are all that the type has.
+/// Checks that the fixture holds every message kind (first byte of a body) of the type.
 fn check_every_kind<Message: DeserializeOwned + Debug>(frames: &[(&str, Vec<u8>)]) {
     let mut kinds: Vec<u8> = frames.iter().map(|frame| frame.1[4]).collect();
     kinds.dedup();
@@ -79,8 +80,8 @@
     );
 }
 
-/// Each value is of the variant that its name says. The functions that tell the variants have no
-/// arm for all others, so that a new variant does not compile before it is named there.
+/// Checks that each message is of the variant that its name says. The `name_of` functions have no wildcard
+/// arm, so that a new variant does not compile until it is named there.
 fn check_names<Message>(expected: &[Named<Message>], name_of: impl Fn(&Message) -> &'static str) {
     for (name, message) in expected {
         let rest = name.strip_prefix(name_of(message));
@@ -334,7 +335,7 @@
 }
 
 fn from_list() -> Vec<Named<FromList>> {
-    let whole = FromList::Complete {
+    let complete = FromList::Complete {
         version: 1_001,
         endpoints: vec![full_record(EndpointPhase::Ready), record_without_options()],
     };
@@ -357,7 +358,7 @@
     vec![
         ("FromList::Welcome", FromList::Welcome),
         ("FromList::Refused", FromList::Refused(refused())),
-        ("FromList::Whole", whole),
+        ("FromList::Whole", complete),
         ("FromList::Changes/Gone", changes(EndpointPhase::Gone)),
         ("FromList::Changes/Ready", changes(EndpointPhase::Ready)),
         (
@@ -409,7 +410,7 @@
 }
 
 fn from_controller() -> Vec<Named<FromController>> {
-    let count = DeliveryStats {
+    let stats = DeliveryStats {
         build: 301,
         op: 302,
         sampled: 70_003,
@@ -440,7 +441,7 @@
         ("FromDesk::Voted/Moot", voted(VoteResult::Stale)),
         ("FromDesk::Voted/TooMany", voted(VoteResult::RateLimited)),
         ("FromDesk::Voted/Refused", voted(VoteResult::Refused)),
-        ("FromDesk::Counted", FromController::Stats(count)),
+        ("FromDesk::Counted", FromController::Stats(stats)),
     ]
 }
 
@@ -465,7 +466,7 @@
 }
 
 #[test]
-fn frames_between_client_and_router_are_read_and_written_as_before() {
+fn client_link_frames_are_compatible() {
     check_frames("FromClient", &from_client());
     check_names(&from_client(), name_of_from_client);
     check_frames("ToClient", &to_client());
@@ -473,7 +474,7 @@
 }
 
 #[test]
-fn frames_between_router_and_host_are_read_and_written_as_before() {
+fn host_link_frames_are_compatible() {
     check_frames("ToHost", &to_host());
     check_names(&to_host(), name_of_to_host);
     check_frames("FromHost", &from_host());
@@ -481,7 +482,7 @@
 }
 
 #[test]
-fn frames_between_router_and_list_are_read_and_written_as_before() {
+fn list_link_frames_are_compatible() {
     check_frames("ToList", &to_list());
     check_names(&to_list(), name_of_to_list);
     check_frames("FromList", &from_list());
@@ -489,7 +490,7 @@
 }
 
 #[test]
-fn frames_between_router_and_release_controller_are_read_and_written_as_before() {
+fn release_controller_link_frames_are_compatible() {
     check_frames("ToDesk", &to_controller());
     check_names(&to_controller(), name_of_to_controller);
     check_frames("FromDesk", &from_controller());
