--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -6,7 +6,7 @@
 
 /// What the link between two sites carries; a cut may concern one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkDirection {
+pub enum LinkKind {
     /// Commands between routers and hosts.
     Hosts,
     /// News of the host list and the release controller.
@@ -18,7 +18,7 @@
 /// The delay one way between two sites.
 pub const BETWEEN_SITES: Micros = 2 * MS;
 /// How long a lost packet waits to be sent again.
-pub const RESENT_AFTER: Micros = 200 * MS;
+pub const RETRANSMISSION_DELAY: Micros = 200 * MS;
 
 /// The faults that are active now; zero, false or none where one is not.
 #[derive(Clone, Debug, Default)]
@@ -79,7 +79,7 @@
             FaultKind::Shift => self.shift = fault.size.clamp(0.0, 1.0),
             FaultKind::Worthless => self.worthless = fault.size,
             FaultKind::GiveUp => self.give_up = fault.size.clamp(0.0, 1.0),
-            FaultKind::RepeatStorm => self.repeats = fault.size,
+            FaultKind::RetryStorm => self.repeats = fault.size,
             FaultKind::HotKey => self.hot_key = fault.size.clamp(0.0, 1.0),
             _ => return false,
         }
@@ -106,7 +106,7 @@
             FaultKind::Shift => self.shift = 0.0,
             FaultKind::Worthless => self.worthless = 0.0,
             FaultKind::GiveUp => self.give_up = 0.0,
-            FaultKind::RepeatStorm => self.repeats = 0.0,
+            FaultKind::RetryStorm => self.repeats = 0.0,
             FaultKind::HotKey => self.hot_key = 0.0,
             _ => return,
         }
@@ -116,14 +116,14 @@
     }
 
     /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn delay(&self, from: u16, to: u16, direction: LinkDirection) -> Option<Micros> {
+    pub fn delay(&self, from: u16, to: u16, direction: LinkKind) -> Option<Micros> {
         if from == to {
             return Some(0);
         }
         let touches = |site: u16| site == from || site == to;
         let cut = match direction {
-            LinkDirection::Hosts => self.cut_hosts,
-            LinkDirection::ControlSite => self.cut_control_site,
+            LinkKind::Hosts => self.cut_hosts,
+            LinkKind::ControlSite => self.cut_control_site,
         };
         if cut.is_some_and(touches) {
             return None;
--- a/crates/spokeflow-scenario/src/flags.rs
+++ b/crates/spokeflow-scenario/src/flags.rs
@@ -209,7 +209,7 @@
         day.sites = self.sites.unwrap_or(day.sites);
         self.apply_capacity(&mut day)?;
         if self.majority {
-            day = day.by_majority();
+            day = day.with_majority_gate();
         }
         self.apply_habits(&mut day)?;
         Ok(day)
@@ -228,7 +228,7 @@
         day.hosts = hosts;
         day.cores = cores;
         if (rate - day.rate).abs() > SAME_RATE {
-            day.at_rate(rate);
+            day.set_rate(rate);
         }
         Ok(())
     }
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// Names the first flag with a value it does not take.
-    pub fn day(&self) -> Result<Scenario, ScenarioFlagError> {
+    pub fn to_scenario(&self) -> Result<Scenario, ScenarioFlagError> {
         self.with_seed(self.seed)
     }
 
--- a/crates/spokeflow-scenario/src/host/job.rs
+++ b/crates/spokeflow-scenario/src/host/job.rs
@@ -15,7 +15,7 @@
     /// The router's number of the delivery.
     pub delivery: u64,
     /// The client's attempt.
-    pub tried: u64,
+    pub attempt: u64,
     /// The client's command.
     pub command: u64,
     /// Index of the operation.
@@ -23,7 +23,7 @@
     /// The sticky key, 0 for none.
     pub key: u64,
     /// The idempotency key, 0 for none.
-    pub mark: u64,
+    pub idempotency_key: u64,
     /// When nobody waits for it any more.
     pub expires: Micros,
 }
@@ -71,7 +71,7 @@
     /// An op type that needs more work, and how much.
     pub slow_op: (usize, f64),
     /// What a build that slows all hosts does.
-    pub drag: f64,
+    pub shared_slowdown: f64,
     /// What busy hosts on the same machine do.
     pub neighbours: f64,
 }
@@ -83,7 +83,7 @@
             slower: 1.0,
             fails: 0.0,
             slow_op: (usize::MAX, 1.0),
-            drag: 1.0,
+            shared_slowdown: 1.0,
             neighbours: 1.0,
         }
     }
@@ -93,7 +93,7 @@
 #[derive(Debug, PartialEq)]
 pub struct StartedJob {
     /// The client's attempt.
-    pub tried: u64,
+    pub attempt: u64,
     /// The client's command.
     pub command: u64,
     /// Index of the operation.
--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -59,14 +59,14 @@
     /// What faults do to it.
     pub fault: HostFault,
     /// It was sent more than it can bear while it was cold, and is down.
-    pub fallen: bool,
+    pub crashed: bool,
     cores: usize,
     queue_limit: usize,
     started: Option<Micros>,
     cold_from: f64,
     warm_within: Micros,
-    fall_multiple: f64,
-    fall_span: Micros,
+    overload_multiple: f64,
+    overload_window: Micros,
     ops: Vec<Op>,
     waiting: VecDeque<Job>,
     running: Vec<RunningJob>,
@@ -94,14 +94,14 @@
             defect,
             speed,
             fault: HostFault::default(),
-            fallen: false,
+            crashed: false,
             cores: day.cores as usize,
             queue_limit: QUEUE_PER_CORE * day.cores as usize,
             started,
             cold_from: day.cold_from,
             warm_within: day.warm_within,
-            fall_multiple: day.fall_multiple,
-            fall_span: day.fall_span,
+            overload_multiple: day.overload_multiple,
+            overload_window: day.overload_window,
             ops: day.ops.clone(),
             waiting: VecDeque::new(),
             running: Vec::new(),
@@ -116,7 +116,7 @@
     }
 
     /// The part of its capacity that it has by now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn warm_up_fraction(&self, now: Micros) -> f64 {
         let age = self
             .started
             .map_or(self.warm_within, |at| (now - at).clamp(0, self.warm_within));
@@ -143,7 +143,7 @@
         if !self.is_cold(now) {
             return self.reached.clear();
         }
-        let horizon = now - self.fall_span;
+        let horizon = now - self.overload_window;
         while self
             .reached
             .pop_front_if(|work| work.at <= horizon)
@@ -154,7 +154,7 @@
             work: self.ops[op].work as f64 / SECOND as f64,
         });
         let sent: f64 = self.reached.iter().map(|work| work.work).sum();
-        self.fallen |= sent > self.budget(now) + self.chance_beyond(now);
+        self.crashed |= sent > self.budget(now) + self.chance_beyond(now);
     }
 
     fn is_cold(&self, now: Micros) -> bool {
@@ -166,7 +166,7 @@
         if !self.is_cold(now) {
             return true;
         }
-        let horizon = now - self.fall_span;
+        let horizon = now - self.overload_window;
         let recent = self.reached.iter().filter(|work| work.at > horizon);
         let sent: f64 = recent.map(|work| work.work).sum();
         sent < HEADROOM * self.budget(now)
@@ -174,8 +174,8 @@
 
     /// Seconds of work that the multiple of its capacity allows over the span.
     fn budget(&self, now: Micros) -> f64 {
-        let can = self.warmth(now) * self.cores as f64 * self.speed;
-        self.fall_multiple * can * self.fall_span as f64 / SECOND as f64
+        let can = self.warm_up_fraction(now) * self.cores as f64 * self.speed;
+        self.overload_multiple * can * self.overload_window as f64 / SECOND as f64
     }
 
     /// What chance brings beyond that before the host falls, as the operators' page on the fleet has it: with room for N
@@ -194,7 +194,7 @@
     }
 
     /// Begins what a core is free for. Returns what was begun.
-    pub fn begin(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
+    pub fn start_jobs(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
         let mut begun = Vec::new();
         while self.running.len() < self.cores {
             let Some(job) = self.waiting.pop_front() else {
@@ -211,7 +211,9 @@
     fn run(&mut self, now: Micros, job: Job, marks: &mut DeduplicationTable) -> StartedJob {
         let conditions = self.conditions(&job, now);
         let effect = match self.ops[job.op].repeat {
-            Repeat::Deduplicated(memory) if job.mark != 0 => marks.first(job.mark, memory, now),
+            Repeat::Deduplicated(memory) if job.idempotency_key != 0 => {
+                marks.first(job.idempotency_key, memory, now)
+            }
             _ => true,
         };
         let failed = self.rng.random_bool(conditions.failure.clamp(0.0, 1.0));
@@ -222,7 +224,7 @@
         };
         let beyond = self.waiting.len().saturating_sub(2 * self.cores) as f64;
         let slowdown = conditions.slowdown * self.fetch(job.key) * (1.0 + self.thrash * beyond);
-        let mut took = work * slowdown / (self.speed * self.warmth(now));
+        let mut took = work * slowdown / (self.speed * self.warm_up_fraction(now));
         // What fails fast fails at once, and may have had its effect all the same.
         if failed && self.fault.fails > 0.0 {
             took = took.min(FAST_FAILURE);
@@ -235,7 +237,7 @@
             }
         };
         let started = StartedJob {
-            tried: job.tried,
+            attempt: job.attempt,
             command: job.command,
             op: job.op,
             effect,
@@ -298,7 +300,7 @@
     fn conditions(&mut self, job: &Job, now: Micros) -> JobConditions {
         let fault = self.fault;
         let (slow_operation, slow_factor) = fault.slow_op;
-        let mut slowdown = fault.slower * fault.drag * fault.neighbours;
+        let mut slowdown = fault.slower * fault.shared_slowdown * fault.neighbours;
         if job.op == slow_operation {
             slowdown *= slow_factor;
         }
@@ -334,12 +336,12 @@
     }
 
     /// When the next job ends.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_completion(&self) -> Option<Micros> {
         self.running.iter().map(|running| running.ends).min()
     }
 
     /// What has ended by now, in the order of its ends.
-    pub fn ended(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
+    pub fn take_completed(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
         let mut ended: Vec<_> = self
             .running
             .extract_if(.., |running| running.ends <= now)
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -9,7 +9,7 @@
 
 /// How the newest build's rollout stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
+pub struct RolloutStatus {
     /// The newest build.
     pub build: u16,
     /// Its stage, from 0.
@@ -41,9 +41,9 @@
     /// It counts until it expires or another one of its router replaces it.
     Counted,
     /// It does not fit how the rollout stands.
-    Moot,
+    Stale,
     /// Votes come faster than they are taken.
-    TooMany,
+    RateLimited,
 }
 
 /// A place in the fleet and the hosts that fill it.
@@ -103,7 +103,7 @@
 /// The release controller of a run.
 pub struct ReleaseController {
     /// How the newest build's rollout stands.
-    pub state: State,
+    pub state: RolloutStatus,
     /// The fleet's slots.
     pub slots: Vec<HostSlot>,
     /// By stage, the fraction of slots that run the new build.
@@ -148,7 +148,7 @@
             })
             .collect();
         ReleaseController {
-            state: State {
+            state: RolloutStatus {
                 build: 1,
                 stage: 0,
                 rollout: RolloutState::Released,
@@ -186,7 +186,7 @@
                     self.earlier = self.state.build;
                 }
                 self.votes.clear();
-                self.state = State {
+                self.state = RolloutStatus {
                     build,
                     stage: 0,
                     rollout: RolloutState::Canary,
@@ -251,7 +251,7 @@
     }
 
     /// A host runs: it takes its slot, and the one before is drained.
-    pub fn runs(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
+    pub fn on_host_started(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
         let Some(slot) = self
             .slots
             .iter_mut()
@@ -271,7 +271,7 @@
     /// Rolls the newest build back.
     pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let bad = self.state.build;
-        self.state = State {
+        self.state = RolloutStatus {
             rollout: RolloutState::RollingBack,
             cap: 0.0,
             since: now,
@@ -305,10 +305,10 @@
         vote: ControllerVote,
     ) -> VoteOutcome {
         if !self.allowance.take(now) {
-            return VoteOutcome::TooMany;
+            return VoteOutcome::RateLimited;
         }
         if !self.fits(build, stage, vote) {
-            return VoteOutcome::Moot;
+            return VoteOutcome::Stale;
         }
         let counted = CountedVote {
             build,
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -87,7 +87,8 @@
     /// The operations, by index.
     pub ops: Vec<Op>,
     /// The tenants, by index.
-    pub customers: Vec<Tenant>,
+    #[serde(rename = "customers")]
+    pub tenants: Vec<Tenant>,
     /// Distinct sticky keys.
     pub keys: u64,
     /// Builds in the order of their offers; the first is there from the start.
@@ -118,9 +119,11 @@
     /// How long a host takes to reach all of its capacity.
     pub warm_within: Micros,
     /// A cold host falls when sent more than so many times its capacity,
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// over this time.
-    pub fall_span: Micros,
+    #[serde(rename = "fall_span")]
+    pub overload_window: Micros,
     /// Retries of a client, at most.
     pub retries: u32,
     /// A try is given up after this part of the command timeout, at random in between.
@@ -136,7 +139,8 @@
     /// Part of the wrong answers that clients report.
     pub reported: f64,
     /// Routers tell each other what they see.
-    pub tells: bool,
+    #[serde(rename = "tells")]
+    pub may_gossip: bool,
     /// How uneven keys are asked for, the exponent of Zipf's law.
     pub key_skew: f64,
     /// The wave of the traffic: how much of the rate, and how long.
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -32,24 +32,24 @@
         };
         self.routers = routers;
         self.hosts = hosts;
-        self.at_rate(rate);
+        self.set_rate(rate);
         self
     }
 
     /// Another rate, in commands a second, with tenants and keys in step.
-    pub fn at_rate(&mut self, rate: f64) {
+    pub fn set_rate(&mut self, rate: f64) {
         let growth = rate / self.rate;
         self.rate = rate;
-        for tenant in &mut self.customers {
+        for tenant in &mut self.tenants {
             tenant.allowed *= growth;
         }
         self.keys = ((self.keys as f64 * growth) as u64).max(1);
     }
 
     /// A fleet in which a share of all routers must vote and routers tell each other what they see.
-    pub fn by_majority(mut self) -> Scenario {
+    pub fn with_majority_gate(mut self) -> Scenario {
         self.gate = Gate::Majority;
-        self.tells = true;
+        self.may_gossip = true;
         self
     }
 }
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -16,7 +16,7 @@
     /// Index of the operation.
     pub op: usize,
     /// Index of the tenant.
-    pub customer: usize,
+    pub tenant: usize,
     /// The client's site.
     pub site: u16,
     /// The sticky key.
@@ -71,11 +71,11 @@
         let gap = Exp::new(rate).map_or(0.1, |d| d.sample(&mut self.rng));
         self.at += ((gap * SECOND as f64) as Micros).max(1);
         let op = pick(&mut self.rng, day.ops.iter().map(|op| op.share));
-        let weights = day.customers.iter().enumerate().map(|(n, c)| {
+        let weights = day.tenants.iter().enumerate().map(|(n, c)| {
             // Worthless traffic is what one customer sends far beyond its share.
             c.allowed * c.usage * if n == 1 { 1.0 + faults.worthless } else { 1.0 }
         });
-        let customer = pick(&mut self.rng, weights);
+        let tenant = pick(&mut self.rng, weights);
         let shifted = self.rng.random_bool(faults.shift);
         let site = if shifted {
             0
@@ -90,7 +90,7 @@
         };
         PlannedCommand {
             op,
-            customer,
+            tenant,
             site,
             key,
             due: self.at,
@@ -115,7 +115,7 @@
 
 /// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptEnd {
     /// Acknowledged.
     Acked {
         /// The build that answered.
@@ -135,15 +135,17 @@
     GivenUp,
 }
 
-impl TryEnd {
+impl AttemptEnd {
     /// What the command has come to when this attempt is its last, and the build that answered.
     pub fn last(self) -> (End, u16) {
         match self {
-            TryEnd::Acked { build, wrong } => (if wrong { End::Wrong } else { End::Acked }, build),
-            TryEnd::Nacked(_) => (End::Nacked, 0),
-            TryEnd::Unreachable => (End::Unreachable, 0),
-            TryEnd::Failed | TryEnd::Broken => (End::Failed, 0),
-            TryEnd::GivenUp => (End::GivenUp, 0),
+            AttemptEnd::Acked { build, wrong } => {
+                (if wrong { End::Wrong } else { End::Acked }, build)
+            }
+            AttemptEnd::Nacked(_) => (End::Nacked, 0),
+            AttemptEnd::Unreachable => (End::Unreachable, 0),
+            AttemptEnd::Failed | AttemptEnd::Broken => (End::Failed, 0),
+            AttemptEnd::GivenUp => (End::GivenUp, 0),
         }
     }
 }
@@ -174,7 +176,7 @@
     }
 
     /// Begins an attempt: how long the client says that it waits, and how long it does. `None`: no time is left.
-    pub fn try_again(
+    pub fn begin_attempt(
         &mut self,
         day: &Scenario,
         faults: &ActiveFaults,
@@ -199,18 +201,18 @@
     }
 
     /// After how long the client tries again; `None`: this end is the last.
-    pub fn after(
+    pub fn retry_delay(
         &mut self,
         day: &Scenario,
         faults: &ActiveFaults,
         now: Micros,
-        end: TryEnd,
+        end: AttemptEnd,
     ) -> Option<Micros> {
         let (again, pause) = match end {
-            TryEnd::Acked { .. } => return None,
-            TryEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
-            TryEnd::Unreachable => (true, 0),
-            TryEnd::Failed | TryEnd::Broken | TryEnd::GivenUp => (false, 0),
+            AttemptEnd::Acked { .. } => return None,
+            AttemptEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
+            AttemptEnd::Unreachable => (true, 0),
+            AttemptEnd::Failed | AttemptEnd::Broken | AttemptEnd::GivenUp => (false, 0),
         };
         let op = &day.ops[self.command.op];
         let harmless = match op.repeat {
--- a/crates/spokeflow-scenario/tests/host.rs
+++ b/crates/spokeflow-scenario/tests/host.rs
@@ -8,11 +8,11 @@
     Job {
         from: 1,
         delivery: n,
-        tried: n,
+        attempt: n,
         command: n,
         op,
         key: n,
-        mark: n,
+        idempotency_key: n,
         expires: 100 * SECOND,
     }
 }
@@ -26,19 +26,22 @@
 #[test]
 fn a_cold_host_does_less_and_falls_when_sent_more_than_its_budget() {
     let (_, mut cold) = host(Some(0));
-    assert!((cold.warmth(0) - 0.31).abs() < 1e-9 && (cold.warmth(3_700_000) - 1.0).abs() < 1e-9);
+    assert!(
+        (cold.warm_up_fraction(0) - 0.31).abs() < 1e-9
+            && (cold.warm_up_fraction(3_700_000) - 1.0).abs() < 1e-9
+    );
     // Three times 0.31 cores for three seconds bear 2.79 s of work: 21 of 130 ms, 3 roots of what that is of mean
     // work and 3 more.
     let fell_at = (1..60).find(|n| {
         cold.arrive(1000, job(*n, 0));
-        cold.fallen
+        cold.crashed
     });
     assert_eq!(fell_at, Some(41));
     let (_, mut warm) = host(None);
     (0..60).for_each(|n| {
         warm.arrive(1000, job(n, 0));
     });
-    assert!(!warm.fallen);
+    assert!(!warm.crashed);
 }
 
 #[test]
@@ -47,12 +50,12 @@
     let taken = (1..60).filter(|n| host.arrive(0, job(*n, 1))).count();
     assert_eq!(taken, 24);
     let mut marks = DeduplicationTable::default();
-    let first = host.begin(0, &mut marks);
+    let first = host.start_jobs(0, &mut marks);
     assert!(first[0].effect);
-    host.cancel(1, first[0].tried);
+    host.cancel(1, first[0].attempt);
     (2..60).for_each(|n| host.cancel(1, n));
-    host.arrive(1, job(first[0].tried, 1));
-    assert!(!host.begin(1, &mut marks)[0].effect);
+    host.arrive(1, job(first[0].attempt, 1));
+    assert!(!host.start_jobs(1, &mut marks)[0].effect);
 }
 
 #[test]
@@ -66,19 +69,19 @@
         },
     );
     assert!(host
-        .begin(10, &mut DeduplicationTable::default())
+        .start_jobs(10, &mut DeduplicationTable::default())
         .is_empty());
-    assert_eq!(host.next(), None);
+    assert_eq!(host.next_completion(), None);
 }
 
 #[test]
 fn a_host_that_hangs_says_nothing() {
     let (_, mut host) = host(None);
     host.arrive(0, job(1, 0));
-    host.begin(0, &mut DeduplicationTable::default());
+    host.start_jobs(0, &mut DeduplicationTable::default());
     host.fault.hangs = true;
-    let at = host.next().unwrap();
-    assert_eq!(host.ended(at)[0].1, JobOutcome::Silent);
+    let at = host.next_completion().unwrap();
+    assert_eq!(host.take_completed(at)[0].1, JobOutcome::Silent);
 }
 
 #[test]
@@ -102,7 +105,7 @@
         };
         let mut host = Host::new(&day, BuildDefect::None, 1.0, None, 5);
         assert!((1..3).all(|n| host.arrive(0, job(n, 0))));
-        host.begin(0, &mut DeduplicationTable::default());
+        host.start_jobs(0, &mut DeduplicationTable::default());
         (1..3).for_each(|n| host.cancel(1, n));
         assert_eq!(host.queued(), left);
     }
--- a/crates/spokeflow-scenario/tests/traffic.rs
+++ b/crates/spokeflow-scenario/tests/traffic.rs
@@ -2,7 +2,7 @@
 
 use spokeflow_scenario::active_faults::ActiveFaults;
 use spokeflow_scenario::scenario::Scenario;
-use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, Client, PlannedCommand, Traffic};
 use spokeflow_scenario::SECOND;
 
 #[test]
@@ -26,9 +26,9 @@
         "bursts of a second each eleven or so add to it: {rate}"
     );
     assert!(one.windows(2).all(|w| w[0].due < w[1].due));
-    let by_customer = |c| one.iter().filter(|w| w.customer == c).count();
+    let by_tenant = |c| one.iter().filter(|w| w.tenant == c).count();
     assert!(
-        by_customer(0) > 2 * by_customer(3),
+        by_tenant(0) > 2 * by_tenant(3),
         "customers send by what they are allowed and use"
     );
 }
@@ -39,25 +39,25 @@
     let again = |op, end, now| {
         let wanted = PlannedCommand {
             op,
-            customer: 0,
+            tenant: 0,
             site: 0,
             key: 1,
             due: 0,
             seed: 3,
         };
         let mut client = Client::new(wanted);
-        client.try_again(&day, &faults, now).unwrap();
-        client.after(&day, &faults, now, end)
+        client.begin_attempt(&day, &faults, now).unwrap();
+        client.retry_delay(&day, &faults, now, end)
     };
-    assert!(again(0, TryEnd::Failed, 0).is_some() && again(2, TryEnd::Failed, 0).is_none());
+    assert!(again(0, AttemptEnd::Failed, 0).is_some() && again(2, AttemptEnd::Failed, 0).is_none());
     assert!(
-        again(1, TryEnd::Broken, SECOND).is_some()
-            && again(1, TryEnd::Broken, 3 * SECOND).is_none()
+        again(1, AttemptEnd::Broken, SECOND).is_some()
+            && again(1, AttemptEnd::Broken, 3 * SECOND).is_none()
     );
-    assert!(again(2, TryEnd::Nacked(Some(SECOND)), 0).is_some_and(|p| p >= SECOND));
+    assert!(again(2, AttemptEnd::Nacked(Some(SECOND)), 0).is_some_and(|p| p >= SECOND));
     assert!(again(
         0,
-        TryEnd::Acked {
+        AttemptEnd::Acked {
             build: 1,
             wrong: false
         },
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -28,7 +28,7 @@
     };
     let service = ServiceConfig {
         ops: day.ops.iter().map(op).collect(),
-        tenant_quotas: day.customers.iter().map(|c| c.allowed).collect(),
+        tenant_quotas: day.tenants.iter().map(|c| c.allowed).collect(),
         own_zone: ZoneId((index % u32::from(day.sites)) as u16),
         own_index: index,
         fleet_size: day.routers,
@@ -39,14 +39,14 @@
         may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_gossip: day.tells,
+        may_gossip: day.may_gossip,
         may_name_retry_after: true,
         longest_retry_after: 2 * SECOND,
         drain_grace: day.drain_grace,
         slow_start_from: day.cold_from,
         warm_up_time: day.warm_within,
-        overload_multiple: day.fall_multiple,
-        overload_window: day.fall_span,
+        overload_multiple: day.overload_multiple,
+        overload_window: day.overload_window,
         gate: match day.gate {
             scenario::Gate::Single => Gate::Single,
             scenario::Gate::Majority => Gate::Majority,
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::FromHost;
-use spokeflow_scenario::active_faults::{LinkDirection, RESENT_AFTER};
+use spokeflow_scenario::active_faults::{LinkKind, RETRANSMISSION_DELAY};
 use spokeflow_scenario::host::Job;
 use spokeflow_scenario::observation::{Observation, ReplyKind};
 use spokeflow_scenario::{Micros, MS};
@@ -30,7 +30,7 @@
             self.routers[router as usize].site,
         );
         self.faults
-            .delay(a, b, LinkDirection::Hosts)
+            .delay(a, b, LinkKind::Hosts)
             .map(|way| way.max(LOCAL_DELAY))
     }
 
@@ -41,10 +41,10 @@
         let mut late = 0;
         while between
             && self.faults.loss > 0.0
-            && late < 8 * RESENT_AFTER
+            && late < 8 * RETRANSMISSION_DELAY
             && self.rng.random_bool(self.faults.loss)
         {
-            late += RESENT_AFTER.max(late);
+            late += RETRANSMISSION_DELAY.max(late);
         }
         self.way(pair).unwrap_or(2 * MS) + late
     }
@@ -112,7 +112,7 @@
         let runs = self.host_slots[seat]
             .process
             .as_ref()
-            .is_some_and(|p| !p.model.fallen);
+            .is_some_and(|p| !p.model.crashed);
         let p = &mut self.host_links[pair];
         p.epoch += 1;
         p.link = Link::Connecting;
@@ -137,7 +137,7 @@
         let process = self.host_slots[seat]
             .process
             .as_ref()
-            .filter(|p| !p.model.fallen && !fails);
+            .filter(|p| !p.model.crashed && !fails);
         let (incarnation, began) = process.map_or((0, 0), |p| (p.incarnation, p.began));
         if process.is_none() || self.way(pair).is_none() {
             let drawn = self.rng.random_range(0.5..1.0);
@@ -241,7 +241,7 @@
         let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
-            .filter(|p| !p.model.fallen)
+            .filter(|p| !p.model.crashed)
         else {
             return;
         };
@@ -264,15 +264,15 @@
                 let job = Job {
                     from,
                     delivery,
-                    tried,
+                    attempt: tried,
                     command,
                     op,
                     key,
-                    mark,
+                    idempotency_key: mark,
                     expires,
                 };
                 let taken = process.model.arrive(self.now, job);
-                if process.model.fallen {
+                if process.model.crashed {
                     return self.fell(seat);
                 }
                 if !taken {
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -103,7 +103,7 @@
             incarnation,
             started,
         };
-        let at = self.registry.know_at(self.now + late, entry);
+        let at = self.registry.schedule_update(self.now + late, entry);
         if at > self.now {
             self.plan_at(at, Event::RegistryTick);
         }
@@ -149,7 +149,7 @@
         self.host_slots[seat].started = Some(self.now);
         self.run_host(host);
         let mut orders = Vec::new();
-        self.controller.runs(self.now, host, &mut orders);
+        self.controller.on_host_started(self.now, host, &mut orders);
         self.carry_out(orders);
     }
 
@@ -161,7 +161,7 @@
         let busy = self.host_slots[seat]
             .process
             .as_ref()
-            .is_some_and(|p| p.model.queued() > 0 && !p.model.fallen);
+            .is_some_and(|p| p.model.queued() > 0 && !p.model.crashed);
         if busy {
             return self.plan(100 * MS, Event::HostStops(host));
         }
@@ -214,13 +214,13 @@
         let Some(process) = self.host_slots[seat]
             .process
             .as_mut()
-            .filter(|p| !p.model.fallen)
+            .filter(|p| !p.model.crashed)
         else {
             return;
         };
-        let ended = process.model.ended(self.now);
-        let begun = process.model.begin(self.now, &mut self.deduplication);
-        let next = process.model.next();
+        let ended = process.model.take_completed(self.now);
+        let begun = process.model.start_jobs(self.now, &mut self.deduplication);
+        let next = process.model.next_completion();
         let incarnation = process.incarnation;
         if let Some(at) = next.filter(|at| *at < process.due) {
             process.due = at;
@@ -234,7 +234,7 @@
             );
         }
         for (job, done) in ended {
-            let (delivery, tried) = (job.delivery, job.tried);
+            let (delivery, tried) = (job.delivery, job.attempt);
             let (word, kind) = match done {
                 JobOutcome::Acked { wrong } => {
                     (RouterMessage::Acked { delivery, wrong }, ReplyKind::Acked)
@@ -251,7 +251,7 @@
             self.reply((job.from >> 32) as usize, job.from as u32, word);
         }
         for begun in begun.into_iter().filter(|b| b.effect) {
-            let (tried, command, op) = (begun.tried, begun.command, begun.op as u16);
+            let (tried, command, op) = (begun.attempt, begun.command, begun.op as u16);
             self.note(Observation::Ran {
                 host,
                 build,
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -5,11 +5,11 @@
 use spokeflow_core::{BuildId, HostId};
 use spokeflow_engine::{Transport, TransportFailure};
 use spokeflow_proto::{ToClient, ToController, ToHost, ToList, VoteChoice};
-use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkKind;
 use spokeflow_scenario::observation::Process;
 use spokeflow_scenario::release_controller::ControllerVote;
 use spokeflow_scenario::scenario::BuildDefect;
-use spokeflow_scenario::traffic::TryEnd;
+use spokeflow_scenario::traffic::AttemptEnd;
 use spokeflow_scenario::Micros;
 
 use super::clients::read_body;
@@ -103,7 +103,7 @@
                 body,
             } => (
                 id,
-                TryEnd::Acked {
+                AttemptEnd::Acked {
                     build,
                     wrong: &body[..] == b"wrong",
                 },
@@ -112,8 +112,8 @@
             ToClient::Nacked {
                 id,
                 retry_after_us: come_back_us,
-            } => (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
-            ToClient::Failed { id } => (id, TryEnd::Failed, 0),
+            } => (id, AttemptEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
+            ToClient::Failed { id } => (id, AttemptEnd::Failed, 0),
             _ => return,
         };
         self.world.plan(
@@ -230,7 +230,7 @@
             };
             let (by, site) = (seat.process, seat.site);
             // Event meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
+            if let Some(way) = self.world.faults.delay(own, site, LinkKind::Hosts) {
                 let text = text.clone();
                 self.world.plan(
                     way.max(LOCAL_DELAY),
@@ -279,7 +279,7 @@
         };
         let (seat, _) = self.world.ends_of(pair);
         let seat = &self.world.host_slots[seat];
-        let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
+        let Some(process) = seat.process.as_ref().filter(|p| !p.model.crashed) else {
             return none;
         };
         let (model, now) = (&process.model, self.world.now);
@@ -287,7 +287,8 @@
             up: !model.fault.hangs,
             work_before: model.work_before(now),
             delay: self.world.way(pair),
-            speed: model.speed * model.warmth(now) / (model.fault.slower * model.fault.drag),
+            speed: model.speed * model.warm_up_fraction(now)
+                / (model.fault.slower * model.fault.shared_slowdown),
             failure_rate: model.fault.fails,
             has_headroom: model.has_headroom(now),
         }
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -9,7 +9,7 @@
 use spokeflow_scenario::report::{End, Outcome};
 use spokeflow_scenario::router_picker::RouterPicker;
 use spokeflow_scenario::scenario::Repeat;
-use spokeflow_scenario::traffic::{Client, PlannedCommand, Traffic, TryEnd};
+use spokeflow_scenario::traffic::{AttemptEnd, Client, PlannedCommand, Traffic};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, sleep_until, timeout};
 
@@ -86,7 +86,7 @@
         let outcome = Outcome {
             command: number,
             op: planned.op,
-            customer: planned.customer,
+            tenant: planned.tenant,
             site: planned.site,
             due: planned.due,
             tries: client.tries,
@@ -107,7 +107,7 @@
         let context = &self.context;
         let scenario = &context.scenario;
         loop {
-            let times = client.try_again(scenario, &context.faults(), context.tap.now());
+            let times = client.begin_attempt(scenario, &context.faults(), context.tap.now());
             let Some((patience, answer_timeout)) = times else {
                 return (End::GivenUp, 0);
             };
@@ -128,14 +128,14 @@
             }
             let answer_timeout = Duration::from_micros(answer_timeout as u64);
             let end = match timeout(answer_timeout, ended).await {
-                Ok(ended) => ended.unwrap_or(TryEnd::Failed),
+                Ok(ended) => ended.unwrap_or(AttemptEnd::Failed),
                 Err(_) => {
                     // A connection that has ended knows of no attempt.
                     let _ = connection.send(ClientRequest::Abandon(id)).await;
-                    TryEnd::GivenUp
+                    AttemptEnd::GivenUp
                 }
             };
-            match client.after(scenario, &context.faults(), context.tap.now(), end) {
+            match client.retry_delay(scenario, &context.faults(), context.tap.now(), end) {
                 Some(pause) => sleep(Duration::from_micros(pause as u64)).await,
                 None => return end.last(),
             }
@@ -165,7 +165,7 @@
         Command {
             id: attempt,
             op: planned.op as u16,
-            tenant: planned.customer as u32,
+            tenant: planned.tenant as u32,
             key: planned.key,
             idempotency_key,
             left_us: patience as u64,
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -98,7 +98,7 @@
     starting: Starting,
     mut progress: impl FnMut(Micros),
 ) -> Result<Played, PlayError> {
-    if day.tells {
+    if day.may_gossip {
         return Err(PlayError::Gossip);
     }
     let context = RunContext::new(day);
@@ -250,7 +250,7 @@
         let failures = self.routers.take_failures();
         let mut recorder = RunRecorder::new(&day, self.start);
         for (at, observation) in &seen {
-            recorder.see(*at, observation);
+            recorder.observe(*at, observation);
         }
         for outcome in &outcomes {
             recorder.ended(outcome);
--- a/crates/spokeflow-testbed/src/day/hosts.rs
+++ b/crates/spokeflow-testbed/src/day/hosts.rs
@@ -193,7 +193,7 @@
         }
         self.start_host(host).await?;
         let mut orders = Vec::new();
-        locked(&self.controller.controller).runs(now, host, &mut orders);
+        locked(&self.controller.controller).on_host_started(now, host, &mut orders);
         self.carry_out(orders);
         Ok(())
     }
@@ -205,7 +205,7 @@
         };
         let has_work = slot.process.as_ref().is_some_and(|process| {
             let model = locked(&process.model);
-            model.queued() > 0 && !model.fallen
+            model.queued() > 0 && !model.crashed
         });
         if has_work {
             let at = now + STOP_RETRY;
--- a/crates/spokeflow-testbed/src/endpoint_registry.rs
+++ b/crates/spokeflow-testbed/src/endpoint_registry.rs
@@ -8,7 +8,7 @@
 use spokeflow_proto::{
     EndpointPhase, EndpointRecord, FrameCodec, FromList, Role, ToList, LIST_LIMIT,
 };
-use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::{EndpointRegistry, Entry};
 use spokeflow_scenario::observation::{Observation, Phase, Process};
 use tokio::net::{TcpListener, TcpStream};
@@ -54,7 +54,7 @@
 
     /// The registry learns of an entry at a time.
     pub(crate) fn announce(&self, at: Micros, entry: Entry) {
-        locked(&self.registry).know_at(at, entry);
+        locked(&self.registry).schedule_update(at, entry);
     }
 
     /// Publishes what the registry has learned by now.
@@ -78,7 +78,7 @@
         let (outbound, mut delayed) = self.context.delayed_channel::<FromList>(Path {
             from: CONTROL_SITE,
             to: hello.zone,
-            links: LinkDirection::ControlSite,
+            links: LinkKind::ControlSite,
         });
         let mut watched: Option<u64> = None;
         let mut ticks = interval(WATCH_INTERVAL);
@@ -121,7 +121,7 @@
     fn update(&self, registry: &EndpointRegistry, since: Option<u64>) -> FromList {
         let now = self.context.tap.now();
         let version = registry.version();
-        let (complete, entries) = registry.since(since);
+        let (complete, entries) = registry.updates_since(since);
         let endpoints = entries
             .into_iter()
             .map(|entry| endpoint_record(entry, now))
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use spokeflow_proto::{FrameCodec, FromHost, Hello, Role, ToHost, WORK_LIMIT};
-use spokeflow_scenario::active_faults::LinkDirection;
+use spokeflow_scenario::active_faults::LinkKind;
 use spokeflow_scenario::host::{Host, Job, JobOutcome};
 use spokeflow_scenario::observation::{Observation, Process, ReplyKind};
 use tokio::net::{TcpListener, TcpStream};
@@ -145,7 +145,7 @@
         // Dropped with this task, and with it all connections.
         let mut connections = JoinSet::new();
         loop {
-            let next = locked(&self.model).next();
+            let next = locked(&self.model).next_completion();
             let due = self.context.tap.instant(next.unwrap_or(0));
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
@@ -155,7 +155,7 @@
                 () = self.changed.notified() => self.advance(),
             }
             while connections.try_join_next().is_some() {}
-            if locked(&self.model).fallen {
+            if locked(&self.model).crashed {
                 let host = self.identity.host;
                 self.context.tap.record(Observation::Fell { host });
                 return;
@@ -167,7 +167,7 @@
     fn advance(&self) {
         let now = self.context.tap.now();
         let mut model = locked(&self.model);
-        for (job, outcome) in model.ended(now) {
+        for (job, outcome) in model.take_completed(now) {
             let delivery = job.delivery;
             let message = match outcome {
                 JobOutcome::Acked { wrong } => FromHost::Acked {
@@ -180,15 +180,15 @@
                 JobOutcome::Error => FromHost::Error { delivery },
                 JobOutcome::Silent => continue,
             };
-            self.reply(job.from, message, job.tried);
+            self.reply(job.from, message, job.attempt);
         }
         let mut deduplication = locked(&self.context.deduplication);
-        for job in model.begin(now, &mut deduplication) {
+        for job in model.start_jobs(now, &mut deduplication) {
             if job.effect {
                 self.context.tap.record(Observation::Ran {
                     host: self.identity.host,
                     build: self.identity.build,
-                    attempt: job.tried,
+                    attempt: job.attempt,
                     command: job.command,
                     op: job.op as u16,
                 });
@@ -227,7 +227,7 @@
         Path {
             from: hello.zone,
             to: self.identity.site,
-            links: LinkDirection::Hosts,
+            links: LinkKind::Hosts,
         }
     }
 
@@ -324,11 +324,11 @@
                 let job = Job {
                     from: connection,
                     delivery,
-                    tried: body.attempt,
+                    attempt: body.attempt,
                     command: body.command,
                     op: usize::from(op).min(last_op),
                     key,
-                    mark: idempotency_key,
+                    idempotency_key,
                     expires: now + left_us.min(MAX_TIME_LEFT_US) as Micros,
                 };
                 let accepted = locked(&self.model).arrive(now, job);
--- a/crates/spokeflow-testbed/src/release_controller.rs
+++ b/crates/spokeflow-testbed/src/release_controller.rs
@@ -11,10 +11,10 @@
     FrameCodec, FromController, Hello, Role, RolloutPhase, RolloutUpdate, ToController, VoteChoice,
     VoteResult, WORK_LIMIT,
 };
-use spokeflow_scenario::active_faults::{LinkDirection, CONTROL_SITE};
+use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::observation::{Observation, Process, RolloutState};
 use spokeflow_scenario::release_controller::{
-    ControllerVote, ReleaseController, State, VoteOutcome,
+    ControllerVote, ReleaseController, RolloutStatus, VoteOutcome,
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -44,19 +44,19 @@
         result: VoteResult,
     },
     /// Becomes an update when it leaves: its age is counted then.
-    State(State),
+    State(RolloutStatus),
 }
 
 /// States that a router is to be told of, each at its time.
 struct StateSchedule {
-    last: Option<State>,
+    last: Option<RolloutStatus>,
     last_at: Micros,
     due: VecDeque<DueState>,
 }
 
 struct DueState {
     at: Micros,
-    state: State,
+    state: RolloutStatus,
 }
 
 impl ReleaseControllerServer {
@@ -102,7 +102,7 @@
         let outbound_path = Path {
             from: CONTROL_SITE,
             to: hello.zone,
-            links: LinkDirection::ControlSite,
+            links: LinkKind::ControlSite,
         };
         let (outbound, mut delayed_outbound) = self.context.delayed_channel(outbound_path);
         let (inbound, mut delayed_inbound) = self
@@ -225,13 +225,13 @@
         }
         Some(match outcome {
             VoteOutcome::Counted => VoteResult::Counted,
-            VoteOutcome::Moot => VoteResult::Stale,
-            VoteOutcome::TooMany => VoteResult::RateLimited,
+            VoteOutcome::Stale => VoteResult::Stale,
+            VoteOutcome::RateLimited => VoteResult::RateLimited,
         })
     }
 
     /// Records and builds an update.
-    fn rollout_update(&self, router: Process, state: State) -> RolloutUpdate {
+    fn rollout_update(&self, router: Process, state: RolloutStatus) -> RolloutUpdate {
         self.context.tap.record(Observation::News {
             to: router,
             build: state.build,
--- a/crates/spokeflow-testbed/src/router_flags.rs
+++ b/crates/spokeflow-testbed/src/router_flags.rs
@@ -29,8 +29,8 @@
         format!("--drain-grace={}us", scenario.drain_grace),
         format!("--cold-from={}", scenario.cold_from),
         format!("--warm-within={}us", scenario.warm_within),
-        format!("--fall-multiple={}", scenario.fall_multiple),
-        format!("--fall-span={}us", scenario.fall_span),
+        format!("--fall-multiple={}", scenario.overload_multiple),
+        format!("--fall-span={}us", scenario.overload_window),
     ];
     flags.extend(rollout_flags(scenario));
     flags.push(format!("--seed={seed}"));
@@ -43,7 +43,7 @@
             .iter()
             .map(|op| format!("--op={}", operation_flag(op))),
     );
-    let tenants = scenario.customers.iter();
+    let tenants = scenario.tenants.iter();
     flags.extend(tenants.map(|tenant| format!("--customer={}={}", tenant.name, tenant.allowed)));
     flags
 }
