--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use comfy_table::Table;
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
+use spokeflow_simulator::{play_control_plane, ControlPlaneRun, ControlPlaneScenario};
 
 /// Of every scenario; it bounds every contradiction.
 const LEASE: Micros = 3 * SECOND;
@@ -109,7 +109,7 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 while let Some(scenario) = scenarios.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let run = play_agreement(*scenario);
+                    let run = play_control_plane(*scenario);
                     print_broken(scenario, &run);
                     played.lock().expect("no holder panics").push(Played {
                         scenario: *scenario,
--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -98,7 +98,7 @@
 }
 
 /// Runs a scenario. Equal scenarios give equal results.
-pub fn play_agreement(day: ControlPlaneScenario) -> ControlPlaneRun {
+pub fn play_control_plane(day: ControlPlaneScenario) -> ControlPlaneRun {
     let mut world = World::new(day);
     (0..world.nodes.len()).for_each(|n| world.start(n));
     for router in 0..world.routers.len() {
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -10,7 +10,7 @@
 mod strategy;
 mod world;
 
-pub use control_plane::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
+pub use control_plane::{play_control_plane, ControlPlaneRun, ControlPlaneScenario};
 pub use engine_config::engine_terms;
 pub use play::{play, play_with, ScenarioRun, Watch};
 pub use strategy::{HostView, RoutingStrategy, StrategyKind, Wiring};
--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! Keepers and the routers that follow them, in simulated time.
 
-use spokeflow_simulator::{play_agreement, ControlPlaneScenario};
+use spokeflow_simulator::{play_control_plane, ControlPlaneScenario};
 
 const SECOND: i64 = 1_000_000;
 
@@ -23,7 +23,7 @@
     let (mut revisions, mut longest, mut terms) = (0, 0, 0);
     for seed in 0..48 {
         let routers = [3, 24, 150, 600][seed as usize % 4];
-        let played = play_agreement(day(routers, [3, 5][seed as usize / 4 % 2], seed, true));
+        let played = play_control_plane(day(routers, [3, 5][seed as usize / 4 % 2], seed, true));
         assert_eq!(played.broken, None, "seed {seed}, {routers} routers");
         (revisions, terms) = (revisions + played.waits.len(), terms + played.terms);
         longest = longest.max(played.longest_contradiction);
@@ -37,7 +37,7 @@
 
 #[test]
 fn in_peace_a_revision_is_in_force_as_soon_as_all_have_said_that_they_act_on_it() {
-    let played = play_agreement(day(150, 5, 1, false));
+    let played = play_control_plane(day(150, 5, 1, false));
     assert_eq!((played.broken, played.terms), (None, 1));
     // Two rounds of requests, a third of a lease apart, but where the leader has just begun.
     let quick = played
@@ -65,7 +65,7 @@
         length: 3600 * SECOND,
         ..day(3, 3, 7, false)
     };
-    let played = play_agreement(long);
+    let played = play_control_plane(long);
     assert_eq!(played.broken, None);
     assert!(played.waits.len() > 800, "{}", played.waits.len());
     assert!(
