--- a/crates/spokeflow-experiments/tests/program.rs
+++ b/crates/spokeflow-experiments/tests/program.rs
@@ -8,7 +8,7 @@
 use spokeflow_router::RouterFlags;
 use spokeflow_scenario::scenario::Scenario;
 use spokeflow_scenario::SECOND;
-use spokeflow_simulator::engine_terms;
+use spokeflow_simulator::engine_config;
 use spokeflow_testbed::routers::flags;
 
 fn lab(args: &[&str]) -> Command {
@@ -192,7 +192,7 @@
             let on_sockets = Router::parse_from(words).terms.engine_config();
             assert_eq!(
                 format!("{on_sockets:?}"),
-                format!("{:?}", engine_terms(&day, index))
+                format!("{:?}", engine_config(&day, index))
             );
         }
     }
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -7,7 +7,7 @@
 use spokeflow_scenario::{MS, SECOND};
 
 /// Terms of router `index`.
-pub fn engine_terms(day: &Scenario, index: u32) -> EngineConfig {
+pub fn engine_config(day: &Scenario, index: u32) -> EngineConfig {
     let op = |op: &scenario::Op| {
         let (repeat, repeat_scope, repeat_memory) = match op.repeat {
             scenario::Repeat::Redeliverable => (Repeat::Idempotent, DeduplicationScope::Unknown, 0),
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -11,6 +11,6 @@
 mod world;
 
 pub use control_plane::{play_control_plane, ControlPlaneRun, ControlPlaneScenario};
-pub use engine_config::engine_terms;
+pub use engine_config::engine_config;
 pub use play::{play, play_with, ScenarioRun, Watch};
 pub use strategy::{HostView, RoutingStrategy, StrategyKind, Wiring};
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -11,7 +11,7 @@
 use super::event::Event;
 use super::links::RouterTransport;
 use super::{World, LOCAL_DELAY};
-use crate::engine_config::engine_terms;
+use crate::engine_config::engine_config;
 use crate::strategy::RoutingStrategy;
 
 /// After SIGTERM.
@@ -65,7 +65,7 @@
 impl World {
     pub(super) fn start_router(&mut self, router: u32) {
         let day = &self.day;
-        let (terms, now) = (engine_terms(day, router), self.now);
+        let (terms, now) = (engine_config(day, router), self.now);
         let seed = day.seed.wrapping_mul(31).wrapping_add(u64::from(router));
         let process = self.routers[router as usize].process;
         self.note(Observation::RouterUp(process));
