--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -65,7 +65,7 @@
         (0..self.days)
             .map(|index| ControlPlaneScenario {
                 routers: self.routers[index as usize % sizes],
-                keepers: self.voters[index as usize / sizes % self.voters.len()],
+                voters: self.voters[index as usize / sizes % self.voters.len()],
                 seed: self.seed + index,
                 length: self.seconds * SECOND,
                 lease: LEASE,
@@ -126,7 +126,7 @@
     if let Some(broken) = &run.broken {
         eprintln!(
             "seed {} ({} routers, {} voters): {broken}",
-            scenario.seed, scenario.routers, scenario.keepers
+            scenario.seed, scenario.routers, scenario.voters
         );
     }
 }
--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -36,7 +36,7 @@
     /// Routers.
     pub routers: u32,
     /// Nodes that vote at first.
-    pub keepers: u32,
+    pub voters: u32,
     /// What all chance comes from.
     pub seed: u64,
     /// Simulated time of the run.
@@ -117,7 +117,7 @@
 
 /// The configuration of all nodes; each puts its own number in.
 fn coordinator_config(day: &ControlPlaneScenario) -> CoordinatorConfig {
-    let members: Vec<NodeId> = (0..day.keepers).map(NodeId).collect();
+    let members: Vec<NodeId> = (0..day.voters).map(NodeId).collect();
     CoordinatorConfig {
         id: NodeId(0),
         raft: RaftConfig {
@@ -130,7 +130,7 @@
             duration: day.lease,
             max_clock_drift: day.drift,
         },
-        addresses: (0..day.keepers + 2)
+        addresses: (0..day.voters + 2)
             .map(|n| (NodeId(n), n.to_string()))
             .collect(),
         check: |_| Ok(()),
@@ -143,7 +143,7 @@
         let mut chance = StdRng::seed_from_u64(day.seed);
         let spread = 1.0 - day.drift..=1.0 + day.drift;
         // Two more than vote at first: they are taken in for others.
-        let keepers = (0..day.keepers + 2).map(|_| ControlPlaneNode {
+        let keepers = (0..day.voters + 2).map(|_| ControlPlaneNode {
             core: None,
             start: 0,
             disk: PersistentState::default(),
@@ -160,7 +160,7 @@
             stopped: false,
             postponed: Vec::new(),
             clock_rate: chance.random_range(spread.clone()),
-            node: (n % day.keepers) as usize,
+            node: (n % day.voters) as usize,
             last_response: 0,
         });
         let routers: Vec<Router> = routers.collect();
--- a/crates/spokeflow-simulator/src/control_plane/nodes.rs
+++ b/crates/spokeflow-simulator/src/control_plane/nodes.rs
@@ -30,7 +30,7 @@
             id: own,
             ..self.config.clone()
         };
-        if n >= self.scenario.keepers as usize {
+        if n >= self.scenario.voters as usize {
             terms.raft.voters.clear();
         }
         let node = &mut self.nodes[n];
--- a/crates/spokeflow-simulator/src/control_plane/operators.rs
+++ b/crates/spokeflow-simulator/src/control_plane/operators.rs
@@ -60,9 +60,9 @@
                 continue;
             };
             let mut members = core.raft().voters().to_vec();
-            if !members.contains(&drawn) && members.len() < self.scenario.keepers as usize + 1 {
+            if !members.contains(&drawn) && members.len() < self.scenario.voters as usize + 1 {
                 members.push(drawn);
-            } else if members.len() > self.scenario.keepers as usize {
+            } else if members.len() > self.scenario.voters as usize {
                 members.retain(|m| *m != drawn);
             }
             let leads = core
--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -4,11 +4,11 @@
 
 const SECOND: i64 = 1_000_000;
 
-fn day(routers: u32, keepers: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
+fn day(routers: u32, voters: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
     let (length, lease, silence, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
     ControlPlaneScenario {
         routers,
-        keepers,
+        voters,
         seed,
         length,
         lease,
