--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -69,7 +69,7 @@
                 seed: self.seed + index,
                 length: self.seconds * SECOND,
                 lease: LEASE,
-                silence: ELECTION_TIMEOUT,
+                election_timeout: ELECTION_TIMEOUT,
                 drift: MAX_CLOCK_DRIFT,
                 faulty: !self.peace,
             })
--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -44,7 +44,7 @@
     /// Duration of a lease.
     pub lease: Micros,
     /// The election timeout.
-    pub silence: Micros,
+    pub election_timeout: Micros,
     /// How far clocks may be off, a fraction.
     pub drift: f64,
     /// Whether anything fails.
@@ -122,8 +122,8 @@
         id: NodeId(0),
         raft: RaftConfig {
             voters: members,
-            election_timeout: day.silence,
-            heartbeat_interval: day.silence / 5,
+            election_timeout: day.election_timeout,
+            heartbeat_interval: day.election_timeout / 5,
             max_clock_drift: day.drift,
         },
         lease: LeaseConfig {
--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -5,14 +5,14 @@
 const SECOND: i64 = 1_000_000;
 
 fn day(routers: u32, voters: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
-    let (length, lease, silence, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
+    let (length, lease, election_timeout, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
     ControlPlaneScenario {
         routers,
         voters,
         seed,
         length,
         lease,
-        silence,
+        election_timeout,
         drift,
         faulty,
     }
