--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -73,7 +73,7 @@
     /// Acts without a lease.
     pub unleased: u64,
     /// Log entries that a node keeps at the end, the most of all.
-    pub kept_entries: usize,
+    pub max_log_entries: usize,
     /// Bytes of the largest snapshot.
     pub kept_state: usize,
 }
@@ -212,7 +212,7 @@
         self.played.waits = waits.collect();
         for core in self.nodes.iter().filter_map(|s| s.core.as_ref()) {
             self.played.terms = self.played.terms.max(core.raft().term().0);
-            self.played.kept_entries = self.played.kept_entries.max(core.raft().log_len());
+            self.played.max_log_entries = self.played.max_log_entries.max(core.raft().log_len());
         }
         let state = self.nodes.iter().map(|s| s.disk.snapshot.state.len()).max();
         self.played.kept_state = state.unwrap_or(0);
