--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -143,7 +143,7 @@
     let leased = sum(|run| run.leased);
     let acts = leased + sum(|run| run.unleased);
     let most_entries = runs.iter().map(|run| run.max_log_entries).max();
-    let most_state = runs.iter().map(|run| run.kept_state).max();
+    let most_state = runs.iter().map(|run| run.max_snapshot_bytes).max();
     let broken = runs.iter().filter(|run| run.broken.is_some()).count();
     [
         routers.to_string(),
--- a/crates/spokeflow-simulator/src/control_plane.rs
+++ b/crates/spokeflow-simulator/src/control_plane.rs
@@ -75,7 +75,7 @@
     /// Log entries that a node keeps at the end, the most of all.
     pub max_log_entries: usize,
     /// Bytes of the largest snapshot.
-    pub kept_state: usize,
+    pub max_snapshot_bytes: usize,
 }
 
 struct World {
@@ -215,7 +215,7 @@
             self.played.max_log_entries = self.played.max_log_entries.max(core.raft().log_len());
         }
         let state = self.nodes.iter().map(|s| s.disk.snapshot.state.len()).max();
-        self.played.kept_state = state.unwrap_or(0);
+        self.played.max_snapshot_bytes = state.unwrap_or(0);
         self.played
     }
 
--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -69,9 +69,9 @@
     assert_eq!(played.broken, None);
     assert!(played.waits.len() > 800, "{}", played.waits.len());
     assert!(
-        played.max_log_entries <= 501 && played.kept_state > 0,
+        played.max_log_entries <= 501 && played.max_snapshot_bytes > 0,
         "{} {}",
         played.max_log_entries,
-        played.kept_state
+        played.max_snapshot_bytes
     );
 }
