--- a/crates/spokeflow-simulator/src/control_plane/event.rs
+++ b/crates/spokeflow-simulator/src/control_plane/event.rs
@@ -1,21 +1,24 @@
-//! Event is to come, and the numbers of the connections that answers go to.
+//! Scheduled events, and the connection numbers that responses are sent to.
 
 use spokeflow_coordination::wire::{Request, Response};
 use spokeflow_raft::{Message, PersistRequest};
 
-/// Whom an answer goes to, as the number of a connection: a node that forwarded, a router's process, an operator.
+/// The connection number of the operator. Bit 63 is set in that of a node that forwarded a request, and bit 0 in
+/// that of a router; both carry the index of the process and which of its starts the connection belongs to.
 pub(super) const OPERATOR: u64 = 0;
 
 pub(super) fn router_connection(router: usize, start: u32) -> u64 {
     1 | (router as u64) << 1 | u64::from(start) << 32
 }
 
-pub(super) fn node_connection(keeper: usize, start: u32) -> u64 {
-    2 | (keeper as u64) << 2 | u64::from(start) << 32 | 1 << 63
+pub(super) fn node_connection(node: usize, start: u32) -> u64 {
+    2 | (node as u64) << 2 | u64::from(start) << 32 | 1 << 63
 }
 
+/// What happens when an event is due. `start` tells which start of the process an event is for: one for an earlier
+/// start is dropped.
 pub(super) enum Event {
-    /// Also of a process that is dead by now.
+    /// A Raft message arrives, also one that was sent by a process that has ended since.
     RaftMessage {
         to: usize,
         from: usize,
@@ -23,22 +26,22 @@
     },
     RequestArrives {
         to: usize,
-        conn: u64,
+        connection: u64,
         number: u64,
-        ask: Request,
+        request: Request,
     },
     ResponseArrives {
-        conn: u64,
+        connection: u64,
         number: u64,
-        answer: Response,
+        response: Response,
     },
     Persisted {
-        keeper: usize,
+        node: usize,
         start: u32,
         write: Box<PersistRequest>,
     },
     NodeTimer {
-        keeper: usize,
+        node: usize,
         start: u32,
     },
     LeaseRenewal {
@@ -50,10 +53,10 @@
         start: u32,
     },
     ProposalDue,
-    Fault,
+    FaultDue,
     CutEnds(u64),
     NodeResumes {
-        keeper: usize,
+        node: usize,
         start: u32,
     },
     RouterResumes {
@@ -61,7 +64,7 @@
         start: u32,
     },
     NodeStarts {
-        keeper: usize,
+        node: usize,
     },
     MembershipChange,
 }
--- a/crates/spokeflow-simulator/src/control_plane/faults.rs
+++ b/crates/spokeflow-simulator/src/control_plane/faults.rs
@@ -1,4 +1,4 @@
-//! Drawn faults: processes that are killed or stopped, and ways that are cut.
+//! Random faults: processes that are killed or paused, and links that are cut.
 
 use rand::RngExt;
 use spokeflow_coordination::LeaseHolder;
@@ -7,63 +7,67 @@
 use super::{World, MS, SECOND};
 
 impl World {
-    pub(super) fn fault(&mut self) {
+    /// Injects a random fault and schedules the next one.
+    pub(super) fn inject_fault(&mut self) {
         let next = self.rng.random_range(200 * MS..2500 * MS);
-        self.plan(next, Event::Fault);
-        self.played.faults += 1;
-        let lasts = self.rng.random_range(100 * MS..self.scenario.lease * 2);
-        let (k, many) = (self.rng.random_range(0..self.nodes.len()), self.nodes.len());
-        let r = self.rng.random_range(0..self.routers.len());
+        self.schedule(next, Event::FaultDue);
+        self.result.faults += 1;
+        let duration = self.rng.random_range(100 * MS..self.scenario.lease * 2);
+        let (node, node_count) = (self.rng.random_range(0..self.nodes.len()), self.nodes.len());
+        let router = self.rng.random_range(0..self.routers.len());
         match self.rng.random_range(0..9) {
             0 | 1 => {
-                self.nodes[k].core = None;
-                self.nodes[k].stopped = false;
-                self.plan(lasts, Event::NodeStarts { keeper: k });
+                self.nodes[node].core = None;
+                self.nodes[node].is_paused = false;
+                self.schedule(duration, Event::NodeStarts { node });
             }
             2 => {
-                self.nodes[k].stopped = true;
-                let start = self.nodes[k].start;
-                self.plan(lasts, Event::NodeResumes { keeper: k, start });
+                self.nodes[node].is_paused = true;
+                let start = self.nodes[node].start;
+                self.schedule(duration, Event::NodeResumes { node, start });
             }
             3 => {
-                self.routers[r].stopped = true;
-                let start = self.routers[r].start;
-                self.plan(lasts, Event::RouterResumes { router: r, start });
+                self.routers[router].is_paused = true;
+                let start = self.routers[router].start;
+                self.schedule(duration, Event::RouterResumes { router, start });
             }
             4 => {
-                let process = self.rng.random();
-                let router = &mut self.routers[r];
-                router.start += 1;
-                router.stopped = false;
-                router.last_response = self.now;
-                router.postponed.clear();
-                router.lease_holder = LeaseHolder::new(self.config.lease, process, r as u32);
-                let start = router.start;
-                self.plan(lasts, Event::LeaseRenewal { router: r, start });
-                self.plan(lasts, Event::RouterActs { router: r, start });
+                let process_id = self.rng.random();
+                let state = &mut self.routers[router];
+                state.start += 1;
+                state.is_paused = false;
+                state.last_response_at = self.now;
+                state.postponed.clear();
+                state.lease_holder = LeaseHolder::new(self.config.lease, process_id, router as u32);
+                let start = state.start;
+                self.schedule(duration, Event::LeaseRenewal { router, start });
+                self.schedule(duration, Event::RouterActs { router, start });
             }
             5 if self.rng.random_bool(0.2) => {
-                for n in 0..many {
+                for n in 0..node_count {
                     self.nodes[n].core = None;
-                    self.nodes[n].stopped = false;
-                    let apart = self.rng.random_range(0..SECOND);
-                    self.plan(lasts + apart, Event::NodeStarts { keeper: n });
+                    self.nodes[n].is_paused = false;
+                    let stagger = self.rng.random_range(0..SECOND);
+                    self.schedule(duration + stagger, Event::NodeStarts { node: n });
                 }
             }
             kind => {
-                let cut = self.planned;
-                let router = kind > 6;
-                let one = if router { many + r } else { k };
-                for other in (0..many).filter(|o| *o != one) {
+                let cut = self.last_event;
+                let is_router = kind > 6;
+                let target = if is_router { node_count + router } else { node };
+                for other in (0..node_count).filter(|other| *other != target) {
                     match kind {
-                        // Alone; not heard; some of the ways.
-                        5 | 7 => self.cuts.extend([(cut, one, other), (cut, other, one)]),
-                        6 => self.cuts.push((cut, one, other)),
-                        _ if self.rng.random_bool(0.5) => self.cuts.push((cut, one, other)),
+                        // Isolated in both directions; its messages do not arrive; its messages to some nodes do
+                        // not arrive.
+                        5 | 7 => self
+                            .cuts
+                            .extend([(cut, target, other), (cut, other, target)]),
+                        6 => self.cuts.push((cut, target, other)),
+                        _ if self.rng.random_bool(0.5) => self.cuts.push((cut, target, other)),
                         _ => {}
                     }
                 }
-                self.plan(lasts, Event::CutEnds(cut));
+                self.schedule(duration, Event::CutEnds(cut));
             }
         }
     }
--- a/crates/spokeflow-simulator/src/control_plane/nodes.rs
+++ b/crates/spokeflow-simulator/src/control_plane/nodes.rs
@@ -1,4 +1,4 @@
-//! Control-plane nodes: their start, their disk, and what they send.
+//! Control-plane nodes: their start, their disk, and the messages that they send.
 
 use rand::RngExt;
 use spokeflow_coordination::wire::{Response, ToNode};
@@ -9,73 +9,84 @@
 use super::event::{node_connection, Event, OPERATOR};
 use super::{World, MS};
 
+/// A control-plane node, with its current process.
 pub(super) struct ControlPlaneNode {
+    /// `None` while no process runs.
     pub(super) core: Option<Coordinator>,
+    /// How often the node was started.
     pub(super) start: u32,
+    /// The state that has been persisted, which survives a restart.
     pub(super) disk: PersistentState,
+    /// The sequence number of the last write that this process has persisted.
     pub(super) last_persisted: u64,
-    pub(super) stopped: bool,
+    pub(super) is_paused: bool,
+    /// Events that arrived while the process was paused.
     pub(super) postponed: Vec<Event>,
+    /// Time on the node's clock per simulated time.
     pub(super) clock_rate: f64,
-    /// For which instant its wake-up is planned.
+    /// When the next timer is due; `Micros::MAX` for none.
     pub(super) timer_at: Micros,
 }
 
 impl World {
-    pub(super) fn start(&mut self, n: usize) {
+    pub(super) fn start_node(&mut self, n: usize) {
         let now = self.clock(self.nodes[n].clock_rate);
         let seed = self.rng.random();
-        let own = NodeId(n as u32);
-        let mut terms = CoordinatorConfig {
-            id: own,
+        let id = NodeId(n as u32);
+        let mut config = CoordinatorConfig {
+            id,
             ..self.config.clone()
         };
         if n >= self.scenario.voters as usize {
-            terms.raft.voters.clear();
+            config.raft.voters.clear();
         }
         let node = &mut self.nodes[n];
         node.start += 1;
-        node.stopped = false;
+        node.is_paused = false;
         node.last_persisted = 0;
         node.timer_at = Micros::MAX;
         node.postponed.clear();
-        match Coordinator::new(terms, seed, node.disk.clone(), now) {
+        match Coordinator::new(config, seed, node.disk.clone(), now) {
             Ok(core) => node.core = Some(core),
-            Err(what) => self.played.broken = Some(format!("node {n} does not start: {what}")),
+            Err(error) => {
+                self.result.broken = Some(format!("node {n} failed to start: {error}"));
+            }
         }
-        self.wake(n);
+        self.schedule_timer(n);
     }
 
-    pub(super) fn wake(&mut self, n: usize) {
+    /// Schedules the next timer of node `n`.
+    pub(super) fn schedule_timer(&mut self, n: usize) {
         let node = &self.nodes[n];
         let Some(core) = &node.core else { return };
         let now = self.clock(node.clock_rate);
         let after = ((core.next_wake(now) - now).max(0) as f64 / node.clock_rate) as Micros + 1;
-        // One that is planned for sooner plans the next by itself.
+        // An earlier timer is scheduled already; handling it schedules the next one.
         if node.timer_at <= self.now + after && node.timer_at > self.now {
             return;
         }
         let start = node.start;
         self.nodes[n].timer_at = self.now + after;
-        self.plan(after, Event::NodeTimer { keeper: n, start });
+        self.schedule(after, Event::NodeTimer { node: n, start });
     }
 
+    /// Runs `act` on node `n` with its clock, and schedules the effects.
     pub(super) fn call(
         &mut self,
         n: usize,
         act: impl FnOnce(&mut Coordinator, Micros, &mut Effects),
     ) {
         let now = self.clock(self.nodes[n].clock_rate);
-        let mut step = Effects::default();
+        let mut effects = Effects::default();
         let Some(core) = &mut self.nodes[n].core else {
             return;
         };
-        act(core, now, &mut step);
+        act(core, now, &mut effects);
         let start = self.nodes[n].start;
-        if step.config_changed {
+        if effects.config_changed {
             self.record_revisions(n);
         }
-        for write in step.persist_requests {
+        for write in effects.persist_requests {
             let after = self.rng.random_range(
                 MS..if self.scenario.faulty {
                     20 * MS
@@ -83,25 +94,25 @@
                     3 * MS
                 },
             );
-            self.plan(
+            self.schedule(
                 after,
                 Event::Persisted {
-                    keeper: n,
+                    node: n,
                     start,
                     write: Box::new(write),
                 },
             );
         }
-        for NodeMessage { to, message } in step.messages {
+        for NodeMessage { to, message } in effects.messages {
             self.send_to_node(n, to.0 as usize, message);
         }
-        for answer in step.responses {
-            self.answer(n, answer.connection, answer.number, answer.response);
+        for response in effects.responses {
+            self.send_response(n, response.connection, response.number, response.response);
         }
-        self.wake(n);
+        self.schedule_timer(n);
     }
 
-    /// Node `n` has another state of the configuration: when its revisions were first known and in force.
+    /// Records the time of revisions that are known or in force on node `n` before any other.
     fn record_revisions(&mut self, n: usize) {
         let Some(core) = &self.nodes[n].core else {
             return;
@@ -119,16 +130,13 @@
 
     fn send_to_node(&mut self, from: usize, to: usize, message: ToNode) {
         match message {
-            ToNode::Request {
-                number,
-                request: ask,
-            } => {
-                let conn = node_connection(from, self.nodes[from].start);
+            ToNode::Request { number, request } => {
+                let connection = node_connection(from, self.nodes[from].start);
                 self.send(from, to, || Event::RequestArrives {
                     to,
-                    conn,
+                    connection,
                     number,
-                    ask: ask.clone(),
+                    request: request.clone(),
                 });
             }
             ToNode::Hello { .. } => {}
@@ -142,47 +150,41 @@
         }
     }
 
-    fn answer(&mut self, from: usize, conn: u64, number: u64, answer: Response) {
-        if conn == OPERATOR {
-            // At once: when a person hears of it says nothing of the routers.
-            return self.heard_by_person(answer);
+    fn send_response(&mut self, from: usize, connection: u64, number: u64, response: Response) {
+        if connection == OPERATOR {
+            // The operator receives responses without delay: routers do not depend on when.
+            return self.on_operator_response(response);
         }
-        let to = match conn >> 63 {
-            1 => (conn as u32 >> 2) as usize,
-            _ => self.nodes.len() + (conn as u32 >> 1) as usize,
+        let to = match connection >> 63 {
+            1 => (connection as u32 >> 2) as usize,
+            _ => self.nodes.len() + (connection as u32 >> 1) as usize,
         };
         self.send(from, to, || Event::ResponseArrives {
-            conn,
+            connection,
             number,
-            answer: answer.clone(),
+            response: response.clone(),
         });
     }
 
-    fn heard_by_person(&mut self, answer: Response) {
-        if matches!(answer, Response::Proposed(_) | Response::Invalid(_)) {
+    fn on_operator_response(&mut self, response: Response) {
+        if matches!(response, Response::Proposed(_) | Response::Invalid(_)) {
             self.pending_proposal = None;
         }
     }
 
-    pub(super) fn on_persisted(&mut self, keeper: usize, start: u32, write: Box<PersistRequest>) {
-        let node = &mut self.nodes[keeper];
-        if start != node.start || node.core.is_none() {
+    /// Persists a write; one whose predecessor is not persisted yet is tried again later.
+    pub(super) fn on_persisted(&mut self, node: usize, start: u32, write: Box<PersistRequest>) {
+        let slot = &mut self.nodes[node];
+        if start != slot.start || slot.core.is_none() {
             return;
         }
-        if write.sequence != node.last_persisted + 1 {
-            return self.plan(
-                MS,
-                Event::Persisted {
-                    keeper,
-                    start,
-                    write,
-                },
-            );
+        if write.sequence != slot.last_persisted + 1 {
+            return self.schedule(MS, Event::Persisted { node, start, write });
         }
-        node.disk.apply(&write);
-        node.last_persisted = write.sequence;
-        self.call(keeper, |k, now, step| {
-            k.on_persisted(now, write.sequence, step)
+        slot.disk.apply(&write);
+        slot.last_persisted = write.sequence;
+        self.call(node, |core, now, effects| {
+            core.on_persisted(now, write.sequence, effects)
         });
     }
 }
--- a/crates/spokeflow-simulator/src/control_plane/operators.rs
+++ b/crates/spokeflow-simulator/src/control_plane/operators.rs
@@ -1,4 +1,4 @@
-//! Event people do: they offer revisions, and take keepers in and out.
+//! The operator: proposes revisions, and adds and removes voters.
 
 use rand::RngExt;
 use spokeflow_coordination::wire::Request;
@@ -9,14 +9,18 @@
 use super::{World, MS, SECOND};
 
 impl World {
-    pub(super) fn offers(&mut self) {
+    /// Proposes a revision to a random node, at times on a base that is out of date.
+    pub(super) fn propose(&mut self) {
         let after = self.rng.random_range(300 * MS..2 * SECOND);
-        self.plan(after, Event::ProposalDue);
-        let newest = self.first_known.last_key_value().map_or(0, |t| *t.0);
-        // One that was not clear is offered again, as it was.
-        let offer = self.pending_proposal.take().unwrap_or_else(|| {
-            let stale = self.rng.random_bool(0.1);
-            let against = RevisionNumber(if stale {
+        self.schedule(after, Event::ProposalDue);
+        let newest = self
+            .first_known
+            .last_key_value()
+            .map_or(0, |(revision, _)| *revision);
+        // A proposal without a final response is repeated unchanged.
+        let proposal = self.pending_proposal.take().unwrap_or_else(|| {
+            let is_stale = self.rng.random_bool(0.1);
+            let base = RevisionNumber(if is_stale {
                 newest.saturating_sub(1)
             } else {
                 newest
@@ -25,57 +29,58 @@
             let (who, why) = ("p".to_string(), String::new());
             Proposal {
                 token,
-                base: against,
+                base,
                 who,
                 why,
                 at_s: 0,
                 values: Overrides::new(),
             }
         });
-        self.pending_proposal = Some(offer.clone());
+        self.pending_proposal = Some(proposal.clone());
         let to = self.rng.random_range(0..self.nodes.len());
-        let asker = RequestOrigin {
+        let origin = RequestOrigin {
             connection: OPERATOR,
             number: 0,
             forwarded: false,
         };
-        if !self.nodes[to].stopped {
-            self.call(to, |k, now, step| {
-                k.on_request(now, asker, Request::Propose(offer), step)
+        if !self.nodes[to].is_paused {
+            self.call(to, |core, now, effects| {
+                core.on_request(now, origin, Request::Propose(proposal), effects)
             });
         }
     }
 
-    /// Adds a spare node, or removes one.
-    pub(super) fn change(&mut self) {
+    /// Draws a node, and asks the leader to add it if it is spare, or to remove it if there are more voters than at
+    /// first.
+    pub(super) fn change_voters(&mut self) {
         let after = self.rng.random_range(SECOND..4 * SECOND);
-        self.plan(after, Event::MembershipChange);
-        let drawn = NodeId(self.rng.random_range(0..self.nodes.len() as u32));
+        self.schedule(after, Event::MembershipChange);
+        let candidate = NodeId(self.rng.random_range(0..self.nodes.len() as u32));
         for n in 0..self.nodes.len() {
             let Some(core) = self.nodes[n]
                 .core
                 .as_ref()
-                .filter(|_| !self.nodes[n].stopped)
+                .filter(|_| !self.nodes[n].is_paused)
             else {
                 continue;
             };
-            let mut members = core.raft().voters().to_vec();
-            if !members.contains(&drawn) && members.len() < self.scenario.voters as usize + 1 {
-                members.push(drawn);
-            } else if members.len() > self.scenario.voters as usize {
-                members.retain(|m| *m != drawn);
+            let mut voters = core.raft().voters().to_vec();
+            if !voters.contains(&candidate) && voters.len() < self.scenario.voters as usize + 1 {
+                voters.push(candidate);
+            } else if voters.len() > self.scenario.voters as usize {
+                voters.retain(|voter| *voter != candidate);
             }
-            let leads = core
+            let is_leader = core
                 .raft()
                 .has_leader_lease(self.clock(self.nodes[n].clock_rate));
-            if leads {
-                let asker = RequestOrigin {
+            if is_leader {
+                let origin = RequestOrigin {
                     connection: OPERATOR,
                     number: 0,
                     forwarded: false,
                 };
-                self.call(n, |k, now, step| {
-                    k.on_request(now, asker, Request::ChangeVoters(members), step)
+                self.call(n, |core, now, effects| {
+                    core.on_request(now, origin, Request::ChangeVoters(voters), effects)
                 });
             }
         }
