--- a/crates/spokeflow-simulator/tests/agreement.rs
+++ b/crates/spokeflow-simulator/tests/agreement.rs
@@ -1,10 +1,10 @@
-//! Keepers and the routers that follow them, in simulated time.
+//! Control-plane nodes and the routers that hold their leases, in simulated time.
 
 use spokeflow_simulator::{play_control_plane, ControlPlaneScenario};
 
 const SECOND: i64 = 1_000_000;
 
-fn day(routers: u32, voters: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
+fn scenario(routers: u32, voters: u32, seed: u64, faulty: bool) -> ControlPlaneScenario {
     let (length, lease, election_timeout, drift) = (40 * SECOND, 3 * SECOND, SECOND / 2, 0.01);
     ControlPlaneScenario {
         routers,
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn no_drawn_fault_makes_routers_contradict_each_other_for_longer_than_a_lease() {
+fn faults_never_make_routers_contradict_each_other_for_longer_than_a_lease() {
     let (mut revisions, mut longest, mut terms) = (0, 0, 0);
     for seed in 0..48 {
         let routers = [3, 24, 150, 600][seed as usize % 4];
-        let played = play_control_plane(day(routers, [3, 5][seed as usize / 4 % 2], seed, true));
-        assert_eq!(played.broken, None, "seed {seed}, {routers} routers");
-        (revisions, terms) = (revisions + played.waits.len(), terms + played.terms);
-        longest = longest.max(played.longest_contradiction);
+        let run = play_control_plane(scenario(routers, [3, 5][seed as usize / 4 % 2], seed, true));
+        assert_eq!(run.broken, None, "seed {seed}, {routers} routers");
+        (revisions, terms) = (revisions + run.waits.len(), terms + run.terms);
+        longest = longest.max(run.longest_contradiction);
     }
-    // The days have had something to break.
+    // The runs must have had elections, revisions and contradictions, or the check above shows nothing.
     assert!(
         revisions > 150 && terms > 100 && longest > 2 * SECOND,
         "{revisions} {terms} {longest}"
@@ -36,42 +36,42 @@
 }
 
 #[test]
-fn in_peace_a_revision_is_in_force_as_soon_as_all_have_said_that_they_act_on_it() {
-    let played = play_control_plane(day(150, 5, 1, false));
-    assert_eq!((played.broken, played.terms), (None, 1));
-    // Two rounds of requests, a third of a lease apart, but where the leader has just begun.
-    let quick = played
+fn without_faults_a_revision_is_in_force_once_all_routers_have_confirmed_it() {
+    let run = play_control_plane(scenario(150, 5, 1, false));
+    assert_eq!((run.broken, run.terms), (None, 1));
+    // Two rounds of lease requests, a third of a lease apart; it takes longer only after an election.
+    let in_time = run
         .waits
         .iter()
-        .filter(|w| **w < 25 * SECOND / 10)
+        .filter(|wait| **wait < 25 * SECOND / 10)
         .count();
     assert!(
-        quick * 10 >= played.waits.len() * 8 && played.waits.len() > 8,
+        in_time * 10 >= run.waits.len() * 8 && run.waits.len() > 8,
         "{:?}",
-        played.waits
+        run.waits
     );
-    // Each starts without a lease, and a keeper takes a second to be elected.
+    // Routers start without a lease, and the first election takes a second.
     assert!(
-        played.leased > 20 * played.unleased,
+        run.leased > 20 * run.unleased,
         "{} {}",
-        played.leased,
-        played.unleased
+        run.leased,
+        run.unleased
     );
 }
 
 #[test]
-fn the_log_of_a_day_of_many_offers_stays_small() {
+fn the_log_stays_bounded_over_many_proposals() {
     let long = ControlPlaneScenario {
         length: 3600 * SECOND,
-        ..day(3, 3, 7, false)
+        ..scenario(3, 3, 7, false)
     };
-    let played = play_control_plane(long);
-    assert_eq!(played.broken, None);
-    assert!(played.waits.len() > 800, "{}", played.waits.len());
+    let run = play_control_plane(long);
+    assert_eq!(run.broken, None);
+    assert!(run.waits.len() > 800, "{}", run.waits.len());
     assert!(
-        played.max_log_entries <= 501 && played.max_snapshot_bytes > 0,
+        run.max_log_entries <= 501 && run.max_snapshot_bytes > 0,
         "{} {}",
-        played.max_log_entries,
-        played.max_snapshot_bytes
+        run.max_log_entries,
+        run.max_snapshot_bytes
     );
 }
--- a/crates/spokeflow-simulator/tests/days.rs
+++ b/crates/spokeflow-simulator/tests/days.rs
@@ -1,40 +1,47 @@
-//! Days in simulated time.
+//! Scenarios in simulated time.
 
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind, FleetSize, Scenario};
 use spokeflow_scenario::SECOND;
 use spokeflow_simulator::{play, StrategyKind};
 
-fn text(day: &Scenario, who: StrategyKind) -> String {
-    serde_json::to_string(&play(day, who, false).report).unwrap()
+fn report_json(scenario: &Scenario, kind: StrategyKind) -> String {
+    serde_json::to_string(&play(scenario, kind, false).report).unwrap()
 }
 
 #[test]
-fn equal_days_give_equal_bytes_in_any_order_and_on_any_thread() {
-    let days: Vec<Scenario> = (0..6)
+fn equal_scenarios_give_equal_reports_in_any_order_and_on_any_thread() {
+    let scenarios: Vec<Scenario> = (0..6)
         .map(|seed| Scenario::drawn(seed, 20 * SECOND))
         .collect();
-    let one: Vec<String> = days.iter().map(|d| text(d, StrategyKind::Engine)).collect();
-    let other: Vec<String> = std::thread::scope(|s| {
-        let all: Vec<_> = days
+    let sequential: Vec<String> = scenarios
+        .iter()
+        .map(|scenario| report_json(scenario, StrategyKind::Engine))
+        .collect();
+    let parallel: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> = scenarios
             .iter()
             .rev()
-            .map(|d| s.spawn(move || text(d, StrategyKind::Engine)))
+            .map(|scenario| scope.spawn(move || report_json(scenario, StrategyKind::Engine)))
             .collect();
-        all.into_iter().rev().map(|t| t.join().unwrap()).collect()
+        threads
+            .into_iter()
+            .rev()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    assert_eq!(one, other);
+    assert_eq!(sequential, parallel);
     assert!(
-        one.windows(2).all(|w| w[0] != w[1]),
-        "other seeds give other days"
+        sequential.windows(2).all(|pair| pair[0] != pair[1]),
+        "two seeds gave the same report"
     );
 }
 
 #[test]
-fn rules_hold_under_each_kind_of_trouble() {
+fn rules_hold_under_each_kind_of_fault() {
     for (n, kind) in FaultKind::ALL.into_iter().enumerate() {
-        let day = Scenario::only(kind, 20 + n as u64, 40 * SECOND);
-        let played = play(&day, StrategyKind::Engine, true);
-        let report = &played.report;
+        let scenario = Scenario::only(kind, 20 + n as u64, 40 * SECOND);
+        let run = play(&scenario, StrategyKind::Engine, true);
+        let report = &run.report;
         assert!(report.passed(), "{}", report.text());
         assert!(
             report.commands > 1000 && report.acked * 2 > report.commands,
@@ -45,7 +52,7 @@
 }
 
 #[test]
-fn a_bad_build_is_sent_back_and_a_good_one_released() {
+fn a_defective_build_is_rolled_back_and_a_good_one_released() {
     let mut bad = Scenario::only(FaultKind::BadBuild, 3, 60 * SECOND);
     bad.builds[1].defect = BuildDefect::Errors(0.6);
     let report = play(&bad, StrategyKind::Engine, false).report;
@@ -67,11 +74,12 @@
 }
 
 #[test]
-fn full_sight_serves_most_and_random_least_when_hosts_hang_and_crawl() {
-    let mut day = Scenario::only(FaultKind::Hang, 5, 60 * SECOND);
-    day.faults
+fn full_sight_serves_most_and_random_least_when_hosts_hang_or_are_slow() {
+    let mut scenario = Scenario::only(FaultKind::Hang, 5, 60 * SECOND);
+    scenario
+        .faults
         .push("slow:at=20s:lasts=25s:part=0.3:size=6".parse().unwrap());
-    let service = |who| play(&day, who, false).report.service;
+    let service = |kind| play(&scenario, kind, false).report.service;
     let [engine, random, full] = [
         StrategyKind::Engine,
         StrategyKind::Random,
@@ -85,52 +93,56 @@
 }
 
 #[test]
-fn many_routers_tell_each_other_and_rules_hold() {
-    let mut day = Scenario::bad_day(8, 40 * SECOND)
+fn rules_hold_with_many_routers_that_gossip() {
+    let mut scenario = Scenario::bad_day(8, 40 * SECOND)
         .sized(FleetSize::Middle)
         .by_majority();
-    day.faults.push("cut:at=10s:lasts=8s".parse().unwrap());
-    let report = play(&day, StrategyKind::Engine, true).report;
+    scenario.faults.push("cut:at=10s:lasts=8s".parse().unwrap());
+    let report = play(&scenario, StrategyKind::Engine, true).report;
     assert!(report.passed(), "{}", report.text());
     assert!(report.acked > 6000, "{}", report.text());
 }
 
-/// Hosts are replaced again and again; what is kept for them must not grow with the length of the day.
+/// Hosts are replaced again and again: events, attempts and host slots must not accumulate over a long run.
 #[test]
-fn a_long_day_keeps_no_more_than_a_short_one() {
-    let most = |length| {
-        let mut day = Scenario::plain(4, length);
-        let every = 70 * SECOND;
-        for n in 1..length / every {
+fn a_long_run_keeps_no_more_state_than_a_short_one() {
+    let peak_counts = |length| {
+        let mut scenario = Scenario::plain(4, length);
+        let build_interval = 70 * SECOND;
+        for n in 1..length / build_interval {
             let number = n as u16 + 1;
             let build = spokeflow_scenario::scenario::Build {
                 number,
-                offered: n * every,
+                offered: n * build_interval,
                 defect: BuildDefect::None,
                 speed: 1.0,
             };
-            day.builds.push(build);
+            scenario.builds.push(build);
         }
-        let played = play(&day, StrategyKind::Engine, false);
-        assert!(played.report.passed(), "{}", played.report.text());
-        let released = played
+        let run = play(&scenario, StrategyKind::Engine, false);
+        assert!(run.report.passed(), "{}", run.report.text());
+        let released = run
             .report
             .builds
             .iter()
             .filter(|b| b.end == "released")
             .count();
-        assert!(released * 2 > day.builds.len(), "{}", played.report.text());
-        played.most_kept
+        assert!(
+            released * 2 > scenario.builds.len(),
+            "{}",
+            run.report.text()
+        );
+        run.most_kept
     };
-    let (short, long) = (most(400 * SECOND), most(1600 * SECOND));
+    let (short, long) = (peak_counts(400 * SECOND), peak_counts(1600 * SECOND));
     for (short, long) in short.iter().zip(long) {
         assert!(long as f64 <= 1.3 * *short as f64, "{short:?} {long:?}");
     }
 }
 
-/// Seed 23 broke rule 5 by a fault of the checker: a delivery was counted when its connection stood.
+/// Seed 23 broke rule 5 through a fault of the checker, which counted a delivery only once its connection was up.
 #[test]
-fn bad_days_of_many_seeds_keep_the_rules() {
+fn rules_hold_in_bad_days_of_many_seeds() {
     for seed in 1..41 {
         let report = play(
             &Scenario::bad_day(seed, 60 * SECOND),
