--- a/crates/spokeflow-simulator/src/baseline/mod.rs
+++ b/crates/spokeflow-simulator/src/baseline/mod.rs
@@ -1,5 +1,6 @@
-//! Baselines: routers that keep drains, proof, caps and forward-only keys as told, and choose hosts by a plain
-//! rule. They learn nothing of hosts and vote for every build, but for the one with full sight.
+//! Baselines to compare the engine with: routers that respect drains, exposure caps, repeat rules and forward-only
+//! keys, and choose hosts by a simple rule. They measure nothing about hosts and vote to promote every build; only
+//! the one with full sight knows which builds are defective.
 
 mod choice;
 mod rollout;
@@ -14,24 +15,26 @@
     ToClient, ToHost, ToList,
 };
 
-use crate::strategy::{RoutingStrategy, StrategyKind, Wiring};
+use crate::strategy::{OracleTransport, RoutingStrategy, StrategyKind};
 
-/// How often a baseline looks whether to vote.
+/// How often a baseline checks whether to vote.
 const TIMER_INTERVAL: Micros = 50_000;
-/// A command with less time left than this is not sent again.
+/// A command is only redelivered while more time than this is left.
 const RETRY_MARGIN: Micros = 100_000;
-/// Deliveries of one command at most.
+/// The most deliveries of one command.
 const MAX_DELIVERIES: usize = 4;
-/// Longer times left are taken for this, so that sums of times stay in range.
+/// Limit for the time left of a command, in microseconds, so that sums of times do not overflow.
 const MAX_LEFT_US: u64 = 1 << 40;
-/// When a client may come back that was refused before its command was routed.
+/// The retry-after of a command that was refused before it was routed.
 const REFUSED_RETRY_AFTER_US: u64 = 1_000_000;
+/// The retry-after of a command whose deliveries have ended without an ack.
+const FAILED_RETRY_AFTER_US: u64 = 200_000;
 
-/// A host as the list shows it.
-struct Known {
+/// A host as the host list shows it.
+struct KnownHost {
     build: u16,
     incarnation: u64,
-    ready: bool,
+    is_ready: bool,
     in_flight: u32,
 }
 
@@ -39,51 +42,60 @@
 struct OpenDelivery {
     command: u64,
     host: u32,
-    sent: Micros,
+    sent_at: Micros,
 }
 
-/// A command that is owed an answer.
+/// A command that was accepted and is not yet answered.
 struct OpenRequest {
     conn: u64,
     command: Command,
-    until: Micros,
+    /// When the command is answered without an ack.
+    deadline: Micros,
+    /// The hosts that it was sent to, in order.
     hosts: Vec<u32>,
-    first_sent: Micros,
+    first_sent_at: Micros,
     may_have_run: bool,
 }
 
+/// A routing strategy that is simpler than the engine.
 pub(crate) struct BaselineStrategy {
     kind: StrategyKind,
     config: EngineConfig,
     now: Micros,
     rng: Rng,
-    hosts: BTreeMap<u32, Known>,
+    hosts: BTreeMap<u32, KnownHost>,
     commands: HashMap<u64, OpenRequest>,
     deliveries: HashMap<u64, OpenDelivery>,
+    /// Deadline and id of each open request.
     deadlines: BTreeSet<(Micros, u64)>,
     next_delivery: u64,
-    turn: usize,
+    round_robin_index: usize,
     rollout: Option<RolloutUpdate>,
-    stage_began: Micros,
+    stage_began_at: Micros,
+    /// When the router last voted in the current stage.
     voted_at: Micros,
-    accepted: VecDeque<Micros>,
-    exposed: VecDeque<Micros>,
+    /// When commands were accepted within the exposure window.
+    accepted_at: VecDeque<Micros>,
+    /// When deliveries were sent to a canary within the exposure window.
+    exposed_at: VecDeque<Micros>,
+    /// By sticky key, the newest build that has acked it.
     answered_by: HashMap<u64, u16>,
-    closing: bool,
+    is_closing: bool,
     wake_at: Micros,
-    version: Option<u64>,
+    /// The version of the host list, `None` before the first.
+    list_version: Option<u64>,
 }
 
 impl BaselineStrategy {
     pub(crate) fn new(
-        who: StrategyKind,
-        terms: EngineConfig,
+        kind: StrategyKind,
+        config: EngineConfig,
         seed: u64,
         now: Micros,
     ) -> BaselineStrategy {
         BaselineStrategy {
-            kind: who,
-            config: terms,
+            kind,
+            config,
             now,
             rng: Rng::new(seed),
             hosts: BTreeMap::new(),
@@ -91,187 +103,214 @@
             deliveries: HashMap::new(),
             deadlines: BTreeSet::new(),
             next_delivery: 1,
-            turn: 0,
+            round_robin_index: 0,
             rollout: None,
-            stage_began: now,
+            stage_began_at: now,
             voted_at: Micros::MIN / 2,
-            accepted: VecDeque::new(),
-            exposed: VecDeque::new(),
+            accepted_at: VecDeque::new(),
+            exposed_at: VecDeque::new(),
             answered_by: HashMap::new(),
-            closing: false,
+            is_closing: false,
             wake_at: now + TIMER_INTERVAL,
-            version: None,
+            list_version: None,
         }
     }
 
-    fn route(&mut self, id: u64, wiring: &mut dyn Wiring) {
-        let Some(host) = self.choose(id, wiring) else {
-            return self.give_up(id, wiring);
+    fn route(&mut self, id: u64, transport: &mut dyn OracleTransport) {
+        let Some(host) = self.choose(id, transport) else {
+            return self.end_without_ack(id, transport);
         };
         let build = self.hosts[&host].build;
-        if self.on_trial(build) {
-            self.exposed.push_back(self.now);
+        if self.is_canary(build) {
+            self.exposed_at.push_back(self.now);
         }
         let delivery = self.next_delivery;
         self.next_delivery += 1;
-        let Some(held) = self.commands.get_mut(&id) else {
+        let Some(request) = self.commands.get_mut(&id) else {
             return;
         };
-        if held.hosts.is_empty() {
-            held.first_sent = self.now;
+        if request.hosts.is_empty() {
+            request.first_sent_at = self.now;
         }
-        held.hosts.push(host);
-        let c = &held.command;
+        request.hosts.push(host);
+        let command = &request.command;
         let message = ToHost::Deliver {
             delivery,
-            op: c.op,
-            tenant: c.tenant,
-            key: c.key,
-            idempotency_key: c.idempotency_key,
-            left_us: (held.until - self.now).max(0) as u64,
-            body: c.body.clone(),
+            op: command.op,
+            tenant: command.tenant,
+            key: command.key,
+            idempotency_key: command.idempotency_key,
+            left_us: (request.deadline - self.now).max(0) as u64,
+            body: command.body.clone(),
         };
-        let until = held.until;
-        let sent = OpenDelivery {
+        let deadline = request.deadline;
+        let open = OpenDelivery {
             command: id,
             host,
-            sent: self.now,
+            sent_at: self.now,
         };
-        self.deliveries.insert(delivery, sent);
-        self.hosts.entry(host).and_modify(|h| h.in_flight += 1);
-        if !wiring.to_host(HostId(host), message, until) {
-            self.ended(delivery, false, wiring);
+        self.deliveries.insert(delivery, open);
+        self.hosts
+            .entry(host)
+            .and_modify(|known| known.in_flight += 1);
+        if !transport.to_host(HostId(host), message, deadline) {
+            self.on_delivery_ended(delivery, false, transport);
         }
     }
 
-    fn close(&mut self, delivery: u64) -> Option<u64> {
+    /// Removes an open delivery. Returns its command if that is still unanswered.
+    fn close_delivery(&mut self, delivery: u64) -> Option<u64> {
         let OpenDelivery { command, host, .. } = self.deliveries.remove(&delivery)?;
         self.hosts
             .entry(host)
-            .and_modify(|h| h.in_flight = h.in_flight.saturating_sub(1));
+            .and_modify(|known| known.in_flight = known.in_flight.saturating_sub(1));
         self.commands.contains_key(&command).then_some(command)
     }
 
-    /// A delivery ended without an ack.
-    fn ended(&mut self, delivery: u64, may_have_run: bool, wiring: &mut dyn Wiring) {
-        let Some(id) = self.close(delivery) else {
+    /// Handles a delivery that ended without an ack: redelivers the command where that is allowed.
+    fn on_delivery_ended(
+        &mut self,
+        delivery: u64,
+        may_have_run: bool,
+        transport: &mut dyn OracleTransport,
+    ) {
+        let Some(id) = self.close_delivery(delivery) else {
             return;
         };
-        let Some(held) = self.commands.get_mut(&id) else {
+        let Some(request) = self.commands.get_mut(&id) else {
             return;
         };
-        held.may_have_run |= may_have_run;
-        let op = &self.config.service.ops[usize::from(held.command.op)];
-        let again = match op.repeat {
+        request.may_have_run |= may_have_run;
+        let op = &self.config.service.ops[usize::from(request.command.op)];
+        let may_repeat = match op.repeat {
             Repeat::Idempotent => true,
             Repeat::Deduplicated => {
-                !held.may_have_run
-                    || self.now + TIMER_INTERVAL < held.first_sent + op.deduplication_window
+                !request.may_have_run
+                    || self.now + TIMER_INTERVAL < request.first_sent_at + op.deduplication_window
             }
-            Repeat::AtMostOnce => !held.may_have_run,
+            Repeat::AtMostOnce => !request.may_have_run,
         };
-        if again && held.hosts.len() < MAX_DELIVERIES && held.until - self.now > RETRY_MARGIN {
-            self.route(id, wiring);
+        if may_repeat
+            && request.hosts.len() < MAX_DELIVERIES
+            && request.deadline - self.now > RETRY_MARGIN
+        {
+            self.route(id, transport);
         } else {
-            self.give_up(id, wiring);
+            self.end_without_ack(id, transport);
         }
     }
 
-    fn give_up(&mut self, id: u64, wiring: &mut dyn Wiring) {
-        let Some(held) = self.commands.get(&id) else {
+    /// Answers a command with a nack where it is safe to repeat, else with a failure.
+    fn end_without_ack(&mut self, id: u64, transport: &mut dyn OracleTransport) {
+        let Some(request) = self.commands.get(&id) else {
             return;
         };
-        let harmless =
-            self.config.service.ops[usize::from(held.command.op)].repeat != Repeat::AtMostOnce;
-        let out = self
+        let is_repeatable =
+            self.config.service.ops[usize::from(request.command.op)].repeat != Repeat::AtMostOnce;
+        let is_in_flight = self
             .deliveries
             .values()
             .any(|delivery| delivery.command == id);
-        let (id, come_back_us) = (held.command.id, Some(200_000));
-        let message = if harmless || !held.may_have_run && !out {
+        let id = request.command.id;
+        let message = if is_repeatable || !request.may_have_run && !is_in_flight {
             ToClient::Nacked {
                 id,
-                retry_after_us: come_back_us,
+                retry_after_us: Some(FAILED_RETRY_AFTER_US),
             }
         } else {
             ToClient::Failed { id }
         };
-        self.answer(id, message, wiring);
+        self.answer(id, message, transport);
     }
 
-    fn answer(&mut self, id: u64, message: ToClient, wiring: &mut dyn Wiring) {
-        let Some(held) = self.commands.remove(&id) else {
+    fn answer(&mut self, id: u64, message: ToClient, transport: &mut dyn OracleTransport) {
+        let Some(request) = self.commands.remove(&id) else {
             return;
         };
-        self.deadlines.remove(&(held.until, id));
-        wiring.to_client(held.conn, message);
+        self.deadlines.remove(&(request.deadline, id));
+        transport.to_client(request.conn, message);
     }
 
-    fn list(&mut self, whole: bool, lines: &[EndpointRecord], wiring: &mut dyn Wiring) {
-        if whole {
-            let named: BTreeSet<u32> = lines.iter().map(|l| l.host).collect();
-            for (host, known) in self.hosts.iter_mut().filter(|(h, _)| !named.contains(h)) {
-                known.ready = false;
-                wiring.host_closed(HostId(*host), true);
+    fn apply_list(
+        &mut self,
+        is_complete: bool,
+        endpoints: &[EndpointRecord],
+        transport: &mut dyn OracleTransport,
+    ) {
+        if is_complete {
+            let listed: BTreeSet<u32> = endpoints.iter().map(|endpoint| endpoint.host).collect();
+            for (host, known) in self
+                .hosts
+                .iter_mut()
+                .filter(|(host, _)| !listed.contains(host))
+            {
+                known.is_ready = false;
+                transport.host_closed(HostId(*host), true);
             }
         }
-        for line in lines {
-            let known = self.hosts.entry(line.host).or_insert(Known {
+        for endpoint in endpoints {
+            let known = self.hosts.entry(endpoint.host).or_insert(KnownHost {
                 build: 0,
                 incarnation: 0,
-                ready: false,
+                is_ready: false,
                 in_flight: 0,
             });
-            known.build = line.build.unwrap_or(known.build);
-            known.incarnation = known.incarnation.max(line.incarnation);
-            known.ready = line.phase == EndpointPhase::Ready;
-            if known.ready {
-                wiring.host_open(HostId(line.host), &line.address, known.incarnation);
+            known.build = endpoint.build.unwrap_or(known.build);
+            known.incarnation = known.incarnation.max(endpoint.incarnation);
+            known.is_ready = endpoint.phase == EndpointPhase::Ready;
+            if known.is_ready {
+                transport.host_open(HostId(endpoint.host), &endpoint.address, known.incarnation);
             } else {
-                wiring.host_closed(HostId(line.host), line.phase == EndpointPhase::Gone);
+                transport.host_closed(HostId(endpoint.host), endpoint.phase == EndpointPhase::Gone);
             }
         }
-        self.hosts.retain(|_, h| h.ready || h.in_flight > 0);
+        self.hosts
+            .retain(|_, known| known.is_ready || known.in_flight > 0);
     }
 }
 
 impl BaselineStrategy {
-    fn on_command(&mut self, conn: u64, command: Command, wiring: &mut dyn Wiring) {
+    fn on_command(&mut self, conn: u64, command: Command, transport: &mut dyn OracleTransport) {
         let left = command.left_us.min(MAX_LEFT_US) as Micros - self.config.answer_margin;
         let id = command.id;
-        if self.closing || left <= 0 {
+        if self.is_closing || left <= 0 {
             let refused = ToClient::Nacked {
                 id,
                 retry_after_us: Some(REFUSED_RETRY_AFTER_US),
             };
-            return wiring.to_client(conn, refused);
+            return transport.to_client(conn, refused);
         }
-        self.accepted.push_back(self.now);
-        let until = self.now + left;
-        self.deadlines.insert((until, id));
+        self.accepted_at.push_back(self.now);
+        let deadline = self.now + left;
+        self.deadlines.insert((deadline, id));
         let open = OpenRequest {
             conn,
             command,
-            until,
+            deadline,
             hosts: Vec::new(),
-            first_sent: self.now,
+            first_sent_at: self.now,
             may_have_run: false,
         };
         self.commands.insert(id, open);
-        self.route(id, wiring);
+        self.route(id, transport);
     }
 
     fn on_abandoned(&mut self, id: u64) {
         if let Some(open) = self.commands.remove(&id) {
-            self.deadlines.remove(&(open.until, id));
+            self.deadlines.remove(&(open.deadline, id));
         }
     }
 
-    fn on_host_message(&mut self, host: u32, message: FromHost, wiring: &mut dyn Wiring) {
+    fn on_host_message(
+        &mut self,
+        host: u32,
+        message: FromHost,
+        transport: &mut dyn OracleTransport,
+    ) {
         match message {
-            FromHost::Acked { delivery, body } => self.on_acked(host, delivery, body, wiring),
-            FromHost::Error { delivery } => self.ended(delivery, true, wiring),
-            FromHost::Full { delivery } => self.ended(delivery, false, wiring),
+            FromHost::Acked { delivery, body } => self.on_acked(host, delivery, body, transport),
+            FromHost::Error { delivery } => self.on_delivery_ended(delivery, true, transport),
+            FromHost::Full { delivery } => self.on_delivery_ended(delivery, false, transport),
             FromHost::Welcome {
                 build, incarnation, ..
             } => {
@@ -285,36 +324,42 @@
         }
     }
 
-    fn on_acked(&mut self, host: u32, delivery: u64, body: Bytes, wiring: &mut dyn Wiring) {
-        let Some(sent) = self.deliveries.get(&delivery).map(|known| known.sent) else {
+    fn on_acked(
+        &mut self,
+        host: u32,
+        delivery: u64,
+        body: Bytes,
+        transport: &mut dyn OracleTransport,
+    ) {
+        let Some(sent_at) = self.deliveries.get(&delivery).map(|open| open.sent_at) else {
             return;
         };
-        let Some(id) = self.close(delivery) else {
+        let Some(id) = self.close_delivery(delivery) else {
             return;
         };
         let build = self.hosts.get(&host).map_or(0, |known| known.build);
         let key = self.commands[&id].command.key;
-        if key != 0 && !self.sent_back(build) {
+        if key != 0 && !self.was_rolled_back(build) {
             let newest = self.answered_by.entry(key).or_insert(build);
             *newest = build.max(*newest);
         }
-        let receipt = u64::from(host) << 32 | (sent as u64 / 1000) & 0xffff_ffff;
+        let receipt = u64::from(host) << 32 | (sent_at as u64 / 1000) & 0xffff_ffff;
         let message = ToClient::Acked {
             id,
             build,
             receipt,
             body,
         };
-        self.answer(id, message, wiring);
+        self.answer(id, message, transport);
     }
 
-    fn on_timer(&mut self, wiring: &mut dyn Wiring) {
+    fn on_timer(&mut self, transport: &mut dyn OracleTransport) {
         while let Some((_, id)) = self.next_deadline().filter(|(at, _)| *at <= self.now) {
-            self.give_up(id, wiring);
+            self.end_without_ack(id, transport);
         }
         if self.now >= self.wake_at {
             self.wake_at = self.now + TIMER_INTERVAL;
-            self.vote(wiring);
+            self.vote(transport);
         }
     }
 
@@ -324,12 +369,12 @@
 }
 
 impl RoutingStrategy for BaselineStrategy {
-    fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring) {
+    fn on_input(&mut self, now: Micros, input: Input, transport: &mut dyn OracleTransport) {
         self.now = self.now.max(now);
         match input {
-            Input::Command { conn, command } => self.on_command(conn, command, wiring),
+            Input::Command { conn, command } => self.on_command(conn, command, transport),
             Input::Abandon { id, .. } => self.on_abandoned(id),
-            Input::FromHost { host, message } => self.on_host_message(host, message, wiring),
+            Input::FromHost { host, message } => self.on_host_message(host, message, transport),
             Input::DeliveryFailed {
                 delivery, failure, ..
             } => {
@@ -337,23 +382,25 @@
                     failure,
                     TransportFailure::Reset | TransportFailure::Unresponsive
                 );
-                self.ended(delivery, may_have_run, wiring);
+                self.on_delivery_ended(delivery, may_have_run, transport);
             }
             Input::FromList(FromList::Complete { version, endpoints }) => {
-                self.version = Some(version);
-                self.list(true, &endpoints, wiring);
+                self.list_version = Some(version);
+                self.apply_list(true, &endpoints, transport);
             }
             Input::FromList(FromList::Changes { version, endpoints }) => {
-                self.version = Some(version);
-                self.list(false, &endpoints, wiring);
+                self.list_version = Some(version);
+                self.apply_list(false, &endpoints, transport);
             }
             Input::ListUnavailable => {
-                // Where the list cannot be asked now, its next failure asks again.
-                let _sent = wiring.to_list(ToList::Watch { have: self.version });
+                // If the request cannot be sent now, the next `ListUnavailable` sends it again.
+                let _sent = transport.to_list(ToList::Watch {
+                    have: self.list_version,
+                });
             }
             Input::FromController(FromController::RolloutUpdate(update)) => self.on_rollout(update),
-            Input::Close => self.closing = true,
-            Input::Timer => self.on_timer(wiring),
+            Input::Close => self.is_closing = true,
+            Input::Timer => self.on_timer(transport),
             _ => {}
         }
     }
@@ -363,7 +410,7 @@
             .map_or(self.wake_at, |(at, _)| at.min(self.wake_at))
     }
 
-    fn held(&self) -> usize {
+    fn waiting_commands(&self) -> usize {
         self.commands.len()
     }
 }
--- a/crates/spokeflow-simulator/src/engine_config.rs
+++ b/crates/spokeflow-simulator/src/engine_config.rs
@@ -1,25 +1,25 @@
-//! A day's promises as terms of an engine: the same that the flags of a router process give, see the test
-//! of the lab that compares both.
+//! The engine configuration of a scenario. It must equal the one that a router process derives from the flags of the
+//! scenario; a test of `spokeflow-experiments` compares the two.
 
 use spokeflow_core::{DeduplicationScope, Gate, OperationConfig, Repeat, ServiceConfig, ZoneId};
 use spokeflow_engine::EngineConfig;
-use spokeflow_scenario::scenario::{self, Scenario};
+use spokeflow_scenario::scenario::{Gate as ScenarioGate, Op, Repeat as ScenarioRepeat, Scenario};
 use spokeflow_scenario::{MS, SECOND};
 
-/// Terms of router `index`.
-pub fn engine_config(day: &Scenario, index: u32) -> EngineConfig {
-    let op = |op: &scenario::Op| {
-        let (repeat, repeat_scope, repeat_memory) = match op.repeat {
-            scenario::Repeat::Redeliverable => (Repeat::Idempotent, DeduplicationScope::Unknown, 0),
-            scenario::Repeat::Deduplicated(memory) => {
-                (Repeat::Deduplicated, DeduplicationScope::All, memory)
+/// Returns the engine configuration of router `index`.
+pub fn engine_config(scenario: &Scenario, index: u32) -> EngineConfig {
+    let op = |op: &Op| {
+        let (repeat, deduplication_scope, deduplication_window) = match op.repeat {
+            ScenarioRepeat::Redeliverable => (Repeat::Idempotent, DeduplicationScope::Unknown, 0),
+            ScenarioRepeat::Deduplicated(window) => {
+                (Repeat::Deduplicated, DeduplicationScope::All, window)
             }
-            scenario::Repeat::AtMostOnce => (Repeat::AtMostOnce, DeduplicationScope::Unknown, 0),
+            ScenarioRepeat::AtMostOnce => (Repeat::AtMostOnce, DeduplicationScope::Unknown, 0),
         };
         OperationConfig {
             repeat,
-            deduplication_scope: repeat_scope,
-            deduplication_window: repeat_memory,
+            deduplication_scope,
+            deduplication_window,
             latency_objective: op.target,
             command_timeout: op.timeout,
             priority_weight: op.importance,
@@ -27,11 +27,11 @@
         }
     };
     let service = ServiceConfig {
-        ops: day.ops.iter().map(op).collect(),
-        tenant_quotas: day.customers.iter().map(|c| c.allowed).collect(),
-        own_zone: ZoneId((index % u32::from(day.sites)) as u16),
+        ops: scenario.ops.iter().map(op).collect(),
+        tenant_quotas: scenario.customers.iter().map(|c| c.allowed).collect(),
+        own_zone: ZoneId((index % u32::from(scenario.sites)) as u16),
         own_index: index,
-        fleet_size: day.routers,
+        fleet_size: scenario.routers,
         tick: MS,
         list_requires_subscription: false,
         list_refresh_within: 5 * SECOND,
@@ -39,30 +39,32 @@
         may_hedge: true,
         may_cancel: true,
         may_probe: false,
-        may_gossip: day.tells,
+        may_gossip: scenario.tells,
         may_name_retry_after: true,
         longest_retry_after: 2 * SECOND,
-        drain_grace: day.drain_grace,
-        slow_start_from: day.cold_from,
-        warm_up_time: day.warm_within,
-        overload_multiple: day.fall_multiple,
-        overload_window: day.fall_span,
-        gate: match day.gate {
-            scenario::Gate::Single => Gate::Single,
-            scenario::Gate::Majority => Gate::Majority,
+        drain_grace: scenario.drain_grace,
+        slow_start_from: scenario.cold_from,
+        warm_up_time: scenario.warm_within,
+        overload_multiple: scenario.fall_multiple,
+        overload_window: scenario.fall_span,
+        gate: match scenario.gate {
+            ScenarioGate::Single => Gate::Single,
+            ScenarioGate::Majority => Gate::Majority,
         },
-        stage_caps: (0..day.stage_fractions.len()).map(|s| day.cap(s)).collect(),
-        stage_shares: day.stage_fractions.clone(),
-        exposure_allowance: day.exposure_free,
-        exposure_window: day.exposure_span,
+        stage_caps: (0..scenario.stage_fractions.len())
+            .map(|s| scenario.cap(s))
+            .collect(),
+        stage_shares: scenario.stage_fractions.clone(),
+        exposure_allowance: scenario.exposure_free,
+        exposure_window: scenario.exposure_span,
         exposure_by_op: false,
         guarded_stages: 0,
-        forward_only: day.forward_only,
+        forward_only: scenario.forward_only,
         rolling: true,
-        stage_bake: day.bake,
+        stage_bake: scenario.bake,
         vote_lifetime: 10 * SECOND,
         vote_timeout: 2 * SECOND,
-        complaint_share: day.reported,
+        complaint_share: scenario.reported,
         rollback_votes: 0,
         votes_per_second: f64::INFINITY,
     };
--- a/crates/spokeflow-simulator/src/lib.rs
+++ b/crates/spokeflow-simulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! A whole deployment in simulated time: many engines of `spokeflow-engine` unchanged, with the hosts, host list,
-//! release controller, clients and faults of `spokeflow-scenario` around them. No I/O, no clock; discrete events in whole
-//! microseconds, those of one microsecond in the order in which they were planned. Equal scenarios give equal bytes.
+//! Discrete-event simulation of a whole deployment: unmodified engines of `spokeflow-engine`, with the hosts, host
+//! list, release controller, clients and faults of `spokeflow-scenario` around them. There is no I/O and no wall
+//! clock. Times are whole microseconds; events of the same microsecond are handled in the order in which they were
+//! scheduled. Equal scenarios give byte-identical reports.
 
 mod baseline;
 mod control_plane;
@@ -13,4 +14,4 @@
 pub use control_plane::{play_control_plane, ControlPlaneRun, ControlPlaneScenario};
 pub use engine_config::engine_config;
 pub use play::{play, play_with, ScenarioRun, Watch};
-pub use strategy::{HostView, RoutingStrategy, StrategyKind, Wiring};
+pub use strategy::{HostView, OracleTransport, RoutingStrategy, StrategyKind};
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario, and gives what came of it.
+//! Runs a scenario and returns its report.
 
 use spokeflow_scenario::check::{check, RuleConfig};
 use spokeflow_scenario::observation::Observation;
@@ -9,51 +9,51 @@
 use crate::strategy::StrategyKind;
 use crate::world::World;
 
-/// Event is told of a day while it is played.
+/// Receives progress and observations of a run while it is simulated.
 pub trait Watch {
-    /// A second has passed; `at` counts from the first command.
-    fn passed(&mut self, _at: Micros) {}
-    /// Something was observed.
-    fn seen(&mut self, _at: Micros, _seen: &Observation) {}
+    /// Called about once per simulated second; `at` counts from the first command, and is negative before it.
+    fn on_second(&mut self, _at: Micros) {}
+    /// Called for each observation, in order; `at` counts from the start of the simulation.
+    fn on_observation(&mut self, _at: Micros, _observation: &Observation) {}
 }
 
 impl Watch for () {}
 
-/// Keeps the trace, for the messages beside what is broken.
+/// Collects the trace, from which the messages that broke a rule are taken.
 impl Watch for Vec<(Micros, Observation)> {
-    fn seen(&mut self, at: Micros, seen: &Observation) {
-        self.push((at, seen.clone()));
+    fn on_observation(&mut self, at: Micros, observation: &Observation) {
+        self.push((at, observation.clone()));
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct ScenarioRun {
     /// The report.
     pub report: Report,
     /// Events handled.
     pub events: u64,
-    /// Simulated microseconds, lead and last answers among them.
+    /// Simulated microseconds, including the warm-up before the first command and the wait for the last answers.
     pub span: Micros,
-    /// The most events, attempts and hosts' slots kept at a time.
+    /// The largest numbers of scheduled events, open attempts and host slots at any time, in this order.
     pub most_kept: [usize; 3],
 }
 
-/// Runs a scenario to its end. Only the first breaks of a rule carry messages, where `explain` says so: the scenario
-/// is then run a second time, which gives the same.
-pub fn play(day: &Scenario, who: StrategyKind, explain: bool) -> ScenarioRun {
-    let mut played = play_with(day, who, &mut ());
-    if explain && !played.report.broken.is_empty() {
+/// Runs a scenario to its end. With `explain`, the first violations of each rule carry the messages that led to them:
+/// where a rule was broken, the scenario is run a second time with its trace collected, which gives the same result.
+pub fn play(scenario: &Scenario, kind: StrategyKind, explain: bool) -> ScenarioRun {
+    let mut run = play_with(scenario, kind, &mut ());
+    if explain && !run.report.broken.is_empty() {
         let mut trace: Vec<(Micros, Observation)> = Vec::new();
-        play_with(day, who, &mut trace);
-        let mut broken = check(&RuleConfig::of(day), &trace);
-        for (to, from) in played.report.broken.iter_mut().zip(broken.iter_mut()) {
+        play_with(scenario, kind, &mut trace);
+        let mut broken = check(&RuleConfig::of(scenario), &trace);
+        for (to, from) in run.report.broken.iter_mut().zip(broken.iter_mut()) {
             to.messages = std::mem::take(&mut from.messages);
         }
     }
-    played
+    run
 }
 
-/// Runs a scenario once and tells `watch` of it.
-pub fn play_with(day: &Scenario, who: StrategyKind, watch: &mut dyn Watch) -> ScenarioRun {
-    World::new(day.clone(), who).run(watch)
+/// Runs a scenario once and passes its progress and observations to `watch`.
+pub fn play_with(scenario: &Scenario, kind: StrategyKind, watch: &mut dyn Watch) -> ScenarioRun {
+    World::new(scenario.clone(), kind).run(watch)
 }
--- a/crates/spokeflow-simulator/src/strategy.rs
+++ b/crates/spokeflow-simulator/src/strategy.rs
@@ -1,4 +1,4 @@
-//! Event decides in a router's place: the engine, or a baseline behind the same interface.
+//! The routing strategies of simulated routers: the engine, or a baseline behind the same interface.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,67 +8,67 @@
 
 use crate::baseline::BaselineStrategy;
 
-/// Event a router with full sight would know of a host.
+/// The true state of a host, which only [`StrategyKind::FullSight`] may use.
 #[derive(Clone, Copy, Debug)]
 pub struct HostView {
-    /// It answers.
-    pub up: bool,
-    /// Work before a command that is sent now, in microseconds.
+    /// Whether the host answers.
+    pub is_up: bool,
+    /// Work queued before a command that arrives now, in microseconds.
     pub work_before: f64,
-    /// The delay one way; `None` while it is cut off.
+    /// The one-way delay from the router to the host; `None` while they are cut off from each other.
     pub delay: Option<Micros>,
-    /// Event it does by now of what a warm and well host does.
+    /// The host's current speed as a fraction of that of a warm host without faults.
     pub speed: f64,
-    /// Part of the commands that fail there.
+    /// Probability that the host answers a command with an error, 0 to 1.
     pub failure_rate: f64,
-    /// Whether it bears one more while it is cold.
+    /// Whether the host can take one more command without being overloaded while it is cold.
     pub has_headroom: bool,
 }
 
-/// The way out of a router, and, for full sight alone, what nobody can see.
-pub trait Wiring: Transport {
-    /// The host as it is now.
-    fn look(&self, host: HostId) -> HostView;
-    /// Whether the build has a defect.
-    fn is_bad(&self, build: BuildId) -> bool;
+/// A router's transport, extended by queries on the true state of the fleet for [`StrategyKind::FullSight`].
+pub trait OracleTransport: Transport {
+    /// Returns the true state of the host.
+    fn host_view(&self, host: HostId) -> HostView;
+    /// Returns whether the build has a defect.
+    fn is_defective(&self, build: BuildId) -> bool;
 }
 
-/// Decides in a router's place.
+/// Routes the commands of one router.
 pub trait RoutingStrategy {
-    /// Takes one input.
-    fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring);
-    /// When it wants [`Input::Timer`] next.
+    /// Handles one input and sends what follows from it on `transport`.
+    fn on_input(&mut self, now: Micros, input: Input, transport: &mut dyn OracleTransport);
+    /// Returns when the strategy needs [`Input::Timer`] next.
     fn next_wake(&self) -> Micros;
-    /// Commands that are owed an answer.
-    fn held(&self) -> usize;
+    /// Returns the number of commands that have been accepted and not yet answered.
+    fn waiting_commands(&self) -> usize;
 }
 
 impl RoutingStrategy for Engine {
-    fn take(&mut self, now: Micros, input: Input, wiring: &mut dyn Wiring) {
-        Engine::on_input(self, now, input, wiring);
+    fn on_input(&mut self, now: Micros, input: Input, transport: &mut dyn OracleTransport) {
+        Engine::on_input(self, now, input, transport);
     }
 
     fn next_wake(&self) -> Micros {
         Engine::next_wake(self)
     }
 
-    fn held(&self) -> usize {
+    fn waiting_commands(&self) -> usize {
         Engine::waiting_commands(self)
     }
 }
 
-/// What decides in a router's place.
+/// The kind of a routing strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StrategyKind {
     /// The engine of `spokeflow-engine`.
     Engine,
-    /// Any host.
+    /// Chooses hosts at random.
     Random,
-    /// Hosts one after the other.
+    /// Chooses hosts in turn.
     RoundRobin,
-    /// The better of two random choices by own commands in flight, without sticky assignments.
+    /// Chooses the one of two random hosts with fewer of the router's own commands in flight; ignores sticky keys.
     TwoChoices,
-    /// Sees hosts and builds as they are: an upper bound.
+    /// Knows the true state of hosts and builds: an upper bound for any strategy.
     FullSight,
 }
 
@@ -84,14 +84,14 @@
 
     pub(crate) fn start(
         self,
-        terms: EngineConfig,
+        config: EngineConfig,
         seed: u64,
         now: Micros,
-        wiring: &mut dyn Wiring,
+        transport: &mut dyn OracleTransport,
     ) -> Box<dyn RoutingStrategy> {
         match self {
-            StrategyKind::Engine => Box::new(Engine::new(terms, seed, now, wiring)),
-            who => Box::new(BaselineStrategy::new(who, terms, seed, now)),
+            StrategyKind::Engine => Box::new(Engine::new(config, seed, now, transport)),
+            kind => Box::new(BaselineStrategy::new(kind, config, seed, now)),
         }
     }
 }
@@ -111,10 +111,10 @@
 impl FromStr for StrategyKind {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        let names = || StrategyKind::ALL.map(|w| w.to_string()).join(", ");
+        let names = || StrategyKind::ALL.map(|kind| kind.to_string()).join(", ");
         StrategyKind::ALL
             .into_iter()
-            .find(|w| w.to_string() == text)
+            .find(|kind| kind.to_string() == text)
             .ok_or_else(|| format!("not one of {}", names()))
     }
 }
--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -1,5 +1,5 @@
-//! The deployment: events in the order of their times, and those of one microsecond in the order in which they
-//! were planned. Each part of the deployment has a module of its own.
+//! The simulated deployment. Events are handled in the order of their times, and those of the same microsecond in the
+//! order in which they were scheduled. Each part of the deployment has a module of its own.
 
 mod clients;
 mod connections;
@@ -38,290 +38,335 @@
 use crate::play::{ScenarioRun, Watch};
 use crate::strategy::StrategyKind;
 
-/// Before the first command, so that routers have a list and news.
+/// The time before the first command, in which routers receive the host list and the rollout state.
 const WARM_UP: Micros = SECOND;
-/// One way within a site, and between a client and its router.
+/// The one-way delay within a site, and between a client and its router.
 const LOCAL_DELAY: Micros = 60;
-const CONTROLLER_TICK: Micros = 10 * MS;
-const SLOW_TICK: Micros = 50 * MS;
+const CONTROLLER_TICK_INTERVAL: Micros = 10 * MS;
+/// How often the load that hosts put on each other is updated and the state of the fleet is recorded.
+const FLEET_TICK_INTERVAL: Micros = 50 * MS;
 
 pub(crate) struct World {
-    day: Scenario,
+    scenario: Scenario,
     strategy: StrategyKind,
     now: Micros,
     start: Micros,
     end: Micros,
     last_sequence: u64,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Event has met a cut, until it ends.
+    /// Messages that met a cut link or a stalled controller; they are scheduled again when any fault ends.
     blocked: Vec<Event>,
     faults: ActiveFaults,
     rng: StdRng,
-    number: u64,
+    last_number: u64,
     routers: Vec<RouterSlot>,
     host_slots: Slab<HostSlot>,
-    slot_of: HashMap<u32, usize>,
-    /// By seat and router.
+    slot_by_host: HashMap<u32, usize>,
+    /// By host slot and router, see [`World::link_id`].
     host_links: Vec<HostLink>,
     deduplication: DeduplicationTable,
     registry: EndpointRegistry,
     controller: ReleaseController,
-    offers: Vec<Build>,
+    /// Builds that the release controller has not accepted yet, in the order of their offers.
+    unoffered_builds: Vec<Build>,
     router_picker: RouterPicker,
     traffic: Traffic,
     clients: Slab<OpenCommand>,
     attempts: Slab<OpenAttempt>,
-    affected: BTreeMap<usize, Vec<u32>>,
-    active: Vec<(usize, Fault)>,
-    record: Option<RunRecorder>,
+    /// By index of an active fault, the hosts that were drawn for it.
+    affected_hosts: BTreeMap<usize, Vec<u32>>,
+    /// Active faults, each with its index in the scenario.
+    active_faults: Vec<(usize, Fault)>,
+    recorder: Option<RunRecorder>,
+    /// Observations of the event that is being handled, not yet passed to the [`Watch`].
     observations: Vec<(Micros, Observation)>,
-    most: [usize; 3],
+    /// The largest numbers of scheduled events, open attempts and host slots at any time.
+    peak_counts: [usize; 3],
 }
 
 impl World {
-    pub(crate) fn new(day: Scenario, who: StrategyKind) -> World {
+    pub(crate) fn new(scenario: Scenario, kind: StrategyKind) -> World {
         let start = WARM_UP;
-        let longest = day.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
-        let offers = day
+        let longest_timeout = scenario.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
+        let unoffered_builds = scenario
             .builds
             .iter()
             .copied()
             .filter(|b| b.number > 1)
             .collect();
         World {
-            strategy: who,
+            strategy: kind,
             now: 0,
             start,
-            end: start + day.length + longest + SECOND,
+            end: start + scenario.length + longest_timeout + SECOND,
             last_sequence: 0,
             queue: BinaryHeap::new(),
             blocked: Vec::new(),
             faults: ActiveFaults::default(),
-            rng: StdRng::seed_from_u64(day.seed ^ 0x57a6e),
-            number: 0,
+            rng: StdRng::seed_from_u64(scenario.seed ^ 0x57a6e),
+            last_number: 0,
             routers: Vec::new(),
             host_slots: Slab::new(),
-            slot_of: HashMap::new(),
+            slot_by_host: HashMap::new(),
             host_links: Vec::new(),
             deduplication: DeduplicationTable::default(),
             registry: EndpointRegistry::default(),
-            controller: ReleaseController::new(&day),
-            offers,
-            router_picker: RouterPicker::new(&day),
-            traffic: Traffic::new(&day, start),
+            controller: ReleaseController::new(&scenario),
+            unoffered_builds,
+            router_picker: RouterPicker::new(&scenario),
+            traffic: Traffic::new(&scenario, start),
             clients: Slab::new(),
             attempts: Slab::new(),
-            affected: BTreeMap::new(),
-            active: Vec::new(),
-            record: Some(RunRecorder::new(&day, start)),
+            affected_hosts: BTreeMap::new(),
+            active_faults: Vec::new(),
+            recorder: Some(RunRecorder::new(&scenario, start)),
             observations: Vec::new(),
-            most: [0; 3],
-            day,
+            peak_counts: [0; 3],
+            scenario,
         }
     }
 
     pub(crate) fn run(mut self, watch: &mut dyn Watch) -> ScenarioRun {
-        for host in 0..self.day.hosts {
-            self.seat(host, 1, None);
-            self.run_host(host);
+        for host in 0..self.scenario.hosts {
+            self.add_host_slot(host, 1, None);
+            self.start_host_process(host);
         }
         self.registry.tick(self.now);
-        for router in 0..self.day.routers {
-            let site = (router % u32::from(self.day.sites)) as u16;
+        for router in 0..self.scenario.routers {
+            let site = (router % u32::from(self.scenario.sites)) as u16;
             self.routers.push(RouterSlot::new(router, site));
         }
-        for router in 0..self.day.routers {
+        for router in 0..self.scenario.routers {
             self.start_router(router);
         }
-        self.plan(CONTROLLER_TICK, Event::ControllerTick);
-        self.plan(SLOW_TICK, Event::SlowTick);
-        for (n, trouble) in self.day.faults.clone().iter().enumerate() {
-            self.plan_at(self.start + trouble.at, Event::FaultBegins(n));
+        self.schedule(CONTROLLER_TICK_INTERVAL, Event::ControllerTick);
+        self.schedule(FLEET_TICK_INTERVAL, Event::FleetTick);
+        for (n, fault) in self.scenario.faults.clone().iter().enumerate() {
+            self.schedule_at(self.start + fault.at, Event::FaultBegins(n));
         }
-        let first = self.traffic.next(&self.day, &self.faults);
-        self.plan_at(first.due, Event::CommandDue(first));
-        let (mut events, mut told) = (0, 0);
-        while let Some(Reverse(ScheduledEvent {
-            at, event: what, ..
-        })) = self.queue.pop()
-        {
+        let first = self.traffic.next(&self.scenario, &self.faults);
+        self.schedule_at(first.due, Event::CommandDue(first));
+        let (mut events, mut last_second_at) = (0, 0);
+        while let Some(Reverse(ScheduledEvent { at, event, .. })) = self.queue.pop() {
             if at > self.end {
                 break;
             }
             self.now = at;
             events += 1;
-            self.handle(what);
-            for (at, seen) in std::mem::take(&mut self.observations) {
-                watch.seen(at, &seen);
+            self.handle(event);
+            for (at, observation) in std::mem::take(&mut self.observations) {
+                watch.on_observation(at, &observation);
             }
-            if self.now >= told + SECOND {
-                told = self.now;
-                watch.passed(self.now - self.start);
+            if self.now >= last_second_at + SECOND {
+                last_second_at = self.now;
+                watch.on_second(self.now - self.start);
             }
-            self.most[0] = self.most[0].max(self.queue.len());
+            self.peak_counts[0] = self.peak_counts[0].max(self.queue.len());
         }
-        let record = self.record.take().expect("there until the end");
-        let report = record.finish(Vec::new(), None);
+        let recorder = self
+            .recorder
+            .take()
+            .expect("the recorder is only taken here, at the end of the run");
+        let report = recorder.finish(Vec::new(), None);
         ScenarioRun {
             report,
             events,
             span: self.end,
-            most_kept: self.most,
+            most_kept: self.peak_counts,
         }
     }
 
-    fn note(&mut self, seen: Observation) {
-        if let Some(record) = &mut self.record {
-            record.see(self.now, &seen);
+    fn observe(&mut self, observation: Observation) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.see(self.now, &observation);
         }
-        self.observations.push((self.now, seen));
+        self.observations.push((self.now, observation));
     }
 
-    fn plan(&mut self, after: Micros, what: Event) {
-        self.plan_at(self.now + after, what);
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.schedule_at(self.now + after, event);
     }
 
-    fn plan_at(&mut self, at: Micros, what: Event) {
+    fn schedule_at(&mut self, at: Micros, event: Event) {
         self.last_sequence += 1;
         self.queue.push(Reverse(ScheduledEvent {
             at,
             sequence: self.last_sequence,
-            event: what,
+            event,
         }));
     }
 
-    fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    /// Returns a number that no other command, attempt or host process of the run has.
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn handle(&mut self, what: Event) {
-        match what {
-            Event::CommandDue(wanted) => self.ask(wanted),
-            Event::RetryDue(client) => self.try_again(client),
-            Event::CommandAtRouter { tried, left } => self.at_router(tried, left),
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::CommandDue(planned) => self.begin_command(planned),
+            Event::RetryDue(client) => self.begin_attempt(client),
+            Event::CommandAtRouter { attempt, time_left } => {
+                self.on_command_at_router(attempt, time_left)
+            }
             Event::AnswerAtClient {
-                tried,
+                attempt,
                 end,
                 receipt,
-            } => self.at_client(tried, end, receipt),
-            Event::ClientLeaves { tried } => self.leaves(tried),
-            Event::AbandonAtRouter { tried, by } => {
-                let conn = u64::from(by.router);
-                self.give(by, Input::Abandon { conn, id: tried });
+            } => self.on_answer_at_client(attempt, end, receipt),
+            Event::ClientLeaves { attempt } => self.on_client_leaves(attempt),
+            Event::AbandonAtRouter { attempt, process } => {
+                let conn = u64::from(process.router);
+                self.give_input(process, Input::Abandon { conn, id: attempt });
             }
-            Event::WrongAnswerAtRouter { by, receipt } => {
-                self.give(by, Input::WrongAnswer { conn: 0, receipt })
+            Event::WrongAnswerAtRouter { process, receipt } => {
+                self.give_input(process, Input::WrongAnswer { conn: 0, receipt })
             }
-            Event::RouterTimer { by, at } => {
-                let seat = &mut self.routers[by.router as usize];
-                if seat.process == by && seat.wake_at == at {
-                    seat.wake_at = Micros::MAX;
-                    self.give(by, Input::Timer);
+            Event::RouterTimer { process, at } => {
+                let slot = &mut self.routers[process.router as usize];
+                if slot.process == process && slot.wake_at == at {
+                    slot.wake_at = Micros::MAX;
+                    self.give_input(process, Input::Timer);
                 }
             }
             Event::DeliveryFailed {
-                by,
+                process,
                 host,
                 delivery,
-                end,
+                failure,
             } => {
-                self.give(
-                    by,
+                self.give_input(
+                    process,
                     Input::DeliveryFailed {
                         host,
                         delivery,
-                        failure: end,
+                        failure,
                     },
                 );
             }
-            Event::MessageAtHost { pair, epoch, word } => self.reaches_host(pair, epoch, word),
-            Event::MessageAtRouter { pair, epoch, word } => self.reaches_router(pair, epoch, word),
-            Event::ConnectEnds { pair, epoch, fails } => self.connected(pair, epoch, fails),
-            Event::SilenceCheck { pair, epoch } => self.silence(pair, epoch),
+            Event::MessageAtHost {
+                link_id,
+                epoch,
+                message,
+            } => self.on_message_at_host(link_id, epoch, message),
+            Event::MessageAtRouter {
+                link_id,
+                epoch,
+                message,
+            } => self.on_message_at_router(link_id, epoch, message),
+            Event::ConnectEnds {
+                link_id,
+                epoch,
+                fails,
+            } => self.on_connect_end(link_id, epoch, fails),
+            Event::SilenceCheck { link_id, epoch } => self.check_silence(link_id, epoch),
             Event::HostTimer {
-                seat,
+                slot,
                 incarnation,
                 at,
-            } => self.host_due(seat, incarnation, at),
-            Event::HostStarts(host) => self.boot(host),
-            Event::HostStops(host) => self.stop(host),
+            } => self.on_host_timer(slot, incarnation, at),
+            Event::HostStarts(host) => self.start_host(host),
+            Event::HostStops(host) => self.stop_host(host),
             Event::HostRestarts(host) => {
-                let Some(&seat) = self.slot_of.get(&host) else {
+                let Some(&slot) = self.slot_by_host.get(&host) else {
                     return;
                 };
-                if !self.host_slots[seat].draining && self.host_slots[seat].process.is_none() {
-                    self.host_slots[seat].started = Some(self.now);
-                    self.run_host(host);
+                if !self.host_slots[slot].is_draining && self.host_slots[slot].process.is_none() {
+                    self.host_slots[slot].started = Some(self.now);
+                    self.start_host_process(host);
                 }
             }
-            Event::SlotFreed(host) => self.free(host),
-            Event::RegistryTick => self.board_tick(),
-            Event::ListRequest { by, link, have } => self.list_ask(by, link, have),
-            Event::ListAtRouter { by, link, message } => self.list_to(by, link, &message),
-            Event::ListReconnects { by, link } => self.list_renew(by, link),
-            Event::ListConnected { by, link } => self.list_open(by, link),
-            Event::RolloutAtRouter { by, state } => self.news_to(by, state),
+            Event::SlotFreed(host) => self.free_slot(host),
+            Event::RegistryTick => self.on_registry_tick(),
+            Event::ListRequest {
+                process,
+                connection,
+                have,
+            } => self.on_list_request(process, connection, have),
+            Event::ListAtRouter {
+                process,
+                connection,
+                message,
+            } => self.on_list_message(process, connection, &message),
+            Event::ListRefreshDue {
+                process,
+                connection,
+            } => self.on_list_refresh_due(process, connection),
+            Event::ListConnectDue {
+                process,
+                connection,
+            } => self.connect_to_list(process, connection),
+            Event::RolloutAtRouter { process, state } => self.on_rollout_at_router(process, state),
             Event::VoteAtController {
-                by,
+                process,
                 ballot,
                 build,
                 stage,
-                verdict,
+                vote,
             } => {
-                self.vote_at(by, ballot, build, stage, verdict);
+                self.on_vote(process, ballot, build, stage, vote);
             }
-            Event::VoteResultAtRouter { by, ballot, result } => {
-                let site = self.routers[by.router as usize].site;
+            Event::VoteResultAtRouter {
+                process,
+                ballot,
+                result,
+            } => {
+                let site = self.routers[process.router as usize].site;
                 if self
                     .faults
                     .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
                     .is_none()
                 {
-                    return self
-                        .blocked
-                        .push(Event::VoteResultAtRouter { by, ballot, result });
+                    return self.blocked.push(Event::VoteResultAtRouter {
+                        process,
+                        ballot,
+                        result,
+                    });
                 }
-                self.give(
-                    by,
+                self.give_input(
+                    process,
                     Input::FromController(FromController::Voted { ballot, result }),
                 );
             }
-            Event::GossipAtRouter { by, from, text } => {
-                self.give(
-                    by,
+            Event::GossipAtRouter {
+                process,
+                from,
+                text,
+            } => {
+                self.give_input(
+                    process,
                     Input::Gossip {
                         router: from,
                         text: text.to_vec(),
                     },
                 );
             }
-            Event::ControllerTick => self.desk_tick(),
-            Event::SlowTick => self.slow_tick(),
-            Event::FaultBegins(n) => self.begin(n),
-            Event::FaultEnds(n) => self.end_trouble(n),
+            Event::ControllerTick => self.on_controller_tick(),
+            Event::FleetTick => self.on_fleet_tick(),
+            Event::FaultBegins(n) => self.begin_fault(n),
+            Event::FaultEnds(n) => self.end_fault(n),
             Event::RouterRoll {
                 routers,
-                nth,
-                down,
-                apart,
-            } => self.roll(routers, nth, down, apart),
+                index,
+                down_for,
+                interval,
+            } => self.restart_next_router(routers, index, down_for, interval),
             Event::RouterEnds {
                 router,
-                by,
-                asked,
+                process,
+                shutdown_at,
                 next,
-            } => self.router_ended(router, by, asked, next),
-            Event::RouterStarts { router, then } => {
-                self.start_again(router);
-                if let Some((routers, nth, down, apart)) = then {
-                    self.plan(
-                        (apart - down).max(0),
+            } => self.on_router_ends(router, process, shutdown_at, next),
+            Event::RouterStarts { router, next } => {
+                self.restart_router(router);
+                if let Some((routers, index, down_for, interval)) = next {
+                    self.schedule(
+                        (interval - down_for).max(0),
                         Event::RouterRoll {
                             routers,
-                            nth,
-                            down,
-                            apart,
+                            index,
+                            down_for,
+                            interval,
                         },
                     );
                 }
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each command with its tries, and what becomes of it.
+//! Clients: their commands, the attempts at each, and how they end.
 
 use bytes::Bytes;
 use rand::RngExt;
@@ -13,198 +13,224 @@
 use super::event::Event;
 use super::{World, LOCAL_DELAY};
 
-/// Low bits of a try's number are its place among those that are open.
-const PLACE: u32 = 24;
+/// The low bits of an attempt's number are its index among the open attempts.
+const INDEX_BITS: u32 = 24;
 
+/// A command that has not ended for its client.
 pub(super) struct OpenCommand {
     pub(super) client: Client,
     pub(super) number: u64,
 }
 
+/// An attempt at a command that the client waits for, or whose late answer is still to be observed.
 pub(super) struct OpenAttempt {
+    /// The number of the attempt.
     pub(super) attempt: u64,
+    /// Index of the command among the open ones.
     pub(super) client: usize,
     pub(super) router: Process,
-    pub(super) answered: bool,
+    /// Whether the attempt has ended for the client.
+    pub(super) is_answered: bool,
 }
 
-fn body(tried: u64, command: u64) -> Bytes {
+/// Encodes the numbers of attempt and command as the body of a command.
+fn encode_body(attempt: u64, command: u64) -> Bytes {
     let mut body = [0; 16];
-    body[..8].copy_from_slice(&tried.to_be_bytes());
+    body[..8].copy_from_slice(&attempt.to_be_bytes());
     body[8..].copy_from_slice(&command.to_be_bytes());
     Bytes::copy_from_slice(&body)
 }
 
-pub(super) fn read_body(body: &[u8]) -> (u64, u64) {
-    let part = |from| {
+/// Decodes the numbers of attempt and command from the body of a command.
+pub(super) fn decode_body(body: &[u8]) -> (u64, u64) {
+    let number_at = |from| {
         body.get(from..from + 8)
             .and_then(|b| b.try_into().ok())
             .map_or(0, u64::from_be_bytes)
     };
-    (part(0), part(8))
+    (number_at(0), number_at(8))
 }
 
 impl World {
-    pub(super) fn ask(&mut self, wanted: PlannedCommand) {
-        let next = self.traffic.next(&self.day, &self.faults);
-        if next.due < self.start + self.day.length {
-            self.plan_at(next.due, Event::CommandDue(next));
+    pub(super) fn begin_command(&mut self, planned: PlannedCommand) {
+        let next = self.traffic.next(&self.scenario, &self.faults);
+        if next.due < self.start + self.scenario.length {
+            self.schedule_at(next.due, Event::CommandDue(next));
         }
-        let number = self.number();
+        let number = self.next_number();
         let client = self.clients.insert(OpenCommand {
-            client: Client::new(wanted),
+            client: Client::new(planned),
             number,
         });
-        self.try_again(client);
+        self.begin_attempt(client);
     }
 
-    pub(super) fn try_again(&mut self, key: usize) {
-        let Some(asking) = self.clients.get_mut(key) else {
+    pub(super) fn begin_attempt(&mut self, key: usize) {
+        let Some(open) = self.clients.get_mut(key) else {
             return;
         };
-        let wanted = asking.client.command;
-        let Some((patience, waits)) = asking.client.try_again(&self.day, &self.faults, self.now)
+        let planned = open.client.command;
+        let Some((timeout, leaves_after)) =
+            open.client
+                .try_again(&self.scenario, &self.faults, self.now)
         else {
-            return self.command_ended(key, TryEnd::GivenUp);
+            return self.finish_command(key, TryEnd::GivenUp);
         };
-        let (number, nth) = (asking.number, asking.client.tries - 1);
-        let down = |r: usize| self.routers[r].down_since;
-        let router = self
-            .router_picker
-            .router_for(wanted.site, wanted.seed, nth, self.now, down);
-        let by = self.routers[router].process;
+        let (number, retries) = (open.number, open.client.tries - 1);
+        let down_since = |router: usize| self.routers[router].down_since;
+        let router = self.router_picker.router_for(
+            planned.site,
+            planned.seed,
+            retries,
+            self.now,
+            down_since,
+        );
+        let process = self.routers[router].process;
         if self.routers[router].down_since.is_some() {
-            return self.ended(key, TryEnd::Unreachable);
+            return self.on_attempt_end(key, TryEnd::Unreachable);
         }
-        let counted = self.number();
+        let attempt_number = self.next_number();
         let entry = self.attempts.vacant_entry();
-        let tried = counted << PLACE | entry.key() as u64;
+        let attempt = attempt_number << INDEX_BITS | entry.key() as u64;
         entry.insert(OpenAttempt {
-            attempt: tried,
+            attempt,
             client: key,
-            router: by,
-            answered: false,
+            router: process,
+            is_answered: false,
         });
-        self.most[1] = self.most[1].max(self.attempts.len());
-        let op = wanted.op as u16;
-        self.note(Observation::Taken {
-            by,
-            attempt: tried,
+        self.peak_counts[1] = self.peak_counts[1].max(self.attempts.len());
+        let op = planned.op as u16;
+        self.observe(Observation::Taken {
+            by: process,
+            attempt,
             command: number,
             op,
-            key: wanted.key,
-            timeout: patience,
+            key: planned.key,
+            timeout,
         });
-        self.plan(
+        self.schedule(
             LOCAL_DELAY,
             Event::CommandAtRouter {
-                tried,
-                left: patience,
+                attempt,
+                time_left: timeout,
             },
         );
-        self.plan(waits, Event::ClientLeaves { tried });
+        self.schedule(leaves_after, Event::ClientLeaves { attempt });
     }
 
-    fn trying(&mut self, tried: u64) -> Option<&mut OpenAttempt> {
+    fn open_attempt(&mut self, attempt: u64) -> Option<&mut OpenAttempt> {
         self.attempts
-            .get_mut((tried & ((1 << PLACE) - 1)) as usize)
-            .filter(|t| t.attempt == tried)
+            .get_mut((attempt & ((1 << INDEX_BITS) - 1)) as usize)
+            .filter(|open| open.attempt == attempt)
     }
 
-    pub(super) fn at_router(&mut self, tried: u64, left: Micros) {
-        let Some(t) = self.trying(tried) else { return };
-        let (by, client) = (t.router, t.client);
-        let Some(asking) = self.clients.get(client) else {
+    pub(super) fn on_command_at_router(&mut self, attempt: u64, time_left: Micros) {
+        let Some(open) = self.open_attempt(attempt) else {
+            return;
+        };
+        let (process, client) = (open.router, open.client);
+        let Some(open) = self.clients.get(client) else {
             return;
         };
-        let (wanted, number) = (asking.client.command, asking.number);
-        let dropped = matches!(self.day.ops[wanted.op].repeat, Repeat::Deduplicated(_));
+        let (planned, number) = (open.client.command, open.number);
+        let is_deduplicated = matches!(
+            self.scenario.ops[planned.op].repeat,
+            Repeat::Deduplicated(_)
+        );
         let command = Command {
-            id: tried,
-            op: wanted.op as u16,
-            tenant: wanted.customer as u32,
-            key: wanted.key,
-            idempotency_key: if dropped { number } else { 0 },
-            left_us: left as u64,
-            body: body(tried, number),
+            id: attempt,
+            op: planned.op as u16,
+            tenant: planned.customer as u32,
+            key: planned.key,
+            idempotency_key: if is_deduplicated { number } else { 0 },
+            left_us: time_left as u64,
+            body: encode_body(attempt, number),
         };
-        let conn = u64::from(by.router);
-        self.give(by, Input::Command { conn, command });
+        let conn = u64::from(process.router);
+        self.give_input(process, Input::Command { conn, command });
     }
 
-    pub(super) fn at_client(&mut self, tried: u64, end: TryEnd, receipt: u64) {
-        let Some(t) = self.trying(tried) else { return };
-        let (by, client) = (t.router, t.client);
+    pub(super) fn on_answer_at_client(&mut self, attempt: u64, end: TryEnd, receipt: u64) {
+        let Some(open) = self.open_attempt(attempt) else {
+            return;
+        };
+        let (process, client) = (open.router, open.client);
         let kind = match end {
             TryEnd::Acked { .. } => Some(AnswerKind::Acked),
             TryEnd::Nacked(_) => Some(AnswerKind::Nacked),
             TryEnd::Failed => Some(AnswerKind::Failed),
             _ => None,
         };
-        let again = std::mem::replace(&mut t.answered, true);
+        let was_answered = std::mem::replace(&mut open.is_answered, true);
         if let Some(kind) = kind {
             let build = if let TryEnd::Acked { build, .. } = end {
                 build
             } else {
                 0
             };
-            self.note(Observation::Answered {
-                by,
-                attempt: tried,
+            self.observe(Observation::Answered {
+                by: process,
+                attempt,
                 kind,
                 build,
             });
         }
-        if again {
+        if was_answered {
             return;
         }
         if matches!(end, TryEnd::Acked { wrong: true, .. })
-            && self.rng.random_bool(self.day.reported)
+            && self.rng.random_bool(self.scenario.reported)
         {
-            self.plan(LOCAL_DELAY, Event::WrongAnswerAtRouter { by, receipt });
+            self.schedule(LOCAL_DELAY, Event::WrongAnswerAtRouter { process, receipt });
         }
-        self.ended(client, end);
+        self.on_attempt_end(client, end);
     }
 
-    /// The client's patience is over, or it goes before.
-    pub(super) fn leaves(&mut self, tried: u64) {
-        let Some(t) = self.trying(tried) else { return };
-        let (by, client, answered) = (t.router, t.client, t.answered);
+    /// Handles the end of the client's wait, at its timeout or before.
+    pub(super) fn on_client_leaves(&mut self, attempt: u64) {
+        let Some(open) = self.open_attempt(attempt) else {
+            return;
+        };
+        let (process, client, answered) = (open.router, open.client, open.is_answered);
         if answered {
-            // Kept until now, so that a second answer would have been seen.
-            self.attempts.remove((tried & ((1 << PLACE) - 1)) as usize);
+            // The attempt was kept until now so that a second answer would be observed.
+            self.attempts
+                .remove((attempt & ((1 << INDEX_BITS) - 1)) as usize);
             return;
         }
-        t.answered = true;
-        self.note(Observation::Left { attempt: tried });
-        self.plan(LOCAL_DELAY, Event::AbandonAtRouter { tried, by });
-        self.plan(SECOND, Event::ClientLeaves { tried });
-        self.ended(client, TryEnd::GivenUp);
+        open.is_answered = true;
+        self.observe(Observation::Left { attempt });
+        self.schedule(LOCAL_DELAY, Event::AbandonAtRouter { attempt, process });
+        self.schedule(SECOND, Event::ClientLeaves { attempt });
+        self.on_attempt_end(client, TryEnd::GivenUp);
     }
 
-    pub(super) fn ended(&mut self, key: usize, end: TryEnd) {
-        let Some(asking) = self.clients.get_mut(key) else {
+    pub(super) fn on_attempt_end(&mut self, key: usize, end: TryEnd) {
+        let Some(open) = self.clients.get_mut(key) else {
             return;
         };
-        match asking.client.after(&self.day, &self.faults, self.now, end) {
-            Some(pause) => self.plan(pause, Event::RetryDue(key)),
-            None => self.command_ended(key, end),
+        match open
+            .client
+            .after(&self.scenario, &self.faults, self.now, end)
+        {
+            Some(backoff) => self.schedule(backoff, Event::RetryDue(key)),
+            None => self.finish_command(key, end),
         }
     }
 
-    fn command_ended(&mut self, key: usize, end: TryEnd) {
-        let asking = self.clients.remove(key);
+    fn finish_command(&mut self, key: usize, end: TryEnd) {
+        let open = self.clients.remove(key);
         let PlannedCommand {
             op,
             customer,
             site,
             due,
             ..
-        } = asking.client.command;
+        } = open.client.command;
         let (end, build) = end.last();
-        let (took, tries) = (self.now - due, asking.client.tries);
+        let (took, tries) = (self.now - due, open.client.tries);
         let outcome = Outcome {
-            command: asking.number,
+            command: open.number,
             op,
             customer,
             site,
@@ -214,8 +240,8 @@
             took,
             build,
         };
-        if let Some(record) = &mut self.record {
-            record.ended(&outcome);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.ended(&outcome);
         }
     }
 }
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of routers to hosts, and the messages that cross them.
+//! The connections of routers to hosts, and the messages that are sent on them.
 
 use bytes::Bytes;
 use rand::RngExt;
@@ -11,172 +11,192 @@
 
 use super::event::{Event, HostMessage, RouterMessage};
 use super::{World, LOCAL_DELAY};
-use crate::host_link::{pause, Link, Message, CONNECT_TIMEOUT, LINK_TIMEOUT};
+use crate::host_link::{backoff, DeliveryMessage, LinkState, CONNECT_TIMEOUT, LINK_TIMEOUT};
 
 impl World {
-    pub(super) fn ends_of(&self, pair: usize) -> (usize, u32) {
-        let of_router = self.day.routers as usize;
-        (pair / of_router, (pair % of_router) as u32)
+    /// Returns the host slot and the router that a link connects.
+    pub(super) fn link_ends(&self, link_id: usize) -> (usize, u32) {
+        let routers = self.scenario.routers as usize;
+        (link_id / routers, (link_id % routers) as u32)
     }
 
-    pub(super) fn pair_of(&self, seat: usize, router: u32) -> usize {
-        seat * self.day.routers as usize + router as usize
+    /// Returns the index in `host_links` of the link between a host slot and a router.
+    pub(super) fn link_id(&self, slot: usize, router: u32) -> usize {
+        slot * self.scenario.routers as usize + router as usize
     }
 
-    pub(super) fn way(&self, pair: usize) -> Option<Micros> {
-        let (seat, router) = self.ends_of(pair);
-        let (a, b) = (
-            self.host_slots[seat].site,
-            self.routers[router as usize].site,
-        );
+    /// Returns the one-way delay, or `None` while host and router are cut off from each other.
+    pub(super) fn link_delay(&self, link_id: usize) -> Option<Micros> {
+        let (slot, router) = self.link_ends(link_id);
+        let host_site = self.host_slots[slot].site;
+        let router_site = self.routers[router as usize].site;
         self.faults
-            .delay(a, b, LinkDirection::Hosts)
-            .map(|way| way.max(LOCAL_DELAY))
+            .delay(host_site, router_site, LinkDirection::Hosts)
+            .map(|delay| delay.max(LOCAL_DELAY))
     }
 
-    /// The delay of one message, with what is lost on it; the cut is met on arrival.
-    fn crossing(&mut self, pair: usize) -> Micros {
-        let (seat, router) = self.ends_of(pair);
-        let between = self.host_slots[seat].site != self.routers[router as usize].site;
-        let mut late = 0;
-        while between
+    /// Draws the delay of one message, including the time to send lost packets again. Whether the link is cut is
+    /// checked when the message arrives.
+    fn draw_message_delay(&mut self, link_id: usize) -> Micros {
+        let (slot, router) = self.link_ends(link_id);
+        let is_between_sites = self.host_slots[slot].site != self.routers[router as usize].site;
+        let mut resend_delay = 0;
+        while is_between_sites
             && self.faults.loss > 0.0
-            && late < 8 * RESENT_AFTER
+            && resend_delay < 8 * RESENT_AFTER
             && self.rng.random_bool(self.faults.loss)
         {
-            late += RESENT_AFTER.max(late);
+            resend_delay += RESENT_AFTER.max(resend_delay);
         }
-        self.way(pair).unwrap_or(2 * MS) + late
+        self.link_delay(link_id).unwrap_or(2 * MS) + resend_delay
     }
 
-    pub(super) fn send(&mut self, pair: usize, word: HostMessage) {
-        let at = (self.now + self.crossing(pair)).max(self.host_links[pair].last_to);
-        self.host_links[pair].last_to = at;
-        let epoch = self.host_links[pair].epoch;
-        self.plan_at(at, Event::MessageAtHost { pair, epoch, word });
+    /// Sends a message from a router to a host.
+    pub(super) fn send(&mut self, link_id: usize, message: HostMessage) {
+        let at =
+            (self.now + self.draw_message_delay(link_id)).max(self.host_links[link_id].last_to);
+        self.host_links[link_id].last_to = at;
+        let epoch = self.host_links[link_id].epoch;
+        self.schedule_at(
+            at,
+            Event::MessageAtHost {
+                link_id,
+                epoch,
+                message,
+            },
+        );
     }
 
-    pub(super) fn deliver(&mut self, pair: usize, message: Message) {
-        let (seat, router) = self.ends_of(pair);
-        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
+    pub(super) fn deliver(&mut self, link_id: usize, message: DeliveryMessage) {
+        let (slot, router) = self.link_ends(link_id);
+        let (host, build) = (self.host_slots[slot].host, self.host_slots[slot].build);
         let from = self.routers[router as usize].process;
-        let p = &mut self.host_links[pair];
-        p.last_used = self.now;
-        if p.idle() {
-            p.quiet_since = self.now;
-            p.pinged = false;
+        let link = &mut self.host_links[link_id];
+        link.last_used = self.now;
+        if link.is_idle() {
+            link.silent_since = self.now;
+            link.is_pinged = false;
         }
-        p.in_flight.push(message.delivery);
-        let listens = std::mem::replace(&mut p.silence_watched, true);
-        let epoch = p.epoch;
-        if !listens {
-            self.plan(LINK_TIMEOUT / 2, Event::SilenceCheck { pair, epoch });
+        link.in_flight.push(message.delivery);
+        let has_check = std::mem::replace(&mut link.has_silence_check, true);
+        let epoch = link.epoch;
+        if !has_check {
+            self.schedule(LINK_TIMEOUT / 2, Event::SilenceCheck { link_id, epoch });
         }
-        let (tried, delivery) = (message.attempt, message.delivery);
-        self.note(Observation::Delivered {
+        let (attempt, delivery) = (message.attempt, message.delivery);
+        self.observe(Observation::Delivered {
             host,
             build,
             from,
-            attempt: tried,
+            attempt,
             delivery,
         });
-        self.send(pair, HostMessage::Deliver(message));
+        self.send(link_id, HostMessage::Deliver(message));
     }
 
-    pub(super) fn lose(
+    /// Reports deliveries as failed to the router.
+    pub(super) fn fail_deliveries(
         &mut self,
-        pair: usize,
+        link_id: usize,
         deliveries: impl IntoIterator<Item = u64>,
-        end: TransportFailure,
+        failure: TransportFailure,
     ) {
-        let (seat, router) = self.ends_of(pair);
-        let (host, by) = (
-            self.host_slots[seat].host,
+        let (slot, router) = self.link_ends(link_id);
+        let (host, process) = (
+            self.host_slots[slot].host,
             self.routers[router as usize].process,
         );
         for delivery in deliveries {
-            self.plan(
+            self.schedule(
                 0,
                 Event::DeliveryFailed {
-                    by,
+                    process,
                     host,
                     delivery,
-                    end,
+                    failure,
                 },
             );
         }
     }
 
-    pub(super) fn connect(&mut self, pair: usize) {
-        let (seat, _) = self.ends_of(pair);
-        let runs = self.host_slots[seat]
+    /// Opens a connection; [`Event::ConnectEnds`] tells how it ended. An unreachable host times out, and one
+    /// without a running process refuses after one round trip.
+    pub(super) fn connect(&mut self, link_id: usize) {
+        let (slot, _) = self.link_ends(link_id);
+        let is_running = self.host_slots[slot]
             .process
             .as_ref()
             .is_some_and(|p| !p.model.fallen);
-        let p = &mut self.host_links[pair];
-        p.epoch += 1;
-        p.link = Link::Connecting;
-        let epoch = p.epoch;
-        let took = match (self.way(pair), runs) {
-            (Some(way), true) => 4 * way + self.faults.slow_connects,
-            (Some(way), false) => 2 * way,
+        let link = &mut self.host_links[link_id];
+        link.epoch += 1;
+        link.state = LinkState::Connecting;
+        let epoch = link.epoch;
+        let took = match (self.link_delay(link_id), is_running) {
+            (Some(delay), true) => 4 * delay + self.faults.slow_connects,
+            (Some(delay), false) => 2 * delay,
             (None, _) => CONNECT_TIMEOUT,
         };
         let fails = took >= CONNECT_TIMEOUT;
-        self.plan(
+        self.schedule(
             took.min(CONNECT_TIMEOUT),
-            Event::ConnectEnds { pair, epoch, fails },
+            Event::ConnectEnds {
+                link_id,
+                epoch,
+                fails,
+            },
         );
     }
 
-    pub(super) fn connected(&mut self, pair: usize, epoch: u32, fails: bool) {
-        if self.host_links[pair].epoch != epoch || self.host_links[pair].link != Link::Connecting {
+    pub(super) fn on_connect_end(&mut self, link_id: usize, epoch: u32, fails: bool) {
+        if self.host_links[link_id].epoch != epoch
+            || self.host_links[link_id].state != LinkState::Connecting
+        {
             return;
         }
-        let (seat, router) = self.ends_of(pair);
-        let process = self.host_slots[seat]
+        let (slot, router) = self.link_ends(link_id);
+        let process = self.host_slots[slot]
             .process
             .as_ref()
             .filter(|p| !p.model.fallen && !fails);
-        let (incarnation, began) = process.map_or((0, 0), |p| (p.incarnation, p.began));
-        if process.is_none() || self.way(pair).is_none() {
-            let drawn = self.rng.random_range(0.5..1.0);
+        let (incarnation, began_at) = process.map_or((0, 0), |p| (p.incarnation, p.began_at));
+        if process.is_none() || self.link_delay(link_id).is_none() {
+            let jitter = self.rng.random_range(0.5..1.0);
             let now = self.now;
-            let p = &mut self.host_links[pair];
-            p.not_before = now + pause(p.failures, drawn);
-            p.failures += 1;
-            let (unsent, _) = p.drop_link();
-            return self.lose(
-                pair,
-                unsent.into_iter().map(|w| w.delivery),
+            let link = &mut self.host_links[link_id];
+            link.not_before = now + backoff(link.failures, jitter);
+            link.failures += 1;
+            let (unsent, _) = link.close();
+            return self.fail_deliveries(
+                link_id,
+                unsent.into_iter().map(|message| message.delivery),
                 TransportFailure::NotConnected,
             );
         }
-        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
-        let p = &mut self.host_links[pair];
-        p.link = Link::Up;
-        p.up_since = self.now;
-        p.last_used = self.now;
-        p.quiet_since = self.now;
-        p.pinged = false;
-        p.silence_watched = false;
-        let waiting = std::mem::take(&mut p.waiting);
-        let known = p.incarnation == incarnation;
-        let up_us = (self.now - began) as u64;
-        let by = self.routers[router as usize].process;
-        // Event waits was meant for another process, maybe another build.
-        if known {
+        let (host, build) = (self.host_slots[slot].host, self.host_slots[slot].build);
+        let link = &mut self.host_links[link_id];
+        link.state = LinkState::Up;
+        link.up_since = self.now;
+        link.last_used = self.now;
+        link.silent_since = self.now;
+        link.is_pinged = false;
+        link.has_silence_check = false;
+        let waiting = std::mem::take(&mut link.waiting);
+        let is_expected = link.incarnation == incarnation;
+        let up_us = (self.now - began_at) as u64;
+        let router_process = self.routers[router as usize].process;
+        // Deliveries that wait were routed to the process that the list named: another one may run another build.
+        if is_expected {
             for message in waiting {
-                if self.now >= message.leave_by {
-                    self.lose(pair, [message.delivery], TransportFailure::NotSent);
+                if self.now >= message.send_deadline {
+                    self.fail_deliveries(link_id, [message.delivery], TransportFailure::NotSent);
                 } else {
-                    self.deliver(pair, message);
+                    self.deliver(link_id, message);
                 }
             }
         } else {
-            self.lose(
-                pair,
-                waiting.into_iter().map(|w| w.delivery),
+            self.fail_deliveries(
+                link_id,
+                waiting.into_iter().map(|message| message.delivery),
                 TransportFailure::NotConnected,
             );
         }
@@ -186,138 +206,161 @@
             incarnation,
             up_us,
         };
-        self.give(by, Input::FromHost { host, message });
+        self.give_input(router_process, Input::FromHost { host, message });
     }
 
-    fn broken(&mut self, pair: usize, end: TransportFailure) {
-        let drawn = self.rng.random_range(0.5..1.0);
-        let (unsent, sent) = self.host_links[pair].on_broken(self.now, drawn);
-        self.lose(
-            pair,
-            unsent.into_iter().map(|w| w.delivery),
+    /// Handles a lost connection: deliveries that were sent end with `failure`.
+    fn on_connection_lost(&mut self, link_id: usize, failure: TransportFailure) {
+        let jitter = self.rng.random_range(0.5..1.0);
+        let (unsent, sent) = self.host_links[link_id].on_lost(self.now, jitter);
+        self.fail_deliveries(
+            link_id,
+            unsent.into_iter().map(|message| message.delivery),
             TransportFailure::NotSent,
         );
-        self.lose(pair, sent, end);
+        self.fail_deliveries(link_id, sent, failure);
     }
 
-    pub(super) fn silence(&mut self, pair: usize, epoch: u32) {
-        let p = &mut self.host_links[pair];
-        if p.epoch != epoch || p.link != Link::Up {
+    /// Pings a host that has been silent with deliveries in flight for half of [`LINK_TIMEOUT`], and gives the
+    /// connection up after all of it.
+    pub(super) fn check_silence(&mut self, link_id: usize, epoch: u32) {
+        let link = &mut self.host_links[link_id];
+        if link.epoch != epoch || link.state != LinkState::Up {
             return;
         }
-        if p.idle() {
-            p.silence_watched = false;
+        if link.is_idle() {
+            link.has_silence_check = false;
             return;
         }
-        let until = p.quiet_since
-            + if p.pinged {
+        let until = link.silent_since
+            + if link.is_pinged {
                 LINK_TIMEOUT
             } else {
                 LINK_TIMEOUT / 2
             };
         if self.now < until {
-            return self.plan_at(until, Event::SilenceCheck { pair, epoch });
+            return self.schedule_at(until, Event::SilenceCheck { link_id, epoch });
         }
-        if p.pinged {
-            return self.broken(pair, TransportFailure::Unresponsive);
+        if link.is_pinged {
+            return self.on_connection_lost(link_id, TransportFailure::Unresponsive);
         }
-        p.pinged = true;
-        p.pings += 1;
-        let until = p.quiet_since + LINK_TIMEOUT;
-        self.send(pair, HostMessage::Ping);
-        self.plan_at(until, Event::SilenceCheck { pair, epoch });
+        link.is_pinged = true;
+        link.pings += 1;
+        let until = link.silent_since + LINK_TIMEOUT;
+        self.send(link_id, HostMessage::Ping);
+        self.schedule_at(until, Event::SilenceCheck { link_id, epoch });
     }
 
-    pub(super) fn reaches_host(&mut self, pair: usize, epoch: u32, word: HostMessage) {
-        if self.host_links[pair].epoch != epoch {
+    pub(super) fn on_message_at_host(&mut self, link_id: usize, epoch: u32, message: HostMessage) {
+        if self.host_links[link_id].epoch != epoch {
             return;
         }
-        if self.way(pair).is_none() {
-            return self
-                .blocked
-                .push(Event::MessageAtHost { pair, epoch, word });
+        if self.link_delay(link_id).is_none() {
+            return self.blocked.push(Event::MessageAtHost {
+                link_id,
+                epoch,
+                message,
+            });
         }
-        let (seat, _) = self.ends_of(pair);
-        let Some(process) = self.host_slots[seat]
+        let (slot, _) = self.link_ends(link_id);
+        let Some(process) = self.host_slots[slot]
             .process
             .as_mut()
             .filter(|p| !p.model.fallen)
         else {
             return;
         };
-        let from = (pair as u64) << 32 | u64::from(epoch);
-        match word {
-            HostMessage::Ping => return self.reply(pair, epoch, RouterMessage::Pong),
+        let from = (link_id as u64) << 32 | u64::from(epoch);
+        match message {
+            HostMessage::Ping => return self.reply(link_id, epoch, RouterMessage::Pong),
             HostMessage::Cancel(delivery) => process.model.cancel(from, delivery),
-            HostMessage::Deliver(p) => {
-                let Message {
+            HostMessage::Deliver(message) => {
+                let DeliveryMessage {
                     delivery,
-                    attempt: tried,
+                    attempt,
                     command,
                     key,
-                    idempotency_key: mark,
-                    left,
+                    idempotency_key,
+                    time_left,
                     ..
-                } = p;
-                let op = usize::from(p.op).min(self.day.ops.len() - 1);
-                let expires = self.now + left;
+                } = message;
+                let op = usize::from(message.op).min(self.scenario.ops.len() - 1);
+                let expires = self.now + time_left;
                 let job = Job {
                     from,
                     delivery,
-                    tried,
+                    tried: attempt,
                     command,
                     op,
                     key,
-                    mark,
+                    mark: idempotency_key,
                     expires,
                 };
-                let taken = process.model.arrive(self.now, job);
+                let is_accepted = process.model.arrive(self.now, job);
                 if process.model.fallen {
-                    return self.fell(seat);
+                    return self.on_host_fallen(slot);
                 }
-                if !taken {
-                    let host = self.host_slots[seat].host;
-                    self.note(Observation::Replied {
+                if !is_accepted {
+                    let host = self.host_slots[slot].host;
+                    self.observe(Observation::Replied {
                         host,
-                        attempt: tried,
+                        attempt,
                         delivery,
                         kind: ReplyKind::Full,
                     });
-                    self.reply(pair, epoch, RouterMessage::Full(delivery));
+                    self.reply(link_id, epoch, RouterMessage::Full(delivery));
                 }
             }
         }
-        self.pump(seat);
+        self.run_jobs(slot);
     }
 
-    pub(super) fn reply(&mut self, pair: usize, epoch: u32, word: RouterMessage) {
-        if self.host_links[pair].epoch != epoch {
+    /// Sends a message from a host to a router.
+    pub(super) fn reply(&mut self, link_id: usize, epoch: u32, message: RouterMessage) {
+        if self.host_links[link_id].epoch != epoch {
             return;
         }
-        let at = (self.now + self.crossing(pair)).max(self.host_links[pair].last_from);
-        self.host_links[pair].last_from = at;
-        self.plan_at(at, Event::MessageAtRouter { pair, epoch, word });
+        let at =
+            (self.now + self.draw_message_delay(link_id)).max(self.host_links[link_id].last_from);
+        self.host_links[link_id].last_from = at;
+        self.schedule_at(
+            at,
+            Event::MessageAtRouter {
+                link_id,
+                epoch,
+                message,
+            },
+        );
     }
 
-    pub(super) fn reaches_router(&mut self, pair: usize, epoch: u32, word: RouterMessage) {
-        if self.host_links[pair].epoch != epoch {
+    pub(super) fn on_message_at_router(
+        &mut self,
+        link_id: usize,
+        epoch: u32,
+        message: RouterMessage,
+    ) {
+        if self.host_links[link_id].epoch != epoch {
             return;
         }
-        if self.way(pair).is_none() {
-            return self
-                .blocked
-                .push(Event::MessageAtRouter { pair, epoch, word });
+        if self.link_delay(link_id).is_none() {
+            return self.blocked.push(Event::MessageAtRouter {
+                link_id,
+                epoch,
+                message,
+            });
         }
-        let (seat, router) = self.ends_of(pair);
-        let p = &mut self.host_links[pair];
-        p.quiet_since = self.now;
-        p.pinged = false;
-        let (delivery, message) = match word {
-            RouterMessage::Broken => return self.broken(pair, TransportFailure::Reset),
+        let (slot, router) = self.link_ends(link_id);
+        let link = &mut self.host_links[link_id];
+        link.silent_since = self.now;
+        link.is_pinged = false;
+        let (delivery, message) = match message {
+            RouterMessage::Closed => {
+                return self.on_connection_lost(link_id, TransportFailure::Reset)
+            }
             RouterMessage::Pong => {
-                p.on_pong();
-                if p.start_ping() {
-                    self.send(pair, HostMessage::Ping);
+                link.on_pong();
+                if link.start_ping() {
+                    self.send(link_id, HostMessage::Ping);
                 }
                 return;
             }
@@ -328,15 +371,15 @@
             RouterMessage::Error(delivery) => (delivery, FromHost::Error { delivery }),
             RouterMessage::Full(delivery) => (delivery, FromHost::Full { delivery }),
         };
-        p.last_used = self.now;
-        if let Some(at) = p.in_flight.iter().position(|d| *d == delivery) {
-            p.in_flight.remove(at);
+        link.last_used = self.now;
+        if let Some(index) = link.in_flight.iter().position(|sent| *sent == delivery) {
+            link.in_flight.remove(index);
         }
-        p.cancelled.retain(|c| c.0 != delivery);
-        let (host, by) = (
-            self.host_slots[seat].host,
+        link.cancelled.retain(|c| c.0 != delivery);
+        let (host, process) = (
+            self.host_slots[slot].host,
             self.routers[router as usize].process,
         );
-        self.give(by, Input::FromHost { host, message });
+        self.give_input(process, Input::FromHost { host, message });
     }
 }
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -1,4 +1,4 @@
-//! Event is to come, in the order of its time.
+//! Scheduled events.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -10,80 +10,91 @@
 use spokeflow_scenario::traffic::{PlannedCommand, TryEnd};
 use spokeflow_scenario::Micros;
 
-use crate::host_link::Message;
+use crate::host_link::DeliveryMessage;
 
+/// A message from a router to a host.
 #[derive(Clone)]
 pub(super) enum HostMessage {
-    Deliver(Message),
+    Deliver(DeliveryMessage),
     Cancel(u64),
     Ping,
 }
 
+/// A message from a host to a router.
 #[derive(Clone, Copy)]
 pub(super) enum RouterMessage {
-    Acked { delivery: u64, wrong: bool },
+    Acked {
+        delivery: u64,
+        wrong: bool,
+    },
     Error(u64),
     Full(u64),
     Pong,
-    Broken,
+    /// The connection was closed by the end of the host process.
+    Closed,
 }
 
-/// Event is due. Each carries what tells it from one that has been overtaken.
+/// The rest of a rolling restart: all its routers, the index of the next one, how long each is down, and the interval
+/// between two restarts.
+pub(super) type RollingRestart = (Rc<Vec<u32>>, usize, Micros, Micros);
+
+/// What happens when an event is due. Variants carry the process, epoch, incarnation or time that tells whether the
+/// event is still valid: one for an earlier process or connection, or a timer that was replaced, is dropped.
 #[derive(Clone)]
 pub(super) enum Event {
     CommandDue(PlannedCommand),
     RetryDue(usize),
     CommandAtRouter {
-        tried: u64,
-        left: Micros,
+        attempt: u64,
+        time_left: Micros,
     },
     AnswerAtClient {
-        tried: u64,
+        attempt: u64,
         end: TryEnd,
         receipt: u64,
     },
     ClientLeaves {
-        tried: u64,
+        attempt: u64,
     },
     AbandonAtRouter {
-        tried: u64,
-        by: Process,
+        attempt: u64,
+        process: Process,
     },
     WrongAnswerAtRouter {
-        by: Process,
+        process: Process,
         receipt: u64,
     },
     RouterTimer {
-        by: Process,
+        process: Process,
         at: Micros,
     },
     DeliveryFailed {
-        by: Process,
+        process: Process,
         host: u32,
         delivery: u64,
-        end: TransportFailure,
+        failure: TransportFailure,
     },
     MessageAtHost {
-        pair: usize,
+        link_id: usize,
         epoch: u32,
-        word: HostMessage,
+        message: HostMessage,
     },
     MessageAtRouter {
-        pair: usize,
+        link_id: usize,
         epoch: u32,
-        word: RouterMessage,
+        message: RouterMessage,
     },
     ConnectEnds {
-        pair: usize,
+        link_id: usize,
         epoch: u32,
         fails: bool,
     },
     SilenceCheck {
-        pair: usize,
+        link_id: usize,
         epoch: u32,
     },
     HostTimer {
-        seat: usize,
+        slot: usize,
         incarnation: u64,
         at: Micros,
     },
@@ -93,63 +104,64 @@
     SlotFreed(u32),
     RegistryTick,
     ListRequest {
-        by: Process,
-        link: u32,
+        process: Process,
+        connection: u32,
         have: Option<u64>,
     },
     ListAtRouter {
-        by: Process,
-        link: u32,
+        process: Process,
+        connection: u32,
         message: Rc<FromList>,
     },
-    ListReconnects {
-        by: Process,
-        link: u32,
+    ListRefreshDue {
+        process: Process,
+        connection: u32,
     },
-    ListConnected {
-        by: Process,
-        link: u32,
+    ListConnectDue {
+        process: Process,
+        connection: u32,
     },
     RolloutAtRouter {
-        by: Process,
+        process: Process,
         state: State,
     },
     VoteAtController {
-        by: Process,
+        process: Process,
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: ControllerVote,
+        vote: ControllerVote,
     },
     VoteResultAtRouter {
-        by: Process,
+        process: Process,
         ballot: u64,
         result: VoteResult,
     },
     GossipAtRouter {
-        by: Process,
+        process: Process,
         from: u32,
         text: Rc<Vec<u8>>,
     },
     ControllerTick,
-    SlowTick,
+    FleetTick,
     FaultBegins(usize),
     FaultEnds(usize),
+    /// The next router of a rolling restart is shut down.
     RouterRoll {
         routers: Rc<Vec<u32>>,
-        nth: usize,
-        down: Micros,
-        apart: Micros,
+        index: usize,
+        down_for: Micros,
+        interval: Micros,
     },
     RouterEnds {
         router: u32,
-        by: Process,
-        asked: Micros,
-        next: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
+        process: Process,
+        shutdown_at: Micros,
+        next: Option<RollingRestart>,
     },
     RouterStarts {
         router: u32,
-        then: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
+        next: Option<RollingRestart>,
     },
 }
 
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Event goes wrong on a day: its faults begin and end, and hosts slow each other down.
+//! Scheduled faults, and the slowdown that hosts cause to each other.
 
 use std::rc::Rc;
 
@@ -10,170 +10,186 @@
 
 use super::event::Event;
 use super::hosts::HostSlot;
-use super::{World, LOCAL_DELAY, SLOW_TICK, WARM_UP};
+use super::{World, FLEET_TICK_INTERVAL, LOCAL_DELAY, WARM_UP};
 
 impl World {
-    pub(super) fn slow_tick(&mut self) {
-        self.plan(SLOW_TICK, Event::SlowTick);
-        let (mut held, mut cold, mut running) = (0, 0, 0);
-        let mut drags = 0.0;
-        let flawed = |build: u16| {
-            self.day
+    /// Updates how much hosts slow each other down, by a defect that affects all hosts and by busy neighbours on
+    /// the same machine, and records the state of the fleet.
+    pub(super) fn on_fleet_tick(&mut self) {
+        self.schedule(FLEET_TICK_INTERVAL, Event::FleetTick);
+        let (mut queued, mut cold, mut running) = (0, 0, 0);
+        let mut slowdown_sum = 0.0;
+        let defect_of = |build: u16| {
+            self.scenario
                 .builds
                 .iter()
                 .find(|b| b.number == build)
                 .map(|b| b.defect)
         };
-        for (_, seat) in &self.host_slots {
-            let Some(process) = &seat.process else {
+        for (_, slot) in &self.host_slots {
+            let Some(process) = &slot.process else {
                 continue;
             };
             running += 1;
-            held += process.model.queued() as u64;
+            queued += process.model.queued() as u64;
             cold += u64::from(
-                seat.started
-                    .is_some_and(|at| self.now - at < self.day.warm_within),
+                slot.started
+                    .is_some_and(|at| self.now - at < self.scenario.warm_within),
             );
-            if let Some(BuildDefect::Shared(times)) = flawed(seat.build) {
-                drags += 2.0 * (times - 1.0);
+            if let Some(BuildDefect::Shared(factor)) = defect_of(slot.build) {
+                slowdown_sum += 2.0 * (factor - 1.0);
             }
         }
-        let drag = (1.0 + drags / f64::from(running.max(1))).min(4.0);
-        let group = self.day.neighbours.max(1) as usize;
-        let mut busy = vec![
+        let shared_slowdown = (1.0 + slowdown_sum / f64::from(running.max(1))).min(4.0);
+        let group_size = self.scenario.neighbours.max(1) as usize;
+        // The sum of the busy fractions of each group's hosts, and their number.
+        let mut busy_by_group = vec![
             (0.0, 0.0);
-            if group > 1 {
-                self.host_links.len() / self.day.routers as usize / group + 1
+            if group_size > 1 {
+                self.host_links.len() / self.scenario.routers as usize / group_size + 1
             } else {
                 0
             }
         ];
-        if group > 1 {
-            for (n, seat) in &self.host_slots {
-                if let Some(process) = &seat.process {
-                    let of = &mut busy[n / group];
-                    *of = (of.0 + process.model.busy(), of.1 + 1.0);
+        if group_size > 1 {
+            for (n, slot) in &self.host_slots {
+                if let Some(process) = &slot.process {
+                    let group = &mut busy_by_group[n / group_size];
+                    *group = (group.0 + process.model.busy(), group.1 + 1.0);
                 }
             }
         }
-        for (n, seat) in &mut self.host_slots {
-            let Some(process) = &mut seat.process else {
+        for (n, slot) in &mut self.host_slots {
+            let Some(process) = &mut slot.process else {
                 continue;
             };
-            process.model.fault.drag = drag;
-            if group > 1 {
-                let (all, hosts) = busy[n / group];
-                let others = (all - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
+            process.model.fault.drag = shared_slowdown;
+            if group_size > 1 {
+                let (busy, hosts) = busy_by_group[n / group_size];
+                let others = (busy - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
                 process.model.fault.neighbours =
-                    1.0 / (1.0 - 0.9 * self.day.steal * others.clamp(0.0, 1.0));
+                    1.0 / (1.0 - 0.9 * self.scenario.steal * others.clamp(0.0, 1.0));
             }
         }
         let at = self.now;
-        if let Some(record) = self.record.as_mut().filter(|_| at >= WARM_UP) {
-            record.on_fleet_state(at, held, cold);
+        if let Some(recorder) = self.recorder.as_mut().filter(|_| at >= WARM_UP) {
+            recorder.on_fleet_state(at, queued, cold);
         }
     }
 
-    fn strike(&mut self, n: usize, part: f64) -> Vec<u32> {
-        let runs = |s: &&HostSlot| s.process.is_some() && !s.draining;
+    /// Draws a fraction of the running hosts, at least one, for fault `n`.
+    fn draw_affected_hosts(&mut self, n: usize, fraction: f64) -> Vec<u32> {
+        let is_running = |slot: &&HostSlot| slot.process.is_some() && !slot.is_draining;
         let mut running: Vec<u32> = self
             .host_slots
             .iter()
-            .map(|s| s.1)
-            .filter(runs)
-            .map(|s| s.host)
+            .map(|(_, slot)| slot)
+            .filter(is_running)
+            .map(|slot| slot.host)
             .collect();
         running.sort_unstable();
         running.shuffle(&mut self.rng);
-        running.truncate(((running.len() as f64 * part).round() as usize).max(1));
-        self.affected.insert(n, running.clone());
+        running.truncate(((running.len() as f64 * fraction).round() as usize).max(1));
+        self.affected_hosts.insert(n, running.clone());
         running
     }
 
-    fn ail(&mut self, hosts: &[u32], ail: impl Fn(&mut HostFault)) {
+    fn change_host_faults(&mut self, hosts: &[u32], change: impl Fn(&mut HostFault)) {
         for host in hosts {
-            let seat = self.slot_of.get(host).copied();
-            if let Some(process) = seat.and_then(|s| self.host_slots[s].process.as_mut()) {
-                ail(&mut process.model.fault);
+            let slot = self.slot_by_host.get(host).copied();
+            if let Some(process) = slot.and_then(|slot| self.host_slots[slot].process.as_mut()) {
+                change(&mut process.model.fault);
             }
         }
     }
 
     fn all_hosts(&self) -> Vec<u32> {
-        self.host_slots.iter().map(|s| s.1.host).collect()
+        self.host_slots.iter().map(|(_, slot)| slot.host).collect()
     }
 
-    pub(super) fn begin(&mut self, n: usize) {
-        let trouble = self.day.faults[n];
-        self.note(Observation::Fault {
-            what: format!("begins: {trouble}"),
+    pub(super) fn begin_fault(&mut self, n: usize) {
+        let fault = self.scenario.faults[n];
+        self.observe(Observation::Fault {
+            what: format!("begins: {fault}"),
         });
-        self.active.push((n, trouble));
-        self.plan(trouble.lasts, Event::FaultEnds(n));
-        if self.faults.begin(&self.day, n, &trouble) {
+        self.active_faults.push((n, fault));
+        self.schedule(fault.lasts, Event::FaultEnds(n));
+        if self.faults.begin(&self.scenario, n, &fault) {
             if self.faults.list_breaks {
-                let up: Vec<Process> = self
+                let connected: Vec<Process> = self
                     .routers
                     .iter()
-                    .filter(|r| r.list_up)
-                    .map(|r| r.process)
+                    .filter(|router| router.is_list_connected)
+                    .map(|router| router.process)
                     .collect();
-                up.into_iter().for_each(|by| self.list_lost(by));
+                connected
+                    .into_iter()
+                    .for_each(|process| self.on_list_lost(process));
             }
             return;
         }
-        let seconds = (trouble.size * SECOND as f64) as Micros;
-        match trouble.kind {
+        let size_as_duration = (fault.size * SECOND as f64) as Micros;
+        match fault.kind {
             FaultKind::Kill | FaultKind::LoneHost => {
-                for (nth, host) in self.strike(n, trouble.part).into_iter().enumerate() {
-                    let (incarnation, late) = (self.incarnation(host), self.late());
-                    if let Some(&seat) = self.slot_of.get(&host) {
-                        self.kill_host(seat);
+                for (index, host) in self
+                    .draw_affected_hosts(n, fault.part)
+                    .into_iter()
+                    .enumerate()
+                {
+                    let (incarnation, list_delay) =
+                        (self.incarnation(host), self.draw_list_delay());
+                    if let Some(&slot) = self.slot_by_host.get(&host) {
+                        self.kill_host(slot);
                     }
-                    self.list(host, Phase::Gone, incarnation, late);
-                    let first = trouble.kind == FaultKind::LoneHost && nth == 0;
-                    self.plan(
-                        if first { seconds } else { trouble.lasts },
+                    self.publish_endpoint(host, Phase::Gone, incarnation, list_delay);
+                    let is_first = fault.kind == FaultKind::LoneHost && index == 0;
+                    self.schedule(
+                        if is_first {
+                            size_as_duration
+                        } else {
+                            fault.lasts
+                        },
                         Event::HostRestarts(host),
                     );
                 }
             }
             FaultKind::Hang => {
-                let struck = self.strike(n, trouble.part);
-                self.ail(&struck, |a| a.hangs = true);
+                let affected = self.draw_affected_hosts(n, fault.part);
+                self.change_host_faults(&affected, |host| host.hangs = true);
             }
             FaultKind::Slow => {
-                let struck = self.strike(n, trouble.part);
-                self.ail(&struck, |a| a.slower = trouble.size.max(1.0));
+                let affected = self.draw_affected_hosts(n, fault.part);
+                self.change_host_faults(&affected, |host| host.slower = fault.size.max(1.0));
             }
             FaultKind::FastErrors => {
-                let struck = self.strike(n, trouble.part);
-                self.ail(&struck, |a| a.fails = trouble.size.clamp(0.0, 1.0));
+                let affected = self.draw_affected_hosts(n, fault.part);
+                self.change_host_faults(&affected, |host| host.fails = fault.size.clamp(0.0, 1.0));
             }
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
-                self.ail(&all, |a| a.slow_op = (0, trouble.size.max(1.0)));
+                self.change_host_faults(&all, |host| host.slow_op = (0, fault.size.max(1.0)));
             }
             FaultKind::RouterKill | FaultKind::RouterRoll => {
-                let mut all: Vec<u32> = (0..self.day.routers).collect();
-                all.shuffle(&mut self.rng);
-                all.truncate(((all.len() as f64 * trouble.part).round() as usize).max(1));
-                if trouble.kind == FaultKind::RouterRoll {
-                    let apart = trouble.lasts / all.len() as Micros;
-                    let routers = Rc::new(all);
-                    // Of a large fleet many end at a time, so that the roll takes as long as it lasts.
+                let mut routers: Vec<u32> = (0..self.scenario.routers).collect();
+                routers.shuffle(&mut self.rng);
+                routers.truncate(((routers.len() as f64 * fault.part).round() as usize).max(1));
+                if fault.kind == FaultKind::RouterRoll {
+                    let interval = fault.lasts / routers.len() as Micros;
+                    let routers = Rc::new(routers);
+                    // In a large fleet several routers are down at a time, so that the rolling restart ends with
+                    // the fault.
                     return self.handle(Event::RouterRoll {
                         routers,
-                        nth: 0,
-                        down: seconds,
-                        apart,
+                        index: 0,
+                        down_for: size_as_duration,
+                        interval,
                     });
                 }
-                for router in all {
-                    let by = self.routers[router as usize].process;
-                    if self.routers[router as usize].brain.is_some() {
-                        self.stop_router(router, Observation::RouterKilled(by));
-                        self.plan(trouble.lasts, Event::RouterStarts { router, then: None });
+                for router in routers {
+                    let process = self.routers[router as usize].process;
+                    if self.routers[router as usize].strategy.is_some() {
+                        self.stop_router(router, Observation::RouterKilled(process));
+                        self.schedule(fault.lasts, Event::RouterStarts { router, next: None });
                     }
                 }
             }
@@ -181,30 +197,30 @@
         }
     }
 
-    pub(super) fn end_trouble(&mut self, n: usize) {
-        let trouble = self.day.faults[n];
-        self.note(Observation::Fault {
-            what: format!("ends: {}", trouble.kind.name()),
+    pub(super) fn end_fault(&mut self, n: usize) {
+        let fault = self.scenario.faults[n];
+        self.observe(Observation::Fault {
+            what: format!("ends: {}", fault.kind.name()),
         });
-        self.active.retain(|l| l.0 != n);
-        let others = self.active.clone();
-        let day = std::mem::take(&mut self.day.faults);
-        self.faults.end(&self.day, &trouble, &others);
-        self.day.faults = day;
-        let struck = self.affected.remove(&n).unwrap_or_default();
-        match trouble.kind {
-            FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
-            FaultKind::Slow => self.ail(&struck, |a| a.slower = 1.0),
-            FaultKind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
+        self.active_faults.retain(|active| active.0 != n);
+        let others = self.active_faults.clone();
+        let scheduled = std::mem::take(&mut self.scenario.faults);
+        self.faults.end(&self.scenario, &fault, &others);
+        self.scenario.faults = scheduled;
+        let affected = self.affected_hosts.remove(&n).unwrap_or_default();
+        match fault.kind {
+            FaultKind::Hang => self.change_host_faults(&affected, |host| host.hangs = false),
+            FaultKind::Slow => self.change_host_faults(&affected, |host| host.slower = 1.0),
+            FaultKind::FastErrors => self.change_host_faults(&affected, |host| host.fails = 0.0),
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
-                self.ail(&all, |a| a.slow_op = (usize::MAX, 1.0));
+                self.change_host_faults(&all, |host| host.slow_op = (usize::MAX, 1.0));
             }
             _ => {}
         }
-        // Event met a cut or a stall goes on now, or meets the next one.
-        for what in std::mem::take(&mut self.blocked) {
-            self.plan(LOCAL_DELAY, what);
+        // A blocked message goes on now, or is blocked again by another fault that is still active.
+        for event in std::mem::take(&mut self.blocked) {
+            self.schedule(LOCAL_DELAY, event);
         }
     }
 }
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts, and each router's connection to it.
+//! The host list, and each router's connection to it.
 
 use std::rc::Rc;
 
@@ -12,33 +12,37 @@
 
 use super::event::Event;
 use super::{World, LOCAL_DELAY};
-use crate::host_link::pause;
+use crate::host_link::backoff;
 
-const LIST_RENEW: Micros = 5 * SECOND;
+/// A router asks for the list again when it has not heard from it for this time.
+const LIST_REFRESH_INTERVAL: Micros = 5 * SECOND;
 
 impl World {
-    pub(super) fn board_tick(&mut self) {
+    pub(super) fn on_registry_tick(&mut self) {
         let before = self.registry.version();
         self.registry.tick(self.now);
         if self.registry.version() == before {
             return;
         }
         for router in 0..self.routers.len() {
-            let seat = &self.routers[router];
-            if seat.watches
-                && seat.list_up
-                && seat.list_held.is_some_and(|v| v < self.registry.version())
+            let slot = &self.routers[router];
+            if slot.is_watching_list
+                && slot.is_list_connected
+                && slot
+                    .list_version
+                    .is_some_and(|v| v < self.registry.version())
             {
-                let (by, link, held) = (seat.process, seat.list_link, seat.list_held);
-                self.tell_list(by, link, held);
+                let (process, connection, have) =
+                    (slot.process, slot.list_connection, slot.list_version);
+                self.send_list(process, connection, have);
             }
         }
     }
 
-    fn tell_list(&mut self, by: Process, link: u32, have: Option<u64>) {
+    fn send_list(&mut self, process: Process, connection: u32, have: Option<u64>) {
         let now = self.now;
-        let (whole, entries) = self.registry.since(have);
-        let line = |e: &&Entry| EndpointRecord {
+        let (is_complete, entries) = self.registry.since(have);
+        let record = |e: &&Entry| EndpointRecord {
             host: e.host,
             address: String::new(),
             build: Some(e.build),
@@ -52,158 +56,203 @@
             incarnation: e.incarnation,
             up_us: e.started.map(|at| (now - at).max(0) as u64),
         };
-        let (version, lines) = (self.registry.version(), entries.iter().map(line).collect());
-        let message = if whole {
-            FromList::Complete {
-                version,
-                endpoints: lines,
-            }
+        let version = self.registry.version();
+        let endpoints = entries.iter().map(record).collect();
+        let message = if is_complete {
+            FromList::Complete { version, endpoints }
         } else {
-            FromList::Changes {
-                version,
-                endpoints: lines,
-            }
+            FromList::Changes { version, endpoints }
         };
-        self.routers[by.router as usize].list_held = Some(version);
-        self.tell_router(by, |by| Event::ListAtRouter {
-            by,
-            link,
+        self.routers[process.router as usize].list_version = Some(version);
+        self.send_from_control_site(process, |process| Event::ListAtRouter {
+            process,
+            connection,
             message: Rc::new(message),
         });
     }
 
-    /// From list or desk to a router, in order.
-    pub(super) fn tell_router(&mut self, by: Process, what: impl FnOnce(Process) -> Event) {
-        let seat = &self.routers[by.router as usize];
-        let way = self
+    /// Schedules an event at a router that the host list or the release controller causes; such events arrive in
+    /// order.
+    pub(super) fn send_from_control_site(
+        &mut self,
+        process: Process,
+        event: impl FnOnce(Process) -> Event,
+    ) {
+        let slot = &self.routers[process.router as usize];
+        let delay = self
             .faults
-            .delay(CONTROL_SITE, seat.site, LinkDirection::ControlSite)
+            .delay(CONTROL_SITE, slot.site, LinkDirection::ControlSite)
             .unwrap_or(2 * MS)
             .max(LOCAL_DELAY);
-        let at = (self.now + way).max(seat.office_last[0]);
-        self.routers[by.router as usize].office_last[0] = at;
-        self.plan_at(at, what(by));
+        let at = (self.now + delay).max(slot.control_site_last[0]);
+        self.routers[process.router as usize].control_site_last[0] = at;
+        self.schedule_at(at, event(process));
     }
 
-    pub(super) fn ask_office(&mut self, by: Process, what: impl FnOnce(Process) -> Event) {
-        let seat = &self.routers[by.router as usize];
-        let way = self
+    /// Schedules an event at the host list or the release controller that a router causes; such events arrive in
+    /// order.
+    pub(super) fn send_to_control_site(
+        &mut self,
+        process: Process,
+        event: impl FnOnce(Process) -> Event,
+    ) {
+        let slot = &self.routers[process.router as usize];
+        let delay = self
             .faults
-            .delay(seat.site, CONTROL_SITE, LinkDirection::ControlSite)
+            .delay(slot.site, CONTROL_SITE, LinkDirection::ControlSite)
             .unwrap_or(2 * MS)
             .max(LOCAL_DELAY);
-        let at = (self.now + way).max(seat.office_last[1]);
-        self.routers[by.router as usize].office_last[1] = at;
-        self.plan_at(at, what(by));
+        let at = (self.now + delay).max(slot.control_site_last[1]);
+        self.routers[process.router as usize].control_site_last[1] = at;
+        self.schedule_at(at, event(process));
     }
 
-    pub(super) fn office_cut(&self, by: Process) -> bool {
-        let site = self.routers[by.router as usize].site;
+    pub(super) fn is_cut_from_control_site(&self, process: Process) -> bool {
+        let site = self.routers[process.router as usize].site;
         self.faults
             .delay(CONTROL_SITE, site, LinkDirection::ControlSite)
             .is_none()
     }
 
-    fn stale(&self, by: Process, link: u32) -> bool {
-        let seat = &self.routers[by.router as usize];
-        seat.process != by || seat.list_link != link || seat.brain.is_none()
+    /// Returns true for an event of an earlier process or connection, or of a router that is down.
+    fn is_stale(&self, process: Process, connection: u32) -> bool {
+        let slot = &self.routers[process.router as usize];
+        slot.process != process || slot.list_connection != connection || slot.strategy.is_none()
     }
 
-    pub(super) fn list_ask(&mut self, by: Process, link: u32, have: Option<u64>) {
-        if self.stale(by, link) {
+    pub(super) fn on_list_request(&mut self, process: Process, connection: u32, have: Option<u64>) {
+        if self.is_stale(process, connection) {
             return;
         }
-        if self.office_cut(by) {
-            return self.blocked.push(Event::ListRequest { by, link, have });
+        if self.is_cut_from_control_site(process) {
+            return self.blocked.push(Event::ListRequest {
+                process,
+                connection,
+                have,
+            });
         }
-        self.routers[by.router as usize].watches = true;
-        self.tell_list(by, link, have);
+        self.routers[process.router as usize].is_watching_list = true;
+        self.send_list(process, connection, have);
     }
 
-    pub(super) fn list_to(&mut self, by: Process, link: u32, message: &Rc<FromList>) {
-        if self.stale(by, link) {
+    pub(super) fn on_list_message(
+        &mut self,
+        process: Process,
+        connection: u32,
+        message: &Rc<FromList>,
+    ) {
+        if self.is_stale(process, connection) {
             return;
         }
-        if self.office_cut(by) {
+        if self.is_cut_from_control_site(process) {
             return self.blocked.push(Event::ListAtRouter {
-                by,
-                link,
+                process,
+                connection,
                 message: message.clone(),
             });
         }
-        let (whole, lines) = match &**message {
-            FromList::Complete {
-                endpoints: lines, ..
-            } => (true, lines),
-            FromList::Changes {
-                endpoints: lines, ..
-            } => (false, lines),
+        let (is_complete, endpoints) = match &**message {
+            FromList::Complete { endpoints, .. } => (true, endpoints),
+            FromList::Changes { endpoints, .. } => (false, endpoints),
             _ => return,
         };
-        let phase = |l: &EndpointRecord| match l.phase {
+        let phase = |record: &EndpointRecord| match record.phase {
             EndpointPhase::Gone => Phase::Gone,
             EndpointPhase::Ready => Phase::Ready,
             EndpointPhase::Draining => Phase::Draining,
         };
-        if whole || !lines.is_empty() {
-            let lines = lines
+        if is_complete || !endpoints.is_empty() {
+            let lines = endpoints
                 .iter()
-                .map(|l| (l.host, l.build.unwrap_or(0), phase(l)))
+                .map(|record| (record.host, record.build.unwrap_or(0), phase(record)))
                 .collect();
-            self.note(Observation::Listed {
-                to: by,
-                whole,
+            self.observe(Observation::Listed {
+                to: process,
+                whole: is_complete,
                 lines,
             });
         }
-        let seat = &mut self.routers[by.router as usize];
-        (seat.list_heard, seat.list_unheard) = (self.now, 0);
+        let slot = &mut self.routers[process.router as usize];
+        (slot.list_heard_at, slot.list_unanswered) = (self.now, 0);
         let message = FromList::clone(message);
-        self.give(by, Input::FromList(message));
+        self.give_input(process, Input::FromList(message));
     }
 
-    pub(super) fn list_renew(&mut self, by: Process, link: u32) {
-        if self.stale(by, link) {
+    pub(super) fn on_list_refresh_due(&mut self, process: Process, connection: u32) {
+        if self.is_stale(process, connection) {
             return;
         }
-        let seat = &mut self.routers[by.router as usize];
-        let due = seat.list_heard + LIST_RENEW;
+        let slot = &mut self.routers[process.router as usize];
+        let due = slot.list_heard_at + LIST_REFRESH_INTERVAL;
         if self.now < due {
-            return self.plan_at(due, Event::ListReconnects { by, link });
+            return self.schedule_at(
+                due,
+                Event::ListRefreshDue {
+                    process,
+                    connection,
+                },
+            );
         }
-        seat.list_unheard += 1;
-        if seat.list_unheard > 3 {
-            return self.list_lost(by);
+        slot.list_unanswered += 1;
+        if slot.list_unanswered > 3 {
+            return self.on_list_lost(process);
         }
-        seat.list_heard = self.now;
-        let have = seat.list_held;
-        self.ask_office(by, |by| Event::ListRequest { by, link, have });
-        self.plan(LIST_RENEW, Event::ListReconnects { by, link });
+        slot.list_heard_at = self.now;
+        let have = slot.list_version;
+        self.send_to_control_site(process, |process| Event::ListRequest {
+            process,
+            connection,
+            have,
+        });
+        self.schedule(
+            LIST_REFRESH_INTERVAL,
+            Event::ListRefreshDue {
+                process,
+                connection,
+            },
+        );
     }
 
-    pub(super) fn list_lost(&mut self, by: Process) {
-        let drawn = self.rng.random_range(0.5..1.0);
-        let seat = &mut self.routers[by.router as usize];
-        seat.list_link += 1;
-        (seat.list_up, seat.watches) = (false, false);
-        seat.list_failures += 1;
-        let (link, after) = (seat.list_link, pause(seat.list_failures - 1, drawn));
-        self.plan(after, Event::ListConnected { by, link });
-        self.give(by, Input::ListUnavailable);
+    pub(super) fn on_list_lost(&mut self, process: Process) {
+        let jitter = self.rng.random_range(0.5..1.0);
+        let slot = &mut self.routers[process.router as usize];
+        slot.list_connection += 1;
+        (slot.is_list_connected, slot.is_watching_list) = (false, false);
+        slot.list_failures += 1;
+        let connection = slot.list_connection;
+        let after = backoff(slot.list_failures - 1, jitter);
+        self.schedule(
+            after,
+            Event::ListConnectDue {
+                process,
+                connection,
+            },
+        );
+        self.give_input(process, Input::ListUnavailable);
     }
 
-    pub(super) fn list_open(&mut self, by: Process, link: u32) {
-        if self.stale(by, link) {
+    pub(super) fn connect_to_list(&mut self, process: Process, connection: u32) {
+        if self.is_stale(process, connection) {
             return;
         }
-        if self.faults.list_breaks || self.office_cut(by) {
-            return self.list_lost(by);
+        if self.faults.list_breaks || self.is_cut_from_control_site(process) {
+            return self.on_list_lost(process);
         }
-        let seat = &mut self.routers[by.router as usize];
-        (seat.list_up, seat.list_failures) = (true, 0);
-        (seat.list_heard, seat.list_unheard) = (self.now, 0);
-        let have = seat.list_held;
-        self.ask_office(by, |by| Event::ListRequest { by, link, have });
-        self.plan(LIST_RENEW, Event::ListReconnects { by, link });
+        let slot = &mut self.routers[process.router as usize];
+        (slot.is_list_connected, slot.list_failures) = (true, 0);
+        (slot.list_heard_at, slot.list_unanswered) = (self.now, 0);
+        let have = slot.list_version;
+        self.send_to_control_site(process, |process| Event::ListRequest {
+            process,
+            connection,
+            have,
+        });
+        self.schedule(
+            LIST_REFRESH_INTERVAL,
+            Event::ListRefreshDue {
+                process,
+                connection,
+            },
+        );
     }
 }
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts: their processes from boot to end, and the work that these do.
+//! Hosts: their processes from boot to end, and the jobs that they run.
 
 use rand::RngExt;
 use spokeflow_scenario::endpoint_registry::Entry;
@@ -10,81 +10,98 @@
 
 use super::event::{Event, RouterMessage};
 use super::World;
-use crate::host_link::{HostLink, Link};
+use crate::host_link::{HostLink, LinkState};
 
-/// Event a seat of a host that is gone for good is kept for.
-const SEAT_KEPT: Micros = 90 * SECOND;
+/// How long the slot of a host that has left for good is kept.
+const GONE_HOST_SLOT_RETENTION: Micros = 90 * SECOND;
 
+/// A running host process.
 pub(super) struct HostProcess {
     pub(super) model: Host,
     pub(super) incarnation: u64,
-    pub(super) began: Micros,
-    pub(super) due: Micros,
+    pub(super) began_at: Micros,
+    /// The earliest scheduled [`Event::HostTimer`]; `Micros::MAX` for none.
+    pub(super) timer_at: Micros,
 }
 
+/// A place for a host, from the order to start it until some time after it has left.
 pub(super) struct HostSlot {
     pub(super) host: u32,
     pub(super) site: u16,
     pub(super) build: u16,
+    /// When the host was started; `None` for one that has run, warm, since before the scenario.
     pub(super) started: Option<Micros>,
+    /// `None` while no process runs.
     pub(super) process: Option<HostProcess>,
-    pub(super) draining: bool,
+    pub(super) is_draining: bool,
 }
 
 impl World {
-    pub(super) fn seat(&mut self, host: u32, build: u16, started: Option<Micros>) {
-        let site = (host % u32::from(self.day.sites)) as u16;
-        let seat = self.host_slots.insert(HostSlot {
+    pub(super) fn add_host_slot(&mut self, host: u32, build: u16, started: Option<Micros>) {
+        let site = (host % u32::from(self.scenario.sites)) as u16;
+        let slot = self.host_slots.insert(HostSlot {
             host,
             site,
             build,
             started,
             process: None,
-            draining: false,
+            is_draining: false,
         });
-        self.slot_of.insert(host, seat);
-        self.most[2] = self.most[2].max(self.host_slots.len());
-        let pairs = (seat + 1) * self.day.routers as usize;
-        if self.host_links.len() < pairs {
-            self.host_links.resize_with(pairs, HostLink::default);
+        self.slot_by_host.insert(host, slot);
+        self.peak_counts[2] = self.peak_counts[2].max(self.host_slots.len());
+        let links = (slot + 1) * self.scenario.routers as usize;
+        if self.host_links.len() < links {
+            self.host_links.resize_with(links, HostLink::default);
         }
     }
 
-    pub(super) fn run_host(&mut self, host: u32) {
-        let Some(&seat) = self.slot_of.get(&host) else {
+    pub(super) fn start_host_process(&mut self, host: u32) {
+        let Some(&slot) = self.slot_by_host.get(&host) else {
             return;
         };
-        let incarnation = self.number();
-        let (build, started) = (self.host_slots[seat].build, self.host_slots[seat].started);
-        let made = self.day.builds.iter().find(|b| b.number == build);
-        let (flaw, speed) = made.map_or((BuildDefect::None, 1.0), |b| (b.defect, b.speed));
-        let seed = self.day.seed ^ u64::from(host) << 20 ^ incarnation << 40;
-        let mut model = Host::new(&self.day, flaw, speed, started, seed);
-        if let Some((_, t)) = self
-            .active
+        let incarnation = self.next_number();
+        let (build, started) = (self.host_slots[slot].build, self.host_slots[slot].started);
+        let build_spec = self.scenario.builds.iter().find(|b| b.number == build);
+        let (defect, speed) = build_spec.map_or((BuildDefect::None, 1.0), |b| (b.defect, b.speed));
+        let seed = self.scenario.seed ^ u64::from(host) << 20 ^ incarnation << 40;
+        let mut model = Host::new(&self.scenario, defect, speed, started, seed);
+        if let Some((_, fault)) = self
+            .active_faults
             .iter()
-            .find(|(_, t)| t.kind == FaultKind::SlowOp)
+            .find(|(_, fault)| fault.kind == FaultKind::SlowOp)
         {
-            model.fault.slow_op = (0, t.size.max(1.0));
+            model.fault.slow_op = (0, fault.size.max(1.0));
         }
         let process = HostProcess {
             model,
             incarnation,
-            began: self.now,
-            due: Micros::MAX,
+            began_at: self.now,
+            timer_at: Micros::MAX,
         };
-        self.host_slots[seat].process = Some(process);
-        let late = if started.is_none() { 0 } else { self.late() };
-        self.list(host, Phase::Ready, incarnation, late);
+        self.host_slots[slot].process = Some(process);
+        let delay = if started.is_none() {
+            0
+        } else {
+            self.draw_list_delay()
+        };
+        self.publish_endpoint(host, Phase::Ready, incarnation, delay);
     }
 
-    pub(super) fn late(&mut self) -> Micros {
-        let [least, most] = self.day.list_late;
+    /// Draws how late the host list learns of a change.
+    pub(super) fn draw_list_delay(&mut self) -> Micros {
+        let [least, most] = self.scenario.list_late;
         self.rng.random_range(least..most) + self.faults.list_delay
     }
 
-    pub(super) fn list(&mut self, host: u32, phase: Phase, incarnation: u64, late: Micros) {
-        let Some(&seat) = self.slot_of.get(&host) else {
+    /// Tells the host list of the phase of a host, `delay` from now.
+    pub(super) fn publish_endpoint(
+        &mut self,
+        host: u32,
+        phase: Phase,
+        incarnation: u64,
+        delay: Micros,
+    ) {
+        let Some(&slot) = self.slot_by_host.get(&host) else {
             return;
         };
         let HostSlot {
@@ -92,7 +109,7 @@
             build,
             started,
             ..
-        } = self.host_slots[seat];
+        } = self.host_slots[slot];
         let address = String::new();
         let entry = Entry {
             host,
@@ -103,115 +120,120 @@
             incarnation,
             started,
         };
-        let at = self.registry.know_at(self.now + late, entry);
+        let at = self.registry.know_at(self.now + delay, entry);
         if at > self.now {
-            self.plan_at(at, Event::RegistryTick);
+            self.schedule_at(at, Event::RegistryTick);
         }
     }
 
+    /// Returns the incarnation of the host's process, 0 if none runs.
     pub(super) fn incarnation(&self, host: u32) -> u64 {
-        let seat = self.slot_of.get(&host).map(|s| &self.host_slots[*s]);
-        seat.and_then(|s| s.process.as_ref())
+        let slot = self.slot_by_host.get(&host).map(|s| &self.host_slots[*s]);
+        slot.and_then(|s| s.process.as_ref())
             .map_or(0, |p| p.incarnation)
     }
 
-    /// The process of a host is no more: its connections break.
-    pub(super) fn kill_host(&mut self, seat: usize) {
-        self.host_slots[seat].process = None;
-        for router in 0..self.day.routers {
-            let pair = self.pair_of(seat, router);
-            if self.host_links[pair].link == Link::Up {
-                let epoch = self.host_links[pair].epoch;
-                self.reply(pair, epoch, RouterMessage::Broken);
+    /// Ends the process of a host; its connections are closed.
+    pub(super) fn kill_host(&mut self, slot: usize) {
+        self.host_slots[slot].process = None;
+        for router in 0..self.scenario.routers {
+            let link_id = self.link_id(slot, router);
+            if self.host_links[link_id].state == LinkState::Up {
+                let epoch = self.host_links[link_id].epoch;
+                self.reply(link_id, epoch, RouterMessage::Closed);
             }
         }
     }
 
-    pub(super) fn fell(&mut self, seat: usize) {
-        let host = self.host_slots[seat].host;
-        self.note(Observation::Fell { host });
-        for router in 0..self.day.routers {
-            let pair = self.pair_of(seat, router);
-            if self.host_links[pair].link == Link::Up {
-                let epoch = self.host_links[pair].epoch;
-                self.reply(pair, epoch, RouterMessage::Broken);
+    /// Handles a host that fell because it was overloaded while cold; its connections are closed.
+    pub(super) fn on_host_fallen(&mut self, slot: usize) {
+        let host = self.host_slots[slot].host;
+        self.observe(Observation::Fell { host });
+        for router in 0..self.scenario.routers {
+            let link_id = self.link_id(slot, router);
+            if self.host_links[link_id].state == LinkState::Up {
+                let epoch = self.host_links[link_id].epoch;
+                self.reply(link_id, epoch, RouterMessage::Closed);
             }
         }
     }
 
-    pub(super) fn boot(&mut self, host: u32) {
-        let Some(&seat) = self.slot_of.get(&host) else {
+    /// Starts the process of a new host and tells the release controller that it runs.
+    pub(super) fn start_host(&mut self, host: u32) {
+        let Some(&slot) = self.slot_by_host.get(&host) else {
             return;
         };
-        if self.host_slots[seat].draining {
+        if self.host_slots[slot].is_draining {
             return;
         }
-        self.host_slots[seat].started = Some(self.now);
-        self.run_host(host);
+        self.host_slots[slot].started = Some(self.now);
+        self.start_host_process(host);
         let mut orders = Vec::new();
         self.controller.runs(self.now, host, &mut orders);
-        self.carry_out(orders);
+        self.apply_orders(orders);
     }
 
-    pub(super) fn stop(&mut self, host: u32) {
-        let Some(&seat) = self.slot_of.get(&host) else {
+    /// Ends a drained host once it has no queued jobs.
+    pub(super) fn stop_host(&mut self, host: u32) {
+        let Some(&slot) = self.slot_by_host.get(&host) else {
             return;
         };
-        // It goes on while it has work, for some time.
-        let busy = self.host_slots[seat]
+        // A host with queued jobs goes on until it has done them.
+        let is_busy = self.host_slots[slot]
             .process
             .as_ref()
             .is_some_and(|p| p.model.queued() > 0 && !p.model.fallen);
-        if busy {
-            return self.plan(100 * MS, Event::HostStops(host));
+        if is_busy {
+            return self.schedule(100 * MS, Event::HostStops(host));
         }
-        let (incarnation, late) = (self.incarnation(host), self.late());
-        self.kill_host(seat);
-        self.list(host, Phase::Gone, incarnation, late);
-        self.plan(late + SEAT_KEPT, Event::SlotFreed(host));
+        let (incarnation, delay) = (self.incarnation(host), self.draw_list_delay());
+        self.kill_host(slot);
+        self.publish_endpoint(host, Phase::Gone, incarnation, delay);
+        self.schedule(delay + GONE_HOST_SLOT_RETENTION, Event::SlotFreed(host));
     }
 
-    pub(super) fn free(&mut self, host: u32) {
-        let Some(seat) = self.slot_of.remove(&host) else {
+    pub(super) fn free_slot(&mut self, host: u32) {
+        let Some(slot) = self.slot_by_host.remove(&host) else {
             return;
         };
-        self.host_slots.remove(seat);
-        for router in 0..self.day.routers {
-            let pair = self.pair_of(seat, router);
-            self.host_links[pair].reset();
+        self.host_slots.remove(slot);
+        for router in 0..self.scenario.routers {
+            let link_id = self.link_id(slot, router);
+            self.host_links[link_id].reset();
         }
     }
 
-    pub(super) fn carry_out(&mut self, orders: Vec<FleetOrder>) {
+    /// Carries out the release controller's orders to start and drain hosts.
+    pub(super) fn apply_orders(&mut self, orders: Vec<FleetOrder>) {
         for order in orders {
             match order {
                 FleetOrder::Start { host, build, .. } => {
-                    let [least, most] = self.day.boot;
-                    self.seat(host, build, Some(self.now));
+                    let [least, most] = self.scenario.boot;
+                    self.add_host_slot(host, build, Some(self.now));
                     let after = self.rng.random_range(least..most);
-                    self.plan(after, Event::HostStarts(host));
+                    self.schedule(after, Event::HostStarts(host));
                 }
                 FleetOrder::Drain { host } => {
-                    let Some(&seat) = self.slot_of.get(&host) else {
+                    let Some(&slot) = self.slot_by_host.get(&host) else {
                         continue;
                     };
-                    self.host_slots[seat].draining = true;
-                    if self.host_slots[seat].process.is_some() {
-                        let (incarnation, late) = (self.incarnation(host), self.late());
-                        self.list(host, Phase::Draining, incarnation, late);
-                        self.plan(late + self.day.drain, Event::HostStops(host));
+                    self.host_slots[slot].is_draining = true;
+                    if self.host_slots[slot].process.is_some() {
+                        let (incarnation, delay) = (self.incarnation(host), self.draw_list_delay());
+                        self.publish_endpoint(host, Phase::Draining, incarnation, delay);
+                        self.schedule(delay + self.scenario.drain, Event::HostStops(host));
                     } else {
-                        self.plan(SEAT_KEPT, Event::SlotFreed(host));
+                        self.schedule(GONE_HOST_SLOT_RETENTION, Event::SlotFreed(host));
                     }
                 }
             }
         }
     }
 
-    /// Ends what has ended and begins what can begin.
-    pub(super) fn pump(&mut self, seat: usize) {
-        let (host, build) = (self.host_slots[seat].host, self.host_slots[seat].build);
-        let Some(process) = self.host_slots[seat]
+    /// Finishes the jobs of a host that have ended, starts those that can start, and sends the replies.
+    pub(super) fn run_jobs(&mut self, slot: usize) {
+        let (host, build) = (self.host_slots[slot].host, self.host_slots[slot].build);
+        let Some(process) = self.host_slots[slot]
             .process
             .as_mut()
             .filter(|p| !p.model.fallen)
@@ -219,60 +241,60 @@
             return;
         };
         let ended = process.model.ended(self.now);
-        let begun = process.model.begin(self.now, &mut self.deduplication);
+        let started = process.model.begin(self.now, &mut self.deduplication);
         let next = process.model.next();
         let incarnation = process.incarnation;
-        if let Some(at) = next.filter(|at| *at < process.due) {
-            process.due = at;
-            self.plan_at(
+        if let Some(at) = next.filter(|at| *at < process.timer_at) {
+            process.timer_at = at;
+            self.schedule_at(
                 at,
                 Event::HostTimer {
-                    seat,
+                    slot,
                     incarnation,
                     at,
                 },
             );
         }
-        for (job, done) in ended {
-            let (delivery, tried) = (job.delivery, job.tried);
-            let (word, kind) = match done {
+        for (job, outcome) in ended {
+            let (delivery, attempt) = (job.delivery, job.tried);
+            let (message, kind) = match outcome {
                 JobOutcome::Acked { wrong } => {
                     (RouterMessage::Acked { delivery, wrong }, ReplyKind::Acked)
                 }
                 JobOutcome::Error => (RouterMessage::Error(delivery), ReplyKind::Error),
                 JobOutcome::Silent => continue,
             };
-            self.note(Observation::Replied {
+            self.observe(Observation::Replied {
                 host,
-                attempt: tried,
+                attempt,
                 delivery,
                 kind,
             });
-            self.reply((job.from >> 32) as usize, job.from as u32, word);
+            self.reply((job.from >> 32) as usize, job.from as u32, message);
         }
-        for begun in begun.into_iter().filter(|b| b.effect) {
-            let (tried, command, op) = (begun.tried, begun.command, begun.op as u16);
-            self.note(Observation::Ran {
+        for job in started.into_iter().filter(|job| job.effect) {
+            let (attempt, command, op) = (job.tried, job.command, job.op as u16);
+            self.observe(Observation::Ran {
                 host,
                 build,
-                attempt: tried,
+                attempt,
                 command,
                 op,
             });
         }
     }
 
-    pub(super) fn host_due(&mut self, seat: usize, incarnation: u64, at: Micros) {
+    pub(super) fn on_host_timer(&mut self, slot: usize, incarnation: u64, at: Micros) {
         let process = self
             .host_slots
-            .get_mut(seat)
+            .get_mut(slot)
             .and_then(|s| s.process.as_mut());
         let Some(process) = process.filter(|p| p.incarnation == incarnation) else {
             return;
         };
-        if process.due == at {
-            process.due = Micros::MAX;
+        if process.timer_at == at {
+            process.timer_at = Micros::MAX;
         }
-        self.pump(seat);
+        self.run_jobs(slot);
     }
 }
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -1,4 +1,5 @@
-//! The links of a router: what it sends to clients, hosts, the list, the release controller and other routers.
+//! The transport of a router: the messages that it sends to clients, hosts, the host list, the release controller and
+//! other routers.
 
 use std::rc::Rc;
 
@@ -12,72 +13,74 @@
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::Micros;
 
-use super::clients::read_body;
+use super::clients::decode_body;
 use super::event::{Event, HostMessage};
 use super::{World, LOCAL_DELAY};
-use crate::host_link::{Link, Message, IDLE_TIMEOUT, QUEUE_LIMIT};
-use crate::strategy::{HostView, Wiring};
+use crate::host_link::{DeliveryMessage, LinkState, IDLE_TIMEOUT, QUEUE_LIMIT};
+use crate::strategy::{HostView, OracleTransport};
 
-/// Longer times left are taken for this, so that sums of times stay in range.
+/// Limit for the time left of a command, in microseconds, so that sums of times do not overflow.
 const MAX_LEFT_US: u64 = 1 << 40;
 
-/// The links of one router, while its strategy decides.
+/// The transport that a router's strategy uses while it handles one input.
 pub(super) struct RouterTransport<'a> {
     pub(super) world: &'a mut World,
     pub(super) router: u32,
 }
 
 impl RouterTransport<'_> {
-    fn by(&self) -> Process {
+    fn process(&self) -> Process {
         self.world.routers[self.router as usize].process
     }
 
-    fn pair(&self, host: HostId) -> Option<usize> {
-        let seat = self.world.slot_of.get(&host.0)?;
-        Some(self.world.pair_of(*seat, self.router))
+    fn link_id(&self, host: HostId) -> Option<usize> {
+        let slot = self.world.slot_by_host.get(&host.0)?;
+        Some(self.world.link_id(*slot, self.router))
     }
 }
 
 impl RouterTransport<'_> {
-    /// Returns false where too many messages wait for the connection.
-    fn deliver(&mut self, pair: usize, message: Message) -> bool {
+    /// Sends a delivery or queues it for the connection. Returns false if the queue is full.
+    fn deliver(&mut self, link_id: usize, message: DeliveryMessage) -> bool {
         let now = self.world.now;
         let delivery = message.delivery;
-        let link = &mut self.world.host_links[pair];
+        let link = &mut self.world.host_links[link_id];
         if link.waiting.len() >= QUEUE_LIMIT {
             return false;
         }
-        if !link.open {
-            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+        if !link.is_open {
+            self.world
+                .fail_deliveries(link_id, [delivery], TransportFailure::NotSent);
             return true;
         }
-        if link.link == Link::Up && link.idle() && now - link.last_used > IDLE_TIMEOUT {
-            link.drop_link();
+        if link.state == LinkState::Up && link.is_idle() && now - link.last_used > IDLE_TIMEOUT {
+            link.close();
         }
-        match link.link {
-            Link::Up => self.world.deliver(pair, message),
-            Link::Connecting => link.waiting.push(message),
-            Link::Closed if now < link.not_before => {
+        match link.state {
+            LinkState::Up => self.world.deliver(link_id, message),
+            LinkState::Connecting => link.waiting.push(message),
+            LinkState::Closed if now < link.not_before => {
                 self.world
-                    .lose(pair, [delivery], TransportFailure::NotConnected);
+                    .fail_deliveries(link_id, [delivery], TransportFailure::NotConnected);
             }
-            Link::Closed => {
+            LinkState::Closed => {
                 link.waiting.push(message);
-                self.world.connect(pair);
+                self.world.connect(link_id);
             }
         }
         true
     }
 
-    fn cancel(&mut self, pair: usize, delivery: u64) {
-        let link = &mut self.world.host_links[pair];
+    fn cancel(&mut self, link_id: usize, delivery: u64) {
+        let link = &mut self.world.host_links[link_id];
         let waiting = link
             .waiting
             .iter()
             .position(|message| message.delivery == delivery);
         if let Some(index) = waiting {
             link.waiting.remove(index);
-            self.world.lose(pair, [delivery], TransportFailure::NotSent);
+            self.world
+                .fail_deliveries(link_id, [delivery], TransportFailure::NotSent);
             return;
         }
         let Some(index) = link.in_flight.iter().position(|sent| *sent == delivery) else {
@@ -85,17 +88,17 @@
         };
         link.in_flight.remove(index);
         link.cancelled.push((delivery, link.pings + 1));
-        let pings = link.start_ping();
-        self.world.send(pair, HostMessage::Cancel(delivery));
-        if pings {
-            self.world.send(pair, HostMessage::Ping);
+        let must_ping = link.start_ping();
+        self.world.send(link_id, HostMessage::Cancel(delivery));
+        if must_ping {
+            self.world.send(link_id, HostMessage::Ping);
         }
     }
 }
 
 impl Transport for RouterTransport<'_> {
     fn to_client(&mut self, _conn: u64, message: ToClient) {
-        let (tried, end, receipt) = match message {
+        let (attempt, end, receipt) = match message {
             ToClient::Acked {
                 id,
                 build,
@@ -109,36 +112,36 @@
                 },
                 receipt,
             ),
-            ToClient::Nacked {
+            ToClient::Nacked { id, retry_after_us } => (
                 id,
-                retry_after_us: come_back_us,
-            } => (id, TryEnd::Nacked(come_back_us.map(|t| t as Micros)), 0),
+                TryEnd::Nacked(retry_after_us.map(|after| after as Micros)),
+                0,
+            ),
             ToClient::Failed { id } => (id, TryEnd::Failed, 0),
             _ => return,
         };
-        self.world.plan(
+        self.world.schedule(
             LOCAL_DELAY,
             Event::AnswerAtClient {
-                tried,
+                attempt,
                 end,
                 receipt,
             },
         );
     }
 
-    fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
-        let by = self.by();
-        let Some(pair) = self.pair(host) else {
-            // Gone for long: nothing answers there.
+    fn to_host(&mut self, host: HostId, message: ToHost, send_deadline: Micros) -> bool {
+        let process = self.process();
+        let Some(link_id) = self.link_id(host) else {
+            // The host left so long ago that its slot has been freed.
             if let ToHost::Deliver { delivery, .. } = message {
-                let end = TransportFailure::NotConnected;
-                self.world.plan(
+                self.world.schedule(
                     0,
                     Event::DeliveryFailed {
-                        by,
+                        process,
                         host: host.0,
                         delivery,
-                        end,
+                        failure: TransportFailure::NotConnected,
                     },
                 );
             }
@@ -154,148 +157,163 @@
                 body,
                 ..
             } => {
-                let (attempt, command) = read_body(&body);
-                let message = Message {
+                let (attempt, command) = decode_body(&body);
+                let message = DeliveryMessage {
                     delivery,
                     attempt,
                     command,
                     op,
                     key,
                     idempotency_key,
-                    left: left_us.min(MAX_LEFT_US) as Micros,
-                    leave_by,
+                    time_left: left_us.min(MAX_LEFT_US) as Micros,
+                    send_deadline,
                 };
-                return self.deliver(pair, message);
+                return self.deliver(link_id, message);
             }
-            ToHost::Cancel { delivery } => self.cancel(pair, delivery),
+            ToHost::Cancel { delivery } => self.cancel(link_id, delivery),
             _ => {}
         }
         true
     }
 
     fn to_list(&mut self, message: ToList) -> bool {
-        let by = self.by();
-        let seat = &self.world.routers[self.router as usize];
-        if !seat.list_up {
+        let process = self.process();
+        let slot = &self.world.routers[self.router as usize];
+        if !slot.is_list_connected {
             return false;
         }
-        let link = seat.list_link;
+        let connection = slot.list_connection;
         let have = if let ToList::Watch { have } = message {
             have
         } else {
             None
         };
         self.world
-            .ask_office(by, |by| Event::ListRequest { by, link, have });
+            .send_to_control_site(process, |process| Event::ListRequest {
+                process,
+                connection,
+                have,
+            });
         true
     }
 
     fn to_controller(&mut self, message: ToController) -> bool {
-        let by = self.by();
+        let process = self.process();
         if let ToController::Vote {
             ballot,
             build,
             stage,
-            choice: verdict,
+            choice,
         } = message
         {
-            let verdict = match verdict {
+            let vote = match choice {
                 VoteChoice::Abstain => ControllerVote::None,
                 VoteChoice::Promote => ControllerVote::On,
                 VoteChoice::Hold => ControllerVote::Hold,
                 VoteChoice::RollBack => ControllerVote::Back,
             };
-            self.world.ask_office(by, |by| Event::VoteAtController {
-                by,
-                ballot,
-                build,
-                stage,
-                verdict,
-            });
+            self.world
+                .send_to_control_site(process, |process| Event::VoteAtController {
+                    process,
+                    ballot,
+                    build,
+                    stage,
+                    vote,
+                });
         }
         true
     }
 
     fn to_routers(&mut self, router: Option<u32>, text: &[u8]) {
         let from = self.router;
-        let own = self.world.routers[from as usize].site;
+        let own_site = self.world.routers[from as usize].site;
         let text = Rc::new(text.to_vec());
-        let to = match router {
+        let targets = match router {
             Some(router) => router..router + 1,
-            None => 0..self.world.day.routers,
+            None => 0..self.world.scenario.routers,
         };
-        for router in to.filter(|r| *r != from) {
-            let Some(seat) = self.world.routers.get(router as usize) else {
+        for router in targets.filter(|r| *r != from) {
+            let Some(slot) = self.world.routers.get(router as usize) else {
                 continue;
             };
-            let (by, site) = (seat.process, seat.site);
-            // Event meets a cut is not kept: old evidence is no evidence.
-            if let Some(way) = self.world.faults.delay(own, site, LinkDirection::Hosts) {
+            let (process, site) = (slot.process, slot.site);
+            // A gossip message that meets a cut link is dropped and not blocked: old evidence is of no use.
+            if let Some(delay) = self
+                .world
+                .faults
+                .delay(own_site, site, LinkDirection::Hosts)
+            {
                 let text = text.clone();
-                self.world.plan(
-                    way.max(LOCAL_DELAY),
-                    Event::GossipAtRouter { by, from, text },
+                self.world.schedule(
+                    delay.max(LOCAL_DELAY),
+                    Event::GossipAtRouter {
+                        process,
+                        from,
+                        text,
+                    },
                 );
             }
         }
     }
 
     fn host_open(&mut self, host: HostId, _address: &str, incarnation: u64) {
-        if let Some(pair) = self.pair(host) {
-            let p = &mut self.world.host_links[pair];
-            p.open = true;
-            p.incarnation = incarnation;
+        if let Some(link_id) = self.link_id(host) {
+            let link = &mut self.world.host_links[link_id];
+            link.is_open = true;
+            link.incarnation = incarnation;
         }
     }
 
     fn host_closed(&mut self, host: HostId, gone: bool) {
-        let Some(pair) = self.pair(host) else { return };
-        let p = &mut self.world.host_links[pair];
-        p.open = false;
-        let unsent = std::mem::take(&mut p.waiting);
-        if gone && p.idle() && p.link == Link::Up {
-            p.drop_link();
+        let Some(link_id) = self.link_id(host) else {
+            return;
+        };
+        let link = &mut self.world.host_links[link_id];
+        link.is_open = false;
+        let unsent = std::mem::take(&mut link.waiting);
+        if gone && link.is_idle() && link.state == LinkState::Up {
+            link.close();
         }
-        self.world.lose(
-            pair,
-            unsent.into_iter().map(|w| w.delivery),
+        self.world.fail_deliveries(
+            link_id,
+            unsent.into_iter().map(|message| message.delivery),
             TransportFailure::NotSent,
         );
     }
 }
 
-impl Wiring for RouterTransport<'_> {
-    fn look(&self, host: HostId) -> HostView {
-        let none = HostView {
-            up: false,
+impl OracleTransport for RouterTransport<'_> {
+    fn host_view(&self, host: HostId) -> HostView {
+        let unreachable = HostView {
+            is_up: false,
             work_before: 0.0,
             delay: None,
             speed: 0.0,
             failure_rate: 0.0,
             has_headroom: false,
         };
-        let Some(pair) = self.pair(host) else {
-            return none;
+        let Some(link_id) = self.link_id(host) else {
+            return unreachable;
         };
-        let (seat, _) = self.world.ends_of(pair);
-        let seat = &self.world.host_slots[seat];
-        let Some(process) = seat.process.as_ref().filter(|p| !p.model.fallen) else {
-            return none;
+        let (slot, _) = self.world.link_ends(link_id);
+        let slot = &self.world.host_slots[slot];
+        let Some(process) = slot.process.as_ref().filter(|p| !p.model.fallen) else {
+            return unreachable;
         };
         let (model, now) = (&process.model, self.world.now);
         HostView {
-            up: !model.fault.hangs,
+            is_up: !model.fault.hangs,
             work_before: model.work_before(now),
-            delay: self.world.way(pair),
+            delay: self.world.link_delay(link_id),
             speed: model.speed * model.warmth(now) / (model.fault.slower * model.fault.drag),
             failure_rate: model.fault.fails,
             has_headroom: model.has_headroom(now),
         }
     }
 
-    fn is_bad(&self, build: BuildId) -> bool {
+    fn is_defective(&self, build: BuildId) -> bool {
         self.world
-            .day
+            .scenario
             .builds
             .iter()
             .any(|b| b.number == build.0 && b.defect != BuildDefect::None)
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -1,4 +1,4 @@
-//! The release controller: which build is on trial, what routers hear of it, and their votes.
+//! The release controller: its rollout of builds, the state that it sends to routers, and the votes that it takes.
 
 use rand::RngExt;
 use spokeflow_engine::Input;
@@ -7,23 +7,23 @@
 use spokeflow_scenario::release_controller::{ControllerVote, State, VoteOutcome};
 
 use super::event::Event;
-use super::{World, CONTROLLER_TICK};
+use super::{World, CONTROLLER_TICK_INTERVAL};
 
 impl World {
-    pub(super) fn desk_tick(&mut self) {
-        self.plan(CONTROLLER_TICK, Event::ControllerTick);
+    pub(super) fn on_controller_tick(&mut self) {
+        self.schedule(CONTROLLER_TICK_INTERVAL, Event::ControllerTick);
         if self.faults.stalled_controller {
             return;
         }
         let mut orders = Vec::new();
         let before = self.controller.state;
         if let Some(next) = self
-            .offers
+            .unoffered_builds
             .first()
             .filter(|b| self.now - self.start >= b.offered)
         {
             if self.controller.offer(self.now, next.number, &mut orders) {
-                self.offers.remove(0);
+                self.unoffered_builds.remove(0);
             }
         }
         self.controller.tick(self.now, &mut orders);
@@ -32,123 +32,129 @@
             let State {
                 build,
                 stage,
-                rollout: standing,
+                rollout: phase,
                 ..
             } = state;
-            self.note(Observation::ReleaseController {
+            self.observe(Observation::ReleaseController {
                 build,
                 stage,
-                state: standing,
+                state: phase,
             });
         }
-        self.carry_out(orders);
+        self.apply_orders(orders);
         for router in 0..self.routers.len() {
-            let seat = &self.routers[router];
-            if seat.brain.is_none()
-                || seat.told == Some(state) && self.now - seat.told_at < self.day.rollout_interval
+            let slot = &self.routers[router];
+            if slot.strategy.is_none()
+                || slot.sent_state == Some(state)
+                    && self.now - slot.state_sent_at < self.scenario.rollout_interval
             {
                 continue;
             }
-            // A router that has just connected is told at once, changes some time after.
-            let first = seat.told.is_none();
-            let [least, most] = self.day.rollout_delay;
-            let late = if first {
+            // A router that has just connected receives the state at once, changes arrive with a delay.
+            let is_first = slot.sent_state.is_none();
+            let [least, most] = self.scenario.rollout_delay;
+            let delay = if is_first {
                 0
             } else {
                 self.rng.random_range(least..most)
             };
-            let seat = &mut self.routers[router];
-            let at = (self.now + late + self.faults.controller_delay).max(seat.news_last);
-            (seat.told, seat.told_at, seat.news_last) = (Some(state), self.now, at);
-            let by = seat.process;
-            self.plan_at(at, Event::RolloutAtRouter { by, state });
+            let slot = &mut self.routers[router];
+            let at = (self.now + delay + self.faults.controller_delay).max(slot.last_rollout_at);
+            (slot.sent_state, slot.state_sent_at, slot.last_rollout_at) =
+                (Some(state), self.now, at);
+            let process = slot.process;
+            self.schedule_at(at, Event::RolloutAtRouter { process, state });
         }
     }
 
-    pub(super) fn news_to(&mut self, by: Process, state: State) {
-        if self.routers[by.router as usize].process != by {
+    pub(super) fn on_rollout_at_router(&mut self, process: Process, state: State) {
+        if self.routers[process.router as usize].process != process {
             return;
         }
-        if self.faults.stalled_controller || self.office_cut(by) {
-            return self.blocked.push(Event::RolloutAtRouter { by, state });
+        if self.faults.stalled_controller || self.is_cut_from_control_site(process) {
+            return self.blocked.push(Event::RolloutAtRouter { process, state });
         }
         let State {
             build,
             stage,
-            rollout: standing,
+            rollout: phase,
             cap,
             since,
         } = state;
-        self.note(Observation::News {
-            to: by,
+        self.observe(Observation::News {
+            to: process,
             build,
             stage,
-            state: standing,
+            state: phase,
             cap,
         });
-        let standing = match standing {
+        let phase = match phase {
             RolloutState::Canary => RolloutPhase::Canary,
             RolloutState::RollingBack => RolloutPhase::RollingBack,
             RolloutState::Released => RolloutPhase::Released,
             RolloutState::Withdrawn => RolloutPhase::Withdrawn,
         };
         let age_us = (self.now - since).max(0) as u64;
-        let news = RolloutUpdate {
+        let update = RolloutUpdate {
             build,
             stage,
-            phase: standing,
+            phase,
             exposure_cap: cap as f32,
             age_us,
         };
-        self.give(
-            by,
-            Input::FromController(FromController::RolloutUpdate(news)),
+        self.give_input(
+            process,
+            Input::FromController(FromController::RolloutUpdate(update)),
         );
     }
 
-    pub(super) fn vote_at(
+    pub(super) fn on_vote(
         &mut self,
-        by: Process,
+        process: Process,
         ballot: u64,
         build: u16,
         stage: u8,
-        verdict: ControllerVote,
+        vote: ControllerVote,
     ) {
-        if self.office_cut(by) {
+        if self.is_cut_from_control_site(process) {
             return self.blocked.push(Event::VoteAtController {
-                by,
+                process,
                 ballot,
                 build,
                 stage,
-                verdict,
+                vote,
             });
         }
-        self.note(Observation::Voted {
-            from: by,
+        self.observe(Observation::Voted {
+            from: process,
             build,
             stage,
-            vote: format!("{verdict:?}"),
+            vote: format!("{vote:?}"),
         });
         let result = if self.faults.refusing_controller {
             VoteResult::Refused
         } else {
-            // A desk that stands still loses some votes and answers none.
-            let counts = !self.faults.stalled_controller || self.rng.random_bool(0.5);
-            if !counts {
+            // A stalled controller loses half of the votes and answers none.
+            let is_received = !self.faults.stalled_controller || self.rng.random_bool(0.5);
+            if !is_received {
                 return;
             }
-            let counted = self
+            let outcome = self
                 .controller
-                .vote(self.now, by.router, build, stage, verdict);
+                .vote(self.now, process.router, build, stage, vote);
             if self.faults.stalled_controller {
                 return;
             }
-            match counted {
+            match outcome {
                 VoteOutcome::Counted => VoteResult::Counted,
                 VoteOutcome::Moot => VoteResult::Stale,
                 VoteOutcome::TooMany => VoteResult::RateLimited,
             }
         };
-        self.tell_router(by, |by| Event::VoteResultAtRouter { by, ballot, result });
+        self.send_from_control_site(process, |process| Event::VoteResultAtRouter {
+            process,
+            ballot,
+            result,
+        });
     }
 }
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -1,4 +1,4 @@
-//! Processes of routers: their start, their end, and what reaches them.
+//! Router processes: their start, their end, and the inputs that reach them.
 
 use std::rc::Rc;
 
@@ -8,70 +8,84 @@
 use spokeflow_scenario::traffic::TryEnd;
 use spokeflow_scenario::{Micros, MS, SECOND};
 
-use super::event::Event;
+use super::event::{Event, RollingRestart};
 use super::links::RouterTransport;
 use super::{World, LOCAL_DELAY};
 use crate::engine_config::engine_config;
 use crate::strategy::RoutingStrategy;
 
-/// After SIGTERM.
-const ENDS_WITHIN: Micros = 15 * SECOND;
+/// How long a router may take to answer its waiting commands after it was told to shut down.
+const SHUTDOWN_TIMEOUT: Micros = 15 * SECOND;
 
+/// A place in the router fleet, with its current process.
 pub(super) struct RouterSlot {
     pub(super) process: Process,
-    pub(super) brain: Option<Box<dyn RoutingStrategy>>,
+    /// `None` while no process runs.
+    pub(super) strategy: Option<Box<dyn RoutingStrategy>>,
     pub(super) site: u16,
+    /// Since when clients cannot connect: the process was told to shut down or has ended.
     pub(super) down_since: Option<Micros>,
-    pub(super) closing: bool,
+    pub(super) is_closing: bool,
     pub(super) wake_at: Micros,
-    /// The connection to the list: which, whether it stands, failures in a row, when last heard, asked in vain.
-    pub(super) list_link: u32,
-    pub(super) list_up: bool,
+    /// The number of the connection to the host list; events of earlier connections are dropped.
+    pub(super) list_connection: u32,
+    pub(super) is_list_connected: bool,
+    /// Lost connections to the host list and failed connects in a row.
     pub(super) list_failures: u32,
-    pub(super) list_heard: Micros,
-    pub(super) list_unheard: u32,
-    pub(super) list_held: Option<u64>,
-    pub(super) watches: bool,
-    pub(super) told: Option<State>,
-    pub(super) told_at: Micros,
-    pub(super) news_last: Micros,
-    pub(super) office_last: [Micros; 2],
+    /// When the list was last heard or last asked for a refresh.
+    pub(super) list_heard_at: Micros,
+    /// Refresh requests without an answer in a row.
+    pub(super) list_unanswered: u32,
+    /// The latest version of the list that was sent to the router.
+    pub(super) list_version: Option<u64>,
+    /// Whether the list sends its changes to the router.
+    pub(super) is_watching_list: bool,
+    /// The rollout state that was last sent to the router, `None` before the first.
+    pub(super) sent_state: Option<State>,
+    pub(super) state_sent_at: Micros,
+    /// When the last rollout state arrives; later ones arrive no earlier.
+    pub(super) last_rollout_at: Micros,
+    /// When the last other message from the control site and the last one to it arrive; later ones arrive no earlier.
+    pub(super) control_site_last: [Micros; 2],
 }
 
 impl RouterSlot {
     pub(super) fn new(router: u32, site: u16) -> RouterSlot {
         RouterSlot {
             process: Process { router, start: 0 },
-            brain: None,
+            strategy: None,
             site,
             down_since: None,
-            closing: false,
+            is_closing: false,
             wake_at: Micros::MAX,
-            list_link: 0,
-            list_up: false,
+            list_connection: 0,
+            is_list_connected: false,
             list_failures: 0,
-            list_heard: 0,
-            list_unheard: 0,
-            list_held: None,
-            watches: false,
-            told: None,
-            told_at: 0,
-            news_last: 0,
-            office_last: [0; 2],
+            list_heard_at: 0,
+            list_unanswered: 0,
+            list_version: None,
+            is_watching_list: false,
+            sent_state: None,
+            state_sent_at: 0,
+            last_rollout_at: 0,
+            control_site_last: [0; 2],
         }
     }
 }
 
 impl World {
     pub(super) fn start_router(&mut self, router: u32) {
-        let day = &self.day;
-        let (terms, now) = (engine_config(day, router), self.now);
-        let seed = day.seed.wrapping_mul(31).wrapping_add(u64::from(router));
+        let scenario = &self.scenario;
+        let (config, now) = (engine_config(scenario, router), self.now);
+        let seed = scenario
+            .seed
+            .wrapping_mul(31)
+            .wrapping_add(u64::from(router));
         let process = self.routers[router as usize].process;
-        self.note(Observation::RouterUp(process));
-        let who = self.strategy;
-        let brain = who.start(
-            terms,
+        self.observe(Observation::RouterUp(process));
+        let kind = self.strategy;
+        let strategy = kind.start(
+            config,
             seed,
             now,
             &mut RouterTransport {
@@ -79,44 +93,54 @@
                 router,
             },
         );
-        let seat = &mut self.routers[router as usize];
-        (seat.brain, seat.wake_at, seat.down_since, seat.closing) =
-            (Some(brain), Micros::MAX, None, false);
-        self.wake_later(router);
-        let link = self.routers[router as usize].list_link;
-        self.plan(0, Event::ListConnected { by: process, link });
+        let slot = &mut self.routers[router as usize];
+        (
+            slot.strategy,
+            slot.wake_at,
+            slot.down_since,
+            slot.is_closing,
+        ) = (Some(strategy), Micros::MAX, None, false);
+        self.schedule_wake(router);
+        let connection = self.routers[router as usize].list_connection;
+        self.schedule(
+            0,
+            Event::ListConnectDue {
+                process,
+                connection,
+            },
+        );
     }
 
-    pub(super) fn start_again(&mut self, router: u32) {
+    pub(super) fn restart_router(&mut self, router: u32) {
         let site = self.routers[router as usize].site;
         let start = self.routers[router as usize].process.start + 1;
-        let mut fresh = RouterSlot::new(router, site);
-        fresh.process.start = start;
-        self.routers[router as usize] = fresh;
+        let mut slot = RouterSlot::new(router, site);
+        slot.process.start = start;
+        self.routers[router as usize] = slot;
         self.start_router(router);
     }
 
-    /// The process is no more: connections break, and what waits on it at clients.
-    pub(super) fn stop_router(&mut self, router: u32, seen: Observation) {
-        self.note(seen);
-        let seat = &mut self.routers[router as usize];
-        seat.brain = None;
-        seat.down_since = seat.down_since.or(Some(self.now));
-        let of_router = self.day.routers as usize;
-        for pair in (router as usize..self.host_links.len()).step_by(of_router) {
-            self.host_links[pair].reset();
+    /// Ends the process: its connections to hosts are reset, and the open attempts of its clients end as broken.
+    pub(super) fn stop_router(&mut self, router: u32, observation: Observation) {
+        self.observe(observation);
+        let slot = &mut self.routers[router as usize];
+        slot.strategy = None;
+        slot.down_since = slot.down_since.or(Some(self.now));
+        let routers = self.scenario.routers as usize;
+        for link_id in (router as usize..self.host_links.len()).step_by(routers) {
+            self.host_links[link_id].reset();
         }
-        let open: Vec<u64> = self
+        let open_attempts: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, t)| t.router.router == router && !t.answered)
-            .map(|(_, t)| t.attempt)
+            .filter(|(_, open)| open.router.router == router && !open.is_answered)
+            .map(|(_, open)| open.attempt)
             .collect();
-        for tried in open {
-            self.plan(
+        for attempt in open_attempts {
+            self.schedule(
                 LOCAL_DELAY,
                 Event::AnswerAtClient {
-                    tried,
+                    attempt,
                     end: TryEnd::Broken,
                     receipt: 0,
                 },
@@ -124,99 +148,107 @@
         }
     }
 
-    pub(super) fn roll(&mut self, routers: Rc<Vec<u32>>, nth: usize, down: Micros, apart: Micros) {
-        let Some(&router) = routers.get(nth) else {
+    pub(super) fn restart_next_router(
+        &mut self,
+        routers: Rc<Vec<u32>>,
+        index: usize,
+        down_for: Micros,
+        interval: Micros,
+    ) {
+        let Some(&router) = routers.get(index) else {
             return;
         };
-        let next = Some((routers, nth + 1, down, apart));
-        let seat = &mut self.routers[router as usize];
-        if seat.brain.is_none() || seat.closing {
-            // Another trouble has it.
-            return self.plan(
-                apart,
+        let next = Some((routers, index + 1, down_for, interval));
+        let slot = &mut self.routers[router as usize];
+        if slot.strategy.is_none() || slot.is_closing {
+            // Another fault has already taken this router down.
+            return self.schedule(
+                interval,
                 Event::RouterRoll {
-                    routers: next.map(|n| n.0).unwrap_or_default(),
-                    nth: nth + 1,
-                    down,
-                    apart,
+                    routers: next.map(|next| next.0).unwrap_or_default(),
+                    index: index + 1,
+                    down_for,
+                    interval,
                 },
             );
         }
-        (seat.closing, seat.down_since) = (true, Some(self.now));
-        let by = seat.process;
-        self.note(Observation::RouterShutdown(by));
-        self.give(by, Input::Close);
-        self.plan(
+        (slot.is_closing, slot.down_since) = (true, Some(self.now));
+        let process = slot.process;
+        self.observe(Observation::RouterShutdown(process));
+        self.give_input(process, Input::Close);
+        self.schedule(
             0,
             Event::RouterEnds {
                 router,
-                by,
-                asked: self.now,
+                process,
+                shutdown_at: self.now,
                 next,
             },
         );
     }
 
-    pub(super) fn router_ended(
+    pub(super) fn on_router_ends(
         &mut self,
         router: u32,
-        by: Process,
-        asked: Micros,
-        next: Option<(Rc<Vec<u32>>, usize, Micros, Micros)>,
+        process: Process,
+        shutdown_at: Micros,
+        next: Option<RollingRestart>,
     ) {
-        let seat = &self.routers[router as usize];
-        let held = seat
-            .brain
+        let slot = &self.routers[router as usize];
+        let waiting = slot
+            .strategy
             .as_ref()
-            .filter(|_| seat.process == by)
-            .map_or(0, |b| b.held());
-        if held > 0 && self.now - asked < ENDS_WITHIN {
-            return self.plan(
+            .filter(|_| slot.process == process)
+            .map_or(0, |strategy| strategy.waiting_commands());
+        if waiting > 0 && self.now - shutdown_at < SHUTDOWN_TIMEOUT {
+            return self.schedule(
                 20 * MS,
                 Event::RouterEnds {
                     router,
-                    by,
-                    asked,
+                    process,
+                    shutdown_at,
                     next,
                 },
             );
         }
-        if seat.process == by && seat.brain.is_some() {
-            self.stop_router(router, Observation::RouterEnded(by));
+        if slot.process == process && slot.strategy.is_some() {
+            self.stop_router(router, Observation::RouterEnded(process));
         }
-        let down = next.as_ref().map_or(SECOND, |n| n.2);
-        self.plan(down, Event::RouterStarts { router, then: next });
+        let down_for = next.as_ref().map_or(SECOND, |next| next.2);
+        self.schedule(down_for, Event::RouterStarts { router, next });
     }
 
-    /// Gives a router what has reached it.
-    pub(super) fn give(&mut self, by: Process, input: Input) {
-        let seat = &mut self.routers[by.router as usize];
-        if seat.process != by {
+    /// Passes an input to a router, unless its process has ended.
+    pub(super) fn give_input(&mut self, process: Process, input: Input) {
+        let slot = &mut self.routers[process.router as usize];
+        if slot.process != process {
             return;
         }
-        let Some(mut brain) = seat.brain.take() else {
+        let Some(mut strategy) = slot.strategy.take() else {
             return;
         };
-        brain.take(
+        strategy.on_input(
             self.now,
             input,
             &mut RouterTransport {
                 world: self,
-                router: by.router,
+                router: process.router,
             },
         );
-        self.routers[by.router as usize].brain = Some(brain);
-        self.wake_later(by.router);
+        self.routers[process.router as usize].strategy = Some(strategy);
+        self.schedule_wake(process.router);
     }
 
-    fn wake_later(&mut self, router: u32) {
-        let seat = &mut self.routers[router as usize];
-        let Some(brain) = &seat.brain else { return };
-        let at = brain.next_wake().max(self.now);
-        if at < seat.wake_at {
-            seat.wake_at = at;
-            let by = seat.process;
-            self.plan_at(at, Event::RouterTimer { by, at });
+    fn schedule_wake(&mut self, router: u32) {
+        let slot = &mut self.routers[router as usize];
+        let Some(strategy) = &slot.strategy else {
+            return;
+        };
+        let at = strategy.next_wake().max(self.now);
+        if at < slot.wake_at {
+            slot.wake_at = at;
+            let process = slot.process;
+            self.schedule_at(at, Event::RouterTimer { process, at });
         }
     }
 }
