--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -48,7 +48,7 @@
 
 pub(crate) struct World {
     scenario: Scenario,
-    strategy: StrategyKind,
+    strategy_kind: StrategyKind,
     now: Micros,
     start: Micros,
     end: Micros,
@@ -95,7 +95,7 @@
             .filter(|b| b.number > 1)
             .collect();
         World {
-            strategy: kind,
+            strategy_kind: kind,
             now: 0,
             start,
             end: start + scenario.length + longest_timeout + SECOND,
@@ -217,16 +217,16 @@
             Event::ClientLeaves { attempt } => self.on_client_leaves(attempt),
             Event::AbandonAtRouter { attempt, process } => {
                 let conn = u64::from(process.router);
-                self.give_input(process, Input::Abandon { conn, id: attempt });
+                self.dispatch_input(process, Input::Abandon { conn, id: attempt });
             }
             Event::WrongAnswerAtRouter { process, receipt } => {
-                self.give_input(process, Input::WrongAnswer { conn: 0, receipt })
+                self.dispatch_input(process, Input::WrongAnswer { conn: 0, receipt })
             }
             Event::RouterTimer { process, at } => {
                 let slot = &mut self.routers[process.router as usize];
                 if slot.process == process && slot.wake_at == at {
                     slot.wake_at = Micros::MAX;
-                    self.give_input(process, Input::Timer);
+                    self.dispatch_input(process, Input::Timer);
                 }
             }
             Event::DeliveryFailed {
@@ -235,7 +235,7 @@
                 delivery,
                 failure,
             } => {
-                self.give_input(
+                self.dispatch_input(
                     process,
                     Input::DeliveryFailed {
                         host,
@@ -323,7 +323,7 @@
                         result,
                     });
                 }
-                self.give_input(
+                self.dispatch_input(
                     process,
                     Input::FromController(FromController::Voted { ballot, result }),
                 );
@@ -333,7 +333,7 @@
                 from,
                 text,
             } => {
-                self.give_input(
+                self.dispatch_input(
                     process,
                     Input::Gossip {
                         router: from,
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -147,7 +147,7 @@
             body: encode_body(attempt, number),
         };
         let conn = u64::from(process.router);
-        self.give_input(process, Input::Command { conn, command });
+        self.dispatch_input(process, Input::Command { conn, command });
     }
 
     pub(super) fn on_answer_at_client(&mut self, attempt: u64, end: TryEnd, receipt: u64) {
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -206,7 +206,7 @@
             incarnation,
             up_us,
         };
-        self.give_input(router_process, Input::FromHost { host, message });
+        self.dispatch_input(router_process, Input::FromHost { host, message });
     }
 
     /// Handles a lost connection: deliveries that were sent end with `failure`.
@@ -380,6 +380,6 @@
             self.host_slots[slot].host,
             self.routers[router as usize].process,
         );
-        self.give_input(process, Input::FromHost { host, message });
+        self.dispatch_input(process, Input::FromHost { host, message });
     }
 }
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -175,7 +175,7 @@
         let slot = &mut self.routers[process.router as usize];
         (slot.list_heard_at, slot.list_unanswered) = (self.now, 0);
         let message = FromList::clone(message);
-        self.give_input(process, Input::FromList(message));
+        self.dispatch_input(process, Input::FromList(message));
     }
 
     pub(super) fn on_list_refresh_due(&mut self, process: Process, connection: u32) {
@@ -228,7 +228,7 @@
                 connection,
             },
         );
-        self.give_input(process, Input::ListUnavailable);
+        self.dispatch_input(process, Input::ListUnavailable);
     }
 
     pub(super) fn connect_to_list(&mut self, process: Process, connection: u32) {
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -102,7 +102,7 @@
             exposure_cap: cap as f32,
             age_us,
         };
-        self.give_input(
+        self.dispatch_input(
             process,
             Input::FromController(FromController::RolloutUpdate(update)),
         );
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -83,8 +83,8 @@
             .wrapping_add(u64::from(router));
         let process = self.routers[router as usize].process;
         self.observe(Observation::RouterUp(process));
-        let kind = self.strategy;
-        let strategy = kind.start(
+        let strategy_kind = self.strategy_kind;
+        let strategy = strategy_kind.start(
             config,
             seed,
             now,
@@ -175,7 +175,7 @@
         (slot.is_closing, slot.down_since) = (true, Some(self.now));
         let process = slot.process;
         self.observe(Observation::RouterShutdown(process));
-        self.give_input(process, Input::Close);
+        self.dispatch_input(process, Input::Close);
         self.schedule(
             0,
             Event::RouterEnds {
@@ -219,7 +219,7 @@
     }
 
     /// Passes an input to a router, unless its process has ended.
-    pub(super) fn give_input(&mut self, process: Process, input: Input) {
+    pub(super) fn dispatch_input(&mut self, process: Process, input: Input) {
         let slot = &mut self.routers[process.router as usize];
         if slot.process != process {
             return;
