--- a/crates/spokeflow-simulator/src/control_plane/faults.rs
+++ b/crates/spokeflow-simulator/src/control_plane/faults.rs
@@ -55,15 +55,12 @@
                 let cut = self.last_event;
                 let is_router = kind > 6;
                 let target = if is_router { node_count + router } else { node };
-                for other in (0..node_count).filter(|other| *other != target) {
+                for peer in (0..node_count).filter(|peer| *peer != target) {
                     match kind {
-                        // Isolated in both directions; its messages do not arrive; its messages to some nodes do
-                        // not arrive.
-                        5 | 7 => self
-                            .cuts
-                            .extend([(cut, target, other), (cut, other, target)]),
-                        6 => self.cuts.push((cut, target, other)),
-                        _ if self.rng.random_bool(0.5) => self.cuts.push((cut, target, other)),
+                        // Messages are lost in both directions, from the target, or from it to some nodes.
+                        5 | 7 => self.cuts.extend([(cut, target, peer), (cut, peer, target)]),
+                        6 => self.cuts.push((cut, target, peer)),
+                        _ if self.rng.random_bool(0.5) => self.cuts.push((cut, target, peer)),
                         _ => {}
                     }
                 }
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -148,9 +148,8 @@
     }
 
     pub(super) fn on_connect_end(&mut self, link_id: usize, epoch: u32, fails: bool) {
-        if self.host_links[link_id].epoch != epoch
-            || self.host_links[link_id].state != LinkState::Connecting
-        {
+        let link = &self.host_links[link_id];
+        if link.epoch != epoch || link.state != LinkState::Connecting {
             return;
         }
         let (slot, router) = self.link_ends(link_id);
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -42,7 +42,6 @@
         }
         let shared_slowdown = (1.0 + slowdown_sum / f64::from(running.max(1))).min(4.0);
         let group_size = self.scenario.neighbours.max(1) as usize;
-        // The sum of the busy fractions of each group's hosts, and their number.
         let mut busy_by_group = vec![
             (0.0, 0.0);
             if group_size > 1 {
@@ -65,8 +64,8 @@
             };
             process.model.fault.drag = shared_slowdown;
             if group_size > 1 {
-                let (busy, hosts) = busy_by_group[n / group_size];
-                let others = (busy - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
+                let (busy_sum, hosts) = busy_by_group[n / group_size];
+                let others = (busy_sum - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
                 process.model.fault.neighbours =
                     1.0 / (1.0 - 0.9 * self.scenario.steal * others.clamp(0.0, 1.0));
             }
