--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use comfy_table::Table;
 use spokeflow_scenario::{Micros, SECOND};
-use spokeflow_simulator::{play_agreement, ControlPlaneRun, ControlPlaneScenario};
+use spokeflow_simulator::{play_control_plane, ControlPlaneRun, ControlPlaneScenario};
 
 /// Of every scenario; it bounds every contradiction.
 const LEASE: Micros = 3 * SECOND;
@@ -65,11 +65,11 @@
         (0..self.days)
             .map(|index| ControlPlaneScenario {
                 routers: self.routers[index as usize % sizes],
-                keepers: self.voters[index as usize / sizes % self.voters.len()],
+                voters: self.voters[index as usize / sizes % self.voters.len()],
                 seed: self.seed + index,
                 length: self.seconds * SECOND,
                 lease: LEASE,
-                silence: ELECTION_TIMEOUT,
+                election_timeout: ELECTION_TIMEOUT,
                 drift: MAX_CLOCK_DRIFT,
                 faulty: !self.peace,
             })
@@ -109,7 +109,7 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 while let Some(scenario) = scenarios.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let run = play_agreement(*scenario);
+                    let run = play_control_plane(*scenario);
                     print_broken(scenario, &run);
                     played.lock().expect("no holder panics").push(Played {
                         scenario: *scenario,
@@ -126,7 +126,7 @@
     if let Some(broken) = &run.broken {
         eprintln!(
             "seed {} ({} routers, {} voters): {broken}",
-            scenario.seed, scenario.routers, scenario.keepers
+            scenario.seed, scenario.routers, scenario.voters
         );
     }
 }
@@ -142,8 +142,8 @@
     let longest = runs.iter().map(|run| run.longest_contradiction).max();
     let leased = sum(|run| run.leased);
     let acts = leased + sum(|run| run.unleased);
-    let most_entries = runs.iter().map(|run| run.kept_entries).max();
-    let most_state = runs.iter().map(|run| run.kept_state).max();
+    let most_entries = runs.iter().map(|run| run.max_log_entries).max();
+    let most_state = runs.iter().map(|run| run.max_snapshot_bytes).max();
     let broken = runs.iter().filter(|run| run.broken.is_some()).count();
     [
         routers.to_string(),
