--- a/crates/spokeflow-testbed/src/scale/hollow.rs
+++ b/crates/spokeflow-testbed/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! A process of hollow routers: each is the control side of a router, its link to the nodes, its leases, revisions
-//! and replicated list, over real sockets and without an engine, clients and hosts.
+//! A process of hollow routers. A hollow router is the control side of a router: its link to the control-plane nodes,
+//! its leases, its revisions and its replicated list, over real sockets, but without an engine, clients and hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,20 +16,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-use super::settings::{customers, RouterPeers, RouterSettings};
+use super::settings::{tenant_quotas, RouterPeers, RouterSettings};
 
-/// What the process says on standard output once its routers are to start.
+/// Line that the process prints to standard output once its routers start.
 pub(super) const STARTED: &str = "hollow routers start";
-/// Events that wait for one router at most; its link waits meanwhile.
+/// Capacity of one router's event queue; its link waits while the queue is full.
 const EVENT_QUEUE: usize = 64;
 
-/// What a hollow process is told on standard input, one JSON value a line. At its end the process ends.
+/// A command to a process of hollow routers on its standard input, one JSON value per line. The process exits at the
+/// end of its input.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HollowCommand {
-    /// These routers end at once, and their connections with them.
+    /// Stops these routers at once; their connections close.
     Leave(BTreeSet<u32>),
-    /// These routers start, as new processes would.
+    /// Starts these routers without any state, as new processes would.
     Return(BTreeSet<u32>),
 }
 
@@ -39,36 +40,36 @@
     /// Number of the first router
     #[arg(long)]
     pub first: u32,
-    /// Routers in this process
+    /// Number of routers in this process
     #[arg(long)]
     pub count: u32,
-    /// Routers in the fleet
+    /// Number of routers in the fleet
     #[arg(long)]
     pub fleet_size: u32,
-    /// Customers in their settings
+    /// Number of tenants in the settings of the routers
     #[arg(long, default_value_t = 0)]
     pub tenants: u32,
-    /// A control-plane node; repeat the flag for each
+    /// Address of a control-plane node; repeat the flag for each
     #[arg(long = "control-plane", alias = "keeper", required = true)]
     pub control_plane: Vec<SocketAddr>,
-    /// The host list comes from the control plane
+    /// The routers get the host list from the control plane
     #[arg(long, alias = "agreed-list")]
     pub replicated_list: bool,
-    /// Draws the timing of the routers
+    /// Seed of the routers' random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Which lines are logged
+    /// Log filter
     #[arg(long, default_value = "warn")]
     pub log: String,
 }
 
 #[derive(Parser)]
-struct RouterLine {
+struct RouterArguments {
     #[command(flatten)]
-    terms: RouterFlags,
+    flags: RouterFlags,
 }
 
-/// What a replicated list leaves behind in a router: endpoints by host.
+/// Endpoints by host, as a router keeps them from the replicated list.
 #[derive(Default)]
 struct EndpointTable(BTreeMap<u32, EndpointRecord>);
 
@@ -77,34 +78,36 @@
         if complete {
             self.0.clear();
         }
-        for line in hosts {
-            match line.phase {
-                EndpointPhase::Gone => self.0.remove(&line.host),
-                _ => self.0.insert(line.host, line),
+        for endpoint in hosts {
+            match endpoint.phase {
+                EndpointPhase::Gone => self.0.remove(&endpoint.host),
+                _ => self.0.insert(endpoint.host, endpoint),
             };
         }
     }
 }
 
-struct Hollow {
-    terms: RouterFlags,
+/// The hollow routers of this process.
+struct HollowRouters {
+    flags: RouterFlags,
     seed: u64,
     running: BTreeMap<u32, JoinHandle<()>>,
 }
 
-impl Hollow {
+impl HollowRouters {
     fn start(&mut self, index: u32) {
-        let terms = RouterFlags {
+        let flags = RouterFlags {
             index,
-            ..self.terms.clone()
+            ..self.flags.clone()
         };
         let seed = self.seed.wrapping_mul(31).wrapping_add(u64::from(index));
-        let (core, events) = mpsc::channel(EVENT_QUEUE);
+        let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
         let (applied_sender, applied) = watch::channel(RevisionNumber(0));
-        let link = ControlPlaneLink::new(&terms, seed, Clock::starting_now(), core, applied);
-        // Both end together when the task is dropped.
+        let link =
+            ControlPlaneLink::new(&flags, seed, Clock::starting_now(), event_sender, applied);
+        // One task for both, so that aborting it ends both.
         let router = async move {
-            tokio::join!(link.run(), take(events, applied_sender));
+            tokio::join!(link.run(), handle_events(events, applied_sender));
         };
         if let Some(before) = self.running.insert(index, tokio::spawn(router)) {
             before.abort();
@@ -127,18 +130,17 @@
     }
 }
 
-/// Stands in for the task that owns a router's engine.
-async fn take(
+/// Handles the events of the link in place of a router's engine: stores the list and applies revisions at once.
+async fn handle_events(
     mut events: mpsc::Receiver<EngineEvent>,
     applied_sender: watch::Sender<RevisionNumber>,
 ) {
     let mut endpoints = EndpointTable::default();
-    while let Some(arrival) = events.recv().await {
-        match arrival {
-            EngineEvent::Input(Input::ReplicatedList {
-                complete: whole,
-                hosts,
-            }) => endpoints.update(whole, hosts),
+    while let Some(event) = events.recv().await {
+        match event {
+            EngineEvent::Input(Input::ReplicatedList { complete, hosts }) => {
+                endpoints.update(complete, hosts);
+            }
             EngineEvent::LeaseGranted { revision, .. } => {
                 applied_sender.send_if_modified(|r| std::mem::replace(r, revision) != revision);
             }
@@ -147,7 +149,7 @@
     }
 }
 
-/// Why the settings of hollow routers do not fit.
+/// Why the settings of hollow routers are invalid.
 #[derive(Debug, thiserror::Error)]
 enum HollowError {
     #[error(transparent)]
@@ -156,75 +158,77 @@
     Check(#[from] spokeflow_config::ConfigErrors),
 }
 
-/// The settings of a router of this process. Errors: they do not fit.
-fn terms(flags: &HollowFlags) -> Result<RouterFlags, HollowError> {
+/// Returns the settings of a router of this process. Errors: they are invalid.
+fn router_flags(flags: &HollowFlags) -> Result<RouterFlags, HollowError> {
     let settings = RouterSettings {
-        nodes: flags.control_plane.clone(),
+        control_plane: flags.control_plane.clone(),
         fleet_size: flags.fleet_size,
         tenants: flags.tenants,
         replicated_list: flags.replicated_list,
         seed: flags.seed,
     };
-    // Required by the flags; a hollow router calls neither.
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    let around = RouterPeers {
-        list: nowhere,
-        release_controller: nowhere,
+    // The router's flags require both addresses, but a hollow router connects to neither.
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
+    let peers = RouterPeers {
+        list: unused_address,
+        release_controller: unused_address,
     };
-    let line = std::iter::once("router".to_string()).chain(settings.flags(flags.first, 0, around));
-    let mut terms = RouterLine::try_parse_from(line)?.terms;
-    terms.service.customers = customers(flags.tenants);
-    terms.check()?;
-    Ok(terms)
+    let arguments =
+        std::iter::once("router".to_string()).chain(settings.flags(flags.first, 0, peers));
+    let mut router_flags = RouterArguments::try_parse_from(arguments)?.flags;
+    router_flags.service.customers = tenant_quotas(flags.tenants);
+    router_flags.check()?;
+    Ok(router_flags)
 }
 
-async fn run(flags: &HollowFlags, terms: RouterFlags) {
-    let mut hollow = Hollow {
-        terms,
+async fn run(flags: &HollowFlags, router_flags: RouterFlags) {
+    let mut routers = HollowRouters {
+        flags: router_flags,
         seed: flags.seed,
         running: BTreeMap::new(),
     };
     for index in flags.first..flags.first.saturating_add(flags.count) {
-        hollow.start(index);
+        routers.start(index);
     }
     println!("{STARTED}");
     let mut commands = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = commands.next_line().await {
         match serde_json::from_str(&line) {
-            Ok(command) => hollow.execute(command),
+            Ok(command) => routers.execute(command),
             Err(e) => {
-                eprintln!("spokeflow-testbed hollow: a command cannot be read: {e}");
+                eprintln!("spokeflow-testbed hollow: cannot decode the command '{line}': {e}");
                 return;
             }
         }
     }
 }
 
-/// Runs hollow routers until standard input ends. Exit code 0: it has ended; 1: cannot start; 2: settings that do not fit.
+/// Runs hollow routers until standard input ends. Exit code 0: standard input has ended; 1: the runtime cannot be
+/// started; 2: the settings are invalid.
 pub fn hollow(flags: &HollowFlags) -> ExitCode {
-    if let Err(fault) = init_logging(&flags.log, LogFormat::Text) {
-        eprintln!("spokeflow-testbed hollow: {fault}");
+    if let Err(error) = init_logging(&flags.log, LogFormat::Text) {
+        eprintln!("spokeflow-testbed hollow: {error}");
         return ExitCode::from(2);
     }
-    let terms = match terms(flags) {
-        Ok(terms) => terms,
-        Err(faults) => {
-            eprintln!("spokeflow-testbed hollow: {faults}");
+    let router_flags = match router_flags(flags) {
+        Ok(router_flags) => router_flags,
+        Err(error) => {
+            eprintln!("spokeflow-testbed hollow: invalid settings of the routers: {error}");
             return ExitCode::from(2);
         }
     };
-    // One thread, as a router has.
+    // A single thread, as in a router.
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
     {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("spokeflow-testbed hollow: cannot start: {e}");
+            eprintln!("spokeflow-testbed hollow: cannot start the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
-    runtime.block_on(run(flags, terms));
+    runtime.block_on(run(flags, router_flags));
     runtime.shutdown_background();
     ExitCode::SUCCESS
 }
--- a/crates/spokeflow-testbed/src/scale/list.rs
+++ b/crates/spokeflow-testbed/src/scale/list.rs
@@ -1,4 +1,4 @@
-//! The source of the host list: endpoints that change, sent complete or as what changed.
+//! The list source of a run: serves the host list to the voters, complete or as changes since the last version sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,40 +10,44 @@
 use tokio::sync::watch;
 use tokio_util::codec::Framed;
 
-/// Builds that hosts run, in turn.
+/// Number of builds; hosts run them in turn.
 const BUILDS: u32 = 2;
-/// Hosts have addresses of this form and no one listens there: without clients no router connects to a host.
+
+/// Returns the address of a host. Nothing listens there: without clients, no router connects to a host.
 fn address(host: u32) -> String {
     let [_, high, middle, low] = host.to_be_bytes();
     format!("127.{high}.{middle}.{low}:7400")
 }
 
 #[derive(Clone, Debug, Default)]
-struct Lines {
+struct HostList {
     version: u64,
-    lines: BTreeMap<u32, EndpointRecord>,
-    /// The version with which each host changed last.
-    changed: BTreeMap<u32, u64>,
+    endpoints: BTreeMap<u32, EndpointRecord>,
+    /// Version in which each host last changed.
+    changed_in: BTreeMap<u32, u64>,
 }
 
-impl Lines {
-    fn since(&self, version: u64) -> Vec<EndpointRecord> {
-        let changed = self.changed.iter().filter(|(_, at)| **at > version);
+impl HostList {
+    /// Returns the endpoints that changed after `version`.
+    fn changes_since(&self, version: u64) -> Vec<EndpointRecord> {
+        let changed = self.changed_in.iter().filter(|(_, at)| **at > version);
         changed
-            .filter_map(|(host, _)| self.lines.get(host).cloned())
+            .filter_map(|(host, _)| self.endpoints.get(host).cloned())
             .collect()
     }
 }
 
+/// The list source and its current list.
 pub(super) struct ListSource {
-    lines: Mutex<Lines>,
+    list: Mutex<HostList>,
+    /// Current version, sent to the connections when it changes.
     version: watch::Sender<u64>,
 }
 
 impl ListSource {
-    /// A list of `hosts` hosts that are ready, each in the zone that `zone` gives.
+    /// Creates a source with `hosts` hosts that are ready, each in the zone that `zone` returns for it.
     pub(super) fn new(hosts: u32, zone: impl Fn(u32) -> u16) -> Arc<ListSource> {
-        let line = |host| EndpointRecord {
+        let endpoint = |host| EndpointRecord {
             host,
             address: address(host),
             build: Some((1 + host % BUILDS) as u16),
@@ -53,42 +57,42 @@
             incarnation: 1,
             up_us: None,
         };
-        let lines = (0..hosts).map(|host| (host, line(host))).collect();
-        let changed = (0..hosts).map(|host| (host, 1)).collect();
-        let lines = Mutex::new(Lines {
+        let endpoints = (0..hosts).map(|host| (host, endpoint(host))).collect();
+        let changed_in = (0..hosts).map(|host| (host, 1)).collect();
+        let list = Mutex::new(HostList {
             version: 1,
-            lines,
-            changed,
+            endpoints,
+            changed_in,
         });
         Arc::new(ListSource {
-            lines,
+            list,
             version: watch::Sender::new(1),
         })
     }
 
-    /// These hosts are gone, all with one version.
+    /// Marks these hosts as gone, all in one version of the list.
     pub(super) fn remove(&self, hosts: &[u32]) {
-        self.change(hosts, |line| line.phase = EndpointPhase::Gone);
+        self.change(hosts, |endpoint| endpoint.phase = EndpointPhase::Gone);
     }
 
-    /// These hosts are back as new processes, all with one version.
-    pub(super) fn bring_back(&self, hosts: &[u32]) {
-        self.change(hosts, |line| {
-            line.phase = EndpointPhase::Ready;
-            line.incarnation += 1;
-            line.up_us = Some(0);
+    /// Marks these hosts as ready again, each as a new process, all in one version of the list.
+    pub(super) fn restore(&self, hosts: &[u32]) {
+        self.change(hosts, |endpoint| {
+            endpoint.phase = EndpointPhase::Ready;
+            endpoint.incarnation += 1;
+            endpoint.up_us = Some(0);
         });
     }
 
     fn change(&self, hosts: &[u32], change: impl Fn(&mut EndpointRecord)) {
         let version = {
-            let mut lines = self.lines.lock().expect("no holder panics");
-            lines.version += 1;
-            let version = lines.version;
+            let mut list = self.list.lock().expect("no holder panics");
+            list.version += 1;
+            let version = list.version;
             for host in hosts {
-                if let Some(line) = lines.lines.get_mut(host) {
-                    change(line);
-                    lines.changed.insert(*host, version);
+                if let Some(endpoint) = list.endpoints.get_mut(host) {
+                    change(endpoint);
+                    list.changed_in.insert(*host, version);
                 }
             }
             version
@@ -96,7 +100,7 @@
         self.version.send_replace(version);
     }
 
-    /// Takes connections. Errors: no port can be had.
+    /// Listens for connections and returns the address. Errors: no port can be opened.
     pub(super) async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -116,7 +120,7 @@
         let mut version = self.version.subscribe();
         let mut sent_version = None;
         loop {
-            let answer = tokio::select! {
+            let message = tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(ToList::Hello(_))) => FromList::Welcome,
                     Some(Ok(_)) => self.complete(&mut sent_version),
@@ -124,31 +128,31 @@
                 },
                 Ok(()) = version.changed(), if sent_version.is_some() => self.changes(&mut sent_version),
             };
-            if link.send(answer).await.is_err() {
+            if link.send(message).await.is_err() {
                 return;
             }
         }
     }
 
     fn complete(&self, sent_version: &mut Option<u64>) -> FromList {
-        let lines = self.lines.lock().expect("no holder panics");
-        *sent_version = Some(lines.version);
-        let there = lines
-            .lines
+        let list = self.list.lock().expect("no holder panics");
+        *sent_version = Some(list.version);
+        let present = list
+            .endpoints
             .values()
-            .filter(|line| line.phase != EndpointPhase::Gone);
+            .filter(|endpoint| endpoint.phase != EndpointPhase::Gone);
         FromList::Complete {
-            version: lines.version,
-            endpoints: there.cloned().collect(),
+            version: list.version,
+            endpoints: present.cloned().collect(),
         }
     }
 
     fn changes(&self, sent_version: &mut Option<u64>) -> FromList {
-        let lines = self.lines.lock().expect("no holder panics");
-        let changed = lines.since(sent_version.unwrap_or(0));
-        *sent_version = Some(lines.version);
+        let list = self.list.lock().expect("no holder panics");
+        let changed = list.changes_since(sent_version.unwrap_or(0));
+        *sent_version = Some(list.version);
         FromList::Changes {
-            version: lines.version,
+            version: list.version,
             endpoints: changed,
         }
     }
--- a/crates/spokeflow-testbed/src/scale/measure.rs
+++ b/crates/spokeflow-testbed/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! Turns the samples of a phase into figures, and holds routers against their budgets.
+//! Computes the figures of a phase from its samples, and checks routers against their budgets.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,15 @@
 use super::sample::{LinkSamples, PhaseSamples, ProcessSamples, Role};
 use super::traffic::NodeTraffic;
 
-const MEGABYTE: f64 = 1e6;
-const MICROS: f64 = 1e6;
-/// Name of the bound of a router's memory.
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Name of the bound on a router's memory.
 const MEMORY: &str = "memory";
-/// Samples less than this many seconds together say nothing of a rate.
-const LEAST_SECONDS: f64 = 1.0;
+/// Time in seconds for which a process or link must have been observed for a rate to be reported; over less, a rate is
+/// not meaningful.
+const MIN_OBSERVED_SECONDS: f64 = 1.0;
 
-/// Name and unit of a figure, and how it is read from one link's samples.
+/// Name and unit of a figure, and the function that computes it from the samples of one link.
 type LinkQuantity = (&'static str, &'static str, fn(&LinkSamples) -> f64);
 
 fn rate(samples: &LinkSamples, count: impl Fn(&NodeTraffic) -> u64) -> f64 {
@@ -38,15 +39,16 @@
     }),
 ];
 
-fn share(samples: &ProcessSamples) -> f64 {
+/// Returns the share of one core that a process used, per router in it.
+fn processor_share(samples: &ProcessSamples) -> f64 {
     samples.processor_seconds / samples.observed_seconds / f64::from(samples.routers.max(1))
 }
 
-/// Resident bytes of a process, a part of them: 0.5 the median, 1 the peak; for each of its routers.
-fn resident(samples: &ProcessSamples, part: f64) -> f64 {
+/// Returns a quantile of the sampled resident bytes of a process, per router in it: 0.5 is the median, 1 the peak.
+fn resident_bytes(samples: &ProcessSamples, fraction: f64) -> f64 {
     let mut bytes: Vec<f64> = samples.resident_bytes.iter().map(|b| *b as f64).collect();
     bytes.sort_by(f64::total_cmp);
-    quantile(&bytes, part) / f64::from(samples.routers.max(1))
+    quantile(&bytes, fraction) / f64::from(samples.routers.max(1))
 }
 
 fn of_role<K, S>(all: &BTreeMap<(Role, K), S>, role: Role) -> Vec<&S> {
@@ -60,20 +62,21 @@
     samples.iter().map(|s| value(s)).collect()
 }
 
-/// Which budgets of routers hold in a phase.
+/// Budgets of routers that are checked in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Judged {
-    /// Of memory alone: rates over the moments in which all processes start say nothing of a fleet that runs.
+pub(super) enum BudgetScope {
+    /// The memory budget only: rates while all processes start do not show those of a running fleet.
     Memory,
+    /// All budgets.
     All,
 }
 
-/// Adds the figures of one phase, and a finding for each budget that a router exceeded in it.
+/// Adds the figures of one phase to the report, and a finding for each budget that a router exceeded in it.
 pub(super) fn measure(
     report: &mut Report,
     flags: &ScaleFlags,
     phase: &str,
-    judged: Judged,
+    scope: BudgetScope,
     samples: &PhaseSamples,
 ) {
     let roles = [
@@ -84,11 +87,11 @@
         Role::Harness,
     ];
     for role in roles {
-        process_figures(report, phase, role, samples);
-        link_figures(report, phase, role, samples);
+        add_process_figures(report, phase, role, samples);
+        add_link_figures(report, phase, role, samples);
     }
     let memory = Spread::one(samples.memory_peak_bytes as f64);
-    report.figure(
+    report.add_figure(
         phase,
         Role::Fleet,
         "memory_peak",
@@ -97,7 +100,7 @@
         SpreadOf::One,
     );
     let processes = Spread::one(f64::from(samples.process_count));
-    report.figure(
+    report.add_figure(
         phase,
         Role::Fleet,
         "processes",
@@ -106,36 +109,36 @@
         SpreadOf::One,
     );
     for role in [Role::HollowRouter, Role::RealRouter] {
-        budgets(report, flags, phase, judged, role, samples);
+        check_budgets(report, flags, phase, scope, role, samples);
     }
 }
 
-fn process_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
+fn add_process_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
     let processes = of_role(&samples.processes, role);
-    let long: Vec<&ProcessSamples> = processes
+    let measurable: Vec<&ProcessSamples> = processes
         .iter()
         .copied()
-        .filter(|p| p.observed_seconds >= LEAST_SECONDS)
+        .filter(|p| p.observed_seconds >= MIN_OBSERVED_SECONDS)
         .collect();
     let mut add = |quantity, unit, spread: Option<Spread>| {
         if let Some(spread) = spread {
-            report.figure(phase, role, quantity, unit, spread, SpreadOf::Processes);
+            report.add_figure(phase, role, quantity, unit, spread, SpreadOf::Processes);
         }
     };
     add(
         "processor_share",
         "share of a core",
-        Spread::mean(&values(&long, share)),
+        Spread::mean(&values(&measurable, processor_share)),
     );
     add(
         "memory_steady",
         "bytes",
-        Spread::mean(&values(&processes, |p| resident(p, 0.5))),
+        Spread::mean(&values(&processes, |p| resident_bytes(p, 0.5))),
     );
     add(
         "memory_peak",
         "bytes",
-        Spread::greatest(&values(&processes, |p| resident(p, 1.0))),
+        Spread::greatest(&values(&processes, |p| resident_bytes(p, 1.0))),
     );
     let proportional: Vec<f64> = processes
         .iter()
@@ -149,53 +152,53 @@
     );
 }
 
-fn link_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
+fn add_link_figures(report: &mut Report, phase: &str, role: Role, samples: &PhaseSamples) {
     let links = of_role(&samples.links, role);
-    let long: Vec<&LinkSamples> = links
+    let measurable: Vec<&LinkSamples> = links
         .iter()
         .copied()
-        .filter(|l| l.observed_seconds >= LEAST_SECONDS)
+        .filter(|l| l.observed_seconds >= MIN_OBSERVED_SECONDS)
         .collect();
     for (quantity, unit, value) in LINK_QUANTITIES {
-        if let Some(spread) = Spread::mean(&values(&long, value)) {
-            report.figure(phase, role, quantity, unit, spread, SpreadOf::Links);
+        if let Some(spread) = Spread::mean(&values(&measurable, value)) {
+            report.add_figure(phase, role, quantity, unit, spread, SpreadOf::Links);
         }
     }
 }
 
-fn budgets(
+fn check_budgets(
     report: &mut Report,
     flags: &ScaleFlags,
     phase: &str,
-    judged: Judged,
+    scope: BudgetScope,
     role: Role,
     samples: &PhaseSamples,
 ) {
     let processes = of_role(&samples.processes, role);
-    let long: Vec<&ProcessSamples> = processes
+    let measurable: Vec<&ProcessSamples> = processes
         .iter()
         .copied()
-        .filter(|p| p.observed_seconds >= LEAST_SECONDS)
+        .filter(|p| p.observed_seconds >= MIN_OBSERVED_SECONDS)
         .collect();
     let links = of_role(&samples.links, role);
-    let both = |l: &LinkSamples| rate(l, |t| t.bytes_sent + t.bytes_received);
+    let bytes_both_ways = |l: &LinkSamples| rate(l, |t| t.bytes_sent + t.bytes_received);
     let measured = [
         (
             "processor",
             "of a core",
-            values(&long, share),
+            values(&measurable, processor_share),
             flags.router_processor_share,
         ),
         (
             MEMORY,
             "MB",
-            values(&processes, |p| resident(p, 1.0) / MEGABYTE),
+            values(&processes, |p| resident_bytes(p, 1.0) / BYTES_PER_MEGABYTE),
             flags.router_memory_mb,
         ),
         (
             "bytes",
-            "bytes a second",
-            values(&links, both),
+            "bytes per second",
+            values(&links, bytes_both_ways),
             flags.router_bytes_per_second,
         ),
     ];
@@ -206,24 +209,27 @@
         else {
             continue;
         };
-        if max > allowed && (judged == Judged::All || bound == MEMORY) {
-            let text = format!(
-                "{role:?}: {max:.4} {unit} at the most, {mean:.4} in the mean, {allowed} allowed"
-            );
-            report.find(phase, bound, text);
+        if max > allowed && (scope == BudgetScope::All || bound == MEMORY) {
+            let text =
+                format!("{role:?}: maximum {max:.4} {unit}, mean {mean:.4}, {allowed} allowed");
+            report.add_finding(phase, bound, text);
         }
     }
 }
 
-/// Adds median, 99th percentile and worst of some times in microseconds. Answers the worst in seconds.
-pub(super) fn times(
+/// Adds the median, the 99th percentile and the maximum of these times as figures. Returns the maximum in seconds, or
+/// `None` if there are no times.
+pub(super) fn add_times(
     report: &mut Report,
     phase: &str,
     quantity: &str,
     micros: &[crate::Micros],
     of: SpreadOf,
 ) -> Option<f64> {
-    let mut seconds: Vec<f64> = micros.iter().map(|t| *t as f64 / MICROS).collect();
+    let mut seconds: Vec<f64> = micros
+        .iter()
+        .map(|t| *t as f64 / MICROS_PER_SECOND)
+        .collect();
     seconds.sort_by(f64::total_cmp);
     let min = *seconds.first()?;
     let max = *seconds.last()?;
@@ -233,7 +239,7 @@
         ("worst", max),
     ] {
         let spread = Spread { value, min, max };
-        report.figure(
+        report.add_figure(
             phase,
             Role::Fleet,
             &format!("{quantity}_{name}"),
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -1,4 +1,4 @@
-//! Offers revisions to the voters as an operator's tool does, and notes when each was offered first.
+//! Proposes revisions to the voters as an operator's tool does, and records when each was first proposed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,61 +11,70 @@
 use tokio::time::{sleep, Instant};
 
 use super::rig::Rig;
-use super::settings::revision;
+use super::settings::revision_values;
 
-/// Between two attempts with one revision.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Every voter in turn fails with an offer so often: none will take it. A voter that is not there fails alone.
-const ROUNDS_AT_MOST: usize = 2;
+/// Pause between two attempts to propose a revision.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Consecutive rounds over all voters in which every request fails, after which a proposal is given up. A single voter
+/// that is down does not lead to this, as the others respond.
+const MAX_FAILED_ROUNDS: usize = 2;
 
-/// Why a revision is not taken.
+/// Why a proposed revision was not announced.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ProposeError {
-    #[error("an offer of {bytes} bytes is refused: {reason}")]
+    #[error("a proposal of {bytes} bytes is refused: {reason}")]
     Refused { bytes: usize, reason: String },
     #[error(
-        "an offer of {bytes} bytes was not announced, within {within:?} at most; last: {last}"
+        "a proposal of {bytes} bytes was not announced within {within:?} at most; last response: {last}"
     )]
     NotAnnounced {
         bytes: usize,
         within: Duration,
-        /// The last answer or failure.
+        /// Last response, or the error of the last request.
         last: String,
     },
 }
 
-pub(super) struct Offers {
+/// Proposes the revisions of a run, one after the other.
+pub(super) struct Proposer {
     rig: Arc<Rig>,
     random: StdRng,
+    /// Newest revision announced so far.
     newest: RevisionNumber,
-    offered: u32,
-    /// Why a revision was not taken: no further one is offered.
+    /// Number of revisions proposed so far.
+    proposed: u32,
+    /// Why a revision was not announced; while it is set, no further revision is proposed.
     pub refused: Option<ProposeError>,
 }
 
-impl Offers {
+impl Proposer {
     pub(super) fn new(rig: Arc<Rig>) -> Self {
         let random = StdRng::seed_from_u64(rig.flags.seed);
-        Offers {
+        Proposer {
             rig,
             random,
             newest: RevisionNumber(0),
-            offered: 0,
+            proposed: 0,
             refused: None,
         }
     }
 
-    /// Offers one revision until it is announced. Answers its number, or `None` where none was or will be taken.
-    pub(super) async fn offer(&mut self) -> Option<u64> {
+    /// Proposes one revision until it is announced. Returns its number, or `None` if it was not announced or an earlier
+    /// one failed.
+    pub(super) async fn propose(&mut self) -> Option<u64> {
         if self.refused.is_some() {
             return None;
         }
-        self.offered += 1;
-        let at = self.rig.tap.now();
-        match self.announce().await {
+        self.proposed += 1;
+        let proposed_at = self.rig.tap.now();
+        match self.propose_until_announced().await {
             Ok(number) => {
                 self.newest = number;
-                self.rig.tap.record().propagation.offered(number.0, at);
+                self.rig
+                    .tap
+                    .record()
+                    .propagation
+                    .proposed(number.0, proposed_at);
                 Some(number.0)
             }
             Err(error) => {
@@ -75,47 +84,47 @@
         }
     }
 
-    async fn announce(&mut self) -> Result<RevisionNumber, ProposeError> {
+    async fn propose_until_announced(&mut self) -> Result<RevisionNumber, ProposeError> {
         let within = self.rig.flags.in_force_within;
-        let until = Instant::now() + within;
-        let mut offer = Proposal {
+        let deadline = Instant::now() + within;
+        let mut proposal = Proposal {
             token: self.random.random(),
             base: self.newest,
             who: "scale".into(),
             why: "measured".into(),
             at_s: 0,
-            values: revision(self.offered, self.rig.flags.tenants),
+            values: revision_values(self.proposed, self.rig.flags.tenants),
         };
-        let bytes = postcard::to_stdvec(&offer).map_or(0, |bytes| bytes.len());
-        let failures_at_most = ROUNDS_AT_MOST * self.rig.voters_at.len();
+        let bytes = postcard::to_stdvec(&proposal).map_or(0, |bytes| bytes.len());
+        let max_failures = MAX_FAILED_ROUNDS * self.rig.voter_addresses.len();
         let mut failures = 0;
         let mut last = String::new();
-        for voter in self.rig.voters_at.clone().into_iter().cycle() {
-            if Instant::now() >= until || failures >= failures_at_most {
+        for voter in self.rig.voter_addresses.clone().into_iter().cycle() {
+            if Instant::now() >= deadline || failures >= max_failures {
                 break;
             }
-            let response = send_request_to(voter, Request::Propose(offer.clone())).await;
+            let response = send_request_to(voter, Request::Propose(proposal.clone())).await;
             failures = if response.is_ok() { 0 } else { failures + 1 };
             match response {
                 Ok(Response::Proposed(ProposalOutcome::Pending(number))) => return Ok(number),
                 Ok(Response::Proposed(ProposalOutcome::Stale { newest })) => {
-                    offer.base = newest;
-                    offer.token = self.random.random();
+                    proposal.base = newest;
+                    proposal.token = self.random.random();
                     continue;
                 }
                 Ok(Response::Proposed(ProposalOutcome::Busy { pending: announced })) => {
-                    offer.base = announced;
-                    offer.token = self.random.random();
+                    proposal.base = announced;
+                    proposal.token = self.random.random();
                     last = format!("revision {} was still not in force", announced.0);
                 }
-                Ok(Response::Invalid(what)) => {
-                    let reason = what.to_string();
+                Ok(Response::Invalid(errors)) => {
+                    let reason = errors.to_string();
                     return Err(ProposeError::Refused { bytes, reason });
                 }
-                Ok(answer) => last = format!("{answer:?}"),
+                Ok(response) => last = format!("{response:?}"),
                 Err(error) => last = error.to_string(),
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
         Err(ProposeError::NotAnnounced {
             bytes,
@@ -124,18 +133,18 @@
         })
     }
 
-    /// Offers at the rate of the flags for this time. Answers the numbers of the revisions that were taken.
-    pub(super) async fn at_rate(&mut self, lasts: Duration) -> Vec<u64> {
+    /// Proposes revisions at the rate of the flags for this duration. Returns the numbers of those that were announced.
+    pub(super) async fn propose_at_rate(&mut self, duration: Duration) -> Vec<u64> {
         let mut numbers = Vec::new();
-        let every = Duration::from_secs_f64(60.0 / self.rig.flags.changes_per_minute);
-        let until = Instant::now() + lasts;
+        let interval = Duration::from_secs_f64(60.0 / self.rig.flags.changes_per_minute);
+        let deadline = Instant::now() + duration;
         let mut next = Instant::now();
-        while next < until && self.refused.is_none() {
+        while next < deadline && self.refused.is_none() {
             tokio::time::sleep_until(next).await;
-            numbers.extend(self.offer().await);
-            next = (next + every).max(Instant::now());
+            numbers.extend(self.propose().await);
+            next = (next + interval).max(Instant::now());
         }
-        tokio::time::sleep_until(until).await;
+        tokio::time::sleep_until(deadline).await;
         numbers
     }
 }
--- a/crates/spokeflow-testbed/src/scale/phases.rs
+++ b/crates/spokeflow-testbed/src/scale/phases.rs
@@ -1,4 +1,4 @@
-//! What is done to the fleet in each phase.
+//! Runs each phase: stops, suspends and cuts off parts of the fleet, and proposes revisions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,32 +11,34 @@
 
 use super::error::RunError;
 use super::flags::Phase;
-use super::offers::Offers;
+use super::offers::Proposer;
 use super::rig::Rig;
 use crate::Micros;
 
-/// Part of the routers, and of the hosts, that is away at a time in the phase of churn.
+/// Share of the routers, and of the hosts, that is absent at a time in the phase churn.
 const CHURN_SHARE: f64 = 0.01;
-const CHURN_EVERY: Duration = Duration::from_secs(1);
-/// Between the end of all routers and their start.
-const ALL_DOWN: Duration = Duration::from_secs(1);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// How long the routers and hosts drawn in the phase churn stay absent.
+const CHURN_ABSENCE: Duration = Duration::from_secs(1);
+/// Time between the stop of all routers and their start.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What only the phase of the killed leader measures.
+/// Times measured in the phase leader, from the kill of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Election {
-    /// From the kill to the first message of the next leader.
+    /// Time from the kill to the first message of the next leader; `None`: no new leader was observed.
     pub leaderless: Option<Micros>,
-    /// From the kill to the first lease after that.
+    /// Time from the kill to the first lease granted after that; `None`: none was observed.
     pub first_grant: Option<Micros>,
 }
 
-/// Plays phases on a rig.
+/// Runs phases on a rig.
 pub(super) struct Phases {
     rig: Arc<Rig>,
     random: StdRng,
-    /// Numbers of the revisions that were taken in this phase.
+    /// Numbers of the revisions that were announced in this phase.
     pub revisions: Vec<u64>,
+    /// Result of the phase leader, if that was run.
     pub election: Option<Election>,
 }
 
@@ -51,146 +53,152 @@
         }
     }
 
-    /// Plays one phase. Errors: a process that cannot be started, or has ended.
-    pub(super) async fn play(&mut self, phase: Phase, offers: &mut Offers) -> Result<(), RunError> {
+    /// Runs one phase. Errors: a process cannot be started or has ended.
+    pub(super) async fn run(
+        &mut self,
+        phase: Phase,
+        proposer: &mut Proposer,
+    ) -> Result<(), RunError> {
         let flags = self.rig.flags.clone();
         match phase {
             Phase::Quiet => sleep(flags.quiet_lasts).await,
             Phase::Changes => self
                 .revisions
-                .extend(offers.at_rate(flags.changes_last).await),
-            Phase::Churn => self.churn(offers, flags.changes_last).await?,
-            Phase::Zone => self.zone(offers).await?,
-            Phase::Start => self.start(offers).await?,
-            Phase::Leader => self.leader(offers).await?,
-            Phase::Region => self.region(offers).await,
-            Phase::Stalled => self.stalled(offers).await,
+                .extend(proposer.propose_at_rate(flags.changes_last).await),
+            Phase::Churn => self.churn(proposer, flags.changes_last).await?,
+            Phase::Zone => self.zone(proposer).await?,
+            Phase::Start => self.start(proposer).await?,
+            Phase::Leader => self.leader(proposer).await?,
+            Phase::Region => self.region(proposer).await,
+            Phase::Stalled => self.stalled(proposer).await,
         }
         Ok(())
     }
 
-    async fn offer(&mut self, offers: &mut Offers) {
-        let number = offers.offer().await;
+    async fn propose(&mut self, proposer: &mut Proposer) {
+        let number = proposer.propose().await;
         self.revisions.extend(number);
     }
 
-    /// Draws some of these numbers, at least one where there are any.
+    /// Draws the share of these numbers that is absent at a time in the phase churn, at least one if there are any.
     fn draw(&mut self, from: std::ops::Range<u32>) -> BTreeSet<u32> {
         let all: Vec<u32> = from.collect();
         let count = (all.len() as f64 * CHURN_SHARE).ceil() as usize;
         all.sample(&mut self.random, count).copied().collect()
     }
 
-    /// Routers that leave in churn: hollow ones where there are any.
-    fn leaving(&self) -> std::ops::Range<u32> {
+    /// Returns the routers of which some stop in the phase churn: the hollow ones if there are any, or else all.
+    fn churn_candidates(&self) -> std::ops::Range<u32> {
         let flags = &self.rig.flags;
-        match flags.hollow() {
+        match flags.hollow_routers() {
             0 => 0..flags.routers,
             _ => flags.real..flags.routers,
         }
     }
 
-    async fn churn(&mut self, offers: &mut Offers, lasts: Duration) -> Result<(), RunError> {
+    async fn churn(&mut self, proposer: &mut Proposer, duration: Duration) -> Result<(), RunError> {
         let rig = self.rig.clone();
-        let until = Instant::now() + lasts;
+        let deadline = Instant::now() + duration;
         let churning = async {
-            while Instant::now() < until {
-                let routers = self.draw(self.leaving());
+            while Instant::now() < deadline {
+                let routers = self.draw(self.churn_candidates());
                 let hosts: Vec<u32> = self.draw(0..rig.flags.hosts).into_iter().collect();
-                rig.leave(&routers).await?;
+                rig.stop_routers(&routers).await?;
                 rig.list.remove(&hosts);
-                sleep(CHURN_EVERY).await;
-                rig.come_back(&routers).await?;
-                rig.list.bring_back(&hosts);
+                sleep(CHURN_ABSENCE).await;
+                rig.restart_routers(&routers).await?;
+                rig.list.restore(&hosts);
             }
             Ok(())
         };
-        let (numbers, churned) = tokio::join!(offers.at_rate(lasts), churning);
+        let (numbers, result) = tokio::join!(proposer.propose_at_rate(duration), churning);
         self.revisions.extend(numbers);
-        churned
+        result
     }
 
-    async fn zone(&mut self, offers: &mut Offers) -> Result<(), RunError> {
+    async fn zone(&mut self, proposer: &mut Proposer) -> Result<(), RunError> {
         let rig = self.rig.clone();
         let flags = &rig.flags;
-        let lost = self.random.random_range(0..flags.zones);
+        let lost_zone = self.random.random_range(0..flags.zones);
         let routers: BTreeSet<u32> = (0..flags.routers)
-            .filter(|router| flags.zone(*router) == lost)
+            .filter(|router| flags.zone(*router) == lost_zone)
             .collect();
         let hosts: Vec<u32> = (0..flags.hosts)
-            .filter(|host| flags.zone(*host) == lost)
+            .filter(|host| flags.zone(*host) == lost_zone)
             .collect();
-        let losing = async {
+        let zone_loss = async {
             rig.list.remove(&hosts);
-            rig.leave(&routers).await?;
+            rig.stop_routers(&routers).await?;
             sleep(flags.away_lasts).await;
-            rig.list.bring_back(&hosts);
-            rig.come_back(&routers).await?;
+            rig.list.restore(&hosts);
+            rig.restart_routers(&routers).await?;
             sleep(flags.away_lasts).await;
             Ok(())
         };
-        let (numbers, lost) = tokio::join!(offers.at_rate(flags.away_lasts * 2), losing);
+        let (numbers, result) =
+            tokio::join!(proposer.propose_at_rate(flags.away_lasts * 2), zone_loss);
         self.revisions.extend(numbers);
-        lost
+        result
     }
 
-    async fn start(&mut self, offers: &mut Offers) -> Result<(), RunError> {
+    async fn start(&mut self, proposer: &mut Proposer) -> Result<(), RunError> {
         let all: BTreeSet<u32> = (0..self.rig.flags.routers).collect();
-        self.rig.leave(&all).await?;
-        sleep(ALL_DOWN).await;
-        self.rig.come_back(&all).await?;
-        self.offer(offers).await;
-        until_ready(&self.rig).await;
+        self.rig.stop_routers(&all).await?;
+        sleep(RESTART_DELAY).await;
+        self.rig.restart_routers(&all).await?;
+        self.propose(proposer).await;
+        wait_until_ready(&self.rig).await;
         sleep(self.rig.flags.away_lasts).await;
         Ok(())
     }
 
-    async fn leader(&mut self, offers: &mut Offers) -> Result<(), RunError> {
+    async fn leader(&mut self, proposer: &mut Proposer) -> Result<(), RunError> {
         let rig = self.rig.clone();
         let before = rig.tap.record().leadership;
-        let killed = rig.tap.now();
+        let killed_at = rig.tap.now();
         rig.kill_voter(before.voter).await;
-        self.offer(offers).await;
+        self.propose(proposer).await;
         sleep(rig.flags.away_lasts).await;
         let after = rig.tap.record().leadership;
-        let led = after.term > before.term;
-        let since = |at: Option<Micros>| at.filter(|_| led).map(|at| at - killed);
+        let has_new_leader = after.term > before.term;
+        let since_kill =
+            |at: Option<Micros>| at.filter(|_| has_new_leader).map(|at| at - killed_at);
         self.election = Some(Election {
-            leaderless: since(Some(after.since)),
-            first_grant: since(after.first_grant),
+            leaderless: since_kill(Some(after.since)),
+            first_grant: since_kill(after.first_grant),
         });
         rig.start_voter(before.voter).await?;
         sleep(rig.flags.away_lasts).await;
         Ok(())
     }
 
-    async fn region(&mut self, offers: &mut Offers) {
+    async fn region(&mut self, proposer: &mut Proposer) {
         let rig = self.rig.clone();
         let flags = &rig.flags;
-        let lost = self.random.random_range(0..flags.regions);
-        let within = |router: &u32| flags.region(flags.zone(*router)) == lost;
-        let routers: BTreeSet<u32> = (0..flags.routers).filter(within).collect();
-        self.absent(&routers);
-        rig.tap.cut(routers.clone());
-        self.offer(offers).await;
+        let lost_region = self.random.random_range(0..flags.regions);
+        let is_cut_off = |router: &u32| flags.region(flags.zone(*router)) == lost_region;
+        let routers: BTreeSet<u32> = (0..flags.routers).filter(is_cut_off).collect();
+        self.record_absent(&routers);
+        rig.tap.cut_off(routers.clone());
+        self.propose(proposer).await;
         sleep(flags.away_lasts).await;
-        rig.tap.cut(BTreeSet::new());
-        self.present(&routers);
+        rig.tap.cut_off(BTreeSet::new());
+        self.record_present(&routers);
         sleep(flags.away_lasts).await;
     }
 
-    async fn stalled(&mut self, offers: &mut Offers) {
+    async fn stalled(&mut self, proposer: &mut Proposer) {
         let rig = self.rig.clone();
-        let routers = rig.stall(true).await;
-        self.absent(&routers);
-        self.offer(offers).await;
+        let routers = rig.set_suspended(true).await;
+        self.record_absent(&routers);
+        self.propose(proposer).await;
         sleep(rig.flags.away_lasts).await;
-        rig.stall(false).await;
-        self.present(&routers);
+        rig.set_suspended(false).await;
+        self.record_present(&routers);
         sleep(rig.flags.away_lasts).await;
     }
 
-    fn absent(&self, routers: &BTreeSet<u32>) {
+    fn record_absent(&self, routers: &BTreeSet<u32>) {
         let now = self.rig.tap.now();
         let mut record = self.rig.tap.record();
         routers
@@ -198,7 +206,7 @@
             .for_each(|router| record.propagation.left(now, *router));
     }
 
-    fn present(&self, routers: &BTreeSet<u32>) {
+    fn record_present(&self, routers: &BTreeSet<u32>) {
         let now = self.rig.tap.now();
         let mut record = self.rig.tap.record();
         routers
@@ -207,18 +215,18 @@
     }
 }
 
-/// Waits until every router that was started is ready, for the time that the flags allow.
-pub(super) async fn until_ready(rig: &Rig) {
-    let until = Instant::now() + rig.flags.ready_within;
-    while Instant::now() < until && !rig.tap.record().propagation.starting().is_empty() {
-        sleep(LOOK_EVERY).await;
+/// Waits until every router that was started is ready, but at most for the time that the flags allow.
+pub(super) async fn wait_until_ready(rig: &Rig) {
+    let deadline = Instant::now() + rig.flags.ready_within;
+    while Instant::now() < deadline && !rig.tap.record().propagation.starting().is_empty() {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until every router that is there has all revisions, for the time that the flags allow.
-pub(super) async fn until_in_force(rig: &Rig) {
-    let until = Instant::now() + rig.flags.in_force_within;
-    while Instant::now() < until
+/// Waits until every router that is present has all revisions in force, but at most for the time that the flags allow.
+pub(super) async fn wait_until_in_force(rig: &Rig) {
+    let deadline = Instant::now() + rig.flags.in_force_within;
+    while Instant::now() < deadline
         && !rig
             .tap
             .record()
@@ -226,6 +234,6 @@
             .missing(rig.flags.routers)
             .is_empty()
     {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/spokeflow-testbed/src/scale/processes.rs
+++ b/crates/spokeflow-testbed/src/scale/processes.rs
@@ -1,34 +1,36 @@
-//! Which processes of a run there are at the moment, for those who measure them.
+//! Table of the running processes of a run, for the sampler that measures them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
 use crate::locked;
 
-/// What a process is.
+/// Kind of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ProcessKind {
+    /// The voter of this id.
     Voter(u32),
-    /// So many hollow routers.
+    /// A process of this many hollow routers.
     Hollow(u32),
-    /// A real router.
+    /// The real router of this number.
     Real(u32),
-    /// This program: the tap and the measuring.
+    /// This process, with the tap and the sampler.
     Harness,
 }
 
+/// A running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessEntry {
     pub pid: i32,
     pub kind: ProcessKind,
 }
 
-/// Processes by name, shared between the rig that starts them and the sampler that reads them.
+/// Running processes by name, shared between the rig that starts them and the sampler that reads them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProcessTable(Arc<Mutex<BTreeMap<String, ProcessEntry>>>);
 
 impl ProcessTable {
-    /// A process is there from now on.
+    /// Adds a process that was started. Does nothing if it has no process id, as it has ended already.
     pub(super) fn add(&self, name: &str, pid: Option<u32>, kind: ProcessKind) {
         let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) else {
             return;
@@ -36,12 +38,13 @@
         locked(&self.0).insert(name.to_string(), ProcessEntry { pid, kind });
     }
 
-    /// A process is about to be ended: that it is no more is expected.
+    /// Removes a process that is about to be stopped, so that its end is expected.
     pub(super) fn remove(&self, name: &str) {
         locked(&self.0).remove(name);
     }
 
-    pub(super) fn members(&self) -> Vec<(String, ProcessEntry)> {
+    /// Returns all processes with their names.
+    pub(super) fn entries(&self) -> Vec<(String, ProcessEntry)> {
         let entries = locked(&self.0);
         entries
             .iter()
@@ -49,8 +52,8 @@
             .collect()
     }
 
-    /// Whether this very process is still expected to be there.
-    pub(super) fn has(&self, name: &str, pid: i32) -> bool {
+    /// Returns whether the process of this name and id is expected to be running.
+    pub(super) fn contains(&self, name: &str, pid: i32) -> bool {
         locked(&self.0)
             .get(name)
             .is_some_and(|entry| entry.pid == pid)
--- a/crates/spokeflow-testbed/src/scale/propagation.rs
+++ b/crates/spokeflow-testbed/src/scale/propagation.rs
@@ -1,67 +1,73 @@
-//! When each revision came into force at each router, as seen on its link.
+//! Records when each revision came into force at each router, as observed on the router's link.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Micros;
 
-/// Instants at which routers had a revision, by router.
+/// When a revision arrived at each router, by router.
 type Arrivals = BTreeMap<u32, Micros>;
 
-/// A time for which a router was stopped, cut off or not there.
+/// A time during which a router was stopped, suspended or cut off.
 #[derive(Clone, Copy, Debug)]
 struct Absence {
     from: Micros,
-    /// `None`: still away.
+    /// `None`: it is still absent.
     to: Option<Micros>,
 }
 
-/// How long one revision took, over the routers that were there. Times are in microseconds.
+/// Delays, in microseconds, with which one revision reached the routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
-    /// From the offer, or the router's return where that came later, to the grant that told the router of it.
+pub struct PropagationDelays {
+    /// Time from the proposal, or from the router's return if that was later, to the first grant that names the
+    /// revision as in force.
     pub granted: Vec<Micros>,
-    /// The same, to the router's next request, which names it as in force.
+    /// Time from the same instant to the router's first request that names the revision as in force.
     pub confirmed: Vec<Micros>,
-    /// Routers that are there and have not confirmed it.
+    /// Routers that are present and have not confirmed the revision.
     pub missing: BTreeSet<u32>,
 }
 
-/// Which router learned of which revision, and when.
+/// Arrivals of the revisions at the routers, and absences and starts of routers.
 #[derive(Debug, Default)]
 pub struct Propagation {
-    offered: BTreeMap<u64, Micros>,
+    /// When each revision was first proposed.
+    proposed: BTreeMap<u64, Micros>,
     granted: BTreeMap<u64, Arrivals>,
     confirmed: BTreeMap<u64, Arrivals>,
+    /// Newest revision granted to each router.
     newest_granted: BTreeMap<u32, u64>,
+    /// Newest revision that each router has confirmed.
     newest_confirmed: BTreeMap<u32, u64>,
     absences: BTreeMap<u32, Vec<Absence>>,
-    /// Routers that were started and have no lease and list yet, and when they were started.
+    /// Routers that were started and do not have their lease and list yet, and when they were started.
     starting: BTreeMap<u32, Micros>,
-    /// How long each start took, in the order in which routers became ready.
+    /// Duration of each start, in the order in which routers became ready.
     ready: Vec<Micros>,
 }
 
-fn arrived(
+/// Records that a revision and all earlier ones have arrived at a router, if they had not before.
+fn record_arrival(
     at: Micros,
     router: u32,
     number: u64,
     newest: &mut BTreeMap<u32, u64>,
-    to: &mut BTreeMap<u64, Arrivals>,
+    arrivals: &mut BTreeMap<u64, Arrivals>,
 ) {
     let before = newest.entry(router).or_default();
     for revision in *before + 1..=number {
-        to.entry(revision).or_default().insert(router, at);
+        arrivals.entry(revision).or_default().insert(router, at);
     }
     *before = number.max(*before);
 }
 
 impl Propagation {
-    /// A revision was taken; `at`: when it was offered first.
-    pub fn offered(&mut self, number: u64, at: Micros) {
-        self.offered.entry(number).or_insert(at);
+    /// Records that a revision was announced; `at` is when it was first proposed.
+    pub fn proposed(&mut self, number: u64, at: Micros) {
+        self.proposed.entry(number).or_insert(at);
     }
 
-    /// A grant that names the revision in force was handed on to a router.
+    /// Records that a grant that names revision `number` as in force was forwarded to a router. The router is ready
+    /// with its first grant, or with its first grant with a host list if `needs_list` is set.
     pub fn granted(
         &mut self,
         at: Micros,
@@ -70,7 +76,7 @@
         with_list: bool,
         needs_list: bool,
     ) {
-        arrived(
+        record_arrival(
             at,
             router,
             number,
@@ -84,9 +90,9 @@
         }
     }
 
-    /// A router's request names the revision that it has in force.
+    /// Records that a router's request names revision `number` as in force.
     pub fn confirmed(&mut self, at: Micros, router: u32, number: u64) {
-        arrived(
+        record_arrival(
             at,
             router,
             number,
@@ -95,22 +101,22 @@
         );
     }
 
-    /// A router is started now.
+    /// Records that a router is started.
     pub fn started(&mut self, at: Micros, router: u32) {
         self.starting.insert(router, at);
     }
 
-    /// Routers that were started and are not ready.
+    /// Returns the routers that were started and are not ready.
     pub fn starting(&self) -> BTreeSet<u32> {
         self.starting.keys().copied().collect()
     }
 
-    /// How long starts took since this was asked last, in microseconds.
+    /// Returns the duration, in microseconds, of each start that completed since the last call.
     pub fn take_ready(&mut self) -> Vec<Micros> {
         std::mem::take(&mut self.ready)
     }
 
-    /// A router is away from now on.
+    /// Records that a router is absent from now on.
     pub fn left(&mut self, at: Micros, router: u32) {
         self.starting.remove(&router);
         self.absences
@@ -119,7 +125,7 @@
             .push(Absence { from: at, to: None });
     }
 
-    /// A router is there again.
+    /// Records that a router is present again.
     pub fn returned(&mut self, at: Micros, router: u32) {
         let last = self
             .absences
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Whether a router was there all the time from `from` to `to`.
+    /// Returns whether a router was present all the time from `from` to `to`.
     pub fn was_present(&self, router: u32, from: Micros, to: Micros) -> bool {
         let absences = self.absences.get(&router).into_iter().flatten();
         !absences
@@ -138,54 +144,56 @@
             .any(|absence| absence.from <= to && absence.to.is_none_or(|end| end >= from))
     }
 
-    fn is_away(&self, router: u32) -> bool {
+    fn is_absent(&self, router: u32) -> bool {
         self.absences
             .get(&router)
             .and_then(|absences| absences.last())
             .is_some_and(|absence| absence.to.is_none())
     }
 
-    /// From when on a router's time counts for a revision offered at `offered` that it had at `arrived`.
-    fn counts_from(&self, router: u32, offered: Micros, arrived: Micros) -> Micros {
+    /// Returns from when the delay of a router counts, for a revision proposed at `proposed` that arrived at `arrived`:
+    /// from the proposal, or from the router's last return before the arrival if that was later.
+    fn counts_from(&self, router: u32, proposed: Micros, arrived: Micros) -> Micros {
         let absences = self.absences.get(&router).into_iter().flatten();
         let ends = absences
             .filter(|absence| absence.from <= arrived)
             .filter_map(|absence| absence.to);
         ends.filter(|end| *end <= arrived)
-            .fold(offered, Micros::max)
+            .fold(proposed, Micros::max)
     }
 
-    fn times(&self, offered: Micros, arrivals: Option<&Arrivals>) -> Vec<Micros> {
+    fn arrival_delays(&self, proposed: Micros, arrivals: Option<&Arrivals>) -> Vec<Micros> {
         let arrivals = arrivals.into_iter().flatten();
         arrivals
-            .map(|(router, at)| (at - self.counts_from(*router, offered, *at)).max(0))
+            .map(|(router, at)| (at - self.counts_from(*router, proposed, *at)).max(0))
             .collect()
     }
 
-    /// How one revision spread over the first `routers` routers; `None`: it was not offered here.
-    pub fn spread(&self, number: u64, routers: u32) -> Option<Spread> {
-        let offered = *self.offered.get(&number)?;
+    /// Returns the delays of one revision, and which of the first `routers` routers lack it. `None`: no such revision
+    /// was proposed.
+    pub fn delays(&self, number: u64, routers: u32) -> Option<PropagationDelays> {
+        let proposed = *self.proposed.get(&number)?;
         let confirmed = self.confirmed.get(&number);
         let lacks = |router: &u32| {
             !confirmed.is_some_and(|arrivals| arrivals.contains_key(router))
-                && !self.is_away(*router)
+                && !self.is_absent(*router)
         };
-        Some(Spread {
-            granted: self.times(offered, self.granted.get(&number)),
-            confirmed: self.times(offered, confirmed),
+        Some(PropagationDelays {
+            granted: self.arrival_delays(proposed, self.granted.get(&number)),
+            confirmed: self.arrival_delays(proposed, confirmed),
             missing: (0..routers).filter(lacks).collect(),
         })
     }
 
-    /// Routers that are there and lack one of the revisions offered so far.
+    /// Returns the routers that are present and have not confirmed the newest revision proposed so far.
     pub fn missing(&self, routers: u32) -> BTreeSet<u32> {
         let newest = self
-            .offered
+            .proposed
             .last_key_value()
             .map_or(0, |(number, _)| *number);
-        let has = |router: &u32| self.newest_confirmed.get(router).copied().unwrap_or(0);
+        let newest_at = |router: &u32| self.newest_confirmed.get(router).copied().unwrap_or(0);
         (0..routers)
-            .filter(|router| has(router) < newest && !self.is_away(*router))
+            .filter(|router| newest_at(router) < newest && !self.is_absent(*router))
             .collect()
     }
 }
--- a/crates/spokeflow-testbed/src/scale/report.rs
+++ b/crates/spokeflow-testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! The report: figures one by one, and the bounds that were exceeded.
+//! The report of a run: its figures, and the bounds that were exceeded.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use super::flags::{Phase, ScaleFlags, SizeOf};
 use super::sample::Role;
 
-/// Quantities that are printed at the end of a run; the file has all.
+/// Quantities that are printed at the end of a run; the JSON file has all.
 const PRINTED: [&str; 6] = [
     "time_to_ready_worst",
     "offer_to_in_force_p50",
@@ -18,7 +18,7 @@
     "kill_to_first_lease",
 ];
 
-/// What the spread of a figure, its least and greatest value, is taken over.
+/// Set of values over which the minimum and maximum of a figure are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SpreadOf {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A value with its spread.
+/// A value with the minimum and maximum of the values that it was computed from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
     pub value: f64,
@@ -91,6 +91,7 @@
 }
 
 impl Spread {
+    /// Returns the spread of a single value.
     pub fn one(value: f64) -> Spread {
         Spread {
             value,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The mean, the least and the greatest; `None` of no values.
+    /// Returns the mean with the minimum and maximum; `None` if there are no values.
     pub fn mean(values: &[f64]) -> Option<Spread> {
         let min = least(values)?;
         let max = greatest(values)?;
@@ -110,7 +111,7 @@
         })
     }
 
-    /// The greatest, with the spread of all.
+    /// Returns the maximum with the minimum and maximum; `None` if there are no values.
     pub fn greatest(values: &[f64]) -> Option<Spread> {
         let min = least(values)?;
         let max = greatest(values)?;
@@ -130,27 +131,28 @@
     values.iter().copied().reduce(f64::max)
 }
 
-/// The value below which this part of the sorted values lies; 0 of none.
-pub(super) fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let index = (sorted.len() as f64 * part) as usize;
+/// Returns the value below which this fraction of the sorted values lies; 0 if there are no values.
+pub(super) fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let index = (sorted.len() as f64 * fraction) as usize;
     sorted
         .get(index.min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
 
-/// A bound that was exceeded, or something else that must not happen.
+/// A bound that was exceeded, or another failure of the run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
     /// The phase in which it happened.
     pub phase: String,
     /// Name of the bound.
     pub bound: String,
-    /// What was measured and what is allowed.
+    /// Measured and allowed value, or a description of the failure.
     pub text: String,
 }
 
-/// Whether the control plane knows of a size that was asked for.
+/// A requested size of the run, and whether it is carried: whether the control plane supports it, so that it had an
+/// effect.
 #[derive(Clone, Debug, Serialize)]
 pub struct Carried {
     /// Name of the size.
@@ -158,9 +160,9 @@
     /// The size by the flags.
     #[serde(rename = "asked")]
     pub requested: u32,
-    /// Whether it is known of.
+    /// Whether the control plane supports it.
     pub carried: bool,
-    /// How, or why not.
+    /// How it is carried, or why it is not.
     pub how: String,
 }
 
@@ -176,14 +178,19 @@
             "routers",
             flags.routers,
             true,
-            "each holds a link to one voter and asks for leases",
+            "each has a link to one voter and requests leases",
+        ),
+        of(
+            "hosts",
+            flags.hosts,
+            true,
+            "entries of the replicated host list",
         ),
-        of("hosts", flags.hosts, true, "lines of the agreed list"),
         of(
             "tenants",
             flags.tenants,
             true,
-            "customers in every router's settings; a revision that changes one names all of them",
+            "tenants in every router's settings; a revision that changes one contains all of them",
         ),
         of(
             "services",
@@ -200,7 +207,7 @@
     ]
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -210,32 +217,32 @@
     Exceeded,
 }
 
-/// All that a run measured.
+/// The report of a run, as written to the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// How the run ended.
+    /// Whether the bounds were kept.
     pub outcome: Outcome,
-    /// What was exceeded.
+    /// Bounds that were exceeded.
     pub findings: Vec<Finding>,
-    /// Why the run ended before its last phase.
+    /// Why the run stopped before the end of its last phase; `None`: it did not.
     pub stopped: Option<String>,
     /// The command as typed, without paths of this machine.
     pub command: String,
-    /// When the run began, by RFC 3339.
+    /// Start of the run, in the format of RFC 3339.
     pub date: String,
-    /// On which the run was made.
+    /// Resources of the machine that the run used.
     pub machine: Machine,
-    /// What was expected before the run.
+    /// Resources that the run was expected to need.
     pub demand: Demand,
-    /// All bounds, one line each.
+    /// All bounds, one per line.
     pub bounds: Vec<String>,
-    /// Load of the machine over the last minute before the run, in running processes.
+    /// Load average of the machine over the last minute before the run.
     pub load_before: f64,
     /// Phases of the run.
     pub phases: Vec<Phase>,
-    /// Whether each size was known of.
+    /// Which of the requested sizes the control plane supports.
     pub carried: Vec<Carried>,
-    /// How figures are taken, by their name.
+    /// How figures are measured, by their name.
     pub notes: BTreeMap<String, String>,
     /// All figures.
     pub figures: Vec<Figure>,
@@ -245,18 +252,18 @@
     size: (SizeOf, f64),
 }
 
-/// How figures are taken, for whoever reads the file alone.
+/// Returns how figures are measured, so that the JSON file can be read without other documentation.
 fn notes() -> BTreeMap<String, String> {
     let notes = [
-        ("processor_share", "time on a processor over the phase, by /proc/PID/task/*/schedstat (/proc/PID/stat where there is none), as a share of one core"),
-        ("memory", "resident memory of /proc/PID/stat, four times a second; proportional: Pss of smaps_rollup at the end of the phase"),
-        ("hollow_router", "figures of its process divided by the routers in it; links are each router's own"),
-        ("real_router", "its whole process, without clients and host connections; its own list says nothing"),
-        ("bytes, frames", "frames at the tap with their four bytes of length, without headers of TCP and IP"),
-        ("offer_to_in_force", "from the offer, or the router's return where that came later, to the router's next request that names the revision as in force, at the tap: up to a third of a lease after it was told"),
-        ("offer_to_told", "the same, to the grant that told the router"),
-        ("time_to_ready", "from the start of a router to its first lease, with the host list where there is one"),
-        ("lease_lapses", "grants that reached a router that was there after its last lease was over"),
+        ("processor_share", "processor time over the phase, from /proc/PID/task/*/schedstat (from /proc/PID/stat if that is not available), as a share of one core"),
+        ("memory", "resident memory from /proc/PID/stat, sampled four times a second; proportional: Pss from smaps_rollup at the end of the phase"),
+        ("hollow_router", "figures of its process divided by the number of routers in it; figures of links are those of each router"),
+        ("real_router", "its whole process, without clients and host connections; its own list source sends nothing"),
+        ("bytes, frames", "frames at the tap with their four-byte length prefix, without the headers of TCP and IP"),
+        ("offer_to_in_force", "from the proposal, or from the router's return if that was later, to the router's first request that names the revision as in force, at the tap: up to a third of a lease after the grant that names it"),
+        ("offer_to_told", "as offer_to_in_force, but to the first grant to the router that names the revision as in force"),
+        ("time_to_ready", "from the start of a router to its first grant, or to its first grant with the host list if there is one"),
+        ("lease_lapses", "grants that reached a router after its last lease had expired, without those of routers that were absent meanwhile"),
     ];
     notes
         .into_iter()
@@ -265,7 +272,7 @@
 }
 
 impl Report {
-    /// The report of a run that begins.
+    /// Creates the report of a run that begins, without figures and findings.
     pub fn new(flags: &ScaleFlags, machine: Machine, demand: Demand, command: String) -> Report {
         use procfs::Current;
         Report {
@@ -278,7 +285,7 @@
             demand,
             bounds: bounds(flags, &machine),
             load_before: procfs::LoadAverage::current().map_or(0.0, |load| f64::from(load.one)),
-            phases: flags.played(),
+            phases: flags.phases_to_run(),
             carried: carried(flags),
             notes: notes(),
             figures: Vec::new(),
@@ -288,7 +295,7 @@
     }
 
     /// Adds a figure.
-    pub fn figure(
+    pub fn add_figure(
         &mut self,
         phase: &str,
         role: Role,
@@ -315,8 +322,8 @@
         });
     }
 
-    /// Adds a finding: the bounds are exceeded.
-    pub fn find(&mut self, phase: &str, bound: &str, text: String) {
+    /// Adds a finding; the outcome is then that bounds were exceeded.
+    pub fn add_finding(&mut self, phase: &str, bound: &str, text: String) {
         self.outcome = Outcome::Exceeded;
         self.findings.push(Finding {
             phase: phase.into(),
@@ -325,13 +332,13 @@
         });
     }
 
-    /// The run ends before its last phase.
-    pub fn stop(&mut self, why: String) {
+    /// Records that the run stopped before the end of its last phase, and why.
+    pub fn stop(&mut self, reason: String) {
         self.outcome = Outcome::Exceeded;
-        self.stopped = Some(why);
+        self.stopped = Some(reason);
     }
 
-    /// A few lines for people: what took how long, what is not carried, what was exceeded, the verdict.
+    /// Returns a summary to print: the main times, the sizes that are not carried, the findings and the outcome.
     pub fn text(&self) -> String {
         let mut lines = Vec::new();
         let is_printed = |figure: &&Figure| {
@@ -347,19 +354,24 @@
             } = figure;
             lines.push(format!("{phase}: {quantity} {value:.3} {unit}"));
         }
-        let left_out = self
+        let not_carried = self
             .carried
             .iter()
             .filter(|size| !size.carried && size.requested > 0);
-        lines
-            .extend(left_out.map(|size| format!("{} {}: {}", size.size, size.requested, size.how)));
+        lines.extend(
+            not_carried.map(|size| format!("{} {}: {}", size.size, size.requested, size.how)),
+        );
         lines.extend(self.findings.iter().map(|finding| {
             format!(
                 "EXCEEDED {} in {}: {}",
                 finding.bound, finding.phase, finding.text
             )
         }));
-        lines.extend(self.stopped.iter().map(|why| format!("STOPPED {why}")));
+        lines.extend(
+            self.stopped
+                .iter()
+                .map(|reason| format!("STOPPED {reason}")),
+        );
         lines.push(match self.outcome {
             Outcome::Kept => "bounds kept".into(),
             Outcome::Exceeded => "bounds exceeded".into(),
@@ -368,15 +380,15 @@
     }
 }
 
-/// All bounds of a run, one a line.
+/// Returns all bounds of a run, one per line.
 pub(super) fn bounds(flags: &ScaleFlags, machine: &Machine) -> Vec<String> {
     let mut bounds = machine.bounds();
     bounds.push(format!(
-        "a revision in force everywhere within {:?} of its offer",
+        "a revision in force everywhere within {:?} of its proposal",
         flags.in_force_within
     ));
     bounds.push(format!(
-        "each router at most {} of a core, {} MB, {} bytes a second",
+        "each router at most {} of a core, {} MB, {} bytes per second",
         flags.router_processor_share, flags.router_memory_mb, flags.router_bytes_per_second
     ));
     bounds.push(format!(
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: voters, real routers and processes of hollow routers, started, stopped and ended.
+//! Starts, suspends and stops the processes of a run: voters, real routers and processes of hollow routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,22 +25,25 @@
 use crate::fleet::peers::Peers;
 use crate::routers::{RouterProcess, StartError, Starting};
 
-/// A process of hollow routers says that they start within this time.
-const HOLLOW_STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// Of the lease: an election takes two of these timeouts, and has to end well within a lease.
-const ELECTION_TIMEOUTS_IN_LEASE: u32 = 6;
-const HEARTBEATS_IN_ELECTION_TIMEOUT: u32 = 5;
+/// Time within which a process of hollow routers must report that its routers start.
+const HOLLOW_START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Election timeouts in the duration of a lease. An election takes two of these timeouts and has to end well within a
+/// lease.
+const ELECTION_TIMEOUTS_PER_LEASE: u32 = 6;
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 5;
 
+/// A running process of hollow routers.
 struct HollowProcess {
     name: String,
     child: Child,
     commands: ChildStdin,
+    /// Numbers of its routers.
     routers: BTreeSet<u32>,
 }
 
 impl HollowProcess {
-    /// Errors: the process has ended.
-    async fn tell(&mut self, command: &HollowCommand) -> Result<(), RunError> {
+    /// Sends a command to the process. Errors: the process has ended.
+    async fn send(&mut self, command: &HollowCommand) -> Result<(), RunError> {
         let write = async {
             let mut line = serde_json::to_string(command)?;
             line.push('\n');
@@ -53,17 +56,19 @@
     }
 }
 
+/// All processes of a run, with the tap, the list source and the stores that they use.
 pub(super) struct Rig {
     pub flags: ScaleFlags,
     pub tap: Arc<Tap>,
     pub list: Arc<ListSource>,
     pub processes: ProcessTable,
-    /// Addresses of the voters at the tap.
-    pub voters_at: Vec<SocketAddr>,
+    /// Addresses at which the tap accepts connections to the voters.
+    pub voter_addresses: Vec<SocketAddr>,
     starting: Starting,
+    /// Directory of the voters' store files.
     stores: PathBuf,
-    list_at: SocketAddr,
-    around: RouterPeers,
+    list_address: SocketAddr,
+    peers: RouterPeers,
     voters: Mutex<BTreeMap<u32, RouterProcess>>,
     real: Mutex<BTreeMap<u32, RouterProcess>>,
     hollow: Mutex<Vec<HollowProcess>>,
@@ -78,7 +83,8 @@
 }
 
 impl Rig {
-    /// Opens what surrounds the processes and starts none. Errors: a port or a folder cannot be had.
+    /// Opens the tap, the list source and the peers of real routers, and starts no process. Errors: a port or the
+    /// directory of the stores is not available.
     pub(super) async fn open(
         flags: ScaleFlags,
         starting: Starting,
@@ -88,23 +94,24 @@
             directory: stores.clone(),
             source,
         })?;
-        let port = ScaleError::Listen;
-        let drift = 0.01;
-        let held = (flags.lease.as_micros() as f64 * (1.0 - drift)) as crate::Micros;
-        let tap = Tap::new(held, flags.hosts > 0);
+        let listen_error = ScaleError::Listen;
+        let max_clock_drift = 0.01;
+        let holder_duration =
+            (flags.lease.as_micros() as f64 * (1.0 - max_clock_drift)) as crate::Micros;
+        let tap = Tap::new(holder_duration, flags.hosts > 0);
         let zones = flags.clone();
         let list = ListSource::new(flags.hosts, |host| zones.zone(host));
-        let list_at = list.open().await.map_err(port)?;
-        let peers = Peers::new(Instant::now(), 0);
-        // Own lists of real routers say nothing: hosts come from the voters.
-        let peer_addresses = peers.open(0).await.map_err(port)?;
-        let mut voters_at = Vec::new();
+        let list_address = list.open().await.map_err(listen_error)?;
+        let peer_services = Peers::new(Instant::now(), 0);
+        // The own list source of real routers sends nothing: hosts come from the voters.
+        let peer_addresses = peer_services.open(0).await.map_err(listen_error)?;
+        let mut voter_addresses = Vec::new();
         for id in 1..=flags.voters {
-            voters_at.push(tap.open(id).await.map_err(port)?);
+            voter_addresses.push(tap.open(id).await.map_err(listen_error)?);
         }
         let processes = ProcessTable::default();
         processes.add("harness", Some(std::process::id()), ProcessKind::Harness);
-        let around = RouterPeers {
+        let peers = RouterPeers {
             list: peer_addresses.silent_list,
             release_controller: peer_addresses.release_controller,
         };
@@ -113,11 +120,11 @@
             tap,
             list,
             processes,
-            voters_at,
+            voter_addresses,
             starting,
             stores,
-            list_at,
-            around,
+            list_address,
+            peers,
             voters: Mutex::default(),
             real: Mutex::default(),
             hollow: Mutex::default(),
@@ -131,7 +138,7 @@
 
     fn settings(&self) -> RouterSettings {
         RouterSettings {
-            nodes: self.voters_at.clone(),
+            control_plane: self.voter_addresses.clone(),
             fleet_size: self.flags.routers,
             tenants: self.flags.tenants,
             replicated_list: self.with_list(),
@@ -139,7 +146,8 @@
         }
     }
 
-    /// Starts all processes, each router as started at the beginning. Errors: which does not start, and why.
+    /// Starts all processes. A router counts as started just before its process. Errors: the process that does not
+    /// start, and why.
     pub(super) async fn launch(&self) -> Result<(), RunError> {
         for id in 1..=self.flags.voters {
             self.start_voter(id).await?;
@@ -156,10 +164,10 @@
         Ok(())
     }
 
-    /// Errors: it does not start.
+    /// Starts one voter, with the store of its earlier process if there was one. Errors: it does not start.
     pub(super) async fn start_voter(&self, id: u32) -> Result<(), RunError> {
         let name = voter_name(id);
-        let election_timeout = self.flags.lease / ELECTION_TIMEOUTS_IN_LEASE;
+        let election_timeout = self.flags.lease / ELECTION_TIMEOUTS_PER_LEASE;
         let mut flags = vec![
             format!("--id={id}"),
             "--listen=127.0.0.1:0".into(),
@@ -170,14 +178,14 @@
             format!("--election-timeout={}us", election_timeout.as_micros()),
             format!(
                 "--heartbeat-interval={}us",
-                (election_timeout / HEARTBEATS_IN_ELECTION_TIMEOUT).as_micros()
+                (election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT).as_micros()
             ),
             format!("--lease={}us", self.flags.lease.as_micros()),
         ];
-        let members = self.voters_at.iter().zip(1..);
+        let members = self.voter_addresses.iter().zip(1..);
         flags.extend(members.map(|(address, member)| format!("--member={member}={address}")));
         if self.with_list() {
-            flags.push(format!("--list={}", self.list_at));
+            flags.push(format!("--list={}", self.list_address));
         }
         let starting = Starting {
             first: vec!["keeper".into()],
@@ -190,26 +198,27 @@
         })?;
         self.processes
             .add(&name, process.pid(), ProcessKind::Voter(id));
-        self.tap.target(id, Some(process.address));
+        self.tap.set_target(id, Some(process.address));
         self.voters.lock().await.insert(id, process);
         Ok(())
     }
 
-    /// As by `kill -9`.
+    /// Kills one voter with SIGKILL. Its store stays.
     pub(super) async fn kill_voter(&self, id: u32) {
         self.processes.remove(&voter_name(id));
-        self.tap.target(id, None);
+        self.tap.set_target(id, None);
         let process = self.voters.lock().await.remove(&id);
         if let Some(mut process) = process {
             process.kill().await;
         }
     }
 
+    /// Starts one real router. Errors: it does not start.
     async fn start_real(&self, router: u32) -> Result<(), RunError> {
         let name = real_name(router);
         let settings = self.settings();
-        let mut flags = settings.flags(router, self.flags.zone(router), self.around);
-        flags.extend(settings.customer_flags());
+        let mut flags = settings.flags(router, self.flags.zone(router), self.peers);
+        flags.extend(settings.tenant_flags());
         let starting = Starting {
             first: vec!["router".into()],
             ..self.starting.clone()
@@ -240,7 +249,7 @@
         let log = self.starting.log_output(&name);
         command.stderr(log.map_err(start_error)?);
         let routers: BTreeSet<u32> = (first..end).collect();
-        self.note_started(&routers);
+        self.record_started(&routers);
         let mut child = command.spawn().map_err(|source| {
             start_error(StartError::Spawn {
                 program: self.starting.program.clone(),
@@ -252,7 +261,7 @@
         };
         let mut line = String::new();
         let mut output = BufReader::new(output);
-        let read = timeout(HOLLOW_STARTS_WITHIN, output.read_line(&mut line)).await;
+        let read = timeout(HOLLOW_START_TIMEOUT, output.read_line(&mut line)).await;
         if !matches!(read, Ok(Ok(_))) || line.trim() != STARTED {
             let line = line.trim().to_string();
             return Err(RunError::StartHollow { name, line });
@@ -267,7 +276,7 @@
         })
     }
 
-    /// The command of a process of so many hollow routers.
+    /// Returns the command that starts a process of `count` hollow routers, numbered from `first`.
     fn hollow_command(&self, first: u32, count: u32) -> Command {
         let settings = self.settings();
         let mut command = Command::new(&self.starting.program);
@@ -279,12 +288,12 @@
             .arg(format!("--tenants={}", settings.tenants))
             .arg(format!("--seed={}", settings.seed))
             .arg(format!("--log={}", self.starting.log));
-        let nodes = settings.nodes.iter();
+        let nodes = settings.control_plane.iter();
         command.args(nodes.map(|node| format!("--control-plane={node}")));
         if settings.replicated_list {
             command.arg("--replicated-list");
         }
-        // No variable of the caller's is taken for a flag.
+        // A variable of the caller's environment must not set a flag of the process.
         for (name, _) in std::env::vars() {
             if name.starts_with("SPOKEFLOW_") {
                 command.env_remove(name);
@@ -297,7 +306,7 @@
         command
     }
 
-    fn note_started(&self, routers: &BTreeSet<u32>) {
+    fn record_started(&self, routers: &BTreeSet<u32>) {
         let now = self.tap.now();
         let mut record = self.tap.record();
         routers
@@ -305,8 +314,8 @@
             .for_each(|router| record.started(now, *router));
     }
 
-    /// These routers end at once, real ones as by `kill -9`. Errors: a hollow process has ended.
-    pub(super) async fn leave(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
+    /// Stops these routers at once, real ones with SIGKILL. Errors: a process of hollow routers has ended.
+    pub(super) async fn stop_routers(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
             let now = self.tap.now();
             let mut record = self.tap.record();
@@ -314,7 +323,7 @@
                 .iter()
                 .for_each(|router| record.propagation.left(now, *router));
         }
-        self.tell_hollow(routers, HollowCommand::Leave).await?;
+        self.send_to_hollow(routers, HollowCommand::Leave).await?;
         for router in routers.range(..self.flags.real) {
             self.processes.remove(&real_name(*router));
             let process = self.real.lock().await.remove(router);
@@ -325,8 +334,8 @@
         Ok(())
     }
 
-    /// These routers start, all at once. Errors: which does not start, and why.
-    pub(super) async fn come_back(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
+    /// Starts these routers again, all at once. Errors: the router that does not start, and why.
+    pub(super) async fn restart_routers(&self, routers: &BTreeSet<u32>) -> Result<(), RunError> {
         {
             let now = self.tap.now();
             let mut record = self.tap.record();
@@ -335,14 +344,15 @@
                 record.started(now, *router);
             }
         }
-        self.tell_hollow(routers, HollowCommand::Return).await?;
+        self.send_to_hollow(routers, HollowCommand::Return).await?;
         let real = routers
             .range(..self.flags.real)
             .map(|router| self.start_real(*router));
         join_all(real).await.into_iter().collect()
     }
 
-    async fn tell_hollow(
+    /// Sends a command with these routers to the processes that run them as hollow routers.
+    async fn send_to_hollow(
         &self,
         routers: &BTreeSet<u32>,
         command: impl Fn(BTreeSet<u32>) -> HollowCommand,
@@ -350,19 +360,19 @@
         for process in self.hollow.lock().await.iter_mut() {
             let own: BTreeSet<u32> = process.routers.intersection(routers).copied().collect();
             if !own.is_empty() {
-                process.tell(&command(own)).await?;
+                process.send(&command(own)).await?;
             }
         }
         Ok(())
     }
 
-    /// Stops the last process of hollow routers as by SIGSTOP, or lets it go on. Answers its routers.
-    pub(super) async fn stall(&self, stopped: bool) -> BTreeSet<u32> {
+    /// Suspends the last process of hollow routers (SIGSTOP) or resumes it (SIGCONT). Returns its routers.
+    pub(super) async fn set_suspended(&self, suspended: bool) -> BTreeSet<u32> {
         let hollow = self.hollow.lock().await;
         let Some(process) = hollow.last() else {
             return BTreeSet::new();
         };
-        let signal = if stopped {
+        let signal = if suspended {
             Signal::SIGSTOP
         } else {
             Signal::SIGCONT
@@ -373,8 +383,8 @@
         process.routers.clone()
     }
 
-    /// Ends all processes, and takes away what they wrote. None is left when this returns.
-    pub(super) async fn end(&self) {
+    /// Kills all processes and removes their stores. No process is left when this returns.
+    pub(super) async fn stop_all(&self) {
         for process in self.hollow.lock().await.iter_mut() {
             self.processes.remove(&process.name);
             let _ = process.child.kill().await;
--- a/crates/spokeflow-testbed/src/scale/sample.rs
+++ b/crates/spokeflow-testbed/src/scale/sample.rs
@@ -1,5 +1,5 @@
-//! Reads the processes of a run from the system and the links from the tap, a few times a second, and adds up what each
-//! role took in a phase.
+//! Samples the processes of a run from `/proc` and their links from the tap, a few times a second, and sums up the
+//! usage of each role in a phase.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,56 +17,61 @@
 use super::traffic::NodeTraffic;
 use crate::fleet::Participant;
 
-const SAMPLE_EVERY: Duration = Duration::from_millis(250);
+/// Interval between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a process or a router was at the moment of a sample.
+/// Role of a process or a router at the time of a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// The node that leads.
+    /// The voter that is the leader.
     VoterLeader,
-    /// Any other node.
+    /// Any other voter.
     VoterFollower,
-    /// Figures of its process divided by the routers in it.
+    /// A hollow router: the figures of its process divided by the number of routers in it.
     HollowRouter,
-    /// A router process.
+    /// A real router process.
     RealRouter,
-    /// The tap and the measuring, on the same machine.
+    /// This process, with the tap and the sampler.
     Harness,
-    /// All together.
+    /// All processes together.
     Fleet,
 }
 
-/// One look at a process.
+/// Resource usage of a process at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
+    /// Processor time since its start.
     pub processor_seconds: f64,
     pub resident_bytes: u64,
     pub descriptors: u64,
 }
 
-/// Why a process could not be read.
-enum Gone {
+/// Why the usage of a process could not be read.
+enum ReadError {
+    /// The process has ended.
     Ended,
+    /// The process exists, but its descriptors cannot be read.
     Unreadable,
 }
 
-fn usage(pid: i32) -> Result<Usage, Gone> {
-    let process = Process::new(pid).map_err(|_| Gone::Ended)?;
-    let stat = process.stat().map_err(|_| Gone::Ended)?;
+fn usage(pid: i32) -> Result<Usage, ReadError> {
+    let process = Process::new(pid).map_err(|_| ReadError::Ended)?;
+    let stat = process.stat().map_err(|_| ReadError::Ended)?;
     if matches!(stat.state(), Ok(ProcState::Zombie | ProcState::Dead)) {
-        return Err(Gone::Ended);
+        return Err(ReadError::Ended);
     }
     Ok(Usage {
         processor_seconds: processor_seconds(&process).unwrap_or_else(|| {
             (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64
         }),
         resident_bytes: stat.rss_bytes().get(),
-        descriptors: process.fd_count().map_err(|_| Gone::Unreadable)? as u64,
+        descriptors: process.fd_count().map_err(|_| ReadError::Unreadable)? as u64,
     })
 }
 
-/// Time on a processor of all threads, to the nanosecond; `None` where the system keeps no such account.
+/// Returns the processor time of all threads, with the resolution of `schedstat`, a nanosecond. `None`: the system does
+/// not record it.
 fn processor_seconds(process: &Process) -> Option<f64> {
     let threads = process
         .tasks()
@@ -76,38 +81,45 @@
     (nanoseconds > 0).then_some(nanoseconds as f64 / 1e9)
 }
 
-/// Memory in bytes that a process would give back by its end: pages that it shares count by their part.
+/// Returns the proportional set size of a process in bytes: a page shared by several processes counts for each in
+/// proportion.
 fn proportional_bytes(pid: i32) -> Option<u64> {
     let rollup = Process::new(pid).ok()?.smaps_rollup().ok()?;
     let map = rollup.memory_map_rollup.0.first()?;
     map.extension.map.get("Pss").copied()
 }
 
-/// What one process took while it had one role.
+/// Usage of one process while it had one role.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProcessSamples {
     pub processor_seconds: f64,
+    /// Time for which the process was sampled in this role.
     pub observed_seconds: f64,
+    /// Resident memory at each sample.
     pub resident_bytes: Vec<u64>,
+    /// Largest number of open descriptors.
     pub descriptors: u64,
+    /// Proportional set size at the end of the phase.
     pub proportional_bytes: Option<u64>,
-    /// Routers in it; 1 where it is one itself, or none.
+    /// Number of routers in a process of hollow routers; 1 for any other process.
     pub routers: u32,
 }
 
-/// What crossed the links of one voter or router while it had one role.
+/// Traffic on the links of one voter or router while it had one role.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LinkSamples {
     pub traffic: NodeTraffic,
     pub observed_seconds: f64,
 }
 
-/// All samples of a phase.
+/// All samples of one phase.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PhaseSamples {
     pub processes: BTreeMap<(Role, String), ProcessSamples>,
     pub links: BTreeMap<(Role, Participant), LinkSamples>,
+    /// Largest resident memory of all processes together.
     pub memory_peak_bytes: u64,
+    /// Largest number of processes.
     pub process_count: u32,
 }
 
@@ -115,22 +127,23 @@
     process_table: ProcessTable,
     tap: Arc<Tap>,
     machine: Machine,
+    /// Number of real routers, which have the lowest numbers.
     real: u32,
     phase: PhaseSamples,
     last_usage: BTreeMap<i32, Usage>,
     last_traffic: BTreeMap<Participant, NodeTraffic>,
     last_at: Instant,
-    /// Told why the run has to stop.
+    /// Receives the first reason why the run has to stop.
     stop: watch::Sender<Option<String>>,
 }
 
-/// Samples in the background, and at each end of a phase.
+/// Samples in the background and at the end of each phase.
 #[derive(Clone)]
 pub(super) struct Sampler(Arc<Mutex<State>>);
 
 impl Sampler {
-    /// Routers below `real` are real ones. `stop` is told why the run has to stop: a bound of the machine, or a process
-    /// that has ended by itself.
+    /// Creates a sampler for a run whose routers numbered below `real` are real. `stop` receives the reason if the run
+    /// has to stop: a bound of the machine was exceeded, or a process has ended by itself.
     pub(super) fn new(
         process_table: ProcessTable,
         tap: Arc<Tap>,
@@ -152,9 +165,9 @@
         Sampler(Arc::new(Mutex::new(state)))
     }
 
-    /// Samples until it is dropped.
+    /// Samples until the future is dropped.
     pub(super) async fn run(self) {
-        let mut ticks = interval(SAMPLE_EVERY);
+        let mut ticks = interval(SAMPLE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -162,13 +175,14 @@
         }
     }
 
-    /// What was sampled since this was asked last, up to this moment, with what each process would give back.
+    /// Returns the samples since the last call, including one made now, with the current proportional set size of each
+    /// process.
     pub(super) fn take(&self) -> PhaseSamples {
         let mut state = self.state();
         state.sample();
         let mut samples = std::mem::take(&mut state.phase);
-        for (name, member) in state.process_table.members() {
-            let bytes = proportional_bytes(member.pid);
+        for (name, entry) in state.process_table.entries() {
+            let bytes = proportional_bytes(entry.pid);
             let of_name = samples
                 .processes
                 .iter_mut()
@@ -191,63 +205,65 @@
         let leader = self.tap.record().leadership.voter;
         let memory_bytes = self.sample_processes(leader, seconds);
         self.sample_links(leader, seconds);
-        let processes = self.process_table.members().len() as u32;
+        let processes = self.process_table.entries().len() as u32;
         self.phase.memory_peak_bytes = self.phase.memory_peak_bytes.max(memory_bytes);
         self.phase.process_count = self.phase.process_count.max(processes);
-        if let Err(what) = self.machine.check(&Demand {
+        if let Err(exceeded) = self.machine.check(&Demand {
             processes,
             memory_bytes,
             descriptors: 0,
         }) {
-            self.stop(format!("stopped while running: {what}"));
+            self.stop(format!(
+                "bounds of the machine exceeded during the run: {exceeded}"
+            ));
         }
     }
 
-    fn stop(&self, why: String) {
+    fn stop(&self, reason: String) {
         self.stop.send_if_modified(|stop| {
-            let first = stop.is_none();
-            stop.get_or_insert(why);
-            first
+            let is_first = stop.is_none();
+            stop.get_or_insert(reason);
+            is_first
         });
     }
 
-    /// Answers the resident memory of all processes, in bytes.
+    /// Samples all processes. Returns their resident memory together, in bytes.
     fn sample_processes(&mut self, leader: u32, seconds: f64) -> u64 {
         let mut memory_bytes = 0;
-        let mut present = BTreeMap::new();
-        for (name, member) in self.process_table.members() {
-            match usage(member.pid) {
+        let mut usage_by_pid = BTreeMap::new();
+        for (name, entry) in self.process_table.entries() {
+            match usage(entry.pid) {
                 Ok(usage) => {
                     memory_bytes += usage.resident_bytes;
-                    present.insert(member.pid, usage);
-                    self.note_process(&name, member, usage, leader, seconds);
+                    usage_by_pid.insert(entry.pid, usage);
+                    self.add_process_sample(&name, entry, usage, leader, seconds);
                 }
-                Err(Gone::Ended) if self.process_table.has(&name, member.pid) => {
+                Err(ReadError::Ended) if self.process_table.contains(&name, entry.pid) => {
                     self.stop(format!(
                         "{name} (process {}) has ended by itself",
-                        member.pid
+                        entry.pid
                     ));
                 }
                 Err(_) => {}
             }
         }
-        self.last_usage = present;
+        self.last_usage = usage_by_pid;
         memory_bytes
     }
 
-    fn note_process(
+    fn add_process_sample(
         &mut self,
         name: &str,
-        member: ProcessEntry,
+        entry: ProcessEntry,
         usage: Usage,
         leader: u32,
         seconds: f64,
     ) {
-        // Of a process that has just come nothing is known of the time before.
-        let Some(before) = self.last_usage.get(&member.pid) else {
+        // The first sample of a process has no earlier one to compare with.
+        let Some(before) = self.last_usage.get(&entry.pid) else {
             return;
         };
-        let (role, routers) = match member.kind {
+        let (role, routers) = match entry.kind {
             ProcessKind::Voter(id) if id == leader => (Role::VoterLeader, 1),
             ProcessKind::Voter(_) => (Role::VoterFollower, 1),
             ProcessKind::Hollow(routers) => (Role::HollowRouter, routers),
@@ -259,7 +275,7 @@
             .processes
             .entry((role, name.to_string()))
             .or_default();
-        // A thread that has ended takes its time along.
+        // The sum over the threads may shrink, as the time of a thread that has ended is no longer in it.
         samples.processor_seconds += (usage.processor_seconds - before.processor_seconds).max(0.0);
         samples.observed_seconds += seconds;
         samples.resident_bytes.push(usage.resident_bytes);
--- a/crates/spokeflow-testbed/src/scale/settings.rs
+++ b/crates/spokeflow-testbed/src/scale/settings.rs
@@ -1,61 +1,62 @@
-//! Settings of the routers of a run, real and hollow alike, and the values of the revisions that are offered.
+//! Settings of the routers of a run, both real and hollow, and the values of the revisions that are proposed.
 
 use std::net::SocketAddr;
 
 use spokeflow_config::CustomerFlag;
 use spokeflow_coordination::Overrides;
 
-/// One argument of a program may be no longer than this on Linux, less some room.
-const ARGUMENT_AT_MOST: usize = 100_000;
-/// Every customer's commands a second at the start.
-const TENANT_QUOTA: u32 = 10;
+/// Length in bytes up to which tenants are added to one argument. Linux limits a single argument to 128 KiB.
+const MAX_ARGUMENT_BYTES: usize = 100_000;
+/// Initial quota of every tenant, in commands per second.
+const INITIAL_QUOTA: u32 = 10;
 
-/// What all routers of a run are told alike.
+/// Settings that all routers of a run have in common.
 #[derive(Clone, Debug)]
 pub(super) struct RouterSettings {
-    pub nodes: Vec<SocketAddr>,
+    /// Addresses of the control-plane nodes.
+    pub control_plane: Vec<SocketAddr>,
     pub fleet_size: u32,
     pub tenants: u32,
     pub replicated_list: bool,
     pub seed: u64,
 }
 
-/// Where a real router finds what surrounds it.
+/// Addresses of a router's own list source and release controller.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RouterPeers {
     pub list: SocketAddr,
     pub release_controller: SocketAddr,
 }
 
-fn tenant(number: u32) -> String {
+fn tenant_name(number: u32) -> String {
     format!("t{number:05}")
 }
 
-/// Customers of a run, with their quotas.
-pub(super) fn customers(tenants: u32) -> Vec<CustomerFlag> {
+/// Returns the tenants of a run, with their quotas, as values of the flag `--customer`.
+pub(super) fn tenant_quotas(tenants: u32) -> Vec<CustomerFlag> {
     (0..tenants)
         .map(|number| CustomerFlag {
-            name: tenant(number),
-            quota: f64::from(TENANT_QUOTA),
+            name: tenant_name(number),
+            quota: f64::from(INITIAL_QUOTA),
         })
         .collect()
 }
 
-/// The values of the `number`-th revision: one plain value, and where there are customers, all of them with one share
-/// changed, since a revision names a flag's whole value.
-pub fn revision(number: u32, tenants: u32) -> Overrides {
+/// Returns the values of the `number`-th revision: one single-valued flag and, if there are tenants, the list of all
+/// tenants with the quota of one of them changed, as a revision always contains the complete value of a flag.
+pub fn revision_values(number: u32, tenants: u32) -> Overrides {
     let mut values = Overrides::from([("exposure-free".to_string(), (1000 + number).to_string())]);
     if tenants > 0 {
         let changed = number % tenants;
-        let share = |n: u32| {
+        let quota = |n: u32| {
             if n == changed {
-                TENANT_QUOTA + 1
+                INITIAL_QUOTA + 1
             } else {
-                TENANT_QUOTA
+                INITIAL_QUOTA
             }
         };
         let list: Vec<String> = (0..tenants)
-            .map(|n| format!("{}={}", tenant(n), share(n)))
+            .map(|n| format!("{}={}", tenant_name(n), quota(n)))
             .collect();
         values.insert("customer".into(), list.join(","));
     }
@@ -63,14 +64,14 @@
 }
 
 impl RouterSettings {
-    /// Flags of one router, without its customers.
-    pub(super) fn flags(&self, index: u32, site: u16, peers: RouterPeers) -> Vec<String> {
+    /// Returns the flags of one router, without those of its tenants.
+    pub(super) fn flags(&self, index: u32, zone: u16, peers: RouterPeers) -> Vec<String> {
         let mut flags = vec![
             "--listen=127.0.0.1:0".to_string(),
             format!("--list={}", peers.list),
             format!("--release-controller={}", peers.release_controller),
             format!("--index={index}"),
-            format!("--site={site}"),
+            format!("--site={zone}"),
             format!("--fleet-size={}", self.fleet_size),
             "--op=read:redeliverable:target=500ms:timeout=2s".into(),
             "--op=seal:at-most-once:target=500ms:timeout=2s".into(),
@@ -80,7 +81,7 @@
             ),
         ];
         flags.extend(
-            self.nodes
+            self.control_plane
                 .iter()
                 .map(|node| format!("--control-plane={node}")),
         );
@@ -90,14 +91,14 @@
         flags
     }
 
-    /// Flags that name the customers, as many to one flag as fit.
-    pub(super) fn customer_flags(&self) -> Vec<String> {
+    /// Returns the flags `--customer` for all tenants, each with as many tenants as fit into one argument.
+    pub(super) fn tenant_flags(&self) -> Vec<String> {
         let mut flags: Vec<String> = Vec::new();
-        for customer in customers(self.tenants) {
-            let named = format!("{}={}", customer.name, customer.quota);
+        for tenant in tenant_quotas(self.tenants) {
+            let named = format!("{}={}", tenant.name, tenant.quota);
             match flags
                 .last_mut()
-                .filter(|flag| flag.len() + named.len() < ARGUMENT_AT_MOST)
+                .filter(|flag| flag.len() + named.len() < MAX_ARGUMENT_BYTES)
             {
                 Some(flag) => {
                     flag.push(',');
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -1,4 +1,5 @@
-//! The tap: every connection to a voter passes here frame by frame, is counted, and may be held up.
+//! The tap: a proxy for all connections to voters that forwards and counts them frame by frame, and can cut off
+//! routers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,10 +19,10 @@
 use crate::fleet::Participant;
 use crate::Micros;
 
-/// Bytes of a frame before its body.
+/// Length in bytes of the length prefix of a frame.
 const LENGTH_BYTES: u64 = 4;
-/// Requests of one connection that are remembered until they are answered.
-const REQUESTS_KEPT: usize = 32;
+/// Maximum number of lease requests that are remembered per connection until their response.
+const MAX_PENDING_REQUESTS: usize = 32;
 
 type Input = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 type Output = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
@@ -32,26 +33,27 @@
         .new_codec()
 }
 
+/// Listens for the callers of each voter and forwards their connections.
 pub(super) struct Tap {
     start: Instant,
-    /// How long a router may act on a grant, from the sending of its request.
-    held: Micros,
+    /// Duration of a lease by the router's clock, counted from the sending of its request.
+    holder_duration: Micros,
     /// Whether routers take the host list from the voters.
     with_list: bool,
-    /// Where each voter listens now, behind the address that everybody knows.
+    /// Address at which each running voter listens. Callers know only the address of the tap.
     targets: Mutex<BTreeMap<u32, SocketAddr>>,
-    /// Routers from and to which nothing passes.
-    cut: watch::Sender<Arc<BTreeSet<u32>>>,
+    /// Routers that are cut off: no frame from or to them is forwarded.
+    cut_off: watch::Sender<Arc<BTreeSet<u32>>>,
     record: Mutex<TapRecord>,
 }
 
-/// One connection, counted as open while it lives.
+/// One forwarded connection, counted as open until it is dropped.
 struct Connection {
     tap: Arc<Tap>,
     caller: Participant,
     voter: Participant,
-    /// Numbers of requests for a lease, and when they crossed.
-    requests: Mutex<VecDeque<(u64, Micros)>>,
+    /// Lease requests without a response yet: their number and when the tap forwarded them.
+    pending_requests: Mutex<VecDeque<(u64, Micros)>>,
 }
 
 impl Drop for Connection {
@@ -69,19 +71,19 @@
 }
 
 impl Tap {
-    pub(super) fn new(held: Micros, with_list: bool) -> Arc<Tap> {
+    pub(super) fn new(holder_duration: Micros, with_list: bool) -> Arc<Tap> {
         let (targets, record) = Default::default();
         Arc::new(Tap {
             start: Instant::now(),
-            held,
+            holder_duration,
             with_list,
             targets,
-            cut: watch::Sender::default(),
+            cut_off: watch::Sender::default(),
             record,
         })
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the time since the start of the run.
     pub(super) fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -90,8 +92,8 @@
         self.record.lock().expect("no holder panics")
     }
 
-    /// Where a voter listens from now on; `None`: nowhere.
-    pub(super) fn target(&self, voter: u32, address: Option<SocketAddr>) {
+    /// Sets the address at which a voter listens; `None`: it does not run.
+    pub(super) fn set_target(&self, voter: u32, address: Option<SocketAddr>) {
         let mut targets = self.targets.lock().expect("no holder panics");
         match address {
             Some(address) => targets.insert(voter, address),
@@ -99,12 +101,12 @@
         };
     }
 
-    /// From now on nothing passes from and to these routers, and all others pass.
-    pub(super) fn cut(&self, routers: BTreeSet<u32>) {
-        self.cut.send_replace(Arc::new(routers));
+    /// Cuts off these routers, and no others, from the voters.
+    pub(super) fn cut_off(&self, routers: BTreeSet<u32>) {
+        self.cut_off.send_replace(Arc::new(routers));
     }
 
-    /// Opens the address of one voter. Errors: no port can be had.
+    /// Listens for the callers of one voter and returns the address. Errors: no port can be opened.
     pub(super) async fn open(self: &Arc<Self>, voter: u32) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -117,15 +119,15 @@
         Ok(address)
     }
 
-    /// Waits while a router is cut off.
+    /// Waits while a router is cut off. Returns at once for other participants.
     async fn wait_until_connected(&self, node: Participant) {
         let Participant::Router(router) = node else {
             return;
         };
         let _ = self
-            .cut
+            .cut_off
             .subscribe()
-            .wait_for(|cut| !cut.contains(&router))
+            .wait_for(|cut_off| !cut_off.contains(&router))
             .await;
     }
 
@@ -137,18 +139,21 @@
         let Some(Ok(first)) = caller_in.next().await else {
             return;
         };
-        let Ok(ToNode::Hello { caller: who, .. }) = postcard::from_bytes(&first) else {
+        let Ok(ToNode::Hello {
+            caller: identity, ..
+        }) = postcard::from_bytes(&first)
+        else {
             return;
         };
-        let node = match who {
+        let participant = match identity {
             Caller::Node { id: NodeId(id), .. } => Participant::Node(id),
             Caller::Router { index } => Participant::Router(index),
             Caller::Operator => Participant::Operator,
         };
-        // A connection that is given up while it is held up never reaches the voter.
+        // A connection that its caller closes while it is cut off never reaches the voter.
         tokio::select! {
-            () = self.wait_until_connected(node) => {}
-            _ = ended(caller_in.get_mut()), if matches!(node, Participant::Router(_)) => return,
+            () = self.wait_until_connected(participant) => {}
+            _ = wait_until_closed(caller_in.get_mut()), if matches!(participant, Participant::Router(_)) => return,
         }
         let target = self
             .targets
@@ -157,26 +162,28 @@
             .get(&voter)
             .copied();
         let Some(target) = target else { return };
-        let Ok(called) = TcpStream::connect(target).await else {
+        let Ok(voter_stream) = TcpStream::connect(target).await else {
             return;
         };
-        let _ = called.set_nodelay(true);
-        let (voter_in, voter_out) = called.into_split();
+        let _ = voter_stream.set_nodelay(true);
+        let (voter_in, voter_out) = voter_stream.into_split();
         let mut voter_in = Input::new(voter_in, codec());
         let mut voter_out = Output::new(voter_out, codec());
-        let connection = self.clone().connection(node, Participant::Node(voter));
+        let connection = self
+            .clone()
+            .connection(participant, Participant::Node(voter));
         let length = first.len() as u64;
         if voter_out.send(first.freeze()).await.is_err() {
             return;
         }
         self.record()
-            .passed(node, connection.voter, length + LENGTH_BYTES);
+            .forwarded(participant, connection.voter, length + LENGTH_BYTES);
         tokio::select! {
             () = connection.pump(Direction::ToVoter, &mut caller_in, &mut voter_out) => {}
             () = connection.pump(Direction::FromVoter, &mut voter_in, &mut caller_out) => {}
         }
-        // That it has ended is not known at the other side of a cut.
-        self.wait_until_connected(node).await;
+        // While the router is cut off, the connection on the other side stays open: the close cannot reach it.
+        self.wait_until_connected(participant).await;
     }
 
     fn connection(self: Arc<Self>, caller: Participant, voter: Participant) -> Connection {
@@ -189,20 +196,20 @@
             tap: self,
             caller,
             voter,
-            requests: Mutex::default(),
+            pending_requests: Mutex::default(),
         }
     }
 }
 
-/// Resolves when a connection on which nothing is expected ends.
-async fn ended(input: &mut OwnedReadHalf) {
+/// Waits until a connection is closed. Waits forever once a byte arrives.
+async fn wait_until_closed(input: &mut OwnedReadHalf) {
     if matches!(input.peek(&mut [0]).await, Ok(length) if length > 0) {
         std::future::pending::<()>().await;
     }
 }
 
 impl Connection {
-    /// Hands frames on until one of both ends closes.
+    /// Forwards frames in one direction until either end closes.
     async fn pump(&self, direction: Direction, input: &mut Input, output: &mut Output) {
         let (from, to) = match direction {
             Direction::ToVoter => (self.caller, self.voter),
@@ -211,27 +218,27 @@
         while let Some(Ok(body)) = input.next().await {
             self.tap.wait_until_connected(self.caller).await;
             let length = body.len() as u64 + LENGTH_BYTES;
-            let (request, answer) = match direction {
+            let (request, response) = match direction {
                 Direction::ToVoter => (to_node_head(&body), FromNodeHead::Other),
                 Direction::FromVoter => (ToNodeHead::Other, from_node_head(&body)),
             };
-            // Noted before it is handed on: its answer cannot come first.
-            self.note_request(request);
+            // Recorded before it is forwarded, so that its response cannot be recorded first.
+            self.record_request(request);
             if output.send(body.freeze()).await.is_err() {
                 return;
             }
-            self.tap.record().passed(from, to, length);
-            self.note_answer(answer);
+            self.tap.record().forwarded(from, to, length);
+            self.record_response(response);
         }
     }
 
-    fn note_request(&self, request: ToNodeHead) {
+    fn record_request(&self, request: ToNodeHead) {
         let now = self.tap.now();
         match (request, self.caller) {
             (ToNodeHead::Lease { number, in_force }, Participant::Router(router)) => {
-                let mut requests = self.requests.lock().expect("no holder panics");
+                let mut requests = self.pending_requests.lock().expect("no holder panics");
                 requests.push_back((number, now));
-                if requests.len() > REQUESTS_KEPT {
+                if requests.len() > MAX_PENDING_REQUESTS {
                     requests.pop_front();
                 }
                 self.tap
@@ -246,12 +253,12 @@
         }
     }
 
-    fn note_answer(&self, answer: FromNodeHead) {
+    fn record_response(&self, response: FromNodeHead) {
         let FromNodeHead::Granted {
             number,
             in_force,
             with_list,
-        } = answer
+        } = response
         else {
             return;
         };
@@ -259,15 +266,15 @@
             return;
         };
         let now = self.tap.now();
-        let asked = {
-            let mut requests = self.requests.lock().expect("no holder panics");
-            let place = requests.iter().position(|(n, _)| *n == number);
-            place
-                .and_then(|place| requests.remove(place))
+        let requested_at = {
+            let mut requests = self.pending_requests.lock().expect("no holder panics");
+            let index = requests.iter().position(|(n, _)| *n == number);
+            index
+                .and_then(|index| requests.remove(index))
                 .map_or(now, |(_, at)| at)
         };
         let mut record = self.tap.record();
-        record.granted(now, router, asked, self.tap.held);
+        record.granted(now, router, requested_at, self.tap.holder_duration);
         record
             .propagation
             .granted(now, router, in_force, with_list, self.tap.with_list);
--- a/crates/spokeflow-testbed/src/scale/traffic.rs
+++ b/crates/spokeflow-testbed/src/scale/traffic.rs
@@ -1,4 +1,5 @@
-//! What has crossed the tap: bytes and frames by process, who leads, leases, and which router has which revision.
+//! Records what the tap observes: bytes and frames of each participant, the leader, lapses of leases, and which router
+//! has which revision.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +7,22 @@
 use crate::fleet::Participant;
 use crate::Micros;
 
-/// What one router or voter sent and received, counted in frames with their four bytes of length; headers of TCP and IP
-/// are not counted.
+/// Traffic of one router or voter. Bytes include the four-byte length prefix of each frame, but not the headers of TCP
+/// and IP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeTraffic {
     pub bytes_sent: u64,
     pub frames_sent: u64,
     pub bytes_received: u64,
     pub frames_received: u64,
-    /// Connections that it made or took, so far.
+    /// Number of connections opened so far, by it or to it.
     pub connections_opened: u64,
-    /// Those that are open now.
+    /// Number of connections that are open now.
     pub connections: u64,
 }
 
 impl NodeTraffic {
-    /// What came since `before`; the connections that are open are those of now.
+    /// Returns the traffic since the earlier record `before`, with the connections that are open now.
     pub fn since(&self, before: &NodeTraffic) -> NodeTraffic {
         NodeTraffic {
             bytes_sent: self.bytes_sent - before.bytes_sent,
@@ -33,6 +34,7 @@
         }
     }
 
+    /// Adds the traffic of a further interval; `connections` becomes the larger of both.
     pub fn add(&mut self, more: &NodeTraffic) {
         self.bytes_sent += more.bytes_sent;
         self.frames_sent += more.frames_sent;
@@ -43,56 +45,58 @@
     }
 }
 
-/// The voter that led last.
+/// The newest leader that the tap has observed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
     pub term: u64,
     pub voter: u32,
-    /// When its first message as a leader crossed.
+    /// When its first message as the leader was forwarded.
     pub since: Micros,
-    /// When the first grant crossed since then.
+    /// When the first grant since then was forwarded; `None`: no grant yet.
     pub first_grant: Option<Micros>,
 }
 
-/// How often and how long routers were without a lease, by the sending of the request that the last grant answered.
+/// Lapses: times without a lease at a router, from the expiry of its last lease to the next grant. A lease is counted
+/// from the sending of its request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lapses {
-    /// How often.
+    /// Number of lapses.
     pub count: u64,
-    /// The longest, in microseconds.
+    /// Duration of the longest lapse, in microseconds.
     pub longest: Micros,
 }
 
-/// All that the tap records.
+/// Everything that the tap records.
 #[derive(Debug, Default)]
 pub struct TapRecord {
-    /// By participant.
+    /// Traffic by participant.
     pub traffic: BTreeMap<Participant, NodeTraffic>,
-    /// Of the newest term.
+    /// Leader of the newest term.
     pub leadership: Leadership,
-    /// Of all routers.
+    /// Lapses of all routers.
     pub lapses: Lapses,
-    /// Of the revisions to the routers.
+    /// Propagation of the revisions to the routers.
     pub propagation: Propagation,
+    /// When the lease of each router expires or expired.
     lease_until: BTreeMap<u32, Micros>,
 }
 
 impl TapRecord {
-    /// A connection of a participant was opened.
+    /// Records that a connection of a participant was opened.
     pub fn opened(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections_opened += 1;
         traffic.connections += 1;
     }
 
-    /// A connection of a participant was closed.
+    /// Records that a connection of a participant was closed.
     pub fn closed(&mut self, node: Participant) {
         let traffic = self.traffic.entry(node).or_default();
         traffic.connections = traffic.connections.saturating_sub(1);
     }
 
-    /// A frame of so many bytes was forwarded.
-    pub fn passed(&mut self, from: Participant, to: Participant, bytes: u64) {
+    /// Records that a frame of `bytes` bytes was forwarded.
+    pub fn forwarded(&mut self, from: Participant, to: Participant, bytes: u64) {
         let sender = self.traffic.entry(from).or_default();
         sender.bytes_sent += bytes;
         sender.frames_sent += 1;
@@ -101,7 +105,7 @@
         receiver.frames_received += 1;
     }
 
-    /// A message that only the leader of `term` sends.
+    /// Records a message that only the leader of `term` sends.
     pub fn led(&mut self, now: Micros, voter: u32, term: u64) {
         if term > self.leadership.term {
             self.leadership = Leadership {
@@ -113,24 +117,33 @@
         }
     }
 
-    /// A router is started now: no earlier lease is its own.
+    /// Records that a router is started. A lease of its earlier process no longer counts.
     pub fn started(&mut self, now: Micros, router: u32) {
         self.lease_until.remove(&router);
         self.propagation.started(now, router);
     }
 
-    /// A grant has been handed on to a router, for a request that it sent at `asked`; `held` is the lease.
-    pub fn granted(&mut self, now: Micros, router: u32, asked: Micros, held: Micros) {
+    /// Records that a grant was forwarded to a router, for a request that it sent at `requested_at`. `holder_duration`
+    /// is the duration of the lease by the router's clock.
+    pub fn granted(
+        &mut self,
+        now: Micros,
+        router: u32,
+        requested_at: Micros,
+        holder_duration: Micros,
+    ) {
         self.leadership.first_grant.get_or_insert(now);
         let until = self.lease_until.get(&router).copied();
-        let present = self
+        let was_present = self
             .propagation
             .was_present(router, until.unwrap_or(now), now);
-        if let Some(until) = until.filter(|until| *until < now && present) {
+        if let Some(until) = until.filter(|until| *until < now && was_present) {
             self.lapses.count += 1;
             self.lapses.longest = self.lapses.longest.max(now - until);
         }
-        self.lease_until
-            .insert(router, until.unwrap_or(0).max(asked + held));
+        self.lease_until.insert(
+            router,
+            until.unwrap_or(0).max(requested_at + holder_duration),
+        );
     }
 }
--- a/crates/spokeflow-testbed/src/scale/wire.rs
+++ b/crates/spokeflow-testbed/src/scale/wire.rs
@@ -1,6 +1,7 @@
-//! Reads the beginning of a frame on a link to a node, as far as the tap needs it. A grant may carry a list of thousands
-//! of hosts: it is not decoded. Postcard writes a variant as its number and fields one after the other, so that
-//! the leading fields of a message are read as a tuple; `tests/scale_wire.rs` holds this against the messages.
+//! Decodes the leading fields of a frame on a link to a control-plane node, as far as the tap needs them. The list of a
+//! grant is not decoded, as it may have thousands of hosts. Postcard writes a variant as its number followed by its
+//! fields, so that the leading fields of a message can be read as a tuple; `tests/scale_wire.rs` checks this against
+//! the messages.
 
 use serde::Deserialize;
 use spokeflow_coordination::{LeaseRequest, RevisionRef, VoterAddresses};
@@ -14,17 +15,17 @@
 const FROM_NODE_RESPONSE: u32 = 2;
 const RESPONSE_GRANTED: u32 = 0;
 
-/// What a caller sends to a node.
+/// Leading fields of a message from a caller to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ToNodeHead {
-    /// A router asks for a lease and names the revision that it has in force.
+    /// A router's request for a lease, which names the revision that it has in force.
     Lease {
         /// Number of the request.
         number: u64,
         /// Number of the revision.
         in_force: u64,
     },
-    /// Only the leader of a term sends this.
+    /// A message that only the leader of a term sends.
     Leads {
         /// The term.
         term: u64,
@@ -33,16 +34,16 @@
     Other,
 }
 
-/// What a node sends to a caller.
+/// Leading fields of a message from a node to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FromNodeHead {
-    /// A lease, the revision in force, and whether a part of the host list comes with it.
+    /// A grant of a lease, with the revision in force.
     Granted {
         /// Number of the request.
         number: u64,
         /// Number of the revision.
         in_force: u64,
-        /// Whether endpoints come with it.
+        /// Whether the grant contains an update of the host list.
         with_list: bool,
     },
     /// Any other message.
@@ -53,7 +54,7 @@
     postcard::take_from_bytes(bytes).ok()
 }
 
-/// Reads a frame's body that a caller sent, after its opening message.
+/// Decodes the leading fields of a frame's body that a caller sent after its hello.
 pub fn to_node_head(body: &[u8]) -> ToNodeHead {
     read_to_node_head(body).unwrap_or(ToNodeHead::Other)
 }
@@ -79,7 +80,7 @@
     })
 }
 
-/// Reads a frame's body that a node sent.
+/// Decodes the leading fields of a frame's body that a node sent.
 pub fn from_node_head(body: &[u8]) -> FromNodeHead {
     read_from_node_head(body).unwrap_or(FromNodeHead::Other)
 }
--- a/crates/spokeflow-testbed/tests/scale.rs
+++ b/crates/spokeflow-testbed/tests/scale.rs
@@ -1,4 +1,5 @@
-//! The scale run at a small size, with real processes; what it refuses; and that it leaves no process behind.
+//! Runs `spokeflow-testbed scale` at a small size with real processes: checks the figures and findings of the report,
+//! the flags that are refused, and that no process is left behind.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -9,16 +10,16 @@
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spokeflow-testbed");
-/// 30 hollow routers in two processes and one real one, three voters.
-const SMALL: [&str; 4] = [
+/// 30 hollow routers in two processes, one real router and three voters.
+const SMALL_FLEET: [&str; 4] = [
     "scale",
     "--routers=31",
     "--real=1",
     "--hollow-per-process=15",
 ];
-/// A build without optimization on a machine that does other work takes a multiple of the processor time that the
-/// target's budget names: what these tests hold is that all is measured and judged, not the budget itself.
-const PROCESSOR: &str = "--router-processor-share=0.2";
+/// A build without optimization on a busy machine uses a multiple of the processor time that the target's budget
+/// allows. These tests check that the usage is measured and compared with the budget, not the budget itself.
+const PROCESSOR_BUDGET: &str = "--router-processor-share=0.2";
 
 fn report_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!(
@@ -43,18 +44,18 @@
     report
 }
 
-/// Processes whose command line has this word.
-fn processes_with(word: &str) -> Vec<i32> {
+/// Returns the processes of this build's program whose command line contains this argument.
+fn processes_with_argument(argument: &str) -> Vec<i32> {
     let program = std::fs::canonicalize(env!("CARGO_BIN_EXE_spokeflow-testbed")).unwrap();
     let of = |entry: std::fs::DirEntry| {
         let pid: i32 = entry.file_name().to_str()?.parse().ok()?;
-        // The same test may run from another build folder on this machine: its processes are not ours.
+        // The same test may run from another build folder on this machine; its processes do not count.
         if std::fs::read_link(entry.path().join("exe")).ok()? != program {
             return None;
         }
         let line = std::fs::read(entry.path().join("cmdline")).ok()?;
         let words = line.split(|byte| *byte == 0).map(String::from_utf8_lossy);
-        words.into_iter().any(|w| w == word).then_some(pid)
+        words.into_iter().any(|w| w == argument).then_some(pid)
     };
     std::fs::read_dir("/proc")
         .unwrap()
@@ -62,25 +63,25 @@
         .collect()
 }
 
-/// Hollow and real routers of a run with one real router, told from all other processes by their seed.
-fn left_of(seed: u64) -> Vec<i32> {
+/// Returns the running router processes of a run with one real router, identified by its seed.
+fn running_routers(seed: u64) -> Vec<i32> {
     let real = seed.wrapping_mul(31);
     [format!("--seed={seed}"), format!("--seed={real}")]
         .iter()
-        .flat_map(|word| processes_with(word))
+        .flat_map(|argument| processes_with_argument(argument))
         .collect()
 }
 
-/// Values of all figures of this role and quantity, in the order of the phases.
+/// Returns the values of all figures of this role and quantity, in the order of the phases.
 fn values(report: &Value, role: &str, quantity: &str) -> Vec<f64> {
     let figures = report["figures"].as_array().unwrap();
-    let wanted = figures
+    let matching = figures
         .iter()
         .filter(|f| f["role"] == role && f["quantity"] == quantity);
-    wanted.map(|f| f["value"].as_f64().unwrap()).collect()
+    matching.map(|f| f["value"].as_f64().unwrap()).collect()
 }
 
-/// Every role has its figures of memory, processor time and traffic.
+/// Checks that every role has its figures of memory, processor time and traffic.
 fn check_figures_of_roles(report: &Value) {
     for role in [
         "voter_leader",
@@ -88,7 +89,7 @@
         "hollow_router",
         "real_router",
     ] {
-        // Launch and three phases.
+        // One figure for the launch and for each of the three phases.
         for quantity in ["memory_steady", "memory_peak"] {
             let bytes = values(report, role, quantity);
             assert!(
@@ -96,8 +97,8 @@
                 "{role} {quantity}: {bytes:?}"
             );
         }
-        let seconds = values(report, role, "processor_share");
-        assert!(seconds.len() >= 3, "{role}: {seconds:?}");
+        let shares = values(report, role, "processor_share");
+        assert!(shares.len() >= 3, "{role}: {shares:?}");
         for quantity in [
             "bytes_sent",
             "bytes_received",
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_small_fleet_keeps_its_bounds_while_it_changes_and_loses_its_leader() {
+fn small_fleet_keeps_its_bounds_through_revisions_and_loss_of_the_leader() {
     let json = report_file("small");
     let seed = "--seed=910001";
     let phases = [
@@ -130,18 +131,18 @@
         "--services=320",
         "--routes=7500",
         seed,
-        PROCESSOR,
+        PROCESSOR_BUDGET,
     ];
-    let output = run(&[&SMALL[..], &phases, &more].concat(), &json);
-    let (text, said) = (
+    let output = run(&[&SMALL_FLEET[..], &phases, &more].concat(), &json);
+    let (stdout, stderr) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
-    assert_eq!(output.status.code(), Some(0), "{text}{said}");
-    assert!(said.contains("bound: processes at most 200"), "{said}");
+    assert_eq!(output.status.code(), Some(0), "{stdout}{stderr}");
+    assert!(stderr.contains("bound: processes at most 200"), "{stderr}");
     assert!(
-        text.contains("services 320: not carried") && text.contains("routes 7500: not carried"),
-        "{text}"
+        stdout.contains("services 320: not carried") && stdout.contains("routes 7500: not carried"),
+        "{stdout}"
     );
     let report = read(&json);
     assert_eq!(
@@ -149,11 +150,13 @@
         (&"kept".into(), &Value::Array(Vec::new()))
     );
     check_figures_of_roles(&report);
-    // A router asks for its lease three times in a lease of 3 s; before there is a leader it asks one after the other.
-    let asks = values(&report, "hollow_router", "frames_sent");
+    // A router requests its lease three times per lease of 3 s, but at a higher rate until there is a leader.
+    let request_rates = values(&report, "hollow_router", "frames_sent");
     assert!(
-        asks[1..].iter().all(|rate| (0.5..3.0).contains(rate)),
-        "{asks:?}"
+        request_rates[1..]
+            .iter()
+            .all(|rate| (0.5..3.0).contains(rate)),
+        "{request_rates:?}"
     );
     let revisions = values(&report, "fleet", "revisions");
     assert!(
@@ -172,11 +175,11 @@
     );
     let ready = values(&report, "fleet", "time_to_ready_worst");
     assert!(!ready.is_empty() && ready[0] > 0.0, "{ready:?}");
-    assert!(left_of(910_001).is_empty());
+    assert!(running_routers(910_001).is_empty());
 }
 
 #[test]
-fn parts_of_the_fleet_leave_are_cut_off_or_stop_and_the_others_go_on() {
+fn fleet_keeps_its_bounds_while_parts_of_it_are_absent_cut_off_or_suspended() {
     let json = report_file("parts");
     let phases = [
         "--phase=churn",
@@ -190,24 +193,24 @@
         "--away-lasts=2s",
         "--changes-per-minute=30",
         "--seed=910002",
-        PROCESSOR,
+        PROCESSOR_BUDGET,
     ];
-    let output = run(&[&SMALL[..], &phases, &more].concat(), &json);
-    let text = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(0), "{text}");
+    let output = run(&[&SMALL_FLEET[..], &phases, &more].concat(), &json);
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert_eq!(output.status.code(), Some(0), "{stdout}");
     let report = read(&json);
     let revisions = values(&report, "fleet", "revisions");
     assert!(
         revisions.len() == 5 && revisions.iter().all(|n| *n >= 1.0),
-        "a change in each phase: {revisions:?}"
+        "expected at least one revision in each phase: {revisions:?}"
     );
-    // Launch, churn, zone and start have routers that start.
+    // Routers start in the phases launch, churn, zone and start.
     assert_eq!(values(&report, "fleet", "time_to_ready_worst").len(), 4);
-    assert!(left_of(910_002).is_empty());
+    assert!(running_routers(910_002).is_empty());
 }
 
 #[test]
-fn a_budget_that_is_too_small_is_a_finding() {
+fn exceeded_budgets_are_findings() {
     let json = report_file("budget");
     let small = [
         "--router-bytes-per-second=1",
@@ -215,7 +218,7 @@
         "--router-processor-share=0.000001",
     ];
     let more = ["--phase=quiet", "--quiet-lasts=2s", "--seed=910003"];
-    let output = run(&[&SMALL[..], &small, &more].concat(), &json);
+    let output = run(&[&SMALL_FLEET[..], &small, &more].concat(), &json);
     assert_eq!(output.status.code(), Some(1));
     let report = read(&json);
     assert_eq!(report["outcome"], "exceeded");
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn a_revision_that_is_too_late_is_a_finding() {
+fn late_revision_is_a_finding() {
     let json = report_file("late");
     let more = [
         "--phase=changes",
@@ -239,7 +242,7 @@
         "--in-force-within=100ms",
         "--seed=910004",
     ];
-    let output = run(&[&SMALL[..], &more].concat(), &json);
+    let output = run(&[&SMALL_FLEET[..], &more].concat(), &json);
     assert_eq!(output.status.code(), Some(1));
     let findings = read(&json)["findings"].clone();
     assert!(
@@ -252,9 +255,9 @@
     );
 }
 
-/// 33,000 customers do not fit into the frame that a keeper takes from a person.
+/// A proposal with 33,000 tenants exceeds the frame limit of a voter for operators.
 #[test]
-fn a_revision_that_no_voter_takes_is_a_finding_with_its_size() {
+fn revision_that_no_voter_accepts_is_a_finding_with_its_size() {
     let json = report_file("refused");
     let more = [
         "--phase=changes",
@@ -271,18 +274,18 @@
         .unwrap()
         .iter()
         .find(|f| f["bound"] == "revision refused");
-    let text = refused.expect("refused")["text"]
+    let text = refused.expect("a finding 'revision refused'")["text"]
         .as_str()
         .unwrap()
         .to_string();
     assert!(
-        text.starts_with("an offer of 3") && text.contains("bytes was not announced"),
+        text.starts_with("a proposal of 3") && text.contains("bytes was not announced"),
         "{text}"
     );
 }
 
-/// Flags that do not fit, and what the error says of them.
-const WRONG_USE: [(&[&str], &str); 15] = [
+/// Invalid flags, and a part of the error message for each.
+const INVALID_FLAGS: [(&[&str], &str); 15] = [
     (&["--routers=0"], "--routers: at least 1"),
     (
         &["--routers=2", "--real=3"],
@@ -328,8 +331,8 @@
 ];
 
 #[test]
-fn wrong_use_is_told_in_one_line_before_anything_starts() {
-    for (arguments, what) in WRONG_USE {
+fn invalid_flags_are_reported_in_one_line_before_any_process_starts() {
+    for (arguments, message) in INVALID_FLAGS {
         let mut command = Command::new(PROGRAM);
         let output = command
             .arg("scale")
@@ -337,19 +340,19 @@
             .stdin(Stdio::null())
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {said}");
-        let lines: Vec<&str> = said
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
+        let lines: Vec<&str> = stderr
             .lines()
             .filter(|line| !line.starts_with("bound: "))
             .collect();
-        assert_eq!(lines.len(), 1, "{arguments:?}: {said}");
+        assert_eq!(lines.len(), 1, "{arguments:?}: {stderr}");
         assert!(
-            lines[0].starts_with("spokeflow-testbed: ") && lines[0].contains(what),
-            "{arguments:?}: {said}"
+            lines[0].starts_with("spokeflow-testbed: ") && lines[0].contains(message),
+            "{arguments:?}: {stderr}"
         );
     }
-    for unread in [
+    for unparsable in [
         &["--routers=many"][..],
         &["--phase=noisy"],
         &["--quiet-lasts=10"],
@@ -357,15 +360,15 @@
     ] {
         let output = Command::new(PROGRAM)
             .arg("scale")
-            .args(unread)
+            .args(unparsable)
             .output()
             .unwrap();
-        assert_eq!(output.status.code(), Some(2), "{unread:?}");
+        assert_eq!(output.status.code(), Some(2), "{unparsable:?}");
     }
 }
 
 #[test]
-fn more_memory_than_half_of_the_machine_is_refused() {
+fn run_that_needs_more_than_half_of_the_memory_is_refused() {
     let sizes = [
         "--routers=4000",
         "--hollow-per-process=100",
@@ -376,23 +379,23 @@
         .args(sizes)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("MB of memory, under"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("MB of memory, under"), "{stderr}");
 }
 
 #[test]
-fn a_limit_of_descriptors_that_is_too_low_is_refused() {
+fn run_that_needs_more_descriptors_than_the_limit_is_refused() {
     let script = format!("ulimit -n 600 && exec '{PROGRAM}' scale --routers 31");
     let output = Command::new("sh").args(["-c", &script]).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("600 allowed: raise ulimit -n"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("600 allowed: raise ulimit -n"), "{stderr}");
 }
 
-/// The customers of a real router are arguments, and these are longer than the system takes.
+/// The tenants of a real router are passed as arguments, here more than the system accepts for a process.
 #[test]
-fn a_process_that_cannot_be_started_is_named() {
+fn process_that_cannot_be_started_is_named_in_the_report() {
     let json = report_file("unstarted");
     let output = run(
         &[
@@ -415,14 +418,14 @@
         stopped.starts_with("real-0 cannot be started: "),
         "{stopped}"
     );
-    assert!(left_of(910_006).is_empty());
+    assert!(running_routers(910_006).is_empty());
 }
 
-/// Waits until a process of hollow routers of this run is there.
-fn hollow_of(seed: u64) -> i32 {
-    let until = Instant::now() + Duration::from_secs(20);
-    while Instant::now() < until {
-        if let Some(pid) = processes_with(&format!("--seed={seed}"))
+/// Waits until a process of hollow routers of the run with this seed is running, and returns its process id.
+fn wait_for_hollow_process(seed: u64) -> i32 {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while Instant::now() < deadline {
+        if let Some(pid) = processes_with_argument(&format!("--seed={seed}"))
             .into_iter()
             .find(|pid| {
                 let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
@@ -433,14 +436,15 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("no process of hollow routers was started");
+    panic!("no process of hollow routers with seed {seed} was started within 20 s");
 }
 
-/// Answers the run's exit code and report after `trouble` was done to it.
-fn troubled(name: &str, seed: u64, trouble: impl Fn(u32)) -> (Option<i32>, Value, u32) {
+/// Starts a run, calls `fault` with its process id, and waits for its end. Returns its exit code, report and process
+/// id.
+fn run_with_fault(name: &str, seed: u64, fault: impl Fn(u32)) -> (Option<i32>, Value, u32) {
     let json = report_file(name);
     let mut command = Command::new(PROGRAM);
-    command.args(SMALL).args([
+    command.args(SMALL_FLEET).args([
         "--phase=quiet",
         "--quiet-lasts=60s",
         &format!("--seed={seed}"),
@@ -452,14 +456,14 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null());
     let mut scale = command.spawn().unwrap();
-    hollow_of(seed);
+    wait_for_hollow_process(seed);
     std::thread::sleep(Duration::from_secs(2));
-    trouble(scale.id());
-    let until = Instant::now() + Duration::from_secs(20);
+    fault(scale.id());
+    let deadline = Instant::now() + Duration::from_secs(20);
     while scale.try_wait().unwrap().is_none() {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             scale.kill().unwrap();
-            panic!("the run did not end by itself");
+            panic!("the run did not end within 20 s of the fault");
         }
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -467,31 +471,37 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_stops_the_run() {
+fn process_that_ends_by_itself_stops_the_run() {
     let seed = 910_007;
-    let trouble = |_| kill(Pid::from_raw(hollow_of(seed)), Signal::SIGKILL).unwrap();
-    let (code, report, pid) = troubled("ended", seed, trouble);
+    let kill_hollow_process = |_| {
+        kill(
+            Pid::from_raw(wait_for_hollow_process(seed)),
+            Signal::SIGKILL,
+        )
+        .unwrap()
+    };
+    let (code, report, pid) = run_with_fault("ended", seed, kill_hollow_process);
     assert_eq!(code, Some(1));
     let stopped = report["stopped"].as_str().unwrap();
     assert!(
         stopped.starts_with("hollow-") && stopped.ends_with("has ended by itself"),
         "{stopped}"
     );
-    assert!(left_of(seed).is_empty());
+    assert!(running_routers(seed).is_empty());
     let stores = std::env::temp_dir().join(format!("spokeflow-scale-{pid}"));
     let store = format!("--store={}", stores.join("voter-1.redb").display());
-    assert!(processes_with(&store).is_empty() && !stores.exists());
+    assert!(processes_with_argument(&store).is_empty() && !stores.exists());
 }
 
 #[test]
-fn a_run_that_is_told_to_end_leaves_no_process_behind() {
+fn terminated_run_leaves_no_process_behind() {
     let seed = 910_008;
-    let trouble = |pid: u32| kill(Pid::from_raw(pid as i32), Signal::SIGTERM).unwrap();
-    let (code, report, pid) = troubled("told", seed, trouble);
+    let terminate = |pid: u32| kill(Pid::from_raw(pid as i32), Signal::SIGTERM).unwrap();
+    let (code, report, pid) = run_with_fault("terminated", seed, terminate);
     assert_eq!(code, Some(1));
-    assert_eq!(report["stopped"], "told to end");
-    assert!(left_of(seed).is_empty());
+    assert_eq!(report["stopped"], "received SIGTERM or SIGINT");
+    assert!(running_routers(seed).is_empty());
     let stores = std::env::temp_dir().join(format!("spokeflow-scale-{pid}"));
     let store = format!("--store={}", stores.join("voter-1.redb").display());
-    assert!(processes_with(&store).is_empty() && !stores.exists());
+    assert!(processes_with_argument(&store).is_empty() && !stores.exists());
 }
--- a/crates/spokeflow-testbed/tests/scale_propagation.rs
+++ b/crates/spokeflow-testbed/tests/scale_propagation.rs
@@ -1,4 +1,5 @@
-//! Times from an offer to its coming into force, by what is noted of each router.
+//! `Propagation`: delays from the proposal of a revision until routers have it in force, absences, and starts of
+//! routers.
 
 use std::collections::BTreeSet;
 
@@ -7,82 +8,82 @@
 const ROUTERS: u32 = 3;
 
 #[test]
-fn each_router_counts_from_the_offer_to_its_own_word() {
+fn delay_of_each_router_counts_from_the_proposal_to_its_confirmation() {
     let mut propagation = Propagation::default();
-    propagation.offered(1, 100);
+    propagation.proposed(1, 100);
     for router in 0..ROUTERS {
         propagation.granted(200, router, 1, false, false);
         propagation.confirmed(300 + i64::from(router), router, 1);
     }
-    let spread = propagation.spread(1, ROUTERS).unwrap();
-    assert_eq!(spread.granted, [100, 100, 100]);
-    assert_eq!(spread.confirmed, [200, 201, 202]);
-    assert!(spread.missing.is_empty());
+    let delays = propagation.delays(1, ROUTERS).unwrap();
+    assert_eq!(delays.granted, [100, 100, 100]);
+    assert_eq!(delays.confirmed, [200, 201, 202]);
+    assert!(delays.missing.is_empty());
     assert!(propagation.missing(ROUTERS).is_empty());
-    assert_eq!(propagation.spread(2, ROUTERS), None);
+    assert_eq!(propagation.delays(2, ROUTERS), None);
 }
 
 #[test]
-fn a_router_that_is_there_and_says_nothing_is_missing() {
+fn present_router_without_confirmation_is_missing() {
     let mut propagation = Propagation::default();
-    propagation.offered(1, 100);
+    propagation.proposed(1, 100);
     propagation.granted(200, 0, 1, false, false);
     propagation.confirmed(300, 0, 1);
-    // Told is not confirmed.
+    // Router 1 was granted the revision but has not confirmed it.
     propagation.granted(200, 1, 1, false, false);
     assert_eq!(
-        propagation.spread(1, ROUTERS).unwrap().missing,
+        propagation.delays(1, ROUTERS).unwrap().missing,
         BTreeSet::from([1, 2])
     );
     assert_eq!(propagation.missing(ROUTERS), BTreeSet::from([1, 2]));
 }
 
 #[test]
-fn a_router_that_was_away_counts_from_its_return() {
+fn delay_of_an_absent_router_counts_from_its_return() {
     let mut propagation = Propagation::default();
     propagation.left(50, 0);
     propagation.left(150, 1);
-    propagation.offered(1, 100);
+    propagation.proposed(1, 100);
     assert_eq!(
-        propagation.spread(1, 2).unwrap().missing,
+        propagation.delays(1, 2).unwrap().missing,
         BTreeSet::new(),
-        "who is away is not waited for"
+        "absent routers do not count as missing"
     );
     propagation.returned(1000, 0);
     propagation.returned(2000, 1);
     propagation.confirmed(1300, 0, 1);
     propagation.confirmed(2400, 1, 1);
-    let spread = propagation.spread(1, 2).unwrap();
-    assert_eq!(spread.confirmed, [300, 400]);
+    let delays = propagation.delays(1, 2).unwrap();
+    assert_eq!(delays.confirmed, [300, 400]);
     assert!(!propagation.was_present(1, 1900, 3000));
     assert!(propagation.was_present(1, 2001, 3000));
 }
 
 #[test]
-fn an_absence_after_the_arrival_changes_nothing() {
+fn absence_after_the_arrival_does_not_change_the_delay() {
     let mut propagation = Propagation::default();
-    propagation.offered(1, 100);
+    propagation.proposed(1, 100);
     propagation.confirmed(400, 0, 1);
     propagation.left(500, 0);
     propagation.returned(600, 0);
-    assert_eq!(propagation.spread(1, 1).unwrap().confirmed, [300]);
+    assert_eq!(propagation.delays(1, 1).unwrap().confirmed, [300]);
 }
 
 #[test]
-fn a_later_revision_stands_for_those_before_it() {
+fn confirmation_of_a_revision_confirms_all_earlier_ones() {
     let mut propagation = Propagation::default();
-    propagation.offered(1, 100);
-    propagation.offered(2, 200);
+    propagation.proposed(1, 100);
+    propagation.proposed(2, 200);
     propagation.confirmed(500, 0, 2);
-    assert_eq!(propagation.spread(1, 1).unwrap().confirmed, [400]);
-    assert_eq!(propagation.spread(2, 1).unwrap().confirmed, [300]);
-    // What comes late, over an older connection, takes nothing back.
+    assert_eq!(propagation.delays(1, 1).unwrap().confirmed, [400]);
+    assert_eq!(propagation.delays(2, 1).unwrap().confirmed, [300]);
+    // A late request over an older connection must not revert the newest confirmed revision.
     propagation.confirmed(600, 0, 1);
     assert!(propagation.missing(1).is_empty());
 }
 
 #[test]
-fn a_router_is_ready_with_its_list_where_it_needs_one() {
+fn router_that_needs_the_host_list_is_ready_only_with_it() {
     let mut propagation = Propagation::default();
     propagation.started(100, 0);
     propagation.started(100, 1);
--- a/crates/spokeflow-testbed/tests/scale_wire.rs
+++ b/crates/spokeflow-testbed/tests/scale_wire.rs
@@ -1,4 +1,5 @@
-//! The beginnings of frames as the tap reads them, against the messages that keepers and routers write.
+//! Checks that the leading fields that the tap decodes from a frame match the messages of control-plane nodes and
+//! routers.
 
 use spokeflow_coordination::wire::{Caller, FromNode, Request, Response, ToNode};
 use spokeflow_coordination::{
@@ -9,15 +10,15 @@
 use spokeflow_raft::{AppendOutcome, LogIndex, Message, Snapshot, Term};
 use spokeflow_testbed::scale::{from_node_head, to_node_head, FromNodeHead, ToNodeHead};
 
-fn up(message: &ToNode) -> ToNodeHead {
+fn decode_to_node(message: &ToNode) -> ToNodeHead {
     to_node_head(&postcard::to_stdvec(message).unwrap())
 }
 
-fn down(message: &FromNode) -> FromNodeHead {
+fn decode_from_node(message: &FromNode) -> FromNodeHead {
     from_node_head(&postcard::to_stdvec(message).unwrap())
 }
 
-fn asked(in_force: u64) -> LeaseRequest {
+fn lease_request(in_force: u64) -> LeaseRequest {
     LeaseRequest {
         process: u64::MAX,
         router: 70_000,
@@ -32,18 +33,21 @@
 }
 
 #[test]
-fn a_request_for_a_lease_names_its_number_and_the_revision_in_force() {
+fn lease_request_yields_its_number_and_the_revision_in_force() {
     for (number, in_force) in [(1, 0), (300, 128), (u64::MAX, 1 << 40)] {
         let message = ToNode::Request {
             number,
-            request: Request::Lease(asked(in_force)),
+            request: Request::Lease(lease_request(in_force)),
         };
-        assert_eq!(up(&message), ToNodeHead::Lease { number, in_force });
+        assert_eq!(
+            decode_to_node(&message),
+            ToNodeHead::Lease { number, in_force }
+        );
     }
 }
 
 #[test]
-fn only_messages_of_a_leader_tell_who_leads() {
+fn only_messages_of_a_leader_yield_its_term() {
     let (term, before, prev_log_term, committed) = (Term(700), LogIndex(3), Term(2), LogIndex(3));
     let append = Message::AppendEntries {
         term,
@@ -59,7 +63,10 @@
         round: 1,
     };
     for message in [append, install] {
-        assert_eq!(up(&ToNode::Raft(message)), ToNodeHead::Leads { term: 700 });
+        assert_eq!(
+            decode_to_node(&ToNode::Raft(message)),
+            ToNodeHead::Leads { term: 700 }
+        );
     }
     let others = [
         Message::PreVote {
@@ -85,14 +92,14 @@
     ];
     for message in others {
         assert_eq!(
-            up(&ToNode::Raft(message.clone())),
+            decode_to_node(&ToNode::Raft(message.clone())),
             ToNodeHead::Other,
             "{message:?}"
         );
     }
 }
 
-/// A list of a thousand hosts.
+/// Returns a list of a thousand hosts.
 fn long_list() -> EndpointListUpdate {
     let host = ListedHost {
         host: 1,
@@ -119,24 +126,24 @@
 }
 
 #[test]
-fn a_grant_is_read_without_its_list() {
+fn grant_is_decoded_without_its_list() {
     let revision = Revision {
         number: RevisionNumber(130),
         values: Overrides::from([("customer".into(), "a=1".into())]),
     };
-    let whole = RevisionRef {
+    let with_values = RevisionRef {
         number: RevisionNumber(130),
         revision: Some(revision),
     };
-    let known = RevisionRef {
+    let without_values = RevisionRef {
         number: RevisionNumber(129),
         revision: None,
     };
     let grants = [
         (
             LeaseGrant {
-                in_force: known.clone(),
-                pending: Some(whole.clone()),
+                in_force: without_values.clone(),
+                pending: Some(with_values.clone()),
                 voters: Some(voter_addresses()),
                 list: None,
             },
@@ -145,7 +152,7 @@
         ),
         (
             LeaseGrant {
-                in_force: whole,
+                in_force: with_values,
                 pending: None,
                 voters: None,
                 list: Some(long_list()),
@@ -155,7 +162,7 @@
         ),
         (
             LeaseGrant {
-                in_force: known,
+                in_force: without_values,
                 pending: None,
                 voters: None,
                 list: None,
@@ -170,7 +177,7 @@
             response: Response::Granted(Box::new(grant)),
         };
         assert_eq!(
-            down(&message),
+            decode_from_node(&message),
             FromNodeHead::Granted {
                 number: 200,
                 in_force,
@@ -181,8 +188,8 @@
 }
 
 #[test]
-fn whatever_else_crosses_is_neither() {
-    let offer = Proposal {
+fn other_messages_and_damaged_frames_are_other() {
+    let proposal = Proposal {
         token: 1,
         base: RevisionNumber(1),
         who: "a".into(),
@@ -190,29 +197,30 @@
         at_s: 0,
         values: Overrides::new(),
     };
-    let ups = [
+    let to_node = [
         ToNode::hello(Caller::Operator),
         ToNode::Request {
             number: 1,
-            request: Request::Propose(offer),
+            request: Request::Propose(proposal),
         },
         ToNode::Request {
             number: 1,
             request: Request::Status,
         },
     ];
-    ups.iter()
-        .for_each(|message| assert_eq!(up(message), ToNodeHead::Other, "{message:?}"));
-    let downs = [
+    to_node
+        .iter()
+        .for_each(|message| assert_eq!(decode_to_node(message), ToNodeHead::Other, "{message:?}"));
+    let responses = [
         Response::NoLeader,
         Response::Indeterminate,
         Response::Proposed(ProposalOutcome::Pending(RevisionNumber(1))),
     ];
-    for answer in downs {
+    for response in responses {
         assert_eq!(
-            down(&FromNode::Response {
+            decode_from_node(&FromNode::Response {
                 number: 1,
-                response: answer
+                response
             }),
             FromNodeHead::Other
         );
