--- a/crates/spokeflow-scenario/src/active_faults.rs
+++ b/crates/spokeflow-scenario/src/active_faults.rs
@@ -1,71 +1,71 @@
-//! What faults do to links, host list, release controller and clients while they last. What they do to hosts and
-//! routers is for whoever plays the run.
+//! The effects of active faults on links, endpoint list, release controller and clients. The simulator and the testbed
+//! apply the effects on hosts and routers themselves.
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::{Micros, MS, SECOND};
 
-/// What the link between two sites carries; a cut may concern one of them.
+/// The kind of a link between two sites; a fault may cut one kind only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkKind {
     /// Commands between routers and hosts.
     Hosts,
-    /// News of the host list and the release controller.
+    /// Updates of the endpoint list and the release controller.
     ControlSite,
 }
 
-/// The site of the host list and the release controller.
+/// The site of the endpoint list and the release controller.
 pub const CONTROL_SITE: u16 = 0;
-/// The delay one way between two sites.
-pub const BETWEEN_SITES: Micros = 2 * MS;
-/// How long a lost packet waits to be sent again.
+/// One-way delay between two sites without a fault.
+pub const INTER_SITE_DELAY: Micros = 2 * MS;
+/// Delay until a lost packet is retransmitted.
 pub const RETRANSMISSION_DELAY: Micros = 200 * MS;
 
-/// The faults that are active now; zero, false or none where one is not.
+/// The effects of the faults that are currently active; 0, false or `None` for those that are not.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
-    /// The site cut off from the hosts of others.
+    /// Site that is cut off from the hosts of other sites.
     pub cut_hosts: Option<u16>,
-    /// The site cut off from the host list and the release controller.
+    /// Site that is cut off from the endpoint list and the release controller.
     pub cut_control_site: Option<u16>,
-    /// A site whose links are slower, and by how much.
+    /// Site whose links are slow, and their additional one-way delay.
     pub slow_link: Option<(u16, Micros)>,
-    /// How much longer a connection takes to make.
+    /// Additional time to establish a connection.
     pub slow_connects: Micros,
-    /// The release controller does nothing.
+    /// Whether the release controller is stalled.
     pub stalled_controller: bool,
-    /// The release controller refuses connections.
+    /// Whether the release controller refuses connections.
     pub refusing_controller: bool,
-    /// How much later the release controller's news come.
+    /// Additional delay of updates of the release controller.
     pub controller_delay: Micros,
-    /// How much later the host list learns.
+    /// Additional delay until changes reach the endpoint list.
     pub list_delay: Micros,
-    /// The host list closes its connections.
+    /// Whether the endpoint list closes its connections.
     pub list_breaks: bool,
-    /// Part of the traffic that moves to one site.
+    /// Fraction of the traffic that moves to one site.
     pub shift: f64,
-    /// How much more one tenant sends, as a part of its quota.
-    pub worthless: f64,
-    /// After which part of their timeout hasty clients leave, 0 for none.
+    /// Additional traffic of one tenant, as a multiple of its usual traffic.
+    pub tenant_overload: f64,
+    /// Fraction of their timeout after which some clients abandon an attempt; 0 for none.
     pub give_up: f64,
-    /// Further retries of a client.
-    pub repeats: f64,
-    /// Part of the traffic about one key.
+    /// Additional retries of a client.
+    pub extra_retries: f64,
+    /// Fraction of the traffic that has one key.
     pub hot_key: f64,
-    /// Part of the packets that are lost.
+    /// Fraction of the packets that are lost.
     pub loss: f64,
 }
 
 impl ActiveFaults {
-    /// Fault `n` of the run begins. Returns false where it concerns hosts, routers or builds.
-    pub fn begin(&mut self, day: &Scenario, n: usize, fault: &Fault) -> bool {
-        let site = (n as u64 + day.seed) as u16 % day.sites;
+    /// Applies fault `n` of the run when it begins. Returns false if it affects hosts, routers or builds instead.
+    pub fn begin(&mut self, scenario: &Scenario, n: usize, fault: &Fault) -> bool {
+        let site = (n as u64 + scenario.seed) as u16 % scenario.sites;
         let seconds = (fault.size * SECOND as f64) as Micros;
         match fault.kind {
             FaultKind::Cut => {
                 self.cut_hosts = Some(site);
                 self.cut_control_site = Some(site);
             }
-            // The list's own site cut off leaves every other router without news.
+            // Without its site's links the endpoint list and the release controller reach no router of another site.
             FaultKind::CutList => self.cut_control_site = Some(CONTROL_SITE),
             FaultKind::CutHosts => self.cut_hosts = Some(site),
             FaultKind::SlowLink => self.slow_link = Some((site, seconds)),
@@ -77,17 +77,18 @@
             FaultKind::LateList => self.list_delay = seconds,
             FaultKind::ListBreaks => self.list_breaks = true,
             FaultKind::Shift => self.shift = fault.size.clamp(0.0, 1.0),
-            FaultKind::Worthless => self.worthless = fault.size,
+            FaultKind::TenantOverload => self.tenant_overload = fault.size,
             FaultKind::GiveUp => self.give_up = fault.size.clamp(0.0, 1.0),
-            FaultKind::RetryStorm => self.repeats = fault.size,
+            FaultKind::RetryStorm => self.extra_retries = fault.size,
             FaultKind::HotKey => self.hot_key = fault.size.clamp(0.0, 1.0),
             _ => return false,
         }
         true
     }
 
-    /// A fault ends. `others` are those that still last, so that two of a kind which overlap end with the later one.
-    pub fn end(&mut self, day: &Scenario, fault: &Fault, others: &[(usize, Fault)]) {
+    /// Removes the effect of a fault when it ends. `others` are the faults that are still active; they are applied
+    /// again, so that an effect of two overlapping faults lasts until the later one ends.
+    pub fn end(&mut self, scenario: &Scenario, fault: &Fault, others: &[(usize, Fault)]) {
         match fault.kind {
             FaultKind::Cut => {
                 self.cut_hosts = None;
@@ -104,24 +105,24 @@
             FaultKind::LateList => self.list_delay = 0,
             FaultKind::ListBreaks => self.list_breaks = false,
             FaultKind::Shift => self.shift = 0.0,
-            FaultKind::Worthless => self.worthless = 0.0,
+            FaultKind::TenantOverload => self.tenant_overload = 0.0,
             FaultKind::GiveUp => self.give_up = 0.0,
-            FaultKind::RetryStorm => self.repeats = 0.0,
+            FaultKind::RetryStorm => self.extra_retries = 0.0,
             FaultKind::HotKey => self.hot_key = 0.0,
             _ => return,
         }
         for (n, other) in others {
-            self.begin(day, *n, other);
+            self.begin(scenario, *n, other);
         }
     }
 
-    /// The delay one way, or `None` while the sites are cut from each other.
-    pub fn delay(&self, from: u16, to: u16, direction: LinkKind) -> Option<Micros> {
+    /// Returns the one-way delay between two sites, or `None` while they are cut off from each other.
+    pub fn delay(&self, from: u16, to: u16, kind: LinkKind) -> Option<Micros> {
         if from == to {
             return Some(0);
         }
         let touches = |site: u16| site == from || site == to;
-        let cut = match direction {
+        let cut = match kind {
             LinkKind::Hosts => self.cut_hosts,
             LinkKind::ControlSite => self.cut_control_site,
         };
@@ -129,6 +130,6 @@
             return None;
         }
         let slow = self.slow_link.filter(|(site, _)| touches(*site));
-        Some(BETWEEN_SITES + slow.map_or(0, |(_, delay)| delay))
+        Some(INTER_SITE_DELAY + slow.map_or(0, |(_, delay)| delay))
     }
 }
--- a/crates/spokeflow-scenario/src/endpoint_registry.rs
+++ b/crates/spokeflow-scenario/src/endpoint_registry.rs
@@ -1,31 +1,31 @@
-//! A model of the host list: what it knows, what it will learn, and the changes that it remembers. No I/O.
+//! A model of the endpoint list: its current entries, scheduled updates and a log of recent changes. No I/O.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::observation::Phase;
 use crate::Micros;
 
-/// A host as the list knows it.
+/// A host on the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the host.
     pub host: u32,
-    /// Where it listens; empty in simulated time.
+    /// Address that the host listens on; empty in simulated time.
     pub address: String,
-    /// Its site.
+    /// Site (zone) of the host.
     pub site: u16,
-    /// The build it runs.
+    /// Build that the host runs.
     pub build: u16,
-    /// Whether it takes commands.
+    /// Phase of the host.
     pub phase: Phase,
-    /// Which of its processes this is.
+    /// Number that increases with each start of the host's process.
     pub incarnation: u64,
-    /// When it started, where that is known.
+    /// Start of the process; `None` if unknown.
     pub started: Option<Micros>,
 }
 
-/// Changes remembered; who has missed more gets the whole list.
-pub const REMEMBERED_CHANGES: usize = 4096;
+/// Maximum number of changes kept; a router that has missed more gets the complete list.
+pub const MAX_RETAINED_CHANGES: usize = 4096;
 
 /// A change of the list.
 struct Change {
@@ -33,57 +33,58 @@
     host: u32,
 }
 
-/// What the list will learn.
-struct Upcoming {
+/// An update that is scheduled.
+struct ScheduledUpdate {
     at: Micros,
     entry: Entry,
 }
 
-/// The host list of a run.
+/// The endpoint list of a run.
 #[derive(Default)]
 pub struct EndpointRegistry {
     entries: BTreeMap<u32, Entry>,
     version: u64,
     changes: VecDeque<Change>,
-    upcoming: Vec<Upcoming>,
+    scheduled: Vec<ScheduledUpdate>,
 }
 
 impl EndpointRegistry {
-    /// Counts the changes.
+    /// Returns the version of the list, which is the number of changes so far.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many endpoints are known, the gone that are remembered included.
-    pub fn endpoints(&self) -> usize {
+    /// Returns the number of entries, including those of hosts that are gone and not yet forgotten.
+    pub fn endpoint_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many changes are remembered.
-    pub fn remembered_changes(&self) -> usize {
+    /// Returns the number of changes kept.
+    pub fn retained_change_count(&self) -> usize {
         self.changes.len()
     }
 
-    /// The list learns this at `at`, and of one host in order. Returns when it does.
+    /// Schedules an update to appear in the list at `at`, or right after the last scheduled update of the same host if
+    /// that is later. Returns the scheduled time.
     pub fn schedule_update(&mut self, at: Micros, entry: Entry) -> Micros {
         let of_host = self
-            .upcoming
+            .scheduled
             .iter()
             .filter(|next| next.entry.host == entry.host);
-        let before = of_host.map(|next| next.at).max();
-        let at = before.map_or(at, |before| at.max(before + 1));
-        self.upcoming.push(Upcoming { at, entry });
+        let latest = of_host.map(|next| next.at).max();
+        let at = latest.map_or(at, |latest| at.max(latest + 1));
+        self.scheduled.push(ScheduledUpdate { at, entry });
         at
     }
 
-    /// Takes in what is learned by now.
+    /// Applies the updates that are scheduled up to `now`.
     pub fn tick(&mut self, now: Micros) {
         let mut due: Vec<_> = self
-            .upcoming
+            .scheduled
             .extract_if(.., |next| next.at <= now)
             .collect();
         due.sort_by_key(|next| next.at);
-        for Upcoming { entry, .. } in due {
+        for ScheduledUpdate { entry, .. } in due {
             self.version += 1;
             self.changes.push_back(Change {
                 version: self.version,
@@ -91,7 +92,7 @@
             });
             self.entries.insert(entry.host, entry);
         }
-        while self.changes.len() > REMEMBERED_CHANGES {
+        while self.changes.len() > MAX_RETAINED_CHANGES {
             self.forget_oldest();
         }
     }
@@ -100,25 +101,25 @@
         let Some(Change { host, .. }) = self.changes.pop_front() else {
             return;
         };
-        // Who gets the whole list needs no word of hosts that are gone.
-        let last = !self.changes.iter().any(|change| change.host == host);
+        // Gone hosts are not on the complete list, so that their entries are needed only for the changes.
+        let was_last_change = !self.changes.iter().any(|change| change.host == host);
         let known = self.entries.get(&host);
-        if last && known.is_some_and(|entry| entry.phase == Phase::Gone) {
+        if was_last_change && known.is_some_and(|entry| entry.phase == Phase::Gone) {
             self.entries.remove(&host);
         }
     }
 
-    /// What one who holds version `have` must be told; true where it is the whole list.
+    /// Returns the entries that a router with version `have` must be sent, and whether they are the complete list.
     pub fn updates_since(&self, have: Option<u64>) -> (bool, Vec<&Entry>) {
         let oldest = self.changes.front().map_or(0, |change| change.version - 1);
-        let known = have.filter(|version| *version <= self.version && *version >= oldest);
-        match known {
-            None => (true, self.present().collect()),
+        let known_version = have.filter(|version| *version <= self.version && *version >= oldest);
+        match known_version {
+            None => (true, self.current_entries().collect()),
             Some(version) => (false, self.changed_after(version)),
         }
     }
 
-    fn present(&self) -> impl Iterator<Item = &Entry> {
+    fn current_entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries
             .values()
             .filter(|entry| entry.phase != Phase::Gone)
--- a/crates/spokeflow-scenario/src/host/job.rs
+++ b/crates/spokeflow-scenario/src/host/job.rs
@@ -1,18 +1,18 @@
-//! What a host is given to do, what becomes of it, and what faults do to a host.
+//! Jobs of a host and their outcomes, and the effects of faults on a host.
 
 use std::collections::HashMap;
 
 use crate::Micros;
 
-/// Keys remembered before those past their memory are dropped.
+/// Number of keys above which expired keys are removed.
 const DEDUPLICATION_SWEEP: usize = 100_000;
 
-/// A delivery as the host holds it. `from` is any number that leads back to who sent it.
+/// A delivery that a host has accepted.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The connection it came by.
+    /// Number by which the caller identifies the connection that the delivery came from.
     pub from: u64,
-    /// The router's number of the delivery.
+    /// Id of the delivery, assigned by the router.
     pub delivery: u64,
     /// The client's attempt.
     pub attempt: u64,
@@ -24,55 +24,55 @@
     pub key: u64,
     /// The idempotency key, 0 for none.
     pub idempotency_key: u64,
-    /// When nobody waits for it any more.
+    /// Time after which nobody waits for the answer.
     pub expires: Micros,
 }
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobOutcome {
-    /// Acknowledged.
+    /// The command was executed.
     Acked {
-        /// The answer is wrong.
+        /// Whether the answer is wrong.
         wrong: bool,
     },
-    /// An error.
+    /// The command failed.
     Error,
-    /// Nothing is said: the host hangs.
+    /// The host hangs and does not answer.
     Silent,
 }
 
-/// The idempotency keys that all hosts together remember, and when each last came.
+/// The idempotency keys that all hosts share, with the time at which each was last seen.
 #[derive(Default)]
 pub struct DeduplicationTable {
     last_seen: HashMap<u64, Micros>,
 }
 
 impl DeduplicationTable {
-    /// Whether this is the first of its idempotency key within its memory.
-    pub(super) fn first(&mut self, key: u64, memory: Micros, now: Micros) -> bool {
+    /// Records the key. Returns whether it was not seen within the time `memory` before `now`.
+    pub(super) fn insert(&mut self, key: u64, memory: Micros, now: Micros) -> bool {
         if self.last_seen.len() > DEDUPLICATION_SWEEP {
             self.last_seen.retain(|_, at| now - *at < memory);
         }
-        let before = self.last_seen.insert(key, now);
-        before.is_none_or(|at| now - at >= memory)
+        let previous = self.last_seen.insert(key, now);
+        previous.is_none_or(|at| now - at >= memory)
     }
 }
 
-/// What troubles do to a host.
+/// The effects of faults on a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostFault {
-    /// It takes commands and says nothing.
+    /// Whether the host accepts commands and does not answer.
     pub hangs: bool,
     /// Factor on all work.
     pub slower: f64,
-    /// Probability of an error, at once.
+    /// Probability that a command fails at once.
     pub fails: f64,
-    /// An op type that needs more work, and how much.
+    /// Index of an operation that needs more work, and the factor on its work.
     pub slow_op: (usize, f64),
-    /// What a build that slows all hosts does.
+    /// Factor on all work while a build with a shared defect runs on some hosts.
     pub shared_slowdown: f64,
-    /// What busy hosts on the same machine do.
+    /// Factor on all work by busy hosts on the same machine.
     pub neighbours: f64,
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// What beginning a job has led to, for the tap.
+/// A job that has been started, for the observations of the run.
 #[derive(Debug, PartialEq)]
 pub struct StartedJob {
     /// The client's attempt.
@@ -98,6 +98,6 @@
     pub command: u64,
     /// Index of the operation.
     pub op: usize,
-    /// False where a repeat was dropped.
+    /// Whether the command takes effect; false for a repeat that was dropped.
     pub effect: bool,
 }
--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -1,4 +1,5 @@
-//! One host: cores, a queue, cold start, falling over, and what its build does wrong. No I/O; time is handed in.
+//! A model of a host: cores, queue, slow start, crash by overload, and the defect of its build. No I/O; the caller
+//! passes the time in.
 
 mod job;
 
@@ -20,14 +21,14 @@
     job: Job,
 }
 
-/// Work that has reached a host.
-struct ReachedWork {
+/// Work of a command that a host was sent.
+struct SentWork {
     at: Micros,
-    /// Seconds of one core.
+    /// Seconds of work of one core.
     work: f64,
 }
 
-/// What faults and the build's defect do to one job.
+/// The effects of faults and of the build's defect on one job.
 struct JobConditions {
     /// Factor on the work.
     slowdown: f64,
@@ -37,28 +38,28 @@
     wrong: bool,
 }
 
-/// Jobs that wait for each core at most.
+/// Maximum number of waiting jobs per core.
 const QUEUE_PER_CORE: usize = 24;
-/// Of its budget, how much a cold host may have been sent and still have room for a few more.
-const HEADROOM: f64 = 0.6;
+/// Fraction of its budget up to which a cold host has room for a few more commands.
+const HEADROOM_FRACTION: f64 = 0.6;
 /// Work of a repeat that is dropped, in microseconds.
-const DROPPED_REPEAT_WORK: f64 = 1000.0;
-/// The longest that a job which fails fast takes, in microseconds.
-const FAST_FAILURE: f64 = 5_000.0;
-/// Waiting jobs from which on a build that fails under load does so.
-const LOADED_QUEUE: usize = 2;
-/// How long after its host's start a build with a late defect shows it.
-const LATE_DEFECT_AFTER: Micros = 5 * SECOND;
+const DROPPED_REPEAT_WORK_US: f64 = 1000.0;
+/// Longest duration of a job that fails at once, in microseconds.
+const MAX_FAST_FAILURE_US: f64 = 5_000.0;
+/// Number of waiting jobs from which a build that fails under load fails.
+const LOADED_QUEUE_LENGTH: usize = 2;
+/// Time between the start of a host and the onset of a late defect of its build.
+const LATE_DEFECT_ONSET: Micros = 5 * SECOND;
 
-/// A host of a run.
+/// A host.
 pub struct Host {
-    /// What is wrong with its build.
+    /// Defect of its build.
     pub defect: BuildDefect,
-    /// Its speed, 1 for that of the first build.
+    /// Speed of its build relative to the first build, which has 1.
     pub speed: f64,
-    /// What faults do to it.
+    /// Effects of the active faults.
     pub fault: HostFault,
-    /// It was sent more than it can bear while it was cold, and is down.
+    /// Whether the host has crashed because it was sent more than it can process while cold.
     pub crashed: bool,
     cores: usize,
     queue_limit: usize,
@@ -70,9 +71,9 @@
     ops: Vec<Op>,
     waiting: VecDeque<Job>,
     running: Vec<RunningJob>,
-    /// Work that has reached it lately, for the budget of a cold start.
-    reached: VecDeque<ReachedWork>,
-    /// Keys whose data is at hand, the longest unused first; of a host with room for all of them, none.
+    /// Work sent to it within the last `overload_window`, while it is cold.
+    recent_work: VecDeque<SentWork>,
+    /// Keys whose data is cached, least recently used first; empty if the host has room for all keys.
     cached_keys: VecDeque<u64>,
     cache_keys: usize,
     miss_cost: f64,
@@ -82,9 +83,9 @@
 }
 
 impl Host {
-    /// `started` is `None` for a host that has been up long.
+    /// Creates a host. `started` is `None` for a host that has been warm from the start of the run.
     pub fn new(
-        day: &Scenario,
+        scenario: &Scenario,
         defect: BuildDefect,
         speed: f64,
         started: Option<Micros>,
@@ -95,27 +96,27 @@
             speed,
             fault: HostFault::default(),
             crashed: false,
-            cores: day.cores as usize,
-            queue_limit: QUEUE_PER_CORE * day.cores as usize,
+            cores: scenario.cores as usize,
+            queue_limit: QUEUE_PER_CORE * scenario.cores as usize,
             started,
-            cold_from: day.cold_from,
-            warm_within: day.warm_within,
-            overload_multiple: day.overload_multiple,
-            overload_window: day.overload_window,
-            ops: day.ops.clone(),
+            cold_from: scenario.cold_from,
+            warm_within: scenario.warm_within,
+            overload_multiple: scenario.overload_multiple,
+            overload_window: scenario.overload_window,
+            ops: scenario.ops.clone(),
             waiting: VecDeque::new(),
             running: Vec::new(),
-            reached: VecDeque::new(),
+            recent_work: VecDeque::new(),
             cached_keys: VecDeque::new(),
-            cache_keys: day.cache_keys as usize,
-            miss_cost: day.miss_cost,
-            thrash: day.thrash,
-            cancel: day.cancel,
+            cache_keys: scenario.cache_keys as usize,
+            miss_cost: scenario.miss_cost,
+            thrash: scenario.thrash,
+            cancel: scenario.cancel,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// The part of its capacity that it has by now.
+    /// Returns the fraction of its full capacity that the host has reached.
     pub fn warm_up_fraction(&self, now: Micros) -> f64 {
         let age = self
             .started
@@ -123,14 +124,14 @@
         self.cold_from + (1.0 - self.cold_from) * age as f64 / self.warm_within as f64
     }
 
-    /// Jobs that it has, waiting and running.
+    /// Returns the number of waiting and running jobs.
     pub fn queued(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// A delivery has arrived. Returns false where it was not looked at, since the queue is full.
+    /// Handles the arrival of a delivery. Returns false if it was not accepted because the queue is full.
     pub fn arrive(&mut self, now: Micros, job: Job) -> bool {
-        self.bear(now, job.op);
+        self.record_sent_work(now, job.op);
         if self.waiting.len() >= self.queue_limit {
             return false;
         }
@@ -138,81 +139,87 @@
         true
     }
 
-    /// All work that reaches a cold host counts, also what it refuses.
-    fn bear(&mut self, now: Micros, op: usize) {
+    /// Records the work sent to a cold host, including that of refused deliveries, and crashes the host if it exceeds
+    /// the budget.
+    fn record_sent_work(&mut self, now: Micros, op: usize) {
         if !self.is_cold(now) {
-            return self.reached.clear();
+            return self.recent_work.clear();
         }
         let horizon = now - self.overload_window;
         while self
-            .reached
+            .recent_work
             .pop_front_if(|work| work.at <= horizon)
             .is_some()
         {}
-        self.reached.push_back(ReachedWork {
+        self.recent_work.push_back(SentWork {
             at: now,
             work: self.ops[op].work as f64 / SECOND as f64,
         });
-        let sent: f64 = self.reached.iter().map(|work| work.work).sum();
-        self.crashed |= sent > self.budget(now) + self.chance_beyond(now);
+        let sent: f64 = self.recent_work.iter().map(|work| work.work).sum();
+        self.crashed |= sent > self.budget(now) + self.random_allowance(now);
     }
 
     fn is_cold(&self, now: Micros) -> bool {
         self.started.is_some_and(|at| now - at < self.warm_within)
     }
 
-    /// Whether it would bear a few more now without falling over.
+    /// Returns whether the host can be sent a few more commands without crashing.
     pub fn has_headroom(&self, now: Micros) -> bool {
         if !self.is_cold(now) {
             return true;
         }
         let horizon = now - self.overload_window;
-        let recent = self.reached.iter().filter(|work| work.at > horizon);
+        let recent = self.recent_work.iter().filter(|work| work.at > horizon);
         let sent: f64 = recent.map(|work| work.work).sum();
-        sent < HEADROOM * self.budget(now)
+        sent < HEADROOM_FRACTION * self.budget(now)
     }
 
-    /// Seconds of work that the multiple of its capacity allows over the span.
+    /// Returns the seconds of work that the host may be sent within `overload_window`: a multiple of its capacity.
     fn budget(&self, now: Micros) -> f64 {
-        let can = self.warm_up_fraction(now) * self.cores as f64 * self.speed;
-        self.overload_multiple * can * self.overload_window as f64 / SECOND as f64
+        let capacity = self.warm_up_fraction(now) * self.cores as f64 * self.speed;
+        self.overload_multiple * capacity * self.overload_window as f64 / SECOND as f64
     }
 
-    /// What chance brings beyond that before the host falls, as the operators' page on the fleet has it: with room for N
-    /// commands of mean work, 3 times the root of N and 3 more. Routers that draw their parts keep to N in the mean;
-    /// without this, the luckiest of some thousand cold hosts fell on drawn days (58, 252, 794 and others).
-    fn chance_beyond(&self, now: Micros) -> f64 {
-        let all: f64 = self.ops.iter().map(|op| op.share).sum();
-        let mean: f64 = self
+    /// Returns the seconds of work that the host survives beyond its budget: with a budget of N commands of mean work,
+    /// another 3 times the square root of N and 3 commands, as the operators specify. Routers that choose hosts at
+    /// random keep to N only in the mean. Without this allowance, single hosts among about a thousand cold ones crashed
+    /// by chance in drawn scenarios (seeds 58, 252, 794 and others).
+    fn random_allowance(&self, now: Micros) -> f64 {
+        let total_share: f64 = self.ops.iter().map(|op| op.share).sum();
+        let mean_work: f64 = self
             .ops
             .iter()
             .map(|op| op.share * op.work as f64)
             .sum::<f64>()
-            / all
+            / total_share
             / SECOND as f64;
-        (3.0 * (self.budget(now) / mean).sqrt() + 3.0) * mean
+        (3.0 * (self.budget(now) / mean_work).sqrt() + 3.0) * mean_work
     }
 
-    /// Begins what a core is free for. Returns what was begun.
-    pub fn start_jobs(&mut self, now: Micros, marks: &mut DeduplicationTable) -> Vec<StartedJob> {
-        let mut begun = Vec::new();
+    /// Starts waiting jobs on the free cores and drops expired ones. Returns the started jobs.
+    pub fn start_jobs(
+        &mut self,
+        now: Micros,
+        deduplication: &mut DeduplicationTable,
+    ) -> Vec<StartedJob> {
+        let mut started = Vec::new();
         while self.running.len() < self.cores {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            // Nobody waits any more for what has expired.
+            // Nobody waits for the answer of an expired job.
             if now < job.expires {
-                begun.push(self.run(now, job, marks));
+                started.push(self.run(now, job, deduplication));
             }
         }
-        begun
+        started
     }
 
-    fn run(&mut self, now: Micros, job: Job, marks: &mut DeduplicationTable) -> StartedJob {
+    fn run(&mut self, now: Micros, job: Job, deduplication: &mut DeduplicationTable) -> StartedJob {
         let conditions = self.conditions(&job, now);
         let effect = match self.ops[job.op].repeat {
             Repeat::Deduplicated(memory) if job.idempotency_key != 0 => {
-                marks.first(job.idempotency_key, memory, now)
+                deduplication.insert(job.idempotency_key, memory, now)
             }
             _ => true,
         };
@@ -220,14 +227,15 @@
         let work = if effect {
             self.draw_work(job.op)
         } else {
-            DROPPED_REPEAT_WORK
+            DROPPED_REPEAT_WORK_US
         };
-        let beyond = self.waiting.len().saturating_sub(2 * self.cores) as f64;
-        let slowdown = conditions.slowdown * self.fetch(job.key) * (1.0 + self.thrash * beyond);
+        let excess_waiting = self.waiting.len().saturating_sub(2 * self.cores) as f64;
+        let slowdown =
+            conditions.slowdown * self.access_key(job.key) * (1.0 + self.thrash * excess_waiting);
         let mut took = work * slowdown / (self.speed * self.warm_up_fraction(now));
-        // What fails fast fails at once, and may have had its effect all the same.
+        // A job that fails at once may nevertheless have taken effect.
         if failed && self.fault.fails > 0.0 {
-            took = took.min(FAST_FAILURE);
+            took = took.min(MAX_FAST_FAILURE_US);
         }
         let outcome = if failed {
             JobOutcome::Error
@@ -250,15 +258,16 @@
         started
     }
 
-    /// Microseconds of work, bounded, so that a single draw does not hold a core for the rest of a short run.
+    /// Draws the work of a command in microseconds. It is bounded, so that a single draw does not occupy a core for the
+    /// rest of a short run.
     fn draw_work(&mut self, op: usize) -> f64 {
         let mean = self.ops[op].work as f64;
         let drawn = Exp::new(1.0 / mean).map_or(mean, |work| work.sample(&mut self.rng));
         (0.4 * mean + 0.6 * drawn).min(6.0 * mean)
     }
 
-    /// Uses the key's data. Returns by how much the work grows where it is not at hand.
-    pub fn fetch(&mut self, key: u64) -> f64 {
+    /// Accesses the data of a key through the cache. Returns the factor on the work: 1 if the key was cached.
+    pub fn access_key(&mut self, key: u64) -> f64 {
         if self.cache_keys == 0 || key == 0 {
             return 1.0;
         }
@@ -277,12 +286,12 @@
         }
     }
 
-    /// Cores that work now, as a part of all.
+    /// Returns the fraction of the cores that are busy.
     pub fn busy(&self) -> f64 {
         self.running.len() as f64 / self.cores as f64
     }
 
-    /// Work that is before a command which arrives now, in microseconds of one core that is warm and well.
+    /// Returns the work ahead of a command that arrives now, in microseconds per core of a warm host without faults.
     pub fn work_before(&self, now: Micros) -> f64 {
         let waiting: f64 = self
             .waiting
@@ -306,18 +315,18 @@
         }
         let mut failure = fault.fails;
         let mut wrong = false;
-        let last_operation = job.op == self.ops.len() - 1;
-        let loaded = self.waiting.len() >= LOADED_QUEUE;
-        let late = self.started.is_some_and(|at| now - at > LATE_DEFECT_AFTER);
+        let is_last_operation = job.op == self.ops.len() - 1;
+        let is_loaded = self.waiting.len() >= LOADED_QUEUE_LENGTH;
+        let is_late = self.started.is_some_and(|at| now - at > LATE_DEFECT_ONSET);
         match self.defect {
             BuildDefect::Errors(part) => failure = failure.max(part),
-            BuildDefect::OneOp(part) if last_operation => failure = failure.max(part),
+            BuildDefect::OneOp(part) if is_last_operation => failure = failure.max(part),
             BuildDefect::Slow(factor) => slowdown *= factor,
-            BuildDefect::UnderLoad(part) if loaded => {
+            BuildDefect::UnderLoad(part) if is_loaded => {
                 slowdown *= 2.0;
                 failure = failure.max(part);
             }
-            BuildDefect::Late(part) if late => {
+            BuildDefect::Late(part) if is_late => {
                 slowdown *= 1.8;
                 failure = failure.max(part);
             }
@@ -335,12 +344,12 @@
         }
     }
 
-    /// When the next job ends.
+    /// Returns the time at which the next running job is completed; `None` if none is running.
     pub fn next_completion(&self) -> Option<Micros> {
         self.running.iter().map(|running| running.ends).min()
     }
 
-    /// What has ended by now, in the order of its ends.
+    /// Removes and returns the jobs that are completed by `now`, in the order of completion.
     pub fn take_completed(&mut self, now: Micros) -> Vec<(Job, JobOutcome)> {
         let mut ended: Vec<_> = self
             .running
@@ -355,7 +364,7 @@
             .collect()
     }
 
-    /// The router `from` no longer wants this delivery.
+    /// Handles the cancellation of a delivery from connection `from`.
     pub fn cancel(&mut self, from: u64, delivery: u64) {
         let same = |job: &Job| job.from == from && job.delivery == delivery;
         if self.cancel != CancelPolicy::Ignored {
--- a/crates/spokeflow-scenario/src/lib.rs
+++ b/crates/spokeflow-scenario/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a run is made of, the same whether it is played on sockets or in simulated time: sizes, traffic, builds
-//! and faults; the models of hosts, host list and release controller; what is observed of a run, the checker that
-//! decides the five rules from that alone, and the report. No I/O; time is handed in; chance comes from seeds.
+//! Everything that a run on sockets and a run in simulated time have in common: the scenario (sizes, traffic, builds
+//! and faults), the models of hosts, endpoint list and release controller, the observations of a run, the checker
+//! that evaluates the five rules from the observations alone, and the report. There is no I/O: the caller passes the
+//! time in, and all random draws come from seeds.
 
 pub mod active_faults;
 pub mod check;
@@ -16,7 +17,7 @@
 
 /// Microseconds since the start of the run.
 pub type Micros = i64;
-/// A millisecond.
+/// One millisecond.
 pub const MS: Micros = 1000;
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/spokeflow-scenario/src/observation.rs
+++ b/crates/spokeflow-scenario/src/observation.rs
@@ -1,5 +1,5 @@
-//! What is observed of a run: messages as the fake peers write or read them, and effects at the hosts. Serialized
-//! names are those of recorded traces.
+//! Observations of a run: messages as the test peers write and read them, and effects at the hosts. Serialized names
+//! must not change, since recorded traces contain them.
 
 use serde::Serialize;
 
@@ -8,165 +8,165 @@
 /// A router's final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AnswerKind {
-    /// Acknowledged.
+    /// An ack.
     Acked,
-    /// Refused.
+    /// A nack.
     Nacked,
-    /// The host answered with an error.
+    /// A failure.
     Failed,
 }
 
 /// A host's answer to a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ReplyKind {
-    /// Acknowledged.
+    /// An ack.
     Acked,
     /// An error.
     Error,
-    /// Not looked at, the queue is full.
+    /// The queue is full and the delivery was not accepted.
     Full,
 }
 
-/// An endpoint as the host list shows it.
+/// The phase of a host on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Phase {
-    /// No longer there.
+    /// The host has stopped.
     Gone,
-    /// Takes commands.
+    /// The host accepts commands.
     Ready,
-    /// Takes no new commands.
+    /// The host finishes its commands and accepts no new ones.
     Draining,
 }
 
-/// Where a build's rollout is.
+/// The state of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum RolloutState {
-    /// In a stage.
+    /// The build is in one of its stages.
     #[serde(rename = "OnTrial")]
     Canary,
-    /// Its hosts are replaced by the build before.
+    /// The build is being rolled back: its hosts are replaced by hosts of the earlier build.
     #[serde(rename = "GoingBack")]
     RollingBack,
-    /// It passed all stages.
+    /// The build has passed all stages.
     Released,
-    /// It was rolled back.
+    /// The build was rolled back.
     Withdrawn,
 }
 
-/// A router's process: its number in the fleet, and which of its starts.
+/// A process of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Process {
-    /// The router's number.
+    /// Number of the router in the fleet.
     pub router: u32,
-    /// Which of its starts, from 0.
+    /// Number of starts of this router before this process.
     pub start: u32,
 }
 
-/// One thing that was observed.
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Observation {
     /// A router process has started.
     RouterUp(Process),
     /// A router process was killed.
     RouterKilled(Process),
-    /// A router process was told to end; it answers what it holds.
+    /// A router process was asked to shut down; it still answers the commands that it has accepted.
     #[serde(rename = "RouterAsked")]
     RouterShutdown(Process),
     /// A router process has ended.
     RouterEnded(Process),
-    /// A client has written an attempt to its socket. `command` is the same for all attempts at one command.
+    /// A client has sent an attempt at a command.
     Taken {
         /// The router.
         by: Process,
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
-        /// The client's command.
+        /// The command, the same for all its attempts.
         command: u64,
         /// Index of the operation.
         op: u16,
         /// The sticky key, 0 for none.
         key: u64,
-        /// How long the client says that it waits.
+        /// Timeout that the client sends with the attempt.
         #[serde(rename = "patience")]
         timeout: Micros,
     },
-    /// A client has read an answer.
+    /// A client has received an answer.
     Answered {
         /// The router.
         by: Process,
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
-        /// What it says.
+        /// Kind of the answer.
         kind: AnswerKind,
-        /// The build concerned.
+        /// The build.
         build: u16,
     },
-    /// The client has gone before its timeout.
+    /// A client has abandoned an attempt before its timeout.
     Left {
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
     },
-    /// A host has read a delivery.
+    /// A host has received a delivery.
     Delivered {
         /// The host.
         host: u32,
-        /// The build concerned.
+        /// The build.
         build: u16,
         /// The router.
         from: Process,
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
     },
-    /// A host has written its answer.
+    /// A host has sent its answer.
     Replied {
         /// The host.
         host: u32,
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
-        /// The router's number of the delivery.
+        /// Id of the delivery.
         delivery: u64,
-        /// What it says.
+        /// Kind of the answer.
         kind: ReplyKind,
     },
-    /// The effect of a command happened; a repeat that a host dropped has none.
+    /// A command took effect at a host. A repeat that the host drops has no effect.
     Ran {
         /// The host.
         host: u32,
-        /// The build concerned.
+        /// The build.
         build: u16,
         /// The client's attempt.
         #[serde(rename = "tried")]
         attempt: u64,
-        /// The client's command.
+        /// The command, the same for all its attempts.
         command: u64,
         /// Index of the operation.
         op: u16,
     },
-    /// The list has written this to a router.
+    /// The endpoint list has sent an update to a router.
     Listed {
         /// The router.
         to: Process,
-        /// Whether this is the whole list or changes alone.
+        /// Whether the update is the complete list or only the changes.
         whole: bool,
         /// Hosts with their builds and phases.
         lines: Vec<(u32, u16, Phase)>,
     },
-    /// The release controller has written this to a router.
+    /// The release controller has sent a rollout update to a router.
     News {
         /// The router.
         to: Process,
-        /// The build concerned.
+        /// The build.
         build: u16,
-        /// The rollout's stage, from 0.
+        /// Index of the rollout's stage.
         stage: u8,
-        /// Where the rollout is.
+        /// State of the rollout.
         #[serde(rename = "standing")]
         state: RolloutState,
         /// The exposure cap, 0 to 1.
@@ -176,34 +176,34 @@
     Voted {
         /// The router.
         from: Process,
-        /// The build concerned.
+        /// The build.
         build: u16,
-        /// The rollout's stage, from 0.
+        /// Index of the rollout's stage.
         stage: u8,
-        /// The vote's name.
+        /// Name of the vote, see [`crate::release_controller::ControllerVote`].
         #[serde(rename = "verdict")]
         vote: String,
     },
-    /// A cold host was sent more than it can bear and is down.
+    /// A cold host was sent more than it can process and has crashed.
     Fell {
         /// The host.
         host: u32,
     },
-    /// The release controller's own state, whoever knows of it.
+    /// The state of the release controller has changed, whether or not a router has been told.
     #[serde(rename = "Desk")]
     ReleaseController {
-        /// The build concerned.
+        /// The build.
         build: u16,
-        /// The rollout's stage, from 0.
+        /// Index of the rollout's stage.
         stage: u8,
-        /// Where the rollout is.
+        /// State of the rollout.
         #[serde(rename = "standing")]
         state: RolloutState,
     },
     /// A scheduled fault begins or ends.
     #[serde(rename = "Trouble")]
     Fault {
-        /// The fault, for people.
+        /// Description of the fault.
         what: String,
     },
 }
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -1,5 +1,5 @@
-//! A model of the release controller: it offers builds, counts votes, moves stages and replaces hosts. No I/O; time
-//! is handed in.
+//! A model of the release controller, which accepts new builds, counts votes, moves the rollout through its stages
+//! and replaces hosts. No I/O; the caller passes the time in.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,27 @@
 use crate::scenario::{Gate, Scenario};
 use crate::{Micros, SECOND};
 
-/// How the newest build's rollout stands.
+/// The state of the newest build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutStatus {
     /// The newest build.
     pub build: u16,
-    /// Its stage, from 0.
+    /// Index of the current stage.
     pub stage: u8,
-    /// Where its rollout is.
+    /// State of the rollout.
     pub rollout: RolloutState,
     /// The exposure cap, 0 to 1.
     pub cap: f64,
-    /// Since when all this is so.
+    /// Time of the last change.
     pub since: Micros,
 }
 
-/// A router's vote.
+/// A router's vote. Traces and reports contain the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerVote {
-    /// Abstains.
+    /// Abstain.
     None,
-    /// To the next stage.
+    /// Move to the next stage.
     On,
     /// Stay in this stage.
     Hold,
@@ -35,48 +35,48 @@
     Back,
 }
 
-/// What became of a vote.
+/// The outcome of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteOutcome {
-    /// It counts until it expires or another one of its router replaces it.
+    /// The vote counts until it expires or its router votes again.
     Counted,
-    /// It does not fit how the rollout stands.
+    /// The vote does not apply to the current state of the rollout.
     Stale,
-    /// Votes come faster than they are taken.
+    /// The vote exceeds the rate at which votes are accepted.
     RateLimited,
 }
 
-/// A place in the fleet and the hosts that fill it.
+/// A slot in the fleet and the hosts that occupy it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostSlot {
-    /// The host that runs.
+    /// Number of the running host.
     pub host: u32,
-    /// Its build.
+    /// Build of the running host.
     pub build: u16,
-    /// A host that is starting to take over, and its build.
+    /// Number and build of the host that is starting to replace it; `None` if it is not being replaced.
     pub next: Option<(u32, u16)>,
 }
 
-/// What the fleet is to do.
+/// An order to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetOrder {
     /// Start a host.
     Start {
-        /// Its number, never used before.
+        /// Number of the host, never used before.
         host: u32,
-        /// Index of its slot in the fleet.
+        /// Index of the slot in the fleet.
         slot: usize,
-        /// The build it runs.
+        /// Build that the host runs.
         build: u16,
     },
     /// Drain a host.
     Drain {
-        /// Its number.
+        /// Number of the host.
         host: u32,
     },
 }
 
-/// A vote that counts.
+/// A vote that counts until it expires.
 struct CountedVote {
     build: u16,
     stage: u8,
@@ -84,7 +84,7 @@
     expires: Micros,
 }
 
-/// Votes that may still be taken: a token bucket.
+/// Rate limit of votes: a token bucket.
 struct VoteAllowance {
     at: Micros,
     tokens: f64,
@@ -102,9 +102,9 @@
 
 /// The release controller of a run.
 pub struct ReleaseController {
-    /// How the newest build's rollout stands.
+    /// State of the newest build's rollout.
     pub state: RolloutStatus,
-    /// The fleet's slots.
+    /// Slots of the fleet.
     pub slots: Vec<HostSlot>,
     /// By stage, the fraction of slots that run the new build.
     fractions: Vec<f64>,
@@ -113,34 +113,34 @@
     gate: Gate,
     bake: Micros,
     routers: u32,
-    /// The build to go back to.
-    earlier: u16,
+    /// Build that a rollback returns to.
+    earlier_build: u16,
     next_host: u32,
-    /// When the stage's clock starts, once all its hosts run.
-    complete: Option<Micros>,
-    launched: Micros,
-    /// The last vote of each router.
+    /// Start of the stage's bake time; `None` until all its hosts run.
+    bake_start: Option<Micros>,
+    stage_started_at: Micros,
+    /// By router, its last vote.
     votes: BTreeMap<u32, CountedVote>,
     allowance: VoteAllowance,
 }
 
-/// Votes taken a second, all routers together.
+/// Votes accepted a second from all routers together.
 const VOTES_PER_SECOND: f64 = 50.0;
-/// How long a vote counts.
-const VOTE_LIFE: Micros = 10 * SECOND;
-/// A stage's clock starts so long after its last host runs,
-const SETTLE_AFTER: Micros = SECOND;
-/// and so long after the stage's launch at the latest.
-const SETTLE_LATEST: Micros = 8 * SECOND;
-/// Part of the routers that must vote to roll back, where a majority decides.
+/// Time for which a vote counts.
+const VOTE_LIFETIME: Micros = 10 * SECOND;
+/// Delay between the start of a stage's last host and the start of its bake time.
+const SETTLE_DELAY: Micros = SECOND;
+/// Longest delay between the start of a stage and the start of its bake time.
+const MAX_SETTLE_DELAY: Micros = 8 * SECOND;
+/// Fraction of the routers that must vote to roll back under a majority gate.
 const ROLLBACK_SHARE: f64 = 0.35;
-/// Part of the routers that must vote to promote, where a majority decides.
+/// Fraction of the routers that must vote to promote under a majority gate.
 const PROMOTE_SHARE: f64 = 0.6;
 
 impl ReleaseController {
-    /// The controller at the start: build 1 is released and runs in all slots.
-    pub fn new(day: &Scenario) -> ReleaseController {
-        let slots = (0..day.hosts)
+    /// Creates the controller at the start of a run: build 1 is released and runs in all slots.
+    pub fn new(scenario: &Scenario) -> ReleaseController {
+        let slots = (0..scenario.hosts)
             .map(|host| HostSlot {
                 host,
                 build: 1,
@@ -156,15 +156,17 @@
                 since: 0,
             },
             slots,
-            fractions: day.stage_fractions.clone(),
-            caps: (0..day.stage_fractions.len()).map(|s| day.cap(s)).collect(),
-            gate: day.gate,
-            bake: day.bake,
-            routers: day.routers,
-            earlier: 1,
-            next_host: day.hosts,
-            complete: None,
-            launched: 0,
+            fractions: scenario.stage_fractions.clone(),
+            caps: (0..scenario.stage_fractions.len())
+                .map(|s| scenario.cap(s))
+                .collect(),
+            gate: scenario.gate,
+            bake: scenario.bake,
+            routers: scenario.routers,
+            earlier_build: 1,
+            next_host: scenario.hosts,
+            bake_start: None,
+            stage_started_at: 0,
             votes: BTreeMap::new(),
             allowance: VoteAllowance {
                 at: 0,
@@ -173,17 +175,18 @@
         }
     }
 
-    /// Offers a build. Returns false while an earlier one is in its canary or rolled back; a canary is taken off first.
+    /// Offers a build. Returns false, so that the offer must be repeated, while an earlier build is in its canary or
+    /// being rolled back. An earlier build in its canary is rolled back.
     pub fn offer(&mut self, now: Micros, build: u16, orders: &mut Vec<FleetOrder>) -> bool {
         match self.state.rollout {
             RolloutState::Canary => {
-                self.send_back(now, orders);
+                self.roll_back(now, orders);
                 false
             }
             RolloutState::RollingBack => false,
             RolloutState::Released | RolloutState::Withdrawn => {
                 if self.state.rollout == RolloutState::Released {
-                    self.earlier = self.state.build;
+                    self.earlier_build = self.state.build;
                 }
                 self.votes.clear();
                 self.state = RolloutStatus {
@@ -193,14 +196,14 @@
                     cap: self.caps[0],
                     since: now,
                 };
-                self.launch(now, orders);
+                self.start_stage(now, orders);
                 true
             }
         }
     }
 
-    /// Starts successors until the stage has its fraction of slots.
-    fn launch(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
+    /// Starts hosts of the new build until the stage has its fraction of slots.
+    fn start_stage(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let build = self.state.build;
         let fraction = self.fractions[usize::from(self.state.stage)];
         let target =
@@ -216,11 +219,11 @@
             |slot| slot.build != build,
             orders,
         );
-        self.complete = None;
-        self.launched = now;
+        self.bake_start = None;
+        self.stage_started_at = now;
     }
 
-    /// Starts successors of `build` for up to `most` slots.
+    /// Starts hosts of `build` for up to `most` of the slots that `which` accepts.
     fn replace(
         &mut self,
         most: usize,
@@ -228,20 +231,20 @@
         which: impl Fn(&HostSlot) -> bool,
         orders: &mut Vec<FleetOrder>,
     ) {
-        let free = |slot: &HostSlot| slot.next.is_none() && which(slot);
-        // Spread over the fleet, so that a stage is not one site.
+        let is_replaceable = |slot: &HostSlot| slot.next.is_none() && which(slot);
+        // The slots are spread over the fleet, so that a stage is not confined to one site.
         let step = (self.slots.len() / most.max(1)).max(1);
         let order: Vec<usize> = (0..step)
             .flat_map(|first| (first..self.slots.len()).step_by(step))
             .collect();
         let mut left = most;
-        for place in order {
-            let slot = &mut self.slots[place];
-            if left > 0 && free(slot) {
+        for index in order {
+            let slot = &mut self.slots[index];
+            if left > 0 && is_replaceable(slot) {
                 slot.next = Some((self.next_host, build));
                 orders.push(FleetOrder::Start {
                     host: self.next_host,
-                    slot: place,
+                    slot: index,
                     build,
                 });
                 self.next_host += 1;
@@ -250,7 +253,7 @@
         }
     }
 
-    /// A host runs: it takes its slot, and the one before is drained.
+    /// Handles the start of a host: it takes over its slot, and the previous host is drained.
     pub fn on_host_started(&mut self, now: Micros, host: u32, orders: &mut Vec<FleetOrder>) {
         let Some(slot) = self
             .slots
@@ -264,24 +267,24 @@
         slot.host = host;
         slot.build = build;
         if self.slots.iter().all(|slot| slot.next.is_none()) {
-            self.complete.get_or_insert(now + SETTLE_AFTER);
+            self.bake_start.get_or_insert(now + SETTLE_DELAY);
         }
     }
 
     /// Rolls the newest build back.
-    pub fn send_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
-        let bad = self.state.build;
+    pub fn roll_back(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
+        let withdrawn_build = self.state.build;
         self.state = RolloutStatus {
             rollout: RolloutState::RollingBack,
             cap: 0.0,
             since: now,
             ..self.state
         };
-        // Successors that have not started yet are not needed; their slot is kept by the host before.
+        // Hosts of the build that have not started are no longer needed; the present host keeps the slot.
         for slot in self
             .slots
             .iter_mut()
-            .filter(|slot| slot.next.is_some_and(|(_, build)| build == bad))
+            .filter(|slot| slot.next.is_some_and(|(_, build)| build == withdrawn_build))
         {
             if let Some((host, _)) = slot.next.take() {
                 orders.push(FleetOrder::Drain { host });
@@ -289,13 +292,13 @@
         }
         self.replace(
             self.slots.len(),
-            self.earlier,
-            |slot| slot.build == bad,
+            self.earlier_build,
+            |slot| slot.build == withdrawn_build,
             orders,
         );
     }
 
-    /// A vote of router `from`.
+    /// Handles a vote of router `from`.
     pub fn vote(
         &mut self,
         now: Micros,
@@ -307,20 +310,21 @@
         if !self.allowance.take(now) {
             return VoteOutcome::RateLimited;
         }
-        if !self.fits(build, stage, vote) {
+        if !self.is_applicable(build, stage, vote) {
             return VoteOutcome::Stale;
         }
         let counted = CountedVote {
             build,
             stage,
             vote,
-            expires: now + VOTE_LIFE,
+            expires: now + VOTE_LIFETIME,
         };
         self.votes.insert(from, counted);
         VoteOutcome::Counted
     }
 
-    fn fits(&self, build: u16, stage: u8, vote: ControllerVote) -> bool {
+    /// Returns whether a vote applies to the current state of the rollout.
+    fn is_applicable(&self, build: u16, stage: u8, vote: ControllerVote) -> bool {
         match vote {
             ControllerVote::Hold => false,
             ControllerVote::None => true,
@@ -341,8 +345,8 @@
         in_place && self.state.build > 1
     }
 
-    /// Votes that count now: to roll back in any stage, others in this one.
-    fn count(&self, now: Micros, vote: ControllerVote) -> usize {
+    /// Returns how many unexpired votes there are: votes to roll back from any stage, others from the current stage.
+    fn count_votes(&self, now: Micros, vote: ControllerVote) -> usize {
         let counts = |counted: &&CountedVote| {
             counted.build == self.state.build
                 && counted.vote == vote
@@ -352,7 +356,7 @@
         self.votes.values().filter(counts).count()
     }
 
-    /// How many votes decide, where this part of a majority's routers must vote.
+    /// Returns the number of votes that decide. `share` is the fraction of the routers required by a majority gate.
     fn votes_needed(&self, share: f64) -> usize {
         match self.gate {
             Gate::Single => 1,
@@ -360,11 +364,11 @@
         }
     }
 
-    /// Moves what is due. Not called while the controller is stalled.
+    /// Rolls back, promotes or completes a rollback as due. Not called while the controller is stalled.
     pub fn tick(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
-        let votes_back = self.count(now, ControllerVote::Back);
+        let votes_back = self.count_votes(now, ControllerVote::Back);
         if self.may_roll_back() && votes_back >= self.votes_needed(ROLLBACK_SHARE) {
-            return self.send_back(now, orders);
+            return self.roll_back(now, orders);
         }
         let build = self.state.build;
         match self.state.rollout {
@@ -378,13 +382,13 @@
     }
 
     fn stage_passed(&self, now: Micros) -> bool {
-        let latest = self.launched + SETTLE_LATEST;
-        let started = self.complete.unwrap_or(latest).min(latest);
-        let votes_on = self.count(now, ControllerVote::On);
-        now >= started + self.bake && votes_on >= self.votes_needed(PROMOTE_SHARE)
+        let latest = self.stage_started_at + MAX_SETTLE_DELAY;
+        let bake_start = self.bake_start.unwrap_or(latest).min(latest);
+        let votes_on = self.count_votes(now, ControllerVote::On);
+        now >= bake_start + self.bake && votes_on >= self.votes_needed(PROMOTE_SHARE)
     }
 
-    /// To the next stage, or released after the last one.
+    /// Moves to the next stage, or releases the build after the last one.
     fn promote(&mut self, now: Micros, orders: &mut Vec<FleetOrder>) {
         let next = self.state.stage + 1;
         self.state.since = now;
@@ -394,7 +398,7 @@
         } else {
             self.state.stage = next;
             self.state.cap = self.caps[usize::from(next)];
-            self.launch(now, orders);
+            self.start_stage(now, orders);
         }
     }
 }
--- a/crates/spokeflow-scenario/src/router_picker.rs
+++ b/crates/spokeflow-scenario/src/router_picker.rs
@@ -1,4 +1,5 @@
-//! The load balancer of each site: it spreads commands over its routers and notices late that one is down.
+//! A model of the load balancer of each site, which spreads commands over the routers of the site and detects with a
+//! delay that a router is down.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,37 +7,37 @@
 use crate::scenario::Scenario;
 use crate::{Micros, MS};
 
-/// Tells these draws from others with the run's seed.
+/// Combined with the seed, so that the draws differ from other draws of the run.
 const PICKER_SEED: u64 = 0xf407;
-/// A site notices that a router is down after this at the soonest,
-const NOTICE_LEAST: Micros = 1500 * MS;
-/// and before this.
-const NOTICE_MOST: Micros = 3600 * MS;
+/// Minimum time until a site detects that a router is down.
+const MIN_DETECTION_DELAY: Micros = 1500 * MS;
+/// Upper bound of the time until a site detects that a router is down.
+const MAX_DETECTION_DELAY: Micros = 3600 * MS;
 
 /// Picks the router for each attempt.
 pub struct RouterPicker {
     routers: usize,
     sites: usize,
-    /// By site, how long it goes on sending to a router that is down.
-    notice: Vec<Micros>,
+    /// By site, the time until it detects that a router is down.
+    detection_delays: Vec<Micros>,
 }
 
 impl RouterPicker {
-    /// Draws how late each site notices.
-    pub fn new(day: &Scenario) -> RouterPicker {
-        let mut rng = StdRng::seed_from_u64(day.seed ^ PICKER_SEED);
-        let notice = (0..day.sites)
-            .map(|_| rng.random_range(NOTICE_LEAST..NOTICE_MOST))
+    /// Creates the picker and draws the detection delay of each site.
+    pub fn new(scenario: &Scenario) -> RouterPicker {
+        let mut rng = StdRng::seed_from_u64(scenario.seed ^ PICKER_SEED);
+        let detection_delays = (0..scenario.sites)
+            .map(|_| rng.random_range(MIN_DETECTION_DELAY..MAX_DETECTION_DELAY))
             .collect();
         RouterPicker {
-            routers: day.routers as usize,
-            sites: usize::from(day.sites),
-            notice,
+            routers: scenario.routers as usize,
+            sites: usize::from(scenario.sites),
+            detection_delays,
         }
     }
 
-    /// The router for attempt `n` (from 0) at a command whose first is drawn by `drawn`: a first attempt goes to one
-    /// of the site's own, a retry to the next one.
+    /// Returns the router for attempt `n` (from 0) at a command. The random number `drawn` selects a router of the site
+    /// for the first attempt; retries go to the routers after it. Routers known to be down are skipped.
     pub fn router_for(
         &self,
         site: u16,
@@ -46,15 +47,17 @@
         down_since: impl Fn(usize) -> Option<Micros>,
     ) -> usize {
         let site = usize::from(site);
-        let own = site % self.routers;
-        // Routers of a site are those whose number leaves the site's when divided by the number of sites.
-        let of_site = (self.routers - own).div_ceil(self.sites).max(1);
-        let own = own + self.sites * (drawn % of_site as u64) as usize;
-        let open = |r: &usize| down_since(*r).is_none_or(|at| now - at < self.notice[site]);
-        let turn = |k: usize| (own + k) % self.routers;
+        let first_of_site = site % self.routers;
+        // The routers of a site are those whose number modulo the number of sites is the number of the site.
+        let site_routers = (self.routers - first_of_site).div_ceil(self.sites).max(1);
+        let preferred = first_of_site + self.sites * (drawn % site_routers as u64) as usize;
+        let seems_up = |router: &usize| {
+            down_since(*router).is_none_or(|at| now - at < self.detection_delays[site])
+        };
+        let router_at = |offset: usize| (preferred + offset) % self.routers;
         (0..self.routers)
-            .map(|k| turn(k + n as usize))
-            .find(open)
-            .unwrap_or(own % self.routers)
+            .map(|offset| router_at(offset + n as usize))
+            .find(seems_up)
+            .unwrap_or(preferred % self.routers)
     }
 }
--- a/crates/spokeflow-scenario/src/scenario/build.rs
+++ b/crates/spokeflow-scenario/src/scenario/build.rs
@@ -1,4 +1,4 @@
-//! Builds, their defects, and both as text.
+//! Builds and their defects, and their text form in flags and reports.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,43 +8,44 @@
 use super::setting::Setting;
 use crate::{Micros, SECOND};
 
-/// What is wrong with a build.
+/// The defect of a build. Fractions are 0 to 1. The variants appear by name in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum BuildDefect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// Fails this part of all commands.
+    /// Fails this fraction of all commands.
     Errors(f64),
-    /// Fails this part of one op type.
+    /// Fails this fraction of the commands of the last operation.
     OneOp(f64),
-    /// Needs so many times the work.
+    /// Multiplies the work of every command by this factor.
     Slow(f64),
-    /// Slow and failing only where commands wait.
+    /// Is slow and fails this fraction of commands while other commands are queued on the host.
     UnderLoad(f64),
-    /// Turns slow and fails some seconds after its host has started.
+    /// Becomes slow and fails this fraction of commands some seconds after its host has started.
     Late(f64),
-    /// Slows all hosts in step with its traffic.
+    /// Slows all hosts down, the more of them run the build the more; the size is the slowdown factor.
     Shared(f64),
-    /// Gives wrong answers to this part.
+    /// Answers this fraction of commands wrong.
     Wrong(f64),
 }
 
-/// A build of the service that hosts run.
+/// A build of the service.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Build {
-    /// Its number; later builds have higher ones.
+    /// Number of the build; later builds have higher numbers.
     pub number: u16,
-    /// When it is offered to the release controller.
+    /// Time at which the build is offered to the release controller.
     pub offered: Micros,
-    /// What is wrong with it.
+    /// Defect of the build.
     #[serde(rename = "flaw")]
     pub defect: BuildDefect,
-    /// Its speed, 1 for that of the first build.
+    /// Speed relative to the first build, which has 1.
     pub speed: f64,
 }
 
 impl BuildDefect {
-    fn named(self) -> (&'static str, f64) {
+    /// Returns the name in flags and the size, which is 0 for no defect.
+    fn name_and_size(self) -> (&'static str, f64) {
         match self {
             BuildDefect::None => ("none", 0.0),
             BuildDefect::Errors(n) => ("errors", n),
@@ -57,7 +58,8 @@
         }
     }
 
-    fn of(name: &str, size: f64) -> Option<BuildDefect> {
+    /// Returns the defect with this name in flags; `None` for an unknown name.
+    fn from_name(name: &str, size: f64) -> Option<BuildDefect> {
         Some(match name {
             "none" => BuildDefect::None,
             "errors" => BuildDefect::Errors(size),
@@ -72,18 +74,18 @@
     }
 }
 
-/// What a defect may be called, for error messages.
+/// The accepted names of defects, for error messages.
 const DEFECT_NAMES: &str = "none, errors, one-op, slow, under-load, late, shared, wrong";
-/// The number of the build that is there from the start.
+/// The number of the build that all hosts run from the start.
 const FIRST_BUILD: u16 = 1;
 
 impl fmt::Display for Build {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (defect, size) = self.defect.named();
-        let at = self.offered as f64 / SECOND as f64;
+        let (defect, size) = self.defect.name_and_size();
+        let offered_seconds = self.offered as f64 / SECOND as f64;
         write!(
             f,
-            "{}:at={at}s:flaw={defect}:size={size}:speed={}",
+            "{}:at={offered_seconds}s:flaw={defect}:size={size}:speed={}",
             self.number, self.speed
         )
     }
@@ -92,31 +94,35 @@
 impl FromStr for Build {
     type Err = String;
 
-    /// `NUMBER:at=TIME[:flaw=NAME[:size=NUMBER]][:speed=NUMBER]`
+    /// Parses `NUMBER:at=TIME[:flaw=NAME[:size=NUMBER]][:speed=NUMBER]`.
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.trim().split(':');
         let number = parse_number(words.next().unwrap_or_default())?;
         let mut offered = None;
-        let mut defect = "none";
+        let mut defect_name = "none";
         let mut size = 0.0;
         let mut speed = 1.0;
         for word in words {
             let setting = Setting::parse(word)?;
             match setting.name {
                 "at" => offered = Some(setting.time()?),
-                "flaw" => defect = setting.value,
+                "flaw" => defect_name = setting.value,
                 "size" => size = setting.number()?,
                 "speed" => speed = setting.number()?,
-                name => return Err(format!("'{name}' is not at, flaw, size or speed")),
+                name => {
+                    return Err(format!(
+                        "build '{text}': '{name}' is not at, flaw, size or speed"
+                    ))
+                }
             }
         }
-        let flaw = BuildDefect::of(defect, size)
-            .ok_or_else(|| format!("flaw '{defect}' is not one of {DEFECT_NAMES}"))?;
-        let offered = offered.ok_or_else(|| format!("'{text}': at= is missing"))?;
+        let defect = BuildDefect::from_name(defect_name, size)
+            .ok_or_else(|| format!("flaw '{defect_name}' is not one of {DEFECT_NAMES}"))?;
+        let offered = offered.ok_or_else(|| format!("build '{text}': at= is missing"))?;
         Ok(Build {
             number,
             offered,
-            defect: flaw,
+            defect,
             speed,
         })
     }
@@ -125,10 +131,10 @@
 fn parse_number(text: &str) -> Result<u16, String> {
     let number: u16 = text
         .parse()
-        .map_err(|_| format!("'{text}' is no number of a build"))?;
+        .map_err(|_| format!("'{text}' is not a build number"))?;
     if number <= FIRST_BUILD {
         return Err(format!(
-            "build {number}: build 1 stands from the start, others are from 2"
+            "build {number}: build 1 runs from the start, further builds are numbered from 2"
         ));
     }
     Ok(number)
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -1,5 +1,5 @@
-//! The built-in scenarios. All chance in them comes from the seed, and the order of the draws is part of what a
-//! seed means: it must not change.
+//! The built-in scenarios. All random draws come from the seed. The order of the draws must not change, since it
+//! determines the scenario that a seed stands for.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,16 +9,16 @@
 };
 use crate::{Micros, MS, SECOND};
 
-/// Tells the draws of [`Scenario::drawn`] from those of the other scenarios with the same seed.
+/// Combined with the seed in [`Scenario::drawn`], so that its draws differ from those of the other scenarios.
 const DRAWN_SEED: u64 = 0xd4a3;
-/// Kinds at the end of [`FaultKind::ALL`] that stand for a whole scenario and are not drawn as faults.
+/// Number of kinds at the end of [`FaultKind::ALL`] that stand for a whole scenario and are not drawn as faults.
 const SCENARIO_KINDS: usize = 3;
 const CANCEL_POLICIES: [CancelPolicy; 3] = [
     CancelPolicy::Stops,
     CancelPolicy::Waiting,
     CancelPolicy::Ignored,
 ];
-/// Kinds of faults that [`Scenario::bad_day`] takes one each of.
+/// Families of fault kinds; [`Scenario::bad_day`] draws one kind from each.
 const FAULT_FAMILIES: [&[FaultKind]; 5] = [
     &[
         FaultKind::Kill,
@@ -44,7 +44,7 @@
     ],
     &[
         FaultKind::Shift,
-        FaultKind::Worthless,
+        FaultKind::TenantOverload,
         FaultKind::GiveUp,
         FaultKind::RetryStorm,
         FaultKind::SlowOp,
@@ -54,7 +54,7 @@
 ];
 
 impl Scenario {
-    /// A run like those at the first operators' relays, without faults.
+    /// Returns a scenario without faults, similar to the services of the first operators.
     pub fn plain(seed: u64, length: Micros) -> Scenario {
         Scenario {
             name: "plain".into(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Several faults, some at once, and two builds of which one may be bad.
+    /// Returns a scenario with one fault of each family, which may overlap, and two builds of which one has a defect.
     pub fn bad_day(seed: u64, length: Micros) -> Scenario {
         let mut scenario = Scenario {
             name: "bad-day".into(),
@@ -125,7 +125,7 @@
             defect: draw_defect_if(!second_is_bad, &mut rng),
             speed: 1.0,
         });
-        // One of each family, in any order, at times that let them overlap.
+        // The faults may come in any order and overlap.
         for family in FAULT_FAMILIES {
             let kind = family[rng.random_range(0..family.len())];
             let at = rng.random_range(length / 10..length * 3 / 4);
@@ -136,7 +136,8 @@
         scenario
     }
 
-    /// One kind of fault only, during the canary of a good build; with `BadBuild`, a bad one and no fault.
+    /// Returns a scenario with a single fault during the canary of a good build; for `BadBuild`, with a build that has
+    /// a defect and no fault.
     pub fn only(kind: FaultKind, seed: u64, length: Micros) -> Scenario {
         let mut scenario = Scenario {
             name: format!("only {}", kind.name()),
@@ -151,7 +152,7 @@
         let window = match kind {
             FaultKind::BadBuild | FaultKind::None => return scenario,
             FaultKind::TakeBack => {
-                // Each stage takes some five seconds: by then the last one has begun.
+                // A stage takes about 5 s, so that build 2 is in its last stage when build 3 is offered.
                 let next = good_build(3, offered + 24 * SECOND);
                 scenario.builds.push(next);
                 return scenario;
@@ -165,8 +166,8 @@
         scenario
     }
 
-    /// Any troubles, up to five, of any size and at any time, several at once; hosts with caches, neighbours and
-    /// queues that thrash, and clients that burst, each on some days.
+    /// Returns a scenario with up to five faults of any kind, severity and time. Some seeds also draw hosts with
+    /// caches, neighbours or a slowdown by long queues, and bursts of the clients.
     pub fn drawn(seed: u64, length: Micros) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed ^ DRAWN_SEED);
         let mut scenario = Scenario {
@@ -204,7 +205,7 @@
         for _ in 0..rng.random_range(0..6) {
             scenario.faults.push(draw_fault(&mut rng, length));
         }
-        scenario.faults.sort_by_key(|t| t.at);
+        scenario.faults.sort_by_key(|fault| fault.at);
         scenario
     }
 }
@@ -255,7 +256,7 @@
     ]
 }
 
-/// A build without defects, at the speed of the first.
+/// Returns a build without a defect, with the speed of the first build.
 fn good_build(number: u16, offered: Micros) -> Build {
     Build {
         number,
@@ -273,7 +274,7 @@
     }
 }
 
-/// Any fault, at any time and from a third to less than twice its common size.
+/// Draws a fault of any kind at any time, with 0.3 to 1.7 times the typical values of its kind.
 fn draw_fault(rng: &mut StdRng, length: Micros) -> Fault {
     let kind = FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len() - SCENARIO_KINDS)];
     let typical = Fault::typical(kind);
--- a/crates/spokeflow-scenario/src/scenario/fault.rs
+++ b/crates/spokeflow-scenario/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Scheduled faults, and their form as text.
+//! Scheduled faults, and their text form in flags and reports.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,67 +8,70 @@
 use super::setting::Setting;
 use crate::{Micros, SECOND};
 
-/// What happens to hosts, routers, links, list, release controller or clients.
+/// The kind of a fault of hosts, routers, links, endpoint list, release controller or clients. Names in flags and
+/// reports are the serialized ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Hosts die and are started again.
+    /// Hosts are killed and restarted.
     Kill,
-    /// All hosts die, and one is back long before the others.
+    /// All hosts are killed, and one is back long before the others.
     LoneHost,
-    /// Hosts take commands and say nothing.
+    /// Hosts accept commands and do not answer.
     Hang,
     /// Hosts are slower.
     Slow,
     /// Hosts fail commands at once.
     FastErrors,
-    /// A site is cut off from hosts, list and release controller.
+    /// A site is cut off from the hosts of other sites, the endpoint list and the release controller.
     Cut,
-    /// The site of list and release controller is cut off from the others.
+    /// The site of the endpoint list and the release controller is cut off from the other sites.
     CutList,
-    /// A site's routers and hosts are cut off from those of the others.
+    /// The routers and hosts of a site are cut off from those of the other sites.
     CutHosts,
-    /// Messages from and to one site take longer.
+    /// Messages to and from one site take longer.
     SlowLink,
-    /// Packets are lost and sent again.
+    /// Packets are lost and retransmitted.
     LossyLinks,
-    /// Connections take longer to make.
+    /// Connections take longer to establish.
     SlowConnects,
-    /// The release controller does nothing.
+    /// The release controller is stalled.
     #[serde(rename = "stalled-desk")]
     StalledController,
-    /// The release controller's news come late.
+    /// Updates of the release controller arrive late.
     #[serde(rename = "late-desk")]
     LateController,
     /// The release controller refuses connections.
     #[serde(rename = "refusing-desk")]
     RefusingController,
-    /// The host list learns late.
+    /// Changes reach the endpoint list late.
     LateList,
-    /// The host list closes its connections.
+    /// The endpoint list closes its connections.
     ListBreaks,
     /// Traffic moves to one site.
     Shift,
     /// One tenant sends far beyond its quota.
-    Worthless,
-    /// Clients leave early.
+    #[serde(rename = "worthless")]
+    TenantOverload,
+    /// Clients abandon commands before their timeout.
     GiveUp,
-    /// Clients come back at once and more often.
+    /// Clients retry without backoff and more often.
     #[serde(rename = "repeat-storm")]
     RetryStorm,
     /// One operation needs more work.
     SlowOp,
-    /// A part of the traffic is about one key, another one each second.
+    /// A fraction of the traffic has the same key, which changes every second.
     HotKey,
-    /// Routers die and are started again.
+    /// Routers are killed and restarted.
     RouterKill,
-    /// Routers are replaced one after the other.
+    /// Routers are replaced one after another.
     RouterRoll,
-    /// A build with a flaw, drawn by the seed.
+    /// No fault, but a build with a defect drawn from the seed.
     BadBuild,
-    /// A good build is taken off in its last stage, when nearly all earlier hosts have gone.
+    /// No fault, but a good build is rolled back in its last stage, when nearly all hosts of the earlier build are
+    /// gone.
     TakeBack,
-    /// All in order, with a good build.
+    /// No fault and a good build.
     None,
 }
 
@@ -92,7 +95,7 @@
         FaultKind::LateList,
         FaultKind::ListBreaks,
         FaultKind::Shift,
-        FaultKind::Worthless,
+        FaultKind::TenantOverload,
         FaultKind::GiveUp,
         FaultKind::RetryStorm,
         FaultKind::SlowOp,
@@ -104,14 +107,14 @@
         FaultKind::None,
     ];
 
-    /// As in flags and reports, in kebab case.
+    /// Returns the name in flags and reports, in kebab case.
     pub fn name(self) -> String {
         let name = serde_json::to_value(self).ok();
         name.and_then(|v| v.as_str().map(str::to_string))
             .unwrap_or_default()
     }
 
-    /// Whether connections are made more slowly under it than on a calm day.
+    /// Returns whether connections take longer to establish while a fault of this kind is active.
     pub fn slows_connects(self) -> bool {
         matches!(
             self,
@@ -128,22 +131,22 @@
         FaultKind::ALL
             .into_iter()
             .find(|k| k.name() == text)
-            .ok_or_else(|| format!("not one of {}", names()))
+            .ok_or_else(|| format!("fault kind '{text}' is not one of {}", names()))
     }
 }
 
 /// A scheduled fault.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Start of the fault.
     pub at: Micros,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Micros,
-    /// Part of the hosts or routers that it strikes.
+    /// Fraction of the hosts or routers affected, 0 to 1.
     pub part: f64,
-    /// How hard: a factor, a share or seconds, by kind.
+    /// Severity: a factor, a fraction or a time in seconds, depending on the kind.
     pub size: f64,
 }
 
@@ -165,7 +168,8 @@
 impl FromStr for Fault {
     type Err = String;
 
-    /// `KIND:at=TIME[:lasts=TIME][:part=NUMBER][:size=NUMBER]`, what is left out as in the built-in scenario.
+    /// Parses `KIND:at=TIME[:lasts=TIME][:part=NUMBER][:size=NUMBER]`. Values that are left out are the typical
+    /// ones of the kind.
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.trim().split(':');
         let kind: FaultKind = words.next().unwrap_or_default().parse()?;
@@ -178,18 +182,23 @@
                 "lasts" => fault.lasts = setting.time()?,
                 "part" => fault.part = setting.number()?,
                 "size" => fault.size = setting.number()?,
-                name => return Err(format!("'{name}' is not at, lasts, part or size")),
+                name => {
+                    return Err(format!(
+                        "fault '{text}': '{name}' is not at, lasts, part or size"
+                    ))
+                }
             }
         }
-        let at = at.ok_or_else(|| format!("'{text}': at= is missing"))?;
+        let at = at.ok_or_else(|| format!("fault '{text}': at= is missing"))?;
         Ok(Fault { at, ..fault })
     }
 }
 
 impl Fault {
-    /// A kind of fault as it commonly comes, at the start; lengths from the operators' record of incidents.
+    /// Returns a fault of this kind with its typical values, starting at 0. The durations are those of incidents that
+    /// operators recorded.
     pub(super) fn typical(kind: FaultKind) -> Fault {
-        let (lasts, part, size) = typical_measures(kind);
+        let (lasts, part, size) = typical_values(kind);
         Fault {
             kind,
             at: 0,
@@ -200,8 +209,8 @@
     }
 }
 
-/// Seconds that a kind of fault commonly lasts, the part it strikes, and its size.
-fn typical_measures(kind: FaultKind) -> (f64, f64, f64) {
+/// Returns the typical duration in seconds, fraction affected and severity of a kind of fault.
+fn typical_values(kind: FaultKind) -> (f64, f64, f64) {
     match kind {
         FaultKind::Kill => (8.0, 0.2, 0.0),
         FaultKind::LoneHost => (5.0, 1.0, 0.3),
@@ -216,7 +225,7 @@
         FaultKind::LateController | FaultKind::LateList => (12.0, 0.0, 4.0),
         FaultKind::ListBreaks => (8.0, 0.0, 0.0),
         FaultKind::Shift => (10.0, 0.0, 0.8),
-        FaultKind::Worthless => (10.0, 0.0, 2.0),
+        FaultKind::TenantOverload => (10.0, 0.0, 2.0),
         FaultKind::GiveUp => (10.0, 0.0, 0.25),
         FaultKind::RetryStorm => (8.0, 0.0, 4.0),
         FaultKind::SlowOp => (10.0, 0.0, 4.0),
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! What a run is made of: sizes, traffic, builds and faults. Plain data, drawn from one seed; nothing in it
-//! says whether it runs on sockets or in simulated time.
+//! Scenarios: the sizes, traffic, builds and faults of a run. A scenario is plain data drawn from one seed and can
+//! be run on sockets or in simulated time.
 
 mod build;
 mod built_in;
@@ -18,45 +18,45 @@
 /// Whether a command that may have run may be delivered again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Repeat {
-    /// A repeat does no harm.
+    /// A repeat has no additional effect.
     Redeliverable,
-    /// All hosts drop a repeat within this time.
+    /// Every host drops a repeat that arrives within this time.
     Deduplicated(Micros),
-    /// A repeat would have its effect again.
+    /// A repeat would take effect again.
     AtMostOnce,
 }
 
-/// An operation that clients ask for.
+/// An operation that clients request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Op {
-    /// Its name on the wire and in reports.
+    /// Name in settings and reports.
     pub name: &'static str,
-    /// Weight among all operations.
+    /// Relative share of the commands.
     pub share: f64,
-    /// Mean work on a host that is warm and well.
+    /// Mean work of a command on a host that is warm and has no fault.
     pub work: Micros,
-    /// The latency objective.
+    /// Latency objective.
     pub target: Micros,
-    /// How long its client waits in all, retries included.
+    /// Total time that a client waits, including retries.
     pub timeout: Micros,
     /// Priority weight.
     pub importance: f64,
-    /// How it may be repeated.
+    /// Whether a command may be repeated.
     pub repeat: Repeat,
 }
 
 /// A tenant of the service.
 #[derive(Clone, Debug, Serialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: &'static str,
-    /// Commands a second that it is allowed, all routers together.
+    /// Quota over all routers, in commands a second.
     pub allowed: f64,
-    /// What it sends, as a part of that.
+    /// Traffic of the tenant as a fraction of its quota.
     pub usage: f64,
 }
 
-/// Whose votes move a rollout.
+/// The number of votes that move a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Gate {
     /// One router's vote is enough.
@@ -65,121 +65,121 @@
     Majority,
 }
 
-/// All that is fixed about a run before it starts.
+/// Everything about a run that is fixed before it starts.
 #[derive(Clone, Debug, Serialize)]
 pub struct Scenario {
-    /// For reports.
+    /// Name in reports.
     pub name: String,
-    /// What all chance of the run comes from.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// How long commands are sent.
+    /// Time during which commands are sent.
     pub length: Micros,
-    /// Sites that routers, hosts and clients are spread over.
+    /// Number of sites (zones) that routers, hosts and clients are spread over.
     pub sites: u16,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: u32,
-    /// Routers.
+    /// Number of routers.
     pub routers: u32,
-    /// Cores of each host.
+    /// Number of cores of each host.
     pub cores: u32,
-    /// Commands a second.
+    /// Mean rate of commands, in commands a second.
     pub rate: f64,
     /// The operations, by index.
     pub ops: Vec<Op>,
     /// The tenants, by index.
     #[serde(rename = "customers")]
     pub tenants: Vec<Tenant>,
-    /// Distinct sticky keys.
+    /// Number of distinct sticky keys.
     pub keys: u64,
-    /// Builds in the order of their offers; the first is there from the start.
+    /// Builds in the order in which they are offered; all hosts run the first from the start.
     pub builds: Vec<Build>,
     /// By stage, the fraction of hosts that run the new build.
     #[serde(rename = "stage_shares")]
     pub stage_fractions: Vec<f64>,
-    /// How much more than its fraction of hosts a stage's exposure cap allows, a factor.
+    /// Exposure cap of a stage divided by the stage's fraction of hosts.
     pub slack: f64,
-    /// Whose votes move a rollout.
+    /// Number of votes that move a rollout.
     pub gate: Gate,
-    /// How long a stage lasts at least.
+    /// Minimum duration of a stage.
     pub bake: Micros,
-    /// Deliveries in each window that the exposure cap does not count.
+    /// Deliveries in each window that are allowed beyond the exposure cap.
     pub exposure_free: f64,
-    /// The window over which exposure is counted.
+    /// Window over which exposure is counted.
     pub exposure_span: Micros,
-    /// Whether a key stays with the newest build that has answered it.
+    /// Whether a key must not go to a build earlier than the newest one that has answered it.
     pub forward_only: bool,
-    /// How long after it learned of a drain a router may still send to the host.
+    /// Time after a router has learned of a drain during which it may still send to the host.
     pub drain_grace: Micros,
-    /// How long a drained host goes on with what it has.
+    /// Time that a draining host has to finish its commands.
     pub drain: Micros,
-    /// How long a host takes to start, the least and the most.
+    /// Minimum and maximum time that a host takes to start.
     pub boot: [Micros; 2],
-    /// Fraction of its capacity that a host has when it starts.
+    /// Fraction of its full capacity that a host has when it starts.
     pub cold_from: f64,
-    /// How long a host takes to reach all of its capacity.
+    /// Time that a host takes to reach its full capacity.
     pub warm_within: Micros,
-    /// A cold host falls when sent more than so many times its capacity,
+    /// A cold host crashes when it is sent more than this multiple of its capacity over `overload_window`.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// over this time.
+    /// Time over which the work sent to a cold host is counted.
     #[serde(rename = "fall_span")]
     pub overload_window: Micros,
-    /// Retries of a client, at most.
+    /// Maximum number of retries of a client.
     pub retries: u32,
-    /// A try is given up after this part of the command timeout, at random in between.
+    /// Minimum and maximum timeout of an attempt, as a fraction of the command timeout.
     pub try_part: [f64; 2],
-    /// How late the host list learns of a change, the least and the most.
+    /// Minimum and maximum delay until a change reaches the endpoint list.
     pub list_late: [Micros; 2],
-    /// How late a router is told of the rollout, the least and the most.
+    /// Minimum and maximum delay of a rollout update to a router.
     #[serde(rename = "news_late")]
     pub rollout_delay: [Micros; 2],
-    /// How often the release controller repeats its state.
+    /// Interval at which the release controller repeats the rollout state.
     #[serde(rename = "news_every")]
     pub rollout_interval: Micros,
-    /// Part of the wrong answers that clients report.
+    /// Fraction of the wrong answers that clients report.
     pub reported: f64,
-    /// Routers tell each other what they see.
+    /// Whether routers exchange their observations.
     #[serde(rename = "tells")]
     pub may_gossip: bool,
-    /// How uneven keys are asked for, the exponent of Zipf's law.
+    /// Skew of the keys: exponent of a Zipf distribution.
     pub key_skew: f64,
-    /// The wave of the traffic: how much of the rate, and how long.
+    /// Amplitude of the periodic change of the rate, as a fraction of the rate.
     pub wave: f64,
-    /// The period of the wave.
+    /// Period of the change of the rate.
     pub wave_span: Micros,
-    /// Bursts of a second, now and then: how much more of the rate.
+    /// Additional rate during occasional bursts of one second, as a fraction of the rate; 0 for no bursts.
     pub burst: f64,
-    /// Keys whose data a host keeps at hand; 0: all. Others cost so many times the work.
+    /// Number of keys whose data a host caches; 0 for all.
     pub cache_keys: u32,
-    /// The factor on the work of a key that is not cached.
+    /// Factor on the work of a command whose key is not cached.
     pub miss_cost: f64,
-    /// With more than two waiting for each core, each further one slows all by this part.
+    /// Relative slowdown of a host for each waiting command beyond two per core.
     pub thrash: f64,
-    /// What hosts do with a cancelled command.
+    /// How hosts handle a cancelled command.
     pub cancel: CancelPolicy,
-    /// Hosts that share a machine, and how much a busy neighbour slows a host.
+    /// Number of hosts that share a machine; 0 for none.
     pub neighbours: u32,
-    /// Part of its speed that a host loses to busy neighbours.
+    /// Fraction of its speed that a host loses to busy hosts on the same machine.
     pub steal: f64,
     /// Scheduled faults, in the order of their times.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// What a host does with a cancelled command.
+/// How a host handles a cancelled command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CancelPolicy {
-    /// Drops it wherever it is.
+    /// Drops it whether it is waiting or running.
     Stops,
-    /// Drops it where it has not begun.
+    /// Drops it only if it is still waiting.
     Waiting,
-    /// Goes on.
+    /// Ignores the cancellation.
     Ignored,
 }
 
 impl Scenario {
-    /// The exposure cap of a stage, 0 to 1.
+    /// Returns the exposure cap of a stage, 0 to 1.
     pub fn cap(&self, stage: usize) -> f64 {
         (self.stage_fractions[stage] * self.slack).min(1.0)
     }
--- a/crates/spokeflow-scenario/src/scenario/setting.rs
+++ b/crates/spokeflow-scenario/src/scenario/setting.rs
@@ -1,8 +1,8 @@
-//! `NAME=VALUE`, as faults and builds are written in flags.
+//! `NAME=VALUE` parts of faults and builds in flags.
 
 use crate::{Micros, SECOND};
 
-/// One word of a fault or build.
+/// One `NAME=VALUE` part of a fault or build.
 pub(super) struct Setting<'a> {
     word: &'a str,
     pub(super) name: &'a str,
@@ -17,16 +17,17 @@
         Ok(Setting { word, name, value })
     }
 
+    /// Parses the value as a number.
     pub(super) fn number(&self) -> Result<f64, String> {
         self.parse_number(self.value)
     }
 
-    /// A time in seconds with the unit, as in `6.5s`.
+    /// Parses the value as a time in seconds with the unit, as in `6.5s`.
     pub(super) fn time(&self) -> Result<Micros, String> {
         let seconds = self
             .value
             .strip_suffix('s')
-            .ok_or_else(|| format!("'{}': a time ends in s", self.word))?;
+            .ok_or_else(|| format!("'{}': not a time: a time ends in s, as in 6.5s", self.word))?;
         let seconds = self.parse_number(seconds)?;
         Ok((seconds * SECOND as f64).round() as Micros)
     }
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -1,14 +1,14 @@
-//! Fleet sizes and what follows from one.
+//! Fleet sizes, and the settings of a scenario that depend on the size.
 
 use serde::Serialize;
 
 use super::{Gate, Scenario};
 
-/// Sizes that are tried again and again.
+/// Fleet sizes for repeated use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetSize {
-    /// 3 routers, 15 hosts, 46 commands a second: what sockets on one machine play
+    /// 3 routers, 15 hosts, 46 commands a second; fits a run on sockets on one machine
     Small,
     /// 20 routers, 60 hosts, 200 commands a second
     Middle,
@@ -21,7 +21,7 @@
 }
 
 impl Scenario {
-    /// The same scenario at another size: tenants, keys and rate grow in step.
+    /// Returns the scenario at another size, with the tenants' quotas, the keys and the rate scaled in proportion.
     pub fn sized(mut self, size: FleetSize) -> Scenario {
         let (routers, hosts, rate) = match size {
             FleetSize::Small => return self,
@@ -36,7 +36,7 @@
         self
     }
 
-    /// Another rate, in commands a second, with tenants and keys in step.
+    /// Sets the rate, in commands a second, and scales the tenants' quotas and the number of keys in proportion.
     pub fn set_rate(&mut self, rate: f64) {
         let growth = rate / self.rate;
         self.rate = rate;
@@ -46,7 +46,7 @@
         self.keys = ((self.keys as f64 * growth) as u64).max(1);
     }
 
-    /// A fleet in which a share of all routers must vote and routers tell each other what they see.
+    /// Returns the scenario with a majority gate and with gossip between routers.
     pub fn with_majority_gate(mut self) -> Scenario {
         self.gate = Gate::Majority;
         self.may_gossip = true;
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -1,5 +1,5 @@
-//! What clients ask: an open loop with waves and bursts, customers by share, keys by Zipf; and how one client
-//! goes on after a try: timeout, retries, back-off.
+//! Traffic of the clients: an open loop with periodic changes of the rate and bursts, with tenants weighted by their
+//! quotas and keys drawn from a Zipf distribution; and the timeout, retries and backoff of a client.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 use crate::scenario::{Repeat, Scenario};
 use crate::{Micros, MS, SECOND};
 
-/// A command that a client will ask for.
+/// A command that a client is going to send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedCommand {
     /// Index of the operation.
@@ -21,69 +21,83 @@
     pub site: u16,
     /// The sticky key.
     pub key: u64,
-    /// When the client asks first.
+    /// Time of the first attempt.
     pub due: Micros,
-    /// What the client's chance comes from.
+    /// Seed of the client's random draws.
     pub seed: u64,
 }
 
-/// Draws commands one after the other, whatever becomes of those before: an open loop.
+/// The tenant whose traffic grows in a tenant overload.
+const OVERLOADING_TENANT: usize = 1;
+/// Relative growth of the total rate per unit of tenant overload.
+const OVERLOAD_RATE_GROWTH: f64 = 0.2;
+/// Combined with the seed, so that the draws differ from other draws of the run.
+const TRAFFIC_SEED: u64 = 0xc0de;
+
+/// Generates commands as an open loop: one is due whether or not earlier ones were answered.
 pub struct Traffic {
     rng: StdRng,
     keys: Zipf<f64>,
     at: Micros,
     burst_until: Micros,
-    burst_next: Micros,
+    next_burst: Micros,
 }
 
 impl Traffic {
-    /// `start` is when the first command may be due.
-    pub fn new(day: &Scenario, start: Micros) -> Traffic {
-        let rng = StdRng::seed_from_u64(day.seed ^ 0xc0de);
-        let keys = Zipf::new(day.keys.max(1) as f64, day.key_skew)
-            .expect("at least one key, skew not negative");
+    /// Creates the traffic of a scenario. No command is due before `start`.
+    pub fn new(scenario: &Scenario, start: Micros) -> Traffic {
+        let rng = StdRng::seed_from_u64(scenario.seed ^ TRAFFIC_SEED);
+        let keys = Zipf::new(scenario.keys.max(1) as f64, scenario.key_skew)
+            .expect("a scenario has at least one key and no negative key skew");
         Traffic {
             rng,
             keys,
             at: start,
             burst_until: start,
-            burst_next: start,
+            next_burst: start,
         }
     }
 
-    /// The next command, due after the one before it.
-    pub fn next(&mut self, day: &Scenario, faults: &ActiveFaults) -> PlannedCommand {
-        // A gentle wave over the day, as the morning's trucks make it.
-        let wave =
-            1.0 + day.wave * (self.at as f64 / day.wave_span as f64 * std::f64::consts::TAU).sin();
-        let mut rate = day.rate * wave * (1.0 + faults.worthless * 0.2);
-        if day.burst > 0.0 {
-            if self.at >= self.burst_next {
+    /// Draws the next command, which is due after the previous one.
+    pub fn next(&mut self, scenario: &Scenario, faults: &ActiveFaults) -> PlannedCommand {
+        // The rate rises and falls over a run, as real traffic does over a day.
+        let wave = 1.0
+            + scenario.wave
+                * (self.at as f64 / scenario.wave_span as f64 * std::f64::consts::TAU).sin();
+        let mut rate = scenario.rate * wave * (1.0 + faults.tenant_overload * OVERLOAD_RATE_GROWTH);
+        if scenario.burst > 0.0 {
+            if self.at >= self.next_burst {
                 self.burst_until = self.at + SECOND;
-                self.burst_next = self.at + SECOND + self.rng.random_range(4 * SECOND..16 * SECOND);
+                self.next_burst = self.at + SECOND + self.rng.random_range(4 * SECOND..16 * SECOND);
             }
             rate *= if self.at < self.burst_until {
-                1.0 + day.burst
+                1.0 + scenario.burst
             } else {
                 1.0
             };
         }
         let gap = Exp::new(rate).map_or(0.1, |d| d.sample(&mut self.rng));
         self.at += ((gap * SECOND as f64) as Micros).max(1);
-        let op = pick(&mut self.rng, day.ops.iter().map(|op| op.share));
-        let weights = day.tenants.iter().enumerate().map(|(n, c)| {
-            // Worthless traffic is what one customer sends far beyond its share.
-            c.allowed * c.usage * if n == 1 { 1.0 + faults.worthless } else { 1.0 }
+        let op = draw_index(&mut self.rng, scenario.ops.iter().map(|op| op.share));
+        let weights = scenario.tenants.iter().enumerate().map(|(n, tenant)| {
+            // In a tenant overload one tenant sends far beyond its quota.
+            tenant.allowed
+                * tenant.usage
+                * if n == OVERLOADING_TENANT {
+                    1.0 + faults.tenant_overload
+                } else {
+                    1.0
+                }
         });
-        let tenant = pick(&mut self.rng, weights);
-        let shifted = self.rng.random_bool(faults.shift);
-        let site = if shifted {
+        let tenant = draw_index(&mut self.rng, weights);
+        let is_shifted = self.rng.random_bool(faults.shift);
+        let site = if is_shifted {
             0
         } else {
-            self.rng.random_range(0..day.sites)
+            self.rng.random_range(0..scenario.sites)
         };
-        let hot = self.rng.random_bool(faults.hot_key);
-        let key = if hot {
+        let is_hot_key = self.rng.random_bool(faults.hot_key);
+        let key = if is_hot_key {
             1 << 40 | (self.at / SECOND) as u64
         } else {
             self.keys.sample(&mut self.rng) as u64
@@ -99,7 +113,8 @@
     }
 }
 
-fn pick(rng: &mut StdRng, weights: impl Iterator<Item = f64> + Clone) -> usize {
+/// Draws an index with probabilities proportional to the weights.
+fn draw_index(rng: &mut StdRng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let total: f64 = weights.clone().sum();
     let mut at = rng.random_range(0.0..total.max(1e-9));
     let mut last = 0;
@@ -113,30 +128,30 @@
     last
 }
 
-/// How an attempt ended for its client.
+/// The end of an attempt as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Acknowledged.
+    /// The attempt was acked.
     Acked {
         /// The build that answered.
         build: u16,
-        /// The client found the answer wrong.
+        /// Whether the client found the answer wrong.
         wrong: bool,
     },
-    /// Refused, and after how long the client may come back.
+    /// The attempt was nacked, with the time after which the client may retry, if the router gave one.
     Nacked(Option<Micros>),
-    /// The host answered with an error.
+    /// The attempt failed.
     Failed,
-    /// Never written to a router.
+    /// No router could be reached, and nothing was sent.
     Unreachable,
-    /// Written, and the connection broke.
+    /// The connection was lost after the attempt was sent.
     Broken,
-    /// The client went before an answer came.
+    /// The client stopped waiting before an answer arrived.
     GivenUp,
 }
 
 impl AttemptEnd {
-    /// What the command has come to when this attempt is its last, and the build that answered.
+    /// Returns the end of the command if this attempt is its last, and the build that answered, 0 for none.
     pub fn last(self) -> (End, u16) {
         match self {
             AttemptEnd::Acked { build, wrong } => {
@@ -152,88 +167,89 @@
 
 /// One client with one command.
 pub struct Client {
-    /// What it asks for.
+    /// The command that it sends.
     pub command: PlannedCommand,
-    /// Attempts begun.
+    /// Number of attempts begun.
     pub tries: u32,
-    /// The client's chance.
+    /// Random draws of the client.
     pub rng: StdRng,
 }
 
-/// With less time than this left a client makes no further attempt.
-const LEAST_TIMEOUT: Micros = 150 * MS;
-/// A client goes so long after its timeout.
-pub const LEAVES_AFTER: Micros = 20 * MS;
+/// Shortest remaining time with which a client begins an attempt.
+const MIN_TIMEOUT: Micros = 150 * MS;
+/// Time after its timeout for which a client still waits.
+pub const ABANDON_GRACE: Micros = 20 * MS;
 
 impl Client {
-    /// A client before its first attempt.
-    pub fn new(wanted: PlannedCommand) -> Client {
+    /// Creates a client that has made no attempt.
+    pub fn new(command: PlannedCommand) -> Client {
         Client {
-            command: wanted,
+            command,
             tries: 0,
-            rng: StdRng::seed_from_u64(wanted.seed),
+            rng: StdRng::seed_from_u64(command.seed),
         }
     }
 
-    /// Begins an attempt: how long the client says that it waits, and how long it does. `None`: no time is left.
+    /// Begins an attempt. Returns the timeout that the client sends and the time that it actually waits, or `None` if
+    /// too little time is left.
     pub fn begin_attempt(
         &mut self,
-        day: &Scenario,
+        scenario: &Scenario,
         faults: &ActiveFaults,
         now: Micros,
     ) -> Option<(Micros, Micros)> {
-        let op = &day.ops[self.command.op];
+        let op = &scenario.ops[self.command.op];
         self.tries += 1;
-        let [least, most] = day.try_part;
+        let [least, most] = scenario.try_part;
         let left = self.command.due + op.timeout - now;
         let timeout =
             ((op.timeout as f64 * self.rng.random_range(least..=most)) as Micros).min(left);
-        if timeout < LEAST_TIMEOUT {
+        if timeout < MIN_TIMEOUT {
             return None;
         }
-        let hasty = faults.give_up > 0.0 && self.rng.random_bool(0.5);
-        let waits = if hasty {
+        let abandons_early = faults.give_up > 0.0 && self.rng.random_bool(0.5);
+        let waits = if abandons_early {
             (timeout as f64 * faults.give_up) as Micros
         } else {
-            timeout + LEAVES_AFTER
+            timeout + ABANDON_GRACE
         };
         Some((timeout, waits))
     }
 
-    /// After how long the client tries again; `None`: this end is the last.
+    /// Returns the delay before the next attempt, or `None` if the command ends with this one.
     pub fn retry_delay(
         &mut self,
-        day: &Scenario,
+        scenario: &Scenario,
         faults: &ActiveFaults,
         now: Micros,
         end: AttemptEnd,
     ) -> Option<Micros> {
-        let (again, pause) = match end {
+        let (is_retryable, requested_delay) = match end {
             AttemptEnd::Acked { .. } => return None,
-            AttemptEnd::Nacked(come_back) => (true, come_back.unwrap_or(0)),
+            AttemptEnd::Nacked(retry_after) => (true, retry_after.unwrap_or(0)),
             AttemptEnd::Unreachable => (true, 0),
             AttemptEnd::Failed | AttemptEnd::Broken | AttemptEnd::GivenUp => (false, 0),
         };
-        let op = &day.ops[self.command.op];
-        let harmless = match op.repeat {
+        let op = &scenario.ops[self.command.op];
+        let is_repeat_harmless = match op.repeat {
             Repeat::Redeliverable => true,
             Repeat::Deduplicated(memory) => now - self.command.due + op.timeout / 2 < memory,
             Repeat::AtMostOnce => false,
         };
-        // In a storm clients come back at once and more often.
-        let retries = day.retries + faults.repeats as u32;
-        if !(again || harmless) || self.tries > retries {
+        // In a retry storm clients retry almost at once and more often.
+        let retries = scenario.retries + faults.extra_retries as u32;
+        if !(is_retryable || is_repeat_harmless) || self.tries > retries {
             return None;
         }
-        let backoff = if faults.repeats > 0.0 {
+        let backoff = if faults.extra_retries > 0.0 {
             MS
         } else {
             self.rng.random_range(60 * MS..480 * MS)
         };
-        Some(if faults.repeats > 0.0 {
+        Some(if faults.extra_retries > 0.0 {
             backoff
         } else {
-            pause.max(backoff)
+            requested_delay.max(backoff)
         })
     }
 }
--- a/crates/spokeflow-scenario/tests/scenario.rs
+++ b/crates/spokeflow-scenario/tests/scenario.rs
@@ -1,25 +1,25 @@
-//! Built-in scenarios follow from their seeds; faults and builds survive their own text.
+//! Built-in scenarios are determined by their seeds; faults and builds are parsed from their own text form.
 
 use spokeflow_scenario::scenario::{Build, BuildDefect, Fault, FaultKind, Scenario};
 use spokeflow_scenario::SECOND;
 
 #[test]
-fn equal_seeds_draw_equal_days_and_others_others() {
-    let day = |seed| serde_json::to_string(&Scenario::bad_day(seed, 60 * SECOND)).unwrap();
-    assert_eq!(day(3), day(3));
-    assert_ne!(day(3), day(4));
+fn equal_seeds_draw_equal_scenarios_and_other_seeds_draw_others() {
+    let drawn = |seed| serde_json::to_string(&Scenario::bad_day(seed, 60 * SECOND)).unwrap();
+    assert_eq!(drawn(3), drawn(3));
+    assert_ne!(drawn(3), drawn(4));
 }
 
 #[test]
-fn a_trouble_survives_its_own_text_and_faults_are_named() {
-    let trouble: Fault = "cut:at=5s:lasts=6.5s".parse().unwrap();
+fn faults_and_builds_are_parsed_from_their_text_and_errors_name_the_cause() {
+    let fault: Fault = "cut:at=5s:lasts=6.5s".parse().unwrap();
     assert_eq!(
-        (trouble.kind, trouble.at, trouble.lasts),
+        (fault.kind, fault.at, fault.lasts),
         (FaultKind::Cut, 5 * SECOND, 6_500_000)
     );
     assert_eq!(
-        trouble.to_string().parse::<Fault>().unwrap().to_string(),
-        trouble.to_string()
+        fault.to_string().parse::<Fault>().unwrap().to_string(),
+        fault.to_string()
     );
     assert!("cut"
         .parse::<Fault>()
