--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -152,7 +152,7 @@
 
 impl AttemptEnd {
     /// Returns the end of the command if this attempt is its last, and the build that answered, 0 for none.
-    pub fn last(self) -> (End, u16) {
+    pub fn command_end(self) -> (End, u16) {
         match self {
             AttemptEnd::Acked { build, wrong } => {
                 (if wrong { End::Wrong } else { End::Acked }, build)
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -207,7 +207,7 @@
             due,
             ..
         } = asking.client.command;
-        let (end, build) = end.last();
+        let (end, build) = end.command_end();
         let (took, tries) = (self.now - due, asking.client.tries);
         let outcome = Outcome {
             command: asking.number,
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -137,7 +137,7 @@
             };
             match client.retry_delay(scenario, &context.faults(), context.tap.now(), end) {
                 Some(pause) => sleep(Duration::from_micros(pause as u64)).await,
-                None => return end.last(),
+                None => return end.command_end(),
             }
         }
     }
