--- a/crates/spokeflow-scenario/src/report/mod.rs
+++ b/crates/spokeflow-scenario/src/report/mod.rs
@@ -27,7 +27,8 @@
     /// Time at which it was due.
     pub due: Micros,
     /// Number of attempts.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub attempts: u32,
     /// How it ended.
     pub end: End,
     /// Time from when the command was due to its end.
@@ -112,7 +113,8 @@
     /// Commands that were acked and found wrong.
     pub wrong: u64,
     /// Number of attempts that clients sent to routers.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// Number of deliveries that hosts received.
     pub deliveries: u64,
     /// Service: weight of the commands acked within the latency objective, divided by the weight of the commands due.
--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -239,7 +239,7 @@
             given_up,
             unreachable,
             wrong,
-            tries: self.attempts,
+            attempts: self.attempts,
             deliveries: self.deliveries,
             service: self.by_second.iter().copied().sum::<Service>().fraction(),
             worst_ten_seconds: self.worst_service(),
--- a/crates/spokeflow-scenario/src/report/text.rs
+++ b/crates/spokeflow-scenario/src/report/text.rs
@@ -81,7 +81,7 @@
     writeln!(
         f,
         "  messages  {} tries, {} deliveries",
-        report.tries, report.deliveries
+        report.attempts, report.deliveries
     )?;
     writeln!(
         f,
--- a/crates/spokeflow-scenario/src/traffic.rs
+++ b/crates/spokeflow-scenario/src/traffic.rs
@@ -170,7 +170,7 @@
     /// The command that it sends.
     pub command: PlannedCommand,
     /// Number of attempts begun.
-    pub tries: u32,
+    pub attempts: u32,
     /// Random draws of the client.
     pub rng: StdRng,
 }
@@ -185,7 +185,7 @@
     pub fn new(command: PlannedCommand) -> Client {
         Client {
             command,
-            tries: 0,
+            attempts: 0,
             rng: StdRng::seed_from_u64(command.seed),
         }
     }
@@ -199,7 +199,7 @@
         now: Micros,
     ) -> Option<(Micros, Micros)> {
         let op = &scenario.ops[self.command.op];
-        self.tries += 1;
+        self.attempts += 1;
         let [least, most] = scenario.try_part;
         let left = self.command.due + op.timeout - now;
         let timeout =
@@ -238,7 +238,7 @@
         };
         // In a retry storm clients retry almost at once and more often.
         let retries = scenario.retries + faults.extra_retries as u32;
-        if !(is_retryable || is_repeat_harmless) || self.tries > retries {
+        if !(is_retryable || is_repeat_harmless) || self.attempts > retries {
             return None;
         }
         let backoff = if faults.extra_retries > 0.0 {
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -70,7 +70,7 @@
         else {
             return self.command_ended(key, AttemptEnd::GivenUp);
         };
-        let (number, nth) = (asking.number, asking.client.tries - 1);
+        let (number, nth) = (asking.number, asking.client.attempts - 1);
         let down = |r: usize| self.routers[r].down_since;
         let router = self
             .router_picker
@@ -208,14 +208,14 @@
             ..
         } = asking.client.command;
         let (end, build) = end.command_end();
-        let (took, tries) = (self.now - due, asking.client.tries);
+        let (took, attempts) = (self.now - due, asking.client.attempts);
         let outcome = Outcome {
             command: asking.number,
             op,
             tenant,
             site,
             due,
-            tries,
+            attempts,
             end,
             took,
             build,
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -89,7 +89,7 @@
             tenant: planned.tenant,
             site: planned.site,
             due: planned.due,
-            tries: client.tries,
+            attempts: client.attempts,
             end,
             took: self.context.tap.now() - planned.due,
             build,
@@ -111,7 +111,7 @@
             let Some((patience, answer_timeout)) = times else {
                 return (End::GivenUp, 0);
             };
-            let router = self.pick_router(&planned, client.tries - 1);
+            let router = self.pick_router(&planned, client.attempts - 1);
             let connections = &self.connections[usize::from(planned.site)][router];
             let connection = &connections[client.rng.random_range(0..connections.len())];
             let command = self.command(&planned, number, patience);
