--- a/crates/spokeflow-scenario/src/host/job.rs
+++ b/crates/spokeflow-scenario/src/host/job.rs
@@ -65,9 +65,9 @@
     /// Whether the host accepts commands and does not answer.
     pub hangs: bool,
     /// Factor on all work.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Probability that a command fails at once.
-    pub fails: f64,
+    pub failure_probability: f64,
     /// Index of an operation that needs more work, and the factor on its work.
     pub slow_op: (usize, f64),
     /// Factor on all work while a build with a shared defect runs on some hosts.
@@ -80,8 +80,8 @@
     fn default() -> Self {
         HostFault {
             hangs: false,
-            slower: 1.0,
-            fails: 0.0,
+            slowdown: 1.0,
+            failure_probability: 0.0,
             slow_op: (usize::MAX, 1.0),
             shared_slowdown: 1.0,
             neighbours: 1.0,
--- a/crates/spokeflow-scenario/src/host/mod.rs
+++ b/crates/spokeflow-scenario/src/host/mod.rs
@@ -234,7 +234,7 @@
             conditions.slowdown * self.access_key(job.key) * (1.0 + self.thrash * excess_waiting);
         let mut took = work * slowdown / (self.speed * self.warm_up_fraction(now));
         // A job that fails at once may nevertheless have taken effect.
-        if failed && self.fault.fails > 0.0 {
+        if failed && self.fault.failure_probability > 0.0 {
             took = took.min(MAX_FAST_FAILURE_US);
         }
         let outcome = if failed {
@@ -309,11 +309,11 @@
     fn conditions(&mut self, job: &Job, now: Micros) -> JobConditions {
         let fault = self.fault;
         let (slow_operation, slow_factor) = fault.slow_op;
-        let mut slowdown = fault.slower * fault.shared_slowdown * fault.neighbours;
+        let mut slowdown = fault.slowdown * fault.shared_slowdown * fault.neighbours;
         if job.op == slow_operation {
             slowdown *= slow_factor;
         }
-        let mut failure = fault.fails;
+        let mut failure = fault.failure_probability;
         let mut wrong = false;
         let is_last_operation = job.op == self.ops.len() - 1;
         let is_loaded = self.waiting.len() >= LOADED_QUEUE_LENGTH;
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -144,11 +144,13 @@
             }
             FaultKind::Slow => {
                 let struck = self.strike(n, trouble.part);
-                self.ail(&struck, |a| a.slower = trouble.size.max(1.0));
+                self.ail(&struck, |a| a.slowdown = trouble.size.max(1.0));
             }
             FaultKind::FastErrors => {
                 let struck = self.strike(n, trouble.part);
-                self.ail(&struck, |a| a.fails = trouble.size.clamp(0.0, 1.0));
+                self.ail(&struck, |a| {
+                    a.failure_probability = trouble.size.clamp(0.0, 1.0)
+                });
             }
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
@@ -194,8 +196,8 @@
         let struck = self.affected.remove(&n).unwrap_or_default();
         match trouble.kind {
             FaultKind::Hang => self.ail(&struck, |a| a.hangs = false),
-            FaultKind::Slow => self.ail(&struck, |a| a.slower = 1.0),
-            FaultKind::FastErrors => self.ail(&struck, |a| a.fails = 0.0),
+            FaultKind::Slow => self.ail(&struck, |a| a.slowdown = 1.0),
+            FaultKind::FastErrors => self.ail(&struck, |a| a.failure_probability = 0.0),
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
                 self.ail(&all, |a| a.slow_op = (usize::MAX, 1.0));
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -288,8 +288,8 @@
             work_before: model.work_before(now),
             delay: self.world.way(pair),
             speed: model.speed * model.warm_up_fraction(now)
-                / (model.fault.slower * model.fault.shared_slowdown),
-            failure_rate: model.fault.fails,
+                / (model.fault.slowdown * model.fault.shared_slowdown),
+            failure_rate: model.fault.failure_probability,
             has_headroom: model.has_headroom(now),
         }
     }
--- a/crates/spokeflow-testbed/src/day/inject.rs
+++ b/crates/spokeflow-testbed/src/day/inject.rs
@@ -30,11 +30,11 @@
             }
             FaultKind::Slow => {
                 let struck = self.strike(index, fault.part);
-                self.set_host_fault(&struck, |ailment| ailment.slower = fault.size.max(1.0));
+                self.set_host_fault(&struck, |ailment| ailment.slowdown = fault.size.max(1.0));
             }
             FaultKind::FastErrors => {
                 let struck = self.strike(index, fault.part);
-                self.set_host_fault(&struck, |ailment| ailment.fails = fault.size);
+                self.set_host_fault(&struck, |ailment| ailment.failure_probability = fault.size);
             }
             FaultKind::SlowOp => {
                 let slowdown = fault.size.max(1.0);
@@ -57,8 +57,10 @@
         locked(&self.context.active_faults).end(&self.context.scenario, &fault, &lasting);
         match fault.kind {
             FaultKind::Hang => self.set_host_fault(&struck, |ailment| ailment.hangs = false),
-            FaultKind::Slow => self.set_host_fault(&struck, |ailment| ailment.slower = 1.0),
-            FaultKind::FastErrors => self.set_host_fault(&struck, |ailment| ailment.fails = 0.0),
+            FaultKind::Slow => self.set_host_fault(&struck, |ailment| ailment.slowdown = 1.0),
+            FaultKind::FastErrors => {
+                self.set_host_fault(&struck, |ailment| ailment.failure_probability = 0.0)
+            }
             FaultKind::SlowOp => self.set_host_fault(&self.all_hosts(), |ailment| {
                 ailment.slow_op = (usize::MAX, 1.0);
             }),
