--- a/crates/spokeflow-scenario/src/report/recorder.rs
+++ b/crates/spokeflow-scenario/src/report/recorder.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records the outcome of a command.
-    pub fn ended(&mut self, outcome: &Outcome) {
+    pub fn record_outcome(&mut self, outcome: &Outcome) {
         let operation = &self.scenario.ops[outcome.op];
         let weight = operation.importance;
         let is_acked = outcome.end == End::Acked;
--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -221,7 +221,7 @@
             build,
         };
         if let Some(record) = &mut self.record {
-            record.ended(&outcome);
+            record.record_outcome(&outcome);
         }
     }
 }
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -253,7 +253,7 @@
             recorder.observe(*at, observation);
         }
         for outcome in &outcomes {
-            recorder.ended(outcome);
+            recorder.record_outcome(outcome);
         }
         let report = recorder.finish(failures, Some(&seen));
         Played {
