--- a/crates/spokeflow-scenario/src/check/answers.rs
+++ b/crates/spokeflow-scenario/src/check/answers.rs
@@ -30,7 +30,7 @@
             operation: usize::from(*op),
             key: *key,
             deadline,
-            excused: router.shutdown.is_some(),
+            needs_no_answer: router.shutdown.is_some(),
             client_left: false,
             answered: false,
             nacked: None,
@@ -54,7 +54,11 @@
             .get(&attempt.router)
             .and_then(|router| router.killed)
             .is_some_and(|at| at <= deadline);
-        if !attempt.answered && !attempt.client_left && !attempt.excused && !router_was_killed {
+        if !attempt.answered
+            && !attempt.client_left
+            && !attempt.needs_no_answer
+            && !router_was_killed
+        {
             let command = attempt.command;
             let what =
                 format!("no final answer by the deadline: attempt {number} of command {command}");
--- a/crates/spokeflow-scenario/src/check/state.rs
+++ b/crates/spokeflow-scenario/src/check/state.rs
@@ -21,7 +21,7 @@
     pub(super) key: u64,
     pub(super) deadline: Micros,
     /// Whether its router had been asked to shut down before the attempt, so that no answer is required.
-    pub(super) excused: bool,
+    pub(super) needs_no_answer: bool,
     pub(super) client_left: bool,
     pub(super) answered: bool,
     /// Time of its first nack.
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -91,6 +91,7 @@
 }
 
 impl VoteAllowance {
+    /// Takes a token for one vote. Returns false if none is left.
     fn take(&mut self, now: Micros) -> bool {
         let refill = (now - self.at) as f64 / SECOND as f64 * VOTES_PER_SECOND;
         let tokens = (self.tokens + refill).min(2.0 * VOTES_PER_SECOND);
@@ -223,24 +224,25 @@
         self.stage_started_at = now;
     }
 
-    /// Starts hosts of `build` for up to `most` of the slots that `which` accepts.
+    /// Starts hosts of `build` for up to `max_slots` of the slots for which `is_candidate` returns true and which are not
+    /// being replaced.
     fn replace(
         &mut self,
-        most: usize,
+        max_slots: usize,
         build: u16,
-        which: impl Fn(&HostSlot) -> bool,
+        is_candidate: impl Fn(&HostSlot) -> bool,
         orders: &mut Vec<FleetOrder>,
     ) {
-        let is_replaceable = |slot: &HostSlot| slot.next.is_none() && which(slot);
+        let is_replaceable = |slot: &HostSlot| slot.next.is_none() && is_candidate(slot);
         // The slots are spread over the fleet, so that a stage is not confined to one site.
-        let step = (self.slots.len() / most.max(1)).max(1);
+        let step = (self.slots.len() / max_slots.max(1)).max(1);
         let order: Vec<usize> = (0..step)
             .flat_map(|first| (first..self.slots.len()).step_by(step))
             .collect();
-        let mut left = most;
+        let mut remaining = max_slots;
         for index in order {
             let slot = &mut self.slots[index];
-            if left > 0 && is_replaceable(slot) {
+            if remaining > 0 && is_replaceable(slot) {
                 slot.next = Some((self.next_host, build));
                 orders.push(FleetOrder::Start {
                     host: self.next_host,
@@ -248,7 +250,7 @@
                     build,
                 });
                 self.next_host += 1;
-                left -= 1;
+                remaining -= 1;
             }
         }
     }
@@ -338,11 +340,11 @@
     }
 
     fn may_roll_back(&self) -> bool {
-        let in_place = matches!(
+        let is_in_place = matches!(
             self.state.rollout,
             RolloutState::Canary | RolloutState::Released
         );
-        in_place && self.state.build > 1
+        is_in_place && self.state.build > 1
     }
 
     /// Returns how many unexpired votes there are: votes to roll back from any stage, others from the current stage.
