--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -224,8 +224,8 @@
         self.stage_started_at = now;
     }
 
-    /// Starts hosts of `build` for up to `max_slots` of the slots for which `is_candidate` returns true and which are not
-    /// being replaced.
+    /// Starts hosts of `build` for up to `max_slots` of the slots for which `is_candidate` returns true and that are not
+    /// being replaced already.
     fn replace(
         &mut self,
         max_slots: usize,
--- a/crates/spokeflow-scenario/src/scenario/mod.rs
+++ b/crates/spokeflow-scenario/src/scenario/mod.rs
@@ -65,7 +65,8 @@
     Majority,
 }
 
-/// Everything about a run that is fixed before it starts.
+/// Everything about a run that is fixed before it starts. Result stores identify runs by a hash of the serialized form,
+/// so that names and order of the fields must not change in it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Scenario {
     /// Name in reports.
