--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -224,8 +224,7 @@
         self.stage_started_at = now;
     }
 
-    /// Starts hosts of `build` for up to `max_slots` of the slots for which `is_candidate` returns true and that are not
-    /// being replaced already.
+    /// Starts hosts of `build` for up to `max_slots` slots that satisfy `is_candidate` and are not already being replaced.
     fn replace(
         &mut self,
         max_slots: usize,
