--- a/crates/spokeflow-simulator/src/world/clients.rs
+++ b/crates/spokeflow-simulator/src/world/clients.rs
@@ -76,7 +76,7 @@
         else {
             return self.finish_command(key, AttemptEnd::GivenUp);
         };
-        let (number, retries) = (open.number, open.client.tries - 1);
+        let (number, retries) = (open.number, open.client.attempts - 1);
         let down_since = |router: usize| self.routers[router].down_since;
         let router = self.router_picker.router_for(
             planned.site,
@@ -227,21 +227,21 @@
             due,
             ..
         } = open.client.command;
-        let (end, build) = end.last();
-        let (took, tries) = (self.now - due, open.client.tries);
+        let (end, build) = end.command_end();
+        let (took, attempts) = (self.now - due, open.client.attempts);
         let outcome = Outcome {
             command: open.number,
             op,
             tenant,
             site,
             due,
-            tries,
+            attempts,
             end,
             took,
             build,
         };
         if let Some(recorder) = &mut self.recorder {
-            recorder.ended(&outcome);
+            recorder.record_outcome(&outcome);
         }
     }
 }
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -158,11 +158,13 @@
             }
             FaultKind::Slow => {
                 let affected = self.draw_affected_hosts(n, fault.part);
-                self.change_host_faults(&affected, |host| host.slower = fault.size.max(1.0));
+                self.change_host_faults(&affected, |host| host.slowdown = fault.size.max(1.0));
             }
             FaultKind::FastErrors => {
                 let affected = self.draw_affected_hosts(n, fault.part);
-                self.change_host_faults(&affected, |host| host.fails = fault.size.clamp(0.0, 1.0));
+                self.change_host_faults(&affected, |host| {
+                    host.failure_probability = fault.size.clamp(0.0, 1.0)
+                });
             }
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
@@ -209,8 +211,10 @@
         let affected = self.affected_hosts.remove(&n).unwrap_or_default();
         match fault.kind {
             FaultKind::Hang => self.change_host_faults(&affected, |host| host.hangs = false),
-            FaultKind::Slow => self.change_host_faults(&affected, |host| host.slower = 1.0),
-            FaultKind::FastErrors => self.change_host_faults(&affected, |host| host.fails = 0.0),
+            FaultKind::Slow => self.change_host_faults(&affected, |host| host.slowdown = 1.0),
+            FaultKind::FastErrors => {
+                self.change_host_faults(&affected, |host| host.failure_probability = 0.0)
+            }
             FaultKind::SlowOp => {
                 let all = self.all_hosts();
                 self.change_host_faults(&all, |host| host.slow_op = (usize::MAX, 1.0));
--- a/crates/spokeflow-simulator/src/world/links.rs
+++ b/crates/spokeflow-simulator/src/world/links.rs
@@ -302,8 +302,8 @@
             work_before: model.work_before(now),
             delay: self.world.link_delay(link_id),
             speed: model.speed * model.warm_up_fraction(now)
-                / (model.fault.slower * model.fault.shared_slowdown),
-            failure_rate: model.fault.fails,
+                / (model.fault.slowdown * model.fault.shared_slowdown),
+            failure_rate: model.fault.failure_probability,
             has_headroom: model.has_headroom(now),
         }
     }
