--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use spokeflow_testbed::load::{put, Follows, Load, Measured};
+use spokeflow_testbed::load::{measure_load, Follows, Load, Measured};
 use spokeflow_testbed::routers::Starting;
 
 use super::error::{MeasureLoadError, RunFailure};
@@ -55,7 +55,7 @@
                 "{hosts} hosts, {}",
                 if pass { "pass-through" } else { "router" }
             );
-            match runtime.block_on(put(&load(terms, hosts, pass), &starting)) {
+            match runtime.block_on(measure_load(&load(terms, hosts, pass), &starting)) {
                 Ok(measured) => records.extend(of_run(terms, &measured, date)),
                 Err(error) => {
                     return Ok(Served {
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -128,7 +128,7 @@
     }
     for _ in 0..flags.runs {
         for target in flags.targets() {
-            let measured = runtime.block_on(put(&flags.load(target), &starting))?;
+            let measured = runtime.block_on(measure_load(&flags.load(target), &starting))?;
             match flags.json {
                 true => println!("{}", serde_json::to_string(&measured)?),
                 false => println!("{}", measured.row()),
@@ -166,7 +166,7 @@
 /// # Errors
 ///
 /// Something cannot be started, or a client gets no welcome.
-pub async fn put(load: &Load, starting: &Starting) -> Result<Measured, LoadError> {
+pub async fn measure_load(load: &Load, starting: &Starting) -> Result<Measured, LoadError> {
     let mut subject = Subject::start(load, starting).await?;
     sleep(CONNECT_PAUSE).await;
     let resident_start_kib = subject.resident_kib();
