--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -85,7 +85,7 @@
         answer_after: terms.answer_after,
         pass,
         stalled: false,
-        trial: false,
+        canary: false,
         bad: false,
         follows: Follows::Nothing,
     }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -69,7 +69,7 @@
     /// One client sends and never reads.
     pub stalled: bool,
     /// A quarter of the hosts run the canary build, with slow starts and votes.
-    pub trial: bool,
+    pub canary: bool,
     /// A fifth of the hosts at a time, each for a second in five, hangs, errs at once, resets its connections or
     /// takes twenty times as long.
     pub bad: bool,
@@ -328,10 +328,10 @@
     node: Option<SocketAddr>,
     starting: &Starting,
 ) -> Result<RouterProcess, LoadError> {
-    let list = start_list(hosts, load.trial)
+    let list = start_list(hosts, load.canary)
         .await
         .map_err(LoadError::Listen)?;
-    let release_controller = start_release_controller(load.trial)
+    let release_controller = start_release_controller(load.canary)
         .await
         .map_err(LoadError::Listen)?;
     let mut flags = vec![
--- a/crates/spokeflow-testbed/src/load/flags.rs
+++ b/crates/spokeflow-testbed/src/load/flags.rs
@@ -78,7 +78,7 @@
             pass,
             follows,
             stalled: self.stalled,
-            trial: self.canary,
+            canary: self.canary,
             bad: self.faulty_hosts && !pass,
         }
     }
