--- a/crates/spokeflow-experiments/src/capacity/served.rs
+++ b/crates/spokeflow-experiments/src/capacity/served.rs
@@ -86,7 +86,7 @@
         pass,
         stalled: false,
         canary: false,
-        bad: false,
+        faulty_hosts: false,
         follows: Follows::Nothing,
     }
 }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -72,7 +72,7 @@
     pub canary: bool,
     /// A fifth of the hosts at a time, each for a second in five, hangs, errs at once, resets its connections or
     /// takes twenty times as long.
-    pub bad: bool,
+    pub faulty_hosts: bool,
     /// What the router follows.
     pub follows: Follows,
 }
@@ -264,7 +264,7 @@
     async fn start(load: &Load, starting: &Starting) -> Result<Subject, LoadError> {
         let behavior = HostBehavior {
             answer_after: load.answer_after,
-            faulty_since: load.bad.then(tokio::time::Instant::now),
+            faulty_since: load.faulty_hosts.then(tokio::time::Instant::now),
         };
         let hosts = start_hosts(load.hosts, behavior)
             .await
--- a/crates/spokeflow-testbed/src/load/flags.rs
+++ b/crates/spokeflow-testbed/src/load/flags.rs
@@ -79,7 +79,7 @@
             follows,
             stalled: self.stalled,
             canary: self.canary,
-            bad: self.faulty_hosts && !pass,
+            faulty_hosts: self.faulty_hosts && !pass,
         }
     }
 }
