--- a/crates/spokeflow-testbed/src/client_connection.rs
+++ b/crates/spokeflow-testbed/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! A connection of clients to one router, opened again whenever it ends.
+//! A connection that the clients of one site share to one router. It reconnects whenever it ends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,69 +20,74 @@
 use crate::{locked, Micros};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between two attempts to connect.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(30);
+/// Time between two attempts to connect.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(30);
 
 type ClientLink = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
 
-/// Where a router is reached.
+/// The current address and process of a router.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RouterEndpoint {
-    /// `None` while it is down.
+    /// The address on which the router listens, or `None` while the router is down.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) process: Process,
+    /// Time of the run at which the router went down, or `None` while it runs.
     pub(crate) down_since: Option<Micros>,
 }
 
-/// The endpoints of all routers, by their number.
+/// The endpoints of all routers, by index of the router.
 pub(crate) type RouterEndpoints = Arc<Mutex<Vec<RouterEndpoint>>>;
 
-/// One attempt of a command.
+/// One attempt at a command.
 pub(crate) struct Attempt {
     pub(crate) command: Command,
     /// Number of the command, the same in each attempt.
     pub(crate) number: u64,
-    pub(crate) patience: Micros,
-    /// Receives how the attempt ended.
+    /// The timeout that the command states to the router.
+    pub(crate) stated_timeout: Micros,
+    /// Receives the result of the attempt.
     pub(crate) end: oneshot::Sender<AttemptEnd>,
 }
 
 impl Attempt {
-    /// Ends it with the result, for which its client may have stopped waiting.
+    /// Sends the result to the client.
     fn finish(self, end: AttemptEnd) {
+        // The client may have stopped waiting.
         let _ = self.end.send(end);
     }
 }
 
-/// What a client wants of its connection.
+/// A request of a client to its connection.
 pub(crate) enum ClientRequest {
+    /// Sends an attempt.
     Send(Attempt),
-    /// The client of an attempt has given up.
+    /// Abandons the attempt with this number: its client has given up.
     Abandon(u64),
 }
 
-/// A connection of one site to one router.
+/// A connection from one site to one router.
 pub(crate) struct ClientConnection {
     pub(crate) context: Arc<RunContext>,
     pub(crate) endpoints: RouterEndpoints,
+    /// Index of the router.
     pub(crate) router: usize,
     pub(crate) site: u16,
     pub(crate) requests: mpsc::Receiver<ClientRequest>,
 }
 
-/// The attempts of one connection that were sent, by their number; the sender is taken by the first answer.
+/// The attempts sent on one connection, by number of the attempt. The first answer takes the sender.
 type OpenAttempts = HashMap<u64, Option<oneshot::Sender<AttemptEnd>>>;
 
-/// Why a connection is no longer used.
+/// Why a connection ended.
 enum Closed {
-    /// The router or its connection ended.
+    /// The router closed the connection, or could not be reached.
     ByRouter,
-    /// No client is left.
+    /// All clients have ended.
     ByClients,
 }
 
 impl ClientConnection {
-    /// Connects and works until no client is left.
+    /// Connects, serves requests and reconnects until all clients have ended.
     pub(crate) async fn run(mut self) {
         loop {
             let endpoint = locked(&self.endpoints)[self.router];
@@ -94,7 +99,7 @@
                 None => None,
             };
             let closed = match link {
-                Some(link) => self.work(link, endpoint.process).await,
+                Some(link) => self.serve(link, endpoint.process).await,
                 None => self.refuse_requests().await,
             };
             let no_client_left = self.requests.is_closed() && self.requests.is_empty();
@@ -104,9 +109,9 @@
         }
     }
 
-    /// Answers requests as unreachable until it is time to connect again.
+    /// Answers requests with [`AttemptEnd::Unreachable`] until the next attempt to connect.
     async fn refuse_requests(&mut self) -> Closed {
-        let until = Instant::now() + RECONNECT_PAUSE;
+        let until = Instant::now() + RECONNECT_INTERVAL;
         loop {
             tokio::select! {
                 () = sleep_until(until) => return Closed::ByRouter,
@@ -128,13 +133,14 @@
         matches!(link.next().await, Some(Ok(ToClient::Welcome))).then_some(link)
     }
 
-    /// Works on a connection until it ends; what is open then is broken.
-    async fn work(&mut self, mut link: ClientLink, router: Process) -> Closed {
+    /// Serves requests on a connection until it ends. Attempts that are open when the router ends it get
+    /// [`AttemptEnd::Broken`].
+    async fn serve(&mut self, mut link: ClientLink, router: Process) -> Closed {
         let mut open = OpenAttempts::new();
         let closed = self.exchange(&mut link, router, &mut open).await;
         if matches!(closed, Closed::ByRouter) {
             for end in open.into_values().flatten() {
-                // Its client may have stopped waiting.
+                // The client may have stopped waiting.
                 let _ = end.send(AttemptEnd::Broken);
             }
         }
@@ -169,7 +175,7 @@
                     Some(ClientRequest::Abandon(id)) => {
                         if open.contains_key(&id) {
                             self.context.tap.record(Observation::Left { attempt: id });
-                            // A connection that has ended is read as such.
+                            // The next read reports a connection that has ended.
                             let _ = link.send(FromClient::Abandon { id }).await;
                         }
                     }
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Records and opens an attempt; returns the command to be sent.
+    /// Records an attempt and adds it to the open attempts; returns the command to send.
     fn begin(&self, router: Process, open: &mut OpenAttempts, attempt: Attempt) -> Command {
         let command = attempt.command;
         self.context.tap.record(Observation::Taken {
@@ -188,13 +194,14 @@
             command: attempt.number,
             op: command.op,
             key: command.key,
-            timeout: attempt.patience,
+            timeout: attempt.stated_timeout,
         });
         open.insert(command.id, Some(attempt.end));
         command
     }
 
-    /// Records an answer, also a second one to the same attempt: the checker must know of it.
+    /// Records an answer and passes it to the client. A second answer to the same attempt is recorded too, since the
+    /// checker reports it.
     async fn receive(
         &self,
         link: &mut ClientLink,
@@ -211,7 +218,7 @@
             } => {
                 let wrong = &body[..] == WRONG_ANSWER;
                 if wrong && rand::rng().random_bool(self.context.scenario.reported) {
-                    // A connection that has ended is read as such.
+                    // The next read reports a connection that has ended.
                     let _ = link.send(FromClient::WrongAnswer { receipt }).await;
                 }
                 (
@@ -222,7 +229,7 @@
                 )
             }
             ToClient::Nacked { id, retry_after_us } => {
-                let retry_after = retry_after_us.map(|time| time as Micros);
+                let retry_after = retry_after_us.map(|micros| micros as Micros);
                 (id, AnswerKind::Nacked, 0, AttemptEnd::Nacked(retry_after))
             }
             ToClient::Failed { id } => (id, AnswerKind::Failed, 0, AttemptEnd::Failed),
@@ -238,7 +245,7 @@
             build,
         });
         if let Some(waiting) = waiting.take() {
-            // Its client may have stopped waiting.
+            // The client may have stopped waiting.
             let _ = waiting.send(end);
         }
     }
--- a/crates/spokeflow-testbed/src/clients.rs
+++ b/crates/spokeflow-testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: an open loop of commands with timeouts, retries, keys, tenants and reports of wrong answers, spread over the
-//! routers of each site.
+//! The fake clients: send an open loop of commands with timeouts, retries, sticky keys and tenants, and report wrong
+//! answers. Each site has connections to all routers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,19 +18,19 @@
 use crate::hosts::CommandBody;
 use crate::{locked, Micros};
 
-/// Connections of a site to a router: more than one, so that not all commands share the fate of one.
+/// Connections from a site to a router: more than one, so that the end of one does not fail all commands.
 const CONNECTIONS_PER_ROUTER: usize = 3;
-/// Requests that wait for a connection: more than clients send within the timeout of connecting.
+/// Capacity of the request queue of a connection: more requests than clients send within the timeout of connecting.
 const REQUEST_QUEUE: usize = 1024;
 
-/// All connections of a site to a router.
+/// The request queues of all connections from one site to one router.
 type RouterConnections = Vec<mpsc::Sender<ClientRequest>>;
 
 /// All clients of a run.
 pub(crate) struct ClientPool {
     context: Arc<RunContext>,
     endpoints: RouterEndpoints,
-    /// By site and router.
+    /// By site, then by router.
     connections: Vec<Vec<RouterConnections>>,
     outcomes: Mutex<Vec<Outcome>>,
     picker: RouterPicker,
@@ -59,12 +59,12 @@
         })
     }
 
-    /// Takes the outcomes of all commands that have ended.
+    /// Removes and returns the outcomes of all commands that have ended.
     pub(crate) fn take_outcomes(&self) -> Vec<Outcome> {
         std::mem::take(&mut *locked(&self.outcomes))
     }
 
-    /// Sends commands until a time, whatever becomes of those before: an open loop.
+    /// Sends commands until a time as an open loop: a command does not wait for the answers to earlier ones.
     pub(crate) async fn send_until(self: Arc<Self>, until: Micros) {
         let context = &self.context;
         let mut traffic = Traffic::new(&context.scenario, context.tap.now());
@@ -97,7 +97,7 @@
         locked(&self.outcomes).push(outcome);
     }
 
-    /// How the command ended, and the build that answered it, 0 where none did.
+    /// Sends attempts until the command ends. Returns how it ended, and the build that answered it or 0 for none.
     async fn attempt_until_end(
         &self,
         client: &mut Client,
@@ -108,19 +108,19 @@
         let scenario = &context.scenario;
         loop {
             let times = client.begin_attempt(scenario, &context.faults(), context.tap.now());
-            let Some((patience, answer_timeout)) = times else {
+            let Some((stated_timeout, answer_timeout)) = times else {
                 return (End::GivenUp, 0);
             };
             let router = self.pick_router(&planned, client.tries - 1);
             let connections = &self.connections[usize::from(planned.site)][router];
             let connection = &connections[client.rng.random_range(0..connections.len())];
-            let command = self.command(&planned, number, patience);
+            let command = self.command(&planned, number, stated_timeout);
             let id = command.id;
             let (end, ended) = oneshot::channel();
             let attempt = Attempt {
                 command,
                 number,
-                patience,
+                stated_timeout,
                 end,
             };
             if connection.send(ClientRequest::Send(attempt)).await.is_err() {
@@ -130,18 +130,19 @@
             let end = match timeout(answer_timeout, ended).await {
                 Ok(ended) => ended.unwrap_or(AttemptEnd::Failed),
                 Err(_) => {
-                    // A connection that has ended knows of no attempt.
+                    // A connection that has ended has already dropped the attempt.
                     let _ = connection.send(ClientRequest::Abandon(id)).await;
                     AttemptEnd::GivenUp
                 }
             };
             match client.retry_delay(scenario, &context.faults(), context.tap.now(), end) {
-                Some(pause) => sleep(Duration::from_micros(pause as u64)).await,
+                Some(delay) => sleep(Duration::from_micros(delay as u64)).await,
                 None => return end.last(),
             }
         }
     }
 
+    /// Returns the index of the router for an attempt.
     fn pick_router(&self, planned: &PlannedCommand, attempt: u32) -> usize {
         let endpoints = locked(&self.endpoints);
         let now = self.context.tap.now();
@@ -150,8 +151,8 @@
             .router_for(planned.site, planned.seed, attempt, now, down_since)
     }
 
-    /// The command of a new attempt, with its own number.
-    fn command(&self, planned: &PlannedCommand, number: u64, patience: Micros) -> Command {
+    /// Builds the command message of a new attempt, whose id is unique to the attempt.
+    fn command(&self, planned: &PlannedCommand, number: u64, stated_timeout: Micros) -> Command {
         let attempt = self.context.unique_id();
         let repeat = self.context.scenario.ops[planned.op].repeat;
         let idempotency_key = match repeat {
@@ -168,7 +169,7 @@
             tenant: planned.tenant as u32,
             key: planned.key,
             idempotency_key,
-            left_us: patience as u64,
+            left_us: stated_timeout as u64,
             body: body.into(),
         }
     }
--- a/crates/spokeflow-testbed/src/commands/day.rs
+++ b/crates/spokeflow-testbed/src/commands/day.rs
@@ -1,4 +1,4 @@
-//! `day`: runs a scenario on sockets.
+//! `day`: runs a scenario on loopback sockets.
 
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 use super::{exit_code, runtime, write_trace, CommandResult, LogFlags};
 
-/// How often the time is printed where standard error is no terminal.
+/// Interval between two lines of progress where standard error is not a terminal.
 const PROGRESS_SECONDS: Micros = 10;
 
 /// Flags of `day`.
@@ -21,7 +21,7 @@
     /// Prints the report as JSON
     #[arg(long)]
     json: bool,
-    /// Writes all that the tap recorded to this file, one JSON value a line
+    /// Writes all observations of the tap to this file, one JSON value per line
     #[arg(long)]
     trace: Option<PathBuf>,
     #[command(flatten)]
@@ -33,8 +33,8 @@
     let starting = flags.logs.starting()?;
     let runtime = runtime(2)?;
     let is_terminal = std::io::stderr().is_terminal();
-    let progress = |at: Micros| {
-        let seconds = at / SECOND;
+    let progress = |elapsed: Micros| {
+        let seconds = elapsed / SECOND;
         let total = flags.scenario.seconds;
         if is_terminal {
             eprint!("\r{seconds} s of {total} s and the last answers ");
@@ -42,19 +42,20 @@
             eprintln!("{seconds} s of {total} s");
         }
     };
-    let played = runtime.block_on(play(scenario, starting, progress))?;
+    let run = runtime.block_on(play(scenario, starting, progress))?;
     if is_terminal {
         eprintln!();
     }
     if let Some(path) = &flags.trace {
-        let lines: Result<Vec<String>, _> = played.seen.iter().map(serde_json::to_string).collect();
+        let lines: Result<Vec<String>, _> =
+            run.observations.iter().map(serde_json::to_string).collect();
         write_trace(path, lines?.into_iter())?;
     }
     match flags.json {
-        true => println!("{}", serde_json::to_string_pretty(&played.report)?),
-        false => print!("{}", played.report.text()),
+        true => println!("{}", serde_json::to_string_pretty(&run.report)?),
+        false => print!("{}", run.report.text()),
     }
-    // Not waited for: connections of the fake peers may still be open.
+    // Does not wait for the tasks of the fake peers, whose connections may still be open.
     runtime.shutdown_background();
-    Ok(exit_code(played.report.passed()))
+    Ok(exit_code(run.report.passed()))
 }
--- a/crates/spokeflow-testbed/src/commands/mod.rs
+++ b/crates/spokeflow-testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands that are more than a call.
+//! The subcommands that have flags or set-up of their own.
 
 pub(crate) mod commits;
 pub(crate) mod day;
@@ -15,10 +15,10 @@
 use spokeflow_testbed::routers::Starting;
 use tokio::runtime::Runtime;
 
-/// The exit code of a command that ran. An error is printed by the caller, which only its text concerns.
+/// The exit code of a subcommand that ran. The caller only prints the error.
 pub(crate) type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
-/// A path of a flag that cannot be used.
+/// The file or directory that a flag names cannot be created or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{flag} {}: {source}", path.display())]
 struct PathError {
@@ -27,19 +27,19 @@
     source: std::io::Error,
 }
 
-/// Where the processes of a run log, and what.
+/// The flags on the logs of the processes that a run starts.
 #[derive(Args)]
 pub(crate) struct LogFlags {
-    /// Keeps the processes' logs in this directory
+    /// Writes the logs of the processes to this directory
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Which lines they log
+    /// Filter of the log lines of the processes, such as info or debug
     #[arg(long, default_value = "info")]
     log: String,
 }
 
 impl LogFlags {
-    /// How processes are started: from this program, with these logs.
+    /// Returns how the processes of a run are started: from this program, with these logs. Creates the directory.
     fn starting(&self) -> Result<Starting, Box<dyn Error>> {
         let mut starting = Starting::own()?;
         if let Some(directory) = &self.logs {
@@ -55,6 +55,7 @@
     }
 }
 
+/// Builds a runtime with so many worker threads.
 fn runtime(workers: usize) -> std::io::Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(workers)
@@ -62,7 +63,7 @@
         .build()
 }
 
-/// Writes a trace, one entry a line.
+/// Writes the entries of a trace to a file, one per line.
 fn write_trace(path: &Path, lines: impl Iterator<Item = String>) -> Result<(), PathError> {
     let write = || {
         let mut file = BufWriter::new(std::fs::File::create(path)?);
@@ -78,9 +79,9 @@
     })
 }
 
-/// Success where all rules were kept.
-fn exit_code(sound: bool) -> ExitCode {
-    match sound {
+/// Returns success where no rule was violated.
+fn exit_code(passed: bool) -> ExitCode {
+    match passed {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/spokeflow-testbed/src/commands/pass.rs
+++ b/crates/spokeflow-testbed/src/commands/pass.rs
@@ -1,4 +1,4 @@
-//! `pass`: the pass-through of the load, as a process of its own.
+//! `pass`: runs the pass-through that `load` compares a router with.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 /// Flags of `pass`.
 #[derive(Args)]
 pub(crate) struct PassFlags {
-    /// Address of a host; repeatable
+    /// Address of a host; may be repeated
     #[arg(long)]
     host: Vec<SocketAddr>,
 }
 
-/// Runs until it fails. Its exit code is that of a failure, not of wrong use.
+/// Runs the pass-through until it fails. The exit code then is 1, not that of invalid arguments.
 pub(crate) fn run_pass_through(flags: &PassFlags) -> ExitCode {
     let run = || -> Result<(), Box<dyn Error>> {
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/spokeflow-testbed/src/context.rs
+++ b/crates/spokeflow-testbed/src/context.rs
@@ -1,4 +1,4 @@
-//! What all fake peers of a run share: the scenario, its faults at this moment, the tap, and links with their delays.
+//! State that all fake peers of a run share: the scenario, its active faults, the tap, and the delays of paths.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -15,17 +15,17 @@
 use crate::tap::Tap;
 use crate::{locked, Micros};
 
-/// How often a link that is cut is looked at again.
-pub(crate) const CUT_POLL: Duration = Duration::from_millis(5);
-/// A packet is lost so often in a row at most, counted in retransmission timeouts.
-const MAX_RETRANSMISSIONS: Micros = 8;
+/// Interval at which a path that is cut is checked again.
+pub(crate) const CUT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A message whose lost packets have delayed it by this many times `RETRANSMISSION_DELAY` loses no more.
+const MAX_RETRANSMISSION_DELAYS: Micros = 8;
 
-/// The path between two sites, in one direction.
+/// The network path from one site to another, in one direction.
 #[derive(Clone, Copy)]
 pub(crate) struct Path {
     pub(crate) from: u16,
     pub(crate) to: u16,
-    /// Which links of the sites it belongs to: faults cut them apart.
+    /// The kind of links that it belongs to: a fault may cut one kind and not the other.
     pub(crate) links: LinkKind,
 }
 
@@ -45,7 +45,7 @@
     pub(crate) tap: Tap,
     pub(crate) deduplication: Mutex<DeduplicationTable>,
     pub(crate) active_faults: Mutex<ActiveFaults>,
-    /// Which start of each router runs now.
+    /// The number of the current start of each router, by index of the router.
     router_starts: Mutex<Vec<u32>>,
     next_id: AtomicU64,
 }
@@ -63,24 +63,24 @@
         })
     }
 
-    /// A number that no other call gets.
+    /// Returns a number that no other call of this run returns.
     pub(crate) fn unique_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The faults of this moment.
+    /// Returns the faults that are active now.
     pub(crate) fn faults(&self) -> ActiveFaults {
         locked(&self.active_faults).clone()
     }
 
-    /// The process of a router that runs now.
+    /// Returns the current process of a router.
     pub(crate) fn router_process(&self, router: u32) -> Process {
         let starts = locked(&self.router_starts);
         let start = starts.get(router as usize).copied().unwrap_or(0);
         Process { router, start }
     }
 
-    /// The next process of a router.
+    /// Advances a router to its next start, and returns that process.
     pub(crate) fn next_router_process(&self, router: u32) -> Process {
         let mut starts = locked(&self.router_starts);
         let start = &mut starts[router as usize];
@@ -91,34 +91,35 @@
         }
     }
 
-    /// The delay of a path, or `None` while it is cut.
+    /// Returns the delay of a path, or `None` while it is cut.
     pub(crate) fn delay(&self, path: Path) -> Option<Micros> {
         locked(&self.active_faults).delay(path.from, path.to, path.links)
     }
 
-    /// Waits while a path is cut.
+    /// Waits until a path is not cut.
     pub(crate) async fn wait_until_connected(&self, path: Path) {
         while self.delay(path).is_none() {
-            sleep(CUT_POLL).await;
+            sleep(CUT_POLL_INTERVAL).await;
         }
     }
 
-    /// What lost packets add to the delay: each is sent again after a while, and may be lost again.
+    /// Draws the delay that lost packets add to a message between two sites: a lost packet is sent again after a
+    /// delay that grows with each loss, and may be lost again.
     fn retransmission_delay(&self, path: Path) -> Micros {
         let loss = locked(&self.active_faults).loss;
-        let most = MAX_RETRANSMISSIONS * RETRANSMISSION_DELAY;
+        let limit = MAX_RETRANSMISSION_DELAYS * RETRANSMISSION_DELAY;
         let mut delay = 0;
-        while path.from != path.to && loss > 0.0 && delay < most && rand::rng().random_bool(loss) {
+        while path.from != path.to && loss > 0.0 && delay < limit && rand::rng().random_bool(loss) {
             delay += RETRANSMISSION_DELAY.max(delay);
         }
         delay
     }
 
-    /// A channel that passes messages on in order after the delay of a path. What meets a cut waits for its end, as
-    /// bytes on a broken path do.
+    /// Opens a channel that delivers messages in order after the delay of a path. Messages on a path that is cut wait
+    /// until the cut ends, as the bytes of a TCP connection do.
     ///
-    /// It is unbounded: a path takes what is sent however long it is, and clients bound what is under way by their
-    /// timeouts.
+    /// The channel is unbounded: the delay of a path must not block its sender, and the timeouts of the clients bound
+    /// the number of messages on the path.
     pub(crate) fn delayed_channel<T: Send + 'static>(
         self: &Arc<Self>,
         path: Path,
@@ -144,8 +145,8 @@
         deliverer: mpsc::UnboundedSender<T>,
     ) {
         while let Some((sent_at, message)) = stamped.recv().await {
-            let lost = Duration::from_micros(self.retransmission_delay(path) as u64);
-            self.wait_for_delivery(path, sent_at + lost).await;
+            let retransmission = Duration::from_micros(self.retransmission_delay(path) as u64);
+            self.wait_for_delivery(path, sent_at + retransmission).await;
             if deliverer.send(message).is_err() {
                 return;
             }
@@ -158,12 +159,12 @@
                 Some(0) => return,
                 Some(delay) => {
                     sleep_until(sent_at + Duration::from_micros(delay as u64)).await;
-                    // It may have been cut meanwhile.
+                    // The path may have been cut during the wait.
                     if self.delay(path).is_some() {
                         return;
                     }
                 }
-                None => sleep(CUT_POLL).await,
+                None => sleep(CUT_POLL_INTERVAL).await,
             }
         }
     }
--- a/crates/spokeflow-testbed/src/day.rs
+++ b/crates/spokeflow-testbed/src/day.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario on sockets: fake peers, real router processes, faults at their times; then checks the rules.
+//! Runs a scenario on sockets: starts the fake peers and the real router processes, injects the faults at their times,
+//! and checks the rules at the end.
 
 mod hosts;
 mod inject;
@@ -16,7 +17,7 @@
 use tokio::time::sleep;
 
 use self::hosts::{HostSlot, ScheduledHost};
-use self::routers::{RouterFleet, Surroundings};
+use self::routers::{RouterFleet, ServerAddresses};
 use crate::clients::ClientPool;
 use crate::context::RunContext;
 use crate::endpoint_registry::EndpointRegistryServer;
@@ -25,40 +26,40 @@
 use crate::routers::{StartError, Starting};
 use crate::{Micros, SECOND};
 
-/// Before the first command, so that routers have a list and the state of the rollout.
+/// Time before the first command, in which routers receive the host list and the status of the rollout.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How often the run looks whether something is due.
-const TICK: Duration = Duration::from_millis(10);
-/// Keeps the draws of the run apart from those of the traffic.
+/// Interval at which the run checks what is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Separates the random stream of the run from that of the traffic, which has the same seed.
 const RUN_SEED: u64 = 0x57a6e;
 
-/// Why a scenario cannot be run.
+/// A scenario cannot be run on sockets.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// The scenario has gossip, which routers do not have on sockets.
-    #[error("routers that tell each other are played in simulated time only")]
+    /// The scenario has gossip between routers, which real routers do not have.
+    #[error("the scenario has gossip between routers, which runs in simulated time only")]
     Gossip,
-    /// No loopback port can be had.
+    /// A fake peer cannot bind a loopback port.
     #[error("cannot listen on loopback: {0}")]
     Listen(#[from] std::io::Error),
-    /// A router does not start.
+    /// A router process cannot be started.
     #[error(transparent)]
     StartRouter(#[from] StartError),
 }
 
-/// What a run gave.
-pub struct Played {
-    /// The scenario.
-    pub day: Scenario,
-    /// All that the tap recorded, in the order of time.
-    pub seen: Vec<(Micros, Observation)>,
-    /// How each command ended.
+/// The records and the report of a completed run.
+pub struct ScenarioRun {
+    /// The scenario that was run.
+    pub scenario: Scenario,
+    /// All observations of the tap with their times, in order of time.
+    pub observations: Vec<(Micros, Observation)>,
+    /// The outcome of each command.
     pub outcomes: Vec<Outcome>,
-    /// The outcome of the checks.
+    /// The report, with the results of the checks.
     pub report: Report,
 }
 
-/// The state of a run between two ticks.
+/// The state of a run in progress.
 struct Run {
     context: Arc<RunContext>,
     registry: Arc<EndpointRegistryServer>,
@@ -66,42 +67,45 @@
     routers: Arc<RouterFleet>,
     /// Time of the first command.
     start: Micros,
-    /// Builds that were not offered yet.
+    /// Builds that have not been offered to the release controller yet.
     offers: Vec<Build>,
     /// Faults that have not ended yet.
     faults: Vec<ScheduledFault>,
     hosts: HashMap<u32, HostSlot>,
+    /// Hosts whose first process will start.
     booting: Vec<ScheduledHost>,
+    /// Draining hosts whose process will be stopped.
     stopping: Vec<ScheduledHost>,
-    reviving: Vec<ScheduledHost>,
-    /// By index of the fault.
-    struck_hosts: HashMap<usize, Vec<u32>>,
+    /// Killed hosts whose process will be started again.
+    restarting: Vec<ScheduledHost>,
+    /// The hosts that each fault in progress affects, by index of the fault.
+    affected_hosts: HashMap<usize, Vec<u32>>,
     rng: StdRng,
 }
 
-/// A fault of the scenario.
+/// A fault of the scenario that has not ended yet.
 #[derive(Clone, Copy)]
 struct ScheduledFault {
     /// Its index in the scenario.
     index: usize,
     fault: Fault,
-    begun: bool,
+    has_begun: bool,
 }
 
-/// Runs a scenario to its end and checks the rules. `progress` is called with the time, once a second.
+/// Runs a scenario to its end and checks the rules. Calls `progress` once a second with the time since the first command.
 ///
 /// # Errors
 ///
-/// The scenario is one for simulated time only, or the fake peers or the routers cannot be started.
+/// The scenario runs in simulated time only, or the fake peers or the routers cannot be started.
 pub async fn play(
-    day: Scenario,
+    scenario: Scenario,
     starting: Starting,
     mut progress: impl FnMut(Micros),
-) -> Result<Played, PlayError> {
-    if day.may_gossip {
+) -> Result<ScenarioRun, PlayError> {
+    if scenario.may_gossip {
         return Err(PlayError::Gossip);
     }
-    let context = RunContext::new(day);
+    let context = RunContext::new(scenario);
     let scenario = &context.scenario;
     let mut run = Run::new(context.clone(), starting).await?;
     run.start_processes().await?;
@@ -109,32 +113,32 @@
     run.start = context.tap.now();
     let clients = ClientPool::new(context.clone(), run.routers.endpoints.clone());
     let sending = tokio::spawn(clients.clone().send_until(run.start + scenario.length));
-    // After the last command there is time for its answer.
-    let longest = scenario.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
-    let end = run.start + scenario.length + longest + SECOND;
-    let mut seconds = 0;
+    // The run goes on after the last command, until its answer must have come.
+    let longest_timeout = scenario.ops.iter().map(|op| op.timeout).max().unwrap_or(0);
+    let end = run.start + scenario.length + longest_timeout + SECOND;
+    let mut reported_seconds = 0;
     while context.tap.now() < end {
         let now = context.tap.now();
-        let passed = (now - run.start) / SECOND;
-        if passed > seconds {
-            seconds = passed;
-            progress(seconds * SECOND);
+        let elapsed_seconds = (now - run.start) / SECOND;
+        if elapsed_seconds > reported_seconds {
+            reported_seconds = elapsed_seconds;
+            progress(reported_seconds * SECOND);
         }
         run.tick(now).await?;
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
     }
-    // A panic there shows as missing outcomes.
+    // If that task panicked, outcomes of commands are missing.
     let _ = sending.await;
     run.routers.terminate_all().await;
     Ok(run.finish(&clients))
 }
 
 impl Run {
-    /// Starts the registry and the release controller.
+    /// Starts the endpoint registry and the release controller.
     async fn new(context: Arc<RunContext>, starting: Starting) -> Result<Run, PlayError> {
         let registry = EndpointRegistryServer::new(context.clone());
         let controller = ReleaseControllerServer::new(context.clone());
-        let surroundings = Surroundings {
+        let servers = ServerAddresses {
             list: registry.open().await?,
             release_controller: controller.open().await?,
         };
@@ -144,26 +148,27 @@
         Ok(Run {
             registry,
             controller,
-            routers: RouterFleet::new(context.clone(), starting, surroundings),
+            routers: RouterFleet::new(context.clone(), starting, servers),
             start: 0,
             offers: builds.filter(|build| build.number > 1).collect(),
             faults: faults
                 .map(|(index, fault)| ScheduledFault {
                     index,
                     fault: *fault,
-                    begun: false,
+                    has_begun: false,
                 })
                 .collect(),
             hosts: HashMap::new(),
             booting: Vec::new(),
             stopping: Vec::new(),
-            reviving: Vec::new(),
-            struck_hosts: HashMap::new(),
+            restarting: Vec::new(),
+            affected_hosts: HashMap::new(),
             rng: StdRng::seed_from_u64(scenario.seed ^ RUN_SEED),
             context,
         })
     }
 
+    /// Starts the hosts and the routers.
     async fn start_processes(&mut self) -> Result<(), PlayError> {
         for host in 0..self.context.scenario.hosts {
             self.add_host(host, 1, None);
@@ -175,7 +180,7 @@
         Ok(())
     }
 
-    /// Does what is due.
+    /// Performs the steps of rollout, hosts, faults and registry that are due.
     async fn tick(&mut self, now: Micros) -> Result<(), PlayError> {
         self.advance_rollout(now);
         self.advance_hosts(now).await?;
@@ -186,7 +191,7 @@
         Ok(())
     }
 
-    /// Offers the next build when it is due, and carries out what the release controller orders.
+    /// Offers the next build when it is due, and executes the orders of the release controller, unless it is stalled.
     fn advance_rollout(&mut self, now: Micros) {
         if self.context.faults().stalled_controller {
             return;
@@ -210,15 +215,15 @@
                 state: state.rollout,
             });
         }
-        self.carry_out(orders);
+        self.execute_orders(orders);
     }
 
     fn begin_due_faults(&mut self, now: Micros) {
         let elapsed = now - self.start;
         let mut due = Vec::new();
         for scheduled in &mut self.faults {
-            if !scheduled.begun && elapsed >= scheduled.fault.at {
-                scheduled.begun = true;
+            if !scheduled.has_begun && elapsed >= scheduled.fault.at {
+                scheduled.has_begun = true;
                 due.push(*scheduled);
             }
         }
@@ -232,7 +237,7 @@
     fn end_due_faults(&mut self, now: Micros) {
         let elapsed = now - self.start;
         let is_over = |scheduled: &mut ScheduledFault| {
-            scheduled.begun && elapsed >= scheduled.fault.at + scheduled.fault.lasts
+            scheduled.has_begun && elapsed >= scheduled.fault.at + scheduled.fault.lasts
         };
         let over: Vec<ScheduledFault> = self.faults.extract_if(.., is_over).collect();
         for scheduled in over {
@@ -242,23 +247,23 @@
         }
     }
 
-    /// Checks what was recorded.
-    fn finish(&self, clients: &ClientPool) -> Played {
-        let day = self.context.scenario.clone();
-        let seen = self.context.tap.take();
+    /// Checks the records of the run.
+    fn finish(&self, clients: &ClientPool) -> ScenarioRun {
+        let scenario = self.context.scenario.clone();
+        let observations = self.context.tap.take();
         let outcomes = clients.take_outcomes();
         let failures = self.routers.take_failures();
-        let mut recorder = RunRecorder::new(&day, self.start);
-        for (at, observation) in &seen {
+        let mut recorder = RunRecorder::new(&scenario, self.start);
+        for (at, observation) in &observations {
             recorder.observe(*at, observation);
         }
         for outcome in &outcomes {
             recorder.ended(outcome);
         }
-        let report = recorder.finish(failures, Some(&seen));
-        Played {
-            day,
-            seen,
+        let report = recorder.finish(failures, Some(&observations));
+        ScenarioRun {
+            scenario,
+            observations,
             outcomes,
             report,
         }
--- a/crates/spokeflow-testbed/src/day/hosts.rs
+++ b/crates/spokeflow-testbed/src/day/hosts.rs
@@ -1,4 +1,5 @@
-//! The hosts of a run: boots, drains, stops and revives their processes as the release controller orders.
+//! The hosts of a run: boots, drains and stops their processes as the release controller orders, and restarts those that a
+//! fault killed.
 
 use std::net::SocketAddr;
 
@@ -13,29 +14,30 @@
 use crate::hosts::{self, HostIdentity, HostProcess};
 use crate::{locked, Micros, MS};
 
-/// How much later a host that still has work is looked at again.
+/// Delay after which stopping a host that still has work is tried again.
 const STOP_RETRY: Micros = 100 * MS;
 
-/// A host of the fleet, whether or not a process of it runs.
+/// A host of the fleet. Its process may be running or not.
 pub(super) struct HostSlot {
     site: u16,
     pub(super) build: u16,
-    /// `None` where it ran before the run began.
+    /// Time at which the process started, or `None` where the host was running before the run began.
     started_at: Option<Micros>,
+    /// The running process, or `None` while there is none.
     pub(super) process: Option<HostProcess>,
     pub(super) draining: bool,
-    /// The address that its processes have, once there was one.
+    /// The address of its first process, which later processes use again; `None` before that.
     address: Option<SocketAddr>,
 }
 
-/// Something that is to happen to a host.
+/// A step that is due for a host at a time.
 #[derive(Clone, Copy)]
 pub(super) struct ScheduledHost {
     pub(super) at: Micros,
     pub(super) host: u32,
 }
 
-/// Takes out of a schedule what is due.
+/// Removes the steps that are due from a schedule, and returns them.
 fn take_due(schedule: &mut Vec<ScheduledHost>, now: Micros) -> Vec<ScheduledHost> {
     schedule
         .extract_if(.., |scheduled| scheduled.at <= now)
@@ -43,7 +45,7 @@
 }
 
 impl Run {
-    /// Adds a host, or another build in the place of one.
+    /// Adds a host without a process, or replaces the host of that number by one of another build.
     pub(super) fn add_host(&mut self, host: u32, build: u16, started_at: Option<Micros>) {
         let sites = u32::from(self.context.scenario.sites);
         let slot = HostSlot {
@@ -57,11 +59,11 @@
         self.hosts.insert(host, slot);
     }
 
-    /// Starts the process of a host at the address that it had, and lets the registry learn of it.
+    /// Starts the process of a host at the address of its last one, and announces it to the registry.
     ///
     /// # Errors
     ///
-    /// The port cannot be had.
+    /// The port cannot be bound.
     pub(super) async fn start_host(&mut self, host: u32) -> std::io::Result<()> {
         let scenario = &self.context.scenario;
         let seed = scenario.seed ^ u64::from(host) << 20 ^ self.context.unique_id() << 40;
@@ -92,13 +94,13 @@
         Ok(())
     }
 
-    /// After which the registry learns of a change.
+    /// Draws the delay after which the registry learns of a change.
     pub(super) fn draw_list_delay(&mut self) -> Micros {
         let [least, most] = self.context.scenario.list_late;
         self.rng.random_range(least..most) + self.context.faults().list_delay
     }
 
-    /// Lets the registry learn of a host after a delay.
+    /// Schedules the registry to learn of the phase of a host after a delay.
     pub(super) fn announce(&self, host: u32, phase: Phase, incarnation: u64, delay: Micros) {
         let Some(slot) = self.hosts.get(&host) else {
             return;
@@ -119,7 +121,7 @@
             .announce(self.context.tap.now() + delay, entry);
     }
 
-    /// The incarnation of a host's process, 0 where none runs.
+    /// Returns the incarnation of a host's process, or 0 where none runs.
     pub(super) fn incarnation(&self, host: u32) -> u64 {
         self.hosts
             .get(&host)
@@ -127,7 +129,7 @@
             .map_or(0, |process| process.incarnation)
     }
 
-    /// Ends the process of a host at once, and lets the registry learn of it.
+    /// Kills the process of a host, and announces to the registry that it is gone.
     pub(super) fn remove_process(&mut self, host: u32) {
         let incarnation = self.incarnation(host);
         let delay = self.draw_list_delay();
@@ -137,8 +139,8 @@
         self.announce(host, Phase::Gone, incarnation, delay);
     }
 
-    /// Does what the release controller orders.
-    pub(super) fn carry_out(&mut self, orders: Vec<FleetOrder>) {
+    /// Executes orders of the release controller.
+    pub(super) fn execute_orders(&mut self, orders: Vec<FleetOrder>) {
         let now = self.context.tap.now();
         for order in orders {
             match order {
@@ -169,11 +171,11 @@
         self.stopping.push(ScheduledHost { at, host });
     }
 
-    /// Boots, stops and revives the hosts for which it is time.
+    /// Boots, stops and restarts the hosts for which that is due.
     ///
     /// # Errors
     ///
-    /// The port of a host cannot be had.
+    /// The port of a host cannot be bound.
     pub(super) async fn advance_hosts(&mut self, now: Micros) -> std::io::Result<()> {
         for booted in take_due(&mut self.booting, now) {
             self.boot_host(booted.host, now).await?;
@@ -181,8 +183,8 @@
         for stopped in take_due(&mut self.stopping, now) {
             self.stop_host(stopped.host, now);
         }
-        for revived in take_due(&mut self.reviving, now) {
-            self.revive_host(revived.host, now).await?;
+        for restarted in take_due(&mut self.restarting, now) {
+            self.restart_host(restarted.host, now).await?;
         }
         Ok(())
     }
@@ -194,11 +196,11 @@
         self.start_host(host).await?;
         let mut orders = Vec::new();
         locked(&self.controller.controller).on_host_started(now, host, &mut orders);
-        self.carry_out(orders);
+        self.execute_orders(orders);
         Ok(())
     }
 
-    /// Stops a drained host, later where it still has work.
+    /// Stops a drained host, or schedules another try where it still has work.
     fn stop_host(&mut self, host: u32, now: Micros) {
         let Some(slot) = self.hosts.get(&host) else {
             return;
@@ -215,7 +217,8 @@
         self.remove_process(host);
     }
 
-    async fn revive_host(&mut self, host: u32, now: Micros) -> std::io::Result<()> {
+    /// Starts the process of a killed host again, unless the host is draining or has a process.
+    async fn restart_host(&mut self, host: u32, now: Micros) -> std::io::Result<()> {
         let slot = self.hosts.get_mut(&host);
         let Some(slot) = slot.filter(|slot| !slot.draining && slot.process.is_none()) else {
             return Ok(());
--- a/crates/spokeflow-testbed/src/day/routers.rs
+++ b/crates/spokeflow-testbed/src/day/routers.rs
@@ -12,30 +12,30 @@
 use crate::routers::{flags, RouterProcess, StartError, Starting};
 use crate::{locked, Micros};
 
-/// Within which a router ends: its drain grace, and some more.
+/// Time within which a router must end after SIGTERM: longer than its drain grace.
 const TERMINATE_TIMEOUT: Duration = Duration::from_secs(16);
 
-/// Where the servers around the routers listen.
+/// The addresses of the servers that the routers connect to.
 #[derive(Clone, Copy)]
-pub(super) struct Surroundings {
+pub(super) struct ServerAddresses {
     pub(super) list: SocketAddr,
     pub(super) release_controller: SocketAddr,
 }
 
-/// A restart of some routers.
+/// A planned restart of some routers.
 pub(super) struct Restart {
     pub(super) routers: Vec<u32>,
     pub(super) kind: RestartKind,
-    /// How long each is down.
-    pub(super) down: Micros,
+    /// Time from the end of a router to its next start.
+    pub(super) down_duration: Micros,
 }
 
 /// How routers are restarted.
 #[derive(Clone, Copy)]
 pub(super) enum RestartKind {
-    /// Killed together.
+    /// All are killed at once.
     Kill,
-    /// Terminated one after the other, with so much time from one to the next.
+    /// They are terminated one after the other, one per interval.
     Rolling { interval: Micros },
 }
 
@@ -44,9 +44,10 @@
     context: Arc<RunContext>,
     pub(super) endpoints: RouterEndpoints,
     starting: Starting,
-    surroundings: Surroundings,
-    /// Routers that did not start or end as they should.
+    servers: ServerAddresses,
+    /// Messages on routers that did not start or end as expected.
     failures: Mutex<Vec<String>>,
+    /// By index of the router; `None` while it is down.
     processes: tokio::sync::Mutex<Vec<Option<RouterProcess>>>,
 }
 
@@ -54,23 +55,23 @@
     pub(super) fn new(
         context: Arc<RunContext>,
         starting: Starting,
-        surroundings: Surroundings,
+        servers: ServerAddresses,
     ) -> Arc<RouterFleet> {
         Arc::new(RouterFleet {
             context,
             endpoints: RouterEndpoints::default(),
             starting,
-            surroundings,
+            servers,
             failures: Mutex::default(),
             processes: tokio::sync::Mutex::default(),
         })
     }
 
-    /// Starts the next router, whose number is `router`.
+    /// Starts the next router; `router` must be its index.
     ///
     /// # Errors
     ///
-    /// It does not start.
+    /// The process does not start.
     pub(super) async fn add(&self, router: u32) -> Result<(), StartError> {
         let process = Process { router, start: 0 };
         let child = self.start(router).await?;
@@ -86,23 +87,23 @@
     }
 
     async fn start(&self, router: u32) -> Result<RouterProcess, StartError> {
-        let Surroundings {
+        let ServerAddresses {
             list,
             release_controller,
-        } = self.surroundings;
+        } = self.servers;
         let flags = flags(&self.context.scenario, router, list, release_controller);
         RouterProcess::start(&self.starting, &flags, &format!("router-{router}")).await
     }
 
-    /// Restarts some routers.
+    /// Carries out a planned restart.
     pub(super) async fn restart(self: Arc<Self>, restart: Restart) {
-        let down = duration(restart.down);
+        let down_duration = duration(restart.down_duration);
         match restart.kind {
             RestartKind::Kill => {
                 for router in &restart.routers {
                     self.kill(*router).await;
                 }
-                sleep(down).await;
+                sleep(down_duration).await;
                 for router in restart.routers {
                     self.start_again(router).await;
                 }
@@ -110,9 +111,9 @@
             RestartKind::Rolling { interval } => {
                 for router in restart.routers {
                     self.terminate(router).await;
-                    sleep(down).await;
+                    sleep(down_duration).await;
                     self.start_again(router).await;
-                    sleep(duration(interval - restart.down)).await;
+                    sleep(duration(interval - restart.down_duration)).await;
                 }
             }
         }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Terminates all routers, one after the other.
+    /// Terminates all running routers, one after the other.
     pub(super) async fn terminate_all(&self) {
         let mut processes = self.processes.lock().await;
         for (router, child) in processes.iter_mut().enumerate() {
@@ -157,6 +158,7 @@
         }
     }
 
+    /// Takes the process of a router; `None` while it is down.
     async fn take(&self, router: u32) -> Option<RouterProcess> {
         let mut processes = self.processes.lock().await;
         processes.get_mut(router as usize).and_then(Option::take)
@@ -173,7 +175,9 @@
         let process = self.context.next_router_process(router);
         let child = match self.start(router).await {
             Ok(child) => child,
-            Err(error) => return self.record_failure(error.to_string()),
+            Err(error) => {
+                return self.record_failure(format!("router {router}: restart failed: {error}"))
+            }
         };
         self.context.tap.record(Observation::RouterUp(process));
         if let Some(endpoint) = locked(&self.endpoints).get_mut(router as usize) {
@@ -190,13 +194,13 @@
         locked(&self.failures).push(failure);
     }
 
-    /// Takes what went wrong so far.
+    /// Removes and returns the messages on failures so far.
     pub(super) fn take_failures(&self) -> Vec<String> {
         std::mem::take(&mut *locked(&self.failures))
     }
 }
 
-/// A time of the run; one before its start is none.
+/// Converts a number of microseconds; a negative one gives zero.
 fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(0) as u64)
 }
--- a/crates/spokeflow-testbed/src/endpoint_registry.rs
+++ b/crates/spokeflow-testbed/src/endpoint_registry.rs
@@ -1,4 +1,5 @@
-//! The fake endpoint registry: serves the registry model of the scenario, late or interrupted as its faults say.
+//! The fake endpoint registry: serves the registry model of the scenario, and delays updates or closes connections while
+//! a fault of the scenario says so.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -18,7 +19,7 @@
 use crate::context::{Path, RunContext};
 use crate::{locked, Micros};
 
-/// How often a watch is compared with the registry.
+/// Interval at which the version that a router has is compared with that of the registry.
 const WATCH_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves one registry to any number of routers.
@@ -35,11 +36,11 @@
         })
     }
 
-    /// Serves until the runtime ends.
+    /// Listens on a free port and serves routers until the runtime ends; returns the address.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// No loopback port can be bound.
     pub(crate) async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -52,12 +53,12 @@
         Ok(address)
     }
 
-    /// The registry learns of an entry at a time.
+    /// Schedules an entry: the registry learns of it at time `at`.
     pub(crate) fn announce(&self, at: Micros, entry: Entry) {
         locked(&self.registry).schedule_update(at, entry);
     }
 
-    /// Publishes what the registry has learned by now.
+    /// Publishes the entries that the registry has learned of by `now`.
     pub(crate) fn tick(&self, now: Micros) {
         locked(&self.registry).tick(now);
     }
@@ -83,7 +84,7 @@
         let mut watched: Option<u64> = None;
         let mut ticks = interval(WATCH_INTERVAL);
         loop {
-            // Messages are sent while this connection is served: their receiver is here.
+            // Sending to `outbound` cannot fail: its receiver is in this function.
             tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(ToList::Watch { have })) => {
@@ -117,7 +118,8 @@
         }
     }
 
-    /// What has changed since a version, or the whole list.
+    /// Builds the message with the entries changed since a version, or with the whole list where the registry does not
+    /// have the changes.
     fn update(&self, registry: &EndpointRegistry, since: Option<u64>) -> FromList {
         let now = self.context.tap.now();
         let version = registry.version();
@@ -132,9 +134,9 @@
         }
     }
 
-    /// Records an update on its way to a router; one without a change says nothing.
+    /// Records an update that is about to be written to a router; changes without an entry are not recorded.
     fn record(&self, router: Process, update: &FromList) {
-        let (whole, endpoints) = match update {
+        let (complete, endpoints) = match update {
             FromList::Complete { endpoints, .. } => (true, endpoints),
             FromList::Changes { endpoints, .. } if !endpoints.is_empty() => (false, endpoints),
             _ => return,
@@ -148,7 +150,7 @@
             .collect();
         self.context.tap.record(Observation::Listed {
             to: router,
-            whole,
+            whole: complete,
             lines,
         });
     }
--- a/crates/spokeflow-testbed/src/hosts.rs
+++ b/crates/spokeflow-testbed/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Fake hosts on loopback sockets: the host model of the scenario behind a listener.
+//! Fake hosts on loopback sockets: each serves the host model of the scenario.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,16 +20,16 @@
 use crate::context::{Path, RunContext};
 use crate::{locked, Micros};
 
-/// Body of an answer that is right.
+/// Body of a correct answer.
 const RIGHT_ANSWER: &[u8] = b"right";
-/// Body of an answer that clients may report.
+/// Body of a wrong answer, which clients may report.
 pub(crate) const WRONG_ANSWER: &[u8] = b"wrong";
-/// Bound on the time that a delivery has left, so that no sum of times overflows.
+/// Upper bound on the remaining time of a delivery, so that adding it to the current time does not overflow.
 const MAX_TIME_LEFT_US: u64 = 1 << 40;
 
 type HostLink = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
 
-/// What the body of a command carries, by which the tap knows it again.
+/// The content of a command's body, by which hosts identify the command to the tap.
 #[derive(Clone, Copy)]
 pub(crate) struct CommandBody {
     /// Number of the attempt.
@@ -47,8 +47,8 @@
 }
 
 impl CommandBody {
-    /// Reads a body; what is missing in it reads as 0.
-    fn read(body: &[u8]) -> CommandBody {
+    /// Decodes a body; a number that is missing is 0.
+    fn decode(body: &[u8]) -> CommandBody {
         let number = |from: usize| {
             body.get(from..from + size_of::<u64>())
                 .and_then(|bytes| bytes.try_into().ok())
@@ -61,35 +61,35 @@
     }
 }
 
-/// A running process of a host. It is killed when dropped.
+/// A running process of a host, which is killed when this is dropped.
 pub(crate) struct HostProcess {
     pub(crate) address: SocketAddr,
     pub(crate) incarnation: u64,
     pub(crate) model: Arc<Mutex<Host>>,
-    /// Notified by whoever changes the model.
+    /// Must be notified after each change of the model from outside the process.
     pub(crate) changed: Arc<Notify>,
     task: JoinHandle<()>,
 }
 
 impl Drop for HostProcess {
-    /// As by SIGKILL: sockets close, and work in progress is lost.
+    /// Ends the process as SIGKILL would: its sockets close, and work in progress is lost.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Which host a process belongs to.
+/// The host that a process belongs to, its site and its build.
 pub(crate) struct HostIdentity {
     pub(crate) host: u32,
     pub(crate) site: u16,
     pub(crate) build: u16,
 }
 
-/// Starts a process of a host at `address`, or at any free port.
+/// Starts a process of a host at `address`, or at a free port without one.
 ///
 /// # Errors
 ///
-/// The port cannot be had.
+/// The port cannot be bound.
 pub(crate) async fn start(
     context: &Arc<RunContext>,
     identity: HostIdentity,
@@ -121,10 +121,10 @@
     })
 }
 
-/// A message to a router, and the attempt that it answers.
+/// A message to a router, with the attempt that it answers.
 struct Reply {
     message: FromHost,
-    /// 0 where it answers none.
+    /// Number of the attempt, or 0 where the message answers none.
     attempt: u64,
 }
 
@@ -135,14 +135,14 @@
     started_at: Micros,
     model: Arc<Mutex<Host>>,
     changed: Arc<Notify>,
-    /// By number of the connection.
+    /// Senders of the replies on each connection, by number of the connection.
     replies: Mutex<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
 }
 
 impl HostServer {
     /// Serves connections until the model crashes.
     async fn serve(self: Arc<Self>, listener: TcpListener) {
-        // Dropped with this task, and with it all connections.
+        // Dropped with this task, which closes all connections.
         let mut connections = JoinSet::new();
         loop {
             let next = locked(&self.model).next_completion();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Answers the jobs that are done and starts those that can start.
+    /// Answers the completed jobs and starts the queued jobs that can run.
     fn advance(&self) {
         let now = self.context.tap.now();
         let mut model = locked(&self.model);
@@ -198,7 +198,7 @@
 
     fn reply(&self, connection: u64, message: FromHost, attempt: u64) {
         if let Some(replies) = locked(&self.replies).get(&connection) {
-            // A connection that has ended needs no reply.
+            // The connection may have ended meanwhile.
             let _ = replies.send(Reply { message, attempt });
         }
     }
@@ -213,7 +213,7 @@
             let _ = link.send(FromHost::Refused(error.refused())).await;
             return;
         }
-        // As it is now: it may be another by the time the path is connected.
+        // Read before the wait for the path, during which the router may be restarted.
         let router = self.context.router_process(hello.index);
         let connection = self.context.unique_id();
         if self.welcome(&mut link, &hello).await.is_ok() {
@@ -265,7 +265,7 @@
                 read = link.next() => {
                     let Some(Ok(message)) = read else { return };
                     self.record_delivery(router, &message);
-                    // The other end lives as long as this function.
+                    // Cannot fail: the receiver is in this function.
                     let _ = inbound.send(message);
                 }
                 Some(message) = delayed_inbound.recv() => self.receive(connection, message),
@@ -279,14 +279,14 @@
         }
     }
 
-    /// Records what has left the router, however long the path to the host still is.
+    /// Records a delivery when it arrives from the router, before the delay of the path to the host.
     fn record_delivery(&self, router: Process, message: &ToHost) {
         if let ToHost::Deliver { delivery, body, .. } = message {
             self.context.tap.record(Observation::Delivered {
                 host: self.identity.host,
                 build: self.identity.build,
                 from: router,
-                attempt: CommandBody::read(body).attempt,
+                attempt: CommandBody::decode(body).attempt,
                 delivery: *delivery,
             });
         }
@@ -319,7 +319,7 @@
                 body,
                 ..
             } => {
-                let body = CommandBody::read(&body);
+                let body = CommandBody::decode(&body);
                 let last_op = self.context.scenario.ops.len() - 1;
                 let job = Job {
                     from: connection,
--- a/crates/spokeflow-testbed/src/lib.rs
+++ b/crates/spokeflow-testbed/src/lib.rs
@@ -1,10 +1,11 @@
-//! Fake peers for what surrounds the routers: hosts, endpoint registry, release controller and clients on loopback
-//! sockets, with faults on a script; a tap that records what crosses the sockets and what runs at the hosts; and a
-//! checker that decides the five rules from that alone. It shares no code with the router's own accounting.
+//! Runs real router processes against fake hosts, a fake endpoint registry, a fake release controller and fake clients
+//! on loopback sockets, with scripted faults. A tap records the messages on the sockets and the commands that run at the
+//! hosts, and a checker evaluates the five rules from that record alone: it shares no code with the router's own
+//! accounting.
 //!
-//! The models of hosts, registry, release controller and clients, the checker and the report are those of
-//! `spokeflow-scenario`; this crate puts them on sockets. Beside it: the fleet rig, which injects faults between real
-//! control-plane nodes and routers, and the load and scale measurements.
+//! The models of hosts, registry, release controller and clients, the checker and the report come from
+//! `spokeflow-scenario`; this crate serves the models on sockets. It also contains the fleet rig, which injects faults
+//! between real control-plane nodes and routers, and the measurements of load, scale and commits.
 
 mod client_connection;
 mod clients;
@@ -26,7 +27,7 @@
 pub use spokeflow_scenario as scenario;
 pub use spokeflow_scenario::{Micros, MS, SECOND};
 
-/// The guard of a mutex whose holders never panic.
+/// Locks a mutex whose holders never panic.
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder panics")
 }
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! An open loop of commands through one router, or through a plain pass-through on the same codec, to hosts that
-//! answer after a fixed time: what the router adds, and what it holds.
+//! Sends an open loop of commands through one router, or through a plain pass-through on the same codec, to hosts that
+//! answer after a fixed time, and measures the latency, processor time and memory of the router.
 
 mod clients;
 mod error;
@@ -27,84 +27,85 @@
 use crate::locked;
 use crate::routers::{RouterProcess, StartError, Starting};
 
-/// For a router to connect to its peers.
-const CONNECT_PAUSE: Duration = Duration::from_millis(500);
-/// For all clients to be ready before the first command.
-const START_PAUSE: Duration = Duration::from_millis(100);
-/// A router that has just started learns first how much comes back: that is no part of the measurement.
+/// Time in which a router connects to its peers.
+const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Time in which all clients become ready before the first command.
+const START_DELAY: Duration = Duration::from_millis(100);
+/// Time under load that is not measured: a router that has just started must first learn the rate of answers.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// Within which a client has its last answers.
+/// Time within which a client must get its last answers after the measurement.
 const CLIENT_END_TIMEOUT: Duration = Duration::from_secs(10);
-/// Significant figures of the latencies.
+/// Precision of the recorded latencies, in significant figures.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a router under load follows.
+/// What the router under load connects to besides hosts, clients and the endpoint registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Follows {
-    /// The release controller alone.
+    /// The release controller only.
     Nothing,
-    /// A node of the control plane as well.
+    /// The release controller and a control-plane node.
     Node,
-    /// A node that accepts the connection and sends nothing.
+    /// The release controller and a control-plane node that accepts the connection and sends nothing.
     UnresponsiveNode,
 }
 
-/// A load and what it is put on.
+/// One measurement: the load, and the router or pass-through that it is sent through.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Hosts behind the router.
+    /// Number of hosts.
     pub hosts: u32,
-    /// Commands a second.
+    /// Commands sent per second, over all clients.
     pub rate: u64,
-    /// Seconds measured.
+    /// Duration of the measurement in seconds, after the warm-up.
     pub seconds: u64,
-    /// Client connections that send.
+    /// Client connections that send commands.
     pub connections: u32,
-    /// Client connections that are only open.
+    /// Client connections that are open and send nothing.
     pub idle: u32,
-    /// Each host answers after this time.
+    /// Time from a delivery to the answer of a host.
     pub answer_after: Duration,
-    /// Through the plain pass-through instead of the router.
+    /// Whether the load is sent through the pass-through instead of the router.
     pub pass: bool,
-    /// One client sends and never reads.
+    /// Whether one more client sends without reading its answers.
     pub stalled: bool,
-    /// A quarter of the hosts run the canary build, with slow starts and votes.
+    /// Whether a quarter of the hosts run a canary build, with slow starts and votes.
     pub canary: bool,
-    /// A fifth of the hosts at a time, each for a second in five, hangs, errs at once, resets its connections or
-    /// takes twenty times as long.
+    /// Whether hosts have faults in turn, a fifth of them at a time and each for one second in five: a faulty host does
+    /// not answer, answers with an error at once, closes its connections or answers after twenty times as long.
     pub faulty_hosts: bool,
-    /// What the router follows.
+    /// The control-plane node of the router, if any.
     pub follows: Follows,
 }
 
-/// What a load measured.
+/// The results of one measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// What the load was put on.
+    /// Name of what the load was sent through.
     pub through: &'static str,
-    /// Hosts behind it.
+    /// Number of hosts.
     pub hosts: u32,
-    /// Commands a second that were sent.
+    /// Commands sent per second.
     pub rate: u64,
-    /// Commands a second that were acked.
+    /// Commands acked per second.
     pub acked_per_s: f64,
-    /// Commands that were nacked.
+    /// Number of commands that were nacked.
     pub nacked: u64,
-    /// Commands that failed.
+    /// Number of commands that failed.
     pub failed: u64,
-    /// From when a command was due to its answer, in milliseconds, the hosts' own time taken off: the median.
+    /// Median latency of the acked commands in milliseconds: from when a command was due to its answer, less the time
+    /// that hosts take to answer.
     pub p50_ms: f64,
-    /// The same: the 99th percentile.
+    /// 99th percentile of that latency in milliseconds.
     pub p99_ms: f64,
-    /// The same: the 99.9th percentile.
+    /// 99.9th percentile of that latency in milliseconds.
     pub p999_ms: f64,
-    /// Processor time of the router for each command, in microseconds.
+    /// Processor time of the router or pass-through per command sent, in microseconds.
     pub cpu_us: f64,
-    /// Resident memory once it has started.
+    /// Resident memory after the start, in KiB.
     pub resident_start_kib: u64,
-    /// With all idle connections open, before the load.
+    /// Resident memory with all idle connections open, before the load, in KiB.
     pub resident_idle_kib: u64,
-    /// At the end of the load.
+    /// Resident memory at the end of the load, in KiB.
     pub resident_end_kib: u64,
 }
 
@@ -112,7 +113,7 @@
 ///
 /// # Errors
 ///
-/// Wrong use, or a process that does not start.
+/// A count of the flags is 0, a process does not start, or a run fails.
 pub fn load(flags: &LoadFlags) -> Result<(), LoadError> {
     if flags.hosts == 0 || flags.rate == 0 || flags.connections == 0 || flags.seconds == 0 {
         return Err(LoadError::ZeroCount);
@@ -161,14 +162,14 @@
     }
 }
 
-/// Puts a load on and measures.
+/// Starts hosts and a router or pass-through, sends the load through it and measures.
 ///
 /// # Errors
 ///
-/// Something cannot be started, or a client gets no welcome.
+/// A peer or process cannot be started, or a client gets no welcome.
 pub async fn measure_load(load: &Load, starting: &Starting) -> Result<Measured, LoadError> {
     let mut subject = Subject::start(load, starting).await?;
-    sleep(CONNECT_PAUSE).await;
+    sleep(CONNECT_TIME).await;
     let resident_start_kib = subject.resident_kib();
     let mut idle = Vec::new();
     for _ in 0..load.idle {
@@ -196,7 +197,7 @@
         .saturating_sub(processor_time_before);
     let resident_end_kib = subject.resident_kib();
     for client in clients {
-        // What was not answered by then is missing in the counts.
+        // Commands that are not answered by then are missing in the counts.
         let _ = timeout(CLIENT_END_TIMEOUT, client).await;
     }
     subject.kill().await;
@@ -221,7 +222,7 @@
 }
 
 impl Load {
-    /// Names that scripts read.
+    /// Returns the name of what the load is sent through. Scripts read these names: they must not change.
     fn through(&self) -> &'static str {
         match self.follows {
             _ if self.pass => "pass-through",
@@ -232,19 +233,19 @@
     }
 }
 
-/// Starts the clients that send.
+/// Connects the clients that send commands, and starts them.
 async fn start_clients(
     load: &Load,
     address: SocketAddr,
     measurements: &Arc<Measurements>,
 ) -> Result<Vec<tokio::task::JoinHandle<()>>, LoadError> {
-    let start = Instant::now() + START_PAUSE;
-    let length = WARM_UP + Duration::from_secs(load.seconds);
+    let start = Instant::now() + START_DELAY;
+    let duration = WARM_UP + Duration::from_secs(load.seconds);
     let mut clients = Vec::new();
     for index in 0..load.connections {
         let link = connect(address).await?;
         let client = Client {
-            schedule: Schedule::new(index, load.connections, load.rate, start, length),
+            schedule: Schedule::new(index, load.connections, load.rate, start, duration),
             measure_from: start + WARM_UP,
             answer_after: load.answer_after,
             measurements: measurements.clone(),
@@ -254,13 +255,14 @@
     Ok(clients)
 }
 
-/// What the load is put on, with the node that it follows.
+/// The router or pass-through under load, and the control-plane node that it follows.
 struct Subject {
     process: RouterProcess,
     node: Option<RouterProcess>,
 }
 
 impl Subject {
+    /// Starts the hosts, the node if there is one, and the router or pass-through.
     async fn start(load: &Load, starting: &Starting) -> Result<Subject, LoadError> {
         let behavior = HostBehavior {
             answer_after: load.answer_after,
@@ -319,7 +321,7 @@
         ..starting.clone()
     };
     let flags: Vec<String> = hosts.iter().map(|host| format!("--host={host}")).collect();
-    RouterProcess::start_plain(&starting, &flags).await
+    RouterProcess::start_without_log(&starting, &flags).await
 }
 
 async fn start_router(
--- a/crates/spokeflow-testbed/src/load/clients.rs
+++ b/crates/spokeflow-testbed/src/load/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of a load: each sends its part of an open loop and measures from when a command was due.
+//! The clients of a load: each sends its part of an open loop of commands, and measures the latency of each command from
+//! when it was due.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,21 +18,22 @@
 use super::LoadError;
 use crate::locked;
 
-const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Beyond the time that a command has left.
+pub(super) const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time without an answer after which a client stops reading: longer than the timeout of a command.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 const COMMAND_TIMEOUT_US: u64 = 4_000_000;
-/// Affinity keys that the commands use.
+/// Number of sticky keys that the commands use.
 const KEYS: u64 = 5000;
+/// Body size of the commands of clients that read.
 const BODY_BYTES: usize = 64;
-/// Body of the commands of a client that never reads.
+/// Body size of the commands of the client that never reads.
 const STALLED_BODY_BYTES: usize = 60_000;
-/// Small, since many clients are only open.
+/// Small, since many client connections are open and idle.
 const READ_BUFFER_BYTES: usize = 1024;
 
 pub(super) type ClientLink = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
 
-/// Connects a client.
+/// Connects a client and waits for the welcome of the router.
 pub(super) async fn connect(address: SocketAddr) -> Result<ClientLink, LoadError> {
     timeout(WELCOME_TIMEOUT, connect_untimed(address))
         .await
@@ -41,7 +43,7 @@
 async fn connect_untimed(address: SocketAddr) -> Result<ClientLink, LoadError> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(LoadError::Connect)?;
+        .map_err(|source| LoadError::Connect { address, source })?;
     let _ = stream.set_nodelay(true);
     let codec = FrameCodec::new(WORK_LIMIT);
     let mut link = ClientLink::with_capacity(stream, codec, READ_BUFFER_BYTES);
@@ -67,7 +69,7 @@
     })
 }
 
-/// Sends without end and never reads.
+/// Sends commands without reading answers, until the connection ends.
 pub(super) async fn send_without_reading(mut link: ClientLink) {
     for id in 0.. {
         if link.send(command(id, STALLED_BODY_BYTES)).await.is_err() {
@@ -76,16 +78,16 @@
     }
 }
 
-/// What the clients of a load measured.
+/// The measurements of all clients of a load.
 pub(super) struct Measurements {
     pub(super) acked: AtomicU64,
     pub(super) nacked: AtomicU64,
     pub(super) failed: AtomicU64,
-    /// In microseconds.
+    /// Latencies of the acked commands, in microseconds.
     pub(super) latencies: Mutex<Histogram<u64>>,
 }
 
-/// The commands of one client, each with the time at which it is due.
+/// The times at which the commands of one client are due.
 #[derive(Clone, Copy)]
 pub(super) struct Schedule {
     first: Instant,
@@ -94,27 +96,28 @@
 }
 
 impl Schedule {
-    /// The part of a client in an open loop of so many commands a second over all clients.
+    /// Returns the schedule of one of `clients` clients, which together send `rate` commands per second.
     pub(super) fn new(
         client: u32,
         clients: u32,
         rate: u64,
         start: Instant,
-        length: Duration,
+        duration: Duration,
     ) -> Schedule {
         let interval = Duration::from_secs(1).mul_f64(f64::from(clients) / rate.max(1) as f64);
         Schedule {
             first: start + interval.mul_f64(f64::from(client) / f64::from(clients)),
             interval,
-            total: (length.as_secs_f64() / interval.as_secs_f64()) as u64,
+            total: (duration.as_secs_f64() / interval.as_secs_f64()) as u64,
         }
     }
 
+    /// Returns the time at which a command is due.
     fn due(&self, id: u64) -> Instant {
         self.first + self.interval.mul_f64(id as f64)
     }
 
-    /// Sends all commands at their times, with as few writes as possible.
+    /// Sends all commands when they are due, with one flush for all that are due together.
     async fn send(self, mut sink: SplitSink<ClientLink, FromClient>) {
         let mut id = 0;
         while id < self.total {
@@ -132,18 +135,18 @@
     }
 }
 
-/// A client that sends and measures.
+/// A client that sends commands and measures.
 pub(super) struct Client {
     pub(super) schedule: Schedule,
-    /// Commands due before are not measured.
+    /// Commands that are due before this are not measured.
     pub(super) measure_from: Instant,
-    /// The time that hosts take, which is not the router's.
+    /// Time that hosts take to answer, which is subtracted from the latencies.
     pub(super) answer_after: Duration,
     pub(super) measurements: Arc<Measurements>,
 }
 
 impl Client {
-    /// Sends all commands and reads all answers, or until none comes any more.
+    /// Sends all commands, and reads until all are answered or no answer comes within the timeout.
     pub(super) async fn run(self, link: ClientLink) {
         let (sink, mut source) = link.split();
         let sending = tokio::spawn(self.schedule.send(sink));
@@ -156,11 +159,11 @@
                 answered += 1;
             }
         }
-        // A panic there shows as missing answers.
+        // If that task panicked, answers are missing in the counts.
         let _ = sending.await;
     }
 
-    /// Records an answer; `false` where the message is none.
+    /// Records an answer. Returns `false` where the message is not an answer.
     fn record(&self, message: ToClient) -> bool {
         let (id, count) = match message {
             ToClient::Acked { id, .. } => (id, &self.measurements.acked),
@@ -168,7 +171,7 @@
             ToClient::Failed { id } => (id, &self.measurements.failed),
             _ => return false,
         };
-        // By when it was due, not when it was sent: a stall of the router counts in full.
+        // Measured from when the command was due, not sent, so that a stall of the router counts in full.
         let due = self.schedule.due(id);
         if due < self.measure_from {
             return true;
@@ -176,7 +179,7 @@
         count.fetch_add(1, Ordering::Relaxed);
         if matches!(message, ToClient::Acked { .. }) {
             let latency = due.elapsed().saturating_sub(self.answer_after).as_micros() as u64;
-            // Out of range only beyond hours.
+            // A latency is out of the histogram's range only beyond hours.
             let _ = locked(&self.measurements.latencies).record(latency.max(1));
         }
         true
--- a/crates/spokeflow-testbed/src/load/error.rs
+++ b/crates/spokeflow-testbed/src/load/error.rs
@@ -1,41 +1,49 @@
-//! Why a load cannot be measured.
+//! The error of a load measurement.
+
+use std::net::SocketAddr;
 
 use spokeflow_proto::{FrameError, ToClient};
 
+use super::clients::WELCOME_TIMEOUT;
 use crate::routers::StartError;
 
-/// Why a load cannot be measured.
+/// A load cannot be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A count that must not be 0 is.
+    /// One of the counts that must be at least 1 is 0.
     #[error("--hosts, --rate, --connections, --seconds: at least 1")]
     ZeroCount,
-    /// This program cannot be started once more.
-    #[error("cannot find this program: {0}")]
+    /// The path of this program, which starts itself again, cannot be determined.
+    #[error("cannot determine the path of this program: {0}")]
     OwnProgram(#[source] std::io::Error),
-    /// The runtime cannot be built.
-    #[error("cannot start the runtime: {0}")]
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// No loopback port can be had.
+    /// A loopback port cannot be bound, or accepting a connection failed.
     #[error("cannot listen on loopback: {0}")]
     Listen(#[source] std::io::Error),
-    /// A process does not start.
+    /// A process cannot be started.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A connection cannot be made.
-    #[error("cannot connect: {0}")]
-    Connect(#[source] std::io::Error),
+    /// A connection to a host or to the router cannot be opened.
+    #[error("cannot connect to {address}: {source}")]
+    Connect {
+        /// Address of the host or router.
+        address: SocketAddr,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// A frame cannot be sent or read.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The router ended a client's connection before its welcome.
-    #[error("no welcome: the connection ended")]
+    /// The router closed a client's connection before its welcome.
+    #[error("the router closed the client connection before its welcome")]
     Disconnected,
-    /// The router sent something else than its welcome.
-    #[error("no welcome but {0:?}")]
+    /// The router sent another message than its welcome.
+    #[error("expected the router's welcome, got {0:?}")]
     NotWelcome(Box<ToClient>),
-    /// The router sent no welcome in time.
-    #[error("no welcome in time")]
+    /// The client got no welcome in time.
+    #[error("no welcome from the router within {WELCOME_TIMEOUT:?}")]
     WelcomeTimedOut,
     /// A report cannot be written.
     #[error("cannot write the report: {0}")]
--- a/crates/spokeflow-testbed/src/load/flags.rs
+++ b/crates/spokeflow-testbed/src/load/flags.rs
@@ -1,51 +1,52 @@
-//! Flags of the load command, and the runs that they stand for.
+//! Flags of `load`, and the measurements that they select.
 
 use std::time::Duration;
 
 use super::{Follows, Load};
 
-/// Flags of the load command.
+/// Flags of `load`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct LoadFlags {
-    /// Hosts, each answering after --answer-after
+    /// Number of hosts, which answer after --answer-after
     #[arg(long, default_value_t = 20)]
     pub hosts: u32,
-    /// Commands a second
+    /// Commands sent per second, over all connections
     #[arg(long, default_value_t = 2000)]
     pub rate: u64,
-    /// Seconds measured, after four that are not
+    /// Seconds measured, after a warm-up of four seconds
     #[arg(long, default_value_t = 5)]
     pub seconds: u64,
-    /// Connections that send
+    /// Client connections that send commands
     #[arg(long, default_value_t = 20)]
     pub connections: u32,
-    /// Client connections that are only open
+    /// Client connections that are open and send nothing
     #[arg(long, default_value_t = 0)]
     pub idle: u32,
-    /// Milliseconds until a host answers
+    /// Milliseconds from a delivery to the answer of a host
     #[arg(long, default_value_t = 2)]
     pub answer_after: u64,
-    /// Runs of each, in turn
+    /// Number of runs of the pass-through and of each form of the router, in turn
     #[arg(long, default_value_t = 3)]
     pub runs: u32,
-    /// One more client sends 60 kB commands and never reads
+    /// Adds a client that sends commands of 60 kB and never reads its answers
     #[arg(long)]
     pub stalled: bool,
-    /// A quarter of the hosts run a canary build
+    /// Runs a canary build on a quarter of the hosts
     #[arg(long = "canary", alias = "trial")]
     pub canary: bool,
-    /// Hosts hang, err, reset or slow down in turn, a fifth of them at a time; the pass-through's stay well
+    /// Makes hosts hang, answer with errors, reset connections or slow down in turn, a fifth of them at a time. Runs of
+    /// the pass-through have no faulty hosts
     #[arg(long = "faulty-hosts", alias = "bad")]
     pub faulty_hosts: bool,
-    /// Runs the router also with a control-plane node to follow and with an unresponsive one, in turn
+    /// Also measures the router with a control-plane node, and with one that sends nothing
     #[arg(long = "nodes", alias = "keepers")]
     pub nodes: bool,
-    /// Prints one JSON value for each run
+    /// Prints one JSON value per run instead of the table
     #[arg(long)]
     pub json: bool,
 }
 
-/// What one run is put on.
+/// What the load of one run is sent through.
 #[derive(Clone, Copy)]
 pub(super) enum Target {
     PassThrough,
@@ -53,7 +54,7 @@
 }
 
 impl LoadFlags {
-    /// What the runs are put on, in turn.
+    /// Returns the targets to measure, in turn.
     pub(super) fn targets(&self) -> Vec<Target> {
         let mut targets = vec![Target::PassThrough, Target::Router(Follows::Nothing)];
         if self.nodes {
@@ -63,6 +64,7 @@
         targets
     }
 
+    /// Returns the load of one run.
     pub(super) fn load(&self, target: Target) -> Load {
         let (pass, follows) = match target {
             Target::PassThrough => (true, Follows::Nothing),
--- a/crates/spokeflow-testbed/src/load/pass_through.rs
+++ b/crates/spokeflow-testbed/src/load/pass_through.rs
@@ -1,4 +1,4 @@
-//! The baseline of a load: a proxy on the same codec and with the same number of hops that decides nothing.
+//! The baseline of a load: a proxy with the same codec and number of hops as a router, which makes no routing decisions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,26 +14,27 @@
 use super::LoadError;
 use crate::locked;
 
-/// Messages that wait for a connection: as many as a burst of the load brings.
-const QUEUE: usize = 1024;
-/// Small, since many clients are only open.
+/// Capacity of the message queue of a connection: holds a burst of the load.
+const QUEUE_CAPACITY: usize = 1024;
+/// Small, since many client connections are open and idle.
 const READ_BUFFER_BYTES: usize = 512;
 
-/// Whom the answer to a delivery goes to, and under which number.
+/// The client that the answer to a delivery goes to, and the id of its command.
 struct AnswerRoute {
     client: mpsc::Sender<ToClient>,
     id: u64,
 }
 
-/// What the connections of the proxy share.
+/// State that all connections of the proxy share.
 struct Proxy {
-    /// By delivery.
+    /// Routes of the open deliveries, by number of the delivery.
     routes: Mutex<HashMap<u64, AnswerRoute>>,
     next_delivery: AtomicU64,
+    /// The message queues of the connections to the hosts.
     hosts: Vec<mpsc::Sender<ToHost>>,
 }
 
-/// Passes every command on to the next host in turn and its answer back, until the listener fails.
+/// Forwards every command to the next host in turn and its answer back to the client, until the listener fails.
 ///
 /// # Errors
 ///
@@ -47,7 +48,7 @@
     let mut host_queues = Vec::new();
     let mut host_connections = Vec::new();
     for address in hosts {
-        let (queue, messages) = mpsc::channel(QUEUE);
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         host_queues.push(queue);
         host_connections.push((connect_host(*address).await?, messages));
     }
@@ -70,7 +71,7 @@
 async fn connect_host(address: SocketAddr) -> Result<HostLink, LoadError> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(LoadError::Connect)?;
+        .map_err(|source| LoadError::Connect { address, source })?;
     let _ = stream.set_nodelay(true);
     let mut link = HostLink::new(stream, FrameCodec::new(WORK_LIMIT));
     link.send(ToHost::Hello(Hello::new(Role::Router, 0, 0)))
@@ -97,6 +98,7 @@
         }
     }
 
+    /// Sends the answer to a delivery to the client.
     async fn answer(&self, delivery: u64, body: bytes::Bytes) {
         let route = locked(&self.routes).remove(&delivery);
         if let Some(AnswerRoute { client, id }) = route {
@@ -106,7 +108,7 @@
                 receipt: 0,
                 body,
             };
-            // A client that has gone needs no answer.
+            // The client may have disconnected.
             let _ = client.send(answer).await;
         }
     }
@@ -115,12 +117,12 @@
         let _ = stream.set_nodelay(true);
         let mut link: Framed<_, FrameCodec<FromClient, ToClient>> =
             Framed::with_capacity(stream, FrameCodec::new(WORK_LIMIT), READ_BUFFER_BYTES);
-        let (answer, mut answers) = mpsc::channel(QUEUE);
+        let (answer, mut answers) = mpsc::channel(QUEUE_CAPACITY);
         loop {
             tokio::select! {
                 read = link.next() => match read {
                     Some(Ok(FromClient::Hello(_))) => {
-                        // A connection that has ended is read as such.
+                        // The next read reports a connection that has ended.
                         let _ = link.send(ToClient::Welcome).await;
                     }
                     Some(Ok(FromClient::Command(command))) => {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Forwards a command to the next host in turn; an error where its connection has ended.
+    /// Forwards a command to the next host in turn; fails where the connection to that host has ended.
     async fn forward(
         &self,
         command: Command,
@@ -163,7 +165,7 @@
     }
 }
 
-/// Sends a message and those that wait behind it, with one flush.
+/// Sends a message and those queued behind it, with one flush.
 async fn send_batch<T, L: Sink<T> + Unpin>(
     link: &mut L,
     first: T,
--- a/crates/spokeflow-testbed/src/load/peers.rs
+++ b/crates/spokeflow-testbed/src/load/peers.rs
@@ -1,5 +1,5 @@
-//! The peers of a router under load: hosts that answer after a fixed time, a registry and a release controller that
-//! do not change, a node of the control plane, and one that is unresponsive.
+//! The peers of a router under load: hosts that answer after a fixed time, an endpoint registry and a release controller
+//! whose contents do not change, a control-plane node, and a node that accepts connections and sends nothing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,25 +17,25 @@
 
 const RELEASED_BUILD: u16 = 1;
 const CANARY_BUILD: u16 = 2;
-/// One host in so many runs the canary build, where there is one.
+/// Every fourth host runs the canary build in a load that has one.
 const CANARY_HOST_EVERY: usize = 4;
-/// What the release controller lets the canary build take.
+/// Exposure cap that the release controller sets for the canary build.
 const CANARY_EXPOSURE_CAP: f32 = 0.35;
-/// Uptime that hosts report: long enough for no router to treat them as recently started.
+/// Uptime that hosts report: long enough that routers do not treat them as recently started.
 const HOST_UPTIME_US: u64 = 1 << 40;
-/// Every host has a fault for one second in so many, a fifth of the hosts at a time.
+/// Period in seconds in which each host is faulty for one second, so that a fifth of the hosts are faulty at a time.
 const FAULT_PERIOD_S: u64 = 5;
-/// By how many times a slow host answers later.
+/// Factor on the answer time of a slow host.
 const SLOW_HOST_FACTOR: u32 = 20;
 
 type HostLink = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
 
-/// What hosts do.
+/// How the hosts of a load answer.
 #[derive(Clone, Copy)]
 pub(super) struct HostBehavior {
-    /// From a delivery to its answer.
+    /// Time from a delivery to its answer.
     pub(super) answer_after: Duration,
-    /// Since when they have faults in turn; `None` where they have none.
+    /// Start of the faults that hosts have in turn, or `None` for no faults.
     pub(super) faulty_since: Option<Instant>,
 }
 
@@ -57,7 +57,7 @@
     Ok(addresses)
 }
 
-/// What is wrong with a host for the moment.
+/// The current fault of a host.
 enum HostFault {
     Hangs,
     Errors,
@@ -66,6 +66,7 @@
 }
 
 impl HostBehavior {
+    /// Returns the current fault of a host.
     fn fault(&self, host: u32) -> Option<HostFault> {
         let seconds = self.faulty_since?.elapsed().as_secs();
         if !(seconds + u64::from(host)).is_multiple_of(FAULT_PERIOD_S) {
@@ -80,7 +81,7 @@
     }
 }
 
-/// An answer and when it leaves.
+/// An answer and the time at which it is sent.
 struct DueAnswer {
     at: Instant,
     message: FromHost,
@@ -89,7 +90,7 @@
 async fn serve_host(stream: TcpStream, host: u32, behavior: HostBehavior) {
     let _ = stream.set_nodelay(true);
     let (sink, source) = HostLink::new(stream, FrameCodec::new(WORK_LIMIT)).split();
-    // Unbounded: the load bounds what is under way, and a full queue would show as a slow host.
+    // Unbounded: the load bounds the open deliveries, and a full queue would make the host seem slow.
     let (answers, due) = mpsc::unbounded_channel();
     tokio::spawn(send_answers(sink, due));
     answer_deliveries(source, host, behavior, answers).await;
@@ -133,14 +134,14 @@
     }
 }
 
-/// Sends answers in order, each at its time, with as few writes as possible.
+/// Sends answers in order, each at its time, and flushes only before a wait.
 async fn send_answers(
     mut sink: SplitSink<HostLink, FromHost>,
     mut due: mpsc::UnboundedReceiver<DueAnswer>,
 ) {
     while let Some(DueAnswer { at, message }) = due.recv().await {
         if at > Instant::now() {
-            // What has been answered leaves before this one is waited for.
+            // Earlier answers are written before the wait for this one.
             if sink.flush().await.is_err() {
                 return;
             }
@@ -152,7 +153,7 @@
     }
 }
 
-/// Starts a registry of these hosts, and returns its address.
+/// Starts an endpoint registry that lists the hosts, and returns its address.
 pub(super) async fn start_list(hosts: &[SocketAddr], canary: bool) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let list_address = listener.local_addr()?;
@@ -239,10 +240,10 @@
     while let Some(Ok(_)) = link.next().await {}
 }
 
-/// Starts one node alone: it leads, and grants leases.
+/// Starts a single control-plane node, which elects itself leader and grants leases.
 pub(super) async fn start_node(starting: &Starting) -> Result<RouterProcess, LoadError> {
     let store = std::env::temp_dir().join(format!("spokeflow-load-{}.redb", std::process::id()));
-    // Of an earlier run, if any.
+    // An earlier run may have left the file.
     let _ = std::fs::remove_file(&store);
     let starting = Starting {
         first: vec!["keeper".into()],
@@ -255,7 +256,7 @@
         format!("--store={}", store.display()),
     ];
     let started = RouterProcess::start(&starting, &flags, "keeper").await;
-    // The node has the file open and needs no name for it.
+    // The node keeps the file open and works on without its name.
     let _ = std::fs::remove_file(&store);
     Ok(started?)
 }
--- a/crates/spokeflow-testbed/src/main.rs
+++ b/crates/spokeflow-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the testbed: each subcommand is a module, this file dispatches.
+//! The command line of the testbed: parses the subcommand and dispatches to its module.
 
 mod commands;
 
@@ -19,10 +19,10 @@
 use self::commands::scale::run_scale;
 use self::commands::CommandResult;
 
-/// Exit code of wrong use, or of something that cannot be started.
+/// Exit code for invalid arguments, and for a run that an error ended.
 const EXIT_ERROR: u8 = 2;
 
-/// Fake peers for what surrounds the routers, and scenarios to run real routers on.
+/// Runs real routers and control-plane nodes against fake peers, checks their rules and measures them.
 #[derive(Parser)]
 #[command(name = "spokeflow-testbed", version)]
 struct Program {
@@ -32,34 +32,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a scenario on loopback sockets with real router processes and checks the five rules. Exit code 0: all
-    /// kept; 1: one broken; 2: wrong use
+    /// Runs a scenario on loopback sockets with real router processes and checks the five rules. Exit code 0: no rule
+    /// was violated; 1: a rule was violated; 2: invalid arguments, or an error ended the run
     Day(Box<DayFlags>),
-    /// Starts real control-plane nodes and routers with every link to a node through a switchboard, injects drawn faults
-    /// between them and checks from what crossed it. Exit code 0: all kept; 1: something broken; 2: wrong use
+    /// Starts real control-plane nodes and routers whose links to nodes all pass through a switchboard, injects randomly
+    /// drawn faults and checks the rules from the recorded frames. Exit code 0: no rule was violated; 1: a rule was
+    /// violated; 2: invalid arguments, or an error ended the run
     Fleet(FleetFlags),
-    /// Measures the control plane at a given size: real nodes and routers, and many hollow routers over real sockets.
-    /// Exit code 0: bounds kept; 1: one exceeded, or the run had to stop; 2: wrong use, or a run that this machine does
-    /// not bear
+    /// Measures the control plane at a given size: real nodes and routers, and many hollow routers on real sockets.
+    /// Exit code 0: all bounds held; 1: a bound was exceeded, or the run was aborted; 2: invalid arguments, or a run
+    /// too large for this machine
     Scale(Box<ScaleFlags>),
-    /// Hollow routers, as the scale run starts them
+    /// Runs hollow routers; started by `scale`
     #[command(hide = true)]
     Hollow(HollowFlags),
-    /// What a commit of three nodes costs, beside bare syncs of the same disk
+    /// Measures the rate and latency of commits with three control-plane nodes, and of bare syncs to the same disk
     Commits(CommitFlags),
-    /// The kinds of fault, one a line
+    /// Lists the kinds of fault, one per line
     #[command(alias = "troubles")]
     Faults,
-    /// Puts an open loop of commands on one router, beside a plain pass-through on the same codec in turn, and
-    /// prints what each adds
+    /// Sends an open loop of commands through one router and through a plain pass-through on the same codec, in turn,
+    /// and prints the latency and processor time that each adds
     Load(LoadFlags),
-    /// The pass-through
+    /// Runs the pass-through; started by `load`
     #[command(hide = true)]
     Pass(PassFlags),
-    /// The router itself, as the day starts it
+    /// Runs a router; started by the runs of the other subcommands
     #[command(hide = true)]
     Router(Box<RouterProgram>),
-    /// The node itself, as the rig starts it
+    /// Runs a control-plane node; started by the runs of the other subcommands
     #[command(hide = true, alias = "keeper")]
     Node(Box<ControlPlaneProgram>),
 }
--- a/crates/spokeflow-testbed/src/release_controller.rs
+++ b/crates/spokeflow-testbed/src/release_controller.rs
@@ -1,4 +1,5 @@
-//! The fake release controller: serves the controller model of the scenario, late, stalled or refusing as its faults say.
+//! The fake release controller: serves the controller model of the scenario, and delays, stalls or refuses while a fault
+//! of the scenario says so.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,10 +25,10 @@
 use crate::context::{Path, RunContext};
 use crate::{locked, Micros};
 
-/// How often a router's connection is compared with the state of the rollout.
-const STATE_INTERVAL: Duration = Duration::from_millis(10);
-/// A stalled controller still counts this share of the votes, without an answer.
-const STALLED_COUNT_SHARE: f64 = 0.5;
+/// Interval at which the status last sent to a router is compared with that of the rollout.
+const STATUS_INTERVAL: Duration = Duration::from_millis(10);
+/// Probability that a stalled controller counts a vote; it answers no vote, counted or not.
+const STALLED_COUNT_PROBABILITY: f64 = 0.5;
 
 type ControllerLink = Framed<TcpStream, FrameCodec<ToController, FromController>>;
 
@@ -37,26 +38,29 @@
     pub(crate) controller: Mutex<ReleaseController>,
 }
 
-/// What is on its way to a router.
+/// A message on the path to a router.
 enum Outbound {
     Voted {
         ballot: u64,
         result: VoteResult,
     },
-    /// Becomes an update when it leaves: its age is counted then.
-    State(RolloutStatus),
+    /// Encoded as an update only when it is sent, since the update contains its age.
+    Status(RolloutStatus),
 }
 
-/// States that a router is to be told of, each at its time.
-struct StateSchedule {
+/// The rollout statuses that will be sent to a router, each at its time.
+struct StatusSchedule {
+    /// The status scheduled last, or `None` before the first.
     last: Option<RolloutStatus>,
+    /// Time at which `last` was scheduled.
     last_at: Micros,
-    due: VecDeque<DueState>,
+    due: VecDeque<DueStatus>,
 }
 
-struct DueState {
+/// A rollout status and the time at which it is sent.
+struct DueStatus {
     at: Micros,
-    state: RolloutStatus,
+    status: RolloutStatus,
 }
 
 impl ReleaseControllerServer {
@@ -68,11 +72,11 @@
         })
     }
 
-    /// Serves until the runtime ends.
+    /// Listens on a free port and serves routers until the runtime ends; returns the address.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// No loopback port can be bound.
     pub(crate) async fn open(self: &Arc<Self>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -108,14 +112,14 @@
         let (inbound, mut delayed_inbound) = self
             .context
             .delayed_channel::<ToController>(outbound_path.reversed());
-        let mut schedule = StateSchedule {
+        let mut schedule = StatusSchedule {
             last: None,
             last_at: Micros::MIN / 2,
             due: VecDeque::new(),
         };
-        let mut ticks = interval(STATE_INTERVAL);
+        let mut ticks = interval(STATUS_INTERVAL);
         loop {
-            // Messages are sent while this connection is served: their receivers are here.
+            // Sending to `inbound` and `outbound` cannot fail: their receivers are in this function.
             tokio::select! {
                 read = link.next() => {
                     let Some(Ok(message)) = read else { return };
@@ -127,24 +131,24 @@
                 Some(message) = delayed_outbound.recv() => {
                     let message = match message {
                         Outbound::Voted { ballot, result } => FromController::Voted { ballot, result },
-                        Outbound::State(state) => {
-                            FromController::RolloutUpdate(self.rollout_update(router, state))
+                        Outbound::Status(status) => {
+                            FromController::RolloutUpdate(self.rollout_update(router, status))
                         }
                     };
                     if link.send(message).await.is_err() {
                         return;
                     }
                 }
-                _ = ticks.tick() => self.send_due_states(&mut schedule, &outbound),
+                _ = ticks.tick() => self.send_due_statuses(&mut schedule, &outbound),
             }
         }
     }
 
-    /// Schedules the state where it has changed or is due again, and sends what is due. A stalled controller does
-    /// neither.
-    fn send_due_states(
+    /// Schedules the status of the rollout where it has changed or the update interval has passed, and sends the statuses
+    /// that are due. A stalled controller does neither.
+    fn send_due_statuses(
         &self,
-        schedule: &mut StateSchedule,
+        schedule: &mut StatusSchedule,
         outbound: &mpsc::UnboundedSender<Outbound>,
     ) {
         let now = self.context.tap.now();
@@ -153,21 +157,21 @@
             return;
         }
         let scenario = &self.context.scenario;
-        let state = locked(&self.controller).state;
-        if schedule.last != Some(state) || now - schedule.last_at >= scenario.rollout_interval {
-            // A router that has just connected is told at once, changes some time after.
+        let status = locked(&self.controller).state;
+        if schedule.last != Some(status) || now - schedule.last_at >= scenario.rollout_interval {
+            // A router that has just connected gets the status at once, and changes after a delay.
             let [least, most] = scenario.rollout_delay;
             let delay = match schedule.last {
                 None => 0,
                 Some(_) => rand::rng().random_range(least..most),
             };
             let at = now + delay + faults.controller_delay;
-            schedule.due.push_back(DueState { at, state });
-            schedule.last = Some(state);
+            schedule.due.push_back(DueStatus { at, status });
+            schedule.last = Some(status);
             schedule.last_at = now;
         }
         while let Some(due) = schedule.due.pop_front_if(|due| due.at <= now) {
-            let _ = outbound.send(Outbound::State(due.state));
+            let _ = outbound.send(Outbound::Status(due.status));
         }
     }
 
@@ -198,13 +202,13 @@
             stage,
             vote: format!("{vote:?}"),
         });
-        if let Some(result) = self.count(router.router, build, stage, vote) {
+        if let Some(result) = self.count_vote(router.router, build, stage, vote) {
             let _ = outbound.send(Outbound::Voted { ballot, result });
         }
     }
 
-    /// Counts a vote; `None` where it gets no answer.
-    fn count(
+    /// Counts a vote, and returns the answer to the router; `None` where a stalled controller does not answer.
+    fn count_vote(
         &self,
         router: u32,
         build: u16,
@@ -216,7 +220,7 @@
         if faults.refusing_controller {
             return Some(VoteResult::Refused);
         }
-        if faults.stalled_controller && !rand::rng().random_bool(STALLED_COUNT_SHARE) {
+        if faults.stalled_controller && !rand::rng().random_bool(STALLED_COUNT_PROBABILITY) {
             return None;
         }
         let outcome = locked(&self.controller).vote(now, router, build, stage, vote);
@@ -230,27 +234,27 @@
         })
     }
 
-    /// Records and builds an update.
-    fn rollout_update(&self, router: Process, state: RolloutStatus) -> RolloutUpdate {
+    /// Records an update of the rollout to a router, and builds its message.
+    fn rollout_update(&self, router: Process, status: RolloutStatus) -> RolloutUpdate {
         self.context.tap.record(Observation::News {
             to: router,
-            build: state.build,
-            stage: state.stage,
-            state: state.rollout,
-            cap: state.cap,
+            build: status.build,
+            stage: status.stage,
+            state: status.rollout,
+            cap: status.cap,
         });
-        let phase = match state.rollout {
+        let phase = match status.rollout {
             RolloutState::Canary => RolloutPhase::Canary,
             RolloutState::RollingBack => RolloutPhase::RollingBack,
             RolloutState::Released => RolloutPhase::Released,
             RolloutState::Withdrawn => RolloutPhase::Withdrawn,
         };
         RolloutUpdate {
-            build: state.build,
-            stage: state.stage,
+            build: status.build,
+            stage: status.stage,
             phase,
-            exposure_cap: state.cap as f32,
-            age_us: (self.context.tap.now() - state.since).max(0) as u64,
+            exposure_cap: status.cap as f32,
+            age_us: (self.context.tap.now() - status.since).max(0) as u64,
         }
     }
 }
--- a/crates/spokeflow-testbed/src/router_flags.rs
+++ b/crates/spokeflow-testbed/src/router_flags.rs
@@ -1,4 +1,4 @@
-//! The flags by which a router runs as a scenario says.
+//! Translates a scenario to the flags of a router.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::Micros;
 
-/// All terms of a scenario as flags of the router of an index.
+/// Returns the flags with which the router of an index runs a scenario.
 pub fn flags(
     scenario: &Scenario,
     index: u32,
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -1,4 +1,4 @@
-//! Real processes of routers and nodes: started, killed, paused and terminated.
+//! Real processes of routers and control-plane nodes: starts, kills, pauses and terminates them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,80 +13,83 @@
 
 pub use crate::router_flags::flags;
 
-/// Within which a process prints where it listens.
+/// Time within which a process must print the address on which it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// What a process prints before its address.
+/// Text that a process prints before the address on which it listens.
 const LISTENING_PREFIX: &str = "listening on ";
-/// Variables that would change the flags of a process.
+/// Prefix of the environment variables that set flags of a process.
 const VARIABLE_PREFIX: &str = "SPOKEFLOW_";
-/// The kernel counts processor time in hundredths of a second on every platform that this runs on.
+/// The unit of processor time in `/proc`: a hundredth of a second on all supported platforms.
 const CLOCK_TICK_MS: u64 = 10;
 
-/// Why a process does not start.
+/// A process cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its log cannot be opened.
-    #[error("--logs {}: {source}", directory.display())]
+    /// The log file of the process cannot be opened.
+    #[error("--logs {}: cannot open the log file: {source}", directory.display())]
     OpenLog {
-        /// The directory of the logs.
+        /// Directory of the logs.
         directory: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// The program cannot be run.
-    #[error("{}: {source}", program.display())]
+    /// The program cannot be executed.
+    #[error("cannot run {}: {source}", program.display())]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// Its standard output is not there to be read.
-    #[error("no output")]
+    /// The standard output of the process cannot be read.
+    #[error("the standard output of the started process is not a pipe")]
     NoOutput,
-    /// It did not print its address in time.
-    #[error("{name} did not print where it listens: '{line}'")]
+    /// The process did not print the address on which it listens in time.
+    #[error(
+        "{name} did not print its address within {START_TIMEOUT:?}: expected '{LISTENING_PREFIX}ADDRESS', got '{line}'"
+    )]
     NoAddress {
         /// Name of the process.
         name: String,
-        /// What it printed instead.
+        /// The first line that it printed.
         line: String,
     },
 }
 
-/// Why a process did not end well.
+/// A process that was told to terminate did not end with success.
 #[derive(Debug, thiserror::Error)]
 pub enum EndError {
-    /// It ended with a failure.
-    #[error("ended with {0}")]
+    /// The process ended with a failure.
+    #[error("ended with {0} after SIGTERM")]
     Failed(ExitStatus),
-    /// It cannot be waited for.
-    #[error("cannot be waited for: {0}")]
+    /// Waiting for the end of the process failed.
+    #[error("cannot wait for the end of the process: {0}")]
     Wait(#[source] std::io::Error),
-    /// It was killed after the time that it had.
-    #[error("did not end in time")]
+    /// The process did not end in time and was killed.
+    #[error("did not end in time after SIGTERM and was killed")]
     TimedOut,
 }
 
-/// How processes are started: the program, with arguments that come first, and where logs go.
+/// How processes are started: the program, its first arguments and its logs.
 #[derive(Clone, Debug)]
 pub struct Starting {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its first arguments, such as a subcommand.
+    /// The arguments before the flags, such as a subcommand.
     pub first: Vec<String>,
-    /// Directory of the logs, of which there are none without it.
+    /// Directory of the logs, or `None` to discard them.
     pub logs: Option<PathBuf>,
-    /// Which lines are logged, as the flag `--log` takes them.
+    /// Value of the flag `--log`, which selects the lines that are logged.
     pub log: String,
 }
 
 impl Starting {
-    /// This program itself, whose hidden subcommand is the router: a build of the testbed alone has both.
+    /// Returns how this program starts itself as a router, by its hidden subcommand: a build of the testbed needs no other
+    /// program.
     ///
     /// # Errors
     ///
-    /// The system does not tell the path of this program.
+    /// The path of this program cannot be determined.
     pub fn own() -> std::io::Result<Starting> {
         let program = std::env::current_exe()?;
         Ok(Starting {
@@ -97,7 +100,7 @@
         })
     }
 
-    /// The standard error output of a process.
+    /// Opens the destination of a process's standard error output.
     pub(crate) fn log_output(&self, name: &str) -> Result<Stdio, StartError> {
         let Some(directory) = &self.logs else {
             return Ok(Stdio::null());
@@ -114,7 +117,7 @@
     }
 }
 
-/// A running process that listens at an address. It is killed when dropped.
+/// A running process that listens on an address. It is killed when this is dropped.
 pub(crate) struct RouterProcess {
     child: Child,
     pub(crate) address: SocketAddr,
@@ -125,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// It does not start, or does not print where it listens.
+    /// The process does not start, or does not print the address on which it listens.
     pub(crate) async fn start(
         starting: &Starting,
         flags: &[String],
@@ -136,12 +139,12 @@
         RouterProcess::start_with(starting, &flags, name).await
     }
 
-    /// Starts a program that listens as a router does and takes no flag of the log.
+    /// Starts a process that prints its address as a router does, but has no flag `--log`.
     ///
     /// # Errors
     ///
-    /// It does not start, or does not print where it listens.
-    pub(crate) async fn start_plain(
+    /// The process does not start, or does not print the address on which it listens.
+    pub(crate) async fn start_without_log(
         starting: &Starting,
         flags: &[String],
     ) -> Result<RouterProcess, StartError> {
@@ -154,7 +157,7 @@
         name: &str,
     ) -> Result<RouterProcess, StartError> {
         let mut command = Command::new(&starting.program);
-        // No variable of the caller's is taken for a flag.
+        // The process must not read its flags from the variables of this process.
         for (variable, _) in std::env::vars() {
             if variable.starts_with(VARIABLE_PREFIX) {
                 command.env_remove(variable);
@@ -177,47 +180,47 @@
         Ok(RouterProcess { child, address })
     }
 
-    /// `None` once it has ended and that has been noticed.
+    /// Returns the process id, or `None` once the process has ended and was waited for.
     pub(crate) fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Kills it, as by SIGKILL.
+    /// Kills the process by SIGKILL and waits for its end.
     pub(crate) async fn kill(&mut self) {
-        // One that has ended needs no kill.
+        // The process may have ended already.
         let _ = self.child.kill().await;
     }
 
-    /// Stops it, as by SIGSTOP.
+    /// Pauses the process by SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Continues it, as by SIGCONT.
+    /// Resumes the process by SIGCONT.
     pub(crate) fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.child.id() {
-            // It may have ended meanwhile.
+            // The process may have ended meanwhile.
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Whether it has ended by itself.
+    /// Returns whether the process has ended.
     pub(crate) fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Ends it, as by SIGTERM, and kills it where it does not end in time.
+    /// Ends the process by SIGTERM, and kills it where it does not end within a time-out.
     ///
     /// # Errors
     ///
-    /// It ended with a failure, or not in time.
-    pub(crate) async fn terminate(&mut self, within: Duration) -> Result<(), EndError> {
+    /// The process ended with a failure, or not in time.
+    pub(crate) async fn terminate(&mut self, end_timeout: Duration) -> Result<(), EndError> {
         self.signal(Signal::SIGTERM);
-        match timeout(within, self.child.wait()).await {
+        match timeout(end_timeout, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
             Ok(Ok(status)) => Err(EndError::Failed(status)),
             Ok(Err(error)) => Err(EndError::Wait(error)),
@@ -228,10 +231,10 @@
         }
     }
 
-    /// Processor time used so far, where the system tells.
+    /// Returns the processor time used so far, or `None` where `/proc` does not tell.
     pub(crate) fn processor_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()?)).ok()?;
-        // Behind the name in brackets, which may contain anything: user time is the 12th field, system time the 13th.
+        // The name in brackets may contain any character. After it, user time is the 12th field and system time the 13th.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let user_ticks: u64 = fields.get(11)?.parse().ok()?;
         let system_ticks: u64 = fields.get(12)?.parse().ok()?;
@@ -240,7 +243,7 @@
         ))
     }
 
-    /// Resident memory in KiB, where the system tells.
+    /// Returns the resident memory in KiB, or `None` where `/proc` does not tell.
     pub(crate) fn resident_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
         status.lines().find_map(|line| {
@@ -250,6 +253,7 @@
     }
 }
 
+/// Reads the line in which a process prints the address on which it listens.
 async fn read_address(output: ChildStdout, name: &str) -> Result<SocketAddr, StartError> {
     let mut line = String::new();
     let mut output = BufReader::new(output);
--- a/crates/spokeflow-testbed/src/tap.rs
+++ b/crates/spokeflow-testbed/src/tap.rs
@@ -1,4 +1,4 @@
-//! Records what crosses the sockets and what runs at the hosts, with the time of each.
+//! Records the messages on the sockets and the commands that run at the hosts, each with its time.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 
 use crate::{locked, Micros};
 
-/// The record of a run; clones write to the same one. Its time starts when it is made.
+/// The record of a run. Clones write to the same record. The time of the run counts from the creation of the tap.
 #[derive(Clone)]
 pub(crate) struct Tap {
     start: Instant,
@@ -24,24 +24,25 @@
 }
 
 impl Tap {
-    /// The time of the run.
+    /// Returns the time since the tap was created.
     pub(crate) fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The instant at a time of the run; times before its start count as the start.
+    /// Converts a time of the run to an instant; a negative time gives the start of the run.
     pub(crate) fn instant(&self, at: Micros) -> tokio::time::Instant {
         let since_start = Duration::from_micros(at.max(0) as u64);
         tokio::time::Instant::from_std(self.start + since_start)
     }
 
+    /// Records an observation at the current time.
     pub(crate) fn record(&self, observation: Observation) {
         let mut observations = locked(&self.observations);
-        // The time is read under the lock, so that the record is in the order of its times.
+        // Reading the time under the lock keeps the observations in order of time.
         observations.push((self.now(), observation));
     }
 
-    /// Takes all observations so far.
+    /// Removes and returns all observations recorded so far.
     pub(crate) fn take(&self) -> Vec<(Micros, Observation)> {
         std::mem::take(&mut *locked(&self.observations))
     }
