--- a/crates/spokeflow-testbed/tests/former_names.rs
+++ b/crates/spokeflow-testbed/tests/former_names.rs
@@ -1,4 +1,4 @@
-//! Former names of subcommands and flags are still taken.
+//! Former names of subcommands and flags must still be accepted.
 
 use std::process::{Command, Output};
 
@@ -9,7 +9,7 @@
         .unwrap()
 }
 
-fn error_of(arguments: &[&str]) -> (Option<i32>, String) {
+fn exit_code_and_error(arguments: &[&str]) -> (Option<i32>, String) {
     let output = testbed(arguments);
     let error = String::from_utf8(output.stderr).unwrap();
     (output.status.code(), error)
@@ -23,9 +23,9 @@
     assert_eq!(testbed(&["troubles"]).stdout, faults.stdout);
 }
 
-/// The node count is checked after all flags were read: its error shows that they were taken.
+/// The node count is checked after all flags are parsed: its error shows that the flags were accepted.
 #[test]
-fn fleet_takes_its_former_flags() {
+fn fleet_accepts_its_former_flags() {
     let former = [
         "fleet",
         "--keepers=4",
@@ -34,19 +34,20 @@
         "--pace=20ms",
     ];
     let expected = "spokeflow-testbed: --nodes 4: 3, 5 or 7\n".to_string();
-    assert_eq!(error_of(&former), (Some(2), expected));
+    assert_eq!(exit_code_and_error(&former), (Some(2), expected));
 }
 
+/// The counts are checked after all flags are parsed: their error shows that the flags were accepted.
 #[test]
-fn load_takes_its_former_flags() {
+fn load_accepts_its_former_flags() {
     let former = ["load", "--hosts=0", "--trial", "--bad", "--keepers"];
     let expected =
         "spokeflow-testbed: --hosts, --rate, --connections, --seconds: at least 1\n".to_string();
-    assert_eq!(error_of(&former), (Some(2), expected));
+    assert_eq!(exit_code_and_error(&former), (Some(2), expected));
 }
 
 #[test]
-fn the_node_is_started_under_both_names() {
+fn node_starts_under_both_names() {
     for name in ["node", "keeper"] {
         assert!(testbed(&[name, "--help"]).status.success(), "{name}");
     }
--- a/crates/spokeflow-testbed/tests/scripted/mod.rs
+++ b/crates/spokeflow-testbed/tests/scripted/mod.rs
@@ -1,4 +1,4 @@
-//! Peers that do exactly what a test says, around one router in this process.
+//! One router in the process of the test, with a registry, hosts and clients that the test scripts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,81 +14,90 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-pub(crate) const SAFE: u16 = 0;
-pub(crate) const ONCE: u16 = 1;
-pub(crate) const SOON: Duration = Duration::from_secs(5);
+/// Index of the redeliverable operation.
+pub(crate) const REDELIVERABLE: u16 = 0;
+/// Index of the at-most-once operation.
+pub(crate) const AT_MOST_ONCE: u16 = 1;
+/// Time within which a test expects a message, a connection or the end of the router.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(5);
 
-pub(crate) type Client = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
-pub(crate) type Router = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
+pub(crate) type ClientLink = Framed<TcpStream, FrameCodec<ToClient, FromClient>>;
+pub(crate) type RouterLink = Framed<TcpStream, FrameCodec<ToHost, FromHost>>;
 
-/// A router with a scripted list and a desk that has released build 1.
-pub(crate) struct Scene {
+/// A router with a scripted endpoint registry and a release controller that has released build 1.
+pub(crate) struct RouterUnderTest {
     pub(crate) address: SocketAddr,
     list: mpsc::UnboundedSender<FromList>,
+    /// Tells the router to shut down; `None` after that.
     end: Option<oneshot::Sender<()>>,
+    /// The task of the router.
     pub(crate) ended: JoinHandle<Result<(), ServeError>>,
+    /// Version of the last list update.
     version: u64,
 }
 
-/// Tells one router that its build is released.
-async fn serve_release_controller(desk_port: TcpListener) {
-    let (stream, _) = desk_port.accept().await.unwrap();
+/// Accepts one router and tells it that build 1 is released.
+async fn serve_release_controller(listener: TcpListener) {
+    let (stream, _) = listener.accept().await.unwrap();
     let mut link: Framed<_, FrameCodec<ToController, FromController>> =
         Framed::new(stream, FrameCodec::new(WORK_LIMIT));
     link.next().await;
     link.send(FromController::Welcome).await.unwrap();
-    let standing = RolloutPhase::Released;
-    let news = RolloutUpdate {
+    let update = RolloutUpdate {
         build: 1,
         stage: 0,
-        phase: standing,
+        phase: RolloutPhase::Released,
         exposure_cap: 1.0,
         age_us: 0,
     };
-    link.send(FromController::RolloutUpdate(news))
+    link.send(FromController::RolloutUpdate(update))
         .await
         .unwrap();
     while let Some(Ok(_)) = link.next().await {}
 }
 
-impl Scene {
-    pub(crate) async fn open(more: &[&str]) -> Scene {
-        let list_port = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let desk_port = TcpListener::bind("127.0.0.1:0").await.unwrap();
+impl RouterUnderTest {
+    /// Starts the router with further flags.
+    pub(crate) async fn start(further_flags: &[&str]) -> RouterUnderTest {
+        let list_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let controller_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut flags: Vec<String> = vec![
             "router".into(),
             "--listen=127.0.0.1:0".into(),
-            format!("--list={}", list_port.local_addr().unwrap()),
-            format!("--release-controller={}", desk_port.local_addr().unwrap()),
+            format!("--list={}", list_listener.local_addr().unwrap()),
+            format!(
+                "--release-controller={}",
+                controller_listener.local_addr().unwrap()
+            ),
             "--op=safe:redeliverable:target=1s:timeout=4s".into(),
             "--op=once:at-most-once:target=1s:timeout=4s".into(),
             "--seed=1".into(),
         ];
-        flags.extend(more.iter().map(ToString::to_string));
-        let terms = RouterProgram::try_parse_from(flags).unwrap().flags;
-        terms.check().unwrap();
-        let listening = Listening::open(&terms).await.unwrap();
+        flags.extend(further_flags.iter().map(ToString::to_string));
+        let flags = RouterProgram::try_parse_from(flags).unwrap().flags;
+        flags.check().unwrap();
+        let listening = Listening::open(&flags).await.unwrap();
         let address = listening.address();
         let (end, ending) = oneshot::channel::<()>();
-        let ended = tokio::spawn(serve(terms, listening, async {
+        let ended = tokio::spawn(serve(flags, listening, async {
             let _ = ending.await;
         }));
-        let (list, mut lines) = mpsc::unbounded_channel();
+        let (list, mut updates) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            let (stream, _) = list_port.accept().await.unwrap();
+            let (stream, _) = list_listener.accept().await.unwrap();
             let mut link: Framed<_, FrameCodec<ToList, FromList>> =
                 Framed::new(stream, FrameCodec::new(LIST_LIMIT));
             link.next().await;
             link.send(FromList::Welcome).await.unwrap();
             loop {
                 tokio::select! {
-                    Some(message) = lines.recv() => link.send(message).await.unwrap(),
+                    Some(message) = updates.recv() => link.send(message).await.unwrap(),
                     read = link.next() => if !matches!(read, Some(Ok(_))) { return },
                 }
             }
         });
-        tokio::spawn(serve_release_controller(desk_port));
-        Scene {
+        tokio::spawn(serve_release_controller(controller_listener));
+        RouterUnderTest {
             address,
             list,
             end: Some(end),
@@ -97,10 +106,10 @@
         }
     }
 
-    /// Tells the router of hosts, and waits until it has heard.
+    /// Sends the router an update with these hosts, and gives it time to read the update.
     pub(crate) async fn list(&mut self, hosts: &[(u32, SocketAddr, EndpointPhase)]) {
         self.version += 1;
-        let line = |(host, address, phase): &(u32, SocketAddr, EndpointPhase)| EndpointRecord {
+        let record = |(host, address, phase): &(u32, SocketAddr, EndpointPhase)| EndpointRecord {
             host: *host,
             address: address.to_string(),
             build: Some(1),
@@ -110,41 +119,45 @@
             incarnation: 1,
             up_us: None,
         };
-        let lines = hosts.iter().map(line).collect();
+        let endpoints = hosts.iter().map(record).collect();
         self.list
             .send(FromList::Changes {
                 version: self.version,
-                endpoints: lines,
+                endpoints,
             })
             .unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 
-    pub(crate) fn end(&mut self) {
+    /// Tells the router to shut down.
+    pub(crate) fn shut_down(&mut self) {
         let _ = self.end.take().unwrap().send(());
     }
 
-    pub(crate) async fn client(&self) -> Client {
+    /// Connects a client.
+    pub(crate) async fn connect_client(&self) -> ClientLink {
         let stream = TcpStream::connect(self.address).await.unwrap();
         let mut link = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
         link.send(FromClient::Hello(Hello::new(Role::Client, 0, 0)))
             .await
             .unwrap();
-        assert_eq!(heard(&mut link).await, ToClient::Welcome);
+        assert_eq!(receive(&mut link).await, ToClient::Welcome);
         link
     }
 }
 
-pub(crate) async fn heard(client: &mut Client) -> ToClient {
-    timeout(SOON, client.next())
+/// Waits for the next message to a client.
+pub(crate) async fn receive(client: &mut ClientLink) -> ToClient {
+    timeout(TIMEOUT, client.next())
         .await
-        .expect("in time")
-        .expect("open")
-        .expect("a whole frame")
+        .expect("the client got no message in time")
+        .expect("the router closed the client connection")
+        .expect("the client could not read a frame")
 }
 
-pub(crate) fn command(id: u64, op: u16, body: usize) -> FromClient {
-    let body = Bytes::from(vec![id as u8; body]);
+/// Builds a command whose body repeats the lowest byte of its id.
+pub(crate) fn command(id: u64, op: u16, body_bytes: usize) -> FromClient {
+    let body = Bytes::from(vec![id as u8; body_bytes]);
     FromClient::Command(Command {
         id,
         op,
@@ -156,28 +169,28 @@
     })
 }
 
-/// A port on which a test plays a host, with little room for what it has not read.
-pub(crate) fn host_port() -> (TcpListener, SocketAddr) {
+/// Opens a listener for a scripted host, with a small receive buffer so that unread deliveries soon block the router.
+pub(crate) fn host_listener() -> (TcpListener, SocketAddr) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let port = socket.listen(64).unwrap();
-    let address = port.local_addr().unwrap();
-    (port, address)
+    let listener = socket.listen(64).unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// A port that nobody listens on.
-pub(crate) fn closed_port() -> SocketAddr {
-    host_port().1
+/// Returns an address on which nothing listens.
+pub(crate) fn closed_address() -> SocketAddr {
+    host_listener().1
 }
 
-/// Takes one connection of the router and welcomes it.
-pub(crate) async fn welcome(port: &TcpListener, host: u32) -> Router {
-    let (stream, _) = timeout(SOON, port.accept())
+/// Accepts one connection of the router and welcomes it as a host.
+pub(crate) async fn accept_router(listener: &TcpListener, host: u32) -> RouterLink {
+    let (stream, _) = timeout(TIMEOUT, listener.accept())
         .await
-        .expect("in time")
+        .expect("the router did not connect to the host in time")
         .unwrap();
-    let mut link: Router = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
+    let mut link: RouterLink = Framed::new(stream, FrameCodec::new(WORK_LIMIT));
     assert!(matches!(link.next().await, Some(Ok(ToHost::Hello(_)))));
     link.send(FromHost::Welcome {
         host,
@@ -190,15 +203,15 @@
     link
 }
 
-/// A host that acks all it gets, and says how many that were when asked.
-pub(crate) fn good_host(port: TcpListener, host: u32) -> mpsc::UnboundedReceiver<u64> {
-    let (tell, got) = mpsc::unbounded_channel();
+/// Starts a host that acks every delivery, and returns the ids of the commands delivered to it.
+pub(crate) fn start_acking_host(listener: TcpListener, host: u32) -> mpsc::UnboundedReceiver<u64> {
+    let (sender, delivered) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         loop {
-            let mut link = welcome(&port, host).await;
+            let mut link = accept_router(&listener, host).await;
             while let Some(Ok(message)) = link.next().await {
                 if let ToHost::Deliver { delivery, body, .. } = message {
-                    let _ = tell.send(body.first().copied().map_or(0, u64::from));
+                    let _ = sender.send(body.first().copied().map_or(0, u64::from));
                     link.send(FromHost::Acked {
                         delivery,
                         body: Bytes::new(),
@@ -209,5 +222,5 @@
             }
         }
     });
-    got
+    delivered
 }
