--- a/crates/spokeflow-experiments/tests/capacity_inputs.rs
+++ b/crates/spokeflow-experiments/tests/capacity_inputs.rs
@@ -1,4 +1,5 @@
-//! Bad inputs of the capacity commands: one line that names the file, the entry and what is wanted, exit code 2.
+//! Invalid inputs of the capacity commands: each must be refused with exit code 2 and one line on standard error that
+//! names the file, the entry, and the expected value.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn lab(args: &[&str]) -> Output {
+fn run_program(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_spokeflow-experiments"))
         .current_dir(root())
         .args(args)
@@ -18,8 +19,8 @@
         .unwrap()
 }
 
-/// A folder of the caller's own: tests run side by side.
-fn scratch() -> PathBuf {
+/// Creates a temporary folder for one caller, because tests run in parallel.
+fn create_temp_folder() -> PathBuf {
     static FOLDERS: AtomicU32 = AtomicU32::new(0);
     let (process, number) = (std::process::id(), FOLDERS.fetch_add(1, Ordering::Relaxed));
     let folder = std::env::temp_dir().join(format!("spokeflow-inputs-{process}-{number}"));
@@ -27,19 +28,26 @@
     folder
 }
 
-/// Writes `text` into a file of this name, runs, and expects one line that holds all of `named`.
-fn refused(name: &str, text: &str, args: impl Fn(&str) -> Vec<String>, named: &[&str]) {
-    let folder = scratch();
+/// Writes `text` into a file called `name`, runs the program with it, and expects a refusal with one line that contains
+/// the file name and all of `expected`.
+fn assert_refused(name: &str, text: &str, args: impl Fn(&str) -> Vec<String>, expected: &[&str]) {
+    let folder = create_temp_folder();
     let file = folder.join(name);
     std::fs::write(&file, text).unwrap();
     let args = args(file.to_str().unwrap());
-    let output = lab(&args.iter().map(String::as_str).collect::<Vec<_>>());
-    let said = String::from_utf8_lossy(&output.stderr).to_string();
-    assert_eq!(output.status.code(), Some(2), "{named:?}: {said}");
-    assert!(output.stdout.is_empty(), "{named:?}: something was printed");
-    assert_eq!(said.lines().count(), 1, "{named:?}: {said}");
-    for word in named.iter().chain(&[name]) {
-        assert!(said.contains(word), "'{word}' is not in: {said}");
+    let output = run_program(&args.iter().map(String::as_str).collect::<Vec<_>>());
+    let stderr = String::from_utf8_lossy(&output.stderr).to_string();
+    assert_eq!(output.status.code(), Some(2), "{expected:?}: {stderr}");
+    assert!(
+        output.stdout.is_empty(),
+        "{expected:?}: expected no standard output"
+    );
+    assert_eq!(stderr.lines().count(), 1, "{expected:?}: {stderr}");
+    for word in expected.iter().chain(&[name]) {
+        assert!(
+            stderr.contains(word),
+            "expected '{word}' in the error, got: {stderr}"
+        );
     }
     std::fs::remove_dir_all(folder).unwrap();
 }
@@ -57,9 +65,9 @@
     ]
 }
 
-/// What is replaced in the target, by what, and what the message holds.
+/// Text to replace in the target, its replacement, and the texts that the error must contain.
 const TARGET_CASES: &[(&str, &str, &[&str])] = &[
-    // Missing.
+    // Missing entries.
     (
         "routers = 1300\n",
         "",
@@ -71,29 +79,29 @@
         &["assumptions", "missing field `voter_cores`"],
     ),
     ("name = \"two years out\"\n", "", &["missing field `name`"]),
-    // Unknown.
+    // Unknown entries.
     (
         "routers = 1300",
         "routers = 1300\nrooters = 3",
         &["fleet.rooters", "unknown field"],
     ),
     ("[budget]", "[extra]\n[budget]", &["extra", "unknown field"]),
-    // Of a wrong type.
+    // Wrong types.
     (
         "routers = 1300",
         "routers = \"many\"",
         &["fleet.routers", "invalid type", "f64"],
     ),
-    // Negative, or zero where it divides.
+    // Negative numbers, and zero for numbers that are divisors.
     (
         "hosts = 12000",
         "hosts = -12000",
-        &["fleet.hosts", "-12000 found", "from 1 to"],
+        &["fleet.hosts", "from 1 to", "got -12000"],
     ),
     (
         "routers = 1300",
         "routers = 0",
-        &["fleet.routers", "0 found", "from 1 to"],
+        &["fleet.routers", "from 1 to", "got 0"],
     ),
     (
         "services = 320",
@@ -131,16 +139,16 @@
         "lease_seconds = 0",
         &["terms.lease_seconds", "from 0.1"],
     ),
-    // Not finite, or beyond all sense.
+    // Numbers that are not finite or far out of range.
     (
         "peak_requests_per_second = 390000",
         "peak_requests_per_second = inf",
-        &["load.peak_requests_per_second", "inf found"],
+        &["load.peak_requests_per_second", "got inf"],
     ),
     (
         "answer_milliseconds = 150",
         "answer_milliseconds = nan",
-        &["assumptions.answer_milliseconds", "NaN found"],
+        &["assumptions.answer_milliseconds", "got NaN"],
     ),
     (
         "tenants = 33000",
@@ -152,13 +160,13 @@
         "clock_drift = 0.9",
         &["terms.clock_drift", "to 0.5"],
     ),
-    // A part of a machine.
+    // A fraction for a number of machines.
     (
         "routers = 1300",
         "routers = 12.5",
         &["fleet.routers", "a whole number"],
     ),
-    // Entries that do not fit each other.
+    // Entries that contradict each other.
     ("voters = 5", "voters = 4", &["terms.voters", "3, 5 or 7"]),
     (
         "control_machines = 14",
@@ -195,20 +203,20 @@
         "stage_shares = [0.2, 0.05",
         &["terms.stage_shares", "none below"],
     ),
-    // Not TOML.
+    // Invalid TOML.
     ("[fleet]", "[fleet", &["target-file"]),
 ];
 
 #[test]
-fn a_target_that_does_not_fit_is_refused() {
-    let whole = std::fs::read_to_string(root().join(TARGET)).unwrap();
-    for (from, to, named) in TARGET_CASES.iter().copied() {
-        assert!(whole.contains(from), "{from}");
-        refused(
+fn invalid_target_is_refused() {
+    let target = std::fs::read_to_string(root().join(TARGET)).unwrap();
+    for (from, to, expected) in TARGET_CASES.iter().copied() {
+        assert!(target.contains(from), "{from}");
+        assert_refused(
             "target-file.toml",
-            &whole.replacen(from, to, 1),
+            &target.replacen(from, to, 1),
             with_target,
-            named,
+            expected,
         );
     }
 }
@@ -217,7 +225,7 @@
   "phase": "encoded", "held": {}, "points": [{"size": 1, "value": 2, "min": null, "max": null},
   {"size": 3, "value": 4, "min": 3, "max": 5}], "command": "c", "run": "r.json", "date": "2000-01-01"}]}"#;
 
-/// What is replaced in the lines, by what, and what the message holds.
+/// Text to replace in `LINE`, its replacement, and the texts that the error must contain.
 const LINE_CASES: &[(&str, &str, &[&str])] = &[
     (
         r#""run": "r.json", "#,
@@ -292,7 +300,7 @@
     (
         r#""command": "c""#,
         r#""command": " ""#,
-        &["lines[0].command", "a text wanted"],
+        &["lines[0].command", "expected a non-empty text"],
     ),
     (r#""2000-01-01"}]}"#, r#""2000-01-01"}]"#, &["EOF"]),
     (
@@ -303,20 +311,20 @@
 ];
 
 #[test]
-fn lines_that_do_not_fit_are_refused() {
-    for (from, to, named) in LINE_CASES.iter().copied() {
+fn invalid_lines_are_refused() {
+    for (from, to, expected) in LINE_CASES.iter().copied() {
         let text = LINE.replacen(from, to, 1);
         assert_ne!(text, LINE, "{from}");
-        refused("slopes-file.json", &text, with_slopes, named);
+        assert_refused("slopes-file.json", &text, with_slopes, expected);
     }
 }
 
 #[test]
-fn an_id_given_twice_and_a_line_without_points_are_refused() {
+fn duplicate_id_and_line_without_points_are_refused() {
     let mut slopes: serde_json::Value = serde_json::from_str(LINE).unwrap();
     let line = slopes["lines"][0].clone();
     slopes["lines"].as_array_mut().unwrap().push(line);
-    refused(
+    assert_refused(
         "slopes-file.json",
         &slopes.to_string(),
         with_slopes,
@@ -324,7 +332,7 @@
     );
     slopes["lines"][1]["points"] = serde_json::json!([]);
     slopes["lines"][1]["id"] = serde_json::json!("b");
-    refused(
+    assert_refused(
         "slopes-file.json",
         &slopes.to_string(),
         with_slopes,
@@ -333,8 +341,8 @@
 }
 
 #[test]
-fn files_that_are_not_there_are_named() {
-    for (args, named) in [
+fn missing_files_are_named() {
+    for (args, expected) in [
         (
             [
                 "capacity",
@@ -368,13 +376,13 @@
             "/nowhere/bytes.json",
         ),
     ] {
-        let output = lab(&args);
-        let said = String::from_utf8_lossy(&output.stderr).to_string();
+        let output = run_program(&args);
+        let stderr = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(
-            output.status.code() == Some(2) && said.lines().count() == 1,
-            "{said}"
+            output.status.code() == Some(2) && stderr.lines().count() == 1,
+            "{stderr}"
         );
-        assert!(said.contains(named), "{said}");
+        assert!(stderr.contains(expected), "{stderr}");
     }
 }
 
@@ -382,7 +390,7 @@
   "size": 1, "value": 2, "min": null, "max": null, "held": {}, "command": "c", "date": "2000-01-01"}]"#;
 
 #[test]
-fn raw_runs_that_do_not_fit_are_refused() {
+fn invalid_raw_runs_are_refused() {
     let cases = [
         (r#""value": 2, "#, "", vec!["[0]", "missing field `value`"]),
         (
@@ -409,10 +417,10 @@
         (
             r#""command": "c""#,
             r#""command": """#,
-            vec!["[0].command", "a text wanted"],
+            vec!["[0].command", "expected a non-empty text"],
         ),
     ];
-    for (from, to, named) in cases {
+    for (from, to, expected) in cases {
         let text = RECORD.replacen(from, to, 1);
         assert_ne!(text, RECORD, "{from}");
         let runs = |file: &str| {
@@ -423,6 +431,6 @@
                 format!("--out={folder}/out.txt"),
             ]
         };
-        refused("run-file.json", &text, runs, &named);
+        assert_refused("run-file.json", &text, runs, &expected);
     }
 }
