--- a/crates/spokeflow-experiments/src/capacity/bounds.rs
+++ b/crates/spokeflow-experiments/src/capacity/bounds.rs
@@ -261,7 +261,7 @@
     ]
 }
 
-/// Bounds of the settings of today's programs.
+/// Bounds of the settings of the current programs.
 fn term_bounds(terms: &Terms) -> Vec<Bound> {
     vec![
         Bound::count("terms.voters", terms.voters, 3.0, 7.0),
--- a/crates/spokeflow-experiments/src/capacity/estimate.rs
+++ b/crates/spokeflow-experiments/src/capacity/estimate.rs
@@ -18,9 +18,9 @@
 
 impl Need {
     fn is_measured_by(&self, line: &Line) -> bool {
-        let named =
+        let has_same_names =
             line.quantity == self.quantity && line.phase == self.phase && line.per == self.per;
-        named && line.role == self.role
+        has_same_names && line.role == self.role
     }
 
     /// Returns the name under which the page lists the line if it was not measured.
--- a/crates/spokeflow-experiments/src/capacity/fit.rs
+++ b/crates/spokeflow-experiments/src/capacity/fit.rs
@@ -54,7 +54,7 @@
 
     /// Fits points of different sizes; returns `None` for fewer than two points. Errors are weighted relative to the
     /// measured value, so that small values count as much as large ones.
-    pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
+    pub fn from_points(points: &[(f64, f64)]) -> Option<Fit> {
         if points.len() < 2 {
             return None;
         }
--- a/crates/spokeflow-experiments/src/capacity/lease.rs
+++ b/crates/spokeflow-experiments/src/capacity/lease.rs
@@ -28,7 +28,8 @@
 }
 
 impl LeaseBounds {
-    pub(super) fn of(target: &Target) -> LeaseBounds {
+    /// Returns the bounds for the lease settings of a target.
+    pub(super) fn from_target(target: &Target) -> LeaseBounds {
         let terms = &target.terms;
         let lease = LeaseConfig {
             duration: (terms.lease_seconds * MICROS_PER_SECOND) as i64,
--- a/crates/spokeflow-experiments/src/capacity/limits.rs
+++ b/crates/spokeflow-experiments/src/capacity/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of today's programs. Those that are private to other crates are copied here; a test compares the copies with
-//! the source.
+//! Limits of the current programs. Those that are private to other crates are copied here; a test compares the copies
+//! with the source.
 
 /// Longest frame between a voter and a router or an operator's tool, in either direction, in bytes
 /// (`crates/spokeflow-control-plane/src/inbound.rs`, `REQUEST_LIMIT`).
--- a/crates/spokeflow-experiments/src/capacity/page/losses.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/losses.rs
@@ -15,7 +15,7 @@
 
     fn voter_losses(&self) -> [[String; 3]; 3] {
         let terms = &self.target.terms;
-        let bounds = LeaseBounds::of(self.target);
+        let bounds = LeaseBounds::from_target(self.target);
         let voters = format_number(terms.voters);
         let tolerated = format_number(tolerated_voter_losses(terms.voters));
         let not_tolerated = format_number(tolerated_voter_losses(terms.voters) + 1.0);
--- a/crates/spokeflow-experiments/src/capacity/page/roles.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/roles.rs
@@ -196,7 +196,7 @@
     text
 }
 
-/// Describes the candidate's row with the largest ratio among those that today's programs can reach.
+/// Describes the candidate's row with the largest ratio among those that the current programs can reach.
 fn describe_first_row(candidate: &Candidate) -> String {
     let reachable = candidate
         .rows
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -25,7 +25,7 @@
         )
     }
 
-    /// Returns the section on sizes of the target that no setting of today's programs represents.
+    /// Returns the section on sizes of the target that no setting of the current programs represents.
     pub(super) fn sizes_without_mechanism(&self) -> String {
         let fleet = &self.target.fleet;
         let row = |size: &str, count: f64, why: &str| {
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn lease_bounds(&self) -> String {
-        let bounds = LeaseBounds::of(self.target);
+        let bounds = LeaseBounds::from_target(self.target);
         let allowed = self.target.load.change_bound_seconds;
         let row = |what: &str, how: &str, seconds: f64| {
             [
--- a/crates/spokeflow-experiments/src/capacity/placement.rs
+++ b/crates/spokeflow-experiments/src/capacity/placement.rs
@@ -73,11 +73,11 @@
 fn spread_over_regions(duties: &[Duty], regions: usize) -> Vec<PlacedMachines> {
     let mut placed: Vec<PlacedMachines> = Vec::new();
     for &duty in duties {
-        let count = |region: usize, of: Option<Duty>| -> usize {
-            let here = placed
-                .iter()
-                .filter(|group| group.region == region && of.is_none_or(|duty| group.duty == duty));
-            here.map(|group| group.machines).sum()
+        let count = |region: usize, duty_filter: Option<Duty>| -> usize {
+            let groups = placed.iter().filter(|group| {
+                group.region == region && duty_filter.is_none_or(|duty| group.duty == duty)
+            });
+            groups.map(|group| group.machines).sum()
         };
         let region = (1..=regions)
             .min_by_key(|region| (count(*region, Some(duty)), count(*region, None), *region))
--- a/crates/spokeflow-experiments/src/capacity/remedy.rs
+++ b/crates/spokeflow-experiments/src/capacity/remedy.rs
@@ -77,13 +77,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Candidate<'a> {
     pub remedy: Remedy,
-    /// The largest ratio to the budget among the rows that today's programs can reach.
+    /// The largest ratio to the budget among the rows that the current programs can reach.
     pub ratio: f64,
     /// Rows over budget, in descending order of their ratio.
     pub rows: Vec<&'a Row>,
 }
 
-/// Returns the mechanisms in descending order of the largest ratio among the rows that today's programs can reach.
+/// Returns the mechanisms in descending order of the largest ratio among the rows that the current programs can reach.
 pub(super) fn candidates(rows: &[Row]) -> Vec<Candidate<'_>> {
     let mut candidates: Vec<Candidate> = Vec::new();
     for row in rows_over_budget(rows) {
--- a/crates/spokeflow-experiments/src/capacity/row.rs
+++ b/crates/spokeflow-experiments/src/capacity/row.rs
@@ -116,8 +116,8 @@
     pub mechanism: &'static str,
     /// The mechanism that would bring the row within its budget.
     pub remedy: Option<Remedy>,
-    /// The condition under which the row's values can occur at all, if today's programs rule them out by a limit. Such
-    /// a row does not count when the first mechanism to build is chosen.
+    /// The condition under which the row's values can occur at all, if the current programs rule them out by a limit.
+    /// Such a row does not count when the first mechanism to build is chosen.
     pub reached_after: Option<&'static str>,
 }
 
--- a/crates/spokeflow-experiments/src/capacity/rows/mod.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/mod.rs
@@ -35,7 +35,7 @@
 
 impl Inputs<'_> {
     fn load(&self, situation: Situation) -> WindowLoad {
-        WindowLoad::of(self.target, situation)
+        WindowLoad::for_situation(self.target, situation)
     }
 
     fn measured(&self, need: Need, size: f64) -> Estimate {
--- a/crates/spokeflow-experiments/src/capacity/situation.rs
+++ b/crates/spokeflow-experiments/src/capacity/situation.rs
@@ -79,8 +79,8 @@
 
 impl WindowLoad {
     /// Returns the load of this situation at this target.
-    pub(super) fn of(target: &Target, situation: Situation) -> WindowLoad {
-        let rates = DailyRates::of(target);
+    pub(super) fn for_situation(target: &Target, situation: Situation) -> WindowLoad {
+        let rates = DailyRates::from_target(target);
         let mean = rates.mean(target);
         let fleet = &target.fleet;
         let faults = &target.faults;
@@ -153,7 +153,7 @@
 }
 
 impl DailyRates {
-    fn of(target: &Target) -> DailyRates {
+    fn from_target(target: &Target) -> DailyRates {
         let fleet = &target.fleet;
         let faults = &target.faults;
         let assumed = &target.assumptions;
--- a/crates/spokeflow-experiments/src/capacity/slopes.rs
+++ b/crates/spokeflow-experiments/src/capacity/slopes.rs
@@ -80,7 +80,7 @@
 
     /// Returns the fit of the points; `None` for fewer than two sizes.
     pub fn fit(&self) -> Option<Fit> {
-        Fit::of(&self.pairs())
+        Fit::from_points(&self.pairs())
     }
 
     /// Returns the smallest measured size; 0 if there is none.
--- a/crates/spokeflow-experiments/src/capacity/target.rs
+++ b/crates/spokeflow-experiments/src/capacity/target.rs
@@ -90,7 +90,7 @@
     pub voter_cores: f64,
 }
 
-/// Settings of today's programs. A test compares them with the defaults of the flags.
+/// Settings of the current programs. A test compares them with the defaults of the flags.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Terms {
@@ -125,7 +125,7 @@
     pub faults: Faults,
     /// Values that the target does not state.
     pub assumptions: Assumptions,
-    /// Settings of today's programs.
+    /// Settings of the current programs.
     pub terms: Terms,
 }
 
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -293,19 +293,19 @@
     let (_, slopes) = collect_runs("sweeps.json", &[("run.json", records)]);
     let lines = slopes["lines"].as_array().unwrap();
     assert_eq!(lines.len(), 2, "{slopes}");
-    let of = |routers: u32| {
+    let line_of = |routers: u32| {
         lines
             .iter()
             .find(|line| line["held"]["routers"] == routers)
             .unwrap()
     };
     assert_eq!(
-        of(30)["points"].as_array().unwrap().len(),
+        line_of(30)["points"].as_array().unwrap().len(),
         2,
         "parameters that differ from point to point should not split a line"
     );
-    assert_eq!(of(30)["held"], serde_json::json!({"routers": 30}));
-    let repeated = &of(300)["points"][0];
+    assert_eq!(line_of(30)["held"], serde_json::json!({"routers": 30}));
+    let repeated = &line_of(300)["points"][0];
     assert_eq!(
         *repeated,
         serde_json::json!({"size": 10.0, "value": 6.0, "min": 5.0, "max": 7.0})
--- a/crates/spokeflow-experiments/tests/capacity_fits.rs
+++ b/crates/spokeflow-experiments/tests/capacity_fits.rs
@@ -27,8 +27,10 @@
 
 #[test]
 fn points_on_a_line_get_a_linear_fit() {
-    let fit = Fit::of(&[100.0, 1000.0, 10_000.0, 33_000.0].map(|size| (size, 85.0 + 19.0 * size)))
-        .unwrap();
+    let fit = Fit::from_points(
+        &[100.0, 1000.0, 10_000.0, 33_000.0].map(|size| (size, 85.0 + 19.0 * size)),
+    )
+    .unwrap();
     let Form::Linear { intercept, slope } = fit.form else {
         panic!("expected a linear fit, got {fit:?}")
     };
@@ -41,7 +43,7 @@
 #[test]
 fn points_on_a_power_function_get_a_power_fit() {
     let sizes = [20.0, 120.0, 300.0, 1000.0, 4000.0, 12_000.0];
-    let fit = Fit::of(&sizes.map(|size: f64| (size, 0.02 * size.powf(1.75)))).unwrap();
+    let fit = Fit::from_points(&sizes.map(|size: f64| (size, 0.02 * size.powf(1.75)))).unwrap();
     let Form::Power { factor, exponent } = fit.form else {
         panic!("expected a power fit, got {fit:?}")
     };
@@ -53,7 +55,7 @@
 
 #[test]
 fn residual_is_the_largest_relative_error() {
-    let fit = Fit::of(&[(1.0, 100.0), (2.0, 100.0), (3.0, 100.0), (4.0, 120.0)]).unwrap();
+    let fit = Fit::from_points(&[(1.0, 100.0), (2.0, 100.0), (3.0, 100.0), (4.0, 120.0)]).unwrap();
     let errors = [(1.0, 100.0), (2.0, 100.0), (3.0, 100.0), (4.0, 120.0)]
         .map(|(size, value): (f64, f64)| (fit.form.at(size) - value).abs() / value);
     let largest = errors.into_iter().fold(0.0, f64::max);
