--- a/crates/spokeflow-core/src/config.rs
+++ b/crates/spokeflow-core/src/config.rs
@@ -27,7 +27,8 @@
     Unknown,
 }
 
-/// The configuration of one operation of a service.
+/// The configuration of one operation of a service. Callers set all fields; those that the decision
+/// module does not read at present say so.
 #[derive(Clone, Debug)]
 pub struct OperationConfig {
     /// Whether commands of this operation may be executed twice.
@@ -40,9 +41,9 @@
     pub latency_objective: Micros,
     /// How long a client waits for the answer.
     pub command_timeout: Micros,
-    /// Importance of one command relative to those of other operations.
+    /// Importance of one command relative to those of other operations. Not read at present.
     pub priority_weight: f64,
-    /// Whether responses arrive in parts.
+    /// Whether responses arrive in parts. Not read at present.
     pub streaming: bool,
 }
 
@@ -52,30 +53,32 @@
     /// The vote of one router is enough.
     #[default]
     Single,
-    /// A majority of the routers must vote for it.
+    /// A share of all routers must vote for it; the release controller sets the share and counts
+    /// the votes.
     Majority,
     /// Stages advance after a fixed time unless routers vote against it.
     Clocked,
 }
 
-/// The guarantees and limits of a deployment that a router decides by.
+/// The guarantees and limits of a deployment that a router decides by. Callers set all fields;
+/// those that the decision module does not read at present say so.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
     /// The operations; [`crate::OpType`] is the index into them.
     pub ops: Vec<OperationConfig>,
     /// Commands per second that each tenant may send, over all routers; above 0.
     pub tenant_quotas: Vec<f64>,
-    /// The zone of this router.
+    /// The zone of this router. Not read at present.
     pub own_zone: ZoneId,
     /// The index of this router among the routers of the service.
     pub own_index: u32,
     /// Number of routers of the service.
     pub fleet_size: u32,
-    /// Resolution of the deployment's times.
+    /// Resolution of the deployment's times. Not read at present.
     pub tick: Micros,
     /// Whether the host list is sent only to subscribers.
     pub list_requires_subscription: bool,
-    /// Longest time until a change of the hosts appears in the host list.
+    /// Longest time until a change of the hosts appears in the host list. Not read at present.
     pub list_refresh_within: Micros,
     /// Maximum number of deliveries of one command.
     pub delivery_cap: u32,
@@ -83,21 +86,24 @@
     pub may_hedge: bool,
     /// Whether deliveries may be cancelled.
     pub may_cancel: bool,
-    /// Whether the router may send health probes to hosts.
+    /// Whether the router may send health probes to hosts. Not read at present.
     pub may_probe: bool,
-    /// Whether routers may send each other messages.
+    /// Whether routers may send each other messages. Not read at present.
     pub may_gossip: bool,
     /// Whether a nack may say after which time to retry.
     pub may_name_retry_after: bool,
     /// The longest retry time that a nack may carry.
     pub longest_retry_after: Micros,
-    /// Time after a host is listed as draining or gone from which it must get no new delivery.
+    /// How long after a host is listed as draining or gone a frame may still leave for it. Not read
+    /// at present: the router sends no new delivery to such a host at any time, and the transport
+    /// applies the limit to those that wait in its queues.
     pub drain_grace: Micros,
     /// Fraction of its full capacity that a host has when it starts; above 0, at most 1.
     pub slow_start_from: f64,
     /// Time in which a started host grows to full capacity.
     pub warm_up_time: Micros,
-    /// Traffic that overloads a cold host, as a multiple of the host's mean traffic.
+    /// Traffic that overloads a cold host, as a multiple of the host's capacity at its age. The
+    /// router takes a warm host's mean ack rate for its full capacity.
     pub overload_multiple: f64,
     /// Time over which the traffic of a cold host is counted.
     pub overload_window: Micros,
@@ -107,7 +113,8 @@
     pub stage_caps: Vec<f64>,
     /// Fraction of the hosts that run the canary build, by stage.
     pub stage_shares: Vec<f64>,
-    /// Commands beyond the exposure cap that are allowed in one exposure window.
+    /// Deliveries to the canary build that are allowed in addition to the cap in each exposure
+    /// window.
     pub exposure_allowance: f64,
     /// Time over which exposure is counted.
     pub exposure_window: Micros,
--- a/crates/spokeflow-core/src/egress.rs
+++ b/crates/spokeflow-core/src/egress.rs
@@ -16,6 +16,9 @@
 }
 
 /// Receives the actions of a router. Calls must be carried out in the order they are made.
+///
+/// Implementations must provide every method, including those that the decision module does not
+/// call at present.
 pub trait Egress {
     /// Sends a command to a host. The delivery times out at `until`; with `None` it stays open
     /// until the client gives up.
@@ -32,12 +35,14 @@
     fn wake(&mut self, at: Micros);
     /// Votes on a build in a stage; [`crate::Router::on_vote_outcome`] must follow.
     fn vote(&mut self, build: BuildId, stage: u8, vote: RolloutVote);
-    /// Sends a health probe to a host.
+    /// Sends a health probe to a host. The decision module does not call this at present.
     fn probe(&mut self, host: HostId);
     /// Subscribes to the host list.
     fn watch_list(&mut self);
-    /// Requests the complete host list once.
+    /// Requests the complete host list once. The decision module does not call this at present: it
+    /// only subscribes.
     fn fetch_list(&mut self);
-    /// Sends a short message to one router of the fleet, or to all if `router` is `None`.
+    /// Sends a short message to one router of the fleet, or to all if `router` is `None`. The
+    /// decision module does not call this at present.
     fn gossip(&mut self, router: Option<u32>, text: &[u8]);
 }
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -18,6 +18,19 @@
 const PROMOTE_DELAY: Micros = SECOND;
 /// Warm-up times for which a host counts as recently started.
 const RECENT_WARM_UPS: Micros = 3;
+/// Evidence of one reported wrong answer, in multiples of that for a rollback, where a quorum
+/// decides and the quorum scale is 1. Above 1, because the deliveries that are analyzed after the
+/// report subtract from it.
+const QUORUM_REPORT_MULTIPLE: f64 = 1.3;
+/// Evidence of one wrong answer, reported or not, where no quorum decides. A report stands for as
+/// many wrong answers as the reciprocal of the share that clients report.
+const WRONG_ANSWER_EVIDENCE: f64 = 0.375;
+/// Lower bound of the share of wrong answers that clients report, against division by 0.
+const MIN_COMPLAINT_SHARE: f64 = 0.05;
+/// Bounds of the evidence of one report where no quorum decides: the rollback of a canary
+/// needs at least two reports, and at most four if no analyzed delivery subtracts from them.
+const MIN_REPORT_EVIDENCE: f64 = 1.0;
+const MAX_REPORT_EVIDENCE: f64 = 2.5;
 
 /// The configuration in the form that decisions use.
 #[derive(Debug)]
@@ -41,15 +54,15 @@
     pub(super) start_spans: StartSpans,
     /// Length of the time slots in which the deliveries to a cold host are bounded.
     pub(super) overload_window: Micros,
-    /// Deliveries that a cold host may be sent in one slot, in seconds of a warm host's mean
-    /// traffic, before the reduction for its warm-up.
+    /// Deliveries that a cold host may be sent in one slot, in seconds of its full capacity, before
+    /// the reduction for its warm-up.
     pub(super) slow_start_allowance: f64,
     pub(super) gate: Gate,
     /// Exposure cap of a build for which the release controller has not sent a status.
     pub(super) first_stage_cap: f64,
     /// Share of the hosts that run the build on trial, by stage.
     pub(super) stage_shares: Vec<f64>,
-    /// Commands above the cap that one window allows.
+    /// Deliveries allowed in addition to the cap in each exposure window.
     pub(super) exposure_allowance: f64,
     pub(super) exposure_window: Micros,
     /// The cap applies to each operation separately.
@@ -71,7 +84,7 @@
     pub(super) quorum_scale: f64,
     /// Evidence of one reported wrong answer.
     pub(super) wrong_answer_weight: f64,
-    /// Evidence of wrong answers that each answer subtracts.
+    /// Evidence of wrong answers that each analyzed delivery subtracts.
     pub(super) wrong_answer_margin: f64,
 }
 
@@ -159,12 +172,17 @@
     }
 }
 
-/// Returns the evidence of one reported wrong answer. Where a quorum decides, one report is enough
-/// for a router's vote, because false reports reach only few routers at a time.
+/// Returns the evidence of one reported wrong answer.
+///
+/// Where a quorum decides, one report is enough for a router's vote, because false reports reach
+/// only few routers at a time. That holds while the quorum scale is at least the reciprocal of
+/// `QUORUM_REPORT_MULTIPLE`; where a smaller quorum reduces the scale further, a vote takes several
+/// reports.
 fn wrong_answer_weight(config: &ServiceConfig, quorum: bool, quorum_scale: f64) -> f64 {
     if quorum {
-        1.3 * ROLLBACK_EVIDENCE * quorum_scale
+        QUORUM_REPORT_MULTIPLE * ROLLBACK_EVIDENCE * quorum_scale
     } else {
-        (0.375 / config.complaint_share.max(0.05)).clamp(1.0, 2.5)
+        (WRONG_ANSWER_EVIDENCE / config.complaint_share.max(MIN_COMPLAINT_SHARE))
+            .clamp(MIN_REPORT_EVIDENCE, MAX_REPORT_EVIDENCE)
     }
 }
