--- a/crates/spokeflow-core/src/events.rs
+++ b/crates/spokeflow-core/src/events.rs
@@ -113,7 +113,7 @@
     pub op: OpType,
     /// Deliveries in the sample.
     pub sampled: u32,
-    /// Sampled deliveries that did not end with an ack.
+    /// Sampled deliveries that did not end with an ack, whether or not the build failed.
     pub failed: u32,
     /// Mean latency of the sampled deliveries that ended with an ack.
     pub mean_latency: Micros,
--- a/crates/spokeflow-core/src/router.rs
+++ b/crates/spokeflow-core/src/router.rs
@@ -31,7 +31,7 @@
 use crate::state::{Command, Hosts, OperationState};
 use crate::{CommandId, Egress, HostId, Micros, Rng, ServiceConfig};
 use admission::WaitingQueues;
-use analysis::{Baseline, LossCount, TenantErrors};
+use analysis::{Baseline, TenantErrors, UnackedCount};
 use canary::CanaryFraction;
 use controller_stats::ControllerTraffic;
 use derived_config::DerivedConfig;
@@ -77,7 +77,7 @@
     evidence: Evidence,
     baseline: Baseline,
     tenant_errors: TenantErrors,
-    losses: LossCount,
+    unacked: UnackedCount,
     controller_traffic: ControllerTraffic,
     voting: VoteState,
     subscription: ListSubscription,
@@ -114,7 +114,7 @@
             evidence: Evidence::new(config.ops.len()),
             baseline: Baseline::new(config.ops.len()),
             tenant_errors: TenantErrors::new(tenants),
-            losses: LossCount::default(),
+            unacked: UnackedCount::default(),
             controller_traffic: ControllerTraffic::default(),
             voting: VoteState::default(),
             subscription: ListSubscription::new(config.list_requires_subscription, now),
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -1,5 +1,6 @@
-//! Canary analysis: evidence for or against the newest build from the answers to this router's own
-//! deliveries.
+//! Canary analysis: evidence for or against the newest build from the outcomes of this router's own
+//! deliveries. A delivery is *analyzed* if its outcome is evidence either way; see
+//! `Router::failure_of`.
 
 use super::evidence::{add_to, EvidenceKind};
 use super::outliers::FAILURE_SLOWDOWN;
@@ -10,50 +11,53 @@
 /// Failure rate above the earlier build's that is attributed to chance; subtracted from the
 /// evidence of each analyzed delivery.
 pub(super) const FAILURE_MARGIN: f64 = 0.02;
-/// Evidence of wrong answers that each answer subtracts: reports this rare are attributed to
-/// chance.
+/// Evidence of wrong answers that each analyzed delivery subtracts: reports this rare are
+/// attributed to chance.
 pub(super) const WRONG_ANSWER_MARGIN: f64 = 0.01;
 /// Failure rate of the earlier build at which one more failure has half its weight as evidence.
 const FAILURE_NOISE: f64 = 0.05;
 /// Slowness, as a logarithm, that is attributed to chance, and the evidence of one unit beyond it.
 pub(super) const SLOWNESS_MARGIN: f64 = 0.6;
 pub(super) const SLOWNESS_WEIGHT: f64 = 0.4;
-/// Bound of an answer's slowness, as a logarithm, in both directions, so that one outlier does not
-/// count for several answers.
+/// Bound of a delivery's slowness, as a logarithm, in both directions, so that one outlier does not
+/// count for several deliveries.
 pub(super) const MAX_SLOWNESS: f64 = 2.0;
-/// Upper bound of an answer's slowness, as a logarithm, where it counts as slowness of all hosts.
+/// Upper bound of a delivery's slowness, as a logarithm, where it counts as slowness of all hosts.
 pub(super) const MAX_SHARED_SLOWNESS: f64 = 1.5;
-/// Upper bound of the weight of a failure where a router has little traffic: several failures by
-/// chance are rare there.
-const MAX_LOW_TRAFFIC_WEIGHT: f64 = 1.5;
-/// Answers below which an operation's baseline is too uncertain to measure slowness against.
+/// Upper bound of the weight by which the evidence of failures, positive or negative, is multiplied
+/// in a large fleet: its routers have little traffic, and several failures by chance are rare
+/// there.
+const MAX_LARGE_FLEET_WEIGHT: f64 = 1.5;
+/// Acks below which an operation's baseline is too uncertain to measure slowness against.
 const MIN_BASELINE_SAMPLES: f64 = 5.0;
-/// Number of answers after which the baseline becomes a moving average with a fixed weight.
+/// Number of acks after which the baseline becomes a moving average with a fixed weight.
 const MAX_BASELINE_SAMPLES: u32 = 200;
-/// An operation with fewer answers than this goes on learning its baseline from the earlier build's
+/// An operation with fewer acks than this goes on learning its baseline from the earlier build's
 /// hosts during a canary, while the canary fraction is below the second value.
 const LOW_TRAFFIC_BASELINE_SAMPLES: u32 = 20;
 const LOW_TRAFFIC_CANARY_FRACTION: f64 = 0.2;
 /// Uncertainty of a baseline, as a logarithm, that is tolerated without correction. The logarithm
 /// of a latency is assumed to have a standard deviation of 1.
 const TOLERATED_UNCERTAINTY: f64 = 0.25;
-/// Weights of the newest answer in a host's slowdown, and in the earlier build's failure rate and
+/// Weights of the newest delivery in a host's slowdown, and in the earlier build's failure rate and
 /// slowness.
 const HOST_SLOWDOWN_RATE: f64 = 0.15;
 const FAILURE_LEARN_RATE: f64 = 0.02;
 const SLOWNESS_LEARN_RATE: f64 = 0.05;
-/// Factors by which the tenants' counts decay with each answer, and the losses with each loss.
+/// Factors by which the tenants' counts decay with each analyzed delivery, and the count of unacked
+/// deliveries with each of these.
 const TENANT_DECAY: f64 = 0.98;
-const LOSS_DECAY: f64 = 0.95;
-/// Answers from a host at which a reset no longer counts as a failure of its build.
-const ANSWERS_TO_IGNORE_RESET: u32 = 2;
+const UNACKED_DECAY: f64 = 0.95;
+/// A reset counts as a failure of the build only at a host with fewer acks than this.
+const ACKS_TO_IGNORE_RESET: u32 = 2;
 
-/// Failure rates and slowness of builds that are not on trial.
+/// Failure rates and slowness, learned from deliveries that are no evidence about the newest build.
 #[derive(Debug)]
 pub(super) struct Baseline {
     /// Share of failures, by operation.
     failures: Vec<f64>,
-    /// Mean logarithm of the latency over the operation's baseline.
+    /// Mean slowness, as a logarithm, that is left after the excess of zone, operation or tenant is
+    /// subtracted from the latency over the operation's baseline.
     slowness: f64,
 }
 
@@ -66,14 +70,14 @@
     }
 }
 
-/// Answers and errors of one tenant.
+/// Analyzed deliveries of one tenant, and the errors among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct ErrorCount {
-    answers: f64,
+    analyzed: f64,
     errors: f64,
 }
 
-/// Recent answers and errors at hosts of any build, by tenant.
+/// Recent analyzed deliveries and errors at hosts of any build, by tenant.
 #[derive(Debug)]
 pub(super) struct TenantErrors(Vec<ErrorCount>);
 
@@ -84,11 +88,11 @@
 
     fn count(&mut self, tenant: usize, is_error: bool) {
         for count in &mut self.0 {
-            count.answers *= TENANT_DECAY;
+            count.analyzed *= TENANT_DECAY;
             count.errors *= TENANT_DECAY;
         }
         let count = &mut self.0[tenant];
-        count.answers += 1.0;
+        count.analyzed += 1.0;
         count.errors += f64::from(u8::from(is_error));
     }
 
@@ -101,37 +105,37 @@
             .iter()
             .enumerate()
             .filter(|(other, _)| *other != tenant)
-            .map(|(_, count)| (count.errors + 1.0) / (count.answers + 2.0))
+            .map(|(_, count)| (count.errors + 1.0) / (count.analyzed + 2.0))
             .fold(1.0, f64::min);
-        let excess = (own.errors - own.errors.sqrt()) / (own.answers + 1.0) - least_of_others;
+        let excess = (own.errors - own.errors.sqrt()) / (own.analyzed + 1.0) - least_of_others;
         FAILURE_MARGIN / (FAILURE_MARGIN + excess.max(0.0))
     }
 }
 
-/// This router's recent deliveries that ended without an ack.
+/// This router's recent unacked deliveries: those that were sent and ended without an ack.
 #[derive(Debug, Default)]
-pub(super) struct LossCount {
-    lost: f64,
+pub(super) struct UnackedCount {
+    unacked: f64,
     /// Those of them that count as failures of a build.
     failed: f64,
 }
 
-impl LossCount {
-    pub(super) fn count_lost(&mut self) {
-        self.lost = LOSS_DECAY * self.lost + 1.0;
-        self.failed *= LOSS_DECAY;
+impl UnackedCount {
+    pub(super) fn count_unacked(&mut self) {
+        self.unacked = UNACKED_DECAY * self.unacked + 1.0;
+        self.failed *= UNACKED_DECAY;
     }
 
-    /// Returns the part of lost deliveries that count as failures of a build. Applied to the losses
-    /// that the release controller reports, which it does not classify.
+    /// Returns the part of the unacked deliveries that count as failures of a build. Applied to
+    /// those that the release controller reports, which it does not classify.
     pub(super) fn failure_fraction(&self) -> f64 {
-        (self.failed + 1.0) / (self.lost + 1.0)
+        (self.failed + 1.0) / (self.unacked + 1.0)
     }
 }
 
 /// One completed delivery, as input of the analysis.
 #[derive(Clone, Copy, Debug)]
-struct Answer {
+struct AnalyzedDelivery {
     host: usize,
     build: BuildId,
     operation: usize,
@@ -141,7 +145,7 @@
     failed: f64,
     /// Logarithm of the latency in microseconds, corrected for a host that is warming up.
     latency: f64,
-    /// Whether the baseline has enough answers to measure slowness against.
+    /// Whether the baseline has enough acks to measure slowness against.
     baseline_known: bool,
 }
 
@@ -163,12 +167,12 @@
         let Some(failed) = self.failure_of(host, operation, outcome, took) else {
             return;
         };
-        self.losses.failed += failed;
+        self.unacked.failed += failed;
         self.tenant_errors
             .count(tenant, outcome == AttemptOutcome::Error);
         let warm_up = self.warm_up_fraction(self.hosts.age(host));
         let samples = f64::from(self.operations[operation].baseline_samples);
-        let answer = Answer {
+        let delivery = AnalyzedDelivery {
             host,
             build: self.hosts.build(host),
             operation,
@@ -178,14 +182,14 @@
             latency: (took.max(1) as f64).ln() + warm_up.ln(),
             baseline_known: samples >= MIN_BASELINE_SAMPLES,
         };
-        let slowness = self.learn_slowness(&answer);
-        if answer.baseline_known {
+        let slowness = self.learn_slowness(&delivery);
+        if delivery.baseline_known {
             self.count_shared_slowness(slowness);
         }
-        if self.counts_as_trial(answer.build) {
-            self.count_trial_answer(&answer, slowness);
+        if self.is_evidence_about_newest(delivery.build) {
+            self.add_delivery_evidence(&delivery, slowness);
         } else {
-            self.learn_baseline(&answer, slowness);
+            self.learn_baseline(&delivery, slowness);
         }
     }
 
@@ -208,18 +212,18 @@
             AttemptOutcome::Acked => Some(0.0),
             AttemptOutcome::Error => Some(1.0),
             // Network faults reset connections too, and one crash resets all open deliveries at the
-            // host. So a reset counts only at a host with almost no answers, and once per ejection.
+            // host. So a reset counts only at a host with almost no acks, and once per ejection.
             AttemptOutcome::Reset => {
-                let counts = self.hosts.answers(host) < ANSWERS_TO_IGNORE_RESET
+                let counts = self.hosts.acks(host) < ACKS_TO_IGNORE_RESET
                     && self.now >= self.hosts.ejected_until(host);
                 counts.then_some(1.0)
             }
             // An overloaded fleet times out too, so a time-out counts as slowness, which load may
             // explain, and not as a failure. It is no evidence where the client gave up before the
-            // latency objective or where the host itself is suspect.
+            // latency objective or where the host itself explains it.
             AttemptOutcome::TimedOut => {
                 let long = took as f64 >= self.operations[operation].latency_objective;
-                (long && !self.is_suspect(host)).then_some(0.0)
+                (long && !self.explains_timeout(host)).then_some(0.0)
             }
             AttemptOutcome::Rejected
             | AttemptOutcome::NotConnected
@@ -228,49 +232,53 @@
         }
     }
 
-    /// Updates the slowdowns of the answer's host, zone, operation and tenant. Returns the
+    /// Updates the slowdowns of the delivery's host, zone, operation and tenant. Returns the
     /// slowness, as a logarithm, that is left for the host or its build after subtracting the
     /// largest excess of zone, operation or tenant.
-    fn learn_slowness(&mut self, answer: &Answer) -> f64 {
+    fn learn_slowness(&mut self, delivery: &AnalyzedDelivery) -> f64 {
         let origin = Origin {
-            zone: self.zone_index(answer.host),
-            operation: answer.operation,
-            tenant: answer.tenant,
+            zone: self.zone_index(delivery.host),
+            operation: delivery.operation,
+            tenant: delivery.tenant,
         };
-        let over_baseline = if answer.baseline_known {
-            let over_baseline = self.slowness_over_baseline(answer);
+        let over_baseline = if delivery.baseline_known {
+            let over_baseline = self.slowness_over_baseline(delivery);
             self.slowdowns.learn(origin, over_baseline);
             over_baseline
         } else {
             0.0
         };
         let slowness = over_baseline - self.slowdowns.largest_excess(origin);
-        let before = self.hosts.slowdown(answer.host);
+        let before = self.hosts.slowdown(delivery.host);
         let after = before + HOST_SLOWDOWN_RATE * (slowness - before);
-        self.hosts.set_slowdown(answer.host, after);
+        self.hosts.set_slowdown(delivery.host, after);
         slowness
     }
 
     /// Returns the slowness over the operation's baseline, as a logarithm, less the error that a
-    /// baseline of few answers may have by chance. In a large fleet the largest error over all
+    /// baseline of few acks may have by chance. In a large fleet the largest error over all
     /// routers is expected, because the vote of one router may decide for all.
-    fn slowness_over_baseline(&self, answer: &Answer) -> f64 {
-        if !answer.acked {
-            return MAX_SLOWNESS * (1.0 - answer.failed);
+    fn slowness_over_baseline(&self, delivery: &AnalyzedDelivery) -> f64 {
+        if !delivery.acked {
+            // Without an ack there is no latency. A failure is counted as such and not as slowness;
+            // a time-out, the only other case, has the maximum slowness.
+            return MAX_SLOWNESS * (1.0 - delivery.failed);
         }
-        let operation = &self.operations[answer.operation];
+        let operation = &self.operations[delivery.operation];
         let samples = f64::from(operation.baseline_samples);
-        let max_deviation = if self.config.fleet_size > ROUTERS_PER_HOST {
+        let max_deviation = if self.config.is_large_fleet() {
             (2.0 * self.config.fleet_size.ln()).sqrt()
         } else {
             1.0
         };
         let uncertainty = (max_deviation / samples.sqrt() - TOLERATED_UNCERTAINTY).max(0.0);
-        (answer.latency - operation.baseline - uncertainty).clamp(-MAX_SLOWNESS, MAX_SLOWNESS)
+        (delivery.latency - operation.baseline - uncertainty).clamp(-MAX_SLOWNESS, MAX_SLOWNESS)
     }
 
-    /// Whether answers of a build are evidence about the newest one.
-    fn counts_as_trial(&self, build: BuildId) -> bool {
+    /// Whether deliveries to a build are evidence about the newest one: it is that build or a later
+    /// one, is not rolled back, and a host was last listed with an earlier build. Unlike a build on
+    /// trial (see `Router::is_on_trial`), it may be released already, and a status must be known.
+    fn is_evidence_about_newest(&self, build: BuildId) -> bool {
         let newest = self.rollout.status.is_some_and(|status| {
             build >= status.build && !self.rollout.is_rolled_back(status.build)
         });
@@ -281,55 +289,56 @@
                 .is_some_and(|oldest| oldest < build)
     }
 
-    fn count_trial_answer(&mut self, answer: &Answer, slowness: f64) {
-        self.evidence.answers += 1;
-        self.evidence.answers_in_stage += 1;
+    fn add_delivery_evidence(&mut self, delivery: &AnalyzedDelivery, slowness: f64) {
+        self.evidence.analyzed += 1;
+        self.evidence.analyzed_in_stage += 1;
         add_to(
             &mut self.evidence.wrong_answers,
             -self.config.wrong_answer_margin,
         );
-        let operation = answer.operation;
-        let controller_loss = self.operations[operation].controller_loss;
-        let baseline_rate =
-            self.baseline.failures[operation].max(controller_loss * self.losses.failure_fraction());
+        let operation = delivery.operation;
+        let controller_unacked = self.operations[operation].controller_unacked;
+        let baseline_rate = self.baseline.failures[operation]
+            .max(controller_unacked * self.unacked.failure_fraction());
         // The higher the baseline rate of failures, the less one more failure weighs.
-        let gain = (answer.failed - baseline_rate) * FAILURE_NOISE
+        let gain = (delivery.failed - baseline_rate) * FAILURE_NOISE
             / (FAILURE_NOISE + baseline_rate)
             - FAILURE_MARGIN;
-        let low_traffic_weight =
-            (self.config.fleet_size / ROUTERS_PER_HOST).clamp(1.0, MAX_LOW_TRAFFIC_WEIGHT);
-        let gain = gain * self.tenant_errors.failure_weight(answer.tenant) * low_traffic_weight;
-        self.add_evidence(answer.host, EvidenceKind::Failure { operation }, gain);
-        if answer.baseline_known {
+        let large_fleet_weight =
+            (self.config.fleet_size / ROUTERS_PER_HOST).clamp(1.0, MAX_LARGE_FLEET_WEIGHT);
+        let gain = gain * self.tenant_errors.failure_weight(delivery.tenant) * large_fleet_weight;
+        self.add_evidence(delivery.host, EvidenceKind::Failure { operation }, gain);
+        if delivery.baseline_known {
             let explained = self.baseline.slowness.max(self.slowness_by_load());
             let gain = SLOWNESS_WEIGHT * (slowness - explained - SLOWNESS_MARGIN);
             let gain = gain.min(self.config.quorum_scale * gain);
-            self.add_evidence(answer.host, EvidenceKind::Slowness, gain);
+            self.add_evidence(delivery.host, EvidenceKind::Slowness, gain);
         }
     }
 
-    /// Updates the baseline from an answer of a build that is not on trial.
-    fn learn_baseline(&mut self, answer: &Answer, slowness: f64) {
-        let failures = &mut self.baseline.failures[answer.operation];
-        *failures += FAILURE_LEARN_RATE * (answer.failed - *failures);
+    /// Updates the baseline from a delivery that is no evidence about the newest build.
+    fn learn_baseline(&mut self, delivery: &AnalyzedDelivery, slowness: f64) {
+        let failures = &mut self.baseline.failures[delivery.operation];
+        *failures += FAILURE_LEARN_RATE * (delivery.failed - *failures);
         self.baseline.slowness += SLOWNESS_LEARN_RATE * (slowness - self.baseline.slowness);
         // With few samples, the baseline is still learned from the earlier build's hosts in the
         // first stages.
-        let operation = &mut self.operations[answer.operation];
+        let operation = &mut self.operations[delivery.operation];
         let low_traffic = operation.baseline_samples < LOW_TRAFFIC_BASELINE_SAMPLES
             && self.canary.fraction < LOW_TRAFFIC_CANARY_FRACTION;
-        if answer.acked && (low_traffic || !self.rollout.is_canary()) {
+        if delivery.acked && (low_traffic || !self.rollout.is_canary()) {
             operation.baseline_samples += 1;
             let samples = operation.baseline_samples.min(MAX_BASELINE_SAMPLES);
-            operation.baseline += (answer.latency - operation.baseline) / f64::from(samples);
+            operation.baseline += (delivery.latency - operation.baseline) / f64::from(samples);
         }
     }
 
     /// Guards against a build that slows the hosts of earlier builds too: while it is a canary, the
-    /// answers of all hosts are compared with the baseline from before, less the slowness that load
-    /// explains. Limitation: a fleet that slows down for another reason counts against the build.
+    /// deliveries to all hosts are compared with the baseline from before, less the slowness that
+    /// load explains. Limitation: a fleet that slows down for another reason counts against the
+    /// build.
     fn count_shared_slowness(&mut self, slowness: f64) {
-        let comparable = self.evidence.answers > 0 && self.load.baseline.answered > 0.0;
+        let comparable = self.evidence.analyzed > 0 && self.load.baseline.acked > 0.0;
         if !comparable || !self.rollout.is_canary() {
             return;
         }
@@ -344,15 +353,16 @@
         add_to(&mut self.evidence.shared_slowness, gain.min(weight * gain));
     }
 
-    /// Handles a client's report of a wrong answer that a host gave `since` ago.
-    pub fn on_wrong_answer(&mut self, host: HostId, since: Micros) {
+    /// Handles a client's report of a wrong answer to a delivery that was sent to the host
+    /// `sent_ago` ago.
+    pub fn on_wrong_answer(&mut self, host: HostId, sent_ago: Micros) {
         let Some(&host) = self.host_index.get(&host) else {
             return;
         };
-        // An answer from an earlier process of the host is no evidence about the present build.
+        // A delivery to an earlier process of the host is no evidence about the present build.
         let build = self.hosts.build(host);
         let started_at = self.hosts.endpoint(host).started_at;
-        let of_earlier_process = started_at.is_some_and(|at| self.now - since < at);
+        let of_earlier_process = started_at.is_some_and(|at| self.now - sent_ago < at);
         let newest = self
             .rollout
             .status
--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -2,17 +2,22 @@
 //!
 //! A build is on trial while it is newer than the released one; see `Router::is_on_trial`.
 
+use super::load::MIN_DIVISOR;
 use super::sticky::STICKY_IDLE_TIMEOUT;
 use super::{Router, SECOND};
 use crate::state::Command;
 use crate::{BuildId, Micros};
 
-/// Part of the exposure cap up to which the canary fraction grows, and up to which it follows the
-/// hosts as they are replaced. The rest of the cap is for keys with more than the mean traffic.
+/// Part of the exposure cap up to which the canary fraction grows where the trial hosts have the
+/// capacity, also ahead of them by [`CANARY_LEAD`]. The rest of the cap is for keys with more than
+/// the mean traffic.
 const CANARY_FRACTION_OF_CAP: f64 = 0.7;
+/// Part of a cap below 1 up to which the canary fraction grows further as the trial hosts' part of
+/// the capacity grows, but not ahead of it. A cap of 1 does not bound it.
 const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
-/// Factor by which the canary fraction may exceed the trial hosts' part of the capacity where hosts
-/// are replaced in place.
+/// Factor on the trial hosts' part of the capacity where hosts are replaced in place. In
+/// `grow_canary` it raises the target of the canary fraction, in `goes_to_trial` the bound on the
+/// deliveries to the trial build, for keys without an assignment only.
 const CANARY_LEAD: f64 = 1.25;
 /// Time in which the canary fraction grows from 0 to its target, so that the load on the trial
 /// hosts rises gradually.
@@ -141,7 +146,7 @@
             build == old || self.config.rolling && build > old
         });
         let trial = self.hosts.sum_sizes(warm_up, |build| build == new);
-        (trial / all.max(1e-9)).min(1.0)
+        (trial / all.max(MIN_DIVISOR)).min(1.0)
     }
 
     /// Grows the canary fraction towards its part of the cap, as far as the ready trial hosts have
--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -1,31 +1,32 @@
 //! Evidence from the release controller's statistics on the deliveries of all routers, for routers
-//! that see few answers themselves.
+//! that see few outcomes themselves. *Unacked* deliveries are those that ended without an ack,
+//! whether or not the build failed.
 
 use super::analysis::{FAILURE_MARGIN, MAX_SHARED_SLOWNESS, MAX_SLOWNESS, SLOWNESS_MARGIN};
 use super::evidence::add_to;
-use super::load::SLOWNESS_PER_LOAD;
+use super::load::{MIN_DIVISOR, SLOWNESS_PER_LOAD};
 use super::{Router, SECOND};
 use crate::state::{LatencyCount, OperationState};
 use crate::{BuildId, ControllerStats, Micros};
 
-/// Evidence of one unit of slowness in a period's counts of one operation, with many answers.
+/// Evidence of one unit of slowness in a period's counts of one operation, with many acks.
 const CONTROLLER_WEIGHT: f64 = 1.5;
 /// Most evidence that the failures of one operation in one period add: a single period must bring
 /// only a part of the evidence for a rollback.
 const MAX_FAILURE_EVIDENCE: f64 = CONTROLLER_WEIGHT / 2.0;
-/// Answers at which a period's slowness has half its weight.
-const HALF_WEIGHT_ANSWERS: f64 = 12.0;
+/// Acks at which a period's slowness has half its weight.
+const HALF_WEIGHT_ACKS: f64 = 12.0;
 /// Slowness of all builds, as a logarithm, that is attributed to chance.
 const CONTROLLER_SLOWNESS_MARGIN: f64 = 0.3;
 /// Upper bound of the factor by which a loss of capacity since the canary began explains slowness.
 const MAX_EXPLAINED_CAPACITY_LOSS: f64 = 1.4;
 /// Factor by which an operation's counts decay with each period.
 const COUNT_DECAY: f64 = 0.8;
-/// Deliveries without a loss that are added to the sample when the share of losses is estimated, so
+/// Acked deliveries that are added to the sample when the share of unacked ones is estimated, so
 /// that small samples give low estimates.
-const LOSS_PRIOR: f64 = 4.0;
-/// Least answers of the earlier builds for their mean latency to serve as a baseline.
-const MIN_EARLIER_ANSWERS: f64 = 10.0;
+const UNACKED_PRIOR: f64 = 4.0;
+/// Least acks of the earlier builds for their mean latency to serve as a baseline.
+const MIN_EARLIER_ACKS: f64 = 10.0;
 /// Counts whose periods end closer together than this belong to one period.
 const SAME_PERIOD_WITHIN: Micros = SECOND / 4;
 /// Weight of a period in the baseline traffic; the first one has weight 1.
@@ -33,14 +34,14 @@
 /// Lower bound, in seconds, of latencies before their logarithm is taken.
 const MIN_LATENCY: f64 = 1e-6;
 
-/// Answers per period that the release controller counted.
+/// Acks per period that the release controller counted.
 #[derive(Debug, Default)]
 pub(super) struct ControllerTraffic {
     period_end: Micros,
-    /// Answers in the period whose counts are arriving, and in the one before.
+    /// Acks in the period whose counts are arriving, and in the one before.
     current: f64,
     previous: f64,
-    /// Mean answers per period while no build was a canary.
+    /// Mean acks per period while no build was a canary.
     baseline: f64,
 }
 
@@ -74,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PeriodCount {
     sampled: f64,
-    lost: f64,
+    unacked: f64,
     acked: f64,
     /// In seconds.
     mean_latency: f64,
@@ -91,23 +92,23 @@
     }
 
     fn slowness_weight(&self) -> f64 {
-        CONTROLLER_WEIGHT * self.acked / (self.acked + HALF_WEIGHT_ANSWERS)
+        CONTROLLER_WEIGHT * self.acked / (self.acked + HALF_WEIGHT_ACKS)
     }
 }
 
 impl OperationState {
-    /// Updates the operation's baseline from counts of a build that is not on trial.
+    /// Updates the operation's baseline from counts of a build that counts as a baseline.
     fn learn_controller_count(&mut self, count: &PeriodCount, canary: bool) {
         let before = self.controller_count;
         self.controller_count = LatencyCount {
-            answered: COUNT_DECAY * before.answered + count.acked,
+            acked: COUNT_DECAY * before.acked + count.acked,
             seconds: COUNT_DECAY * before.seconds + count.mean_latency * count.acked,
         };
-        let loss = count.lost / (count.sampled + LOSS_PRIOR);
-        self.controller_loss = loss.max(COUNT_DECAY * self.controller_loss);
+        let fraction = count.unacked / (count.sampled + UNACKED_PRIOR);
+        self.controller_unacked = fraction.max(COUNT_DECAY * self.controller_unacked);
         if !canary {
             let total = self.controller_count;
-            self.controller_baseline = total.seconds / total.answered.max(1.0);
+            self.controller_baseline = total.seconds / total.acked.max(1.0);
         }
     }
 }
@@ -129,15 +130,15 @@
         let count = self.weigh_period(&stats);
         let is_slow_everywhere = self.slowdowns.operations.excess(operation) > 0.0;
         let baseline = self.operations[operation].controller_baseline;
-        if self.is_earlier(stats.build, status.build) {
+        if self.counts_as_baseline(stats.build, status.build) {
             self.operations[operation].learn_controller_count(&count, canary);
         } else if canary && !is_slow_everywhere {
-            self.count_trial_period(operation, &count);
+            self.add_period_evidence(operation, &count);
         }
         if canary
             && !is_slow_everywhere
             && baseline > 0.0
-            && self.evidence.controller_answers_in_stage > 0.0
+            && self.evidence.controller_sampled_in_stage > 0.0
         {
             let slowness = count.slowness(baseline).min(MAX_SHARED_SLOWNESS);
             let gain =
@@ -148,7 +149,7 @@
 
     /// Whether a build's counts serve as a baseline: it is earlier than the newest, or no host runs
     /// an earlier one.
-    fn is_earlier(&self, build: BuildId, newest: BuildId) -> bool {
+    fn counts_as_baseline(&self, build: BuildId, newest: BuildId) -> bool {
         build < newest
             || self
                 .hosts
@@ -156,40 +157,40 @@
                 .is_none_or(|oldest| oldest >= newest)
     }
 
-    /// Counts a period's answers as traffic and computes the slowness that load explains: more
-    /// answers or fewer hosts than before. Lost deliveries are no such traffic, because the build
-    /// itself may cause them.
+    /// Counts a period's acks as traffic and computes the slowness that load explains: more acks or
+    /// fewer hosts than before. Unacked deliveries are no such traffic, because the build itself
+    /// may cause them.
     fn weigh_period(&mut self, stats: &ControllerStats) -> PeriodCount {
         let sampled = f64::from(stats.sampled);
-        let lost = f64::from(stats.failed).min(sampled);
-        let acked = sampled - lost;
+        let unacked = f64::from(stats.failed).min(sampled);
+        let acked = sampled - unacked;
         self.controller_traffic.current += acked;
         let inverse_before = self.load.baseline.inverse_capacity;
-        let fewer_hosts = (self.present_load().inverse_capacity / inverse_before.max(1e-9))
+        let fewer_hosts = (self.present_load().inverse_capacity / inverse_before.max(MIN_DIVISOR))
             .min(MAX_EXPLAINED_CAPACITY_LOSS);
         let growth = fewer_hosts.max(self.controller_traffic.growth());
         PeriodCount {
             sampled,
-            lost,
+            unacked,
             acked,
             mean_latency: stats.mean_latency as f64 / SECOND as f64,
             explained: SLOWNESS_PER_LOAD * growth.ln().max(0.0),
         }
     }
 
-    /// Adds a period's counts of the build on trial to the evidence.
-    fn count_trial_period(&mut self, operation: usize, count: &PeriodCount) {
+    /// Adds a period's counts of the canary build to the evidence.
+    fn add_period_evidence(&mut self, operation: usize, count: &PeriodCount) {
         let state = &self.operations[operation];
         let earlier = state.controller_count;
-        self.evidence.controller_answers_in_stage += count.sampled;
-        let excess = count.lost - count.sampled * state.controller_loss;
-        let gain = self.losses.failure_fraction() * excess - count.sampled * FAILURE_MARGIN;
+        self.evidence.controller_sampled_in_stage += count.sampled;
+        let excess = count.unacked - count.sampled * state.controller_unacked;
+        let gain = self.unacked.failure_fraction() * excess - count.sampled * FAILURE_MARGIN;
         add_to(
             &mut self.evidence.failures[operation],
             gain.min(MAX_FAILURE_EVIDENCE),
         );
-        if earlier.answered >= MIN_EARLIER_ANSWERS {
-            let slowness = count.slowness(earlier.seconds / earlier.answered);
+        if earlier.acked >= MIN_EARLIER_ACKS {
+            let slowness = count.slowness(earlier.seconds / earlier.acked);
             let gain = count.slowness_weight() * (slowness - count.explained - SLOWNESS_MARGIN);
             add_to(&mut self.evidence.slowness, gain);
         }
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -3,7 +3,7 @@
 use super::analysis::WRONG_ANSWER_MARGIN;
 use super::evidence::ROLLBACK_EVIDENCE;
 use super::placement::SLOW_START_FRACTION;
-use super::SECOND;
+use super::{ROUTERS_PER_HOST, SECOND};
 use crate::state::StartSpans;
 use crate::{Gate, Micros, ServiceConfig};
 
@@ -89,6 +89,12 @@
 }
 
 impl DerivedConfig {
+    /// Whether the routers are so many that each sends to a part of the hosts only, unless it has
+    /// much traffic, and sees only a small part of the fleet's deliveries.
+    pub(super) fn is_large_fleet(&self) -> bool {
+        self.fleet_size > ROUTERS_PER_HOST
+    }
+
     pub(super) fn new(config: &ServiceConfig) -> Self {
         let quorum = config.gate != Gate::Single && config.rollback_votes > 0;
         let fleet_size = f64::from(config.fleet_size.max(1));
--- a/crates/spokeflow-core/src/router/evidence.rs
+++ b/crates/spokeflow-core/src/router/evidence.rs
@@ -1,6 +1,6 @@
 //! The sums of evidence against the newest build, and the bound on the evidence from one host.
 
-use super::{Router, ROUTERS_PER_HOST};
+use super::Router;
 
 /// Evidence at which a router votes to roll back. A failure that is certainly due to the build
 /// counts about 1.
@@ -8,10 +8,12 @@
 /// Upper bound of the number of hosts that must show evidence for a rollback: in a large fleet a
 /// router sends to few hosts.
 const MAX_HOSTS_FOR_ROLLBACK: f64 = 8.0;
-/// Hosts that must show evidence for builds with zero, one and two ready hosts.
+/// Hosts that must show evidence for builds with zero, one and two ready hosts. The evidence from
+/// one host is bounded to that for a rollback divided by this number: at 0.5 a single host can
+/// bring twice that evidence, at 1.5 two thirds of it, so that a rollback needs both hosts.
 const HOSTS_FOR_ROLLBACK_OF_FEW: [f64; 3] = [0.5, 0.5, 1.5];
-/// Part of a build's hosts that must show evidence where it has more, and the lower bound of their
-/// number.
+/// Part of a build's hosts that must show evidence where it has three or more, and the lower bound
+/// of their number.
 const HOSTS_FOR_ROLLBACK_FRACTION: f64 = 0.4;
 const MIN_HOSTS_FOR_ROLLBACK: f64 = 2.0;
 /// Lower bound of the number of hosts that must show slowness: a single host may be slow for its
@@ -27,7 +29,7 @@
     Slowness,
 }
 
-/// Evidence against the newest build, each sum 0 or above, and the number of answers behind it.
+/// Evidence against the newest build, each sum 0 or above, and the number of deliveries behind it.
 #[derive(Debug)]
 pub(super) struct Evidence {
     /// Failures, by operation.
@@ -38,12 +40,12 @@
     pub(super) wrong_answers: f64,
     /// Slowness of the hosts of all builds since the canary began.
     pub(super) shared_slowness: f64,
-    /// Own answers since the build became the newest.
-    pub(super) answers: u32,
-    /// Own answers in this stage.
-    pub(super) answers_in_stage: u32,
-    /// Deliveries in this stage that the release controller counted.
-    pub(super) controller_answers_in_stage: f64,
+    /// Own analyzed deliveries since the build became the newest.
+    pub(super) analyzed: u32,
+    /// Own analyzed deliveries in this stage.
+    pub(super) analyzed_in_stage: u32,
+    /// Deliveries in this stage in the release controller's samples.
+    pub(super) controller_sampled_in_stage: f64,
 }
 
 impl Evidence {
@@ -53,15 +55,15 @@
             slowness: 0.0,
             wrong_answers: 0.0,
             shared_slowness: 0.0,
-            answers: 0,
-            answers_in_stage: 0,
-            controller_answers_in_stage: 0.0,
+            analyzed: 0,
+            analyzed_in_stage: 0,
+            controller_sampled_in_stage: 0.0,
         }
     }
 
     /// Resets the evidence when another build becomes the newest.
     pub(super) fn clear(&mut self) {
-        self.answers = 0;
+        self.analyzed = 0;
         self.failures.fill(0.0);
         self.slowness = 0.0;
         self.wrong_answers = 0.0;
@@ -69,12 +71,12 @@
     }
 
     pub(super) fn start_stage(&mut self) {
-        self.answers_in_stage = 0;
-        self.controller_answers_in_stage = 0.0;
+        self.analyzed_in_stage = 0;
+        self.controller_sampled_in_stage = 0.0;
     }
 
     /// Returns the evidence that votes are based on: the largest of the sums. Failures add up over
-    /// the operations; the other kinds are not added, so that one answer is not counted twice.
+    /// the operations; the other kinds are not added, so that one delivery is not counted twice.
     pub(super) fn total(&self) -> f64 {
         let failures: f64 = self.failures.iter().sum();
         failures
@@ -98,9 +100,9 @@
 
 impl Router {
     /// Adds evidence from one host, bounded so that a rollback needs evidence from several hosts:
-    /// two in five of the build's hosts (in a large fleet, of those observed), at least two of
-    /// three or more; for slowness always more than one. Limitation: a build that fails rarely on
-    /// many hosts is rolled back late or not at all.
+    /// two in five of the build's hosts (in a large fleet, of those observed), at least two where
+    /// the build has three hosts or more; for slowness always more than one. Limitation: a build
+    /// that fails rarely on many hosts is rolled back late or not at all.
     pub(super) fn add_evidence(&mut self, host: usize, kind: EvidenceKind, gain: f64) {
         let before = self.hosts.evidence(host);
         let gain = if gain > 0.0 {
@@ -120,7 +122,7 @@
     fn hosts_for_rollback(&self, host: usize, kind: EvidenceKind) -> f64 {
         let ready = self.hosts.ready_with(self.hosts.build(host));
         let peers = ready.len();
-        let observed = if self.config.fleet_size > ROUTERS_PER_HOST {
+        let observed = if self.config.is_large_fleet() {
             ready.observed()
         } else {
             peers
--- a/crates/spokeflow-core/src/router/load.rs
+++ b/crates/spokeflow-core/src/router/load.rs
@@ -6,20 +6,19 @@
 
 /// Weight of the newest load report in the mean utilization.
 const UTILIZATION_LEARN_RATE: f64 = 0.05;
-/// Weights of the newest answer rate per host where it is above, and below, the estimate. The
-/// estimate falls slowly, because a fleet that answers few commands for a while keeps its capacity.
+/// Weights of the newest ack rate per host where it is above, and below, the estimate. The estimate
+/// falls slowly, because a fleet that acks few commands for a while keeps its capacity.
 const RISING_RATE_WEIGHT: f64 = 0.02;
 const FALLING_RATE_WEIGHT: f64 = 0.001;
 /// Weight of the present load in the baseline; the first one has weight 1.
 const BASELINE_WEIGHT: f64 = 0.01;
-/// Exponent of the flow's decay against that of a figure with a time constant of one second: the
-/// flow covers about four seconds.
-const FLOW_DECAY_EXPONENT: f64 = 0.25;
+/// Decay rate of the flow, per second; its time constant is [`FLOW_SPAN`].
+const FLOW_DECAY_RATE: f64 = 0.25;
 /// Time constant of the flow's decay.
 const FLOW_SPAN: Micros = 4 * SECOND;
-/// Time after the router's start in which at least one answer is assumed, and time in which no
+/// Time after the router's start in which at least one ack is assumed, and time in which no
 /// baseline is learned.
-const ASSUMED_ANSWER_SPAN: Micros = 5 * SECOND;
+const ASSUMED_ACK_SPAN: Micros = 5 * SECOND;
 const NO_BASELINE_SPAN: Micros = 2 * SECOND;
 /// Slowness that one unit of additional load explains, both as logarithms, and the most slowness
 /// that load explains.
@@ -28,17 +27,23 @@
 /// Most slowness, as a logarithm, that commands received explain: some of them are clients'
 /// retries, which a slow build may itself cause.
 const MAX_EXPLAINED_BY_RETRIES: f64 = 1.0;
-/// A fleet is full where it sheds more than the first part of the commands received and answers
-/// more than the second part of the baseline.
+/// A fleet is full where it sheds more than the first part of the commands received and acks more
+/// than the second part of the baseline.
 const FULL_SHED_FRACTION: f64 = 0.05;
-const FULL_ANSWER_FRACTION: f64 = 0.95;
+const FULL_ACK_FRACTION: f64 = 0.95;
+/// Lower bound of the part of its span that the flow covers, so that the first counts after the
+/// start are not scaled up without limit.
+const MIN_COVERED_FRACTION: f64 = 0.1;
+/// Lower bound of divisors, against division by 0.
+pub(super) const MIN_DIVISOR: f64 = 1e-9;
 
 /// Commands received and their outcomes, decaying with a time constant of four seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Flow {
     pub(super) received: f64,
-    pub(super) answered: f64,
-    /// Commands refused because no host could take them.
+    pub(super) acked: f64,
+    /// Commands ended because they could not be routed in time or their key's build was at its
+    /// exposure cap, without those shed at admission.
     pub(super) shed: f64,
 }
 
@@ -46,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     received: f64,
-    pub(super) answered: f64,
+    pub(super) acked: f64,
     /// Reciprocal of the healthy capacity.
     pub(super) inverse_capacity: f64,
 }
@@ -55,8 +60,8 @@
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     pub(super) flow: Flow,
-    /// Answers per second that a warm host gives this router.
-    pub(super) answers_per_host: f64,
+    /// Acks per second that this router gets from a warm host.
+    pub(super) acks_per_host: f64,
     /// Seconds that hosts have been ready, summed over the hosts, weighted by their warm-up and
     /// decaying as the flow does.
     host_seconds: f64,
@@ -71,7 +76,7 @@
     pub(super) fn new(now: Micros) -> Self {
         LoadHistory {
             flow: Flow::default(),
-            answers_per_host: 0.0,
+            acks_per_host: 0.0,
             host_seconds: 0.0,
             started_at: now,
             baseline: Load::default(),
@@ -80,21 +85,21 @@
     }
 
     pub(super) fn decay_flow(&mut self, decay: f64) {
-        let factor = decay.powf(FLOW_DECAY_EXPONENT);
+        let factor = decay.powf(FLOW_DECAY_RATE);
         self.flow.received *= factor;
-        self.flow.answered *= factor;
+        self.flow.acked *= factor;
         self.flow.shed *= factor;
     }
 
     fn learn_baseline(&mut self, load: Load) {
-        let weight = if self.baseline.answered > 0.0 {
+        let weight = if self.baseline.acked > 0.0 {
             BASELINE_WEIGHT
         } else {
             1.0
         };
         let baseline = &mut self.baseline;
         baseline.received += weight * (load.received - baseline.received);
-        baseline.answered += weight * (load.answered - baseline.answered);
+        baseline.acked += weight * (load.acked - baseline.acked);
         baseline.inverse_capacity += weight * (load.inverse_capacity - baseline.inverse_capacity);
     }
 }
@@ -111,7 +116,8 @@
         *mean += UTILIZATION_LEARN_RATE * (utilization - *mean);
     }
 
-    /// Returns the least part of its full capacity that a host of the given age has.
+    /// Returns the lower bound of the fraction of its full capacity that a host of the given age
+    /// has.
     pub(super) fn warm_up_fraction(&self, age: Micros) -> f64 {
         let warm_up_time = self.config.warm_up_time;
         let part = age.min(warm_up_time) as f64 / warm_up_time as f64;
@@ -129,10 +135,10 @@
             .max(1.0);
         let lifetime = (self.now - self.load.started_at) as f64;
         // Shortly after the start the flow covers only a part of its span.
-        let covered = (1.0 - (-lifetime / FLOW_SPAN as f64).exp()).max(0.1);
+        let covered = (1.0 - (-lifetime / FLOW_SPAN as f64).exp()).max(MIN_COVERED_FRACTION);
         Load {
             received: self.load.flow.received / covered / capacity,
-            answered: self.load.flow.answered / covered / capacity,
+            acked: self.load.flow.acked / covered / capacity,
             inverse_capacity: 1.0 / capacity,
         }
     }
@@ -142,39 +148,40 @@
     pub(super) fn slowness_by_load(&self) -> f64 {
         let now = self.present_load();
         let baseline = self.load.baseline;
-        let explains = |now: f64, before: f64| SLOWNESS_PER_LOAD * (now / before.max(1e-9)).ln();
+        let explains =
+            |now: f64, before: f64| SLOWNESS_PER_LOAD * (now / before.max(MIN_DIVISOR)).ln();
         let slowness = explains(now.received, baseline.received)
             .min(MAX_EXPLAINED_BY_RETRIES)
-            .max(explains(now.answered, baseline.answered))
+            .max(explains(now.acked, baseline.acked))
             .max(explains(now.inverse_capacity, baseline.inverse_capacity))
             .clamp(0.0, MAX_EXPLAINED_SLOWNESS);
-        // A fleet that sheds commands but answers as many as before is full: then load explains the
+        // A fleet that sheds commands but acks as many as before is full: then load explains the
         // slowness, whatever was received. A fleet most of which has just started was cold, and
         // still has to work off the queue from that time.
         let flow = self.load.flow;
         let full = flow.shed > FULL_SHED_FRACTION * flow.received
-            && now.answered > FULL_ANSWER_FRACTION * baseline.answered;
+            && now.acked > FULL_ACK_FRACTION * baseline.acked;
         if full || 2 * self.hosts.recently_started() > self.hosts.ready_count() {
             MAX_EXPLAINED_SLOWNESS
-        } else if baseline.answered > 0.0 {
+        } else if baseline.acked > 0.0 {
             slowness
         } else {
             0.0
         }
     }
 
-    /// Updates the answers per second of a warm host, which bound the deliveries to cold hosts.
+    /// Updates the acks per second of a warm host, which bound the deliveries to cold hosts.
     ///
     /// Guards against an estimate that is too high in a burst of commands, after the loss of most
-    /// hosts, or at a start with few cold hosts: only answers count, lost hosts count for the time
-    /// they were ready, and the time is at least that in which a warm host answers each router of
-    /// the fleet once.
-    pub(super) fn learn_answer_rate(&mut self, elapsed: Elapsed) {
+    /// hosts, or at a start with few cold hosts: only acks count, lost hosts count for the time
+    /// they were ready, and the time is at least that in which a warm host acks one command of each
+    /// router of the fleet.
+    pub(super) fn learn_ack_rate(&mut self, elapsed: Elapsed) {
         let capacity = self
             .hosts
             .sum_ready(|age| self.warm_up_fraction(age), |_| true);
         let load = &mut self.load;
-        load.host_seconds = load.host_seconds * elapsed.decay.powf(FLOW_DECAY_EXPONENT)
+        load.host_seconds = load.host_seconds * elapsed.decay.powf(FLOW_DECAY_RATE)
             + capacity * elapsed.time as f64 / SECOND as f64;
         let longest_objective = self
             .operations
@@ -182,14 +189,14 @@
             .map(|operation| operation.latency_objective)
             .fold(0.0, f64::max);
         let min_host_seconds = self.config.fleet_size * longest_objective / SECOND as f64;
-        let assumed = u8::from(self.now < load.started_at + ASSUMED_ANSWER_SPAN);
-        let rate = load.flow.answered.max(assumed.into()) / load.host_seconds.max(min_host_seconds);
-        let weight = if rate > load.answers_per_host {
+        let assumed = u8::from(self.now < load.started_at + ASSUMED_ACK_SPAN);
+        let rate = load.flow.acked.max(assumed.into()) / load.host_seconds.max(min_host_seconds);
+        let weight = if rate > load.acks_per_host {
             RISING_RATE_WEIGHT
         } else {
             FALLING_RATE_WEIGHT
         };
-        load.answers_per_host += (rate - load.answers_per_host) * weight;
+        load.acks_per_host += (rate - load.acks_per_host) * weight;
     }
 
     /// Updates the baseline of the load while no build is a canary.
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -30,10 +30,10 @@
         match outcome {
             AttemptOutcome::Acked => self.record_ack(host),
             // A host that fails fast has few deliveries in flight and would attract traffic. So
-            // each error or reset halves its answers, and at 0 it is ejected.
+            // each error or reset halves its acks, and at 0 it is ejected.
             AttemptOutcome::Error | AttemptOutcome::Reset => {
-                self.hosts.set_answers(host, self.hosts.answers(host) / 2);
-                if self.hosts.answers(host) == 0 {
+                self.hosts.set_acks(host, self.hosts.acks(host) / 2);
+                if self.hosts.acks(host) == 0 {
                     self.eject(host, EJECTION_DURATION);
                 }
             }
@@ -49,7 +49,7 @@
                 self.slowdowns.zones.learn(zone, FAILURE_SLOWDOWN);
                 self.eject(host, EJECTION_DURATION);
             }
-            AttemptOutcome::TimedOut if self.is_suspect(host) => {
+            AttemptOutcome::TimedOut if self.explains_timeout(host) => {
                 self.eject(host, TIMEOUT_EJECTION_DURATION);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
@@ -80,8 +80,8 @@
         if self.hosts.consecutive_failures(host) > 0 {
             self.hosts.set_suspicion(host, 0, self.now);
         }
-        let answers = self.hosts.answers(host).saturating_add(1);
-        self.hosts.set_answers(host, answers);
+        let acks = self.hosts.acks(host).saturating_add(1);
+        self.hosts.set_acks(host, acks);
     }
 
     /// Whether a host has open deliveries and has not responded for too long. Guards against hosts
@@ -100,7 +100,7 @@
     }
 
     /// Whether a time-out at a host is likely caused by the host itself.
-    pub(super) fn is_suspect(&self, host: usize) -> bool {
+    pub(super) fn explains_timeout(&self, host: usize) -> bool {
         self.is_unresponsive(host) || self.hosts.consecutive_failures(host) > 0
     }
 
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -235,7 +235,7 @@
     }
 
     /// Whether slow start allows one more delivery to a cold host. It may have no more in flight
-    /// than its answers allow, and in each slot of its age no more deliveries than this router's
+    /// than its acks allow, and in each slot of its age no more deliveries than this router's
     /// part of the fleet's allowance. The fraction of a delivery is rounded up or down by a hash,
     /// so that the routers together keep to the allowance. Deliveries are counted when they are
     /// sent, so that a host that fails fast does not get more.
@@ -247,7 +247,7 @@
         // two slots; the first slot follows no other.
         let allowance = self.config.slow_start_allowance
             * self.warm_up_fraction(age)
-            * self.load.answers_per_host
+            * self.load.acks_per_host
             * traffic_multiple
             / (1 + slot.min(1)) as f64;
         let id = self.hosts.endpoint(host).host.0;
@@ -255,7 +255,7 @@
             u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + slot) as u64,
         );
         let in_slot = f64::from(sent + 1) <= allowance + rounding;
-        in_slot && self.hosts.in_flight(host) <= 1 + self.hosts.answers(host)
+        in_slot && self.hosts.in_flight(host) <= 1 + self.hosts.acks(host)
     }
 
     /// Sends a command to a host and counts the delivery in all statistics.
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -82,7 +82,7 @@
         }
         self.record_latency(operation, outcome, took);
         if !matches!(outcome, AttemptOutcome::Acked | AttemptOutcome::NotSent) {
-            self.losses.count_lost();
+            self.unacked.count_unacked();
         }
         if self.hosts.build(delivery.host) == delivery.build {
             let tenant = self.commands[&id].tenant;
@@ -91,7 +91,7 @@
         }
         if outcome == AttemptOutcome::Acked {
             self.operations[operation].acks += 1.0;
-            self.load.flow.answered += 1.0;
+            self.load.flow.acked += 1.0;
         }
         self.release_key(id, &delivery, outcome);
         if answered || self.commands[&id].answered {
--- a/crates/spokeflow-core/src/router/slowdowns.rs
+++ b/crates/spokeflow-core/src/router/slowdowns.rs
@@ -5,14 +5,14 @@
 /// Slowness, as a logarithm over the fastest of its kind, above which a zone, operation or tenant
 /// counts as slow itself.
 const SLOWDOWN_THRESHOLD: f64 = 1.2;
-/// Weight of the newest answer in a slowdown.
+/// Weight of the newest delivery in a slowdown.
 const LEARN_RATE: f64 = 0.15;
-/// Exponent of a slowdown's decay against that of a figure with a time constant of one second: it
-/// decays slowly, so that a zone, operation or tenant that has recovered is used again.
-const DECAY_EXPONENT: f64 = 0.1;
+/// Decay rate of a slowdown, per second; its time constant is 10 s. A slowdown decays even without
+/// deliveries, so that a zone that gets none because it is slow is used again.
+const DECAY_RATE: f64 = 0.1;
 
 /// Moving averages, by index, of the logarithm of the latency over the baseline; NaN before the
-/// first answer.
+/// first delivery.
 #[derive(Debug, Default)]
 pub(super) struct SlowdownTable(Vec<f64>);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The indices of the tables that an answer counts in.
+/// The indices of the tables that a delivery counts in.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
     pub(super) zone: usize,
@@ -65,14 +65,15 @@
 }
 
 impl Slowdowns {
-    /// Updates all three tables with the slowdown of one answer, as a logarithm over the baseline.
+    /// Updates all three tables with the slowdown of one delivery, as a logarithm over the
+    /// baseline.
     pub(super) fn learn(&mut self, origin: Origin, slowdown: f64) {
         self.zones.learn(origin.zone, slowdown);
         self.operations.learn(origin.operation, slowdown);
         self.tenants.learn(origin.tenant, slowdown);
     }
 
-    /// Returns the largest excess of an answer's zone, operation and tenant: the slowness that is
+    /// Returns the largest excess of a delivery's zone, operation and tenant: the slowness that is
     /// not attributed to its host or build.
     pub(super) fn largest_excess(&self, origin: Origin) -> f64 {
         [
@@ -84,9 +85,9 @@
         .fold(0.0, f64::max)
     }
 
-    /// Decays all slowdowns; `decay` is the factor for a figure with a time constant of one second.
+    /// Decays all slowdowns; `decay` is the factor for a time constant of one second.
     pub(super) fn decay(&mut self, decay: f64) {
-        let factor = decay.powf(DECAY_EXPONENT);
+        let factor = decay.powf(DECAY_RATE);
         self.zones.decay(factor);
         self.operations.decay(factor);
         self.tenants.decay(factor);
--- a/crates/spokeflow-core/src/router/timers.rs
+++ b/crates/spokeflow-core/src/router/timers.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Elapsed {
     pub(super) time: Micros,
-    /// The factor for figures that decay with a time constant of one second.
+    /// The factor for statistics that decay with a time constant of one second.
     pub(super) decay: f64,
 }
 
@@ -54,7 +54,7 @@
         self.load.decay_flow(decay);
         self.grow_canary();
         self.forget_exposure();
-        self.learn_answer_rate(elapsed);
+        self.learn_ack_rate(elapsed);
         self.learn_baseline_load();
         self.ticks.ticked_at = self.now;
         self.hosts.forget_suspects();
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -169,7 +169,7 @@
     }
 
     fn has_rollback_evidence(&self, is_canary: bool) -> bool {
-        let answers = f64::from(self.evidence.answers) + self.evidence.controller_answers_in_stage;
+        let answers = f64::from(self.evidence.analyzed) + self.evidence.controller_sampled_in_stage;
         let threshold = if is_canary {
             ROLLBACK_EVIDENCE
         } else {
@@ -241,8 +241,8 @@
         };
         let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_sharing_vote)
             .clamp(1, MIN_ANSWERS_TO_VOTE);
-        let controller_answers = self.evidence.controller_answers_in_stage;
-        let answered = self.evidence.answers_in_stage >= enough
+        let controller_answers = self.evidence.controller_sampled_in_stage;
+        let answered = self.evidence.analyzed_in_stage >= enough
             || controller_answers >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
         // The rollback of a release needs twice the evidence, and the vote for it can wait because
         // all hosts run the build by then.
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -37,8 +37,8 @@
     }
 
     /// Acks of the host's present process, reduced by its errors and resets.
-    pub fn answers(&self, host: usize) -> u32 {
-        self.records[host].answers
+    pub fn acks(&self, host: usize) -> u32 {
+        self.records[host].acks
     }
 
     /// Number of failures of the host since its last success.
@@ -145,9 +145,9 @@
     }
 
     /// Sets how many acks count for the host's present process.
-    pub fn set_answers(&mut self, host: usize, answers: u32) {
+    pub fn set_acks(&mut self, host: usize, acks: u32) {
         let was_observed = self.records[host].is_observed();
-        self.records[host].answers = answers;
+        self.records[host].acks = acks;
         self.update_observed(host, was_observed);
     }
 
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -12,7 +12,7 @@
     /// Number of open deliveries.
     pub(super) in_flight: u32,
     /// Acks of the present process, reduced by its errors and resets.
-    pub(super) answers: u32,
+    pub(super) acks: u32,
     /// Failures since the last success.
     pub(super) consecutive_failures: u32,
     /// End of the last ejection.
@@ -48,7 +48,7 @@
             },
             build: endpoint.build.unwrap_or_default(),
             in_flight: 0,
-            answers: 0,
+            acks: 0,
             consecutive_failures: 0,
             ejected_until: Micros::MIN,
             quiet_since: Micros::MIN,
@@ -65,7 +65,7 @@
     /// Resets the statistics that were learned of the previous process.
     pub(super) fn forget_process(&mut self) {
         self.sent_in_slot = 0;
-        self.answers = 0;
+        self.acks = 0;
         self.consecutive_failures = 0;
         self.slowdown = 0.0;
         self.evidence = 0.0;
@@ -80,7 +80,7 @@
 
     /// Whether the host has answered, or has contributed evidence against its build.
     pub(super) fn is_observed(&self) -> bool {
-        self.answers > 0 || self.evidence > 0.0
+        self.acks > 0 || self.evidence > 0.0
     }
 
     /// Whether the host has failed since its last success, or is ejected.
--- a/crates/spokeflow-core/tests/host_figures.rs
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -75,7 +75,7 @@
     let observed = |hosts: &Hosts, members: &[usize]| {
         members
             .iter()
-            .filter(|&&host| hosts.answers(host) > 0 || hosts.evidence(host) > 0.0)
+            .filter(|&&host| hosts.acks(host) > 0 || hosts.evidence(host) > 0.0)
             .count()
     };
     for_each_build(ReadyHosts::observed, observed);
