--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of commands, and the queues of commands that wait for a host.
+//! Admission of commands, and the queues of commands that wait for a host. To *shed* a command is
+//! to end it by `Router::abort` because the hosts or the exposure cap have no room for it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -142,12 +143,14 @@
     /// low for the concurrency limit to bound them: shedding brings the median latency back to half
     /// the objective.
     fn overload(&self, operation: usize) -> f64 {
-        let returns: f64 = self
+        // The deliveries in flight at a latency equal to the objective; see `at_concurrency_limit`.
+        let acks_within_objective: f64 = self
             .operations
             .iter()
             .map(|operation| operation.acks * operation.latency_objective / SECOND as f64)
             .sum();
-        let low_traffic = CONCURRENCY_OBJECTIVE_FRACTION * returns < LOW_TRAFFIC_CONCURRENCY;
+        let low_traffic =
+            CONCURRENCY_OBJECTIVE_FRACTION * acks_within_objective < LOW_TRAFFIC_CONCURRENCY;
         if low_traffic && self.slowdowns.operations.excess(operation) == 0.0 {
             self.operations[operation].overload - SHED_OBJECTIVE_FRACTION.ln()
         } else {
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -8,24 +8,25 @@
     hash_to_unit_interval, BuildId, CommandId, DeduplicationScope, Endpoint, Micros, Repeat,
 };
 
-/// Minimum number of routers that send to each host in a large fleet, so that differences between
-/// the routers' traffic average out.
+/// Minimum number of routers that send to each host in a fleet of more than this many routers, so
+/// that differences between the routers' traffic average out. Such a fleet is also what the
+/// analysis and the votes treat as large; see [`super::DerivedConfig::is_large_fleet`].
 pub const ROUTERS_PER_HOST: f64 = 60.0;
 /// Part of the configured overload multiple that deliveries to a cold host may use; the rest is a
 /// margin for random variation.
 pub(super) const SLOW_START_FRACTION: f64 = 0.9;
 /// Part of the latency objective that deliveries may spend at the hosts before these count as full.
 pub(super) const CONCURRENCY_OBJECTIVE_FRACTION: f64 = 0.4;
-/// Factor by which the deliveries in flight may exceed the rate of acks, so that the concurrency
-/// limit can rise.
+/// Factor by which the deliveries in flight may exceed those that the ack rate explains, so that
+/// the concurrency limit can rise.
 const CONCURRENCY_HEADROOM: f64 = 1.1;
-/// Deliveries in flight that are allowed before any ack, and the same number again times the ready
-/// hosts per router of the fleet.
+/// Base of the concurrency limit, which holds before any ack: this many deliveries, plus this many
+/// for each ready host per router of the fleet.
 const BASE_CONCURRENCY: f64 = 2.0;
 /// Share of deliveries without a connection above which a router prefers hosts that it has a
 /// connection to.
 const MAX_REFUSED_FRACTION: f64 = 0.15;
-/// Time after an answer in which the connection to the host is assumed to be open.
+/// Time after a response in which the connection to the host is assumed to be open.
 const CONNECTION_LIFETIME: Micros = 10 * SECOND;
 /// Time constant, in seconds, of the decay of a load report's weight.
 const LOAD_REPORT_DECAY_SECONDS: f64 = 6.0;
@@ -42,7 +43,7 @@
 const OUTSIDE_SUBSET_TRAFFIC: f64 = 0.2;
 /// Reciprocal of the part of the usable hosts that must seem healthy; where fewer do, the cause is
 /// assumed to be the router's own view, and none is excluded.
-const FIT_DIVISOR: usize = 3;
+const MIN_HEALTHY_DIVISOR: usize = 3;
 
 /// The hosts of a build that this router sends to.
 #[derive(Debug)]
@@ -53,14 +54,14 @@
 }
 
 impl Router {
-    /// Draws two of the fit hosts of a build and returns the one with the lower load score, or
-    /// `None` at the concurrency limit or without a fit host.
+    /// Draws two of the preferred hosts of a build and returns the one with the lower load score,
+    /// or `None` at the concurrency limit or without a preferred host.
     pub(super) fn choose_host(&mut self, id: CommandId, build: BuildId) -> Option<usize> {
         let command = &self.commands[&id];
         if self.at_concurrency_limit(command.operation) {
             return None;
         }
-        let candidates = self.fit_hosts(command, build);
+        let candidates = self.preferred_hosts(command, build);
         if candidates.is_empty() {
             return None;
         }
@@ -74,41 +75,42 @@
         }
     }
 
-    /// Returns the hosts of a build that a command may be sent to, without suspect ones where there
-    /// are others.
-    fn fit_hosts(&self, command: &Command, build: BuildId) -> CandidateSet {
+    /// Returns the hosts of a build that a command may be sent to, without those that are ejected
+    /// or unresponsive unless fewer than a third would be left, and without hosts that suit the
+    /// command less where others are left.
+    fn preferred_hosts(&self, command: &Command, build: BuildId) -> CandidateSet {
         let operation = &self.operations[command.operation];
         let subset = self.subset(build);
-        let mut untried = self.usable_hosts(command, subset.candidates, subset.traffic_multiple);
-        if untried.is_empty() {
+        let mut usable = self.usable_hosts(command, subset.candidates, subset.traffic_multiple);
+        if usable.is_empty() {
             let all = self.hosts.candidates(build);
-            untried = self.usable_hosts(command, all, OUTSIDE_SUBSET_TRAFFIC);
+            usable = self.usable_hosts(command, all, OUTSIDE_SUBSET_TRAFFIC);
         }
-        let mut fit = untried.clone();
-        fit.retain(|host| {
+        let mut preferred = usable.clone();
+        preferred.retain(|host| {
             self.now >= self.hosts.ejected_until(host) && !self.is_unresponsive(host)
         });
-        if fit.len() * FIT_DIVISOR < untried.len() {
+        if preferred.len() * MIN_HEALTHY_DIVISOR < usable.len() {
             // Most hosts seem unhealthy at once: the likely cause is this router or the network of
             // its zone, not the hosts.
-            fit = untried;
+            preferred = usable;
         }
         // Hosts that refuse new connections still serve over the existing ones.
         let connected = |host: usize| {
             self.now.saturating_sub(self.hosts.connected_at(host)) < CONNECTION_LIFETIME
         };
-        if self.refused_fraction > MAX_REFUSED_FRACTION && fit.any(connected) {
-            fit.retain(connected);
+        if self.refused_fraction > MAX_REFUSED_FRACTION && preferred.any(connected) {
+            preferred.retain(connected);
         }
         // A command that cannot be retried after it may have run goes to a host without failures;
         // other commands also try hosts that have failed before.
         let without_failures = |host: usize| self.hosts.consecutive_failures(host) == 0;
         let cannot_retry =
             operation.repeat == Repeat::AtMostOnce || !self.retry_budget.allows_one();
-        if cannot_retry && fit.any(without_failures) {
-            fit.retain(without_failures);
+        if cannot_retry && preferred.any(without_failures) {
+            preferred.retain(without_failures);
         }
-        fit
+        preferred
     }
 
     /// Returns the candidates that have not been sent the command, would drop its repeat where it
@@ -194,9 +196,10 @@
         }
     }
 
-    /// Whether as many deliveries are in flight as allowed, given the acks that recently returned
-    /// within a part of the latency objective. An operation that is slow at every host has a limit
-    /// of its own.
+    /// Whether as many deliveries are in flight as allowed. By Little's law the ack rate times a
+    /// latency is the number of deliveries in flight at that latency, so the limit grows with the
+    /// ack rate times a part of the latency objective. An operation that is slow at every host has
+    /// a limit of its own.
     ///
     /// Guards against queues at the hosts. Limitation: after a gap without acks the limit is low
     /// although the hosts may be idle.
@@ -206,7 +209,7 @@
         let base = BASE_CONCURRENCY + BASE_CONCURRENCY * hosts / self.config.fleet_size;
         let alone = excess(operation) > 0.0;
         let mut in_flight = 0;
-        let mut returns = 0.0;
+        let mut acks_within_objective = 0.0;
         for (index, other) in self.operations.iter().enumerate() {
             let counts = if alone {
                 index == operation
@@ -215,11 +218,11 @@
             };
             if counts {
                 in_flight += other.in_flight;
-                returns += other.acks * other.latency_objective / SECOND as f64;
+                acks_within_objective += other.acks * other.latency_objective / SECOND as f64;
             }
         }
         f64::from(in_flight)
-            >= base + CONCURRENCY_HEADROOM * CONCURRENCY_OBJECTIVE_FRACTION * returns
+            >= base + CONCURRENCY_HEADROOM * CONCURRENCY_OBJECTIVE_FRACTION * acks_within_objective
     }
 
     /// Whether a host may be sent one more delivery. A cold host is bounded by
