--- a/crates/spokeflow-core/src/router/hedging.rs
+++ b/crates/spokeflow-core/src/router/hedging.rs
@@ -45,10 +45,13 @@
             return false;
         }
         let objective = self.operations[command.operation].latency_objective;
-        let suspect =
+        let looks_unhealthy =
             self.is_unresponsive(last.host) || self.hosts.slowdown(last.host) > HEDGE_SLOWDOWN;
         let late = (self.now - last.sent_at) as f64 > objective * HEDGE_OBJECTIVE_FRACTION;
-        suspect && late && self.may_redeliver(command) && command.deadline - self.now > HEDGE_MARGIN
+        looks_unhealthy
+            && late
+            && self.may_redeliver(command)
+            && command.deadline - self.now > HEDGE_MARGIN
     }
 
     /// Handles the start of a response: its delivery is no longer cancelled or hedged.
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -54,12 +54,13 @@
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
-        let no_response = matches!(
+        // A reset and a delivery that was never sent restart the quiet time as a response does.
+        let keeps_quiet_time = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotConnected
         );
-        if !no_response {
-            self.hosts.response_received(host);
+        if !keeps_quiet_time {
+            self.hosts.restart_quiet_time(host);
         }
     }
 
@@ -99,7 +100,8 @@
             && quiet > UNRESPONSIVE_BASELINES * baseline()
     }
 
-    /// Whether a time-out at a host is likely caused by the host itself.
+    /// Whether a time-out at a host is likely caused by the host itself: it is unresponsive, or has
+    /// failed since its last ack.
     pub(super) fn explains_timeout(&self, host: usize) -> bool {
         self.is_unresponsive(host) || self.hosts.consecutive_failures(host) > 0
     }
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -132,7 +132,7 @@
         let tried = command.deliveries.iter().map(|delivery| delivery.host);
         let quiet_since = self.now - UNRESPONSIVE_AFTER;
         self.hosts
-            .mark_suspects(&mut candidates, check_all, quiet_since, tried);
+            .mark_unverified(&mut candidates, check_all, quiet_since, tried);
         candidates.retain(|host| {
             drops_repeat(operation, bound_to, self.hosts.endpoint(host))
                 && self.may_take(host, traffic_multiple)
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -51,8 +51,9 @@
         self.records[host].ejected_until
     }
 
-    /// Start of the time in which the host has been quiet: when it last responded, or when the
-    /// first of its open deliveries was sent if that is later.
+    /// Start of the time in which the host has been quiet: the last call of
+    /// [`Hosts::restart_quiet_time`], or when the first of its open deliveries was sent if that is
+    /// later.
     pub fn quiet_since(&self, host: usize) -> Micros {
         self.records[host].quiet_since
     }
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Records that the host has responded.
-    pub fn response_received(&mut self, host: usize) {
+    /// Restarts the time for which the host has been quiet.
+    pub fn restart_quiet_time(&mut self, host: usize) {
         let record = &mut self.records[host];
         let has_open_delivery = self.quiet.remove(&QuietHost {
             since: record.quiet_since,
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -17,8 +17,8 @@
     pub(super) consecutive_failures: u32,
     /// End of the last ejection.
     pub(super) ejected_until: Micros,
-    /// When the host last responded, or when the first of its open deliveries was sent if that is
-    /// later.
+    /// When an outcome last restarted the quiet time, or when the first of the open deliveries was
+    /// sent if that is later.
     pub(super) quiet_since: Micros,
     /// Evidence against its build that the host has contributed.
     pub(super) evidence: f64,
@@ -78,12 +78,12 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Whether the host has answered, or has contributed evidence against its build.
+    /// Whether the host has acked a delivery, or has contributed evidence against its build.
     pub(super) fn is_observed(&self) -> bool {
         self.acks > 0 || self.evidence > 0.0
     }
 
-    /// Whether the host has failed since its last success, or is ejected.
+    /// Whether the host is a *suspect*: it has failed since its last success, or is ejected.
     pub(super) fn is_suspect(&self, now: Micros) -> bool {
         self.consecutive_failures > 0 || self.ejected_until > now
     }
--- a/crates/spokeflow-core/src/state/hosts/selection.rs
+++ b/crates/spokeflow-core/src/state/hosts/selection.rs
@@ -79,7 +79,7 @@
     /// started recently, have failed since their last success, are ejected, have been quiet since
     /// before `quiet_since`, or are in `named`. Marks all hosts if `all` is set, if too many would
     /// have to be looked up, or if the set is in neither of the build's two orders.
-    pub fn mark_suspects(
+    pub fn mark_unverified(
         &self,
         candidates: &mut CandidateSet,
         all: bool,
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -18,7 +18,7 @@
     pub warm: bool,
     /// Whether the number of deliveries to the host is bounded because it started recently.
     pub bounded: bool,
-    /// Whether the host has answered, or has contributed evidence against its build.
+    /// Whether the host has acked a delivery, or has contributed evidence against its build.
     pub observed: bool,
 }
 
@@ -137,7 +137,8 @@
         &self.by_rank
     }
 
-    /// Number of hosts that have answered, or have contributed evidence against their build.
+    /// Number of hosts that have acked a delivery, or have contributed evidence against their
+    /// build.
     pub fn observed(&self) -> usize {
         self.observed
     }
--- a/crates/spokeflow-core/tests/candidate_sets.rs
+++ b/crates/spokeflow-core/tests/candidate_sets.rs
@@ -54,7 +54,7 @@
                 (all_candidates.clone(), members.clone()),
                 (hosts.first_by_rank(all_candidates, half), by_rank),
             ] {
-                hosts.mark_suspects(&mut candidates, false, quiet_since, [named].into_iter());
+                hosts.mark_unverified(&mut candidates, false, quiet_since, [named].into_iter());
                 let has_many = expected.len() < 8
                     || expected.iter().filter(|&&host| is_unverified(host)).count()
                         > expected.len() / 8;
@@ -100,7 +100,7 @@
             expected.retain(|&host| in_other_zone(host));
             assert_holds(&candidates, &expected);
             let mut checked = candidates.clone();
-            hosts.mark_suspects(&mut checked, false, Micros::MIN, std::iter::empty());
+            hosts.mark_unverified(&mut checked, false, Micros::MIN, std::iter::empty());
             let passes = |host: usize| hash_to_unit_interval(host as u64) < 0.5;
             checked.retain(passes);
             assert_holds(
@@ -115,7 +115,7 @@
             expected.truncate(expected.len() / 2);
             let mut candidates = hosts.first_by_rank(candidates, expected.len());
             assert_holds(&candidates, &expected);
-            hosts.mark_suspects(&mut candidates, false, Micros::MIN, std::iter::empty());
+            hosts.mark_unverified(&mut candidates, false, Micros::MIN, std::iter::empty());
             assert_holds(&candidates, &expected);
         }
     });
