--- a/crates/spokeflow-core/src/router/exposure.rs
+++ b/crates/spokeflow-core/src/router/exposure.rs
@@ -40,6 +40,9 @@
         self.exposed.count(|exposed| exposed.build == build)
     }
 
+    /// Drops the events before `from`. Of those at exactly `from`, the commands received are
+    /// dropped too but the deliveries stay: an event on the edge counts only where it lowers what
+    /// the cap allows, so that the cap holds whether or not the window includes its edge.
     fn forget(&mut self, from: Micros) {
         self.received.forget_before(from + 1);
         self.exposed.forget_before(from);
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -16,8 +16,8 @@
 /// Divides the latency objective into the retry hint of a nack, to which a random time of up to the
 /// same length is added.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// Step by which each answer moves the estimate of the median latency over its objective, and the
-/// bounds of the estimate, as logarithms.
+/// Step by which each ack or time-out moves the estimate of the median latency over its objective,
+/// and the bounds of the estimate, as logarithms.
 const OVERLOAD_STEP: f64 = 0.2;
 const MIN_OVERLOAD: f64 = -2.0;
 const MAX_OVERLOAD: f64 = 1.0;
@@ -149,7 +149,7 @@
     }
 
     /// Retries a command after a delivery without an ack, where the operation, the time left and
-    /// the budget allow it, or gives the final answer. Only retries of a delivery that may have run
+    /// the budget allow it, otherwise aborts it. Only retries of a delivery that may have run
     /// use the budget.
     fn retry_or_abort(&mut self, id: CommandId, may_have_run: bool, out: Out) {
         let Some(command) = self.commands.get(&id) else {
@@ -186,8 +186,9 @@
         allowed && command.deliveries.len() < self.config.delivery_cap
     }
 
-    /// Gives the final answer to a command that is not retried: a nack if the client can safely
-    /// retry, otherwise a failure.
+    /// Ends an unanswered command with a nack if its client can safely retry it, otherwise with a
+    /// failure. The router calls it for a command that is shed, and for one whose last delivery
+    /// ended without an ack and is not retried; the caller may do so to end a command early.
     pub fn abort(&mut self, id: CommandId, out: Out) {
         let Some(command) = self.commands.get(&id) else {
             return;
@@ -212,8 +213,10 @@
         self.finish(id, out);
     }
 
-    /// Ends a command that is answered or that its client has abandoned, and cancels its open
-    /// deliveries where allowed.
+    /// Ends a command without giving an answer itself, and cancels its open deliveries where
+    /// allowed. Called once the command has its answer, by `abort` or by a delivery's outcome, and
+    /// by the caller where the client has abandoned the command or the caller itself has answered
+    /// it.
     pub fn finish(&mut self, id: CommandId, out: Out) {
         let Some(command) = self.commands.get_mut(&id) else {
             return;
--- a/crates/spokeflow-core/src/router/rollout.rs
+++ b/crates/spokeflow-core/src/router/rollout.rs
@@ -67,8 +67,8 @@
         self.tick(out);
     }
 
-    /// Whether a build is newer than the released one. Before the first status, the oldest ready
-    /// build counts as released.
+    /// Whether a build is on trial: newer than the released one. Before the first status, the
+    /// oldest listed build counts as released.
     pub(super) fn is_on_trial(&self, build: BuildId) -> bool {
         match &self.rollout.status {
             None => self
