--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -14,7 +14,7 @@
 const RELEASED_EVIDENCE_MULTIPLE: f64 = 2.0;
 /// Answers that a router needs from a build before it votes on it: fewer may be misleading by
 /// chance.
-const MIN_ANSWERS_TO_VOTE: u32 = 3;
+const MIN_DELIVERIES_TO_JUDGE: u32 = 3;
 /// Number of answers counted by the release controller that weigh as much as one of the router's
 /// own.
 const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
@@ -175,7 +175,7 @@
         } else {
             ROLLBACK_EVIDENCE * RELEASED_EVIDENCE_MULTIPLE
         };
-        answers >= f64::from(MIN_ANSWERS_TO_VOTE) && self.evidence.total() >= threshold
+        answers >= f64::from(MIN_DELIVERIES_TO_JUDGE) && self.evidence.total() >= threshold
     }
 
     /// Whether the stage has run for long enough without evidence against the build.
@@ -239,8 +239,8 @@
         } else {
             self.config.fleet_size as u32
         };
-        let enough = (MIN_ANSWERS_TO_VOTE * MIN_ANSWERS_TO_VOTE / routers_sharing_vote)
-            .clamp(1, MIN_ANSWERS_TO_VOTE);
+        let enough = (MIN_DELIVERIES_TO_JUDGE * MIN_DELIVERIES_TO_JUDGE / routers_sharing_vote)
+            .clamp(1, MIN_DELIVERIES_TO_JUDGE);
         let controller_answers = self.evidence.controller_sampled_in_stage;
         let answered = self.evidence.analyzed_in_stage >= enough
             || controller_answers >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -382,7 +382,7 @@
     ),
     (
         "crates/spokeflow-core/src/router/voting.rs",
-        "const MIN_ANSWERS_TO_VOTE: u32 = 3;",
+        "const MIN_DELIVERIES_TO_JUDGE: u32 = 3;",
         evidence::ENOUGH_ANSWERS,
         3.0,
     ),
