--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -2,7 +2,7 @@
 
 use super::analysis::{MAX_SLOWNESS, SLOWNESS_MARGIN, SLOWNESS_WEIGHT};
 use super::evidence::ROLLBACK_EVIDENCE;
-use super::{Out, Router, MILLISECOND, ROUTERS_PER_HOST, SECOND};
+use super::{Out, Router, MILLISECOND, SECOND};
 use crate::{BuildId, Gate, Micros, RolloutState, RolloutStatus, RolloutVote, VoteOutcome};
 
 /// Evidence above which a router votes to hold, where the stages are promoted by the clock.
@@ -12,29 +12,34 @@
 /// Factor on the evidence needed to roll back a released build, because that restarts all hosts
 /// cold.
 const RELEASED_EVIDENCE_MULTIPLE: f64 = 2.0;
-/// Answers that a router needs from a build before it votes on it: fewer may be misleading by
-/// chance.
+/// Deliveries to a build, analyzed or sampled by the release controller, that a router must have
+/// seen before it votes to roll the build back: fewer may be misleading by chance. Where hosts are
+/// replaced in place, a router that has seen fewer (see `Router::has_enough_deliveries`) votes to
+/// promote later. A vote to hold needs none.
 const MIN_DELIVERIES_TO_JUDGE: u32 = 3;
-/// Number of answers counted by the release controller that weigh as much as one of the router's
-/// own.
-const CONTROLLER_ANSWERS_PER_OWN: u32 = 3;
-/// Least number of answers with which a slow build can be rolled back. Before a stage is promoted,
-/// a router with mean traffic must expect this number, times the part of the hosts that follow in
-/// the next stage.
-const MIN_ANSWERS_FOR_ROLLBACK: f64 =
+/// Number of deliveries sampled by the release controller that weigh as much as one that the router
+/// has analyzed itself.
+const CONTROLLER_DELIVERIES_PER_OWN: u32 = 3;
+/// Least number of deliveries with which a slow build can be rolled back. Before a stage is
+/// promoted, a router with mean traffic must expect this number, times the part of the hosts that
+/// follow in the next stage.
+const MIN_SLOW_DELIVERIES_FOR_ROLLBACK: f64 =
     ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
-/// Factor on the usual wait before a promote vote where the router has seen too few answers.
-const FEW_ANSWERS_WAIT_MULTIPLE: Micros = 3;
+/// Factor on the usual wait before a promote vote where the router has seen too few deliveries.
+const FEW_DELIVERIES_WAIT_MULTIPLE: Micros = 3;
 /// Factor on the usual wait before the vote for a release where the trial hosts run beside the
 /// earlier ones: all traffic must have moved to the build first.
 const RELEASE_WAIT_MULTIPLE: Micros = 4;
 /// Time by which the wait is extended while the hosts that start in a stage are not listed yet.
 const UNLISTED_PENALTY: Micros = 8 * SECOND;
-/// Back-off after a stale vote, and after one that was refused for another reason. A random time
-/// below the jitter, in microseconds, is added to both.
+/// Back-off after a stale vote, and after one that was rate-limited, refused or not answered by the
+/// release controller. A random time below the jitter, in microseconds, is added to both.
 const STALE_VOTE_BACKOFF: Micros = SECOND;
-const REFUSED_VOTE_BACKOFF: Micros = 200 * MILLISECOND;
+const UNCOUNTED_VOTE_BACKOFF: Micros = 200 * MILLISECOND;
 const VOTE_BACKOFF_JITTER: usize = 200_000;
+/// Tenths of its lifetime in which a counted vote is assumed to count; the rest is the margin in
+/// which the router casts the vote again.
+const VOTE_VALID_TENTHS: Micros = 7;
 /// Time added to the configured time-out for the release controller's answer to a vote.
 const OUTCOME_SLACK: Micros = SECOND / 2;
 
@@ -51,8 +56,8 @@
 pub(super) struct VoteState {
     /// The vote that counts or awaits its outcome; `None` if there is none.
     last: Option<Vote>,
-    /// Until when the last vote is assumed to count, with a margin before the end of its lifetime;
-    /// it is cast again after this.
+    /// Until when the last vote is assumed to count, with a margin before the end of its lifetime.
+    /// The router casts the vote again after this.
     valid_until: Micros,
     /// When the next vote may be cast.
     next_vote_at: Micros,
@@ -68,8 +73,8 @@
         self.next_vote_at = now;
     }
 
-    /// Forgets a vote that the release controller has not answered in time. It is unknown whether
-    /// it counts, so it is cast again.
+    /// Forgets a vote that the release controller has not answered in time. The router does not
+    /// know whether the vote counts, so it casts the vote again.
     fn expire(&mut self, now: Micros) {
         if self.awaits_outcome && now >= self.next_vote_at {
             self.awaits_outcome = false;
@@ -97,20 +102,20 @@
         self.voting.awaits_outcome = false;
         if outcome == VoteOutcome::Counted {
             self.voting.next_vote_at = self.now;
-            self.voting.valid_until = self.now + self.config.vote_lifetime * 7 / 10;
+            self.voting.valid_until = self.now + self.config.vote_lifetime * VOTE_VALID_TENTHS / 10;
             return;
         }
         let backoff = if outcome == VoteOutcome::Stale {
             STALE_VOTE_BACKOFF
         } else {
-            REFUSED_VOTE_BACKOFF
+            UNCOUNTED_VOTE_BACKOFF
         };
         let jitter = self.rng.below(VOTE_BACKOFF_JITTER) as Micros;
         self.voting.next_vote_at = self.now + backoff + jitter;
         self.voting.last = None;
     }
 
-    /// Casts the vote that the evidence supports, unless it is the one that counts already.
+    /// Casts the vote that the evidence supports, unless that vote counts already.
     pub(super) fn send_vote(&mut self, out: Out) {
         self.voting.expire(self.now);
         let next = self.next_vote();
@@ -119,8 +124,7 @@
         if self.voting.awaits_outcome || self.now < self.voting.next_vote_at || is_repeated {
             return;
         }
-        // A vote to promote or hold must not go on counting when the evidence no longer supports
-        // it.
+        // A vote to promote or hold that the evidence no longer supports must not go on counting.
         let withdrawal = self
             .voting
             .last
@@ -169,13 +173,14 @@
     }
 
     fn has_rollback_evidence(&self, is_canary: bool) -> bool {
-        let answers = f64::from(self.evidence.analyzed) + self.evidence.controller_sampled_in_stage;
+        let deliveries =
+            f64::from(self.evidence.analyzed) + self.evidence.controller_sampled_in_stage;
         let threshold = if is_canary {
             ROLLBACK_EVIDENCE
         } else {
             ROLLBACK_EVIDENCE * RELEASED_EVIDENCE_MULTIPLE
         };
-        answers >= f64::from(MIN_DELIVERIES_TO_JUDGE) && self.evidence.total() >= threshold
+        deliveries >= f64::from(MIN_DELIVERIES_TO_JUDGE) && self.evidence.total() >= threshold
     }
 
     /// Whether the stage has run for long enough without evidence against the build.
@@ -183,10 +188,10 @@
         let progress = self.stage_progress(status);
         let promote_after = self.config.promote_after;
         let due = if self.config.rolling {
-            let multiple = if self.has_enough_answers(status, &progress) {
+            let multiple = if self.has_enough_deliveries(status, &progress) {
                 1
             } else {
-                FEW_ANSWERS_WAIT_MULTIPLE
+                FEW_DELIVERIES_WAIT_MULTIPLE
             };
             progress.waited >= multiple * promote_after + self.voting.promote_jitter
         } else {
@@ -227,40 +232,42 @@
         }
     }
 
-    /// Whether the router has seen enough answers in the stage to vote after the usual wait.
+    /// Whether the router has seen enough deliveries in the stage to vote after the usual wait.
     ///
-    /// Where one vote is enough, few answers suffice, because the other routers have seen answers
-    /// too. But a single router must be able to collect enough evidence for a rollback by itself,
-    /// so the expected answers must grow with the part of the hosts that follow in the next stage.
-    fn has_enough_answers(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
+    /// Where one vote is enough, few deliveries suffice, because the other routers have seen
+    /// deliveries too. But a single router must be able to collect enough evidence for a rollback
+    /// by itself, so the expected deliveries must grow with the part of the hosts that follow in
+    /// the next stage.
+    fn has_enough_deliveries(&self, status: &RolloutStatus, progress: &StageProgress) -> bool {
         let majority = self.config.gate == Gate::Majority;
         let routers_sharing_vote = if majority {
             1
         } else {
             self.config.fleet_size as u32
         };
+        // The square of the minimum, shared among the routers whose single vote is enough; at least
+        // one, so that no router promotes unseen, and at most the minimum itself.
         let enough = (MIN_DELIVERIES_TO_JUDGE * MIN_DELIVERIES_TO_JUDGE / routers_sharing_vote)
             .clamp(1, MIN_DELIVERIES_TO_JUDGE);
-        let controller_answers = self.evidence.controller_sampled_in_stage;
-        let answered = self.evidence.analyzed_in_stage >= enough
-            || controller_answers >= f64::from(CONTROLLER_ANSWERS_PER_OWN * enough);
-        // The rollback of a release needs twice the evidence, and the vote for it can wait because
-        // all hosts run the build by then.
-        let waits_for_release = progress.is_last
-            && self.config.gate == Gate::Single
-            && self.config.fleet_size > ROUTERS_PER_HOST;
+        let controller_sampled = self.evidence.controller_sampled_in_stage;
+        let seen_enough = self.evidence.analyzed_in_stage >= enough
+            || controller_sampled >= f64::from(CONTROLLER_DELIVERIES_PER_OWN * enough);
+        // The rollback of a released build needs twice the evidence. The vote for the release can
+        // wait, because all hosts run the build by then.
+        let waits_for_release =
+            progress.is_last && self.config.gate == Gate::Single && self.config.is_large_fleet();
         let following_fraction = if majority {
             0.0
         } else {
             let next = self.config.stage_shares.get(usize::from(status.stage) + 1);
             next.map_or(0.0, |next| next - progress.hosts_fraction)
         };
-        let expected_answers =
+        let expected_deliveries =
             self.config.mean_command_rate * progress.hosts_fraction * progress.waited as f64
                 / SECOND as f64;
         // Without quotas the rate is infinite, and its product with a wait of 0 is NaN. The
-        // comparison is then false: the answers are not too few.
-        let too_few = expected_answers < MIN_ANSWERS_FOR_ROLLBACK * following_fraction;
-        answered && !waits_for_release && !too_few
+        // comparison is then false: the deliveries are not too few.
+        let too_few = expected_deliveries < MIN_SLOW_DELIVERIES_FOR_ROLLBACK * following_fraction;
+        seen_enough && !waits_for_release && !too_few
     }
 }
