--- a/crates/spokeflow-core/tests/choices.rs
+++ b/crates/spokeflow-core/tests/choices.rs
@@ -61,7 +61,7 @@
 fn choices_match_the_recorded_digests() {
     let results: Vec<(u64, Counts)> = settings()
         .into_iter()
-        .map(|setting| World::new(setting).play())
+        .map(|setting| Simulation::new(setting).run())
         .collect();
     for (setting, (digest, counts)) in settings().iter().zip(&results) {
         println!(
--- a/crates/spokeflow-core/tests/common/rule_checker.rs
+++ b/crates/spokeflow-core/tests/common/rule_checker.rs
@@ -1,4 +1,4 @@
-//! An [`Egress`] that carries out the router's calls and checks the five rules at each of them.
+//! An [`Egress`] that records the router's calls and checks the five rules at each of them.
 
 use std::collections::BTreeMap;
 
--- a/crates/spokeflow-core/tests/host_figures.rs
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -99,12 +99,12 @@
 fn the_oldest_build_of_any_host_is_known() {
     let mut seen = BTreeSet::new();
     // Long enough for each of the few hosts to return with a later build.
-    let mut world = World::new(Setting {
+    let mut simulation = Simulation::new(Setting {
         length: 200 * SECOND,
         ..setting(6, 3, 1)
     });
-    world.play_watched(|world| {
-        let hosts = world.router.hosts();
+    simulation.run_watched(|simulation| {
+        let hosts = simulation.router.hosts();
         let expected = all(hosts).map(|host| hosts.build(host)).min();
         assert_eq!(hosts.oldest_build(), expected);
         seen.insert(expected);
@@ -189,11 +189,11 @@
 #[test]
 fn open_deliveries_are_counted_and_quiet_hosts_known() {
     let mut highest = 0;
-    after_each_step(|world, hosts| {
+    after_each_step(|simulation, hosts| {
         for host in all(hosts) {
             assert_eq!(
                 hosts.in_flight(host) as usize,
-                world.open_at(hosts.endpoint(host).host),
+                simulation.open_at(hosts.endpoint(host).host),
                 "open deliveries at host {host}"
             );
         }
--- a/crates/spokeflow-core/tests/scenario/events.rs
+++ b/crates/spokeflow-core/tests/scenario/events.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Lets some hosts drain, stop or return, and sends the list of the changes: sometimes without
     /// builds, sometimes the complete list instead.
     pub(super) fn change_hosts(&mut self) {
--- a/crates/spokeflow-core/tests/scenario/mod.rs
+++ b/crates/spokeflow-core/tests/scenario/mod.rs
@@ -1,6 +1,7 @@
-//! Seeded random scenarios: a router and hosts that start, drain, die and return with other builds,
-//! under canary rollouts, rollbacks, outages and overload. All outputs are hashed in their order,
-//! so that two versions of the decision module with equal digests have made the same choices.
+//! Seeded random scenarios: a router and hosts that start, drain, stop and return with other
+//! builds, under canary rollouts, rollbacks, outages and overload. All outputs are hashed in their
+//! order, so that two versions of the decision module with equal digests have made the same
+//! choices.
 
 #![allow(dead_code)] // each test program uses only some of the items
 
@@ -67,7 +68,7 @@
 }
 
 /// A router and the hosts, clients and release controller around it.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     setting: Setting,
     random: Random,
     now: Micros,
@@ -84,7 +85,7 @@
     commands: u32,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(setting: Setting) -> Self {
         let now = 50 * SECOND;
         let config = service_config(&setting);
@@ -94,7 +95,7 @@
         let endpoints = (0..setting.hosts)
             .map(|host| initial_endpoint(host, &mut random))
             .collect();
-        World {
+        Simulation {
             setting,
             random,
             now,
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Plays the run to its end and returns the digest of all outputs.
-    pub(crate) fn play(&mut self) -> (u64, Counts) {
-        self.play_watched(|_| ())
+    /// Runs to the end and returns the digest of all outputs.
+    pub(crate) fn run(&mut self) -> (u64, Counts) {
+        self.run_watched(|_| ())
     }
 
-    /// Plays the run like [`World::play`] and calls `watch` after each step.
-    pub(crate) fn play_watched(&mut self, mut watch: impl FnMut(&World)) -> (u64, Counts) {
+    /// Runs like [`Simulation::run`] and calls `watch` after each step.
+    pub(crate) fn run_watched(&mut self, mut watch: impl FnMut(&Simulation)) -> (u64, Counts) {
         let endpoints = self.endpoints.clone();
         self.router
             .set_time(self.now)
--- a/crates/spokeflow-core/tests/walk/mod.rs
+++ b/crates/spokeflow-core/tests/walk/mod.rs
@@ -25,7 +25,7 @@
 }
 
 /// Plays runs of several sizes and calls `compare` after each step.
-pub(crate) fn after_each_step(mut compare: impl FnMut(&World, &Hosts)) {
+pub(crate) fn after_each_step(mut compare: impl FnMut(&Simulation, &Hosts)) {
     for (seed, hosts, fleet_size) in [
         (1, 4, 1),
         (2, 12, 1_300),
@@ -33,8 +33,8 @@
         (4, 120, 1_300),
         (5, 120, 1),
     ] {
-        let mut world = World::new(setting(seed, hosts, fleet_size));
-        world.play_watched(|world| compare(world, world.router.hosts()));
+        let mut simulation = Simulation::new(setting(seed, hosts, fleet_size));
+        simulation.run_watched(|simulation| compare(simulation, simulation.router.hosts()));
     }
 }
 
