--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -180,10 +180,10 @@
 
 /// Returns the evidence of one reported wrong answer.
 ///
-/// Where a quorum decides, one report is enough for a router's vote, because false reports reach
-/// only few routers at a time. That holds while the quorum scale is at least the reciprocal of
-/// `QUORUM_REPORT_MULTIPLE`; where a smaller quorum reduces the scale further, a vote takes several
-/// reports.
+/// Where a quorum decides, one report is enough for a router's vote against a canary, because false
+/// reports reach only few routers at a time. That holds while the quorum scale is at least the
+/// reciprocal of `QUORUM_REPORT_MULTIPLE`; where a smaller quorum reduces the scale further, a vote
+/// takes several reports.
 fn wrong_answer_weight(config: &ServiceConfig, quorum: bool, quorum_scale: f64) -> f64 {
     if quorum {
         QUORUM_REPORT_MULTIPLE * ROLLBACK_EVIDENCE * quorum_scale
--- a/crates/spokeflow-core/src/router/outliers.rs
+++ b/crates/spokeflow-core/src/router/outliers.rs
@@ -67,11 +67,11 @@
     fn record_connection(&mut self, host: usize, outcome: AttemptOutcome) {
         let refused = f64::from(u8::from(outcome == AttemptOutcome::NotConnected));
         self.refused_fraction += REFUSED_LEARN_RATE * (refused - self.refused_fraction);
-        let answered = matches!(
+        let responded = matches!(
             outcome,
             AttemptOutcome::Acked | AttemptOutcome::Error | AttemptOutcome::Rejected
         );
-        if answered {
+        if responded {
             self.hosts.set_connected_at(host, self.now);
         }
     }
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -10,7 +10,7 @@
 
 /// Minimum number of routers that send to each host in a fleet of more than this many routers, so
 /// that differences between the routers' traffic average out. Such a fleet is also what the
-/// analysis and the votes treat as large; see [`super::DerivedConfig::is_large_fleet`].
+/// analysis and the votes treat as large; see `DerivedConfig::is_large_fleet`.
 pub const ROUTERS_PER_HOST: f64 = 60.0;
 /// Part of the configured overload multiple that deliveries to a cold host may use; the rest is a
 /// margin for random variation.
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -245,8 +245,8 @@
         } else {
             self.config.fleet_size as u32
         };
-        // The square of the minimum, shared among the routers whose single vote is enough; at least
-        // one, so that no router promotes unseen, and at most the minimum itself.
+        // The square of the minimum, shared among the routers where one vote is enough; at least
+        // one and at most the minimum itself.
         let enough = (MIN_DELIVERIES_TO_JUDGE * MIN_DELIVERIES_TO_JUDGE / routers_sharing_vote)
             .clamp(1, MIN_DELIVERIES_TO_JUDGE);
         let controller_sampled = self.evidence.controller_sampled_in_stage;
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -79,8 +79,8 @@
         self.records[host].utilization_at
     }
 
-    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
-    /// or has not answered yet.
+    /// When the host last responded over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not responded yet.
     pub fn connected_at(&self, host: usize) -> Micros {
         self.records[host].connected_at
     }
@@ -205,7 +205,7 @@
         record.utilization_at = self.now;
     }
 
-    /// Sets when the host last answered over a connection; [`Micros::MIN`] if it refused one.
+    /// Sets when the host last responded over a connection; [`Micros::MIN`] if it refused one.
     pub fn set_connected_at(&mut self, host: usize, at: Micros) {
         self.records[host].connected_at = at;
     }
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -33,8 +33,8 @@
     pub(super) utilization: f64,
     /// When the last load report arrived.
     pub(super) utilization_at: Micros,
-    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
-    /// or has not answered yet.
+    /// When the host last responded over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not responded yet.
     pub(super) connected_at: Micros,
 }
 
