--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -37,8 +37,8 @@
     }
 
     /// Acks of the host's present process, reduced by its errors and resets.
-    pub fn answers(&self, host: usize) -> u32 {
-        self.records[host].answers
+    pub fn acks(&self, host: usize) -> u32 {
+        self.records[host].acks
     }
 
     /// Number of failures of the host since its last success.
@@ -51,8 +51,9 @@
         self.records[host].ejected_until
     }
 
-    /// Start of the time in which the host has been quiet: when it last responded, or when the
-    /// first of its open deliveries was sent if that is later.
+    /// Start of the time in which the host has been quiet: the last call of
+    /// [`Hosts::restart_quiet_time`], or when the first of its open deliveries was sent if that is
+    /// later.
     pub fn quiet_since(&self, host: usize) -> Micros {
         self.records[host].quiet_since
     }
@@ -78,8 +79,8 @@
         self.records[host].utilization_at
     }
 
-    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
-    /// or has not answered yet.
+    /// When the host last responded over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not responded yet.
     pub fn connected_at(&self, host: usize) -> Micros {
         self.records[host].connected_at
     }
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Records that the host has responded.
-    pub fn response_received(&mut self, host: usize) {
+    /// Restarts the time for which the host has been quiet.
+    pub fn restart_quiet_time(&mut self, host: usize) {
         let record = &mut self.records[host];
         let has_open_delivery = self.quiet.remove(&QuietHost {
             since: record.quiet_since,
@@ -145,9 +146,9 @@
     }
 
     /// Sets how many acks count for the host's present process.
-    pub fn set_answers(&mut self, host: usize, answers: u32) {
+    pub fn set_acks(&mut self, host: usize, acks: u32) {
         let was_observed = self.records[host].is_observed();
-        self.records[host].answers = answers;
+        self.records[host].acks = acks;
         self.update_observed(host, was_observed);
     }
 
@@ -204,7 +205,7 @@
         record.utilization_at = self.now;
     }
 
-    /// Sets when the host last answered over a connection; [`Micros::MIN`] if it refused one.
+    /// Sets when the host last responded over a connection; [`Micros::MIN`] if it refused one.
     pub fn set_connected_at(&mut self, host: usize, at: Micros) {
         self.records[host].connected_at = at;
     }
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -12,13 +12,13 @@
     /// Number of open deliveries.
     pub(super) in_flight: u32,
     /// Acks of the present process, reduced by its errors and resets.
-    pub(super) answers: u32,
+    pub(super) acks: u32,
     /// Failures since the last success.
     pub(super) consecutive_failures: u32,
     /// End of the last ejection.
     pub(super) ejected_until: Micros,
-    /// When the host last responded, or when the first of its open deliveries was sent if that is
-    /// later.
+    /// When an outcome last restarted the quiet time, or when the first of the open deliveries was
+    /// sent if that is later.
     pub(super) quiet_since: Micros,
     /// Evidence against its build that the host has contributed.
     pub(super) evidence: f64,
@@ -33,8 +33,8 @@
     pub(super) utilization: f64,
     /// When the last load report arrived.
     pub(super) utilization_at: Micros,
-    /// When the host last answered over a connection; [`Micros::MIN`] if it has refused one since,
-    /// or has not answered yet.
+    /// When the host last responded over a connection; [`Micros::MIN`] if it has refused one since,
+    /// or has not responded yet.
     pub(super) connected_at: Micros,
 }
 
@@ -48,7 +48,7 @@
             },
             build: endpoint.build.unwrap_or_default(),
             in_flight: 0,
-            answers: 0,
+            acks: 0,
             consecutive_failures: 0,
             ejected_until: Micros::MIN,
             quiet_since: Micros::MIN,
@@ -65,7 +65,7 @@
     /// Resets the statistics that were learned of the previous process.
     pub(super) fn forget_process(&mut self) {
         self.sent_in_slot = 0;
-        self.answers = 0;
+        self.acks = 0;
         self.consecutive_failures = 0;
         self.slowdown = 0.0;
         self.evidence = 0.0;
@@ -78,12 +78,12 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Whether the host has answered, or has contributed evidence against its build.
+    /// Whether the host has acked a delivery, or has contributed evidence against its build.
     pub(super) fn is_observed(&self) -> bool {
-        self.answers > 0 || self.evidence > 0.0
+        self.acks > 0 || self.evidence > 0.0
     }
 
-    /// Whether the host has failed since its last success, or is ejected.
+    /// Whether the host is a *suspect*: it has failed since its last success, or is ejected.
     pub(super) fn is_suspect(&self, now: Micros) -> bool {
         self.consecutive_failures > 0 || self.ejected_until > now
     }
