--- a/crates/spokeflow-experiments/tests/documents.rs
+++ b/crates/spokeflow-experiments/tests/documents.rs
@@ -1,14 +1,14 @@
-//! The pages name only what exists: every path, package, program, flag, variable and type that stands in backticks in
-//! the README and under `docs/` is looked for in the source. History (results, incidents, the printed capacity page)
-//! shows former names and is left out.
+//! Guards the documentation against names that no longer exist: every path, package, program, flag and type in
+//! backticks in the README, CONTRIBUTING and `docs/` must be present in the source. Pages of the project's history
+//! (results, incidents) and the generated capacity page may show former names and are skipped.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages that show what was, or that a program prints.
-const HISTORY: [&str; 4] = ["results.md", "CAPACITY.md", "incidents", "results"];
-/// Shown as former names, on purpose.
+/// Pages and folders that are skipped because they record history or are printed by a program.
+const SKIPPED_PAGES: [&str; 4] = ["results.md", "CAPACITY.md", "incidents", "results"];
+/// Former names of programs and packages that pages may mention.
 const FORMER_NAMES: [&str; 7] = [
     "spokeflow-keeper",
     "spokeflow-fleet",
@@ -18,8 +18,9 @@
     "spokeflow-emulator",
     "spokeflow-quorum",
 ];
+/// The former name of a package that pages may mention.
 const FORMER_PACKAGE: &str = "spokeflow-agreed";
-/// Flags of programs that are not ours.
+/// Flags of programs outside this workspace that pages may mention.
 const FOREIGN_FLAGS: [&str; 13] = [
     "--release",
     "--locked",
@@ -36,7 +37,7 @@
     "--help",
 ];
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -46,17 +47,17 @@
         let path = entry.path();
         let name = entry.file_name().into_string().unwrap();
         if path.is_dir() {
-            if name != "target" && !HISTORY.contains(&name.as_str()) {
+            if name != "target" && !SKIPPED_PAGES.contains(&name.as_str()) {
                 files.extend(files_below(&path, ending));
             }
-        } else if name.ends_with(ending) && !HISTORY.contains(&name.as_str()) {
+        } else if name.ends_with(ending) && !SKIPPED_PAGES.contains(&name.as_str()) {
             files.push(path);
         }
     }
     files
 }
 
-/// All Rust source of the workspace, and the words in it.
+/// The Rust source of the workspace, and the set of its words.
 struct Source {
     text: String,
     words: BTreeSet<String>,
@@ -64,7 +65,7 @@
 
 impl Source {
     fn read() -> Source {
-        let files = files_below(&root().join("crates"), ".rs");
+        let files = files_below(&workspace_root().join("crates"), ".rs");
         let text: String = files
             .iter()
             .map(|file| fs::read_to_string(file).unwrap())
@@ -76,7 +77,7 @@
         Source { text, words }
     }
 
-    /// A flag is the name of a field with dashes, or given as text.
+    /// Returns whether the source has a field from which the flag is derived, or the flag as a string literal.
     fn has_flag(&self, flag: &str) -> bool {
         let name = flag.trim_start_matches("--");
         let is_field = self.words.contains(&name.replace('-', "_"));
@@ -84,14 +85,14 @@
     }
 }
 
-/// What stands between backticks in a page, fenced blocks left out.
-fn quoted(text: &str) -> Vec<String> {
+/// Returns the texts between backticks in a page, without indented code blocks.
+fn quotes(text: &str) -> Vec<String> {
     let lines: Vec<&str> = text
         .lines()
         .filter(|line| !line.starts_with("    "))
         .collect();
-    let parts = lines.join("\n");
-    parts
+    let prose = lines.join("\n");
+    prose
         .split('`')
         .skip(1)
         .step_by(2)
@@ -99,15 +100,17 @@
         .collect()
 }
 
+/// Returns whether the text is a name in camel case, or a path that starts with one.
 fn is_type(text: &str) -> bool {
-    let starts = text.starts_with(|character: char| character.is_ascii_uppercase());
+    let starts_upper = text.starts_with(|character: char| character.is_ascii_uppercase());
     let has_lower = text.contains(|character: char| character.is_ascii_lowercase());
-    let plain = text
+    let is_path = text
         .chars()
         .all(|character| character.is_ascii_alphanumeric() || "_:".contains(character));
-    starts && has_lower && plain
+    starts_upper && has_lower && is_path
 }
 
+/// Returns what the quoted text names that does not exist, or `None` if everything exists or it names nothing to check.
 fn missing(quote: &str, source: &Source) -> Option<String> {
     let first = quote.split_whitespace().next().unwrap_or_default();
     let path = first
@@ -119,11 +122,11 @@
         .iter()
         .any(|folder| path.starts_with(folder));
     if is_path && !path.contains(['*', '<', '{']) {
-        return (!root().join(path).exists()).then(|| format!("path {path}"));
+        return (!workspace_root().join(path).exists()).then(|| format!("path {path}"));
     }
     if is_type(quote) {
-        let lacks = quote.split("::").find(|part| !source.words.contains(*part));
-        return lacks.map(|part| format!("{quote}: no {part}"));
+        let missing_part = quote.split("::").find(|part| !source.words.contains(*part));
+        return missing_part.map(|part| format!("{quote}: no {part}"));
     }
     let program = first.strip_prefix("spokeflow-").filter(|name| {
         !name.is_empty()
@@ -132,12 +135,12 @@
                 .all(|character| character.is_ascii_lowercase() || character == '-')
     });
     if program.is_some() {
-        let package = root().join("crates").join(first).exists();
-        let binary = root()
+        let is_package = workspace_root().join("crates").join(first).exists();
+        let is_binary = workspace_root()
             .join(format!("crates/spokeflow-router/src/bin/{first}.rs"))
             .exists();
-        let former = FORMER_NAMES.contains(&first) || first == FORMER_PACKAGE;
-        if !package && !binary && !former {
+        let is_former = FORMER_NAMES.contains(&first) || first == FORMER_PACKAGE;
+        if !is_package && !is_binary && !is_former {
             return Some(format!("package or program {first}"));
         }
     }
@@ -150,38 +153,42 @@
 }
 
 #[test]
-fn pages_name_only_what_exists() {
+fn documentation_names_only_what_exists() {
     let source = Source::read();
-    let mut pages = files_below(&root().join("docs"), ".md");
-    pages.push(root().join("README.md"));
-    pages.push(root().join("CONTRIBUTING.md"));
-    let mut lacking = Vec::new();
+    let mut pages = files_below(&workspace_root().join("docs"), ".md");
+    pages.push(workspace_root().join("README.md"));
+    pages.push(workspace_root().join("CONTRIBUTING.md"));
+    let mut problems = Vec::new();
     for page in pages {
         let text = fs::read_to_string(&page).unwrap();
-        for quote in quoted(&text) {
-            if let Some(what) = missing(&quote, &source) {
-                lacking.push(format!(
-                    "{}: {what}",
+        for quote in quotes(&text) {
+            if let Some(problem) = missing(&quote, &source) {
+                problems.push(format!(
+                    "{}: {problem}",
                     page.file_name().unwrap().to_string_lossy()
                 ));
             }
         }
     }
-    assert!(lacking.is_empty(), "{}", lacking.join("\n"));
+    assert!(
+        problems.is_empty(),
+        "documentation names what does not exist:\n{}",
+        problems.join("\n")
+    );
 }
 
-/// The check sees what it is for.
+/// Guards against a check that accepts everything: missing paths, programs, flags and names must be found.
 #[test]
-fn a_name_that_is_gone_is_found() {
+fn missing_names_are_found_and_present_ones_accepted() {
     let source = Source::read();
-    for gone in [
+    for template in [
         "crates/spokeflow-core/src/nowhere.rs",
         "spokeflow-nowhere",
         "spokeflow-router --no-such-flag-here",
         "RaftNode::no_such_method_here",
     ] {
-        // Built here, so that the words are not found in this very file.
-        let quote = gone.replace("here", "where");
+        // Replaced at run time, so that the name itself is not found in this file.
+        let quote = template.replace("here", "where");
         assert!(missing(&quote, &source).is_some(), "{quote}");
     }
     for present in [
--- a/crates/spokeflow-experiments/tests/hunt.rs
+++ b/crates/spokeflow-experiments/tests/hunt.rs
@@ -1,12 +1,12 @@
-//! What a hunt makes of a scenario that it found.
+//! Shrinking of a scenario with a finding.
 
 use spokeflow_experiments::hunt::{evaluate, run_flags, shrink, Finding};
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind, Scenario};
 use spokeflow_scenario::SECOND;
 
 #[test]
-fn a_day_is_shrunk_to_what_matters() {
-    // What loses here is the bad build alone; a list that is late for a moment has no part in it.
+fn shrinking_drops_faults_without_effect_and_keeps_the_bad_build() {
+    // Only the bad build loses service; the late list and the clients that give up have no effect on the finding.
     let mut scenario = Scenario::only(FaultKind::BadBuild, 4, 40 * SECOND);
     scenario.builds[1].defect = BuildDefect::Wrong(0.9);
     scenario
@@ -20,15 +20,15 @@
         matches!(finding, Finding::Loss(loss) if loss > 0.0),
         "{finding:?}"
     );
-    let small = shrink(&scenario, finding, 60);
+    let shrunk = shrink(&scenario, finding, 60);
     assert!(
-        small.faults.is_empty() && small.builds.len() == 2,
+        shrunk.faults.is_empty() && shrunk.builds.len() == 2,
         "{}",
-        run_flags(&small)
+        run_flags(&shrunk)
     );
     assert!(
-        run_flags(&small).contains("--build 2:at=4s:flaw=wrong:size=0.9"),
+        run_flags(&shrunk).contains("--build 2:at=4s:flaw=wrong:size=0.9"),
         "{}",
-        run_flags(&small)
+        run_flags(&shrunk)
     );
 }
