--- a/crates/spokeflow-proto/src/codec.rs
+++ b/crates/spokeflow-proto/src/codec.rs
@@ -108,7 +108,7 @@
         let writer = std::mem::take(to).writer();
         *to = match postcard::to_io(message, writer) {
             Ok(writer) => writer.into_inner(),
-            Err(_) => return Err(FrameError::Malformed("the message cannot be encoded")),
+            Err(_) => return Err(FrameError::Malformed("a message that cannot be written")),
         };
         let length = to.len() - start - LENGTH_SIZE;
         if length > self.limit {
--- a/crates/spokeflow-proto/src/error.rs
+++ b/crates/spokeflow-proto/src/error.rs
@@ -2,9 +2,10 @@
 
 use std::io;
 
-use crate::{Refused, OLDEST_VERSION, VERSION};
+use crate::{Refused, VERSION};
 
-/// A protocol error on a connection. Every error closes the connection that it occurs on and no other.
+/// A protocol error on a connection. Every error closes the connection that it occurs on and no other. The texts of the
+/// errors are sent to the peer in [`Refused`] and are part of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The connection ended within a frame. The incomplete frame is discarded.
@@ -14,7 +15,7 @@
         have: usize,
     },
     /// A frame that was received or is to be sent exceeds the limit.
-    #[error("oversized: frame of {length} bytes, limit {limit} bytes")]
+    #[error("oversized: a frame of {length} bytes, {limit} at most")]
     Oversized {
         /// Bytes of the frame after the length prefix.
         length: usize,
@@ -22,28 +23,28 @@
         limit: usize,
     },
     /// The first byte of the body is not the kind of any message on this link.
-    #[error("unknown message kind {0}")]
+    #[error("unknown kind {0}")]
     UnknownKind(u8),
     /// The body of a frame is not a valid message, or a message cannot be encoded.
     #[error("malformed: {0}")]
     Malformed(&'static str),
     /// The hello does not begin with [`crate::MAGIC`].
-    #[error("not spokeflow: the hello has other magic bytes than SPKF")]
+    #[error("not spokeflow: the opening message lacks its mark")]
     NotSpokeflow,
     /// The peer requested a protocol version that this end does not support.
-    #[error("wrong version {0}: this end supports {OLDEST_VERSION} to {VERSION}")]
+    #[error("wrong version {0}: this end speaks {VERSION}")]
     WrongVersion(u16),
     /// The role or the index in the hello is not accepted on this port.
-    #[error("wrong role: the role or index in the hello is not accepted on this port")]
+    #[error("wrong role for this port")]
     WrongRole,
     /// The first message is not a hello, or a later message is one.
-    #[error("out of order: the first message must be a hello, and no later one")]
+    #[error("out of order: one opening message comes first, and once")]
     OutOfOrder,
     /// A command has the id of another command on this connection that has not been answered.
     #[error("id in use: command {0} has not been answered yet")]
     IdInUse(u64),
     /// The peer does not read the messages sent to it.
-    #[error("too slow: the peer does not read the messages sent to it")]
+    #[error("too slow: what is sent is not read")]
     TooSlow,
     /// Reading from or writing to the connection failed.
     #[error("i/o: {0}")]
