--- a/crates/spokeflow-coordination/src/coordinator/requests.rs
+++ b/crates/spokeflow-coordination/src/coordinator/requests.rs
@@ -142,6 +142,8 @@
         });
     }
 
+    /// Appends the address of a node to the log. The text of [`Response::Invalid`] goes over the wire to the operator's
+    /// program.
     fn set_address(
         &mut self,
         now: Micros,
@@ -150,24 +152,25 @@
         out: &mut Output,
     ) -> Response {
         if address.parse::<SocketAddr>().is_err() {
-            return Response::Invalid(format!(
-                "address of node {} not registered: '{address}' is not an IP address with a port",
-                node.0
-            ));
+            return Response::Invalid(format!("'{address}' is not an address with a port"));
         }
         self.log_command(now, &LogCommand::SetAddress { node, address }, out)
     }
 
+    /// Appends a change of the voters to the log. The text of [`Response::Invalid`] goes over the wire to the
+    /// operator's program.
     fn change_voters(&mut self, now: Micros, voters: Vec<NodeId>, out: &mut Output) -> Response {
         if let Some(unknown) = voters.iter().find(|id| self.address(**id).is_none()) {
             return Response::Invalid(format!(
-                "voters not changed: no address is known for node {}, register it first",
+                "no address of node {} is known yet: register it first",
                 unknown.0
             ));
         }
         match self.raft.propose_membership(now, voters, out) {
             Ok(_) => Response::Accepted,
-            Err(error) => Response::Invalid(error.to_string()),
+            Err(_) => Response::Invalid(
+                "another change is under way, or it is not one node's difference".into(),
+            ),
         }
     }
 
