--- a/crates/spokeflow-platform/src/client_connection.rs
+++ b/crates/spokeflow-platform/src/client_connection.rs
@@ -139,9 +139,9 @@
 
     /// Logs the error and answers the client with its status, if the client may still read it.
     async fn refuse(&self, link: &mut Link, error: HttpError) {
-        if let Some(kept_back) = self.context.clock.allow_log_line() {
+        if let Some(suppressed) = self.context.clock.allow_log_line() {
             let peer = link.stream.peer_addr().ok();
-            info!(connection = self.connection, ?peer, kept_back, %error, "client refused");
+            info!(connection = self.connection, ?peer, suppressed, %error, "client refused");
         }
         let Some(status) = error.status() else {
             return;
--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -100,8 +100,8 @@
             };
             let was_up = matches!(error, WatchError::Silent) || self.after != before;
             failures = failures_in_a_row(failures, was_up);
-            if let Some(kept_back) = self.clock.allow_log_line() {
-                info!(%address, failures, kept_back, %error, "discovery lost");
+            if let Some(suppressed) = self.clock.allow_log_line() {
+                info!(%address, failures, suppressed, %error, "discovery lost");
             }
             let mut delay = self.backoff.delay(failures);
             // An address that refuses or answers with an error may be retried less often than one that is silent.
--- a/crates/spokeflow-platform/src/release_controller.rs
+++ b/crates/spokeflow-platform/src/release_controller.rs
@@ -110,8 +110,8 @@
                 }
             };
             failures = if was_up { 0 } else { failures + 1 };
-            if let Some(kept_back) = self.clock.allow_log_line() {
-                info!(%address, failures, kept_back, %error, "deployer lost");
+            if let Some(suppressed) = self.clock.allow_log_line() {
+                info!(%address, failures, suppressed, %error, "deployer lost");
             }
             tokio::select! {
                 _ = sleep(self.backoff.delay(failures)) => {}
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -257,8 +257,8 @@
             _ = &mut self.recalled => Err(TransportFailure::NotSent),
             _ = sleep_until(leave_by) => Err(TransportFailure::NotSent),
             sent = sending => sent.map_err(|error| {
-                if let Some(kept_back) = self.config.clock.allow_log_line() {
-                    info!(host = self.host.0, %address, kept_back, %error, "host not connected");
+                if let Some(suppressed) = self.config.clock.allow_log_line() {
+                    info!(host = self.host.0, %address, suppressed, %error, "host not connected");
                 }
                 TransportFailure::NotConnected
             }),
@@ -287,10 +287,10 @@
                 DeliveryEnd::lost(TransportFailure::Reset)
             }
             Err(error) => {
-                if let Some(kept_back) = self.config.clock.allow_log_line() {
+                if let Some(suppressed) = self.config.clock.allow_log_line() {
                     let address = self.address;
                     let delivery = self.delivery;
-                    info!(host = self.host.0, %address, delivery, kept_back, %error, "answer cannot be read");
+                    info!(host = self.host.0, %address, delivery, suppressed, %error, "answer cannot be read");
                 }
                 // The command may have run. This is not reported as an error of the host: it may have written a good
                 // answer, which binds the key to its build, and an answer that arrives damaged is no sign of a faulty
