--- a/crates/spokeflow-platform/src/acceptor.rs
+++ b/crates/spokeflow-platform/src/acceptor.rs
@@ -39,7 +39,7 @@
             let stream = match self.listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(%error, "cannot accept a client connection");
+                    warn!(%error, "client connection not accepted");
                     sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -67,7 +67,7 @@
 
 impl Transport for RouterTransport {
     fn to_client(&mut self, conn: u64, message: ToClient) {
-        debug!(connection = conn, ?message, "message to client");
+        debug!(connection = conn, ?message, "command answered");
         let Some(client) = self.clients.get(&conn) else {
             return;
         };
@@ -89,7 +89,7 @@
     }
 
     fn to_controller(&mut self, message: ToController) -> bool {
-        info!(?message, "vote");
+        info!(?message, "vote sent");
         self.release_controller.try_send(message).is_ok()
     }
 
