--- a/crates/spokeflow-control-plane/tests/stored_by_start.rs
+++ b/crates/spokeflow-control-plane/tests/store_compatibility.rs
@@ -32,7 +32,7 @@
 /// Copies a store file for one test, since opening a store writes to it.
 fn copy_of(store: &str, test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
-        .join("stored_by_start")
+        .join("store_compatibility")
         .join(test);
     std::fs::create_dir_all(&folder).unwrap();
     let copy = folder.join(store);
