--- a/crates/spokeflow-control-plane/src/flags.rs
+++ b/crates/spokeflow-control-plane/src/flags.rs
@@ -58,38 +58,40 @@
 /// Everything that a node is configured with.
 #[derive(Clone, Debug, Args)]
 pub struct ControlPlaneFlags {
-    /// Number of this node, never given to another one, not even in its place
+    /// Number of this node; must never be used for another node, not even for its replacement
     #[arg(long, env = "SPOKEFLOW_NODE_ID")]
     pub id: u32,
-    /// Where routers, operators and other nodes connect; port 0 takes a free one, which is printed
+    /// Address on which to listen for routers, operators and other nodes; with port 0 the system chooses a free port,
+    /// which is printed
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7500")]
     pub listen: SocketAddr,
-    /// A node of the fleet's first set: ID=ADDRESS; one, three, five or seven, this one among them, the same for all.
-    /// With --join the nodes to ask for the others: this one then waits to be added
+    /// A node of the fleet's initial set: ID=ADDRESS; repeat the flag for each node. The set has one, three, five or
+    /// seven nodes, including this one, and must be the same on all nodes. With --join: an existing node, which this
+    /// one asks for the others while it waits to be added
     #[arg(long = "member", env = "SPOKEFLOW_MEMBER", value_delimiter = ',', value_parser = MemberFlag::parse)]
     pub members: Vec<MemberFlag>,
-    /// Starts as a node that is yet to be added
+    /// Starts as a new node, which waits until it is added to the fleet
     #[arg(long, env = "SPOKEFLOW_JOIN")]
     pub join: bool,
-    /// File of the durable store, made where there is none
+    /// File of the durable store; created if it does not exist
     #[arg(long, env = "SPOKEFLOW_STORE")]
     pub store: PathBuf,
-    /// The host list that routers with --replicated-list follow: the leader reads it
+    /// Address of the host list; the leader reads it for the routers that run with --replicated-list
     #[arg(long, env = "SPOKEFLOW_LIST")]
     pub list: Option<SocketAddr>,
-    /// Number of the fleet; a node of another one is refused, and so is its store
+    /// Number of the fleet; nodes and stores of another fleet are refused
     #[arg(long, env = "SPOKEFLOW_FLEET", default_value_t = 0)]
     pub fleet: u64,
-    /// After this time without a message from the leader another may be elected
+    /// Time without a message from the leader after which another node may be elected
     #[arg(long, alias = "silence", env = "SPOKEFLOW_ELECTION_TIMEOUT", default_value = "500ms", value_parser = parse_duration)]
     pub election_timeout: Duration,
-    /// How often the leader sends a heartbeat
+    /// Interval between two heartbeats of the leader
     #[arg(long, alias = "beat", env = "SPOKEFLOW_HEARTBEAT_INTERVAL", default_value = "100ms", value_parser = parse_duration)]
     pub heartbeat_interval: Duration,
-    /// How long a router may act on the configuration it received last
+    /// Time for which a router may act on the configuration that it received last
     #[arg(long, env = "SPOKEFLOW_LEASE", default_value = "3s", value_parser = parse_duration)]
     pub lease: Duration,
-    /// How much faster or slower than true any clock of the fleet may run, as a fraction
+    /// Maximum clock drift: the fraction by which any clock of the fleet may run fast or slow
     #[arg(
         long,
         alias = "drift",
@@ -97,7 +99,7 @@
         default_value_t = 0.01
     )]
     pub max_clock_drift: f64,
-    /// Connections of routers, operators and other nodes at most
+    /// Maximum number of connections from routers, operators and other nodes
     #[arg(
         long,
         alias = "callers-at-most",
@@ -105,16 +107,16 @@
         default_value_t = 4096
     )]
     pub max_connections: usize,
-    /// Which lines are logged, in the form of the tracing library, such as info or debug
+    /// Log filter in the syntax of the tracing library, such as info or debug
     #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
     pub log: String,
-    /// Form of the log
+    /// Format of the log lines
     #[arg(long, env = "SPOKEFLOW_LOG_FORM", value_enum, default_value = "text")]
     pub log_form: LogFormat,
-    /// For tests: crashes at this point, POINT:NTH
+    /// For tests: crashes at this point; POINT:NTH
     #[arg(long, alias = "die-at", hide = true, value_parser = CrashTarget::parse)]
     pub crash_at: Option<CrashTarget>,
-    /// For tests: the disk fails from this write on
+    /// For tests: number of the write from which on all writes fail
     #[arg(long, hide = true)]
     pub fail_writes_from: Option<u64>,
 }
--- a/crates/spokeflow-control-plane/src/program.rs
+++ b/crates/spokeflow-control-plane/src/program.rs
@@ -11,7 +11,7 @@
 use crate::startup::run_node;
 use crate::{ControlPlaneFlags, Store};
 
-/// Holds, with a few others, the configuration that all routers of a fleet follow.
+/// Runs a node of the control plane, which replicates the configuration of all routers of a fleet.
 #[derive(Debug, Parser)]
 #[command(name = "spokeflow-control-plane", version)]
 pub struct ControlPlaneProgram {
--- a/crates/spokeflow-ctl/src/args.rs
+++ b/crates/spokeflow-ctl/src/args.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// Shows and changes the configuration that all routers of a fleet follow. Exit code 0: done; 1: refused, or not so;
-/// 2: wrong use, or no node answers
+/// Shows and changes the configuration of all routers of a fleet. Exit code 0: done; 1: refused, or without effect in
+/// time; 2: wrong use, or no node answered
 #[derive(Parser)]
 #[command(name = "spokeflowctl", version)]
 pub(crate) struct Program {
@@ -19,7 +19,7 @@
 /// Flags of all subcommands.
 #[derive(Args)]
 pub(crate) struct ConnectionFlags {
-    /// A control-plane node; repeat the flag for each, any that answers will do
+    /// Address of a control-plane node; repeat the flag for each node. Any one of them may answer
     #[arg(
         long = "control-plane",
         alias = "keeper",
@@ -28,44 +28,44 @@
         global = true
     )]
     pub(crate) control_plane: Vec<SocketAddr>,
-    /// Prints JSON
+    /// Prints the result as JSON
     #[arg(long, global = true)]
     pub(crate) json: bool,
-    /// How long to try
+    /// Longest time for each request, and for the wait for its effect
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration, global = true)]
     pub(crate) within: Duration,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Shows the leader, the revision in force, the pending one, and how many routers act on the newest
+    /// Shows the leader, the revision in force, the pending revision, and how many routers act on the newest one
     Status,
     /// Shows the revisions: who proposed them, when and why
     History,
-    /// Proposes a revision: NAME=VALUE for each flag that is to differ from the routers' own. What is not named goes
-    /// back to those, unless --keep is given
+    /// Proposes a revision: NAME=VALUE for each flag whose value replaces the routers' own. For all other flags the
+    /// routers return to their own values, unless --keep is given
     #[command(alias = "offer")]
     Propose(ProposeFlags),
-    /// Shows what a revision would change against the newest
+    /// Shows what a revision with these values would change compared to the newest one
     Diff {
         #[arg(value_name = "NAME=VALUE")]
         values: Vec<String>,
     },
-    /// Checks values as the control plane does; connects to no node
+    /// Checks values in the same way as the control plane, without connecting to a node
     Check {
         #[arg(value_name = "NAME=VALUE")]
         values: Vec<String>,
     },
-    /// Waits until this revision, or a later one, is in force
+    /// Waits until this revision or a later one is in force
     Watch { revision: u64 },
-    /// Registers the address of a node, so that it may be added
+    /// Registers the address of a node, so that the node can be added
     #[command(alias = "seat")]
     Register { node: u32, address: SocketAddr },
     /// Adds a node whose address is known
     #[command(alias = "take-in")]
     AddNode { node: u32 },
-    /// Removes a node, for good: its number is not used again
+    /// Removes a node permanently; its number must not be used again
     #[command(alias = "take-out")]
     RemoveNode { node: u32 },
 }
@@ -75,19 +75,20 @@
 pub(crate) struct ProposeFlags {
     #[arg(value_name = "NAME=VALUE")]
     pub(crate) values: Vec<String>,
-    /// Names that are not given stay as the newest revision has them
+    /// Keeps the values of the newest revision for the flags that are not given
     #[arg(long)]
     pub(crate) keep: bool,
-    /// The newest revision that you have seen; refused where there is a newer one. Read first where not given
+    /// Number of the newest revision known to you; the proposal is refused if there is a newer one [default: the
+    /// newest]
     #[arg(long)]
     pub(crate) against: Option<u64>,
-    /// Who proposes it
+    /// Name of the person who proposes the revision
     #[arg(long, env = "USER")]
     pub(crate) who: String,
-    /// Why, in one sentence
+    /// Reason for the revision, in one sentence
     #[arg(long)]
     pub(crate) why: String,
-    /// Waits until it is in force
+    /// Waits until the revision is in force
     #[arg(long)]
     pub(crate) wait: bool,
 }
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Args)]
 #[command(next_help_heading = "This router")]
 pub struct RouterFlags {
-    /// Address that clients connect to; port 0 takes a free port, which is printed
+    /// Address on which to listen for clients; with port 0 the system chooses a free port, which is printed
     #[arg(long, env = "SPOKEFLOW_LISTEN", default_value = "127.0.0.1:7400")]
     pub listen: SocketAddr,
     /// Address of the host list
@@ -34,8 +34,8 @@
     /// Address of the release controller
     #[arg(long, alias = "desk", env = "SPOKEFLOW_RELEASE_CONTROLLER")]
     pub release_controller: SocketAddr,
-    /// Address of a control-plane node; repeat the flag for each node. The router then follows the control plane's
-    /// revisions of the service flags; without any node it follows its flags alone
+    /// Address of a control-plane node; repeat the flag for each node. The router then applies the control plane's
+    /// revisions of the service flags; without this flag it uses its own flags only
     #[arg(
         long = "control-plane",
         alias = "keeper",
@@ -43,8 +43,8 @@
         value_delimiter = ','
     )]
     pub control_plane: Vec<SocketAddr>,
-    /// Takes the host list from the control plane, the same for all routers; the list named by --list then only removes
-    /// hosts
+    /// Takes the host list from the control plane, so that all routers use the same one; the list at --list then
+    /// only removes hosts
     #[arg(long, alias = "agreed-list", env = "SPOKEFLOW_REPLICATED_LIST")]
     pub replicated_list: bool,
     /// No effect: routers exchange no messages
@@ -61,13 +61,13 @@
     /// Number of the site that this router runs in
     #[arg(long, env = "SPOKEFLOW_SITE", default_value_t = 0)]
     pub site: u16,
-    /// Seed of the router's random numbers; drawn at random at start if not given
+    /// Seed of the router's random numbers [default: random]
     #[arg(long, env = "SPOKEFLOW_SEED")]
     pub seed: Option<u64>,
-    /// Time subtracted from the time that each client waits, so that the answer reaches the client in time
+    /// Time subtracted from each client's timeout, so that the answer arrives before the client gives up
     #[arg(long, env = "SPOKEFLOW_ANSWER_MARGIN", default_value = "30ms", value_parser = parse_duration)]
     pub answer_margin: Duration,
-    /// Maximum number of waiting commands; more are nacked at once
+    /// Maximum number of waiting commands; any further command is nacked immediately
     #[arg(
         long,
         alias = "held-at-most",
@@ -75,7 +75,7 @@
         default_value_t = 20_000
     )]
     pub max_waiting: usize,
-    /// Maximum number of client connections; more are closed at once
+    /// Maximum number of client connections; any further connection is closed immediately
     #[arg(
         long,
         alias = "clients-at-most",
@@ -83,42 +83,42 @@
         default_value_t = 12_000
     )]
     pub max_clients: usize,
-    /// Maximum number of answers queued for one client; a client that does not read them is closed
+    /// Maximum number of answers queued for one client; when the queue is full, the connection is closed
     #[arg(long, env = "SPOKEFLOW_CLIENT_QUEUE", default_value_t = 1024)]
     pub client_queue: usize,
     /// Maximum number of messages queued for one host; further deliveries go to other hosts
     #[arg(long, env = "SPOKEFLOW_HOST_QUEUE", default_value_t = 256)]
     pub host_queue: usize,
-    /// Time within which a connection to a host must be made; otherwise it counts as refused
+    /// Longest time to connect to a host; after that the connection counts as refused
     #[arg(long, env = "SPOKEFLOW_CONNECT_TIMEOUT", default_value = "250ms", value_parser = parse_duration)]
     pub connect_timeout: Duration,
-    /// Delay after the first failed connection attempt, doubled with each further one, with jitter
+    /// Delay after the first failed connection attempt; it doubles with each further failure and has jitter
     #[arg(long, env = "SPOKEFLOW_RECONNECT_FIRST", default_value = "50ms", value_parser = parse_duration)]
     pub reconnect_first: Duration,
     /// Longest delay between two connection attempts
     #[arg(long, env = "SPOKEFLOW_RECONNECT_MOST", default_value = "2s", value_parser = parse_duration)]
     pub reconnect_most: Duration,
-    /// Time after which a connection to a host without work is closed
+    /// Time after which an idle connection to a host is closed
     #[arg(long, env = "SPOKEFLOW_CONNECTION_IDLE", default_value = "30s", value_parser = parse_duration)]
     pub connection_idle: Duration,
     /// Time without a message, or an answer to a ping, after which a connection to a host is dropped with everything
-    /// that has not arrived; must be shorter than every memory= of a deduplicated op type
+    /// that has not arrived; must be shorter than the memory= of every deduplicated operation
     #[arg(long, alias = "way-timeout", env = "SPOKEFLOW_PING_TIMEOUT", default_value = "1s", value_parser = parse_duration)]
     pub ping_timeout: Duration,
     /// Time without a message after which the watch on the host list is renewed; after three renewals without a message
-    /// the connection is opened again
+    /// the router reconnects
     #[arg(long, env = "SPOKEFLOW_LIST_RENEW", default_value = "5s", value_parser = parse_duration)]
     pub list_renew: Duration,
-    /// File that caches the host list as last received, for a start while the list cannot be reached
+    /// File that caches the last host list received; used if the list cannot be reached when the router starts
     #[arg(long, env = "SPOKEFLOW_LIST_FILE")]
     pub list_file: Option<PathBuf>,
-    /// Time after SIGTERM within which all waiting commands are answered and the program ends
+    /// Longest time from SIGTERM until all waiting commands are answered and the program exits
     #[arg(long, env = "SPOKEFLOW_SHUTDOWN_WITHIN", default_value = "15s", value_parser = parse_duration)]
     pub shutdown_within: Duration,
-    /// File to which all inputs are written, for replay
+    /// File in which all inputs are recorded for replay
     #[arg(long, env = "SPOKEFLOW_RECORD")]
     pub record: Option<PathBuf>,
-    /// Filter of the log lines, in the syntax of the tracing library, such as info or debug
+    /// Log filter in the syntax of the tracing library, such as info or debug
     #[arg(long, env = "SPOKEFLOW_LOG", default_value = "info")]
     pub log: String,
     /// Format of the log lines
--- a/crates/spokeflow-router/src/migrate/mod.rs
+++ b/crates/spokeflow-router/src/migrate/mod.rs
@@ -24,16 +24,16 @@
     /// The file of the earlier deployment; it is not changed
     #[arg(long)]
     pub from: PathBuf,
-    /// Where the counterpart is written
+    /// The file to write the counterpart to
     #[arg(long, required_unless_present = "check")]
     pub to: Option<PathBuf>,
-    /// A setting of the new deployment that replaces the old file's: NAME=VALUE, such as SPOKEFLOW_GATE=majority
+    /// A setting that replaces the earlier deployment's: NAME=VALUE, such as SPOKEFLOW_GATE=majority; may be repeated
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
-    /// Prints the counterpart and writes no file
+    /// Prints the counterpart instead of writing it to a file
     #[arg(long)]
     pub check: bool,
-    /// Overwrites the file of --to if it exists
+    /// Overwrites the file at --to if it exists
     #[arg(long)]
     pub replace: bool,
 }
