--- a/crates/spokeflow-testbed/tests/former_names.rs
+++ b/crates/spokeflow-testbed/tests/former_names.rs
@@ -33,7 +33,7 @@
         "--peace",
         "--pace=20ms",
     ];
-    let expected = "spokeflow-testbed: --nodes 4: 3, 5 or 7\n".to_string();
+    let expected = "spokeflow-testbed: --nodes: expected 3, 5 or 7, got 4\n".to_string();
     assert_eq!(exit_code_and_error(&former), (Some(2), expected));
 }
 
