--- a/crates/spokeflow-engine/src/engine/lease.rs
+++ b/crates/spokeflow-engine/src/engine/lease.rs
@@ -78,7 +78,7 @@
         } else {
             lease.config.released_build_only()
         };
-        transport.drain_grace(config.drain_grace);
+        transport.set_drain_grace(config.drain_grace);
         config.apply_to(&mut self.config.service);
         self.router.reconfigure(&self.config.service);
         self.forward_rollout_status(transport);
--- a/crates/spokeflow-engine/src/transport.rs
+++ b/crates/spokeflow-engine/src/transport.rs
@@ -31,5 +31,5 @@
     fn recall(&mut self, _host: HostId, _delivery: Option<u64>) {}
     /// Sets how long after [`Transport::host_closed`] a frame may still leave for the host, in microseconds. Called
     /// whenever a lease's configuration takes effect or expires.
-    fn drain_grace(&mut self, _grace: Micros) {}
+    fn set_drain_grace(&mut self, _grace: Micros) {}
 }
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    fn drain_grace(&mut self, grace: Micros) {
+    fn set_drain_grace(&mut self, grace: Micros) {
         self.drain_grace = Duration::from_micros(grace.max(0) as u64);
     }
 
