--- a/crates/spokeflow-engine/src/engine.rs
+++ b/crates/spokeflow-engine/src/engine.rs
@@ -112,9 +112,9 @@
             Input::Abandon { conn, id } => self.on_abandon(conn, id, transport),
             Input::ClientDisconnected { conn } => self.on_client_disconnected(conn, transport),
             Input::WrongAnswer { receipt, .. } => self.on_wrong_answer(receipt.into()),
-            Input::WrongAnswerReport { host, ago_us } => self
+            Input::WrongAnswerReport { host, sent_ago_us } => self
                 .router
-                .on_wrong_answer(HostId(host), bounded_micros(ago_us)),
+                .on_wrong_answer(HostId(host), bounded_micros(sent_ago_us)),
             Input::FromHost { host, message } => {
                 self.on_host_message(HostId(host), message, transport);
             }
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -77,7 +77,7 @@
         /// The host.
         host: u32,
         /// How many microseconds ago the delivery was sent.
-        ago_us: u64,
+        sent_ago_us: u64,
     },
     /// The control plane granted a lease on a configuration. A router that follows a control plane gets one that has
     /// already expired as its first input.
--- a/crates/spokeflow-platform/src/engine_state.rs
+++ b/crates/spokeflow-platform/src/engine_state.rs
@@ -72,9 +72,12 @@
             }
             EngineEvent::EndpointsListed(listing) => self.on_listing(listing, false),
             EngineEvent::RolloutUpdated(update) => self.on_rollout_update(update),
-            EngineEvent::WrongAnswerReport { host_name, ago_us } => {
+            EngineEvent::WrongAnswerReport {
+                host_name,
+                sent_ago_us,
+            } => {
                 if let Some(host) = self.endpoints.number(&host_name) {
-                    self.input(Input::WrongAnswerReport { host, ago_us });
+                    self.input(Input::WrongAnswerReport { host, sent_ago_us });
                 }
             }
             EngineEvent::VoteAnswered {
--- a/crates/spokeflow-platform/src/event.rs
+++ b/crates/spokeflow-platform/src/event.rs
@@ -37,8 +37,8 @@
     EndpointsListed(Listing),
     /// The release controller has sent the state of a rollout.
     RolloutUpdated(RolloutUpdate),
-    /// The release controller has reported a wrong answer of this host, to a delivery sent `ago_us` microseconds ago.
-    WrongAnswerReport { host_name: String, ago_us: u64 },
+    /// The release controller has reported a wrong answer of this host to a delivery sent `sent_ago_us` ago.
+    WrongAnswerReport { host_name: String, sent_ago_us: u64 },
     /// A vote has been answered; `result` is `None` if it is unknown whether the vote counts.
     VoteAnswered {
         ballot: u64,
--- a/crates/spokeflow-platform/src/release_controller.rs
+++ b/crates/spokeflow-platform/src/release_controller.rs
@@ -168,7 +168,7 @@
             let ago_ms = ago_ms.map_err(|_| SubscriptionError::InvalidAge(line.to_string()))?;
             Ok(Some(EngineEvent::WrongAnswerReport {
                 host_name: unit.to_string(),
-                ago_us: ago_ms.saturating_mul(1000),
+                sent_ago_us: ago_ms.saturating_mul(1000),
             }))
         }
         _ => Err(SubscriptionError::UnknownLine(line.to_string())),
