--- a/crates/spokeflow-testbed/src/scale/phases.rs
+++ b/crates/spokeflow-testbed/src/scale/phases.rs
@@ -11,7 +11,7 @@
 
 use super::error::RunError;
 use super::flags::Phase;
-use super::offers::Proposer;
+use super::proposer::Proposer;
 use super::rig::Rig;
 use crate::Micros;
 
