--- a/crates/spokeflow-testbed/src/commits.rs
+++ b/crates/spokeflow-testbed/src/commits.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-use crate::routers::{RouterProcess, StartError, Starting};
+use crate::routers::{ChildProcess, StartError, Starting};
 
 /// Number of control-plane nodes: the smallest control plane that survives the failure of one node.
 const NODE_COUNT: usize = 3;
@@ -170,7 +170,7 @@
 async fn start_nodes(
     directory: &Path,
     addresses: &[SocketAddr],
-) -> Result<Vec<RouterProcess>, CommitsError> {
+) -> Result<Vec<ChildProcess>, CommitsError> {
     let starting = Starting {
         first: vec!["keeper".into()],
         ..Starting::own().map_err(CommitsError::OwnProgram)?
@@ -188,7 +188,7 @@
         ];
         let members = addresses.iter().enumerate();
         flags.extend(members.map(|(member, address)| format!("--member={member}={address}")));
-        nodes.push(RouterProcess::start(&starting, &flags, &name).await?);
+        nodes.push(ChildProcess::start(&starting, &flags, &name).await?);
     }
     Ok(nodes)
 }
--- a/crates/spokeflow-testbed/src/day/routers.rs
+++ b/crates/spokeflow-testbed/src/day/routers.rs
@@ -9,7 +9,7 @@
 
 use crate::client_connection::{RouterEndpoint, RouterEndpoints};
 use crate::context::RunContext;
-use crate::routers::{flags, RouterProcess, StartError, Starting};
+use crate::routers::{flags, ChildProcess, StartError, Starting};
 use crate::{locked, Micros};
 
 /// Time within which a router must end after SIGTERM: longer than its drain grace.
@@ -48,7 +48,7 @@
     /// Messages on routers that did not start or end as expected.
     failures: Mutex<Vec<String>>,
     /// By index of the router; `None` while it is down.
-    processes: tokio::sync::Mutex<Vec<Option<RouterProcess>>>,
+    processes: tokio::sync::Mutex<Vec<Option<ChildProcess>>>,
 }
 
 impl RouterFleet {
@@ -86,13 +86,13 @@
         Ok(())
     }
 
-    async fn start(&self, router: u32) -> Result<RouterProcess, StartError> {
+    async fn start(&self, router: u32) -> Result<ChildProcess, StartError> {
         let ServerAddresses {
             list,
             release_controller,
         } = self.servers;
         let flags = flags(&self.context.scenario, router, list, release_controller);
-        RouterProcess::start(&self.starting, &flags, &format!("router-{router}")).await
+        ChildProcess::start(&self.starting, &flags, &format!("router-{router}")).await
     }
 
     /// Carries out a planned restart.
@@ -142,7 +142,7 @@
         self.context.tap.record(Observation::RouterEnded(process));
     }
 
-    async fn terminate_child(&self, router: usize, child: &mut RouterProcess) {
+    async fn terminate_child(&self, router: usize, child: &mut ChildProcess) {
         if let Err(error) = child.terminate(TERMINATE_TIMEOUT).await {
             self.record_failure(format!("router {router}: {error}"));
         }
@@ -159,7 +159,7 @@
     }
 
     /// Takes the process of a router; `None` while it is down.
-    async fn take(&self, router: u32) -> Option<RouterProcess> {
+    async fn take(&self, router: u32) -> Option<ChildProcess> {
         let mut processes = self.processes.lock().await;
         processes.get_mut(router as usize).and_then(Option::take)
     }
--- a/crates/spokeflow-testbed/src/fleet/rig.rs
+++ b/crates/spokeflow-testbed/src/fleet/rig.rs
@@ -12,7 +12,7 @@
 use super::peers::{PeerAddresses, Peers};
 use super::switchboard::Switchboard;
 use crate::locked;
-use crate::routers::{RouterProcess, Starting};
+use crate::routers::{ChildProcess, Starting};
 use crate::Micros;
 
 /// Heartbeats of a leader within one election timeout.
@@ -53,7 +53,7 @@
 
 /// A node of the fleet, which may be down.
 pub(super) struct NodeSlot {
-    process: Option<RouterProcess>,
+    process: Option<ChildProcess>,
     /// Address at which the switchboard accepts connections to the node.
     public_address: SocketAddr,
     store: PathBuf,
@@ -87,7 +87,7 @@
     starting: Starting,
     nodes: tokio::sync::Mutex<BTreeMap<u32, NodeSlot>>,
     /// By number of the router; `None` while it does not run or a fault has taken it.
-    routers: tokio::sync::Mutex<Vec<Option<RouterProcess>>>,
+    routers: tokio::sync::Mutex<Vec<Option<ChildProcess>>>,
     addresses: PeerAddresses,
     /// Highest number that a node was given.
     last_node: Mutex<u32>,
@@ -215,7 +215,7 @@
             first: vec!["keeper".into()],
             ..self.starting.clone()
         };
-        let process = RouterProcess::start(&starting, &flags, &format!("keeper-{node}"))
+        let process = ChildProcess::start(&starting, &flags, &format!("keeper-{node}"))
             .await
             .map_err(|source| FleetError::StartNode { node, source })?;
         self.switchboard
@@ -297,7 +297,7 @@
     pub(super) async fn node_has_ended(&self, node: u32) -> bool {
         let mut nodes = self.nodes.lock().await;
         let process = nodes.get_mut(&node).and_then(|slot| slot.process.as_mut());
-        process.is_none_or(RouterProcess::has_ended)
+        process.is_none_or(ChildProcess::has_ended)
     }
 
     /// Reserves a node for a fault. Returns `false` if another fault has reserved it or it is retired.
@@ -355,7 +355,7 @@
             first: vec!["router".into()],
             ..self.starting.clone()
         };
-        match RouterProcess::start(&starting, &flags, &format!("router-{router}")).await {
+        match ChildProcess::start(&starting, &flags, &format!("router-{router}")).await {
             Ok(process) => {
                 self.peers.set_router_address(router, Some(process.address));
                 self.return_router(router, process).await;
@@ -365,11 +365,11 @@
     }
 
     /// Takes a router for a fault. Returns `None` if another fault has taken it or it does not run.
-    pub(super) async fn take_router(&self, router: u32) -> Option<RouterProcess> {
+    pub(super) async fn take_router(&self, router: u32) -> Option<ChildProcess> {
         self.routers.lock().await[router as usize].take()
     }
 
-    pub(super) async fn return_router(&self, router: u32, process: RouterProcess) {
+    pub(super) async fn return_router(&self, router: u32, process: ChildProcess) {
         self.routers.lock().await[router as usize] = Some(process);
     }
 
--- a/crates/spokeflow-testbed/src/load.rs
+++ b/crates/spokeflow-testbed/src/load.rs
@@ -25,7 +25,7 @@
     HostBehavior,
 };
 use crate::locked;
-use crate::routers::{RouterProcess, StartError, Starting};
+use crate::routers::{ChildProcess, StartError, Starting};
 
 /// Time in which a router connects to its peers.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
@@ -257,8 +257,8 @@
 
 /// The router or pass-through under load, and the control-plane node that it follows.
 struct Subject {
-    process: RouterProcess,
-    node: Option<RouterProcess>,
+    process: ChildProcess,
+    node: Option<ChildProcess>,
 }
 
 impl Subject {
@@ -315,13 +315,13 @@
 async fn start_pass_through(
     hosts: &[SocketAddr],
     starting: &Starting,
-) -> Result<RouterProcess, StartError> {
+) -> Result<ChildProcess, StartError> {
     let starting = Starting {
         first: vec!["pass".into()],
         ..starting.clone()
     };
     let flags: Vec<String> = hosts.iter().map(|host| format!("--host={host}")).collect();
-    RouterProcess::start_without_log(&starting, &flags).await
+    ChildProcess::start_without_log(&starting, &flags).await
 }
 
 async fn start_router(
@@ -329,7 +329,7 @@
     hosts: &[SocketAddr],
     node: Option<SocketAddr>,
     starting: &Starting,
-) -> Result<RouterProcess, LoadError> {
+) -> Result<ChildProcess, LoadError> {
     let list = start_list(hosts, load.canary)
         .await
         .map_err(LoadError::Listen)?;
@@ -345,5 +345,5 @@
         "--seed=1".into(),
     ];
     flags.extend(node.map(|address| format!("--control-plane={address}")));
-    Ok(RouterProcess::start(starting, &flags, "router").await?)
+    Ok(ChildProcess::start(starting, &flags, "router").await?)
 }
--- a/crates/spokeflow-testbed/src/load/peers.rs
+++ b/crates/spokeflow-testbed/src/load/peers.rs
@@ -13,7 +13,7 @@
 use tokio_util::codec::Framed;
 
 use super::LoadError;
-use crate::routers::{RouterProcess, Starting};
+use crate::routers::{ChildProcess, Starting};
 
 const RELEASED_BUILD: u16 = 1;
 const CANARY_BUILD: u16 = 2;
@@ -241,7 +241,7 @@
 }
 
 /// Starts a single control-plane node, which elects itself leader and grants leases.
-pub(super) async fn start_node(starting: &Starting) -> Result<RouterProcess, LoadError> {
+pub(super) async fn start_node(starting: &Starting) -> Result<ChildProcess, LoadError> {
     let store = std::env::temp_dir().join(format!("spokeflow-load-{}.redb", std::process::id()));
     // An earlier run may have left the file.
     let _ = std::fs::remove_file(&store);
@@ -255,7 +255,7 @@
         "--member=1=127.0.0.1:1".into(),
         format!("--store={}", store.display()),
     ];
-    let started = RouterProcess::start(&starting, &flags, "keeper").await;
+    let started = ChildProcess::start(&starting, &flags, "keeper").await;
     // The node keeps the file open and works on without its name.
     let _ = std::fs::remove_file(&store);
     Ok(started?)
--- a/crates/spokeflow-testbed/src/routers.rs
+++ b/crates/spokeflow-testbed/src/routers.rs
@@ -118,12 +118,12 @@
 }
 
 /// A running process that listens on an address. It is killed when this is dropped.
-pub(crate) struct RouterProcess {
+pub(crate) struct ChildProcess {
     child: Child,
     pub(crate) address: SocketAddr,
 }
 
-impl RouterProcess {
+impl ChildProcess {
     /// Starts a process and waits until it listens.
     ///
     /// # Errors
@@ -133,10 +133,10 @@
         starting: &Starting,
         flags: &[String],
         name: &str,
-    ) -> Result<RouterProcess, StartError> {
+    ) -> Result<ChildProcess, StartError> {
         let mut flags = flags.to_vec();
         flags.push(format!("--log={}", starting.log));
-        RouterProcess::start_with(starting, &flags, name).await
+        ChildProcess::start_with(starting, &flags, name).await
     }
 
     /// Starts a process that prints its address as a router does, but has no flag `--log`.
@@ -147,15 +147,15 @@
     pub(crate) async fn start_without_log(
         starting: &Starting,
         flags: &[String],
-    ) -> Result<RouterProcess, StartError> {
-        RouterProcess::start_with(starting, flags, "plain").await
+    ) -> Result<ChildProcess, StartError> {
+        ChildProcess::start_with(starting, flags, "plain").await
     }
 
     async fn start_with(
         starting: &Starting,
         flags: &[String],
         name: &str,
-    ) -> Result<RouterProcess, StartError> {
+    ) -> Result<ChildProcess, StartError> {
         let mut command = Command::new(&starting.program);
         // The process must not read its flags from the variables of this process.
         for (variable, _) in std::env::vars() {
@@ -177,7 +177,7 @@
         })?;
         let output = child.stdout.take().ok_or(StartError::NoOutput)?;
         let address = read_address(output, name).await?;
-        Ok(RouterProcess { child, address })
+        Ok(ChildProcess { child, address })
     }
 
     /// Returns the process id, or `None` once the process has ended and was waited for.
--- a/crates/spokeflow-testbed/src/scale/rig.rs
+++ b/crates/spokeflow-testbed/src/scale/rig.rs
@@ -23,7 +23,7 @@
 use super::settings::{RouterPeers, RouterSettings};
 use super::tap::Tap;
 use crate::fleet::peers::Peers;
-use crate::routers::{RouterProcess, StartError, Starting};
+use crate::routers::{ChildProcess, StartError, Starting};
 
 /// Time within which a process of hollow routers must report that its routers start.
 const HOLLOW_START_TIMEOUT: Duration = Duration::from_secs(20);
@@ -69,8 +69,8 @@
     stores: PathBuf,
     list_address: SocketAddr,
     peers: RouterPeers,
-    voters: Mutex<BTreeMap<u32, RouterProcess>>,
-    real: Mutex<BTreeMap<u32, RouterProcess>>,
+    voters: Mutex<BTreeMap<u32, ChildProcess>>,
+    real: Mutex<BTreeMap<u32, ChildProcess>>,
     hollow: Mutex<Vec<HollowProcess>>,
 }
 
@@ -191,7 +191,7 @@
             first: vec!["keeper".into()],
             ..self.starting.clone()
         };
-        let process = RouterProcess::start(&starting, &flags, &name).await;
+        let process = ChildProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|source| RunError::Start {
             name: name.clone(),
             source,
@@ -224,7 +224,7 @@
             ..self.starting.clone()
         };
         self.tap.record().started(self.tap.now(), router);
-        let process = RouterProcess::start(&starting, &flags, &name).await;
+        let process = ChildProcess::start(&starting, &flags, &name).await;
         let process = process.map_err(|source| RunError::Start {
             name: name.clone(),
             source,
