--- a/crates/spokeflow-engine/src/recording.rs
+++ b/crates/spokeflow-engine/src/recording.rs
@@ -40,8 +40,26 @@
 
 /// The bytes do not begin with the head of a recording of this version.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a recording of this version: expected a head of {HEAD_LENGTH} bytes that begins with SPKFREC1")]
-pub struct NotARecordingError;
+#[error(
+    "not a recording of this version: expected a head of {HEAD_LENGTH} bytes that begins with SPKFREC1, \
+     got {length} bytes that begin with '{beginning}'"
+)]
+pub struct NotARecordingError {
+    /// Number of bytes that were to be read.
+    pub length: usize,
+    /// The bytes in place of the magic bytes, as ASCII with escapes.
+    pub beginning: String,
+}
+
+impl NotARecordingError {
+    fn new(bytes: &[u8]) -> Self {
+        let beginning = &bytes[..bytes.len().min(MAGIC.len())];
+        NotARecordingError {
+            length: bytes.len(),
+            beginning: beginning.escape_ascii().to_string(),
+        }
+    }
+}
 
 /// An entry of a recording is truncated or corrupt.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -79,7 +97,7 @@
     /// [`NotARecordingError`] if the head cannot be read. An entry that cannot be read is reported in
     /// [`Recording::error`] instead, together with the inputs before it.
     pub fn read(bytes: &[u8]) -> Result<Recording, NotARecordingError> {
-        let mut recording = read_head(bytes).ok_or(NotARecordingError)?;
+        let mut recording = read_head(bytes).ok_or_else(|| NotARecordingError::new(bytes))?;
         let mut offset = HEAD_LENGTH;
         while offset < bytes.len() {
             let Some(entry) = read_entry(&bytes[offset..]) else {
--- a/crates/spokeflow-engine/tests/engine/recording.rs
+++ b/crates/spokeflow-engine/tests/engine/recording.rs
@@ -47,8 +47,12 @@
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
     assert_eq!(Recording::read(&bytes).unwrap().error, Some(torn()));
+    let other = b"something else entirely, long enough";
     assert_eq!(
-        Recording::read(b"something else entirely, long enough"),
-        Err(NotARecordingError)
+        Recording::read(other),
+        Err(NotARecordingError {
+            length: other.len(),
+            beginning: "somethin".into(),
+        })
     );
 }
