--- a/crates/spokeflow-coordination/src/effective_config.rs
+++ b/crates/spokeflow-coordination/src/effective_config.rs
@@ -19,15 +19,15 @@
     pub may_hedge: bool,
     /// Longest time, in microseconds, after which a client may be told to retry; 0 if clients are told no time.
     pub longest_retry_after: Micros,
-    /// Time, in microseconds, for which a host that is draining or gone may still get new commands.
+    /// Time, in microseconds, after a host is listed as draining or gone in which a frame may still be sent to it.
     pub drain_grace: Micros,
     /// Fraction of its capacity that a host has right after its start.
     pub slow_start_from: f64,
-    /// Multiple of its capacity at which a host that has just started fails.
+    /// Traffic that overloads a cold host, as a multiple of the mean traffic of a warm host.
     pub overload_multiple: f64,
     /// By rollout stage, an upper limit on the exposure cap that the release controller sets.
     pub stage_caps: Vec<f64>,
-    /// Deliveries to a canary that are free in each exposure window.
+    /// Deliveries allowed in addition to the exposure cap in each exposure window.
     pub exposure_allowance: f64,
     /// Rollout stages, from the first, in which a canary gets redeliverable operations only.
     pub guarded_stages: u8,
--- a/crates/spokeflow-coordination/src/lease_messages.rs
+++ b/crates/spokeflow-coordination/src/lease_messages.rs
@@ -12,7 +12,7 @@
     pub process: u64,
     /// Index of the router in its fleet.
     pub router: u32,
-    /// The revisions that the router has whole.
+    /// The revisions whose full content the router has.
     pub known_revisions: KnownRevisions,
     /// The newest revision that all actions of the router now respect.
     pub applied_revision: RevisionNumber,
@@ -22,8 +22,8 @@
     pub list: Option<ListVersion>,
 }
 
-/// The revisions that a router has whole, or that a grant names. Ordered by age: by the revision in force, then by the
-/// newest one.
+/// The revisions whose full content a router has, or that a grant names. Ordered by age: by the revision in force, then
+/// by the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownRevisions {
     /// The revision in force.
--- a/crates/spokeflow-engine/src/engine/endpoint_list.rs
+++ b/crates/spokeflow-engine/src/engine/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Endpoint lists: the router's own and the replicated one, which comes from the control plane. The own list removes
-//! endpoints from the replicated one.
+//! endpoints from the replicated one. Operators know the endpoint list as the host list.
 
 use std::collections::BTreeSet;
 
