--- a/crates/spokeflow-engine/src/egress.rs
+++ b/crates/spokeflow-engine/src/egress.rs
@@ -20,10 +20,10 @@
         }
     }
 
-    /// Returns by when a delivery must leave: a delivery that is queued while this process is stopped must not leave
+    /// Returns the send deadline of a delivery: one that is queued while this process is stopped must not be sent
     /// under a lease that has expired in the meantime, and a delayed retry must not arrive after hosts have forgotten
     /// the first delivery.
-    fn leave_by(&self, host: HostId, deadline: Micros, retry_by: Option<Micros>) -> Micros {
+    fn send_deadline(&self, host: HostId, deadline: Micros, retry_by: Option<Micros>) -> Micros {
         let lease_end = self
             .in_flight
             .canary_lease
@@ -101,8 +101,8 @@
             left_us: (deadline - now) as u64,
             body: command.body.clone(),
         };
-        let leave_by = self.leave_by(host, deadline, retry_by);
-        if !self.transport.to_host(host, message, leave_by) {
+        let send_deadline = self.send_deadline(host, deadline, retry_by);
+        if !self.transport.to_host(host, message, send_deadline) {
             // The send queue is full because the host does not read from it: treated as if the host itself were full.
             self.defer_outcome(delivery, AttemptOutcome::Rejected);
         }
--- a/crates/spokeflow-engine/src/endpoint_entry.rs
+++ b/crates/spokeflow-engine/src/endpoint_entry.rs
@@ -81,6 +81,7 @@
     listed.up_us.map(|uptime| now - bounded_micros(uptime))
 }
 
+/// Converts an endpoint's phase, the wire form, into its state, the decision module's form.
 fn endpoint_state(phase: EndpointPhase) -> EndpointState {
     match phase {
         EndpointPhase::Gone => EndpointState::Gone,
--- a/crates/spokeflow-engine/src/engine/release_controller.rs
+++ b/crates/spokeflow-engine/src/engine/release_controller.rs
@@ -69,8 +69,8 @@
         caps.get(usize::from(stage)).copied().unwrap_or(0.0) as f32
     }
 
-    /// Recalls the deliveries that have not left for builds whose exposure cap fell: the lower cap applies to all that
-    /// leaves from now on, also to deliveries that were queued earlier.
+    /// Recalls the unsent deliveries to builds whose exposure cap fell: the lower cap applies to everything sent from
+    /// now on, also to deliveries that were queued earlier.
     fn recall_where_cap_fell(
         &self,
         before: Option<RolloutUpdate>,
@@ -128,6 +128,7 @@
     }
 }
 
+/// Converts the wire form of a rollout's state, [`RolloutUpdate`], into [`RolloutStatus`], the decision module's form.
 fn rollout_status(update: RolloutUpdate) -> RolloutStatus {
     RolloutStatus {
         build: BuildId(update.build),
--- a/crates/spokeflow-engine/src/in_flight.rs
+++ b/crates/spokeflow-engine/src/in_flight.rs
@@ -29,14 +29,14 @@
     pub(crate) deliveries: Vec<u64>,
     /// When each delivery was started, indexed by attempt; `None` for those that are proven not to have run.
     pub(crate) may_have_run_since: Vec<Option<Micros>>,
-    /// How long after the first delivery that may have run a retry may leave; `None` for no limit.
+    /// How long after the first delivery that may have run a retry may be sent; `None` for no limit.
     pub(crate) deduplication_window: Option<Micros>,
     /// Number of deliveries that have not ended.
     pub(crate) open_deliveries: u32,
 }
 
 impl PendingCommand {
-    /// Returns by when a retry must leave, because hosts may forget the first delivery then; `None` for no limit.
+    /// Returns the send deadline of a retry, from which hosts may forget the first delivery; `None` for no limit.
     pub(crate) fn retry_by(&self) -> Option<Micros> {
         let window = self.deduplication_window?;
         let first = self.may_have_run_since.iter().flatten().min()?;
@@ -81,7 +81,7 @@
 pub(crate) struct CanaryLease {
     /// The lowest build that is not released.
     pub(crate) first_build: BuildId,
-    /// When deliveries to these builds must have left.
+    /// Send deadline of deliveries to these builds.
     pub(crate) ends_at: Micros,
 }
 
@@ -217,7 +217,7 @@
         *count += 1;
     }
 
-    /// Recalls the deliveries of a command that is answered: those still queued must not leave over a connection that
+    /// Recalls the deliveries of a command that is answered: those still queued must not be sent over a connection that
     /// is made later.
     pub(crate) fn recall(&self, cmd: CommandId, transport: &mut dyn Transport) {
         let Some(command) = self.commands.get(&cmd) else {
--- a/crates/spokeflow-engine/src/input.rs
+++ b/crates/spokeflow-engine/src/input.rs
@@ -102,11 +102,11 @@
 /// How a delivery ended for which no message came back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransportFailure {
-    /// The frame did not leave completely: the delivery never ran.
+    /// The frame was not written completely: the delivery never ran.
     NotSent,
     /// No connection could be made, or the host refused it: the delivery never ran.
     NotConnected,
-    /// The connection broke after the frame had left: the delivery may have run.
+    /// The connection broke after the frame was written: the delivery may have run.
     Reset,
     /// The router closed the connection, because nothing arrived over it for too long or what arrived could not be
     /// decoded: the delivery may have run. This does not show that the host's process failed, because a network
--- a/crates/spokeflow-engine/src/outgoing.rs
+++ b/crates/spokeflow-engine/src/outgoing.rs
@@ -1,5 +1,5 @@
-//! The send queue to one host, and which of its deliveries have left. A frame that has not left completely never runs,
-//! however the connection ends.
+//! The send queue to one host, and which of its deliveries have been sent. A delivery is sent when the operating system
+//! has taken its whole frame; one whose frame was not written completely never runs, however the connection ends.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,9 +9,9 @@
 /// Ids of the deliveries that were unsent or unconfirmed when their connection broke.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Undelivered {
-    /// The frame has not left completely: they never ran.
+    /// The frame was not written completely: they never ran.
     pub unsent: Vec<u64>,
-    /// The frame has left and no answer has come: they may have run.
+    /// The frame was written and no answer has come: they may have run.
     pub unconfirmed: Vec<u64>,
 }
 
@@ -21,11 +21,11 @@
 pub struct Outgoing {
     /// Messages that have not been encoded.
     waiting: VecDeque<QueuedMessage>,
-    /// Encoded deliveries that have not left completely, in order.
+    /// Encoded deliveries whose frames are not written completely, in order.
     unwritten: VecDeque<EncodedDelivery>,
-    /// Ids of the deliveries that have left and are not answered.
+    /// Ids of the deliveries that were sent and are not answered.
     unconfirmed: BTreeSet<u64>,
-    /// Ids of the deliveries that were cancelled after they had begun to leave. The value is the number of the ping
+    /// Ids of the deliveries that were cancelled after they had been encoded. The value is the number of the ping
     /// whose answer shows that delivery and cancel have arrived: a network partition may hold both back and let them
     /// through when it ends.
     cancelled: BTreeMap<u64, u64>,
@@ -40,8 +40,8 @@
 #[derive(Debug)]
 struct QueuedMessage {
     message: ToHost,
-    /// When a delivery is too late to begin to leave.
-    leave_by: Micros,
+    /// Time from which a delivery that is not encoded yet is too late and is not sent.
+    send_deadline: Micros,
 }
 
 impl QueuedMessage {
@@ -63,19 +63,22 @@
 impl Outgoing {
     /// Queues a message. Returns the id of a delivery that is now proven not to have been sent: the message's own if
     /// the queue is closed, or the one that a `Cancel` has removed before it was encoded.
-    pub fn push(&mut self, message: ToHost, leave_by: Micros) -> Option<u64> {
+    pub fn push(&mut self, message: ToHost, send_deadline: Micros) -> Option<u64> {
         match message {
-            ToHost::Cancel { delivery } => return self.cancel(delivery, leave_by),
+            ToHost::Cancel { delivery } => return self.cancel(delivery, send_deadline),
             ToHost::Deliver { delivery, .. } if self.closed => return Some(delivery),
             ToHost::Ping => self.pings_sent += 1,
             _ => {}
         }
-        self.waiting.push_back(QueuedMessage { message, leave_by });
+        self.waiting.push_back(QueuedMessage {
+            message,
+            send_deadline,
+        });
         None
     }
 
-    /// Removes a delivery that waits, or queues a `Cancel` for one that has begun to leave.
-    fn cancel(&mut self, delivery: u64, leave_by: Micros) -> Option<u64> {
+    /// Removes a delivery that waits, or queues a `Cancel` for one that is already encoded.
+    fn cancel(&mut self, delivery: u64, send_deadline: Micros) -> Option<u64> {
         let queued = self
             .waiting
             .iter()
@@ -84,15 +87,18 @@
             self.waiting.remove(index);
             return Some(delivery);
         }
-        let has_left = self.unconfirmed.remove(&delivery);
-        if has_left
+        let was_sent = self.unconfirmed.remove(&delivery);
+        if was_sent
             || self
                 .unwritten
                 .iter()
                 .any(|frame| frame.delivery == delivery)
         {
             let message = ToHost::Cancel { delivery };
-            self.waiting.push_back(QueuedMessage { message, leave_by });
+            self.waiting.push_back(QueuedMessage {
+                message,
+                send_deadline,
+            });
             self.cancelled.insert(delivery, self.pings_sent + 1);
             self.ping_if_needed();
         }
@@ -107,7 +113,7 @@
             self.pings_sent = next_ping;
             self.waiting.push_back(QueuedMessage {
                 message: ToHost::Ping,
-                leave_by: Micros::MAX,
+                send_deadline: Micros::MAX,
             });
         }
     }
@@ -120,11 +126,12 @@
         self.ping_if_needed();
     }
 
-    /// Returns the next message to encode. Ids of deliveries that are too late go to `late` instead: they never leave.
+    /// Returns the next message to encode. Ids of deliveries past their send deadline go to `late` instead: they
+    /// are not sent.
     pub fn next(&mut self, now: Micros, late: &mut Vec<u64>) -> Option<ToHost> {
         while let Some(queued) = self.waiting.pop_front() {
             match queued.delivery() {
-                Some(delivery) if now >= queued.leave_by => late.push(delivery),
+                Some(delivery) if now >= queued.send_deadline => late.push(delivery),
                 _ => return Some(queued.message),
             }
         }
@@ -161,8 +168,8 @@
         self.cancelled.remove(&delivery);
     }
 
-    /// Closes the queue because the host drains or is gone. Returns the ids of the deliveries that waited: they never
-    /// leave.
+    /// Closes the queue because the host drains or is gone. Returns the ids of the deliveries that waited: they are
+    /// not sent.
     pub fn close(&mut self) -> Vec<u64> {
         self.closed = true;
         let unsent = self
@@ -184,7 +191,7 @@
         self.closed
     }
 
-    /// Returns whether an encoded delivery has not left completely.
+    /// Returns whether the frame of an encoded delivery is not written completely.
     pub fn is_mid_frame(&self) -> bool {
         !self.unwritten.is_empty()
     }
--- a/crates/spokeflow-engine/tests/common/mod.rs
+++ b/crates/spokeflow-engine/tests/common/mod.rs
@@ -29,8 +29,8 @@
 pub(crate) struct SentDelivery {
     pub(crate) host: u32,
     pub(crate) delivery: u64,
-    /// By when it must leave.
-    pub(crate) leave_by: Micros,
+    /// Its send deadline.
+    pub(crate) send_deadline: Micros,
 }
 
 /// An answer to a client.
@@ -113,8 +113,8 @@
         let at = self.now;
         self.answers.push(SentAnswer { at, conn, message });
     }
-    fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
-        self.log((host, &message, leave_by));
+    fn to_host(&mut self, host: HostId, message: ToHost, send_deadline: Micros) -> bool {
+        self.log((host, &message, send_deadline));
         if let ToHost::Deliver { delivery, .. } = message {
             if self.full_host == Some(host.0) {
                 return false;
@@ -122,7 +122,7 @@
             let sent = SentDelivery {
                 host: host.0,
                 delivery,
-                leave_by,
+                send_deadline,
             };
             self.open.push(sent);
             self.deliveries.push(sent);
--- a/crates/spokeflow-engine/tests/engine/deliveries.rs
+++ b/crates/spokeflow-engine/tests/engine/deliveries.rs
@@ -1,4 +1,4 @@
-//! Deliveries: whether they may have run, by how they ended, and which are recalled before they leave.
+//! Deliveries: whether they may have run, by how they ended, and which are recalled before they are sent.
 
 use spokeflow_engine::{Input, TransportFailure};
 use spokeflow_proto::{EndpointPhase, ToClient};
@@ -73,7 +73,7 @@
 
 /// The deduplication window of 0.8 s counts from the first delivery that may have run, wherever the retry is delayed.
 #[test]
-fn a_retry_has_to_leave_within_the_deduplication_window() {
+fn a_retry_has_to_be_sent_within_the_deduplication_window() {
     let mut harness = Harness::new(5, 0);
     harness.list_ready(&[1, 2, 3], 7);
     harness.command(10, 1, DEDUPLICATED, 0);
@@ -88,10 +88,10 @@
     let deliveries = &harness.transport.deliveries;
     assert_eq!(deliveries.len(), 3);
     assert!(
-        deliveries[1].leave_by > window_start + SECOND,
+        deliveries[1].send_deadline > window_start + SECOND,
         "a delivery that never ran must not start the window: {deliveries:?}"
     );
-    assert_eq!(deliveries[2].leave_by, window_start + 800_000);
+    assert_eq!(deliveries[2].send_deadline, window_start + 800_000);
 }
 
 #[test]
--- a/crates/spokeflow-engine/tests/engine/rollout.rs
+++ b/crates/spokeflow-engine/tests/engine/rollout.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn deliveries_queued_for_the_canary_leave_within_the_lease_or_never() {
+fn deliveries_queued_for_the_canary_are_sent_within_the_lease_or_never() {
     let mut harness = Harness::new(5, 0);
     grant_lease(&mut harness, 7 * SECOND, |_| {});
     start_canary(&mut harness);
@@ -143,11 +143,11 @@
     let (canary, stable): (Vec<&SentDelivery>, Vec<&SentDelivery>) =
         sent.iter().partition(|sent| is_canary(sent));
     assert!(
-        !canary.is_empty() && canary.iter().all(|sent| sent.leave_by <= until),
+        !canary.is_empty() && canary.iter().all(|sent| sent.send_deadline <= until),
         "{canary:?}"
     );
     assert!(
-        stable.iter().any(|sent| sent.leave_by > until),
+        stable.iter().any(|sent| sent.send_deadline > until),
         "the stable build needs no lease"
     );
 }
--- a/crates/spokeflow-engine/tests/outgoing.rs
+++ b/crates/spokeflow-engine/tests/outgoing.rs
@@ -71,7 +71,7 @@
     outgoing.push(ToHost::Cancel { delivery: 1 }, LATER);
     assert_eq!(outgoing.close(), [2]);
     assert_eq!(outgoing.push(deliver(3), LATER), Some(3));
-    // A cancel of a delivery that has begun to leave is still sent.
+    // The cancel of a delivery that is already encoded is sent.
     assert_eq!(
         outgoing.next(0, &mut Vec::new()),
         Some(ToHost::Cancel { delivery: 1 })
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_expired_delivery_does_not_leave() {
+fn an_expired_delivery_is_not_sent() {
     let mut outgoing = Outgoing::default();
     outgoing.push(deliver(1), 100);
     outgoing.push(deliver(2), 200);
--- a/crates/spokeflow-platform/src/transport.rs
+++ b/crates/spokeflow-platform/src/transport.rs
@@ -125,7 +125,7 @@
         host: HostId,
         delivery: u64,
         left_us: u64,
-        leave_by: Micros,
+        send_deadline: Micros,
         request: Bytes,
     ) -> bool {
         let Some(known) = self.hosts.get(&host).filter(|known| known.is_open) else {
@@ -149,7 +149,7 @@
             address,
             request,
             until: clock.instant_at(clock.now() + left_us as Micros),
-            leave_by: clock.instant_at(leave_by),
+            send_deadline: clock.instant_at(send_deadline),
             route: Some(route),
             idle_us,
             recalled,
@@ -203,14 +203,14 @@
         let _ = pending.answer.send(message);
     }
 
-    fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
+    fn to_host(&mut self, host: HostId, message: ToHost, send_deadline: Micros) -> bool {
         match message {
             ToHost::Deliver {
                 delivery,
                 left_us,
                 body,
                 ..
-            } => self.deliver(host, delivery, left_us, leave_by, body),
+            } => self.deliver(host, delivery, left_us, send_deadline, body),
             ToHost::Cancel { delivery } => {
                 // Aborting the task closes the connection, which is how this protocol cancels a delivery.
                 if let Some(open) = self.open_deliveries.remove(&delivery) {
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -59,7 +59,7 @@
     /// When the router stops waiting for the answer.
     pub(crate) until: Instant,
     /// Deadline for sending: the request must be sent whole by then, or not at all.
-    pub(crate) leave_by: Instant,
+    pub(crate) send_deadline: Instant,
     /// `None` once the request is being sent.
     pub(crate) route: Option<Route>,
     /// How long the connection was idle, in microseconds; `None` for a new one.
@@ -221,10 +221,10 @@
     /// Writes the whole request, on an idle connection or on a new one. If it fails, the request has not run.
     ///
     /// Opening a connection may take long, and the engine's decision may be outdated by then. So the time left is
-    /// computed when the request is written, and a request that is past `leave_by` or has been recalled is not sent.
+    /// computed when the request is written, and a request past `send_deadline` or recalled is not sent.
     async fn send(&mut self) -> Result<Connection, TransportFailure> {
         let route = self.route.take();
-        let leave_by = self.leave_by;
+        let send_deadline = self.send_deadline;
         let address = self.address;
         let within = self.config.connect_timeout;
         let request = &self.request;
@@ -255,7 +255,7 @@
         tokio::select! {
             biased;
             _ = &mut self.recalled => Err(TransportFailure::NotSent),
-            _ = sleep_until(leave_by) => Err(TransportFailure::NotSent),
+            _ = sleep_until(send_deadline) => Err(TransportFailure::NotSent),
             sent = sending => sent.map_err(|error| {
                 if let Some(kept_back) = self.config.clock.allow_log_line() {
                     info!(host = self.host.0, %address, kept_back, %error, "host not connected");
--- a/crates/spokeflow-router/src/host_link.rs
+++ b/crates/spokeflow-router/src/host_link.rs
@@ -40,7 +40,7 @@
 pub(crate) struct QueuedMessage {
     pub(crate) message: ToHost,
     /// Time after which a delivery is no longer sent, in microseconds of the router's clock.
-    pub(crate) leave_by: Micros,
+    pub(crate) send_deadline: Micros,
 }
 
 /// The task that serves one host.
@@ -165,7 +165,7 @@
     /// Queues a message for the connection. Reports a delivery that this proves not sent: the message's own while
     /// `outgoing` is closed, or the unsent one that it cancels.
     pub(crate) async fn queue(&self, outgoing: &mut Outgoing, queued: QueuedMessage) {
-        if let Some(delivery) = outgoing.push(queued.message, queued.leave_by) {
+        if let Some(delivery) = outgoing.push(queued.message, queued.send_deadline) {
             self.fail(vec![delivery], TransportFailure::NotSent).await;
         }
     }
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -77,8 +77,11 @@
         }
     }
 
-    fn to_host(&mut self, host: HostId, message: ToHost, leave_by: Micros) -> bool {
-        let queued = QueuedMessage { message, leave_by };
+    fn to_host(&mut self, host: HostId, message: ToHost, send_deadline: Micros) -> bool {
+        let queued = QueuedMessage {
+            message,
+            send_deadline,
+        };
         self.hosts
             .get(&host)
             .is_some_and(|handle| handle.messages.try_send(queued).is_ok())
--- a/crates/spokeflow-router/tests/unit/host_link.rs
+++ b/crates/spokeflow-router/tests/unit/host_link.rs
@@ -90,7 +90,7 @@
         for delivery in 0..1000 {
             let queued = QueuedMessage {
                 message: deliver(delivery, body.clone()),
-                leave_by: Micros::MAX,
+                send_deadline: Micros::MAX,
             };
             match messages.try_send(queued) {
                 Ok(()) => taken += 1,
