--- a/crates/spokeflow-config/src/check.rs
+++ b/crates/spokeflow-config/src/check.rs
@@ -28,12 +28,17 @@
     fn check_operations(&self, errors: &mut ConfigErrors) {
         for op in &self.ops {
             let mut check = |wrong: bool, fault: &str| {
-                errors.add_if(wrong, "op", format!("op type '{}': {fault}", op.name));
+                errors.add_if(wrong, "op", format!("operation '{}': {fault}", op.name));
             };
             check(op.target.is_zero(), "target= is missing or 0");
-            check(op.timeout < op.target, "timeout= is shorter than target=");
+            let short_timeout = format!(
+                "timeout= must not be shorter than target= {:?}, got {:?}",
+                op.target, op.timeout
+            );
+            check(op.timeout < op.target, &short_timeout);
             let bad_importance = op.importance.is_nan() || op.importance <= 0.0;
-            check(bad_importance, "importance= must be above 0");
+            let fault = format!("importance= must be above 0, got {}", op.importance);
+            check(bad_importance, &fault);
             let deduplicated = op.repeat == Repeat::Deduplicated;
             let lacks_memory = deduplicated && op.memory.is_zero();
             check(lacks_memory, "memory= is required with deduplicated");
--- a/crates/spokeflow-platform/src/configuration.rs
+++ b/crates/spokeflow-platform/src/configuration.rs
@@ -62,7 +62,7 @@
     Json(#[from] serde_json::Error),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("settings: no op type, expected at least one")]
+    #[error("settings: no operation, expected at least one")]
     NoOperations,
     #[error("settings: {kind} '{name}' is listed more than once")]
     RepeatedName { kind: &'static str, name: String },
@@ -128,7 +128,7 @@
         return Err(ConfigurationError::NoOperations);
     }
     let lists = [
-        ("op type", &settings.ops),
+        ("operation", &settings.ops),
         ("tenant", &settings.customers),
         ("zone", &settings.zones),
     ];
--- a/crates/spokeflow-router/tests/flags.rs
+++ b/crates/spokeflow-router/tests/flags.rs
@@ -57,8 +57,8 @@
     .unwrap_err();
     let lines: Vec<&str> = faults.lines().collect();
     let flags = [
-        "op: op type 'odd'",
-        "op: op type 'odd'",
+        "op: operation 'odd'",
+        "op: operation 'odd'",
         "cold-from",
         "stage-cap",
         "stage-cap",
