--- a/crates/spokeflow-router/src/migrate/mod.rs
+++ b/crates/spokeflow-router/src/migrate/mod.rs
@@ -1,4 +1,5 @@
-//! Migrates a router's file of environment variables to a deployment where both builds run side by side.
+//! Migrates a router's file of environment variables to a deployment where the hosts of the new build run beside the
+//! earlier ones (`--beside`).
 //!
 //! The rules by which settings are kept, dropped or added are in `mapping.rs`. Nothing here takes part in routing.
 
@@ -16,8 +17,8 @@
 pub use error::{MigrationError, MigrationErrors, SettingError};
 pub use setting::{parse_settings, Setting, SettingOrigin};
 
-/// Reads a router's file of environment variables, writes its counterpart for a deployment where both builds run side
-/// by side, and lists what it could not carry over.
+/// Reads a router's file of environment variables, writes its counterpart for a deployment where the hosts of the new
+/// build run beside the earlier ones, and lists what it could not carry over.
 #[derive(Debug, Parser)]
 #[command(name = "spokeflow-migrate", version)]
 pub struct MigrateProgram {
