--- a/crates/spokeflow-control-plane/src/peers.rs
+++ b/crates/spokeflow-control-plane/src/peers.rs
@@ -48,8 +48,10 @@
     Connection(#[from] FrameError),
     #[error("no welcome within {LINK_TIMEOUT:?}")]
     TimedOut,
-    #[error("connection closed, or another message in place of a welcome")]
-    NoWelcome,
+    #[error("connection closed before the welcome")]
+    Closed,
+    #[error("expected a welcome, got {0:?}")]
+    NoWelcome(Box<FromNode>),
     #[error("refused ({why:?}): {text}")]
     Refused { why: Refusal, text: String },
 }
@@ -92,7 +94,9 @@
         match link.next().await {
             Some(Ok(FromNode::Welcome { .. })) => Ok(link),
             Some(Ok(FromNode::Refused { why, text })) => Err(OpenError::Refused { why, text }),
-            _ => Err(OpenError::NoWelcome),
+            Some(Ok(other)) => Err(OpenError::NoWelcome(Box::new(other))),
+            Some(Err(error)) => Err(error.into()),
+            None => Err(OpenError::Closed),
         }
     }
 
--- a/crates/spokeflow-control-plane/src/startup.rs
+++ b/crates/spokeflow-control-plane/src/startup.rs
@@ -120,7 +120,7 @@
         snapshot = saved.snapshot.last_included_index.0,
         term = saved.term.0,
         ?longest_contradiction,
-        "node starting; two routers act on contradicting revisions for at most longest_contradiction"
+        "node starting"
     );
 }
 
--- a/crates/spokeflow-control-plane/src/store.rs
+++ b/crates/spokeflow-control-plane/src/store.rs
@@ -106,12 +106,16 @@
     #[error("damaged: {0}; remove this node and add one with a new number and an empty store")]
     Damaged(String),
     /// The store belongs to another fleet or another node.
-    #[error("belongs to node {node} of fleet {fleet}, not to this node")]
+    #[error("belongs to node {node} of fleet {fleet}, expected node {expected_node} of fleet {expected_fleet}")]
     Foreign {
         /// The fleet that it belongs to.
         fleet: u64,
         /// The node that it belongs to.
         node: u32,
+        /// The fleet of the node that opens it.
+        expected_fleet: u64,
+        /// The node that opens it.
+        expected_node: u32,
     },
     /// The folder of the store cannot be created.
     #[error("cannot create its folder: {0}")]
@@ -204,6 +208,8 @@
                 return Err(StoreError::Foreign {
                     fleet: other.fleet,
                     node: other.node.0,
+                    expected_fleet: owner.fleet,
+                    expected_node: owner.node.0,
                 });
             }
             starts = read_record(&meta, OWN_STARTS_RECORD)?.unwrap_or_default();
--- a/crates/spokeflow-ctl/src/error.rs
+++ b/crates/spokeflow-ctl/src/error.rs
@@ -26,8 +26,8 @@
     /// A newer revision exists than the one that the proposal was made against.
     #[error("proposal is made against revision {base}, but revision {newest} is the newest")]
     Stale { base: u64, newest: u64 },
-    /// Another revision is not in force yet.
-    #[error("revision {pending} is pending and not in force yet")]
+    /// The proposal was refused because another revision is not in force yet.
+    #[error("proposal refused: revision {pending} is pending and not in force yet")]
     Busy { pending: u64 },
     /// The revision is not in force at the end of `--within`.
     #[error("revision {expected} is not in force yet, revision {in_force} is")]
--- a/crates/spokeflow-router/src/cached_list.rs
+++ b/crates/spokeflow-router/src/cached_list.rs
@@ -26,10 +26,15 @@
 pub(crate) enum CachedListError {
     #[error(transparent)]
     Read(#[from] io::Error),
-    #[error("not a cached host list of this version: must begin with SPKFLST1")]
-    OtherFile,
-    #[error("cached host list is damaged: its content cannot be decoded")]
-    Damaged,
+    #[error(
+        "not a cached host list of this version: must begin with SPKFLST1, got {length} bytes that begin with \
+         '{beginning}'"
+    )]
+    OtherFile { length: usize, beginning: String },
+    #[error("cached host list is damaged: its content cannot be decoded: {0}")]
+    Damaged(#[source] postcard::Error),
+    #[error("cached host list is damaged: {0} bytes follow its content")]
+    TrailingBytes(usize),
 }
 
 impl CachedList {
@@ -102,9 +107,18 @@
     let bytes = std::fs::read(file)?;
     let body = bytes
         .strip_prefix(FILE_MARK)
-        .ok_or(CachedListError::OtherFile)?;
+        .ok_or_else(|| other_file(&bytes))?;
     match postcard::take_from_bytes::<Vec<EndpointRecord>>(body) {
         Ok((endpoints, [])) => Ok(endpoints),
-        _ => Err(CachedListError::Damaged),
+        Ok((_, rest)) => Err(CachedListError::TrailingBytes(rest.len())),
+        Err(error) => Err(CachedListError::Damaged(error)),
+    }
+}
+
+fn other_file(bytes: &[u8]) -> CachedListError {
+    let beginning = &bytes[..bytes.len().min(FILE_MARK.len())];
+    CachedListError::OtherFile {
+        length: bytes.len(),
+        beginning: beginning.escape_ascii().to_string(),
     }
 }
--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use rand::RngExt;
 use spokeflow_coordination::wire::{
-    Caller, ClusterParameters, FromNode, Request, Response, ToNode, LIMIT,
+    Caller, ClusterParameters, FromNode, Refusal, Request, Response, ToNode, LIMIT,
 };
 use spokeflow_coordination::{
     HostState, LeaseConfig, LeaseGrant, LeaseHolder, ListedHost, RevisionNumber,
@@ -67,8 +67,8 @@
     NoResponse,
     #[error("node knows no leader")]
     NoLeader,
-    #[error("node refused the request")]
-    Refused,
+    #[error("node refused the request ({why:?}): {text}")]
+    Refused { why: Refusal, text: String },
     #[error("connection lost")]
     ConnectionLost,
 }
@@ -212,14 +212,15 @@
     }
 
     fn new_lease_holder(&self, parameters: &ClusterParameters) -> LeaseHolder {
-        info!(
-            lease_us = parameters.lease_us,
-            "control plane connected; two routers act on contradicting revisions for at most one lease"
-        );
         let config = LeaseConfig {
             duration: parameters.lease_us as Micros,
             max_clock_drift: parameters.max_clock_drift,
         };
+        info!(
+            lease_us = parameters.lease_us,
+            longest_contradiction_us = config.longest_contradiction(),
+            "control plane connected"
+        );
         let lease_holder = LeaseHolder::new(config, self.process, self.flags.index);
         if self.flags.replicated_list {
             lease_holder.with_list()
@@ -329,7 +330,7 @@
             response: Response::Granted(grant),
         })) => Ok((number, *grant)),
         Some(Ok(FromNode::Response { .. })) => Err(LinkError::NoLeader),
-        Some(Ok(FromNode::Refused { .. })) => Err(LinkError::Refused),
+        Some(Ok(FromNode::Refused { why, text })) => Err(LinkError::Refused { why, text }),
         _ => Err(LinkError::ConnectionLost),
     }
 }
--- a/crates/spokeflow-router/src/host_connection.rs
+++ b/crates/spokeflow-router/src/host_connection.rs
@@ -47,8 +47,8 @@
     Frame(#[from] FrameError),
     #[error("host refused the connection: {0}")]
     Refused(String),
-    #[error("expected a welcome from the host, got another message")]
-    NoWelcome,
+    #[error("expected a welcome from the host, got {0}")]
+    NoWelcome(&'static str),
     #[error("host closed the connection before its welcome")]
     Closed,
     #[error("host {actual} answers at the address of host {expected}")]
@@ -101,7 +101,7 @@
             }
             FromHost::Welcome { incarnation, .. } => *incarnation,
             FromHost::Refused(refused) => return Err(OpenError::Refused(refused.text.clone())),
-            _ => return Err(OpenError::NoWelcome),
+            other => return Err(OpenError::NoWelcome(message_kind(other))),
         };
         Ok(HostConnection {
             reader,
@@ -112,6 +112,21 @@
     }
 }
 
+/// Returns the kind of a message for errors, without the body that it may carry.
+fn message_kind(message: &FromHost) -> &'static str {
+    match message {
+        FromHost::Welcome { .. } => "a welcome",
+        FromHost::Refused(_) => "a refusal",
+        FromHost::Acked { .. } => "an ack",
+        FromHost::Error { .. } => "an error of a delivery",
+        FromHost::Full { .. } => "a rejection of a delivery",
+        FromHost::ResponseStarted { .. } => "the start of a response",
+        FromHost::Probed { .. } => "an answer to a probe",
+        FromHost::Pong => "a pong",
+        FromHost::LoadReport { .. } => "a load report",
+    }
+}
+
 async fn connect(address: String) -> Result<TcpStream, OpenError> {
     let address: SocketAddr = match address.parse() {
         Ok(parsed) => parsed,
