--- a/crates/spokeflow-http/src/error.rs
+++ b/crates/spokeflow-http/src/error.rs
@@ -12,10 +12,10 @@
 pub enum HttpError {
     /// The head or the trailer is longer than [`HEAD_LIMIT`] or has too many fields, or the line with a chunk's size
     /// is too long.
-    #[error("head, trailer or chunk-size line too long: expected at most {HEAD_LIMIT} bytes and {MAX_FIELDS} fields, {CHUNK_SIZE_LINE_LIMIT} bytes in a chunk-size line")]
+    #[error("HTTP message too long: expected at most {HEAD_LIMIT} bytes in a head or trailer, {MAX_FIELDS} fields in a head, {CHUNK_SIZE_LINE_LIMIT} bytes in a chunk-size line")]
     HeadTooLong,
-    /// The bytes are not a message of HTTP/1.1, for this reason.
-    #[error("not HTTP/1.1: {0}")]
+    /// The bytes are not a message of HTTP/1.1, or the message was not received in time; the text says which.
+    #[error("HTTP message cannot be read: {0}")]
     Unreadable(&'static str),
     /// The length of the body is announced more than once or is not a valid number (RFC 9112, 6.3).
     #[error("invalid body length: {0}")]
@@ -29,8 +29,8 @@
     /// The connection ended within a message.
     #[error("connection ended within a message")]
     Truncated,
-    /// The reader has no capacity for the message now.
-    #[error("no capacity for the message: the connection has to make room for another")]
+    /// The connection is closed within a message, because its place is needed for another connection.
+    #[error("HTTP message not received whole before the connection had to make room for another")]
     Overloaded,
     /// The connection failed.
     #[error(transparent)]
