--- a/crates/spokeflow-settings/src/lib.rs
+++ b/crates/spokeflow-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads the settings object into the decision module's configuration. The simulator's first message and the
-//! platform's configuration both contain this object, and share this reader so that they cannot diverge. Unknown keys
-//! are ignored.
+//! Reads the settings object into the decision module's configuration. The platform's configuration and the first
+//! message of the external simulator that drives `spokeflow-wirehost` (not of `spokeflow-simulator`) both contain this
+//! object, and share this reader so that they cannot diverge. Unknown keys are ignored.
 
 mod error;
 mod object;
--- a/crates/spokeflow-settings/src/object.rs
+++ b/crates/spokeflow-settings/src/object.rs
@@ -1,13 +1,13 @@
-//! The settings object as it is written. The simulator and the platform determine the names of the keys; what a key
-//! means is documented at the field of [`spokeflow_core::ServiceConfig`] or [`crate::Settings`] that is set from it.
-//! Times are in seconds.
+//! The settings object as it is written. The platform and the external simulator that drives `spokeflow-wirehost` (not
+//! `spokeflow-simulator`) determine the names of the keys; what a key means is documented at the field of
+//! [`spokeflow_core::ServiceConfig`] or [`crate::Settings`] that is set from it. Times are in seconds.
 
 use serde::Deserialize;
 
 /// The settings object.
 #[derive(Deserialize)]
 pub(crate) struct SettingsObject {
-    pub(crate) categories: Vec<Category>,
+    pub(crate) categories: Vec<OperationObject>,
     #[serde(default)]
     pub(crate) tenants: Vec<Tenant>,
     /// Names of the zones.
@@ -24,16 +24,16 @@
     pub(crate) resolution_s: f64,
     #[serde(default)]
     pub(crate) membership_mode: String,
-    pub(crate) caps: Caps,
+    pub(crate) caps: RouterLimits,
     #[serde(default)]
-    pub(crate) feedback: Feedback,
+    pub(crate) feedback: LoadReports,
     pub(crate) guarantees: Guarantees,
     pub(crate) family_info: Rollout,
 }
 
 /// An operation.
 #[derive(Deserialize)]
-pub(crate) struct Category {
+pub(crate) struct OperationObject {
     #[serde(default)]
     pub(crate) name: String,
     pub(crate) aim_s: f64,
@@ -62,7 +62,7 @@
 /// What routers may do, and their limits.
 #[derive(Deserialize)]
 #[serde(default)]
-pub(crate) struct Caps {
+pub(crate) struct RouterLimits {
     pub(crate) conn_idle_s: f64,
     pub(crate) connect_timeout_s: f64,
     pub(crate) max_retry_after_s: f64,
@@ -74,9 +74,9 @@
     pub(crate) send_cap: u32,
 }
 
-impl Default for Caps {
+impl Default for RouterLimits {
     fn default() -> Self {
-        Caps {
+        RouterLimits {
             conn_idle_s: 0.0,
             connect_timeout_s: 0.0,
             max_retry_after_s: 0.0,
@@ -93,7 +93,7 @@
 /// The load reports of hosts.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct Feedback {
+pub(crate) struct LoadReports {
     /// Names of the values in a load report, in order.
     pub(crate) columns: Vec<String>,
 }
--- a/crates/spokeflow-settings/src/settings.rs
+++ b/crates/spokeflow-settings/src/settings.rs
@@ -4,7 +4,7 @@
     DeduplicationScope, Gate, Micros, OperationConfig, Repeat, ServiceConfig, ZoneId,
 };
 
-use crate::object::{Category, SettingsObject, Tenant};
+use crate::object::{OperationObject, SettingsObject, Tenant};
 use crate::SettingsError;
 
 /// Smallest quota in commands per second: above 0, so that shares of it can be computed.
@@ -51,7 +51,7 @@
             ops: object
                 .categories
                 .into_iter()
-                .map(|category| category.name)
+                .map(|operation| operation.name)
                 .collect(),
             customers: object
                 .tenants
@@ -128,24 +128,24 @@
     }
 }
 
-fn operation_config(category: &Category) -> OperationConfig {
+fn operation_config(operation: &OperationObject) -> OperationConfig {
     OperationConfig {
-        repeat: match category.effect.as_str() {
+        repeat: match operation.effect.as_str() {
             "idempotent" => Repeat::Idempotent,
             "deduplicated" => Repeat::Deduplicated,
             // An operation with an unknown effect must never run twice.
             _ => Repeat::AtMostOnce,
         },
-        deduplication_scope: match category.dedup_scope.as_deref() {
+        deduplication_scope: match operation.dedup_scope.as_deref() {
             Some("all") => DeduplicationScope::All,
             Some("zone") => DeduplicationScope::Zone,
             Some("cell") => DeduplicationScope::Cell,
             _ => DeduplicationScope::Unknown,
         },
-        deduplication_window: micros_from_seconds(category.dedup_window_s),
-        latency_objective: micros_from_seconds(category.aim_s),
-        command_timeout: micros_from_seconds(category.deadline_s),
-        priority_weight: category.worth,
-        streaming: category.stream,
+        deduplication_window: micros_from_seconds(operation.dedup_window_s),
+        latency_objective: micros_from_seconds(operation.aim_s),
+        command_timeout: micros_from_seconds(operation.deadline_s),
+        priority_weight: operation.worth,
+        streaming: operation.stream,
     }
 }
--- a/crates/spokeflow-wirehost/src/error.rs
+++ b/crates/spokeflow-wirehost/src/error.rs
@@ -39,13 +39,13 @@
     NoRouter,
     #[error("list number {0} is out of range: expected 0 to 15")]
     ListNumber(u8),
-    #[error("list mode {0} is not known")]
+    #[error("list mode {0} is not known: expected 0 to 3")]
     UnknownListMode(u8),
-    #[error("endpoint state {0} is not known")]
+    #[error("endpoint state {0} is not known: expected 0 to 2")]
     UnknownEndpointState(u8),
-    #[error("rollout state {0} is not known")]
+    #[error("rollout state {0} is not known: expected 0 to 3")]
     UnknownRolloutState(u8),
-    #[error("result {0} is not known")]
+    #[error("result {0} is not known: expected 100 or 301 to 307")]
     UnknownResult(u16),
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/crates/spokeflow-wirehost/src/event.rs
+++ b/crates/spokeflow-wirehost/src/event.rs
@@ -34,6 +34,24 @@
 /// Result code of a request that succeeded.
 const OK: u16 = 100;
 
+/// Result codes of an attempt that was not acked.
+mod attempt_result {
+    pub(super) const ERROR: u16 = 301;
+    pub(super) const REJECTED: u16 = 302;
+    pub(super) const TIMED_OUT: u16 = 303;
+    pub(super) const NOT_CONNECTED: u16 = 304;
+    pub(super) const RESET: u16 = 305;
+    pub(super) const CANCELLED: u16 = 306;
+    pub(super) const NOT_SENT: u16 = 307;
+}
+
+/// Result codes of a vote that did not count. All other codes say that it was refused.
+mod vote_result {
+    pub(super) const RATE_LIMITED: u16 = 302;
+    pub(super) const NO_RESPONSE: u16 = 303;
+    pub(super) const STALE: u16 = 307;
+}
+
 /// Sizes in bytes of fields that are skipped.
 const U8_SIZE: usize = 1;
 const U16_SIZE: usize = 2;
@@ -188,13 +206,13 @@
 fn read_attempt_outcome(fields: &mut FieldReader) -> Result<AttemptOutcome, WireError> {
     Ok(match fields.u16()? {
         OK => AttemptOutcome::Acked,
-        301 => AttemptOutcome::Error,
-        302 => AttemptOutcome::Rejected,
-        303 => AttemptOutcome::TimedOut,
-        304 => AttemptOutcome::NotConnected,
-        305 => AttemptOutcome::Reset,
-        306 => AttemptOutcome::Cancelled,
-        307 => AttemptOutcome::NotSent,
+        attempt_result::ERROR => AttemptOutcome::Error,
+        attempt_result::REJECTED => AttemptOutcome::Rejected,
+        attempt_result::TIMED_OUT => AttemptOutcome::TimedOut,
+        attempt_result::NOT_CONNECTED => AttemptOutcome::NotConnected,
+        attempt_result::RESET => AttemptOutcome::Reset,
+        attempt_result::CANCELLED => AttemptOutcome::Cancelled,
+        attempt_result::NOT_SENT => AttemptOutcome::NotSent,
         other => return Err(fields.error(Problem::UnknownResult(other))),
     })
 }
@@ -227,9 +245,9 @@
 fn vote_outcome(result: u16) -> VoteOutcome {
     match result {
         OK => VoteOutcome::Counted,
-        302 => VoteOutcome::RateLimited,
-        303 => VoteOutcome::NoResponse,
-        307 => VoteOutcome::Stale,
+        vote_result::RATE_LIMITED => VoteOutcome::RateLimited,
+        vote_result::NO_RESPONSE => VoteOutcome::NoResponse,
+        vote_result::STALE => VoteOutcome::Stale,
         _ => VoteOutcome::Refused,
     }
 }
--- a/crates/spokeflow-wirehost/src/main.rs
+++ b/crates/spokeflow-wirehost/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs many routers on the simulator's wire: batches of records on standard input, one reply to each on standard
-//! output. The names and codes of the wire are used only within this program.
+//! Runs many routers on the wire of the external simulator that drives this program (not `spokeflow-simulator`):
+//! batches of records on standard input, one reply to each on standard output. The names and codes of the wire are used
+//! only within this program.
 
 mod batch;
 mod error;
--- a/crates/spokeflow-wirehost/tests/wire.rs
+++ b/crates/spokeflow-wirehost/tests/wire.rs
@@ -149,7 +149,7 @@
                 batch(2.0, &[for_router(5), list(0, 9)]),
             ]
             .concat(),
-            "record 1, byte 36 of its batch: list mode 9 is not known",
+            "record 1, byte 36 of its batch: list mode 9 is not known: expected 0 to 3",
         ),
         (
             [
