--- a/crates/spokeflow-testbed/src/fleet/faults.rs
+++ b/crates/spokeflow-testbed/src/fleet/faults.rs
@@ -4,8 +4,8 @@
 
 use super::switchboard::{Link, LinkCondition};
 
-/// The disk on which a killed node starts again. All but `Own` are foreign disks, on which a node must not promise
-/// anything.
+/// The disk on which a killed node starts again. All but `Own` are swapped disks: a stale, truncated or empty store in
+/// place of the node's own, on which a node must not promise anything.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Disk {
     /// Its own, unchanged.
@@ -46,7 +46,8 @@
     FailWrites {
         /// Number of the node.
         node: u32,
-        /// Number of the first write that fails, counted from 1.
+        /// Number of the first write to the store that fails, counted from 1 from the restart of the node. All later
+        /// writes fail too.
         after: u64,
     },
     /// A node is paused as by SIGSTOP and then resumed.
--- a/crates/spokeflow-testbed/src/fleet/inject.rs
+++ b/crates/spokeflow-testbed/src/fleet/inject.rs
@@ -18,11 +18,11 @@
 
 /// Time within which the nodes must answer a status request.
 pub(super) const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a node runs on a foreign disk, unless its process ends before.
+/// How long a node runs on a swapped disk, unless its process ends before.
 const DISK_SWAP_DURATION: Duration = Duration::from_secs(2);
 /// Time after the kill of a node during which frames that it sent before may still arrive.
 const FRAME_SETTLE_TIME: Micros = 100 * MS;
-/// Time between the kill of a node on a foreign disk and its restart on its own. Must be longer than
+/// Time between the kill of a node on a swapped disk and its restart on its own. Must be longer than
 /// `FRAME_SETTLE_TIME`, so that no message of the restarted node falls into the recorded disk swap.
 const DISK_SWAP_PAUSE: Duration = Duration::from_millis(150);
 /// Time that a node has to reach its injected crash or disk failure before it is killed.
@@ -71,7 +71,7 @@
         let copies = StoreCopies::new(self.store_path(node).await);
         sleep(down).await;
         if disk != Disk::Own {
-            self.run_on_foreign_disk(node, &disk, &copies).await;
+            self.run_on_swapped_disk(node, &disk, &copies).await;
         }
         copy(&copies.store, &copies.stale);
         self.restart_node(node).await;
@@ -176,9 +176,9 @@
         }
     }
 
-    /// Runs a node on a foreign disk for `DISK_SWAP_DURATION`, then puts its own store back. Does nothing if there is
+    /// Runs a node on a swapped disk for `DISK_SWAP_DURATION`, then puts its own store back. Does nothing if there is
     /// no stale copy yet, or if truncation removed no data.
-    async fn run_on_foreign_disk(&self, node: u32, disk: &Disk, copies: &StoreCopies) {
+    async fn run_on_swapped_disk(&self, node: u32, disk: &Disk, copies: &StoreCopies) {
         let store = &copies.store;
         copy(store, &copies.own);
         match disk {
@@ -197,7 +197,7 @@
             return;
         }
         let from = self.now();
-        // The node may refuse to start, or end when another node recognizes the foreign disk. While no other node runs
+        // The node may refuse to start, or end when another node recognizes the swapped disk. While no other node runs
         // it keeps running.
         if self.start_node(node, &[]).await.is_ok() {
             sleep(DISK_SWAP_DURATION).await;
@@ -298,7 +298,7 @@
     store: PathBuf,
     /// Copy from the previous kill of the node.
     stale: PathBuf,
-    /// Copy of the node's own store while a foreign disk is in its place.
+    /// Copy of the node's own store while a swapped disk is in its place.
     own: PathBuf,
 }
 
--- a/crates/spokeflow-testbed/src/fleet/observations.rs
+++ b/crates/spokeflow-testbed/src/fleet/observations.rs
@@ -1,6 +1,6 @@
 //! Reads revisions, host states and leases from the frames of a run. While reading it checks that status reads and
 //! lease grants never go back to older revisions, that proposals have one outcome, that each term has one leader, and
-//! that nodes on a foreign disk neither vote nor acknowledge entries.
+//! that nodes on a swapped disk neither vote nor acknowledge entries.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,7 +13,8 @@
 use super::switchboard::{Frame, FramePayload, Participant};
 use crate::Micros;
 
-/// A time during which a node ran on a foreign disk, including the time until its last frames have arrived.
+/// A time during which a node ran on a swapped disk (a stale, truncated or empty store), including the time until its
+/// last frames have arrived.
 pub(super) struct DiskSwap {
     pub(super) node: u32,
     pub(super) from: Micros,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Checks that a node on a foreign disk sends no promise.
+    /// Checks that a node on a swapped disk sends no promise.
     fn check_promise(&mut self, frame: &Frame, sender: u32, message: &Message) {
         if !is_promise(message) {
             return;
@@ -188,7 +189,7 @@
             .any(|swap| swap.node == sender && (swap.from..swap.to).contains(&at));
         if swapped {
             self.violations.push(format!(
-                "node {sender} voted or acknowledged entries on a foreign disk: {message:?} at {} ms",
+                "node {sender} voted or acknowledged entries on a swapped disk: {message:?} at {} ms",
                 frame.at / 1000
             ));
         }
--- a/crates/spokeflow-testbed/src/fleet/pump.rs
+++ b/crates/spokeflow-testbed/src/fleet/pump.rs
@@ -92,7 +92,11 @@
     }
 }
 
-/// Reads the body of the next frame; `None` at the end of the connection.
+/// Reads the body of the next frame; `None` at the end of the connection. A longer body than the wire's `LIMIT` would
+/// be cut there without an error, and its rest read as the next frame; no sender writes one, since [`FrameCodec`]
+/// refuses to.
+///
+/// [`FrameCodec`]: spokeflow_proto::FrameCodec
 pub(super) async fn read_frame(input: &mut (impl AsyncReadExt + Unpin)) -> Option<Vec<u8>> {
     let length = input.read_u32().await.ok()?;
     let mut body = vec![0; (length as usize).min(spokeflow_coordination::wire::LIMIT)];
--- a/crates/spokeflow-testbed/src/fleet/report.rs
+++ b/crates/spokeflow-testbed/src/fleet/report.rs
@@ -34,7 +34,7 @@
     pub canary_deliveries: usize,
     /// Leases that nodes granted.
     pub grants: usize,
-    /// How often a node was started on a foreign disk: one that is not in the state in which the node left it.
+    /// How often a node was started on a swapped disk: a stale, truncated or empty store in place of its own.
     pub refused_disks: usize,
     /// Longest time between the announcement of a revision that closes the canary build and a later delivery to that
     /// build, as long as no newer revision was in force.
--- a/crates/spokeflow-testbed/src/fleet/switchboard.rs
+++ b/crates/spokeflow-testbed/src/fleet/switchboard.rs
@@ -56,8 +56,11 @@
     }
 }
 
-/// How the switchboard treats the frames of a link. Shares are in 0..=1, and of the frames after a connection's opening
-/// messages.
+/// How the switchboard treats the frames of a link. Shares are in 0..=1.
+///
+/// The opening message of a caller only waits while the link is blocked; nothing else applies to it. The first frame
+/// after it from the caller, and the first frame from the node, are never lost, truncated or reordered, but they
+/// are delayed, duplicated and trickled as all later frames are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkCondition {
     /// Whether frames wait until the link is no longer blocked.
--- a/crates/spokeflow-testbed/src/scale/offers.rs
+++ b/crates/spokeflow-testbed/src/scale/offers.rs
@@ -25,7 +25,7 @@
     #[error("a proposal of {bytes} bytes is refused: {reason}")]
     Refused { bytes: usize, reason: String },
     #[error(
-        "a proposal of {bytes} bytes was not announced within {within:?} at most; last response: {last}"
+        "a proposal of {bytes} bytes was not announced; proposing ends after {within:?}, or after {MAX_FAILED_ROUNDS} rounds over all voters without a response; last response: {last}"
     )]
     NotAnnounced {
         bytes: usize,
@@ -44,7 +44,7 @@
     /// Number of revisions proposed so far.
     proposed: u32,
     /// Why a revision was not announced; while it is set, no further revision is proposed.
-    pub refused: Option<ProposeError>,
+    pub failure: Option<ProposeError>,
 }
 
 impl Proposer {
@@ -55,14 +55,14 @@
             random,
             newest: RevisionNumber(0),
             proposed: 0,
-            refused: None,
+            failure: None,
         }
     }
 
     /// Proposes one revision until it is announced. Returns its number, or `None` if it was not announced or an earlier
     /// one failed.
     pub(super) async fn propose(&mut self) -> Option<u64> {
-        if self.refused.is_some() {
+        if self.failure.is_some() {
             return None;
         }
         self.proposed += 1;
@@ -78,7 +78,7 @@
                 Some(number.0)
             }
             Err(error) => {
-                self.refused = Some(error);
+                self.failure = Some(error);
                 None
             }
         }
@@ -139,7 +139,7 @@
         let interval = Duration::from_secs_f64(60.0 / self.rig.flags.changes_per_minute);
         let deadline = Instant::now() + duration;
         let mut next = Instant::now();
-        while next < deadline && self.refused.is_none() {
+        while next < deadline && self.failure.is_none() {
             tokio::time::sleep_until(next).await;
             numbers.extend(self.propose().await);
             next = (next + interval).max(Instant::now());
--- a/crates/spokeflow-testbed/src/scale/report.rs
+++ b/crates/spokeflow-testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: its figures, and the bounds that were exceeded.
+//! The report of a run: its figures, the exceeded bounds and other failures.
 
 use std::collections::BTreeMap;
 
@@ -151,8 +151,8 @@
     pub text: String,
 }
 
-/// A requested size of the run, and whether it is carried: whether the control plane supports it, so that it had an
-/// effect.
+/// A requested size of the run, and whether the control plane carries it. It carries a size if the counted objects
+/// occur in its links, messages or settings; a size that it does not carry has no effect on the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Carried {
     /// Name of the size.
@@ -160,7 +160,7 @@
     /// The size by the flags.
     #[serde(rename = "asked")]
     pub requested: u32,
-    /// Whether the control plane supports it.
+    /// Whether the control plane carries it, so that the run was made at this size.
     pub carried: bool,
     /// How it is carried, or why it is not.
     pub how: String,
@@ -222,7 +222,7 @@
 pub struct Report {
     /// Whether the bounds were kept.
     pub outcome: Outcome,
-    /// Bounds that were exceeded.
+    /// Exceeded bounds and other failures of the run.
     pub findings: Vec<Finding>,
     /// Why the run stopped before the end of its last phase; `None`: it did not.
     pub stopped: Option<String>,
--- a/crates/spokeflow-testbed/src/scale/run.rs
+++ b/crates/spokeflow-testbed/src/scale/run.rs
@@ -202,7 +202,7 @@
         wait_until_in_force(rig).await;
         let revisions = std::mem::take(&mut phases.revisions);
         evaluate_phase(rig, report, &name, &revisions, &samples);
-        if let Some(error) = proposer.refused.take() {
+        if let Some(error) = proposer.failure.take() {
             report.add_finding(&name, "revision refused", error.to_string());
         }
         evaluate_election(report, &name, &mut phases);
--- a/crates/spokeflow-testbed/src/scale/tap.rs
+++ b/crates/spokeflow-testbed/src/scale/tap.rs
@@ -1,5 +1,5 @@
-//! The tap: a proxy for all connections to voters that forwards and counts them frame by frame, and can cut off
-//! routers.
+//! The tap of a scale run: a proxy for all connections to voters that forwards and counts them frame by frame, and can
+//! cut off routers. The recorder of the observations of a scenario run is `crate::tap`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/spokeflow-testbed/src/tap.rs
+++ b/crates/spokeflow-testbed/src/tap.rs
@@ -1,4 +1,6 @@
-//! Records the messages on the sockets and the commands that run at the hosts, each with its time.
+//! The tap of a scenario run: a recorder of observations, to which the peers report the messages on their sockets and
+//! the commands that run at the hosts, each with its time. It forwards nothing; the proxy that counts the frames of a
+//! scale run is `scale::tap`.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/spokeflow-testbed/tests/fleet.rs
+++ b/crates/spokeflow-testbed/tests/fleet.rs
@@ -211,7 +211,7 @@
     let (report, _) = checked_run("disks", 6, 3, script);
     assert!(
         report.refused_disks >= 3,
-        "expected at least 3 runs on a foreign disk: {}",
+        "expected at least 3 runs on a swapped disk: {}",
         report.text()
     );
 }
