--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -1,28 +1,33 @@
-//! How much evidence about a build on trial a router gets from its own answers. The constants are copied from the
+//! How much evidence about a canary build a router gets from its own answers. The constants are copied from the
 //! decision module (`crates/spokeflow-core/src/router/`); a test compares them with its source.
+//!
+//! Evidence has no unit: a failed answer that is certainly due to the build counts about 1. Slowness is the natural
+//! logarithm of the ratio of an answer's latency to the usual latency of its operation, so it has no unit either.
 
-use super::ends::ServiceAssignment;
+use super::service_assignment::ServiceAssignment;
 use super::target::Target;
 
 /// Answers that a router needs from a build before it votes to roll it back (`MIN_ANSWERS_TO_VOTE`). The
 /// page prints the name of this constant.
 pub const ENOUGH_ANSWERS: f64 = 3.0;
-/// Evidence against a build at which a router votes to roll it back.
+/// Sum of the evidence against a build at which a router votes to roll it back.
 pub const ROLLBACK_EVIDENCE: f64 = 4.0;
-/// Weight of a slow answer relative to that of a failed one.
+/// Evidence of one unit of slowness above `SLOWNESS_MARGIN`.
 pub const SLOWNESS_WEIGHT: f64 = 0.4;
 /// Slowness below which an answer counts as no evidence.
 pub const SLOWNESS_MARGIN: f64 = 0.6;
-/// Fewest answers that give enough evidence for a rollback vote when every answer is slow and none fails. The page
-/// prints the name of this constant.
-pub const CONVICTS: f64 = ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (2.0 - SLOWNESS_MARGIN));
+/// Upper bound of the slowness of one answer.
+pub const MAX_SLOWNESS: f64 = 2.0;
+/// Fewest answers that give enough evidence for a rollback vote when every answer has the greatest slowness and none
+/// fails. The page prints the name of this constant.
+pub const CONVICTS: f64 = ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
 /// Canary fraction as a part of the exposure cap.
 pub const CANARY_FRACTION_OF_CAP: f64 = 0.7;
-/// Part of the exposure cap up to which the canary fraction follows the fraction of trial hosts.
+/// Part of the exposure cap up to which the canary fraction follows the fraction of canary hosts.
 pub const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
-/// Factor by which the canary fraction may exceed the fraction of trial hosts.
+/// Factor by which the canary fraction may exceed the fraction of canary hosts.
 pub const CANARY_LEAD: f64 = 1.25;
-/// Seconds after the bake time before a router votes to proceed.
+/// Seconds after the bake time before a router votes to promote the build.
 pub const SECONDS_AFTER_BAKE: f64 = 1.0;
 /// Factor by which a router extends its wait when it has too few answers.
 const EXTENDED_WAIT_FACTOR: f64 = 3.0;
@@ -32,15 +37,15 @@
 pub struct StageEvidence {
     /// Index of the stage, from 0.
     pub stage: usize,
-    /// Fraction of the service's traffic that goes to the build on trial.
-    pub trial_traffic: f64,
-    /// Answers per second of the trial build at one router.
+    /// Fraction of the service's traffic that goes to the canary build.
+    pub canary_traffic: f64,
+    /// Answers per second of the canary build at one router.
     pub answers_per_second: f64,
-    /// Answers per second of the trial build at all routers of the service.
+    /// Answers per second of the canary build at all routers of the service.
     pub fleet_answers_per_second: f64,
-    /// Duration of the stage before a router votes to proceed.
+    /// Duration of the stage before a router votes to promote the build.
     pub duration: f64,
-    /// Answers of the trial build at one router during the stage.
+    /// Answers of the canary build at one router during the stage.
     pub answers: f64,
     /// Time until a router has enough answers to vote.
     pub enough_answers_after: f64,
@@ -71,14 +76,15 @@
     stage: usize,
 ) -> StageEvidence {
     let terms = &target.terms;
-    let trial_traffic = trial_traffic(terms.stage_fractions[stage], terms.stage_caps[stage]);
-    let answers_per_second = assignment.service_requests_per_second(fleet_requests) * trial_traffic;
+    let canary_traffic = canary_traffic(terms.stage_fractions[stage], terms.stage_caps[stage]);
+    let answers_per_second =
+        assignment.service_requests_per_second(fleet_requests) * canary_traffic;
     let duration = stage_duration(target, assignment, fleet_requests, stage);
     let answers = answers_per_second * duration;
     let routers = assignment.routers_per_service;
     StageEvidence {
         stage,
-        trial_traffic,
+        canary_traffic,
         answers_per_second,
         fleet_answers_per_second: answers_per_second * routers,
         duration,
@@ -90,8 +96,8 @@
     }
 }
 
-/// Returns the seconds for which the decision module waits in a stage if one vote is enough to proceed. It waits
-/// longer if a router with mean traffic has too few answers for the part of the fleet that follows, and in the
+/// Returns the seconds for which the decision module waits in a stage if one promote vote is enough. It waits longer
+/// if a router with mean traffic has too few answers for the fraction of hosts that the next stage adds, and in the
 /// last stage, before the build is released, if the service has many routers.
 fn stage_duration(
     target: &Target,
@@ -115,9 +121,9 @@
     enough_answers_after.clamp(shortest, EXTENDED_WAIT_FACTOR * shortest)
 }
 
-/// Returns the canary fraction that the decision module chooses in a rolling release if the fraction of trial hosts is
-/// the one of the stage.
-fn trial_traffic(host_fraction: f64, cap: f64) -> f64 {
+/// Returns the canary fraction that the decision module chooses in a rolling release if the fraction of canary hosts
+/// is the one of the stage.
+fn canary_traffic(host_fraction: f64, cap: f64) -> f64 {
     let following_hosts = host_fraction.min(if cap < 1.0 {
         REASSIGN_FRACTION_OF_CAP * cap
     } else {
--- a/crates/spokeflow-experiments/src/capacity/page/sections.rs
+++ b/crates/spokeflow-experiments/src/capacity/page/sections.rs
@@ -1,12 +1,12 @@
 //! Sections that are not made of rows: opening, sizes without a mechanism, control machines, lease bounds, services and
 //! routers, evidence, measured lines.
 
-use super::super::ends::ServiceAssignment;
 use super::super::evidence::{self, StageEvidence};
 use super::super::fit::Form;
 use super::super::lease::LeaseBounds;
 use super::super::placement::assign_machines;
 use super::super::row::{format_number, Unit};
+use super::super::service_assignment::ServiceAssignment;
 use super::super::slopes::{Line, Point, MAX_EXTRAPOLATION_FACTOR, MIN_POINTS};
 use super::{table, Page};
 
@@ -263,7 +263,7 @@
 fn stage_row(stage: &StageEvidence) -> [String; 11] {
     [
         stage.stage.to_string(),
-        format_number(stage.trial_traffic),
+        format_number(stage.canary_traffic),
         format_number(stage.answers_per_second),
         format_number(stage.fleet_answers_per_second),
         format_number(stage.answers),
--- a/crates/spokeflow-experiments/src/capacity/rows/data.rs
+++ b/crates/spokeflow-experiments/src/capacity/rows/data.rs
@@ -1,12 +1,12 @@
 //! Rows of the router's data side: the cost of a request at the router.
 
-use super::super::ends::ServiceAssignment;
 use super::super::estimate::{Estimate, Need};
 use super::super::limits::TICKS_PER_SECOND;
 use super::super::records::Role;
 use super::super::remedy::Remedy;
 use super::super::row::{Budget, Row, Unit};
 use super::super::served;
+use super::super::service_assignment::ServiceAssignment;
 use super::super::situation::Situation;
 use super::Inputs;
 
--- a/crates/spokeflow-experiments/src/capacity/situation.rs
+++ b/crates/spokeflow-experiments/src/capacity/situation.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum Situation {
-    /// The mean load of a rates.
+    /// The mean load of a day.
     Mean,
-    /// The busiest minute of a rates.
+    /// The busiest minute of a day.
     Peak,
     /// The hours of a day in which machines are restarted or replaced.
     Restarts,
--- a/crates/spokeflow-experiments/src/capacity/target.rs
+++ b/crates/spokeflow-experiments/src/capacity/target.rs
@@ -104,7 +104,7 @@
     /// Fraction of the hosts in each stage of a release.
     #[serde(rename = "stage_shares")]
     pub stage_fractions: Vec<f64>,
-    /// Exposure cap of each stage: largest fraction of the traffic for the build on trial.
+    /// Exposure cap of each stage: largest fraction of the traffic for the canary build.
     pub stage_caps: Vec<f64>,
     pub stage_bake_seconds: f64,
 }
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -413,6 +413,12 @@
         evidence::SLOWNESS_MARGIN,
         0.6,
     ),
+    (
+        "crates/spokeflow-core/src/router/analysis.rs",
+        "const MAX_SLOWNESS: f64 = 2.0;",
+        evidence::MAX_SLOWNESS,
+        2.0,
+    ),
     (
         "crates/spokeflow-core/src/router/canary.rs",
         "const CANARY_FRACTION_OF_CAP: f64 = 0.7;",
