--- a/crates/spokeflow-simulator/src/baseline/mod.rs
+++ b/crates/spokeflow-simulator/src/baseline/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// A command that was accepted and is not yet answered.
-struct OpenRequest {
+struct OpenCommand {
     conn: u64,
     command: Command,
     /// When the command is answered without an ack.
@@ -64,9 +64,9 @@
     now: Micros,
     rng: Rng,
     hosts: BTreeMap<u32, KnownHost>,
-    commands: HashMap<u64, OpenRequest>,
+    commands: HashMap<u64, OpenCommand>,
     deliveries: HashMap<u64, OpenDelivery>,
-    /// Deadline and id of each open request.
+    /// Deadline and id of each open command.
     deadlines: BTreeSet<(Micros, u64)>,
     next_delivery: u64,
     round_robin_index: usize,
@@ -283,7 +283,7 @@
         self.accepted_at.push_back(self.now);
         let deadline = self.now + left;
         self.deadlines.insert((deadline, id));
-        let open = OpenRequest {
+        let open = OpenCommand {
             conn,
             command,
             deadline,
--- a/crates/spokeflow-simulator/src/play.rs
+++ b/crates/spokeflow-simulator/src/play.rs
@@ -19,7 +19,7 @@
 
 impl Watch for () {}
 
-/// Collects the trace, from which the messages that broke a rule are taken.
+/// Collects the trace, from which the messages around a violation are taken.
 impl Watch for Vec<(Micros, Observation)> {
     fn on_observation(&mut self, at: Micros, observation: &Observation) {
         self.push((at, observation.clone()));
@@ -38,8 +38,9 @@
     pub most_kept: [usize; 3],
 }
 
-/// Runs a scenario to its end. With `explain`, the first violations of each rule carry the messages that led to them:
-/// where a rule was broken, the scenario is run a second time with its trace collected, which gives the same result.
+/// Runs a scenario to its end. With `explain`, the first 20 violations, counted over all rules, carry the messages
+/// around them: if a rule was broken, the scenario is run a second time with its trace collected, which gives the same
+/// result.
 pub fn play(scenario: &Scenario, kind: StrategyKind, explain: bool) -> ScenarioRun {
     let mut run = play_with(scenario, kind, &mut ());
     if explain && !run.report.broken.is_empty() {
--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -297,7 +297,7 @@
                 };
                 let is_accepted = process.model.arrive(self.now, job);
                 if process.model.crashed {
-                    return self.on_host_fallen(slot);
+                    return self.on_host_crashed(slot);
                 }
                 if !is_accepted {
                     let host = self.host_slots[slot].host;
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Handles a host that fell because it was overloaded while cold; its connections are closed.
-    pub(super) fn on_host_fallen(&mut self, slot: usize) {
+    /// Handles a host that crashed because it was overloaded while cold; its connections are closed.
+    pub(super) fn on_host_crashed(&mut self, slot: usize) {
         let host = self.host_slots[slot].host;
         self.observe(Observation::Fell { host });
         for router in 0..self.scenario.routers {
