--- a/crates/spokeflow-platform/src/discovery.rs
+++ b/crates/spokeflow-platform/src/discovery.rs
@@ -29,9 +29,9 @@
 /// Longest backoff before jitter, for discovery and for the release controller.
 pub(crate) const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// Time for discovery to accept a connection, and to answer the request. The address belongs to an agent on the
-/// router's own machine, which answers at once. What a silent watch misses counts as known after 6 s, so the time has
-/// to be short enough for several attempts before that; and a long attempt from before discovery's return would miss
-/// its first message.
+/// router's own machine, which answers at once. From 6 s after a watch fell silent, the platform holds the
+/// router responsible for the changes that it missed, so the time has to be short enough for several attempts before
+/// that; and a long attempt from before discovery's return would miss its first message.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest backoff after an attempt that discovery did not answer: it may return at any moment.
 const MAX_UNANSWERED_DELAY: Duration = Duration::from_millis(200);
@@ -72,8 +72,8 @@
 }
 
 /// Returns the number of failures in a row after one more. A watch that was up counts as no failure, also if the list
-/// did not change, so that it is reopened with the shortest backoff: what it misses counts as known one second after
-/// the silence that ends it.
+/// did not change, so that it is reopened with the shortest backoff: a silent watch ends after [`READ_TIMEOUT`], and
+/// one second later the platform holds the router responsible for the changes that it missed.
 fn failures_in_a_row(before: u32, was_up: bool) -> u32 {
     if was_up {
         0
--- a/crates/spokeflow-platform/src/endpoint_table.rs
+++ b/crates/spokeflow-platform/src/endpoint_table.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Updates the entry of a member and returns its record for the engine; `None` if a host that is not known is
+    /// Updates the entry of a listed host and returns its record for the engine; `None` if a host that is not known is
     /// listed as gone.
     fn record(&mut self, member: Member, now: Micros, unix_ms: u64) -> Option<EndpointRecord> {
         let gone = member.phase == Phase::Gone;
--- a/crates/spokeflow-platform/src/idle_lifetime.rs
+++ b/crates/spokeflow-platform/src/idle_lifetime.rs
@@ -3,8 +3,9 @@
 //! Hosts and middleboxes close idle connections at any time. A request written to a closed connection is lost, and the
 //! router has to assume that it may have run; a new connection costs only one or two round trips. So a connection is
 //! not reused after an idle time at which connections break clearly more often than new ones do. This guards against
-//! idle timeouts shorter than documented and against middleboxes that forget connections. It costs at most the opening
-//! of new connections, which could do harm where that is expensive.
+//! idle timeouts shorter than documented and against middleboxes that forget connections. The cost is that
+//! connections which could still have been reused are opened anew. Where opening a connection is expensive, that cost
+//! may exceed the benefit.
 
 /// Number of buckets. The first is for new connections, the others for idle times from 1 ms on, each up to twice the
 /// one before.
--- a/crates/spokeflow-platform/src/shutdown.rs
+++ b/crates/spokeflow-platform/src/shutdown.rs
@@ -17,10 +17,10 @@
 /// Time from SIGTERM for which new connections are accepted. In a planned restart, the load balancer in front goes on
 /// sending new connections for 0.2 to 0.4 s.
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// The platform sends SIGKILL no sooner than the longest deadline, counted as this much if it is longer, plus
-/// [`KILL_MARGIN`].
+/// Upper bound of the part of the longest deadline that the platform waits for: it sends SIGKILL
+/// `min(longest deadline, LONGEST_DEADLINE) + KILL_MARGIN` after SIGTERM at the earliest.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// Time that the platform adds to the longest deadline before it sends SIGKILL.
+/// Time that the platform adds to the bounded longest deadline before it sends SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Part of the time before SIGKILL that is reserved for writing the last answers.
 const LAST_WRITE_TIME: Duration = Duration::from_millis(200);
--- a/crates/spokeflow-platform/src/transport.rs
+++ b/crates/spokeflow-platform/src/transport.rs
@@ -19,7 +19,7 @@
 use crate::idle_lifetime::IdleLifetime;
 use crate::listener_context::ListenerContext;
 use crate::release_controller::Vote;
-use crate::upstream::{Attempt, Route, UpstreamConfig};
+use crate::upstream::{DeliveryTask, Route, UpstreamConfig};
 
 /// A host in the host list.
 pub(crate) struct Host {
@@ -142,7 +142,7 @@
         };
         let (recall_sender, recalled) = oneshot::channel();
         let clock = &self.upstream.clock;
-        let attempt = Attempt {
+        let task = DeliveryTask {
             config: self.upstream.clone(),
             host,
             delivery,
@@ -154,12 +154,12 @@
             idle_us,
             recalled,
         };
-        debug!(id = attempt.id(), %address, delivery, left_us, "delivery started");
+        debug!(id = task.id(), %address, delivery, left_us, "delivery started");
         let open = OpenDelivery {
             host,
             incarnation,
             recall_sender: Some(recall_sender),
-            task: tokio::spawn(attempt.run()).abort_handle(),
+            task: tokio::spawn(task.run()).abort_handle(),
         };
         self.open_deliveries.insert(delivery, open);
         true
--- a/crates/spokeflow-platform/src/upstream.rs
+++ b/crates/spokeflow-platform/src/upstream.rs
@@ -35,7 +35,8 @@
 pub(crate) struct UpstreamConfig {
     pub(crate) clock: Arc<Clock>,
     pub(crate) events: mpsc::Sender<EngineEvent>,
-    /// Timeout of opening a connection, and of each read of an answer after its first byte.
+    /// Timeout of opening a connection. It also bounds each read of an answer after its first byte, for which the
+    /// configuration has no timeout of its own.
     pub(crate) connect_timeout: Duration,
     pub(crate) send_latency: SendLatency,
 }
@@ -48,8 +49,10 @@
     New(OwnedSemaphorePermit),
 }
 
-/// One delivery: sending it and awaiting its answer.
-pub(crate) struct Attempt {
+/// The task of one delivery, which sends it and awaits its answer. It ends in one of three ways: on its own, by a
+/// recall as long as the request has not been sent whole ([`DeliveryTask::recalled`]), or by a cancellation, which
+/// aborts the task at any time and closes its connection.
+pub(crate) struct DeliveryTask {
     pub(crate) config: Arc<UpstreamConfig>,
     pub(crate) host: HostId,
     pub(crate) delivery: u64,
@@ -177,7 +180,7 @@
     }
 }
 
-impl Attempt {
+impl DeliveryTask {
     /// Returns the client's `Request-Id` from the head of the request; empty if there is none.
     pub(crate) fn id(&self) -> &str {
         const FIELD: &[u8] = b"\r\nRequest-Id: ";
--- a/crates/spokeflow-platform/tests/unit/discovery.rs
+++ b/crates/spokeflow-platform/tests/unit/discovery.rs
@@ -5,8 +5,8 @@
 const LISTING: &str =
     r#"{"revision":41,"complete":true,"members":[{"id":"s-{\"a]","phase":"Ready"}]}"#;
 
-/// What a silent watch misses counts as known after 6 s. Guards against backoff that grows each time a watch becomes
-/// silent without a change of the list.
+/// From 6 s after a watch fell silent, the platform holds the router responsible for the changes that it missed. Guards
+/// against backoff that grows each time a watch becomes silent without a change of the list.
 #[test]
 fn a_watch_that_repeatedly_becomes_silent_is_reopened_in_time() {
     let mut backoff = Backoff::new(5, 0, MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY);
