--- a/crates/spokeflow-proto/src/message/client.rs
+++ b/crates/spokeflow-proto/src/message/client.rs
@@ -66,7 +66,7 @@
         /// The host's answer.
         body: Bytes,
     },
-    /// The command was not accepted, and a retry has no additional effect.
+    /// The command was not acked; the client may retry it without additional effect.
     Nacked {
         /// Id of the command.
         id: u64,
--- a/crates/spokeflow-proto/src/message/hello.rs
+++ b/crates/spokeflow-proto/src/message/hello.rs
@@ -78,7 +78,8 @@
 pub enum Role {
     /// A client, which connects to a router.
     Client,
-    /// A router, which connects to a host, the endpoint list, the release controller or another router.
+    /// A router, which connects to a host, the endpoint list or the release controller. A control-plane node uses this
+    /// role as well when it reads the endpoint list.
     Router,
 }
 
--- a/crates/spokeflow-router/src/release_controller.rs
+++ b/crates/spokeflow-router/src/release_controller.rs
@@ -39,7 +39,8 @@
         Input::FromController(message)
     }
 
-    /// There is no timeout: the release controller sends only when something changes.
+    /// There is no timeout: the release controller sends after each change and periodically, and the protocol does not
+    /// bound the time between two messages.
     fn silence_timeout(&self) -> Option<Duration> {
         None
     }
--- a/crates/spokeflow-scenario/src/observation.rs
+++ b/crates/spokeflow-scenario/src/observation.rs
@@ -74,7 +74,8 @@
     RouterShutdown(Process),
     /// A router process has ended.
     RouterEnded(Process),
-    /// A client has sent an attempt at a command.
+    /// A client sends an attempt at a command to a router; recorded when it is sent. From then on the rules count the
+    /// attempt as accepted by the router.
     Taken {
         /// The router.
         by: Process,
@@ -109,7 +110,8 @@
         #[serde(rename = "tried")]
         attempt: u64,
     },
-    /// A host has received a delivery.
+    /// A router has sent a delivery to a host. The simulator records it when it is sent, a run on sockets when it
+    /// arrives at the host's end of the connection, before any simulated delay of the path.
     Delivered {
         /// The host.
         host: u32,
--- a/crates/spokeflow-scenario/src/release_controller.rs
+++ b/crates/spokeflow-scenario/src/release_controller.rs
@@ -25,7 +25,7 @@
 /// A router's vote. Traces and reports contain the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerVote {
-    /// Abstain.
+    /// Withdraws the router's earlier vote.
     None,
     /// Move to the next stage.
     On,
--- a/crates/spokeflow-scenario/src/report/mod.rs
+++ b/crates/spokeflow-scenario/src/report/mod.rs
@@ -115,7 +115,8 @@
     /// Number of attempts that clients sent to routers.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Number of deliveries that hosts received.
+    /// Number of deliveries to hosts, as [`Observation::Delivered`](crate::observation::Observation::Delivered) records
+    /// them.
     pub deliveries: u64,
     /// Service: weight of the commands acked within the latency objective, divided by the weight of the commands due.
     pub service: f64,
--- a/crates/spokeflow-scenario/src/scenario/built_in.rs
+++ b/crates/spokeflow-scenario/src/scenario/built_in.rs
@@ -54,7 +54,8 @@
 ];
 
 impl Scenario {
-    /// Returns a scenario without faults, similar to the services of the first operators.
+    /// Returns a scenario without faults: one good build, at the smallest fleet size. Its operations, tenants and rates
+    /// are modelled on the services of the first operators.
     pub fn plain(seed: u64, length: Micros) -> Scenario {
         Scenario {
             name: "plain".into(),
--- a/crates/spokeflow-scenario/src/scenario/size.rs
+++ b/crates/spokeflow-scenario/src/scenario/size.rs
@@ -4,7 +4,7 @@
 
 use super::{Gate, Scenario};
 
-/// Fleet sizes for repeated use.
+/// Fleet sizes with a name, so that the same size can be requested by a flag and compared between runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetSize {
