--- a/crates/spokeflow-core/src/router/controller_stats.rs
+++ b/crates/spokeflow-core/src/router/controller_stats.rs
@@ -127,7 +127,7 @@
         let canary = self.rollout.is_canary();
         self.controller_traffic
             .follow_period(self.now - stats.age, canary);
-        let count = self.weigh_period(&stats);
+        let count = self.count_period(&stats);
         let is_slow_everywhere = self.slowdowns.operations.excess(operation) > 0.0;
         let baseline = self.operations[operation].controller_baseline;
         if self.counts_as_baseline(stats.build, status.build) {
@@ -160,7 +160,7 @@
     /// Counts a period's acks as traffic and computes the slowness that load explains: more acks or
     /// fewer hosts than before. Unacked deliveries are no such traffic, because the build itself
     /// may cause them.
-    fn weigh_period(&mut self, stats: &ControllerStats) -> PeriodCount {
+    fn count_period(&mut self, stats: &ControllerStats) -> PeriodCount {
         let sampled = f64::from(stats.sampled);
         let unacked = f64::from(stats.failed).min(sampled);
         let acked = sampled - unacked;
--- a/crates/spokeflow-core/src/router/voting.rs
+++ b/crates/spokeflow-core/src/router/voting.rs
@@ -18,11 +18,15 @@
 /// promote later. A vote to hold needs none.
 const MIN_DELIVERIES_TO_JUDGE: u32 = 3;
 /// Number of deliveries sampled by the release controller that weigh as much as one that the router
-/// has analyzed itself.
+/// has analyzed itself, in the wait before a promote vote. Before a vote to roll back, each counts
+/// as one.
 const CONTROLLER_DELIVERIES_PER_OWN: u32 = 3;
-/// Least number of deliveries with which a slow build can be rolled back. Before a stage is
-/// promoted, a router with mean traffic must expect this number, times the part of the hosts that
-/// follow in the next stage.
+/// Least number of own deliveries with which a slow build can be rolled back, all of them with the
+/// maximum slowness. Where hosts are replaced in place and one vote is enough, a router votes to
+/// promote after the usual wait only if, at the mean traffic of a router, at least this number of
+/// deliveries to the build is expected in that time, times the part of the hosts that follow in the
+/// next stage. Otherwise it waits longer, up to `FEW_DELIVERIES_WAIT_MULTIPLE` times the usual
+/// wait.
 const MIN_SLOW_DELIVERIES_FOR_ROLLBACK: f64 =
     ROLLBACK_EVIDENCE / (SLOWNESS_WEIGHT * (MAX_SLOWNESS - SLOWNESS_MARGIN));
 /// Factor on the usual wait before a promote vote where the router has seen too few deliveries.
@@ -245,15 +249,17 @@
         } else {
             self.config.fleet_size as u32
         };
-        // The square of the minimum, shared among the routers where one vote is enough; at least
-        // one and at most the minimum itself.
+        // Where a majority decides, the minimum itself. Where one vote is enough, each router needs
+        // its part of the square of the minimum: at least one delivery and at most the minimum.
         let enough = (MIN_DELIVERIES_TO_JUDGE * MIN_DELIVERIES_TO_JUDGE / routers_sharing_vote)
             .clamp(1, MIN_DELIVERIES_TO_JUDGE);
         let controller_sampled = self.evidence.controller_sampled_in_stage;
         let seen_enough = self.evidence.analyzed_in_stage >= enough
             || controller_sampled >= f64::from(CONTROLLER_DELIVERIES_PER_OWN * enough);
-        // The rollback of a released build needs twice the evidence. The vote for the release can
-        // wait, because all hosts run the build by then.
+        // Where one vote is enough, a single router releases the build, and in a large fleet it has
+        // seen only a small part of the deliveries. So its vote for the release takes the longer
+        // wait, because the rollback of a released build needs twice the evidence. The vote can
+        // wait: all hosts run the build by then.
         let waits_for_release =
             progress.is_last && self.config.gate == Gate::Single && self.config.is_large_fleet();
         let following_fraction = if majority {
