--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -8,13 +8,13 @@
 use crate::state::Command;
 use crate::{BuildId, Micros};
 
-/// Part of the exposure cap up to which the canary fraction grows where the trial hosts have the
-/// capacity, also ahead of them by [`CANARY_LEAD`]. The rest of the cap is for keys with more than
-/// the mean traffic.
+/// Part of the exposure cap up to which the canary fraction grows to the trial hosts' part of the
+/// capacity, times [`CANARY_LEAD`] where hosts are replaced in place. The rest of the cap is for
+/// keys with more than the mean traffic.
 const CANARY_FRACTION_OF_CAP: f64 = 0.7;
 /// Part of a cap below 1 up to which the canary fraction grows further as the trial hosts' part of
-/// the capacity grows, but not ahead of it. A cap of 1 does not bound it.
-const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
+/// the capacity grows, but without the lead. A cap of 1 does not bound it.
+const PROPORTIONAL_FRACTION_OF_CAP: f64 = 0.9;
 /// Factor on the trial hosts' part of the capacity where hosts are replaced in place. In
 /// `grow_canary` it raises the target of the canary fraction, in `goes_to_trial` the bound on the
 /// deliveries to the trial build, for keys without an assignment only.
@@ -34,8 +34,8 @@
 }
 
 impl CanaryFraction {
-    /// Restarts from 0 where another build is on trial.
-    fn follow(&mut self, build: BuildId) {
+    /// Sets the build on trial. The fraction restarts from 0 where that is another build.
+    fn set_build(&mut self, build: BuildId) {
         if self.build != build {
             self.fraction = 0.0;
         }
@@ -158,13 +158,13 @@
         let Some(new) = serving.trial else {
             return;
         };
-        self.canary.follow(new);
+        self.canary.set_build(new);
         let cap = self.exposure_cap(new).max(0.0);
         let capacity = serving
             .stable
             .map_or(1.0, |old| self.trial_capacity_fraction(new, old));
-        let follow = capacity.min(if cap < 1.0 {
-            REASSIGN_FRACTION_OF_CAP * cap
+        let without_lead = capacity.min(if cap < 1.0 {
+            PROPORTIONAL_FRACTION_OF_CAP * cap
         } else {
             1.0
         });
@@ -175,7 +175,7 @@
         };
         let target = (CANARY_FRACTION_OF_CAP * cap)
             .min(lead * capacity)
-            .max(follow);
+            .max(without_lead);
         self.canary.grow(target, elapsed, cap);
     }
 }
--- a/crates/spokeflow-experiments/src/capacity/evidence.rs
+++ b/crates/spokeflow-experiments/src/capacity/evidence.rs
@@ -19,7 +19,7 @@
 /// Canary fraction as a part of the exposure cap.
 pub const CANARY_FRACTION_OF_CAP: f64 = 0.7;
 /// Part of the exposure cap up to which the canary fraction follows the fraction of trial hosts.
-pub const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;
+pub const PROPORTIONAL_FRACTION_OF_CAP: f64 = 0.9;
 /// Factor by which the canary fraction may exceed the fraction of trial hosts.
 pub const CANARY_LEAD: f64 = 1.25;
 /// Seconds after the bake time before a router votes to proceed.
@@ -119,7 +119,7 @@
 /// the one of the stage.
 fn trial_traffic(host_fraction: f64, cap: f64) -> f64 {
     let following_hosts = host_fraction.min(if cap < 1.0 {
-        REASSIGN_FRACTION_OF_CAP * cap
+        PROPORTIONAL_FRACTION_OF_CAP * cap
     } else {
         1.0
     });
--- a/crates/spokeflow-experiments/tests/capacity.rs
+++ b/crates/spokeflow-experiments/tests/capacity.rs
@@ -421,8 +421,8 @@
     ),
     (
         "crates/spokeflow-core/src/router/canary.rs",
-        "const REASSIGN_FRACTION_OF_CAP: f64 = 0.9;",
-        evidence::REASSIGN_FRACTION_OF_CAP,
+        "const PROPORTIONAL_FRACTION_OF_CAP: f64 = 0.9;",
+        evidence::PROPORTIONAL_FRACTION_OF_CAP,
         0.9,
     ),
     (
