--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -277,7 +277,7 @@
         command
             .deliveries
             .push(Delivery::new(host, build, self.now));
-        self.sticky.entry(command.key).claim(build);
+        self.sticky.entry(command.key).add_open_delivery(build);
         self.hosts.add_in_flight(host);
         self.operations[command.operation].in_flight += 1;
         self.hosts.count_sent(host, age_slot);
--- a/crates/spokeflow-core/src/router/retry.rs
+++ b/crates/spokeflow-core/src/router/retry.rs
@@ -142,7 +142,7 @@
             && outcome.may_have_run()
             && outcome != AttemptOutcome::Error;
         let assignment = self.sticky.entry(key);
-        assignment.release(delivery.build);
+        assignment.remove_open_delivery(delivery.build);
         if binds {
             assignment.answered_by = assignment.answered_by.max(Some(newest));
         }
--- a/crates/spokeflow-core/src/router/sticky.rs
+++ b/crates/spokeflow-core/src/router/sticky.rs
@@ -115,7 +115,8 @@
         // too.
         self.sticky.sweep(self.now, |assignment| {
             let binds = |build: BuildId| Some(build.0) >= binding_from;
-            forward_only && (assignment.claims > 0 || assignment.answered_by.is_some_and(binds))
+            forward_only
+                && (assignment.open_deliveries > 0 || assignment.answered_by.is_some_and(binds))
         });
     }
 }
