--- a/crates/spokeflow-core/src/router/admission.rs
+++ b/crates/spokeflow-core/src/router/admission.rs
@@ -104,8 +104,8 @@
             return out.nack(id, None);
         }
         self.load.flow.received += 1.0;
-        let slot = self.config.exposure_slot(operation);
-        self.exposure.count_received(self.now, slot);
+        let index = self.config.exposure_index(operation);
+        self.exposure.count_received(self.now, index);
         self.retry_budget.earn();
         let hash_input = if key.0 == 0 {
             u64::from(id.0) | KEYLESS_BIT
--- a/crates/spokeflow-core/src/router/analysis.rs
+++ b/crates/spokeflow-core/src/router/analysis.rs
@@ -96,8 +96,9 @@
         count.errors += f64::from(u8::from(is_error));
     }
 
-    /// Returns the weight, 0 to 1, of a failure as evidence against a build: reduced for a tenant
-    /// whose error rate at all hosts is far above that of the others.
+    /// Returns the weight, 0 to 1, of a failure as evidence against a build: the lower, the
+    /// further the tenant's error rate at all hosts, less a margin for chance, is above the lowest
+    /// rate of any other tenant.
     fn failure_weight(&self, tenant: usize) -> f64 {
         let own = self.0[tenant];
         let least_of_others = self
@@ -143,7 +144,7 @@
     acked: bool,
     /// 1 for a failure of the build, else 0.
     failed: f64,
-    /// Logarithm of the latency in microseconds, corrected for a host that is warming up.
+    /// Logarithm of the latency in microseconds, corrected for the slow start of a cold host.
     latency: f64,
     /// Whether the baseline has enough acks to measure slowness against.
     baseline_known: bool,
@@ -170,7 +171,7 @@
         self.unacked.failed += failed;
         self.tenant_errors
             .count(tenant, outcome == AttemptOutcome::Error);
-        let warm_up = self.warm_up_fraction(self.hosts.age(host));
+        let capacity = self.capacity_fraction(self.hosts.age(host));
         let samples = f64::from(self.operations[operation].baseline_samples);
         let delivery = AnalyzedDelivery {
             host,
@@ -179,7 +180,7 @@
             tenant,
             acked: outcome == AttemptOutcome::Acked,
             failed,
-            latency: (took.max(1) as f64).ln() + warm_up.ln(),
+            latency: (took.max(1) as f64).ln() + capacity.ln(),
             baseline_known: samples >= MIN_BASELINE_SAMPLES,
         };
         let slowness = self.learn_slowness(&delivery);
@@ -275,9 +276,10 @@
         (delivery.latency - operation.baseline - uncertainty).clamp(-MAX_SLOWNESS, MAX_SLOWNESS)
     }
 
-    /// Whether deliveries to a build are evidence about the newest one: it is that build or a later
-    /// one, is not rolled back, and a host was last listed with an earlier build. Unlike a build on
-    /// trial (see `Router::is_on_trial`), it may be released already, and a status must be known.
+    /// Whether deliveries to a build are evidence about the newest one: it is the newest that
+    /// the release controller has named or a later one, the named one is not rolled back, and a
+    /// host was last listed with a build earlier than the given one. Unlike a build on trial (see
+    /// `Router::is_on_trial`), it may be released already, and a status must be known.
     fn is_evidence_about_newest(&self, build: BuildId) -> bool {
         let newest = self.rollout.status.is_some_and(|status| {
             build >= status.build && !self.rollout.is_rolled_back(status.build)
--- a/crates/spokeflow-core/src/router/canary.rs
+++ b/crates/spokeflow-core/src/router/canary.rs
@@ -136,16 +136,16 @@
         }
     }
 
-    /// Returns the part of the present capacity that runs the build on trial. Hosts that are
-    /// warming up count with their present capacity.
+    /// Returns the part of the present capacity that runs the build on trial. Cold hosts count
+    /// with their present capacity.
     fn trial_capacity_fraction(&self, new: BuildId, old: BuildId) -> f64 {
         // Where the trial hosts run beside the earlier ones, the earlier hosts alone carried the
         // whole traffic before the trial, so the trial hosts are compared with them only.
-        let warm_up = |age| self.warm_up_fraction(age);
-        let all = self.hosts.sum_sizes(warm_up, |build| {
+        let capacity = |age| self.capacity_fraction(age);
+        let all = self.hosts.sum_sizes(capacity, |build| {
             build == old || self.config.rolling && build > old
         });
-        let trial = self.hosts.sum_sizes(warm_up, |build| build == new);
+        let trial = self.hosts.sum_sizes(capacity, |build| build == new);
         (trial / all.max(MIN_DIVISOR)).min(1.0)
     }
 
--- a/crates/spokeflow-core/src/router/derived_config.rs
+++ b/crates/spokeflow-core/src/router/derived_config.rs
@@ -10,14 +10,13 @@
 /// Upper bound of the deliveries of one command, whatever the deployment allows: more would only
 /// add load to an overloaded service.
 const MAX_DELIVERIES: u32 = 4;
-/// Rollback quorum, as a share of the fleet's routers, from which a router's own evidence has its
-/// full weight.
+/// Rollback quorum, as a share of the fleet's routers, from which the quorum scale is 1.
 const FULL_QUORUM_FRACTION: f64 = 0.2;
 /// The release controller starts the bake time about this long after the hosts run; an earlier vote
 /// has no effect.
 const PROMOTE_DELAY: Micros = SECOND;
-/// Warm-up times for which a host counts as recently started.
-const RECENT_WARM_UPS: Micros = 3;
+/// Time for which a host counts as recently started, in multiples of the slow start.
+const RECENT_SLOW_STARTS: Micros = 3;
 /// Evidence of one reported wrong answer, in multiples of that for a rollback, where a quorum
 /// decides and the quorum scale is 1. Above 1, because the deliveries that are analyzed after the
 /// report subtract from it.
@@ -50,12 +49,13 @@
     pub(super) longest_retry_after: Option<Micros>,
     /// Part of its capacity that a host has at its start.
     pub(super) slow_start_from: f64,
+    /// Length of the slow start, in which the capacity of a host grows.
     pub(super) warm_up_time: Micros,
     pub(super) start_spans: StartSpans,
-    /// Length of the time slots in which the deliveries to a cold host are bounded.
+    /// Length of the intervals of a cold host's age in which the deliveries to it are bounded.
     pub(super) overload_window: Micros,
-    /// Deliveries that a cold host may be sent in one slot, in seconds of its full capacity, before
-    /// the reduction for its warm-up.
+    /// Deliveries that a cold host may be sent in one interval, in seconds of its full capacity,
+    /// before the reduction for its slow start.
     pub(super) slow_start_allowance: f64,
     pub(super) gate: Gate,
     /// Exposure cap of a build for which the release controller has not sent a status.
@@ -79,8 +79,11 @@
     pub(super) vote_spread: f64,
     pub(super) vote_lifetime: Micros,
     pub(super) vote_timeout: Micros,
-    /// Weight of this router's own evidence; below 1 where the rollback quorum is so small that the
-    /// few routers with the most evidence by chance would decide for all.
+    /// Factor on the evidence that one of this router's deliveries adds by its slowness, and on
+    /// that of a reported wrong answer. Evidence of failures, evidence from the release
+    /// controller's statistics, and what a delivery subtracts are not scaled. Below 1 where the
+    /// rollback quorum is so small that the few routers with the most evidence by chance would
+    /// decide for all.
     pub(super) quorum_scale: f64,
     /// Evidence of one reported wrong answer.
     pub(super) wrong_answer_weight: f64,
@@ -140,8 +143,8 @@
         }
     }
 
-    /// Returns the slot of the exposure windows that an operation counts in.
-    pub(super) fn exposure_slot(&self, operation: usize) -> usize {
+    /// Returns the index in the exposure windows under which an operation is counted.
+    pub(super) fn exposure_index(&self, operation: usize) -> usize {
         if self.exposure_by_operation {
             operation
         } else {
@@ -170,11 +173,11 @@
 }
 
 fn start_spans(config: &ServiceConfig) -> StartSpans {
-    let warming = config.warm_up_time.max(1);
+    let slow_start = config.warm_up_time.max(1);
     StartSpans {
-        warming,
-        bounded: warming + SECOND,
-        recent: RECENT_WARM_UPS * warming,
+        slow_start,
+        bounded: slow_start + SECOND,
+        recent: RECENT_SLOW_STARTS * slow_start,
     }
 }
 
--- a/crates/spokeflow-core/src/router/exposure.rs
+++ b/crates/spokeflow-core/src/router/exposure.rs
@@ -7,35 +7,35 @@
 /// A delivery to a build on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Exposed {
-    /// Slot that the command's operation counts in; see [`super::DerivedConfig::exposure_slot`].
-    pub(super) slot: usize,
+    /// Index under which the operation is counted; see [`super::DerivedConfig::exposure_index`].
+    pub(super) index: usize,
     pub(super) build: BuildId,
 }
 
 /// The commands received, and the deliveries to builds on trial, within the exposure window.
 #[derive(Debug, Default)]
 pub(super) struct ExposureWindows {
-    /// Commands received, by slot.
+    /// Commands received, by index.
     received: Window<usize>,
     /// Deliveries to builds on trial.
     exposed: Window<Exposed>,
 }
 
 impl ExposureWindows {
-    pub(super) fn count_received(&mut self, now: Micros, slot: usize) {
-        self.received.push(now, slot);
+    pub(super) fn count_received(&mut self, now: Micros, index: usize) {
+        self.received.push(now, index);
     }
 
     pub(super) fn count_exposed(&mut self, now: Micros, exposed: Exposed) {
         self.exposed.push(now, exposed);
     }
 
-    /// Returns the number of commands received, over all slots.
+    /// Returns the number of commands received, over all indices.
     pub(super) fn received(&self) -> usize {
         self.received.len()
     }
 
-    /// Returns the number of deliveries to a build on trial, over all slots.
+    /// Returns the number of deliveries to a build on trial, over all indices.
     pub(super) fn exposed_to(&self, build: BuildId) -> usize {
         self.exposed.count(|exposed| exposed.build == build)
     }
@@ -62,9 +62,9 @@
             return false;
         }
         self.forget_exposure();
-        let slot = self.config.exposure_slot(operation);
-        let received = self.exposure.received.count(|other| other == slot) as f64;
-        let exposed = Exposed { slot, build };
+        let index = self.config.exposure_index(operation);
+        let received = self.exposure.received.count(|other| other == index) as f64;
+        let exposed = Exposed { index, build };
         let sent = self.exposure.exposed.count(|other| other == exposed) as f64;
         sent + 1.0 <= self.config.exposure_allowance + cap * received
     }
--- a/crates/spokeflow-core/src/router/load.rs
+++ b/crates/spokeflow-core/src/router/load.rs
@@ -62,7 +62,7 @@
     pub(super) flow: Flow,
     /// Acks per second that this router gets from a warm host.
     pub(super) acks_per_host: f64,
-    /// Seconds that hosts have been ready, summed over the hosts, weighted by their warm-up and
+    /// Seconds that hosts have been ready, summed over the hosts, weighted by their capacity and
     /// decaying as the flow does.
     host_seconds: f64,
     started_at: Micros,
@@ -118,7 +118,7 @@
 
     /// Returns the lower bound of the fraction of its full capacity that a host of the given age
     /// has.
-    pub(super) fn warm_up_fraction(&self, age: Micros) -> f64 {
+    pub(super) fn capacity_fraction(&self, age: Micros) -> f64 {
         let warm_up_time = self.config.warm_up_time;
         let part = age.min(warm_up_time) as f64 / warm_up_time as f64;
         self.config.slow_start_from + (1.0 - self.config.slow_start_from) * part
@@ -131,7 +131,7 @@
         };
         let capacity = self
             .hosts
-            .sum_ready(|age| self.warm_up_fraction(age), is_healthy)
+            .sum_ready(|age| self.capacity_fraction(age), is_healthy)
             .max(1.0);
         let lifetime = (self.now - self.load.started_at) as f64;
         // Shortly after the start the flow covers only a part of its span.
@@ -179,7 +179,7 @@
     pub(super) fn learn_ack_rate(&mut self, elapsed: Elapsed) {
         let capacity = self
             .hosts
-            .sum_ready(|age| self.warm_up_fraction(age), |_| true);
+            .sum_ready(|age| self.capacity_fraction(age), |_| true);
         let load = &mut self.load;
         load.host_seconds = load.host_seconds * elapsed.decay.powf(FLOW_DECAY_RATE)
             + capacity * elapsed.time as f64 / SECOND as f64;
--- a/crates/spokeflow-core/src/router/placement.rs
+++ b/crates/spokeflow-core/src/router/placement.rs
@@ -238,41 +238,41 @@
     }
 
     /// Whether slow start allows one more delivery to a cold host. It may have no more in flight
-    /// than its acks allow, and in each slot of its age no more deliveries than this router's
+    /// than its acks allow, and in each interval of its age no more deliveries than this router's
     /// part of the fleet's allowance. The fraction of a delivery is rounded up or down by a hash,
     /// so that the routers together keep to the allowance. Deliveries are counted when they are
     /// sent, so that a host that fails fast does not get more.
     fn slow_start_allows(&self, host: usize, age: Micros, traffic_multiple: f64) -> bool {
-        let slot = age / self.config.overload_window;
+        let interval = age / self.config.overload_window;
         let started_at = self.now - age;
-        let sent = self.hosts.sent_in_slot(host, slot);
-        // From the second slot on the allowance is halved, because an overload window may overlap
-        // two slots; the first slot follows no other.
+        let sent = self.hosts.sent_in_interval(host, interval);
+        // From the second interval on the allowance is halved, because an overload window may
+        // overlap two intervals; the first one follows no other.
         let allowance = self.config.slow_start_allowance
-            * self.warm_up_fraction(age)
+            * self.capacity_fraction(age)
             * self.load.acks_per_host
             * traffic_multiple
-            / (1 + slot.min(1)) as f64;
+            / (1 + interval.min(1)) as f64;
         let id = self.hosts.endpoint(host).host.0;
         let rounding = hash_to_unit_interval(
-            u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + slot) as u64,
+            u64::from(id) << 32 ^ u64::from(self.own_index) << 12 ^ (started_at + interval) as u64,
         );
-        let in_slot = f64::from(sent + 1) <= allowance + rounding;
-        in_slot && self.hosts.in_flight(host) <= 1 + self.hosts.acks(host)
+        let in_allowance = f64::from(sent + 1) <= allowance + rounding;
+        in_allowance && self.hosts.in_flight(host) <= 1 + self.hosts.acks(host)
     }
 
     /// Sends a command to a host and counts the delivery in all statistics.
     pub(super) fn dispatch(&mut self, id: CommandId, host: usize, out: Out) {
         let build = self.hosts.build(host);
         let on_trial = self.is_on_trial(build);
-        let age_slot = self.hosts.age(host) / self.config.overload_window;
+        let age_interval = self.hosts.age(host) / self.config.overload_window;
         let Some(command) = self.commands.get_mut(&id) else {
             return;
         };
         if on_trial {
-            let slot = self.config.exposure_slot(command.operation);
+            let index = self.config.exposure_index(command.operation);
             self.exposure
-                .count_exposed(self.now, Exposed { slot, build });
+                .count_exposed(self.now, Exposed { index, build });
         }
         command
             .deliveries
@@ -280,7 +280,7 @@
         self.sticky.entry(command.key).add_open_delivery(build);
         self.hosts.add_in_flight(host);
         self.operations[command.operation].in_flight += 1;
-        self.hosts.count_sent(host, age_slot);
+        self.hosts.count_sent(host, age_interval);
         self.waiting.count_served(command.tenant);
         out.deliver(id, self.hosts.endpoint(host).host, None);
     }
--- a/crates/spokeflow-core/src/state/hosts/figures.rs
+++ b/crates/spokeflow-core/src/state/hosts/figures.rs
@@ -85,23 +85,23 @@
         self.records[host].connected_at
     }
 
-    /// Number of deliveries sent to the host in a slot, which is a numbered interval of its
-    /// process's age. Only the slot counted last is remembered; any other returns 0.
-    pub fn sent_in_slot(&self, host: usize, slot: Micros) -> u32 {
+    /// Number of deliveries sent to the host in an interval of its process's age, by the
+    /// interval's number. Only the interval counted last is remembered; any other returns 0.
+    pub fn sent_in_interval(&self, host: usize, interval: Micros) -> u32 {
         let record = &self.records[host];
-        if record.slot == slot {
-            record.sent_in_slot
+        if record.interval == interval {
+            record.sent_in_interval
         } else {
             0
         }
     }
 
-    /// Counts a delivery to the host in a slot.
-    pub fn count_sent(&mut self, host: usize, slot: Micros) {
-        let before = self.sent_in_slot(host, slot);
+    /// Counts a delivery to the host in an interval.
+    pub fn count_sent(&mut self, host: usize, interval: Micros) {
+        let before = self.sent_in_interval(host, interval);
         let record = &mut self.records[host];
-        record.slot = slot;
-        record.sent_in_slot = before + 1;
+        record.interval = interval;
+        record.sent_in_interval = before + 1;
     }
 
     /// Counts a delivery that has been sent to the host as open.
--- a/crates/spokeflow-core/src/state/hosts/mod.rs
+++ b/crates/spokeflow-core/src/state/hosts/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartSpans {
     /// Time in which the capacity of the process still grows.
-    pub warming: Micros,
+    pub slow_start: Micros,
     /// Time in which the number of deliveries to the process is bounded.
     pub bounded: Micros,
     /// Time in which the process counts as recently started; slowness is excused while most hosts
@@ -48,7 +48,7 @@
     none_ready: ReadyHosts,
     ready_count: usize,
     spans: StartSpans,
-    warming: RecentStarts,
+    cold: RecentStarts,
     bounded: RecentStarts,
     recent: RecentStarts,
     /// Ready hosts that have failed since their last success, or that were ejected; some of these
@@ -86,7 +86,7 @@
             self.remove_ready(host);
         }
         self.spans = spans;
-        self.warming = RecentStarts::new(spans.warming);
+        self.cold = RecentStarts::new(spans.slow_start);
         self.bounded = RecentStarts::new(spans.bounded);
         self.recent = RecentStarts::new(spans.recent);
         for &host in &ready {
@@ -97,12 +97,12 @@
     /// Sets the present time, which must not go backwards.
     pub fn advance(&mut self, now: Micros) {
         self.now = now;
-        while let Some(host) = self.warming.pop_expired(now) {
+        while let Some(host) = self.cold.pop_expired(now) {
             let record = &self.records[host];
             self.ready
                 .entry(record.build)
                 .or_default()
-                .warm_up(record.endpoint.size);
+                .add_warm(record.endpoint.size);
         }
         while let Some(host) = self.bounded.pop_expired(now) {
             self.ready
@@ -191,10 +191,10 @@
             return;
         }
         let started_at = self.endpoint(host).started_at;
-        let warming = self.warming.insert(started_at, host, self.now);
+        let is_cold = self.cold.insert(started_at, host, self.now);
         let bounded = self.bounded.insert(started_at, host, self.now);
         self.recent.insert(started_at, host, self.now);
-        let member = self.ready_host(host, !warming, bounded);
+        let member = self.ready_host(host, !is_cold, bounded);
         self.ready
             .entry(self.records[host].build)
             .or_default()
@@ -209,10 +209,10 @@
         }
         let build = self.build(host);
         let started_at = self.endpoint(host).started_at;
-        let warming = self.warming.remove(started_at, host);
+        let is_cold = self.cold.remove(started_at, host);
         let bounded = self.bounded.remove(started_at, host);
         self.recent.remove(started_at, host);
-        let member = self.ready_host(host, !warming, bounded);
+        let member = self.ready_host(host, !is_cold, bounded);
         if let Some(ready) = self.ready.get_mut(&build) {
             ready.remove(member, &self.ranks);
             if ready.is_empty() {
@@ -280,8 +280,8 @@
     }
 
     /// Ready hosts whose capacity still grows after their start.
-    pub fn warming(&self) -> impl Iterator<Item = usize> + '_ {
-        self.warming.iter()
+    pub fn cold_hosts(&self) -> impl Iterator<Item = usize> + '_ {
+        self.cold.iter()
     }
 
     /// Ready hosts to which the number of deliveries is bounded because they started recently.
--- a/crates/spokeflow-core/src/state/hosts/record.rs
+++ b/crates/spokeflow-core/src/state/hosts/record.rs
@@ -22,10 +22,10 @@
     pub(super) quiet_since: Micros,
     /// Evidence against its build that the host has contributed.
     pub(super) evidence: f64,
-    /// Number of deliveries sent in `slot`.
-    pub(super) sent_in_slot: u32,
+    /// Number of deliveries sent in `interval`.
+    pub(super) sent_in_interval: u32,
     /// The numbered interval of the process's age in which deliveries were last counted.
-    pub(super) slot: Micros,
+    pub(super) interval: Micros,
     /// Smoothed logarithm of the ratio of the latency to the baseline.
     pub(super) slowdown: f64,
     /// Utilization of the host's cores by its last load report, 0 to 1; NaN before the first report
@@ -53,8 +53,8 @@
             ejected_until: Micros::MIN,
             quiet_since: Micros::MIN,
             evidence: 0.0,
-            sent_in_slot: 0,
-            slot: Micros::MIN,
+            sent_in_interval: 0,
+            interval: Micros::MIN,
             slowdown: 0.0,
             utilization: f64::NAN,
             utilization_at: Micros::MIN,
@@ -64,7 +64,7 @@
 
     /// Resets the statistics that were learned of the previous process.
     pub(super) fn forget_process(&mut self) {
-        self.sent_in_slot = 0;
+        self.sent_in_interval = 0;
         self.acks = 0;
         self.consecutive_failures = 0;
         self.slowdown = 0.0;
--- a/crates/spokeflow-core/src/state/hosts/selection.rs
+++ b/crates/spokeflow-core/src/state/hosts/selection.rs
@@ -20,15 +20,15 @@
         let warm: usize = self.ready.values().map(|ready| ready.warm().count).sum();
         let is_warm = |host: usize| {
             let started_at = self.endpoint(host).started_at;
-            !self.warming.contains(started_at, host)
+            !self.cold.contains(started_at, host)
         };
         let excluded = self
             .suspects()
             .filter(|&host| is_warm(host) && !is_counted(host))
             .count();
-        let warming = self.warming().filter(|&host| is_counted(host));
+        let cold = self.cold_hosts().filter(|&host| is_counted(host));
         (warm - excluded) as f64 * weight(LONG_AGO)
-            + warming.map(|host| weight(self.age(host))).sum::<f64>()
+            + cold.map(|host| weight(self.age(host))).sum::<f64>()
     }
 
     /// Sums size times a weight by age over the ready hosts of the builds for which `is_counted`
@@ -43,9 +43,11 @@
             .filter(|(build, _)| is_counted(*build))
             .map(|(_, ready)| ready.warm().size)
             .sum();
-        let warming = self.warming().filter(|&host| is_counted(self.build(host)));
+        let cold = self
+            .cold_hosts()
+            .filter(|&host| is_counted(self.build(host)));
         warm * weight(LONG_AGO)
-            + warming
+            + cold
                 .map(|host| weight(self.age(host)) * self.endpoint(host).size)
                 .sum::<f64>()
     }
--- a/crates/spokeflow-core/src/state/ready.rs
+++ b/crates/spokeflow-core/src/state/ready.rs
@@ -69,7 +69,7 @@
         *self.sizes.entry(member.size.to_bits()).or_default() += 1;
         self.observed += usize::from(member.observed);
         if member.warm {
-            self.warm_up(member.size);
+            self.add_warm(member.size);
         }
         if member.bounded {
             self.bounded.insert(member.host);
@@ -101,7 +101,7 @@
     }
 
     /// Counts a host of this size as warm from now on.
-    pub fn warm_up(&mut self, size: f64) {
+    pub fn add_warm(&mut self, size: f64) {
         self.warm.count += 1;
         self.warm.size += size;
     }
--- a/crates/spokeflow-core/tests/cold_hosts.rs
+++ b/crates/spokeflow-core/tests/cold_hosts.rs
@@ -76,10 +76,10 @@
     // second and host, which counts as the capacity of a warm host.
     let capacity = (routers as f64) * each as f64 / f64::from(hosts);
     let span = config.overload_window as f64 / SECOND as f64;
-    let warm_up_fraction = config.slow_start_from
+    let capacity_fraction = config.slow_start_from
         + (1.0 - config.slow_start_from) * span / (config.warm_up_time as f64 / SECOND as f64);
     let sent = serve_fleet(&mut fleet, true, 2 * each as u32, SECOND / each);
-    let budget = config.overload_multiple * capacity * warm_up_fraction * span;
+    let budget = config.overload_multiple * capacity * capacity_fraction * span;
     assert!(
         sent <= budget,
         "rule 4: {sent} deliveries to the cold host, expected at most {budget}"
--- a/crates/spokeflow-core/tests/host_figures.rs
+++ b/crates/spokeflow-core/tests/host_figures.rs
@@ -86,7 +86,7 @@
     let warm = |hosts: &Hosts, members: &[usize]| {
         let warm = members
             .iter()
-            .filter(|&&host| age(hosts, host) >= hosts.spans().warming);
+            .filter(|&&host| age(hosts, host) >= hosts.spans().slow_start);
         warm.fold(WarmHosts::default(), |sum, &host| WarmHosts {
             count: sum.count + 1,
             size: sum.size + hosts.endpoint(host).size,
@@ -117,8 +117,8 @@
     after_each_step(|_, hosts| {
         let spans = hosts.spans();
         assert_eq!(
-            hosts.warming().collect::<BTreeSet<_>>(),
-            started_within(hosts, spans.warming)
+            hosts.cold_hosts().collect::<BTreeSet<_>>(),
+            started_within(hosts, spans.slow_start)
         );
         assert_eq!(
             hosts.bounded().collect::<BTreeSet<_>>(),
@@ -232,7 +232,7 @@
 #[test]
 fn another_process_clears_the_evidence_of_a_host() {
     let spans = StartSpans {
-        warming: SECOND,
+        slow_start: SECOND,
         bounded: 2 * SECOND,
         recent: 3 * SECOND,
     };
@@ -266,7 +266,7 @@
 #[test]
 fn sums_over_ready_hosts_equal_a_full_scan() {
     after_each_step(|_, hosts| {
-        let span = hosts.spans().warming;
+        let span = hosts.spans().slow_start;
         let weight = |age: Micros| 0.4 + 0.6 * (age.min(span) as f64 / span as f64);
         let is_fit = |host: usize| {
             hosts.consecutive_failures(host) == 0 && hosts.now() >= hosts.ejected_until(host)
