--- a/crates/spokeflow-simulator/src/world/connections.rs
+++ b/crates/spokeflow-simulator/src/world/connections.rs
@@ -13,6 +13,13 @@
 use super::{World, LOCAL_DELAY};
 use crate::host_link::{backoff, DeliveryMessage, LinkState, CONNECT_TIMEOUT, LINK_TIMEOUT};
 
+/// Delay assumed for a message on a link that is cut; whether it is still cut is checked when the message arrives.
+pub(super) const CUT_LINK_DELAY: Micros = 2 * MS;
+/// Time to open a connection, in one-way delays of the link.
+const CONNECT_LINK_DELAYS: Micros = 4;
+/// Time until a host without a running process refuses a connection, in one-way delays of the link.
+const REFUSAL_LINK_DELAYS: Micros = 2;
+
 impl World {
     /// Returns the host slot and the router that a link connects.
     pub(super) fn link_ends(&self, link_id: usize) -> (usize, u32) {
@@ -48,7 +55,7 @@
         {
             resend_delay += RETRANSMISSION_DELAY.max(resend_delay);
         }
-        self.link_delay(link_id).unwrap_or(2 * MS) + resend_delay
+        self.link_delay(link_id).unwrap_or(CUT_LINK_DELAY) + resend_delay
     }
 
     /// Sends a message from a router to a host.
@@ -132,8 +139,8 @@
         link.state = LinkState::Connecting;
         let epoch = link.epoch;
         let took = match (self.link_delay(link_id), is_running) {
-            (Some(delay), true) => 4 * delay + self.faults.slow_connects,
-            (Some(delay), false) => 2 * delay,
+            (Some(delay), true) => CONNECT_LINK_DELAYS * delay + self.faults.slow_connects,
+            (Some(delay), false) => REFUSAL_LINK_DELAYS * delay,
             (None, _) => CONNECT_TIMEOUT,
         };
         let fails = took >= CONNECT_TIMEOUT;
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -12,6 +12,10 @@
 use super::hosts::HostSlot;
 use super::{World, FLEET_TICK_INTERVAL, LOCAL_DELAY, WARM_UP};
 
+/// Part of its capacity that a host loses to neighbours that are all busy where `steal` is 1; below 1, against
+/// division by 0.
+const MAX_STOLEN_FRACTION: f64 = 0.9;
+
 impl World {
     /// Updates how much hosts slow each other down, by a defect that affects all hosts and by busy neighbours on
     /// the same machine, and records the state of the fleet.
@@ -66,8 +70,8 @@
             if group_size > 1 {
                 let (busy_sum, hosts) = busy_by_group[n / group_size];
                 let others = (busy_sum - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
-                process.model.fault.neighbours =
-                    1.0 / (1.0 - 0.9 * self.scenario.steal * others.clamp(0.0, 1.0));
+                process.model.fault.neighbours = 1.0
+                    / (1.0 - MAX_STOLEN_FRACTION * self.scenario.steal * others.clamp(0.0, 1.0));
             }
         }
         let at = self.now;
@@ -138,7 +142,7 @@
                     let (incarnation, list_delay) =
                         (self.incarnation(host), self.draw_list_delay());
                     if let Some(&slot) = self.slot_by_host.get(&host) {
-                        self.kill_host(slot);
+                        self.end_host_process(slot);
                     }
                     self.publish_endpoint(host, Phase::Gone, incarnation, list_delay);
                     let is_first = fault.kind == FaultKind::LoneHost && index == 0;
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -8,8 +8,9 @@
 use spokeflow_scenario::active_faults::{LinkKind, CONTROL_SITE};
 use spokeflow_scenario::endpoint_registry::Entry;
 use spokeflow_scenario::observation::{Observation, Phase, Process};
-use spokeflow_scenario::{Micros, MS, SECOND};
+use spokeflow_scenario::{Micros, SECOND};
 
+use super::connections::CUT_LINK_DELAY;
 use super::event::Event;
 use super::{World, LOCAL_DELAY};
 use crate::host_link::backoff;
@@ -82,7 +83,7 @@
         let delay = self
             .faults
             .delay(CONTROL_SITE, slot.site, LinkKind::ControlSite)
-            .unwrap_or(2 * MS)
+            .unwrap_or(CUT_LINK_DELAY)
             .max(LOCAL_DELAY);
         let at = (self.now + delay).max(slot.control_site_last[0]);
         self.routers[process.router as usize].control_site_last[0] = at;
@@ -100,7 +101,7 @@
         let delay = self
             .faults
             .delay(slot.site, CONTROL_SITE, LinkKind::ControlSite)
-            .unwrap_or(2 * MS)
+            .unwrap_or(CUT_LINK_DELAY)
             .max(LOCAL_DELAY);
         let at = (self.now + delay).max(slot.control_site_last[1]);
         self.routers[process.router as usize].control_site_last[1] = at;
--- a/crates/spokeflow-simulator/src/world/hosts.rs
+++ b/crates/spokeflow-simulator/src/world/hosts.rs
@@ -12,10 +12,12 @@
 use super::World;
 use crate::host_link::{HostLink, LinkState};
 
+/// Time between two checks whether a draining host has done its queued jobs.
+const DRAIN_CHECK_INTERVAL: Micros = 100 * MS;
 /// How long the slot of a host that has left for good is kept.
 const GONE_HOST_SLOT_RETENTION: Micros = 90 * SECOND;
 
-/// A running host process.
+/// A host process. One that crashed under overload stays in its slot, marked by `model.crashed`.
 pub(super) struct HostProcess {
     pub(super) model: Host,
     pub(super) incarnation: u64,
@@ -31,7 +33,7 @@
     pub(super) build: u16,
     /// When the host was started; `None` for one that has run, warm, since before the scenario.
     pub(super) started: Option<Micros>,
-    /// `None` while no process runs.
+    /// `None` before the process has started and after its end; a process that crashed under overload stays.
     pub(super) process: Option<HostProcess>,
     pub(super) is_draining: bool,
 }
@@ -126,15 +128,15 @@
         }
     }
 
-    /// Returns the incarnation of the host's process, 0 if none runs.
+    /// Returns the incarnation of the process in the host's slot, crashed or not, 0 if there is none.
     pub(super) fn incarnation(&self, host: u32) -> u64 {
         let slot = self.slot_by_host.get(&host).map(|s| &self.host_slots[*s]);
         slot.and_then(|s| s.process.as_ref())
             .map_or(0, |p| p.incarnation)
     }
 
-    /// Ends the process of a host; its connections are closed.
-    pub(super) fn kill_host(&mut self, slot: usize) {
+    /// Ends the process of a host that is killed or has been drained; its connections are closed.
+    pub(super) fn end_host_process(&mut self, slot: usize) {
         self.host_slots[slot].process = None;
         for router in 0..self.scenario.routers {
             let link_id = self.link_id(slot, router);
@@ -184,10 +186,10 @@
             .as_ref()
             .is_some_and(|p| p.model.queued() > 0 && !p.model.crashed);
         if is_busy {
-            return self.schedule(100 * MS, Event::HostStops(host));
+            return self.schedule(DRAIN_CHECK_INTERVAL, Event::HostStops(host));
         }
         let (incarnation, delay) = (self.incarnation(host), self.draw_list_delay());
-        self.kill_host(slot);
+        self.end_host_process(slot);
         self.publish_endpoint(host, Phase::Gone, incarnation, delay);
         self.schedule(delay + GONE_HOST_SLOT_RETENTION, Event::SlotFreed(host));
     }
