--- a/crates/spokeflow-simulator/src/world.rs
+++ b/crates/spokeflow-simulator/src/world.rs
@@ -296,7 +296,9 @@
                 process,
                 connection,
             } => self.connect_to_list(process, connection),
-            Event::RolloutAtRouter { process, state } => self.on_rollout_at_router(process, state),
+            Event::RolloutAtRouter { process, status } => {
+                self.on_rollout_at_router(process, status)
+            }
             Event::VoteAtController {
                 process,
                 ballot,
@@ -345,12 +347,7 @@
             Event::FleetTick => self.on_fleet_tick(),
             Event::FaultBegins(n) => self.begin_fault(n),
             Event::FaultEnds(n) => self.end_fault(n),
-            Event::RouterRoll {
-                routers,
-                index,
-                down_for,
-                interval,
-            } => self.restart_next_router(routers, index, down_for, interval),
+            Event::RouterRoll(restart) => self.restart_next_router(restart),
             Event::RouterEnds {
                 router,
                 process,
@@ -359,16 +356,9 @@
             } => self.on_router_ends(router, process, shutdown_at, next),
             Event::RouterStarts { router, next } => {
                 self.restart_router(router);
-                if let Some((routers, index, down_for, interval)) = next {
-                    self.schedule(
-                        (interval - down_for).max(0),
-                        Event::RouterRoll {
-                            routers,
-                            index,
-                            down_for,
-                            interval,
-                        },
-                    );
+                if let Some(restart) = next {
+                    let delay = (restart.interval - restart.down_for).max(0);
+                    self.schedule(delay, Event::RouterRoll(restart));
                 }
             }
         }
--- a/crates/spokeflow-simulator/src/world/event.rs
+++ b/crates/spokeflow-simulator/src/world/event.rs
@@ -34,9 +34,18 @@
     Closed,
 }
 
-/// The rest of a rolling restart: all its routers, the index of the next one, how long each is down, and the interval
-/// between two restarts.
-pub(super) type RollingRestart = (Rc<Vec<u32>>, usize, Micros, Micros);
+/// The rest of a rolling restart of routers.
+#[derive(Clone)]
+pub(super) struct RollingRestart {
+    /// All routers of the restart, in order.
+    pub(super) routers: Rc<Vec<u32>>,
+    /// Index in `routers` of the next one to shut down.
+    pub(super) next_index: usize,
+    /// How long each router is down.
+    pub(super) down_for: Micros,
+    /// Time from the end of one router to the shutdown of the next, at least `down_for`.
+    pub(super) interval: Micros,
+}
 
 /// What happens when an event is due. Variants carry the process, epoch, incarnation or time that tells whether the
 /// event is still valid: one for an earlier process or connection, or a timer that was replaced, is dropped.
@@ -123,7 +132,7 @@
     },
     RolloutAtRouter {
         process: Process,
-        state: RolloutStatus,
+        status: RolloutStatus,
     },
     VoteAtController {
         process: Process,
@@ -147,12 +156,7 @@
     FaultBegins(usize),
     FaultEnds(usize),
     /// The next router of a rolling restart is shut down.
-    RouterRoll {
-        routers: Rc<Vec<u32>>,
-        index: usize,
-        down_for: Micros,
-        interval: Micros,
-    },
+    RouterRoll(RollingRestart),
     RouterEnds {
         router: u32,
         process: Process,
--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -8,7 +8,7 @@
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
 use spokeflow_scenario::{Micros, SECOND};
 
-use super::event::Event;
+use super::event::{Event, RollingRestart};
 use super::hosts::HostSlot;
 use super::{World, FLEET_TICK_INTERVAL, LOCAL_DELAY, WARM_UP};
 
@@ -183,12 +183,12 @@
                     let routers = Rc::new(routers);
                     // In a large fleet several routers are down at a time, so that the rolling restart ends with
                     // the fault.
-                    return self.handle(Event::RouterRoll {
+                    return self.handle(Event::RouterRoll(RollingRestart {
                         routers,
-                        index: 0,
+                        next_index: 0,
                         down_for: size_as_duration,
                         interval,
-                    });
+                    }));
                 }
                 for router in routers {
                     let process = self.routers[router as usize].process;
--- a/crates/spokeflow-simulator/src/world/host_list.rs
+++ b/crates/spokeflow-simulator/src/world/host_list.rs
@@ -85,8 +85,10 @@
             .delay(CONTROL_SITE, slot.site, LinkKind::ControlSite)
             .unwrap_or(CUT_LINK_DELAY)
             .max(LOCAL_DELAY);
-        let at = (self.now + delay).max(slot.control_site_last[0]);
-        self.routers[process.router as usize].control_site_last[0] = at;
+        let at = (self.now + delay).max(slot.control_site_last.from_site);
+        self.routers[process.router as usize]
+            .control_site_last
+            .from_site = at;
         self.schedule_at(at, event(process));
     }
 
@@ -103,8 +105,10 @@
             .delay(slot.site, CONTROL_SITE, LinkKind::ControlSite)
             .unwrap_or(CUT_LINK_DELAY)
             .max(LOCAL_DELAY);
-        let at = (self.now + delay).max(slot.control_site_last[1]);
-        self.routers[process.router as usize].control_site_last[1] = at;
+        let at = (self.now + delay).max(slot.control_site_last.to_site);
+        self.routers[process.router as usize]
+            .control_site_last
+            .to_site = at;
         self.schedule_at(at, event(process));
     }
 
--- a/crates/spokeflow-simulator/src/world/release_controller.rs
+++ b/crates/spokeflow-simulator/src/world/release_controller.rs
@@ -1,4 +1,4 @@
-//! The release controller: its rollout of builds, the state that it sends to routers, and the votes that it takes.
+//! The release controller: its rollout of builds, the status that it sends to routers, and the votes that it takes.
 
 use rand::RngExt;
 use spokeflow_engine::Input;
@@ -27,31 +27,31 @@
             }
         }
         self.controller.tick(self.now, &mut orders);
-        let state = self.controller.state;
-        if state != before {
+        let status = self.controller.state;
+        if status != before {
             let RolloutStatus {
                 build,
                 stage,
-                rollout: phase,
+                rollout: state,
                 ..
-            } = state;
+            } = status;
             self.observe(Observation::ReleaseController {
                 build,
                 stage,
-                state: phase,
+                state,
             });
         }
         self.apply_orders(orders);
         for router in 0..self.routers.len() {
             let slot = &self.routers[router];
             if slot.strategy.is_none()
-                || slot.sent_state == Some(state)
-                    && self.now - slot.state_sent_at < self.scenario.rollout_interval
+                || slot.sent_status == Some(status)
+                    && self.now - slot.status_sent_at < self.scenario.rollout_interval
             {
                 continue;
             }
-            // A router that has just connected receives the state at once, changes arrive with a delay.
-            let is_first = slot.sent_state.is_none();
+            // A router that has just connected receives the status at once, changes arrive with a delay.
+            let is_first = slot.sent_status.is_none();
             let [least, most] = self.scenario.rollout_delay;
             let delay = if is_first {
                 0
@@ -60,35 +60,37 @@
             };
             let slot = &mut self.routers[router];
             let at = (self.now + delay + self.faults.controller_delay).max(slot.last_rollout_at);
-            (slot.sent_state, slot.state_sent_at, slot.last_rollout_at) =
-                (Some(state), self.now, at);
+            (slot.sent_status, slot.status_sent_at, slot.last_rollout_at) =
+                (Some(status), self.now, at);
             let process = slot.process;
-            self.schedule_at(at, Event::RolloutAtRouter { process, state });
+            self.schedule_at(at, Event::RolloutAtRouter { process, status });
         }
     }
 
-    pub(super) fn on_rollout_at_router(&mut self, process: Process, state: RolloutStatus) {
+    pub(super) fn on_rollout_at_router(&mut self, process: Process, status: RolloutStatus) {
         if self.routers[process.router as usize].process != process {
             return;
         }
         if self.faults.stalled_controller || self.is_cut_from_control_site(process) {
-            return self.blocked.push(Event::RolloutAtRouter { process, state });
+            return self
+                .blocked
+                .push(Event::RolloutAtRouter { process, status });
         }
         let RolloutStatus {
             build,
             stage,
-            rollout: phase,
+            rollout: state,
             cap,
             since,
-        } = state;
+        } = status;
         self.observe(Observation::News {
             to: process,
             build,
             stage,
-            state: phase,
+            state,
             cap,
         });
-        let phase = match phase {
+        let phase = match state {
             RolloutState::Canary => RolloutPhase::Canary,
             RolloutState::RollingBack => RolloutPhase::RollingBack,
             RolloutState::Released => RolloutPhase::Released,
--- a/crates/spokeflow-simulator/src/world/routers.rs
+++ b/crates/spokeflow-simulator/src/world/routers.rs
@@ -1,7 +1,5 @@
 //! Router processes: their start, their end, and the inputs that reach them.
 
-use std::rc::Rc;
-
 use spokeflow_engine::Input;
 use spokeflow_scenario::observation::{Observation, Process};
 use spokeflow_scenario::release_controller::RolloutStatus;
@@ -17,6 +15,14 @@
 /// How long a router may take to answer its waiting commands after it was told to shut down.
 const SHUTDOWN_TIMEOUT: Micros = 15 * SECOND;
 
+/// When the last message in each direction between a router and the control site arrives; later ones arrive no
+/// earlier.
+#[derive(Default)]
+pub(super) struct ControlSiteArrivals {
+    pub(super) from_site: Micros,
+    pub(super) to_site: Micros,
+}
+
 /// A place in the router fleet, with its current process.
 pub(super) struct RouterSlot {
     pub(super) process: Process,
@@ -40,13 +46,13 @@
     pub(super) list_version: Option<u64>,
     /// Whether the list sends its changes to the router.
     pub(super) is_watching_list: bool,
-    /// The rollout state that was last sent to the router, `None` before the first.
-    pub(super) sent_state: Option<RolloutStatus>,
-    pub(super) state_sent_at: Micros,
-    /// When the last rollout state arrives; later ones arrive no earlier.
+    /// The rollout status that was last sent to the router, `None` before the first.
+    pub(super) sent_status: Option<RolloutStatus>,
+    pub(super) status_sent_at: Micros,
+    /// When the last rollout status arrives; later ones arrive no earlier.
     pub(super) last_rollout_at: Micros,
-    /// When the last other message from the control site and the last one to it arrive; later ones arrive no earlier.
-    pub(super) control_site_last: [Micros; 2],
+    /// When the last other messages from and to the control site arrive.
+    pub(super) control_site_last: ControlSiteArrivals,
 }
 
 impl RouterSlot {
@@ -65,10 +71,10 @@
             list_unanswered: 0,
             list_version: None,
             is_watching_list: false,
-            sent_state: None,
-            state_sent_at: 0,
+            sent_status: None,
+            status_sent_at: 0,
             last_rollout_at: 0,
-            control_site_last: [0; 2],
+            control_site_last: ControlSiteArrivals::default(),
         }
     }
 }
@@ -148,29 +154,16 @@
         }
     }
 
-    pub(super) fn restart_next_router(
-        &mut self,
-        routers: Rc<Vec<u32>>,
-        index: usize,
-        down_for: Micros,
-        interval: Micros,
-    ) {
-        let Some(&router) = routers.get(index) else {
+    /// Shuts down the next router of a rolling restart, which goes on when that router has started again.
+    pub(super) fn restart_next_router(&mut self, mut restart: RollingRestart) {
+        let Some(&router) = restart.routers.get(restart.next_index) else {
             return;
         };
-        let next = Some((routers, index + 1, down_for, interval));
+        restart.next_index += 1;
         let slot = &mut self.routers[router as usize];
         if slot.strategy.is_none() || slot.is_closing {
             // Another fault has already taken this router down.
-            return self.schedule(
-                interval,
-                Event::RouterRoll {
-                    routers: next.map(|next| next.0).unwrap_or_default(),
-                    index: index + 1,
-                    down_for,
-                    interval,
-                },
-            );
+            return self.schedule(restart.interval, Event::RouterRoll(restart));
         }
         (slot.is_closing, slot.down_since) = (true, Some(self.now));
         let process = slot.process;
@@ -182,7 +175,7 @@
                 router,
                 process,
                 shutdown_at: self.now,
-                next,
+                next: Some(restart),
             },
         );
     }
@@ -214,7 +207,7 @@
         if slot.process == process && slot.strategy.is_some() {
             self.stop_router(router, Observation::RouterEnded(process));
         }
-        let down_for = next.as_ref().map_or(SECOND, |next| next.2);
+        let down_for = next.as_ref().map_or(SECOND, |restart| restart.down_for);
         self.schedule(down_for, Event::RouterStarts { router, next });
     }
 
