--- a/crates/spokeflow-simulator/src/world/faults.rs
+++ b/crates/spokeflow-simulator/src/world/faults.rs
@@ -8,10 +8,14 @@
 use spokeflow_scenario::scenario::{BuildDefect, FaultKind};
 use spokeflow_scenario::{Micros, SECOND};
 
-use super::event::Event;
+use super::event::{Event, RollingRestart};
 use super::hosts::HostSlot;
 use super::{World, FLEET_TICK_INTERVAL, LOCAL_DELAY, WARM_UP};
 
+/// Part of its capacity that a host loses to neighbours that are all busy where `steal` is 1; below 1, against
+/// division by 0.
+const MAX_STOLEN_FRACTION: f64 = 0.9;
+
 impl World {
     /// Updates how much hosts slow each other down, by a defect that affects all hosts and by busy neighbours on
     /// the same machine, and records the state of the fleet.
@@ -66,8 +70,8 @@
             if group_size > 1 {
                 let (busy_sum, hosts) = busy_by_group[n / group_size];
                 let others = (busy_sum - process.model.busy()) / f64::max(hosts - 1.0, 1.0);
-                process.model.fault.neighbours =
-                    1.0 / (1.0 - 0.9 * self.scenario.steal * others.clamp(0.0, 1.0));
+                process.model.fault.neighbours = 1.0
+                    / (1.0 - MAX_STOLEN_FRACTION * self.scenario.steal * others.clamp(0.0, 1.0));
             }
         }
         let at = self.now;
@@ -138,7 +142,7 @@
                     let (incarnation, list_delay) =
                         (self.incarnation(host), self.draw_list_delay());
                     if let Some(&slot) = self.slot_by_host.get(&host) {
-                        self.kill_host(slot);
+                        self.end_host_process(slot);
                     }
                     self.publish_endpoint(host, Phase::Gone, incarnation, list_delay);
                     let is_first = fault.kind == FaultKind::LoneHost && index == 0;
@@ -179,12 +183,12 @@
                     let routers = Rc::new(routers);
                     // In a large fleet several routers are down at a time, so that the rolling restart ends with
                     // the fault.
-                    return self.handle(Event::RouterRoll {
+                    return self.handle(Event::RouterRoll(RollingRestart {
                         routers,
-                        index: 0,
+                        next_index: 0,
                         down_for: size_as_duration,
                         interval,
-                    });
+                    }));
                 }
                 for router in routers {
                     let process = self.routers[router as usize].process;
