--- a/crates/spokeflow-coordination/src/config_state.rs
+++ b/crates/spokeflow-coordination/src/config_state.rs
@@ -62,7 +62,7 @@
             LogCommand::Propose(proposal) => self.decide(proposal),
             LogCommand::PutInForce { revision, at_s } => self.put_in_force(revision, at_s),
             LogCommand::UpdateList(update) => self.list.apply(update),
-            LogCommand::TrustList => self.list.trust_source(),
+            LogCommand::TrustList => self.list.reset_source_version(),
             LogCommand::SetAddress { node, address } => {
                 self.addresses.insert(node, address);
             }
--- a/crates/spokeflow-coordination/src/endpoint_list.rs
+++ b/crates/spokeflow-coordination/src/endpoint_list.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Accepts any version as the next one from the source; requested by an operator.
-    pub fn trust_source(&mut self) {
+    /// Sets the version of the source to 0, so that any version is accepted as the next one; requested by an operator.
+    pub fn reset_source_version(&mut self) {
         self.source_version = 0;
     }
 
--- a/crates/spokeflow-coordination/tests/endpoint_list.rs
+++ b/crates/spokeflow-coordination/tests/endpoint_list.rs
@@ -80,7 +80,7 @@
         hosts: (4..10).map(|id| host(id, HostState::Gone, 1)).collect(),
     };
     assert!(list.evaluate(&six_gone, false).unwrap().is_some());
-    list.trust_source();
+    list.reset_source_version();
     assert!(
         list.evaluate(&complete(1, 0..9), false).unwrap().is_some(),
         "after an operator's reset any version is accepted"
