--- a/crates/spokeflow-ctl/src/args.rs
+++ b/crates/spokeflow-ctl/src/args.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// Shows and changes the configuration of all routers of a fleet. Exit code 0: done; 1: refused, or without effect in
-/// time; 2: wrong use, or no node answered
+/// Shows and changes the configuration of all routers of a fleet. Exit code 0: done; 1: refused, not in effect in
+/// time, or a change of voters whose outcome is unknown; 2: wrong use, or no node gave a conclusive answer
 #[derive(Parser)]
 #[command(name = "spokeflowctl", version)]
 pub(crate) struct Program {
--- a/crates/spokeflow-ctl/src/error.rs
+++ b/crates/spokeflow-ctl/src/error.rs
@@ -8,7 +8,7 @@
 use spokeflow_coordination::wire::Response;
 use thiserror::Error;
 
-/// Exit code if the command was used wrongly or no node answered.
+/// Exit code if the command was used wrongly or no node gave a conclusive answer.
 const EXIT_USAGE: u8 = 2;
 
 /// Why a command was not carried out.
@@ -20,7 +20,9 @@
     /// The values of a revision cannot be used.
     #[error(transparent)]
     Values(#[from] ConfigErrors),
-    /// The leader changed while the request was carried out.
+    /// The leader changed or did not answer in time: a change of voters may have been carried out or not. An idempotent
+    /// request, such as a proposal, is sent again instead; it ends with [`CtlError::Request`] if its outcome stays
+    /// unknown.
     #[error("unknown whether the request was carried out: see the output of status")]
     Indeterminate,
     /// A newer revision exists than the one that the proposal was made against.
@@ -32,9 +34,9 @@
     /// The revision is not in force at the end of `--within`.
     #[error("revision {expected} is not in force yet, revision {in_force} is")]
     NotInForce { in_force: u64, expected: u64 },
-    /// The change of voters is not committed at the end of `--within`.
-    #[error("the change of voters is not committed yet: see the output of status")]
-    VotersNotCommitted,
+    /// The status does not show the change of voters at the end of `--within`.
+    #[error("status does not show the change of voters yet")]
+    VotersUnchanged,
     /// An argument is not a name with a value.
     #[error("'{0}' is not NAME=VALUE, such as stage-cap=0.05,0.2,0.5,1")]
     NotNameValue(String),
@@ -43,7 +45,7 @@
         "--control-plane: at least one address is required, here or in SPOKEFLOW_CONTROL_PLANE"
     )]
     NoNode,
-    /// No node answered.
+    /// No node gave a conclusive answer.
     #[error(transparent)]
     Request(#[from] RequestError),
     /// The response is not one to this kind of request.
@@ -58,8 +60,8 @@
 }
 
 impl CtlError {
-    /// Returns 1 if the command was refused or did not take effect in time, 2 if it was used wrongly or no node
-    /// answered.
+    /// Returns 1 if the command was refused, did not take effect in time, or is a change of voters with an unknown
+    /// outcome; 2 if it was used wrongly or no node gave a conclusive answer.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
             CtlError::Invalid(_)
@@ -68,7 +70,7 @@
             | CtlError::Stale { .. }
             | CtlError::Busy { .. }
             | CtlError::NotInForce { .. }
-            | CtlError::VotersNotCommitted => ExitCode::FAILURE,
+            | CtlError::VotersUnchanged => ExitCode::FAILURE,
             CtlError::NotNameValue(_)
             | CtlError::NoNode
             | CtlError::Request(_)
--- a/crates/spokeflow-ctl/src/membership.rs
+++ b/crates/spokeflow-ctl/src/membership.rs
@@ -38,11 +38,12 @@
             self.change(&mut voters);
             session.send(Request::ChangeVoters(voters)).await?;
         }
-        // The status shows a change as soon as it is proposed; the change is final once a later entry is committed.
+        // The status shows a change as soon as the leader has appended it to its log. Whether it is committed is not
+        // checked: a new leader may still drop it.
         let status = session
             .wait_until(
                 |status| self.is_done_in(&status.voters),
-                |_| CtlError::VotersNotCommitted,
+                |_| CtlError::VotersUnchanged,
             )
             .await?;
         let ids: Vec<u32> = status.voters.iter().map(|voter| voter.0).collect();
