--- a/crates/spokeflow-control-plane/src/list.rs
+++ b/crates/spokeflow-control-plane/src/list.rs
@@ -1,4 +1,4 @@
-//! The link to the source of the host list, which only the leader reads.
+//! The link to the source of the replicated list, which only the leader reads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,16 +28,16 @@
 /// Maximum number of requests in a row without any message from the source; after that the connection is reopened.
 const MAX_UNANSWERED: u32 = 3;
 
-/// The link to the source of the host list.
+/// The link to the source of the replicated list.
 pub(crate) struct ListLink {
     pub(crate) address: SocketAddr,
     pub(crate) backoff: Backoff,
     pub(crate) events: mpsc::Sender<NodeEvent>,
-    /// Whether this node reads the list: true while it holds the leader lease.
+    /// Whether this node reads the source: true while it holds the leader lease.
     pub(crate) is_reader: watch::Receiver<bool>,
 }
 
-/// Why the host list cannot be read from its source.
+/// Why the source of the replicated list cannot be read.
 #[derive(Debug, Error)]
 enum SourceError {
     #[error(transparent)]
@@ -59,7 +59,7 @@
 type SourceLink = Link<FromList, ToList>;
 
 impl ListLink {
-    /// Reads the list while this node is the reader, until the node task has ended.
+    /// Reads the source while this node is the reader, until the node task has ended.
     pub(crate) async fn run(mut self) {
         let mut failures = 0;
         loop {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Reads the list until this node is no longer the reader or the node task has ended.
+    /// Reads the source until this node is no longer the reader or the node task has ended.
     async fn read(&mut self) -> Result<(), SourceError> {
         let mut link = timeout(SOURCE_TIMEOUT, self.open())
             .await
--- a/crates/spokeflow-control-plane/src/node_task.rs
+++ b/crates/spokeflow-control-plane/src/node_task.rs
@@ -31,7 +31,7 @@
     pub(crate) peer_starts: PeerStarts,
     pub(crate) persistence: Persistence,
     pub(crate) crash_injector: Arc<CrashInjector>,
-    /// Whether this node reads the host list: true while it holds the leader lease.
+    /// Whether this node reads the source of the replicated list: true while it holds the leader lease.
     pub(crate) reads_list: watch::Sender<bool>,
     /// The state that was logged last; `None` before the first log line.
     pub(crate) logged: Option<LoggedState>,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Runs the timer if it is due, logs a change of the Raft state, and starts or stops reading of the host list.
+    /// Runs the timer if it is due, logs a change of the Raft state, and starts or stops reading of the list source.
     fn on_batch_end(&mut self) {
         let now = self.clock.now();
         if now >= self.coordinator.next_wake(now) {
--- a/crates/spokeflow-coordination/src/coordinator/requests.rs
+++ b/crates/spokeflow-coordination/src/coordinator/requests.rs
@@ -35,8 +35,9 @@
 }
 
 impl Coordinator {
-    /// Handles a request. The response is among these effects, or among those of a later call, at the latest when the
-    /// request times out after two seconds.
+    /// Handles a request. The response to a proposal that is not decided yet, or to a forwarded request, is among the
+    /// effects of a later call, at the latest when the request times out after two seconds. All other responses are
+    /// among these effects. A request beyond `MAX_WAITING_REQUESTS` for the same proposal is not answered.
     pub fn on_request(
         &mut self,
         now: Micros,
@@ -57,7 +58,7 @@
         self.apply_output(now, out, effects);
     }
 
-    /// Returns the leader's response; `None` if it follows later.
+    /// Returns the leader's response; `None` if it follows later, or never (see [`Coordinator::propose`]).
     fn answer(
         &mut self,
         now: Micros,
@@ -88,7 +89,9 @@
         Response::Granted(Box::new(grant))
     }
 
-    /// Appends a proposal to the log, unless it is there already. The response follows once the proposal is committed.
+    /// Appends a proposal to the log, unless it is there already. Returns the response if the proposal is decided
+    /// already or cannot be appended. Otherwise the response follows once the proposal is committed or the request
+    /// times out; none follows if [`MAX_WAITING_REQUESTS`] wait for the proposal already.
     fn propose(
         &mut self,
         now: Micros,
--- a/crates/spokeflow-coordination/src/effective_config.rs
+++ b/crates/spokeflow-coordination/src/effective_config.rs
@@ -5,13 +5,13 @@
 
 /// The part of a [`ServiceConfig`] that a revision may change while routers run. Each field means the same as there.
 ///
-/// Windows (`exposure-span`, `fall-span`), the settings of what is counted in them, operations and one-way keys are not
-/// included: events that were counted under the old values cannot be counted again.
+/// Windows (`exposure_window`, `overload_window`), the settings of what is counted in them, operations and
+/// `forward_only` are not included: events that were counted under the old values cannot be counted again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveConfig {
     /// Commands per second that each tenant may send, over all routers together.
     pub tenant_quotas: Vec<f64>,
-    /// Number of routers that share the common budgets.
+    /// Number of routers of the service, among which its fleet-wide limits are divided.
     pub fleet_size: u32,
     /// Maximum number of deliveries for one command, including the first.
     pub delivery_cap: u32,
@@ -27,13 +27,13 @@
     pub overload_multiple: f64,
     /// By rollout stage, an upper limit on the exposure cap that the release controller sets.
     pub stage_caps: Vec<f64>,
-    /// Deliveries allowed in addition to the exposure cap in each exposure window.
+    /// Deliveries to the canary build that are allowed in addition to the cap in each exposure window.
     pub exposure_allowance: f64,
-    /// Rollout stages, from the first, in which a canary gets redeliverable operations only.
+    /// Number of first stages in which only idempotent operations go to the canary build.
     pub guarded_stages: u8,
     /// Fraction of the wrong answers that clients report.
     pub complaint_share: f64,
-    /// Routers whose votes roll a build back.
+    /// Number of routers whose votes roll a build back; 0 if not configured.
     pub rollback_votes: u32,
     /// Votes per second that the release controller accepts from all routers together.
     pub votes_per_second: f64,
@@ -84,7 +84,7 @@
     ///
     /// Stricter values are: fewer deliveries, no hedging, a shorter drain grace, a lower capacity after the start, a
     /// lower overload multiple, lower caps (0 for a stage that only one of both has), a lower exposure allowance, more
-    /// guarded stages, and a larger fleet, as each router's share of the common budgets is then smaller. For quotas,
+    /// guarded stages, and a larger fleet, as each router's share of the fleet-wide limits is then smaller. For quotas,
     /// retry times and the counting of votes neither value is stricter.
     pub fn stricter_of(&self, pending: &EffectiveConfig) -> EffectiveConfig {
         let stages = self.stage_caps.len().max(pending.stage_caps.len());
@@ -111,8 +111,10 @@
 
     /// Returns a configuration that does not contradict any later revision, however strict: canaries get no deliveries,
     /// each command gets one delivery, draining hosts get no new commands from the start of draining, and hosts that
-    /// have just started get almost none. Quotas and the counting of votes have no stricter value, so they stay
-    /// unchanged.
+    /// have just started get almost none.
+    ///
+    /// Excepted are the settings that stay unchanged: quotas, retry times and the counting of votes, which have no
+    /// stricter value, and `fleet_size`, although a larger value would be stricter.
     pub fn released_build_only(&self) -> EffectiveConfig {
         EffectiveConfig {
             stage_caps: vec![0.0; self.stage_caps.len()],
--- a/crates/spokeflow-coordination/src/endpoint_list.rs
+++ b/crates/spokeflow-coordination/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The replicated endpoint list: which updates of its source are accepted, and which hosts a lagging router lacks.
-//! Operators know the endpoint list as the host list.
+//! The replicated endpoint list, called the replicated list: which updates of its source are accepted, and which hosts
+//! a lagging router lacks. Operators know it as the host list.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
