--- a/crates/spokeflow-router/src/control_plane.rs
+++ b/crates/spokeflow-router/src/control_plane.rs
@@ -1,6 +1,6 @@
-//! The link to the control plane. The router is connected to one node at a time, requests a lease from it three times per
-//! lease duration, and moves on to the next node if it grants none. Revisions are checked against the router's flags here
-//! and are passed to the engine as one configuration, together with the lease.
+//! The link to the control plane. The router is connected to one node at a time, requests a lease from it three times
+//! per lease duration, and moves on to the next node if it grants none. Revisions are checked against the router's
+//! flags here and are passed to the engine as one configuration, together with the lease.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,8 @@
 use crate::links::{Link, CONTROL_PLANE_LINK, READ_BUFFER};
 use crate::RouterFlags;
 
-/// Time within which a node must be connected and must answer a request; otherwise the router moves on to the next node.
+/// Time within which a node must be connected and welcome the router, and within which it must answer a request;
+/// otherwise the router moves on to the next node.
 const NODE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Shortest delay before the next node is tried, doubled with each node in a row that grants no lease.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
@@ -59,17 +60,24 @@
     /// The engine's task has ended.
     #[error("the router shuts down")]
     ShuttingDown,
-    #[error("node not connected and welcomed within {:?}", NODE_TIMEOUT)]
+    /// The connection failed, was not welcomed, or took too long.
+    #[error("node not connected, or no welcome received within {:?}", NODE_TIMEOUT)]
     NotReached,
-    #[error("lease request not sent within {:?}", NODE_TIMEOUT)]
-    SendTimedOut,
+    /// The connection failed while the request was sent, or sending took too long.
+    #[error(
+        "lease request not sent: connection failed, or not writable within {:?}",
+        NODE_TIMEOUT
+    )]
+    NotSent,
     #[error("lease request not answered within {:?}", NODE_TIMEOUT)]
     NoResponse,
-    #[error("node knows no leader")]
-    NoLeader,
-    #[error("node refused the request ({why:?}): {text}")]
+    /// The node sent another response than a grant, mostly because it knows no leader.
+    #[error("node answered without granting a lease")]
+    NotGranted,
+    #[error("node refused the connection ({why:?}): {text}")]
     Refused { why: Refusal, text: String },
-    #[error("connection lost")]
+    /// The node closed the connection, or sent a message that cannot be read or is not expected.
+    #[error("connection closed by the node, or unreadable or unexpected message received")]
     ConnectionLost,
 }
 
@@ -108,6 +116,7 @@
     fn give_up_at(&self) -> Instant {
         match self.unanswered_since {
             Some(since) => since + NODE_TIMEOUT,
+            // No response is awaited. The next request is due before this deadline, and replaces it when it is sent.
             None => self.next_request + self.interval * 2,
         }
     }
@@ -318,7 +327,7 @@
     let message = ToNode::Request { number, request };
     match timeout(NODE_TIMEOUT, link.send(message)).await {
         Ok(Ok(())) => Ok(()),
-        _ => Err(LinkError::SendTimedOut),
+        _ => Err(LinkError::NotSent),
     }
 }
 
@@ -329,7 +338,7 @@
             number,
             response: Response::Granted(grant),
         })) => Ok((number, *grant)),
-        Some(Ok(FromNode::Response { .. })) => Err(LinkError::NoLeader),
+        Some(Ok(FromNode::Response { .. })) => Err(LinkError::NotGranted),
         Some(Ok(FromNode::Refused { why, text })) => Err(LinkError::Refused { why, text }),
         _ => Err(LinkError::ConnectionLost),
     }
--- a/crates/spokeflow-router/src/flags.rs
+++ b/crates/spokeflow-router/src/flags.rs
@@ -89,7 +89,7 @@
     /// Maximum number of messages queued for one host; further deliveries go to other hosts
     #[arg(long, env = "SPOKEFLOW_HOST_QUEUE", default_value_t = 256)]
     pub host_queue: usize,
-    /// Longest time to connect to a host; after that the connection counts as refused
+    /// Longest time to connect to a host and receive its welcome; after that the connection counts as refused
     #[arg(long, env = "SPOKEFLOW_CONNECT_TIMEOUT", default_value = "250ms", value_parser = parse_duration)]
     pub connect_timeout: Duration,
     /// Delay after the first failed connection attempt; it doubles with each further failure and has jitter
--- a/crates/spokeflow-router/src/host_connection.rs
+++ b/crates/spokeflow-router/src/host_connection.rs
@@ -137,7 +137,8 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // Bytes in the socket's send buffer cannot be taken back when the host drains, so the buffer is kept small.
+    // When the host drains, bytes in the socket's send buffer cannot be taken back without closing the connection, so
+    // the buffer is kept small.
     let _ = socket.set_send_buffer_size(SEND_BUFFER);
     let stream = socket.connect(address).await?;
     let _ = stream.set_nodelay(true);
@@ -216,7 +217,8 @@
         }
     }
 
-    /// Moves frames both ways until the connection ends, and reports the deliveries that were lost with it to the engine.
+    /// Moves frames both ways until the connection ends, and reports the deliveries that were lost with it to the
+    /// engine.
     pub(crate) async fn run(mut self) -> ConnectionEnd {
         let end = loop {
             self.encode().await;
--- a/crates/spokeflow-router/src/migrate/mapping.rs
+++ b/crates/spokeflow-router/src/migrate/mapping.rs
@@ -2,7 +2,8 @@
 
 use super::setting::Setting;
 
-/// A setting that is added to every migrated file, whatever its value in the earlier file.
+/// A setting that is added to every migrated file, whatever its value in the earlier file, unless the command line
+/// gives it.
 struct Added {
     name: &'static str,
     value: &'static str,
--- a/crates/spokeflow-router/src/recorder.rs
+++ b/crates/spokeflow-router/src/recorder.rs
@@ -12,11 +12,12 @@
 
 use crate::error::ServeError;
 
-/// Maximum number of entries waiting to be written: some seconds of traffic, for which a busy disk may not respond.
+/// Maximum number of entries waiting to be written. A busy disk may not respond for some seconds, so the queue holds
+/// some seconds of traffic.
 const ENTRY_QUEUE: usize = 1 << 16;
 
-/// Records inputs in a file. If writing falls behind by more than the queue holds, the recording ends and a warning is
-/// logged.
+/// Records inputs in a file. If writing falls behind by more than the queue holds or fails, the recording ends and a
+/// warning is logged.
 pub(crate) struct Recorder {
     /// `None` once the recording has ended.
     entries: Option<SyncSender<Vec<u8>>>,
@@ -49,7 +50,9 @@
             return;
         };
         if entries.try_send(Recording::entry(now, input)).is_err() {
-            warn!("recording stopped: its file is written more slowly than inputs arrive");
+            warn!(
+                "recording stopped: its writer has ended, or writes more slowly than inputs arrive"
+            );
             self.entries = None;
         }
     }
--- a/crates/spokeflow-router/src/transport.rs
+++ b/crates/spokeflow-router/src/transport.rs
@@ -66,6 +66,8 @@
 }
 
 impl Transport for RouterTransport {
+    /// Queues an answer for a client. The log line is written before that, even if the client has gone or its queue is
+    /// full.
     fn to_client(&mut self, conn: u64, message: ToClient) {
         debug!(connection = conn, ?message, "command answered");
         let Some(client) = self.clients.get(&conn) else {
@@ -91,6 +93,7 @@
         self.list.try_send(message).is_ok()
     }
 
+    /// Queues a vote. The log line is written before that, even if the queue is full; the vote is sent later.
     fn to_controller(&mut self, message: ToController) -> bool {
         info!(?message, "vote sent");
         self.release_controller.try_send(message).is_ok()
