--- a/crates/spokeflow-raft/src/node/leader_lease.rs
+++ b/crates/spokeflow-raft/src/node/leader_lease.rs
@@ -1,4 +1,6 @@
-//! The leader's lease: the time after a round that a majority has answered in which no other leader can be elected.
+//! The leader's lease. `RaftConfig::leader_lease` is its duration: the time after a round that a majority has answered
+//! in which no other leader can be elected. `has_recent_quorum` says whether the lease runs, `has_leader_lease`
+//! whether, in addition, the leader has committed an entry of its own term.
 
 use spokeflow_core::Micros;
 
@@ -8,9 +10,8 @@
 impl RaftNode {
     /// Whether the node may act as leader at `now` by its own clock.
     ///
-    /// This holds while a majority has answered a round that was sent less than one election timeout ago, minus the
-    /// largest clock drift: no other leader can have been elected since. The caller must check it before each action
-    /// as leader.
+    /// This holds while a majority has answered a round that was sent less than `RaftConfig::leader_lease` ago: no
+    /// other leader can have been elected since. The caller must check it before each action as leader.
     pub fn has_recent_quorum(&self, now: Micros) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
@@ -19,8 +20,8 @@
             .is_some_and(|sent_at| now < sent_at + self.config.leader_lease())
     }
 
-    /// Whether the node may act as leader and has committed an entry of its own term. The caller's state then includes
-    /// every entry that was committed under earlier leaders.
+    /// Whether [`RaftNode::has_recent_quorum`] holds and the node has committed an entry of its own term. The caller's
+    /// state then includes every entry that was committed under earlier leaders.
     pub fn has_leader_lease(&self, now: Micros) -> bool {
         self.has_recent_quorum(now) && self.state.term_at(self.commit_index) == Some(self.term())
     }
