--- a/crates/spokeflow-experiments/src/agree.rs
+++ b/crates/spokeflow-experiments/src/agree.rs
@@ -1,4 +1,5 @@
-//! Compares reports of runs in simulated time with those of the same runs on sockets.
+//! Compares reports of runs in simulated time with those of the same runs on sockets: whether the simulation and the
+//! real programs agree. The module `agreement` checks whether the routers of a simulated fleet agree with each other.
 
 use spokeflow_scenario::report::{BuildSummary, Report};
 
--- a/crates/spokeflow-experiments/src/agreement.rs
+++ b/crates/spokeflow-experiments/src/agreement.rs
@@ -1,5 +1,6 @@
 //! Plays many drawn scenarios of control-plane nodes and routers in simulated time, and checks their invariants: above
-//! all, that no two routers contradict each other for longer than a lease.
+//! all, that no two routers contradict each other for longer than a lease. The module `agree` compares simulated runs
+//! with runs on sockets instead.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
--- a/crates/spokeflow-experiments/src/compare.rs
+++ b/crates/spokeflow-experiments/src/compare.rs
@@ -71,8 +71,8 @@
 }
 
 impl Interval {
-    /// Computes the interval of the mean of the differences by the percentile bootstrap (Efron, 1979), since the
-    /// differences of runs are neither identically nor normally distributed.
+    /// Computes the interval of the mean of the differences by the percentile bootstrap (Efron, 1979). The differences
+    /// are taken as independent draws from one distribution over the compared scenarios, which is not normal.
     pub fn of_mean(differences: &[f64]) -> Self {
         let mut rng = StdRng::seed_from_u64(RESAMPLING_SEED);
         let count = differences.len();
--- a/crates/spokeflow-experiments/src/tables.rs
+++ b/crates/spokeflow-experiments/src/tables.rs
@@ -84,8 +84,8 @@
     pub runs: usize,
     /// The mean service, 0 to 1.
     pub service: f64,
-    /// Half the width of the 95% confidence interval of the mean service, with runs taken as independent and
-    /// identically distributed.
+    /// Half the width of the 95% confidence interval of the mean service, by the normal approximation: runs are taken
+    /// as independent draws from one distribution, and their mean as normally distributed.
     pub service_half_width: f64,
     /// The mean over the runs of the service in each run's worst ten seconds.
     pub worst_ten_seconds: f64,
